--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -298,9 +298,11 @@
 	runner := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { orders.Add(1) }))
 	defer runner.Close()
 	n := messages.RunnerRecord{ID: "i-1", Addr: runner.Listener.Addr().String()}
-	target := messages.Target{Model: "m", Version: 2}
-	must.False(t, d.order(context.Background(), n, target, 1, clock.Load()))
+	order := api.Order{Op: api.Version, Model: "m", Version: 2, Method: api.Hold, Holder: "n", Fence: 1}
+	_, sent := d.sendOrder(context.Background(), n, order, clock.Load())
+	must.False(t, sent)
 	must.Eq(t, 0, orders.Load())
-	must.True(t, d.order(context.Background(), n, target, 1, clock.Load()+1))
+	_, sent = d.sendOrder(context.Background(), n, order, clock.Load()+1)
+	must.True(t, sent)
 	must.Eq(t, 1, orders.Load())
 }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -297,18 +297,19 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, operatorWait)
 	defer cancel()
-	service := w.Model
-	if t := d.table.Load(); t != nil {
-		if s := t.ServiceOfModel(w.Model); s != "" {
-			service = s
-		}
+	if d.rollouts.newest(w.Model) >= w.Version {
+		c.JSON(200, w)
+		return
+	}
+	part, holder := consensus.PartOf(w.Model), d.registers.ID()
+	if d.rollouts.fenceFloor(part) > 0 {
+		holder = "" // the duty is acquired with a fence above the floor
 	}
-	part := consensus.PartOf(service)
 	v, err := d.registers.Change(ctx, part, func(cur messages.Value) ([]messages.Member, []byte, error) {
-		return nameTarget(cur, w, d.registers.ID())
+		return nameTarget(cur, w, holder)
 	})
-	if body, berr := leaseBody(v); err == nil && berr == nil && body.Lease.Holder == d.registers.ID() && body.Lease.Fence == 1 {
-		d.rollouts.wonFirst(part, 1)
+	if body, berr := leaseBody(v); err == nil && berr == nil {
+		d.rollouts.recordInitialHolder(part, body.Lease)
 	}
 	if err != nil && !errors.Is(err, errNoChange) {
 		reject(c, 503, "", err.Error())
@@ -317,9 +318,9 @@
 	c.JSON(200, w)
 }
 
-// nameTarget notes a model's newest weights. The one who notes it takes the
-// duty along where it was never held.
-func nameTarget(cur messages.Value, w api.WeightsVersion, self string) ([]messages.Member, []byte, error) {
+// nameTarget records a model's newest weights. Where the lease was never held,
+// holder acquires it with the same change, unless it is empty.
+func nameTarget(cur messages.Value, w api.WeightsVersion, holder string) ([]messages.Member, []byte, error) {
 	body, err := leaseBody(cur)
 	if err != nil {
 		return nil, nil, err
@@ -337,8 +338,8 @@
 	if !found {
 		body.Targets = append(body.Targets, messages.Target{Model: w.Model, Version: w.Version})
 	}
-	if body.Lease.Holder == "" {
-		body.Lease = messages.Lease{Holder: self, Fence: 1}
+	if body.Lease.Holder == "" && holder != "" {
+		body.Lease = messages.Lease{Holder: holder, Fence: initialFence}
 	}
 	b, err := body.MarshalMsg(nil)
 	return nil, b, err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,7 +48,7 @@
 	readers map[string]context.CancelFunc
 	heardUs map[string]int64 // when a runner's events or report last came
 
-	rollouts rollouts
+	rollouts *rolloutManager
 	calm     calm
 	repairs  repairs
 	contact  contact
@@ -74,6 +74,7 @@
 	}
 	d.seeds.Store(&set.Seeds)
 	d.feed.init(clock())
+	d.rollouts = newRolloutManager(d)
 	d.syncRunners()
 	d.publisher = dissemination.NewPublisher(trans, dissemination.Upstream{Since: d.since, Told: d.toldBelow, Gone: d.goneBelow})
 	d.registers, err = consensus.Open(set.ControllerAddr(), transport.KindConsensus, set.Bootstrap, set.SeedAddrs(), contactCaller{trans, &d.contact, clock}, store, log, d.learned)
@@ -140,7 +141,7 @@
 	go loop.Every(live, 500*time.Millisecond, func() { d.catchUp(live) })
 	go loop.Every(live, 500*time.Millisecond, func() { d.sweep() })
 	go loop.Every(live, 500*time.Millisecond, func() { d.wantReaders(live) })
-	go loop.Every(live, 200*time.Millisecond, func() { d.reconcileRollouts(live) })
+	go loop.Every(live, rolloutPeriod, func() { d.rollouts.step(live) })
 	go d.flushFeed(live)
 	go d.settleRegisters(live)
 	if d.disk != nil {
@@ -211,6 +212,7 @@
 		}
 	}
 	if p != consensus.ConfigPart {
+		d.rollouts.onCommitted(v)
 		d.tellPart(messages.PartNote{Part: p, Version: v.Version, Body: v.Body})
 	}
 }
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -1,212 +1,273 @@
-// Refits carries out the duty of bringing runners to named weights: it wins or
-// takes over the claim, confirms it with a majority before it orders, and
-// follows the plan.
+// Rollouts drive the duty of bringing runners to named weights: package rollout
+// decides, and what it asks for is done here. Each model belongs to one register
+// by its name alone, so that it has one holder and one sequence of fences.
 package controller
 
 import (
 	"context"
-	"encoding/json"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"beechtide.org/beechtide/internal/api"
 	"beechtide.org/beechtide/internal/consensus"
 	"beechtide.org/beechtide/internal/lease"
-	"beechtide.org/beechtide/internal/loop"
 	"beechtide.org/beechtide/internal/messages"
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-type rollouts struct {
-	mu     sync.Mutex
-	shifts map[int]*lease.Lease
-	plans  map[string]*rollout.Plan
-	busy   map[int]bool
-	polls  map[string]bool
-	won    map[int]int64
-	moved  map[int]moved
-	acted  map[int]int64 // the newest fence this process has acted under
-	bars   atomic.Int64
-}
+// Periods and waits of the driver.
+const (
+	rolloutPeriod = 100 * time.Millisecond
+	confirmLease  = 600 * time.Millisecond
+	acquireLease  = time.Second
+	// orderWait is how long a runner may take to answer an order.
+	orderWait = 700 * time.Millisecond
+)
 
-// moved is when this node saw a claim change hands.
-type moved struct {
-	fence, atUs int64
-}
+// Times of the duty, in microseconds.
+const (
+	actUs = int64(400_000)
+	// spareUs is for an order that was sent and has not arrived; it exceeds orderWait.
+	spareUs = int64(800_000)
+	// defaultVersionUs stands for versionMs where the settings have none.
+	defaultVersionUs = int64(8_000_000)
+	// orderMarginUs is how long before versionMs all orders have gone out.
+	orderMarginUs = int64(2_500_000)
+	// recalledUs is how long after the start of a process what it learns may have been
+	// committed long ago.
+	recalledUs = int64(2_000_000)
+)
 
-func (r *rollouts) init() {
-	if r.shifts == nil {
-		r.shifts, r.plans, r.busy = map[int]*lease.Lease{}, map[string]*rollout.Plan{}, map[int]bool{}
-		r.polls, r.won, r.moved = map[string]bool{}, map[int]int64{}, map[int]moved{}
-		r.acted = map[int]int64{}
-	}
-}
+// initialFence is the fence of a lease that nobody held before.
+const initialFence = 1
 
-// wonFirst notes a claim that nobody held before.
-func (r *rollouts) wonFirst(part int, fence int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.init()
-	r.won[part] = fence
+// freshSequence is the highest heartbeat sequence of a runner that counts as new.
+const freshSequence = 2
+
+// rolloutManager holds a shard of the duty for each register.
+type rolloutManager struct {
+	controller *Controller
+	times      lease.Times
+	boundUs    int64
+	cordons    atomic.Int64
+
+	mu      sync.Mutex // guards what follows
+	shards  map[int]*rollout.Shard
+	namings rollout.Namings
+	busy    map[int]bool    // a round for the lease is under way
+	polling map[string]bool // a runner's report was asked for
+	used    map[int]int64   // the newest fence this process has acted under
 }
 
-func (d *Controller) reconcileRollouts(ctx context.Context) {
-	r := &d.rollouts
-	r.mu.Lock()
-	r.init()
+func newRolloutManager(d *Controller) *rolloutManager {
+	bounds := d.set.Bounds
+	m := &rolloutManager{
+		controller: d,
+		times:      lease.Times{LeaseUs: int64(bounds.LeaseMs) * 1000, ActUs: actUs, SpareUs: spareUs},
+		boundUs:    orderBoundUs(int64(bounds.VersionMs) * 1000),
+		shards:     map[int]*rollout.Shard{}, busy: map[int]bool{}, polling: map[string]bool{}, used: map[int]int64{},
+	}
 	for part := 1; part < consensus.Parts; part++ {
-		if r.busy[part] {
-			continue
-		}
-		v, ok := d.registers.Committed(part)
-		if !ok {
-			continue
-		}
-		body, err := leaseBody(v)
-		if err != nil || len(body.Targets) == 0 {
-			continue
-		}
-		r.busy[part] = true
-		go func() {
-			d.workLease(ctx, part, body)
-			r.mu.Lock()
-			r.busy[part] = false
-			r.mu.Unlock()
-		}()
+		m.shards[part] = rollout.NewShard(m.times, m.boundUs)
 	}
-	r.mu.Unlock()
+	return m
 }
 
-// behind gives, for a target, the versions of the runners that carry the model.
-func (d *Controller) behind(t messages.Target) (versions map[string]int64, old bool, barred bool) {
-	versions = map[string]int64{}
-	for id, n := range d.registry.Snapshot().ByID {
-		if n.Stale || n.Draining {
-			continue
-		}
-		for _, m := range n.Models {
-			if m.Model == t.Model {
-				versions[id] = m.Version
-				old = old || m.Version < t.Version
-				barred = barred || (n.Barred || n.Easing) && m.Version >= t.Version
-			}
-		}
+// orderBoundUs is by when, after a naming, all orders have to be out.
+func orderBoundUs(versionUs int64) int64 {
+	if versionUs == 0 {
+		versionUs = defaultVersionUs
 	}
-	return versions, old, barred
+	return max(versionUs-orderMarginUs, versionUs/4)
 }
 
-func (d *Controller) workLease(ctx context.Context, part int, body messages.LeaseBody) {
-	needed := false
-	for _, t := range body.Targets {
-		_, old, barred := d.behind(t)
-		needed = needed || old || barred
-	}
-	if !needed {
+// onCommitted takes the targets of a register, whichever it is: earlier versions of
+// the program chose it by the configuration they held.
+func (m *rolloutManager) onCommitted(v messages.Value) {
+	body, err := leaseBody(v)
+	if err != nil {
 		return
 	}
-	r := &d.rollouts
-	r.mu.Lock()
-	s := r.shifts[part]
-	if s == nil {
-		s = &lease.Lease{T: lease.Times{LeaseUs: int64(d.set.Bounds.LeaseMs) * 1000, ActUs: 400_000, SpareUs: 800_000}}
-		r.shifts[part] = s
-	}
-	won := r.won[part]
-	r.mu.Unlock()
-	if body.Lease.Holder != d.registers.ID() {
-		s.Lost()
-		d.maybeTake(ctx, part, body.Lease, s)
-		return
+	nowUs := m.controller.clock()
+	namedUs := nowUs
+	if nowUs-m.controller.startUs < recalledUs {
+		namedUs = nowUs - m.boundUs // perhaps named long ago
 	}
-	if won == body.Lease.Fence && s.Fence() != won {
-		s.Took(won, lease.Nobody, d.clock())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, t := range body.Targets {
+		m.namings.Learn(t.Model, t.Version, namedUs)
 	}
-	if s.Fence() != body.Lease.Fence {
-		// A claim of an earlier life of this process: a new fence puts all that
-		// life said about runners behind what will be said now.
-		d.take(ctx, part, body.Lease, s)
+}
+
+// newest is the newest version named of a model, over all registers.
+func (m *rolloutManager) newest(model string) int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	named := m.namings.Of(model)
+	if len(named) == 0 {
+		return 0
+	}
+	return named[len(named)-1].Version
+}
+
+// recordInitialHolder notes a lease that came with the first naming of weights.
+func (m *rolloutManager) recordInitialHolder(part int, l messages.Lease) {
+	if l.Holder != m.controller.registers.ID() || l.Fence != initialFence {
 		return
 	}
-	if !s.MayAct(d.clock()) {
-		askedUs := d.clock()
-		cctx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
-		v, err := d.registers.Read(cctx, part)
-		cancel()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.shards[part].RecordInitialHolder(l.Fence)
+}
+
+// fenceFloor is the highest fence of another register that has a target of a model
+// that belongs to this one.
+func (m *rolloutManager) fenceFloor(part int) int64 {
+	floor := int64(0)
+	for other := 1; other < consensus.Parts; other++ {
+		v, ok := m.controller.registers.Committed(other)
+		if other == part || !ok {
+			continue
+		}
+		body, err := leaseBody(v)
 		if err != nil {
-			return
+			continue
 		}
-		now, err := leaseBody(v)
-		if err != nil || now.Lease.Holder != d.registers.ID() {
-			s.Lost()
-			return
+		for _, t := range body.Targets {
+			if consensus.PartOf(t.Model) == part {
+				floor = max(floor, body.Lease.Fence)
+			}
 		}
-		s.Confirmed(now.Lease.Fence, askedUs)
 	}
-	if s.ReadyInUs(d.clock()) > rollout.EaseUs+rollout.SettleUs {
+	return floor
+}
+
+// step takes the next steps of each shard.
+func (m *rolloutManager) step(ctx context.Context) {
+	for part := 1; part < consensus.Parts; part++ {
+		m.stepShard(ctx, part)
+	}
+}
+
+func (m *rolloutManager) stepShard(ctx context.Context, part int) {
+	models := m.models(part)
+	if len(models) == 0 {
 		return
 	}
-	if s.MayAct(d.clock()) {
-		d.noteActed(part, s.Fence())
+	v, ok := m.controller.registers.Committed(part)
+	body, err := leaseBody(v)
+	if !ok || err != nil {
+		return
 	}
-	for _, t := range body.Targets {
-		d.follow(ctx, t, s)
+	view := m.view(part, v.Group, body.Lease)
+	view.Models = models
+	m.mu.Lock()
+	step := m.shards[part].Step(view)
+	round := (step.Acquire || step.Confirm) && !m.busy[part]
+	m.busy[part] = m.busy[part] || round
+	m.mu.Unlock()
+	if round {
+		go m.round(ctx, part, view, step)
+	}
+	m.carryOut(ctx, part, step)
+}
+
+// view is what this controller sees of a register's lease and its holder.
+func (m *rolloutManager) view(part int, group []messages.Member, l messages.Lease) rollout.View {
+	d := m.controller
+	rank, candidate := m.rank(l)
+	eligible := candidate || l.Holder == d.registers.ID()
+	return rollout.View{
+		NowUs: d.clock(), Self: d.registers.ID(), Lease: l, FenceFloor: m.fenceFloor(part),
+		HolderGone: m.gone(l.Holder), InContact: eligible && d.hasContact(group), Rank: rank,
 	}
 }
 
-// reachable lists the live controllers that this one is not cut off from.
-func (d *Controller) reachable() []messages.Peer {
-	var out []messages.Peer
-	for _, p := range d.monitor.Alive(messages.Controller) {
-		if p.Addr == d.transport.Addr() || !d.calm.isCut(p.Addr) {
-			out = append(out, p)
+// models are those that belong to a register, with their runners as known now.
+func (m *rolloutManager) models(part int) []rollout.Model {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var out []rollout.Model
+	for _, name := range m.namings.Models() {
+		if consensus.PartOf(name) == part {
+			out = append(out, rollout.Model{Name: name, Namings: m.namings.Of(name), Runners: m.controller.runnersOf(name)})
 		}
 	}
 	return out
 }
 
-// takenAgainUs is how long a claim that has just changed hands is left alone,
-// so that two who do not reach each other do not take it in turns.
-const takenAgainUs = 8_000_000
-
-// maybeTake takes the claim over once its holder is gone. Only the lowest live
-// controller tries, so that two seldom meet in a ballot.
-func (d *Controller) maybeTake(ctx context.Context, part int, was messages.Lease, s *lease.Lease) {
-	alive := d.reachable()
-	if len(alive) == 0 || alive[0].Addr != d.transport.Addr() {
-		return
+// runnersOf lists the runners that carry a model: by their own word, or by the
+// configuration where they have not said what they carry.
+func (d *Controller) runnersOf(model string) []rollout.Runner {
+	service := ""
+	if t := d.table.Load(); t != nil {
+		service = t.ServiceOfModel(model)
+	}
+	var out []rollout.Runner
+	for id, n := range d.registry.Snapshot().ByID {
+		version, carries := versionOf(n, model)
+		unknown := len(n.Models) == 0 && service != "" && n.Service == service
+		if n.Draining || !carries && !unknown {
+			continue
+		}
+		out = append(out, rollout.Runner{ID: id, Version: version, Cordoned: n.Barred, Draining: n.Easing, Fresh: n.Seq <= freshSequence})
 	}
-	held := addrOf(was.Holder)
-	for _, p := range alive {
-		if p.MemberID == was.Holder && !d.calm.isCut(held) {
-			return
+	return out
+}
+
+func versionOf(n messages.RunnerRecord, model string) (version int64, carries bool) {
+	for _, t := range n.Models {
+		if t.Model == model {
+			return t.Version, true
 		}
 	}
-	if was.Holder != "" && !d.calm.isCut(held) && d.monitor.DeadForUs(held) == 0 && d.clock()-d.startUs < 3_000_000 {
-		return
+	return 0, false
+}
+
+// round carries out a round of the register for the lease, and goes on at once.
+func (m *rolloutManager) round(ctx context.Context, part int, view rollout.View, step rollout.Step) {
+	if step.Acquire {
+		m.acquire(ctx, part, view)
+	} else {
+		m.confirm(ctx, part)
+	}
+	m.mu.Lock()
+	m.busy[part] = false
+	m.mu.Unlock()
+	if step.Confirm {
+		m.stepShard(ctx, part)
 	}
-	d.rollouts.mu.Lock()
-	recent := d.rollouts.moved[part]
-	if recent.fence != was.Fence {
-		first := recent.fence == 0
-		recent = moved{was.Fence, d.clock()}
-		if first {
-			recent.atUs -= takenAgainUs
-		}
-		d.rollouts.moved[part] = recent
+}
+
+// confirm asks a majority whether the lease still stands.
+func (m *rolloutManager) confirm(ctx context.Context, part int) {
+	d := m.controller
+	askedUs := d.clock()
+	ctx, cancel := context.WithTimeout(ctx, confirmLease)
+	defer cancel()
+	v, err := d.registers.Read(ctx, part)
+	if err != nil {
+		return
 	}
-	d.rollouts.mu.Unlock()
-	if was.Holder != "" && d.clock()-recent.atUs < takenAgainUs {
+	body, err := leaseBody(v)
+	if err != nil {
 		return
 	}
-	d.take(ctx, part, was, s)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.shards[part].Confirmed(body.Lease, askedUs, d.clock())
 }
 
-// take wins the claim by a ballot, if it is still as it was.
-func (d *Controller) take(ctx context.Context, part int, was messages.Lease, s *lease.Lease) {
-	cctx, cancel := context.WithTimeout(ctx, time.Second)
+// acquire wins the lease by a ballot, if it is still as it was.
+func (m *rolloutManager) acquire(ctx context.Context, part int, view rollout.View) {
+	d, was := m.controller, view.Lease
+	m.mu.Lock()
+	next := m.shards[part].NextLease(was, view.FenceFloor)
+	m.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, acquireLease)
 	defer cancel()
-	v, err := d.registers.Change(cctx, part, func(cur messages.Value) ([]messages.Member, []byte, error) {
+	v, err := d.registers.Change(ctx, part, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		body, err := leaseBody(cur)
 		if err != nil {
 			return nil, nil, err
@@ -214,118 +275,55 @@
 		if body.Lease != was {
 			return nil, nil, errNoChange
 		}
-		body.Lease = messages.Lease{Holder: d.registers.ID(), Fence: was.Fence + 1}
+		body.Lease = next
 		b, err := body.MarshalMsg(nil)
 		return nil, b, err
 	})
 	if err != nil {
+		d.log.Info("lease not acquired", "part", part, "fence", next.Fence, "err", err)
 		return
 	}
-	if body, err := leaseBody(v); err == nil && body.Lease.Holder == d.registers.ID() {
-		before := lease.Former(was.Holder, d.registers.ID(), d.actedUnder(part, was.Fence))
-		s.Took(body.Lease.Fence, before, d.clock())
-		d.log.Info("claim taken", "part", part, "fence", body.Lease.Fence)
+	body, err := leaseBody(v)
+	if err != nil || body.Lease != next {
+		return
 	}
+	used := m.usedFence(part, was.Fence)
+	m.mu.Lock()
+	m.shards[part].Acquired(was, next, used, d.clock())
+	m.mu.Unlock()
+	d.log.Info("lease acquired", "part", part, "fence", next.Fence, "from", was.Holder)
 }
 
-func (d *Controller) follow(ctx context.Context, t messages.Target, s *lease.Lease) {
-	r := &d.rollouts
-	r.mu.Lock()
-	plan := r.plans[t.Model]
-	if plan == nil || plan.Version != t.Version {
-		plan = rollout.NewPlan(t.Version)
-		r.plans[t.Model] = plan
-	}
-	r.mu.Unlock()
-	versions, _, _ := d.behind(t)
-	now := d.clock()
-	plan.See(versions, now)
-	for id, m := range versions {
-		if n, ok := d.registry.Snapshot().ByID[id]; ok && (n.Barred || n.Easing) && m >= t.Version {
-			d.bar(id, false, false, s.Fence())
+// carryOut does what a step asks for at the runners.
+func (m *rolloutManager) carryOut(ctx context.Context, part int, step rollout.Step) {
+	if step.Orders() {
+		m.recordFenceUsed(part, step.Fence)
+	}
+	for _, a := range step.Models {
+		for _, id := range a.Free {
+			m.setCordon(id, false, false, step.Fence)
 		}
-	}
-	ease, bar, order := plan.Next(now)
-	for _, id := range ease {
-		d.bar(id, true, false, s.Fence())
-		plan.Move(id, rollout.Easing, now)
-	}
-	for _, id := range bar {
-		d.bar(id, false, true, s.Fence())
-		plan.Move(id, rollout.Barred, now)
-	}
-	for _, id := range order {
-		n, ok := d.registry.Snapshot().ByID[id]
-		if !ok || !s.MayAct(d.clock()) {
-			continue
+		for _, id := range a.Drain {
+			m.setCordon(id, true, false, step.Fence)
 		}
-		plan.Move(id, rollout.Ordered, d.clock())
-		go d.order(ctx, n, t, s.Fence(), s.ActUntilUs())
-	}
-	for id, j := range plan.Jobs {
-		if j.Stage == rollout.Ordered {
-			d.pollWeights(ctx, id, t)
+		for _, id := range a.Cordon {
+			m.setCordon(id, false, true, step.Fence)
+		}
+		for _, o := range a.Orders {
+			go m.order(ctx, part, a.Model, o, step)
+		}
+		for _, id := range a.Poll {
+			m.poll(ctx, part, a.Model, id)
 		}
 	}
 }
 
-func (d *Controller) bar(id string, easing, barred bool, fence int64) {
-	if n, changed := d.registry.Bar(id, easing, barred, fence<<20|d.rollouts.bars.Add(1)); changed {
-		d.tellRunners(n.ID)
-	}
-}
-
-// orderWait is how long a runner may take to answer an order.
-const orderWait = 800 * time.Millisecond
-
-// order sends an order, unless the majority's word behind it has run out at untilUs.
-// It tells whether the order went out.
-func (d *Controller) order(ctx context.Context, n messages.RunnerRecord, t messages.Target, fence, untilUs int64) bool {
-	b, err := json.Marshal(api.Order{Op: api.Version, Model: t.Model, Version: t.Version, Method: api.Hold, Holder: d.registers.ID(), Fence: fence})
-	if err != nil {
-		return false
-	}
-	ctx, cancel := context.WithTimeout(ctx, orderWait)
-	defer cancel()
-	if d.clock() >= untilUs {
-		return false
-	}
-	status, _, _, err := d.connPool.Ask(ctx, n.Addr, "POST", "/api/order", map[string]string{"Beechtide-Target-Instance": n.ID}, b)
-	d.log.Info("order", "runner", n.ID, "version", t.Version, "fence", fence, "status", status, "err", err)
-	if err == nil && status == 200 {
-		d.tellWeights(n.ID, t)
-	}
-	return true
-}
-
-func (d *Controller) pollWeights(ctx context.Context, id string, t messages.Target) {
-	r := &d.rollouts
-	r.mu.Lock()
-	running := r.polls[id]
-	r.polls[id] = true
-	r.mu.Unlock()
-	n, ok := d.registry.Snapshot().ByID[id]
-	if running || !ok {
-		return
-	}
-	go func() {
-		if rep, ok := d.report(ctx, n); ok && !rep.Saturated {
-			for _, m := range rep.Models {
-				if m.Name == t.Model && m.Version >= t.Version {
-					d.tellWeights(id, t)
-				}
-			}
-		}
-		loop.Pause(ctx, 200*time.Millisecond)
-		r.mu.Lock()
-		delete(r.polls, id)
-		r.mu.Unlock()
-	}()
-}
+// fenceShift leaves room below a fence for the cordons set under it, in their order.
+const fenceShift = 20
 
-func (d *Controller) tellWeights(id string, t messages.Target) {
-	if n, changed := d.registry.Weights(id, t.Model, t.Version); changed {
-		d.log.Info("weights in place", "runner", id, "version", t.Version)
+func (m *rolloutManager) setCordon(id string, draining, cordoned bool, fence int64) {
+	d := m.controller
+	if n, changed := d.registry.Bar(id, draining, cordoned, fence<<fenceShift|m.cordons.Add(1)); changed {
 		d.tellRunners(n.ID)
 	}
 }
--- /dev/null
+++ b/internal/controller/rollouts_test.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/consensus"
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/rollout"
+	"beechtide.org/beechtide/internal/routeconfig"
+)
+
+// otherShard is a register that a model does not belong to.
+func otherShard(model string) int { return 1 + consensus.PartOf(model)%(consensus.Parts-1) }
+
+// commit has a controller learn a register's value.
+func commit(t *testing.T, d *Controller, part int, version int64, body messages.LeaseBody) {
+	t.Helper()
+	raw, err := body.MarshalMsg(nil)
+	must.NoError(t, err)
+	v, _ := d.registers.Committed(part)
+	v.Version, v.Body, v.Stamp = version, raw, fmt.Sprint("s-", version)
+	d.registers.Learn(part, v)
+	d.learned(part, v)
+}
+
+// Earlier versions of the program chose the register of a target by the
+// configuration they held. The highest version over all registers counts, the model
+// belongs to the register of its name, and its fences go on above those used before.
+func TestTargetInAnotherRegisterIsHonoured(t *testing.T) {
+	d, _ := alone(t)
+	const model = "m-1"
+	home, other := consensus.PartOf(model), otherShard(model)
+	commit(t, d, other, 5, messages.LeaseBody{Lease: messages.Lease{Holder: "x/0", Fence: 7}, Targets: []messages.Target{{Model: model, Version: 4}}})
+	must.Eq(t, int64(4), d.rollouts.newest(model))
+	must.Eq(t, int64(7), d.rollouts.fenceFloor(home))
+	must.Zero(t, d.rollouts.fenceFloor(other))
+
+	commit(t, d, home, 3, messages.LeaseBody{Targets: []messages.Target{{Model: model, Version: 3}}})
+	must.Eq(t, int64(4), d.rollouts.newest(model), must.Sprint("a lower version elsewhere changes nothing"))
+	must.SliceLen(t, 1, d.rollouts.models(home))
+	must.SliceEmpty(t, d.rollouts.models(other))
+	next := d.rollouts.shards[home].NextLease(messages.Lease{}, d.rollouts.fenceFloor(home))
+	must.Eq(t, int64(8), next.Fence)
+}
+
+// The register of a model is that of its name, with a configuration or without.
+func TestShardOfModelDoesNotDependOnTheConfiguration(t *testing.T) {
+	port := freePort(t)
+	d, url, stop := core(t, t.TempDir(), port, true)
+	defer stop()
+	named := func(model string, version int64) {
+		status, _ := call(t, "POST", url+"/api/version-put", fmt.Sprintf(`{"model":%q,"version":%d}`, model, version), 0)
+		must.Eq(t, 200, status)
+		for part := 1; part < consensus.Parts; part++ {
+			v, _ := d.registers.Committed(part)
+			body, err := leaseBody(v)
+			must.NoError(t, err)
+			for _, target := range body.Targets {
+				if target.Model == model {
+					must.Eq(t, consensus.PartOf(model), part)
+					must.Eq(t, version, target.Version)
+				}
+			}
+		}
+	}
+	for i := range 8 {
+		named(fmt.Sprint("m-", i), 2)
+	}
+	status, _ := call(t, "POST", url+"/api/Config.Replace", configWithModels(5, 8), 0)
+	must.Eq(t, 200, status)
+	until(t, func() bool { return d.table.Load() != nil })
+	must.Eq(t, "s", d.table.Load().ServiceOfModel("m-1"))
+	for i := range 8 {
+		named(fmt.Sprint("m-", i), 3)
+	}
+}
+
+func TestRunnersOfAModelIncludeStaleAndUnknownOnes(t *testing.T) {
+	d, _ := alone(t)
+	record := func(id string, models ...messages.Target) messages.RunnerRecord {
+		return messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Seq: 9, Models: models}
+	}
+	d.registry.Hear(record("known", messages.Target{Model: "m-0", Version: 1}), 1)
+	d.registry.Hear(record("unknown"), 1)
+	draining := record("draining", messages.Target{Model: "m-0", Version: 1})
+	draining.Draining = true
+	d.registry.Hear(draining, 1)
+	must.Eq(t, []rollout.Runner{{ID: "known", Version: 1}}, d.runnersOf("m-0"))
+	loadTable(t, d, configWithModels(5, 1))
+	must.Len(t, 2, d.runnersOf("m-0"))
+	for _, r := range d.runnersOf("m-0") {
+		must.Eq(t, r.ID == "known", r.Version == 1)
+	}
+}
+
+func TestRankOfCandidatesIsAnOrderOfAll(t *testing.T) {
+	addrs := []string{"a", "b", "c", "d", "e"}
+	firsts := map[string]bool{}
+	for fence := range int64(40) {
+		ranks := map[int]bool{}
+		for _, self := range addrs {
+			rank, found := rankOf(append([]string{}, addrs...), self, messages.Lease{Holder: "x", Fence: fence})
+			must.True(t, found)
+			ranks[rank] = true
+			if rank == 0 {
+				firsts[self] = true
+			}
+		}
+		must.MapLen(t, len(addrs), ranks)
+	}
+	must.MapLen(t, len(addrs), firsts, must.Sprint("each is the first one at times"))
+	_, found := rankOf(addrs, "z", messages.Lease{})
+	must.False(t, found)
+}
+
+// configWithModels is a configuration whose one service carries models m-0 to m-n.
+func configWithModels(version, n int) string {
+	var models []string
+	for i := range n {
+		models = append(models, fmt.Sprintf(`{"name":"m-%d"}`, i))
+	}
+	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h","prefix":"/a/","kind":"idempotent","cutoffMs":100,"service":"s"}],"services":[{"name":"s","engine":{"models":[%s]}}]}`, version, strings.Join(models, ","))
+}
+
+func loadTable(t *testing.T, d *Controller, text string) {
+	t.Helper()
+	config, err := routeconfig.ReadTaken([]byte(text))
+	must.NoError(t, err)
+	d.table.Store(routeconfig.Compile(config))
+}
--- /dev/null
+++ b/internal/controller/used_fences.go
@@ -0,0 +1,37 @@
+// What this controller remembers of the leases that it has acted under.
+package controller
+
+import (
+	"fmt"
+	"strconv"
+)
+
+// usedFenceFile names the note of the newest fence acted under in a register. The
+// name is that of earlier versions of the program.
+func usedFenceFile(part int) string { return fmt.Sprintf("acted-%d", part) }
+
+// recordFenceUsed notes a fence before the first order under it. It does not wait
+// for the disk: the note only spares a later process of this holder the wait for
+// the holder before.
+func (m *rolloutManager) recordFenceUsed(part int, fence int64) {
+	m.mu.Lock()
+	known := m.used[part] == fence
+	m.used[part] = fence
+	m.mu.Unlock()
+	if disk := m.controller.disk; disk != nil && !known {
+		go func() { _ = disk.Keep(usedFenceFile(part), strconv.AppendInt(nil, fence, 10)) }()
+	}
+}
+
+// usedFence tells whether this holder, in this process or an earlier one, has acted
+// under a fence.
+func (m *rolloutManager) usedFence(part int, fence int64) bool {
+	m.mu.Lock()
+	used := m.used[part] == fence
+	m.mu.Unlock()
+	if used || m.controller.disk == nil {
+		return used
+	}
+	note, ok := m.controller.disk.Note(usedFenceFile(part))
+	return ok && string(note) == strconv.FormatInt(fence, 10)
+}
--- /dev/null
+++ b/internal/controller/used_fences_test.go
@@ -0,0 +1,27 @@
+package controller
+
+import (
+	"runtime"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/consensus"
+)
+
+func TestUsedFenceIsKnownAfterARestart(t *testing.T) {
+	store, err := consensus.NewDiskStore(t.TempDir())
+	must.NoError(t, err)
+	process := func() *rolloutManager { return newRolloutManager(&Controller{disk: store}) }
+	first := process()
+	must.False(t, first.usedFence(2, 7))
+	first.recordFenceUsed(2, 7)
+	must.True(t, first.usedFence(2, 7))
+	for _, ok := store.Note(usedFenceFile(2)); !ok; _, ok = store.Note(usedFenceFile(2)) {
+		runtime.Gosched()
+	}
+	second := process()
+	must.True(t, second.usedFence(2, 7))
+	must.False(t, second.usedFence(2, 8))
+	must.False(t, second.usedFence(1, 7))
+}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -19,50 +19,50 @@
 	confirmUs int64 // when the last confirmation was asked for
 }
 
-// Before says who held the duty before the one who takes it.
-type Before int
+// Predecessor says who held the duty before the one who takes it.
+type Predecessor int
 
 // Who held it before.
 const (
-	Nobody Before = iota
-	Itself        // an earlier life of the same holder, which has ended
+	Nobody Predecessor = iota
+	Itself             // an earlier life of the same holder, which has ended
 	Another
 )
 
-// Took notes a claim that this node has just won. It waits as long as the one
+// Acquired notes a claim that this node has just won. It waits as long as the one
 // before could still act: another holder that is cut off goes on until its
 // confirmation runs out, an earlier life of its own has ended with its process.
-func (s *Lease) Took(fence int64, before Before, nowUs int64) {
-	s.fence, s.confirmUs = fence, nowUs
-	s.fromUs = nowUs
-	switch before {
+func (l *Lease) Acquired(fence int64, predecessor Predecessor, nowUs int64) {
+	l.fence, l.confirmUs = fence, nowUs
+	l.fromUs = nowUs
+	switch predecessor {
 	case Itself:
-		s.fromUs += s.T.SpareUs
+		l.fromUs += l.T.SpareUs
 	case Another:
-		s.fromUs += s.T.LeaseUs + s.T.ActUs + s.T.SpareUs
+		l.fromUs += l.T.LeaseUs + l.T.ActUs + l.T.SpareUs
 	}
 }
 
 // ReadyInUs is how long it has to wait before it may act at all.
-func (s *Lease) ReadyInUs(nowUs int64) int64 { return max(s.fromUs-nowUs, 0) }
+func (l *Lease) ReadyInUs(nowUs int64) int64 { return max(l.fromUs-nowUs, 0) }
 
 // Confirmed notes that a majority still had this claim when asked at askedUs.
-func (s *Lease) Confirmed(fence, askedUs int64) {
-	if fence == s.fence {
-		s.confirmUs = askedUs
+func (l *Lease) Confirmed(fence, askedUs int64) {
+	if fence == l.fence {
+		l.confirmUs = askedUs
 	}
 }
 
 // MayAct tells whether the holder may send an order now.
-func (s *Lease) MayAct(nowUs int64) bool {
-	return s.fence > 0 && nowUs >= s.fromUs && s.confirmUs > 0 && nowUs-s.confirmUs < s.T.ActUs
+func (l *Lease) MayAct(nowUs int64) bool {
+	return l.fence > 0 && nowUs >= l.fromUs && l.confirmUs > 0 && nowUs-l.confirmUs < l.T.ActUs
 }
 
 // ActUntilUs is until when MayAct holds unless it is confirmed again.
-func (s *Lease) ActUntilUs() int64 { return s.confirmUs + s.T.ActUs }
+func (l *Lease) ActUntilUs() int64 { return l.confirmUs + l.T.ActUs }
 
 // Fence is the fence of the claim.
-func (s *Lease) Fence() int64 { return s.fence }
+func (l *Lease) Fence() int64 { return l.fence }
 
-// Lost notes that the claim is another's.
-func (s *Lease) Lost() { s.fence, s.confirmUs = 0, 0 }
+// Released notes that the claim is another's.
+func (l *Lease) Released() { l.fence, l.confirmUs = 0, 0 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -10,10 +10,10 @@
 
 // Two holders on traces of confirmations and cuts never act within the claim
 // time of each other.
-func TestHoldersNeverActWithinTheClaimTime(t *testing.T) {
+func TestHoldersNeverActWithinLeaseTime(t *testing.T) {
 	for cutUs := int64(0); cutUs < 3_000_000; cutUs += 37_000 {
 		a, b := &Lease{T: times}, &Lease{T: times}
-		a.Took(1, Nobody, 1)
+		a.Acquired(1, Nobody, 1)
 		lastA, firstB := int64(0), int64(0)
 		for now := int64(1); now < 12_000_000; now += 10_000 {
 			if now < cutUs && now%100_000 < 10_000 {
@@ -23,7 +23,7 @@
 				lastA = now
 			}
 			if now >= cutUs+500_000 && b.Fence() == 0 {
-				b.Took(2, Another, now)
+				b.Acquired(2, Another, now)
 			}
 			if b.Fence() == 2 {
 				b.Confirmed(2, now)
@@ -37,24 +37,24 @@
 	}
 }
 
-func TestTakenClaimWaitsAndOnlyItsOwnFenceCounts(t *testing.T) {
-	s := &Lease{T: times}
-	s.Took(4, Another, 1)
-	s.Confirmed(4, 2)
-	must.False(t, s.MayAct(3))
-	s.Confirmed(4, 4_300_000)
-	must.True(t, s.MayAct(4_300_001))
-	s.Confirmed(9, 9_000_000)
-	must.False(t, s.MayAct(9_000_001), must.Sprint("a confirmation of another fence is none"))
-	s.Lost()
-	must.False(t, s.MayAct(9_000_002))
+func TestAcquiredLeaseWaitsAndCountsOnlyItsOwnFence(t *testing.T) {
+	l := &Lease{T: times}
+	l.Acquired(4, Another, 1)
+	l.Confirmed(4, 2)
+	must.False(t, l.MayAct(3))
+	l.Confirmed(4, 4_300_000)
+	must.True(t, l.MayAct(4_300_001))
+	l.Confirmed(9, 9_000_000)
+	must.False(t, l.MayAct(9_000_001), must.Sprint("a confirmation of another fence is none"))
+	l.Released()
+	must.False(t, l.MayAct(9_000_002))
 }
 
-func TestOwnEarlierLifeIsWaitedOutShortly(t *testing.T) {
-	s := &Lease{T: times}
-	s.Took(5, Itself, 1)
-	must.Eq(t, times.SpareUs, s.ReadyInUs(1))
-	s.Confirmed(5, times.SpareUs)
-	must.False(t, s.MayAct(times.SpareUs))
-	must.True(t, s.MayAct(times.SpareUs+1))
+func TestAcquireAfterOwnRestartWaitsForMessagesOnly(t *testing.T) {
+	l := &Lease{T: times}
+	l.Acquired(5, Itself, 1)
+	must.Eq(t, times.SpareUs, l.ReadyInUs(1))
+	l.Confirmed(5, times.SpareUs)
+	must.False(t, l.MayAct(times.SpareUs))
+	must.True(t, l.MayAct(times.SpareUs+1))
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,124 +1,248 @@
-// Package rollout plans how runners come to the weights that were named: a few
-// at a time. Each is first eased: no long request goes there any more, so that
-// its runs end soon. Then it is taken from the candidates, given the time to
-// begin what it was sent, ordered, and watched until it holds the new weights.
-// Plan is pure; the controller that holds the duty carries it out.
+// Package rollout brings the runners of a model to the weights that were named
+// for it. It is pure: time and everything that is known come in as arguments,
+// and what is to be done comes out as values.
+//
+// Plan says, for one model, which runners get no more long requests (drain), none
+// at all (cordon), an order, or a question for their report (poll). Shard is the
+// duty of a lease holder for all models of one register: when to acquire the
+// lease, when to have it confirmed, and the plans under it.
+//
+// The guarantee of a plan: if its caller may send orders, an order for the newest
+// weights has gone out to every runner before the moment from which nothing may
+// begin on its older weights. Under method hold a runner that was ordered begins
+// nothing more on its old weights, so that moment is the only one that counts;
+// how long the runs at the runner take to end, or the load, does not. The plan is
+// made backwards from it: ordinarily a third of the runners is out at once and the
+// next one waits for another to be back; a runner whose turn has come by the
+// schedule is ordered whoever is out.
 package rollout
 
-import "sort"
+import (
+	"cmp"
+	"slices"
+)
+
+// Naming is a version of a model's weights, and when it was acknowledged on the
+// clock of the caller. A moment that is not known is given as one long past.
+type Naming struct {
+	Version int64
+	NamedUs int64
+}
+
+// Runner is what is known of one runner of the model.
+type Runner struct {
+	ID       string
+	Version  int64 // of its weights; 0 where it is not known
+	Cordoned bool
+	Draining bool // gets no long requests
+	Fresh    bool // has registered for the first time just now
+}
+
+// Input is what a step of a plan is given.
+type Input struct {
+	NowUs      int64
+	Namings    []Naming
+	Runners    []Runner
+	MayPrepare bool // the caller may send orders soon
+	MayOrder   bool // the caller may send orders now
+}
+
+// Order is an order to be sent to a runner.
+type Order struct {
+	ID       string
+	Version  int64
+	Expected *int64 // the sequence at the runner, where it is known
+}
+
+// Actions are what a step asks for, each list in the order of identities.
+type Actions struct {
+	Drain, Cordon, Free []string
+	Poll                []string
+	Orders              []Order
+}
 
 // Stage is how far a runner is.
 type Stage int
 
 // Stages of a runner.
 const (
-	Old Stage = iota
-	Easing
-	Barred
-	Ordered
-	Done
+	Serving   Stage = iota // on older weights, and used
+	Draining               // gets no more long requests
+	Cordoned               // gets no more requests
+	Ordered                // was sent an order
+	Completed              // holds the newest weights
 )
 
-// Job is one runner's way.
-type Job struct {
-	ID      string
-	Stage   Stage
-	SinceUs int64
-	Orders  int
-}
-
-// EaseUs is how long a runner gets no long requests before it gets none;
-// SettleUs is how long a runner is left to begin what it was sent before the
-// order; AgainUs after how long an order that shows no effect is repeated.
+// Waits of a plan, in microseconds.
 const (
-	EaseUs   = 700_000
-	SettleUs = 300_000
-	AgainUs  = 4_000_000
+	// DrainUs is how long a runner gets no long requests before it gets none.
+	DrainUs = int64(700_000)
+	// SettleUs is how long a cordoned runner is left to begin what it was sent.
+	SettleUs = int64(300_000)
+	// slowUs is after how long an ordered runner is not waited for any more.
+	slowUs = int64(3_000_000)
+	// reportWaitUs is how long a runner that another holder has cordoned is asked
+	// whether it is under order already.
+	reportWaitUs = int64(500_000)
+	// reportLagUs is how old a report may be when it is given.
+	reportLagUs = int64(400_000)
+	// retryUs is after how long an order that got no answer, or no clear one, is
+	// sent again; longer after each.
+	retryUs = int64(300_000)
+	// maxRetryUs bounds that wait.
+	maxRetryUs = int64(2_500_000)
+	// lostOrderUs is after how long an accepted order of which reports show
+	// nothing is sent again.
+	lostOrderUs = int64(4_000_000)
+	// pollUs is the time between reports of a runner that is waited for.
+	pollUs = int64(200_000)
+	// maxPollUs is the same for a runner that does not answer.
+	maxPollUs = int64(3_000_000)
 )
 
-// Plan is the roll-out of one model's weights at one service.
+// Plan is the roll-out of one model's weights.
 type Plan struct {
-	Version int64
-	Jobs    map[string]*Job
+	boundUs  int64 // after a naming, by when all orders have gone out
+	startUs  int64 // from when the schedule spreads the turns
+	namings  []Naming
+	jobs     map[string]*job
+	started  bool // runners have been taken in
+	prepared bool // the schedule runs
+	loads    loadLimit
 }
 
-// NewPlan starts a roll-out.
-func NewPlan(version int64) *Plan { return &Plan{Version: version, Jobs: map[string]*Job{}} }
+// NewPlan begins a plan that has all orders sent boundUs after a naming.
+func NewPlan(boundUs int64) *Plan { return &Plan{boundUs: boundUs, jobs: map[string]*job{}} }
 
-// See takes the runners' versions as they are known now; who is gone is dropped.
-func (p *Plan) See(versions map[string]int64, nowUs int64) {
-	for id := range p.Jobs {
-		if _, ok := versions[id]; !ok {
-			delete(p.Jobs, id)
-		}
+// Step takes what is known now and says what is to be done.
+func (p *Plan) Step(in Input) Actions {
+	p.takeNamings(in)
+	p.takeRunners(in)
+	var a Actions
+	if in.MayPrepare {
+		p.advance(in.NowUs)
 	}
-	for id, m := range versions {
-		j := p.Jobs[id]
-		if j == nil {
-			j = &Job{ID: id}
-			p.Jobs[id] = j
+	for _, r := range in.Runners {
+		p.align(&a, r, p.jobs[r.ID])
+	}
+	for _, j := range p.sorted() {
+		if in.MayOrder && p.orderDue(j, in.NowUs) {
+			a.Orders = append(a.Orders, p.send(j, in.NowUs))
 		}
-		if m >= p.Version && j.Stage != Done {
-			j.Stage, j.SinceUs = Done, nowUs
+		if p.pollDue(j, in.NowUs) {
+			j.polledUs = in.NowUs
+			a.Poll = append(a.Poll, j.id)
 		}
 	}
+	return a
 }
 
-// AtOnce is how many runners may be out of the candidates together.
-func AtOnce(n int) int { return max(2, (n+2)/3) }
-
-// Next lists the runners to ease, to bar and to order now.
-func (p *Plan) Next(nowUs int64) (ease, bar, order []string) {
-	var ids []string
-	out, easing := 0, 0
-	for id, j := range p.Jobs {
-		ids = append(ids, id)
-		switch j.Stage {
-		case Barred, Ordered:
-			out++
-		case Easing:
-			easing++
+// Finished tells whether all runners hold the newest weights.
+func (p *Plan) Finished() bool {
+	for _, j := range p.jobs {
+		if j.stage != Completed {
+			return false
 		}
 	}
-	sort.Strings(ids)
-	most := AtOnce(len(ids))
-	for _, id := range ids {
-		j := p.Jobs[id]
-		switch {
-		case j.Stage == Easing && nowUs-j.SinceUs >= EaseUs && out < most:
-			out++
-			easing--
-			bar = append(bar, id)
-		case j.Stage == Barred && nowUs-j.SinceUs >= SettleUs,
-			j.Stage == Ordered && nowUs-j.SinceUs >= AgainUs:
-			order = append(order, id)
-		}
+	return true
+}
+
+// StageOf tells how far a runner is.
+func (p *Plan) StageOf(id string) Stage {
+	if j := p.jobs[id]; j != nil {
+		return j.stage
 	}
-	for _, id := range ids {
-		if p.Jobs[id].Stage == Old && easing < most {
-			easing++
-			ease = append(ease, id)
-		}
+	return Serving
+}
+
+func (p *Plan) newest() int64 {
+	if len(p.namings) == 0 {
+		return 0
 	}
-	return ease, bar, order
+	return p.namings[len(p.namings)-1].Version
 }
 
-// Move notes a new stage.
-func (p *Plan) Move(id string, s Stage, nowUs int64) {
-	if j := p.Jobs[id]; j != nil && j.Stage != Done {
-		j.Stage, j.SinceUs = s, nowUs
-		if s == Ordered {
-			j.Orders++
+// takeNamings begins the schedule anew where a newer version was named. Runners
+// keep their stages: one that is out stays out and gets the newest weights next.
+func (p *Plan) takeNamings(in Input) {
+	before := p.newest()
+	p.namings = slices.Clone(in.Namings)
+	slices.SortFunc(p.namings, func(a, b Naming) int { return cmp.Compare(a.Version, b.Version) })
+	if p.newest() == before {
+		return
+	}
+	p.startUs = in.NowUs
+	for _, j := range p.jobs {
+		if j.stage == Completed {
+			j.move(Serving, in.NowUs)
 		}
 	}
 }
 
-// Finished tells whether all runners hold the weights.
-func (p *Plan) Finished() bool {
-	for _, j := range p.Jobs {
-		if j.Stage != Done {
-			return false
+// takeRunners drops the runners that are gone and takes in those that are new.
+func (p *Plan) takeRunners(in Input) {
+	listed := map[string]bool{}
+	for _, r := range in.Runners {
+		listed[r.ID] = true
+		j := p.jobs[r.ID]
+		if j == nil {
+			j = p.adopt(r, in.NowUs)
+			p.jobs[r.ID] = j
 		}
+		j.version = max(j.version, r.Version)
+		p.complete(j, in.NowUs)
 	}
-	return true
+	for id := range p.jobs {
+		if !listed[id] {
+			delete(p.jobs, id)
+		}
+	}
+	p.started = true
+}
+
+// adopt begins with a runner where another holder has left it. One that is
+// cordoned may be under order already, which its report tells.
+func (p *Plan) adopt(r Runner, nowUs int64) *job {
+	j := &job{id: r.ID, sinceUs: nowUs}
+	switch {
+	case r.Cordoned:
+		j.stage, j.inherited = Cordoned, true
+	case r.Draining:
+		j.stage, j.sinceUs = Draining, nowUs-DrainUs
+	case p.started && r.Fresh:
+		j.stage, j.sinceUs = Cordoned, nowUs-SettleUs
+	}
+	return j
+}
+
+// complete moves a runner that holds the newest weights to the last stage.
+func (p *Plan) complete(j *job, nowUs int64) {
+	if j.stage == Completed || j.version < p.newest() {
+		return
+	}
+	if j.stage == Ordered {
+		p.loads.ended(j.loadUs, nowUs)
+	}
+	j.move(Completed, nowUs)
+}
+
+// align asks for what makes the registry show a runner's stage.
+func (p *Plan) align(a *Actions, r Runner, j *job) {
+	switch {
+	case j.stage == Draining && (r.Cordoned || !r.Draining):
+		a.Drain = append(a.Drain, r.ID)
+	case (j.stage == Cordoned || j.stage == Ordered) && !r.Cordoned:
+		a.Cordon = append(a.Cordon, r.ID)
+	case (j.stage == Completed || j.stage == Serving) && (r.Cordoned || r.Draining):
+		a.Free = append(a.Free, r.ID)
+	}
+}
+
+func (p *Plan) sorted() []*job {
+	var out []*job
+	for _, j := range p.jobs {
+		out = append(out, j)
+	}
+	slices.SortFunc(out, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
+	return out
 }
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -29,7 +29,7 @@
 	}
 	held := dutyOf(v).Lease
 	if held.Holder != c.id {
-		c.duty.Lost()
+		c.duty.Released()
 		if alive := c.alive(); alive[0].Addr == c.addr && !hasMember(alive, held.Holder) {
 			c.takeDuty(held)
 		}
@@ -52,7 +52,7 @@
 		}
 		now := dutyOf(v).Lease
 		if now.Holder != c.id {
-			c.duty.Lost()
+			c.duty.Released()
 			return
 		}
 		c.duty.Confirmed(now.Fence, askedUs)
@@ -109,8 +109,8 @@
 		if err != nil || dutyOf(v).Lease.Holder != c.id {
 			return
 		}
-		before := lease.Former(was.Holder, c.id, c.actedUnder(was.Fence))
-		c.duty.Took(dutyOf(v).Lease.Fence, before, c.process.NowUs())
+		predecessor := lease.PredecessorOf(was.Holder, c.id, c.actedUnder(was.Fence))
+		c.duty.Acquired(dutyOf(v).Lease.Fence, predecessor, c.process.NowUs())
 		c.cluster.kernel.Note("%s takes the duty under fence %d", c.id, c.duty.Fence())
 	})
 }
