--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -19,6 +19,7 @@
 	"beechtide.org/beechtide/internal/lease"
 	"beechtide.org/beechtide/internal/membership"
 	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/rollout"
 	"beechtide.org/beechtide/internal/routeconfig"
 	"beechtide.org/beechtide/internal/statesync"
 	"beechtide.org/beechtide/internal/transport"
@@ -325,21 +326,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	found := false
-	for i := range body.Targets {
-		if body.Targets[i].Model == w.Model {
-			found = true
-			if body.Targets[i].Version >= w.Version {
-				return nil, nil, errNoChange
-			}
-			body.Targets[i].Version = w.Version
-		}
-	}
-	if !found {
-		body.Targets = append(body.Targets, messages.Target{Model: w.Model, Version: w.Version})
-	}
-	if body.Lease.Holder == "" && holder != "" {
-		body.Lease = messages.Lease{Holder: holder, Fence: initialFence}
+	if !rollout.Name(&body, messages.Target{Model: w.Model, Version: w.Version}, holder) {
+		return nil, nil, errNoChange
 	}
 	b, err := body.MarshalMsg(nil)
 	return nil, b, err
--- a/internal/controller/rollout_candidates.go
+++ b/internal/controller/rollout_candidates.go
@@ -2,13 +2,9 @@
 package controller
 
 import (
-	"cmp"
-	"fmt"
-	"slices"
-
 	"beechtide.org/beechtide/internal/membership"
 	"beechtide.org/beechtide/internal/messages"
-	"beechtide.org/beechtide/internal/statesync"
+	"beechtide.org/beechtide/internal/rollout"
 )
 
 // unknownHolderUs is how long after the start of a process a holder that membership
@@ -40,14 +36,5 @@
 			addrs = append(addrs, p.Addr)
 		}
 	}
-	return rankOf(addrs, d.transport.Addr(), l)
-}
-
-// rankOf is the position of a controller by rendezvous hashing.
-func rankOf(addrs []string, self string, l messages.Lease) (rank int, found bool) {
-	key := fmt.Sprint(l.Holder, " ", l.Fence)
-	weight := func(addr string) uint64 { return statesync.HashText(addr, key) }
-	slices.SortFunc(addrs, func(a, b string) int { return cmp.Or(cmp.Compare(weight(a), weight(b)), cmp.Compare(a, b)) })
-	rank = slices.Index(addrs, self)
-	return max(rank, 0), rank >= 0
+	return rollout.Rank(addrs, d.transport.Addr(), l)
 }
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -33,27 +33,17 @@
 	defaultVersionUs = int64(8_000_000)
 	// orderMarginUs is how long before versionMs all orders have gone out.
 	orderMarginUs = int64(2_500_000)
-	// recalledUs is how long after the start of a process what it learns may have been
-	// committed long ago.
-	recalledUs = int64(2_000_000)
 )
 
-// initialFence is the fence of a lease that nobody held before.
-const initialFence = 1
-
-// freshSequence is the highest heartbeat sequence of a runner that counts as new.
-const freshSequence = 2
-
 // rolloutManager holds a shard of the duty for each register.
 type rolloutManager struct {
 	controller *Controller
 	times      lease.Times
-	boundUs    int64
 	cordons    atomic.Int64
 
 	mu      sync.Mutex // guards what follows
 	shards  map[int]*rollout.Shard
-	namings rollout.Namings
+	namings *rollout.Namings
 	busy    map[int]bool    // a round for the lease is under way
 	polling map[string]bool // a runner's report was asked for
 	used    map[int]int64   // the newest fence this process has acted under
@@ -61,14 +51,15 @@
 
 func newRolloutManager(d *Controller) *rolloutManager {
 	bounds := d.set.Bounds
+	boundUs := orderBoundUs(int64(bounds.VersionMs) * 1000)
 	m := &rolloutManager{
 		controller: d,
 		times:      lease.Times{LeaseUs: int64(bounds.LeaseMs) * 1000, ActUs: actUs, SpareUs: spareUs},
-		boundUs:    orderBoundUs(int64(bounds.VersionMs) * 1000),
+		namings:    rollout.NewNamings(d.startUs, boundUs),
 		shards:     map[int]*rollout.Shard{}, busy: map[int]bool{}, polling: map[string]bool{}, used: map[int]int64{},
 	}
 	for part := 1; part < consensus.Parts; part++ {
-		m.shards[part] = rollout.NewShard(m.times, m.boundUs)
+		m.shards[part] = rollout.NewShard(m.times, boundUs)
 	}
 	return m
 }
@@ -88,32 +79,21 @@
 	if err != nil {
 		return
 	}
-	nowUs := m.controller.clock()
-	namedUs := nowUs
-	if nowUs-m.controller.startUs < recalledUs {
-		namedUs = nowUs - m.boundUs // perhaps named long ago
-	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, t := range body.Targets {
-		m.namings.Learn(t.Model, t.Version, namedUs)
-	}
+	m.namings.Learn(body.Targets, m.controller.clock())
 }
 
 // newest is the newest version named of a model, over all registers.
 func (m *rolloutManager) newest(model string) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	named := m.namings.Of(model)
-	if len(named) == 0 {
-		return 0
-	}
-	return named[len(named)-1].Version
+	return m.namings.Newest(model)
 }
 
 // recordInitialHolder notes a lease that came with the first naming of weights.
 func (m *rolloutManager) recordInitialHolder(part int, l messages.Lease) {
-	if l.Holder != m.controller.registers.ID() || l.Fence != initialFence {
+	if l.Holder != m.controller.registers.ID() || l.Fence != rollout.InitialFence {
 		return
 	}
 	m.mu.Lock()
@@ -197,32 +177,14 @@
 	return out
 }
 
-// runnersOf lists the runners that carry a model: by their own word, or by the
-// configuration where they have not said what they carry.
+// runnersOf lists the runners that carry a model, as the registry and the
+// configuration have them.
 func (d *Controller) runnersOf(model string) []rollout.Runner {
 	service := ""
 	if t := d.table.Load(); t != nil {
 		service = t.ServiceOfModel(model)
 	}
-	var out []rollout.Runner
-	for id, n := range d.registry.Snapshot().ByID {
-		version, carries := versionOf(n, model)
-		unknown := len(n.Models) == 0 && service != "" && n.Service == service
-		if n.Draining || !carries && !unknown {
-			continue
-		}
-		out = append(out, rollout.Runner{ID: id, Version: version, Cordoned: n.Barred, Draining: n.Easing, Fresh: n.Seq <= freshSequence})
-	}
-	return out
-}
-
-func versionOf(n messages.RunnerRecord, model string) (version int64, carries bool) {
-	for _, t := range n.Models {
-		if t.Model == model {
-			return t.Version, true
-		}
-	}
-	return 0, false
+	return rollout.RunnersOf(d.registry.Snapshot().ByID, model, service)
 }
 
 // round carries out a round of the register for the lease, and goes on at once.
@@ -300,14 +262,8 @@
 		m.recordFenceUsed(part, step.Fence)
 	}
 	for _, a := range step.Models {
-		for _, id := range a.Free {
-			m.setCordon(id, false, false, step.Fence)
-		}
-		for _, id := range a.Drain {
-			m.setCordon(id, true, false, step.Fence)
-		}
-		for _, id := range a.Cordon {
-			m.setCordon(id, false, true, step.Fence)
+		for _, c := range a.Cordons {
+			m.setCordon(c, step.Fence)
 		}
 		for _, o := range a.Orders {
 			go m.order(ctx, part, a.Model, o, step)
@@ -321,9 +277,9 @@
 // fenceShift leaves room below a fence for the cordons set under it, in their order.
 const fenceShift = 20
 
-func (m *rolloutManager) setCordon(id string, draining, cordoned bool, fence int64) {
+func (m *rolloutManager) setCordon(c rollout.Cordon, fence int64) {
 	d := m.controller
-	if n, changed := d.registry.Bar(id, draining, cordoned, fence<<fenceShift|m.cordons.Add(1)); changed {
+	if n, changed := d.registry.Bar(c.ID, c.Draining, c.Cordoned, fence<<fenceShift|m.cordons.Add(1)); changed {
 		d.tellRunners(n.ID)
 	}
 }
--- a/internal/controller/rollouts_test.go
+++ b/internal/controller/rollouts_test.go
@@ -97,26 +97,6 @@
 	}
 }
 
-func TestRankOfCandidatesIsAnOrderOfAll(t *testing.T) {
-	addrs := []string{"a", "b", "c", "d", "e"}
-	firsts := map[string]bool{}
-	for fence := range int64(40) {
-		ranks := map[int]bool{}
-		for _, self := range addrs {
-			rank, found := rankOf(append([]string{}, addrs...), self, messages.Lease{Holder: "x", Fence: fence})
-			must.True(t, found)
-			ranks[rank] = true
-			if rank == 0 {
-				firsts[self] = true
-			}
-		}
-		must.MapLen(t, len(addrs), ranks)
-	}
-	must.MapLen(t, len(addrs), firsts, must.Sprint("each is the first one at times"))
-	_, found := rankOf(addrs, "z", messages.Lease{})
-	must.False(t, found)
-}
-
 // configWithModels is a configuration whose one service carries models m-0 to m-n.
 func configWithModels(version, n int) string {
 	var models []string
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -93,14 +93,8 @@
 
 // carryOut does what a plan asks for, as a driver would.
 func (f *fleet) carryOut(p *Plan, a Actions, nowUs int64) {
-	for _, id := range a.Free {
-		f.runners[id].listed.Cordoned, f.runners[id].listed.Draining = false, false
-	}
-	for _, id := range a.Drain {
-		f.runners[id].listed.Cordoned, f.runners[id].listed.Draining = false, true
-	}
-	for _, id := range a.Cordon {
-		f.runners[id].listed.Cordoned, f.runners[id].listed.Draining = true, false
+	for _, c := range a.Cordons {
+		f.runners[c.ID].listed.Cordoned, f.runners[c.ID].listed.Draining = c.Cordoned, c.Draining
 	}
 	for _, o := range a.Orders {
 		f.sent++
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -54,11 +54,18 @@
 	Expected *int64 // the sequence at the runner, where it is known
 }
 
-// Actions are what a step asks for, each list in the order of identities.
+// Cordon is what the registry is to show of a runner; neither frees it.
+type Cordon struct {
+	ID       string
+	Draining bool // no long requests
+	Cordoned bool // none at all
+}
+
+// Actions are what a step asks for.
 type Actions struct {
-	Drain, Cordon, Free []string
-	Poll                []string
-	Orders              []Order
+	Cordons []Cordon
+	Orders  []Order
+	Poll    []string // runners to be asked for their report
 }
 
 // Stage is how far a runner is.
@@ -228,13 +235,9 @@
 
 // align asks for what makes the registry show a runner's stage.
 func (p *Plan) align(a *Actions, r Runner, j *job) {
-	switch {
-	case j.stage == Draining && (r.Cordoned || !r.Draining):
-		a.Drain = append(a.Drain, r.ID)
-	case (j.stage == Cordoned || j.stage == Ordered) && !r.Cordoned:
-		a.Cordon = append(a.Cordon, r.ID)
-	case (j.stage == Completed || j.stage == Serving) && (r.Cordoned || r.Draining):
-		a.Free = append(a.Free, r.ID)
+	want := Cordon{ID: r.ID, Draining: j.stage == Draining, Cordoned: j.stage == Cordoned || j.stage == Ordered}
+	if want.Draining != r.Draining || want.Cordoned != r.Cordoned {
+		a.Cordons = append(a.Cordons, want)
 	}
 }
 
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -23,6 +23,7 @@
 	ForgetGenesis        bool // the first group isn't kept before the first value
 	JoinUnconfirmed      bool // members are taken in unasked whether they hold the value
 	TrustUnusedClaim     bool // a claim that was never acted under counts as one that was
+	OrderWithoutBound    bool // a roll-out goes on only as runners are back
 }
 
 // Cluster is everything in one history.
--- /dev/null
+++ b/internal/simulation/engine.go
@@ -0,0 +1,208 @@
+// Engines: runners as far as roll-outs are concerned, with requests that wait in
+// their queue, streams that last long, and orders as the protocol has them.
+package simulation
+
+import (
+	"fmt"
+
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/rollout"
+)
+
+// freshUs is how long routers keep the bound on old weights towards a runner that has
+// just come, also where they know none otherwise: no order can be there before it is
+// listed.
+const freshUs = Second
+
+// reportLagUs is how old a report is when it is given.
+const reportLagUs = 200 * Millisecond
+
+// engine is one place in the fleet: an address with one runner after another.
+type engine struct {
+	history  *rolloutHistory
+	address  string
+	instance int
+	up       bool
+	at       int // the registrar it beats at
+	beats    int64
+	slow     int64
+	begunUs  int64
+
+	version  int64
+	target   int64 // of the order under way; 0 where there is none
+	loads    bool
+	sequence int64
+	fence    int64
+	streams  int
+	queued   int64 // rises with each order: what waited before it is turned away
+	past     []pastReport
+}
+
+// pastReport is what a report would have said at a moment.
+type pastReport struct {
+	atUs int64
+	said rollout.Report
+}
+
+func (e *engine) id() string { return fmt.Sprintf("%s#%d", e.address, e.instance) }
+
+// begin starts a runner with the weights that the one before it had.
+func (e *engine) begin() {
+	e.instance++
+	e.up, e.beats, e.sequence, e.fence, e.target, e.streams, e.past = true, 0, 0, 0, 0, 0, nil
+	e.loads, e.begunUs = false, e.history.kernel.NowUs()
+	e.slow = max(e.slow, 1)
+	e.at = e.history.kernel.Below(len(e.history.fleet.registrars))
+	e.history.kernel.Note("%s begins on version %d", e.id(), e.version)
+	e.remember()
+	e.beat(e.instance)
+	e.receive(e.instance)
+}
+
+func (e *engine) end() {
+	e.history.kernel.Note("%s ends", e.id())
+	if e.loads {
+		e.history.loading--
+	}
+	e.up, e.loads = false, false
+}
+
+// lives tells whether an instance goes on.
+func (e *engine) lives(instance int) bool { return e.up && e.instance == instance }
+
+func (e *engine) beat(instance int) {
+	h := e.history
+	if !e.lives(instance) {
+		return
+	}
+	e.beats++
+	to, answered := h.fleet.registrars[e.at], false
+	record := messages.RunnerRecord{
+		ID: e.id(), Service: rolloutService, Addr: e.address, Capacity: 1, Seq: e.beats,
+		Models: []messages.Target{{Model: rolloutModel, Version: e.version}},
+	}
+	h.network.Send(e.address, to.addr, func() {
+		to.process.Deliver(func() {
+			to.heartbeat(record)
+			h.network.Send(to.addr, e.address, func() { answered = true })
+		})
+	})
+	h.kernel.After(answerWaitUs, func() {
+		if !answered {
+			e.at = (e.at + 1) % len(h.fleet.registrars)
+		}
+	})
+	h.kernel.After(heartbeatUs, func() { e.beat(instance) })
+}
+
+// receive is the requests that routers send. A router knows what a registrar knew a
+// while ago; one that keeps the bound sends nothing to older weights from then on.
+func (e *engine) receive(instance int) {
+	h := e.history
+	if !e.lives(instance) {
+		return
+	}
+	h.kernel.After(h.kernel.Between(20*Millisecond, 600*Millisecond), func() { e.receive(instance) })
+	from := h.fleet.registrars[h.kernel.Below(len(h.fleet.registrars))]
+	if !from.process.Up() {
+		return
+	}
+	record, ok := from.runners.Snapshot().ByID[e.id()]
+	fresh := h.kernel.NowUs()-e.begunUs < freshUs
+	if !ok || record.Barred || (h.bounded || fresh) && h.checks.boundPassed(e.version, routerBoundUs) {
+		return
+	}
+	h.kernel.After(h.kernel.Between(0, 300*Millisecond), func() {
+		if e.lives(instance) && e.target == 0 {
+			e.enqueue(instance)
+		}
+	})
+}
+
+// enqueue has a request wait for its prompt to be read, and run.
+func (e *engine) enqueue(instance int) {
+	h, order := e.history, e.queued
+	waitUs := min(h.kernel.Between(0, 300*Millisecond)*e.slow, maxQueuedUs)
+	h.kernel.After(waitUs, func() {
+		if !e.lives(instance) || e.queued != order {
+			return // turned away by an order
+		}
+		h.checks.begins(e)
+		e.streams++
+		runsUs := h.kernel.Between(50*Millisecond, 2*Second)
+		if h.kernel.Chance(60) {
+			runsUs = h.kernel.Between(2*Second, maxStreamUs)
+		}
+		h.kernel.After(runsUs, func() {
+			if e.lives(instance) {
+				e.streams--
+				e.maybeLoad()
+			}
+		})
+	})
+}
+
+// order is a runner's answer to an order. Nothing more begins until it is done.
+func (e *engine) order(o rollout.Order, fence int64, from *coordinator) rollout.Answer {
+	e.history.checks.order(e, from, fence)
+	switch {
+	case fence < e.fence:
+		return rollout.Rejected
+	case e.target > 0, o.Expected != nil && *o.Expected != e.sequence:
+		e.fence = fence
+		return rollout.Conflict
+	}
+	e.fence = fence
+	if e.version >= o.Version {
+		return rollout.AlreadyHolds
+	}
+	e.history.kernel.Note("%s is ordered to version %d under fence %d by %s", e.id(), o.Version, fence, from.addr())
+	e.target = o.Version
+	e.sequence++
+	e.queued++
+	e.remember()
+	e.maybeLoad()
+	return rollout.Accepted
+}
+
+// maybeLoad begins the load once the runs have ended.
+func (e *engine) maybeLoad() {
+	h, instance := e.history, e.instance
+	if e.target == 0 || e.streams > 0 || e.loads {
+		return
+	}
+	e.loads = true
+	h.loading++
+	takesUs := loadTakesUs * e.slow * max(1, int64(h.loading-siteLoads+1))
+	e.remember()
+	h.kernel.After(takesUs, func() {
+		if !e.lives(instance) {
+			return
+		}
+		h.loading--
+		h.kernel.Note("%s holds version %d", e.id(), e.target)
+		e.loads, e.version, e.target = false, e.target, 0
+		e.remember()
+	})
+}
+
+// remember keeps what a report would say, for reports lag.
+func (e *engine) remember() {
+	said := rollout.Report{Version: e.version, Busy: e.target > 0, Idle: e.streams == 0, Sequence: e.sequence}
+	e.past = append(e.past, pastReport{e.history.kernel.NowUs(), said})
+}
+
+func (e *engine) report() rollout.Report {
+	said := e.past[0].said
+	for _, p := range e.past {
+		if p.atUs <= e.history.kernel.NowUs()-reportLagUs {
+			said = p.said
+		}
+	}
+	return said
+}
+
+// answersAfter is how long a runner takes to answer a call.
+func (e *engine) answersAfter() int64 {
+	return e.history.kernel.Between(Millisecond, 40*Millisecond) * e.slow
+}
