--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,6 +92,7 @@
 		if _, err := from.UnmarshalMsg(body); err == nil && !from.Controller {
 			m.Parts = d.told()
 		}
+		m.Heard = d.registry.HeardSince(from.Silent, d.clock())
 		return m.MarshalMsg(nil)
 	})
 	trans.OnCall(transport.KindCondition, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
@@ -233,21 +234,13 @@
 	}
 }
 
-// Silence of a runner, in periods of its heartbeat, and what a heartbeat may take
-// on its way.
-const (
-	stalePeriods   = 4
-	lostPeriods    = 12
-	heartbeatLagUs = 500_000
-)
-
-func silenceAfter(heartbeatPeriodMs int) registry.Silence {
-	periodUs := int64(heartbeatPeriodMs) * 1000
-	return registry.Silence{StaleUs: stalePeriods*periodUs + heartbeatLagUs, LostUs: lostPeriods * periodUs}
+// silence is the bounds for runners that beat as the settings say.
+func (d *Controller) silence() registry.Silence {
+	return registry.SilenceAfter(int64(d.set.BeatPeriodMs) * 1000)
 }
 
 func (d *Controller) sweep() {
-	for _, n := range d.registry.Sweep(d.clock(), silenceAfter(d.set.BeatPeriodMs), !d.cutOff()) {
+	for _, n := range d.registry.Sweep(d.clock(), d.silence(), !d.cutOff()) {
 		d.tellRunners(n.ID)
 	}
 	d.syncRunners()
@@ -270,11 +263,14 @@
 }
 
 // catchUp compares versions with the other controllers and pulls what is newer.
+// The same call asks for heartbeats of runners that are silent here, so that the
+// lease of contact, without which no silence counts, rests on calls that asked.
 func (d *Controller) catchUp(ctx context.Context) {
 	d.registers.ForgetTransfers()
 	alive := d.monitor.Alive(messages.Controller)
 	view, core := coreView(alive)
 	d.calm.saw(view, d.clock())
+	silent := d.registry.Unheard(d.clock(), d.silence())
 	for _, p := range alive {
 		if p.Addr == d.transport.Addr() {
 			continue
@@ -283,6 +279,7 @@
 			cctx, cancel := context.WithTimeout(ctx, 450*time.Millisecond)
 			defer cancel()
 			mine, sentUs := d.versions(), d.clock()
+			mine.Silent = silent
 			b, err := d.transport.Call(cctx, p.Addr, transport.KindVersions, &mine)
 			if core[p.Addr] {
 				d.calm.tried(p.Addr, err == nil, d.clock())
@@ -294,6 +291,7 @@
 			if _, err := m.UnmarshalMsg(b); err != nil {
 				return
 			}
+			d.tellRunners(d.registry.TakeHeard(m.Heard, sentUs, d.clock())...)
 			d.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // the earlier format has none
 			for part := range min(len(m.Parts), consensus.Parts) {
 				if m.Parts[part] > mine.Parts[part] {
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -120,6 +120,9 @@
 
 // tellRunners sends the notes of runners as the registry has them now.
 func (d *Controller) tellRunners(ids ...string) {
+	if len(ids) == 0 {
+		return
+	}
 	f := &d.feed
 	f.mu.Lock()
 	for _, id := range ids {
@@ -316,7 +319,7 @@
 // toldBelow takes the loads of a node below.
 func (d *Controller) toldBelow(from string, t messages.Told) bool {
 	for _, id := range t.Absent {
-		d.registry.Doubt(id, silenceAfter(d.set.BeatPeriodMs))
+		d.registry.Doubt(id, d.silence())
 	}
 	f := &d.feed
 	f.mu.Lock()
--- a/internal/controller/three_test.go
+++ b/internal/controller/three_test.go
@@ -99,3 +99,28 @@
 	until(t, nodes[0].inContact)
 	must.False(t, nodes[0].cutOff())
 }
+
+// A heartbeat that did not reach a controller, and that changes nothing in the
+// record, comes to it with the comparison of versions once the runner is silent.
+func TestSilentRunnersAreAskedAboutWithVersions(t *testing.T) {
+	nodes, _, skipUs := three(t)
+	cutOff, other := nodes[0], nodes[1]
+	record := messages.RunnerRecord{ID: "x", Service: "s", Addr: "1.2.3.4:1", Capacity: 4, Seq: 1}
+	for _, d := range nodes {
+		d.registry.Hear(record, d.clock())
+	}
+	isPublished := func() bool {
+		other.feed.mu.Lock()
+		defer other.feed.mu.Unlock()
+		_, published := other.feed.registry.Get("x")
+		return published
+	}
+	until(t, isPublished)
+	record.Seq = 2
+	must.False(t, other.registry.Hear(record, other.clock()))
+	skipUs.Add(cutOff.silence().AskUs)
+	first := []messages.LastHeartbeat{{ID: "x", Seq: 1}}
+	until(t, func() bool { return len(cutOff.registry.HeardSince(first, cutOff.clock())) == 1 })
+	known, _ := cutOff.registry.Record("x")
+	must.Eq(t, 1, known.Seq, must.Sprint("the record itself did not travel"))
+}
--- a/internal/messages/msgp.gen.go
+++ b/internal/messages/msgp.gen.go
@@ -2376,6 +2376,76 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z LastHeartbeat) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "a"
+	o = append(o, 0x83, 0xa1, 0x61)
+	o = msgp.AppendInt64(o, z.AgeUs)
+	// string "i"
+	o = append(o, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.ID)
+	// string "q"
+	o = append(o, 0xa1, 0x71)
+	o = msgp.AppendInt64(o, z.Seq)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *LastHeartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "a":
+			z.AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "AgeUs")
+				return
+			}
+		case "i":
+			z.ID, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ID")
+				return
+			}
+		case "q":
+			z.Seq, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Seq")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z LastHeartbeat) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.Int64Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z Lease) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -4421,22 +4491,52 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *Versions) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
+	// map header, size 7
 	// string "d"
-	o = append(o, 0x85, 0xa1, 0x64)
+	o = append(o, 0x87, 0xa1, 0x64)
 	o = msgp.AppendBool(o, z.Controller)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Heard)))
+	for za0001 := range z.Heard {
+		// map header, size 3
+		// string "a"
+		o = append(o, 0x83, 0xa1, 0x61)
+		o = msgp.AppendInt64(o, z.Heard[za0001].AgeUs)
+		// string "i"
+		o = append(o, 0xa1, 0x69)
+		o = msgp.AppendString(o, z.Heard[za0001].ID)
+		// string "q"
+		o = append(o, 0xa1, 0x71)
+		o = msgp.AppendInt64(o, z.Heard[za0001].Seq)
+	}
 	// string "i"
 	o = append(o, 0xa1, 0x69)
 	o = msgp.AppendString(o, z.MemberID)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Parts)))
-	for za0001 := range z.Parts {
-		o = msgp.AppendInt64(o, z.Parts[za0001])
+	for za0002 := range z.Parts {
+		o = msgp.AppendInt64(o, z.Parts[za0002])
 	}
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendUint64(o, z.RegistrySum)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Silent)))
+	for za0003 := range z.Silent {
+		// map header, size 3
+		// string "a"
+		o = append(o, 0x83, 0xa1, 0x61)
+		o = msgp.AppendInt64(o, z.Silent[za0003].AgeUs)
+		// string "i"
+		o = append(o, 0xa1, 0x69)
+		o = msgp.AppendString(o, z.Silent[za0003].ID)
+		// string "q"
+		o = append(o, 0xa1, 0x71)
+		o = msgp.AppendInt64(o, z.Silent[za0003].Seq)
+	}
 	// string "u"
 	o = append(o, 0xa1, 0x75)
 	o = msgp.AppendInt64(o, z.CalmUs)
@@ -4467,6 +4567,60 @@
 				err = msgp.WrapError(err, "Controller")
 				return
 			}
+		case "h":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Heard")
+				return
+			}
+			if cap(z.Heard) >= int(zb0002) {
+				z.Heard = (z.Heard)[:zb0002]
+			} else {
+				z.Heard = make([]LastHeartbeat, zb0002)
+			}
+			for za0001 := range z.Heard {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Heard", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Heard", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "a":
+						z.Heard[za0001].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Heard", za0001, "AgeUs")
+							return
+						}
+					case "i":
+						z.Heard[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Heard", za0001, "ID")
+							return
+						}
+					case "q":
+						z.Heard[za0001].Seq, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Heard", za0001, "Seq")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Heard", za0001)
+							return
+						}
+					}
+				}
+			}
 		case "i":
 			z.MemberID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
@@ -4474,21 +4628,21 @@
 				return
 			}
 		case "p":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Parts")
 				return
 			}
-			if cap(z.Parts) >= int(zb0002) {
-				z.Parts = (z.Parts)[:zb0002]
+			if cap(z.Parts) >= int(zb0004) {
+				z.Parts = (z.Parts)[:zb0004]
 			} else {
-				z.Parts = make([]int64, zb0002)
+				z.Parts = make([]int64, zb0004)
 			}
-			for za0001 := range z.Parts {
-				z.Parts[za0001], bts, err = msgp.ReadInt64Bytes(bts)
+			for za0002 := range z.Parts {
+				z.Parts[za0002], bts, err = msgp.ReadInt64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Parts", za0001)
+					err = msgp.WrapError(err, "Parts", za0002)
 					return
 				}
 			}
@@ -4498,6 +4652,60 @@
 				err = msgp.WrapError(err, "RegistrySum")
 				return
 			}
+		case "s":
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Silent")
+				return
+			}
+			if cap(z.Silent) >= int(zb0005) {
+				z.Silent = (z.Silent)[:zb0005]
+			} else {
+				z.Silent = make([]LastHeartbeat, zb0005)
+			}
+			for za0003 := range z.Silent {
+				var zb0006 uint32
+				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Silent", za0003)
+					return
+				}
+				for zb0006 > 0 {
+					zb0006--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Silent", za0003)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "a":
+						z.Silent[za0003].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Silent", za0003, "AgeUs")
+							return
+						}
+					case "i":
+						z.Silent[za0003].ID, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Silent", za0003, "ID")
+							return
+						}
+					case "q":
+						z.Silent[za0003].Seq, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Silent", za0003, "Seq")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Silent", za0003)
+							return
+						}
+					}
+				}
+			}
 		case "u":
 			z.CalmUs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
@@ -4518,6 +4726,14 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Versions) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.MemberID) + 2 + msgp.ArrayHeaderSize + (len(z.Parts) * (msgp.Int64Size)) + 2 + msgp.Uint64Size + 2 + msgp.Int64Size
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Heard {
+		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Heard[za0001].ID) + 2 + msgp.Int64Size
+	}
+	s += 2 + msgp.StringPrefixSize + len(z.MemberID) + 2 + msgp.ArrayHeaderSize + (len(z.Parts) * (msgp.Int64Size)) + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0003 := range z.Silent {
+		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Silent[za0003].ID) + 2 + msgp.Int64Size
+	}
+	s += 2 + msgp.Int64Size
 	return
 }
--- a/internal/messages/types.gen.go
+++ b/internal/messages/types.gen.go
@@ -263,6 +263,14 @@
 	Tokens int32  `msg:"t"`
 }
 
+// LastHeartbeat the newest heartbeat that a node knows of a runner, heard by itself or by another controller
+type LastHeartbeat struct {
+	// AgeUs how long ago it was heard at the latest, by monotonic clocks
+	AgeUs int64  `msg:"a"`
+	ID    string `msg:"i"`
+	Seq   int64  `msg:"q"`
+}
+
 // Lease defines model for Lease.
 type Lease struct {
 	Fence  int64  `msg:"f"`
@@ -426,9 +434,15 @@
 
 // Versions defines model for Versions.
 type Versions struct {
-	Controller  bool    `msg:"d"`
-	MemberID    string  `msg:"i"`
-	Parts       []int64 `msg:"p"`
-	RegistrySum uint64  `msg:"r"`
-	CalmUs      int64   `msg:"u"`
+	Controller bool `msg:"d"`
+
+	// Heard in a response, those of the silent ones of which the sender knows a later heartbeat
+	Heard       []LastHeartbeat `msg:"h"`
+	MemberID    string          `msg:"i"`
+	Parts       []int64         `msg:"p"`
+	RegistrySum uint64          `msg:"r"`
+
+	// Silent in a request, runners that the sender has not heard for a while
+	Silent []LastHeartbeat `msg:"s"`
+	CalmUs int64           `msg:"u"`
 }
--- a/internal/registry/doubt_test.go
+++ b/internal/registry/doubt_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestADoubtedRunnerIsStaleUntilItsNextHeartbeat(t *testing.T) {
-	r, after := New(), Silence{StaleUs: 5, LostUs: 20}
+	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
 	r.Hear(at("x", "1:1", 1), 100)
 	r.Hear(at("y", "2:1", 1), 100)
 	r.Doubt("x", after)
@@ -20,7 +20,7 @@
 }
 
 func TestHintsAloneNeverLoseARunner(t *testing.T) {
-	r, after := New(), Silence{StaleUs: 5, LostUs: 20}
+	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
 	r.Hear(at("x", "1:1", 1), 100)
 	for range 100 {
 		r.Doubt("x", after)
--- /dev/null
+++ b/internal/registry/freshness.go
@@ -0,0 +1,96 @@
+package registry
+
+import (
+	"cmp"
+	"slices"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// A controller that is cut off from another one misses the heartbeats that
+// arrive there. Before it concludes anything from a runner's silence it asks the
+// controllers that it reaches for later heartbeats (Unheard, HeardSince,
+// TakeHeard). What they answer may itself come from a third one, so freshness
+// passes along any chain of controllers.
+//
+// An age is measured by the clock of the node that answers and counted back from
+// the moment of the question: the heartbeat is never taken for later than it was.
+// So ages of a runner that has ended only grow, however often they are passed on,
+// and it is lost as soon as without the exchange.
+
+// maxUnheard bounds one question. Where more runners are silent, those asked
+// about least recently go first.
+const maxUnheard = 1024
+
+// Unheard lists the usable runners that have been silent here for long enough to
+// ask about, and those that are stale, with the newest heartbeat known of each.
+func (r *Registry) Unheard(nowUs int64, after Silence) []messages.LastHeartbeat {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var silent []*entry
+	for _, e := range r.entries {
+		if e.usable() && (e.record.Stale || nowUs-e.heardAtUs > after.AskUs) {
+			silent = append(silent, e)
+		}
+	}
+	slices.SortFunc(silent, func(a, b *entry) int {
+		return cmp.Or(cmp.Compare(a.askedAtUs, b.askedAtUs), cmp.Compare(a.record.ID, b.record.ID))
+	})
+	silent = silent[:min(len(silent), maxUnheard)]
+	question := make([]messages.LastHeartbeat, 0, len(silent))
+	for _, e := range silent {
+		e.askedAtUs = nowUs
+		question = append(question, e.lastHeartbeat(nowUs))
+	}
+	return question
+}
+
+// HeardSince answers another controller's question: of the runners that it
+// names, those of which a later heartbeat is known here.
+func (r *Registry) HeardSince(question []messages.LastHeartbeat, nowUs int64) []messages.LastHeartbeat {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var heard []messages.LastHeartbeat
+	for _, asked := range question {
+		e := r.entries[asked.ID]
+		if e != nil && e.usable() && e.heardSeq > asked.Seq {
+			heard = append(heard, e.lastHeartbeat(nowUs))
+		}
+	}
+	return heard
+}
+
+// TakeHeard takes the answer to a question that was sent at sentUs. A later
+// heartbeat ends staleness as one that came straight does; what a runner's record
+// says comes with the records. It returns the ids of runners whose staleness
+// ended.
+func (r *Registry) TakeHeard(answer []messages.LastHeartbeat, sentUs, nowUs int64) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	observedUs := r.observed.advance(nowUs)
+	var changed []string
+	for _, heard := range answer {
+		e := r.entries[heard.ID]
+		if e == nil || !e.usable() || heard.Seq <= e.heardSeq {
+			continue
+		}
+		heardAtUs := sentUs - max(heard.AgeUs, 0)
+		e.heardSeq = heard.Seq
+		e.heardAtUs = max(e.heardAtUs, heardAtUs)
+		// Observed time runs no faster than the clock, so this is not too late either.
+		e.heardUs = max(e.heardUs, observedUs-(nowUs-heardAtUs))
+		r.newsUs = max(r.newsUs, e.heardUs)
+		if e.record.Stale {
+			e.record.Stale = false
+			changed = append(changed, heard.ID)
+		}
+	}
+	if len(changed) > 0 {
+		r.publish()
+	}
+	return changed
+}
+
+func (e *entry) lastHeartbeat(nowUs int64) messages.LastHeartbeat {
+	return messages.LastHeartbeat{ID: e.record.ID, Seq: e.heardSeq, AgeUs: nowUs - e.heardAtUs}
+}
--- /dev/null
+++ b/internal/registry/freshness_test.go
@@ -0,0 +1,172 @@
+package registry
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// ask has one observer ask another, as controllers do with every comparison of
+// versions.
+func ask(from, to *Registry, nowUs int64) {
+	heard := to.HeardSince(from.Unheard(nowUs, silence), nowUs)
+	from.TakeHeard(heard, nowUs, nowUs)
+}
+
+// chain is observers of which each reaches only those beside it, and one runner
+// that beats at each end.
+type chain struct {
+	observers   []*Registry
+	first, last messages.RunnerRecord
+	nowUs       int64
+}
+
+func newChain(length int) *chain {
+	c := &chain{first: at("first", "1:1", 1), last: at("last", "2:1", 1), nowUs: 1}
+	for range length {
+		o := New()
+		o.Hear(c.first, c.nowUs)
+		o.Hear(c.last, c.nowUs)
+		c.observers = append(c.observers, o)
+	}
+	return c
+}
+
+// play lets time pass. A heartbeat reaches the observers at its end of the chain
+// and beside it, since heartbeats are passed on once.
+func (c *chain) play(forUs int64, lastBeats bool) {
+	n := len(c.observers)
+	for endUs := c.nowUs + forUs; c.nowUs < endUs; {
+		c.nowUs += sweepUs
+		c.first.Seq++
+		c.observers[0].Hear(c.first, c.nowUs)
+		c.observers[1].Hear(c.first, c.nowUs)
+		if lastBeats {
+			c.last.Seq++
+			c.observers[n-1].Hear(c.last, c.nowUs)
+			c.observers[n-2].Hear(c.last, c.nowUs)
+		}
+		for i := range n - 1 {
+			ask(c.observers[i], c.observers[i+1], c.nowUs)
+			ask(c.observers[i+1], c.observers[i], c.nowUs)
+		}
+		for _, o := range c.observers {
+			o.Sweep(c.nowUs, silence, true)
+		}
+	}
+}
+
+func TestSilenceIsNotCountedWhileAnotherObserverHearsTheRunner(t *testing.T) {
+	for length := 3; length <= 5; length++ {
+		c := newChain(length)
+		for range 40 {
+			c.play(secondUs, true)
+			for i, o := range c.observers {
+				for _, id := range []string{"first", "last"} {
+					n, listed := o.Snapshot().ByID[id]
+					must.True(t, listed && !n.Stale, must.Sprintf("%s at observer %d of %d: %+v", id, i, length, n))
+				}
+			}
+		}
+	}
+}
+
+// The last observer hears nobody any more, so the newest word that it compares
+// with is as old as its questions allow.
+func TestEndedRunnerIsLostOverAChainOfObserversInBoundedTime(t *testing.T) {
+	for length := 3; length <= 5; length++ {
+		c := newChain(length)
+		c.play(20*secondUs, true)
+		c.play(silence.StaleUs+silence.AskUs+2*sweepUs, false)
+		for i, o := range c.observers {
+			n, listed := o.Snapshot().ByID["last"]
+			must.True(t, !listed || n.Stale, must.Sprintf("observer %d of %d", i, length))
+		}
+		c.play(silence.LostUs-silence.StaleUs, false)
+		for i, o := range c.observers {
+			must.MapNotContainsKey(t, o.Snapshot().ByID, "last", must.Sprintf("observer %d of %d", i, length))
+			must.MapContainsKey(t, o.Snapshot().ByID, "first")
+		}
+	}
+}
+
+// An answer tells how old a heartbeat is; counted from the question it is never
+// taken for later than it was, however long the answer took.
+func TestAnswersDoNotMakeHeartbeatsLater(t *testing.T) {
+	asks, hears := New(), New()
+	asks.Hear(at("x", "1:1", 1), 1)
+	hears.Hear(at("x", "1:1", 2), 1*secondUs)
+	question := asks.Unheard(4*secondUs, silence)
+	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 1, AgeUs: 4*secondUs - 1}}, question)
+	answer := hears.HeardSince(question, 4*secondUs)
+	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 2, AgeUs: 3 * secondUs}}, answer)
+	asks.TakeHeard(answer, 4*secondUs, 6*secondUs)
+	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 2, AgeUs: 5 * secondUs}}, asks.Unheard(6*secondUs, silence))
+	must.SliceEmpty(t, asks.HeardSince(answer, 6*secondUs), must.Sprint("nothing later is known"))
+}
+
+func TestAnswersEndDoubtsByLaterHeartbeatsOnly(t *testing.T) {
+	r := New()
+	r.Hear(at("x", "1:1", 5), 1)
+	r.Hear(at("y", "2:1", 5), 1)
+	r.Doubt("x", silence)
+	must.Len(t, 1, r.Sweep(2, silence, true))
+	must.Len(t, 1, r.Unheard(2, silence), must.Sprint("a stale runner is asked about at once"))
+	must.SliceEmpty(t, r.TakeHeard([]messages.LastHeartbeat{{ID: "x", Seq: 5}, {ID: "unknown", Seq: 9}}, 3, 3))
+	must.True(t, r.Snapshot().ByID["x"].Stale)
+	must.Eq(t, []string{"x"}, r.TakeHeard([]messages.LastHeartbeat{{ID: "x", Seq: 6}}, 4, 4))
+	must.False(t, r.Snapshot().ByID["x"].Stale)
+	must.SliceEmpty(t, r.Sweep(5, silence, true))
+}
+
+// A heartbeat that another observer told of carries no record: what the runner
+// says in it is taken when it comes.
+func TestRecordsAreTakenAfterTheirHeartbeatWasToldOf(t *testing.T) {
+	r := New()
+	r.Hear(at("x", "1:1", 1), 1)
+	r.TakeHeard([]messages.LastHeartbeat{{ID: "x", Seq: 9}}, 2, 2)
+	changed := at("x", "1:1", 7)
+	changed.Capacity = 3
+	must.True(t, r.Merge(changed, 3))
+	must.Eq(t, 3, r.Snapshot().ByID["x"].Capacity)
+}
+
+func TestAnsweredRunnersThatEndedStayUnlisted(t *testing.T) {
+	r := New()
+	r.Hear(at("left", "1:1", 1), 1)
+	r.Leave("left", 2)
+	r.Hear(at("evicted", "2:1", 1), 1)
+	r.Hear(at("successor", "2:1", 1), 2)
+	later := []messages.LastHeartbeat{{ID: "left", Seq: 9}, {ID: "evicted", Seq: 9}}
+	must.SliceEmpty(t, r.TakeHeard(later, 3, 3))
+	must.MapLen(t, 1, r.Snapshot().ByID)
+	must.SliceEmpty(t, r.HeardSince([]messages.LastHeartbeat{{ID: "left"}, {ID: "evicted"}}, 3))
+}
+
+// One question is bounded; all silent runners have their turn, and nobody is
+// asked about while heartbeats arrive.
+func TestQuestionsAreBoundedAndTakeTurns(t *testing.T) {
+	r := New()
+	const runners = 1900
+	for i := range runners {
+		id := fmt.Sprint("runner-", i)
+		r.entries[id] = newEntry(at(id, fmt.Sprint("10.0.0.1:", i), 1), 1, 1)
+	}
+	must.SliceEmpty(t, r.Unheard(secondUs, silence))
+	asked := map[string]bool{}
+	size := 0
+	for round := range int64(2) {
+		question := r.Unheard(3*secondUs+round*sweepUs, silence)
+		must.Len(t, maxUnheard, question)
+		size = 0
+		for _, q := range question {
+			asked[q.ID] = true
+			size += q.Msgsize()
+		}
+	}
+	must.MapLen(t, runners, asked)
+	t.Logf("a question of %d runners has at most %d bytes", maxUnheard, size)
+}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -6,7 +6,8 @@
 // runner's own words, its leaving, its weights, bars by their version. Beliefs
 // (stale, lost) are conclusions of one observer from silence; they are drawn by
 // Sweep alone, never merged from another controller, and end with the next
-// heartbeat. Readers take an immutable snapshot.
+// heartbeat. Before them the other controllers are asked for later heartbeats.
+// Readers take an immutable snapshot.
 package registry
 
 import (
@@ -22,13 +23,27 @@
 
 type entry struct {
 	record     messages.RunnerRecord
-	heardUs    int64 // observed time of the newest heartbeat
+	heardSeq   int64 // of the newest heartbeat known, be it heard here or elsewhere
+	heardUs    int64 // observed time of that heartbeat
+	heardAtUs  int64 // the same on the node's monotonic clock
+	askedAtUs  int64 // when other controllers were last asked for a later one
 	endedUs    int64 // when it left or was lost
 	unlistedUs int64 // since when the node that is mirrored does not list it
 }
 
 func (e *entry) usable() bool { return !e.record.Gone && !e.record.Lost }
 
+// hear notes a heartbeat that is known from now on.
+func (e *entry) hear(seq, observedUs, nowUs int64) {
+	if seq > e.heardSeq {
+		e.heardSeq, e.heardUs, e.heardAtUs = seq, observedUs, nowUs
+	}
+}
+
+func newEntry(n messages.RunnerRecord, observedUs, nowUs int64) *entry {
+	return &entry{record: n, heardSeq: n.Seq, heardUs: observedUs, heardAtUs: nowUs}
+}
+
 // Registry is the mutable side.
 type Registry struct {
 	mu        sync.Mutex
@@ -65,12 +80,13 @@
 	r.newsUs = heardUs
 	r.supersede(n, nowUs)
 	if e == nil {
-		r.entries[n.ID] = &entry{record: n, heardUs: heardUs}
+		r.entries[n.ID] = newEntry(n, heardUs, nowUs)
 		r.publish()
 		return true
 	}
 	old := e.record
-	e.heardUs, e.record = heardUs, n
+	e.hear(n.Seq, heardUs, nowUs)
+	e.record = n
 	e.record = withFacts(e.record, old)
 	return r.settle(e, old)
 }
@@ -114,7 +130,7 @@
 	n.Stale, n.Lost = false, false
 	if e != nil {
 		n.Stale, n.Lost = e.record.Stale, e.record.Lost
-		if n.Seq > e.record.Seq {
+		if n.Seq > e.heardSeq {
 			n.Stale, n.Lost = false, false
 		}
 	}
@@ -136,7 +152,7 @@
 		if n.Gone || n.Lost {
 			return false // nodes would remind each other of it for good
 		}
-		r.entries[n.ID] = &entry{record: n, heardUs: heardUs}
+		r.entries[n.ID] = newEntry(n, heardUs, nowUs)
 		if r.byAddress[n.Addr] == "" {
 			r.byAddress[n.Addr] = n.ID
 		}
@@ -147,9 +163,7 @@
 	if old.Gone {
 		return false
 	}
-	if n.Seq > old.Seq {
-		e.heardUs = heardUs
-	}
+	e.hear(n.Seq, heardUs, nowUs)
 	if n.Seq >= old.Seq {
 		e.record = n
 	}
@@ -214,13 +228,6 @@
 	return e.record, r.settle(e, old)
 }
 
-// Silence is after how long without a heartbeat, while other runners are heard,
-// a runner counts as stale and as lost.
-type Silence struct {
-	StaleUs int64
-	LostUs  int64
-}
-
 // Sweep draws this observer's conclusions and forgets runners that ended long
 // ago. inContact says that it reaches a majority of the core; the time in which
 // it does not counts for no runner's silence. It returns the records whose
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -79,7 +79,7 @@
 
 // What silence means is compared with the newest word of any runner.
 func TestSweepMarksThenLosesTheSilent(t *testing.T) {
-	r, after := New(), Silence{StaleUs: 5, LostUs: 20}
+	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
 	r.Hear(at("x", "1:1", 1), 0)
 	r.Hear(at("y", "2:1", 1), 9)
 	must.Len(t, 1, r.Sweep(10, after, true))
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -16,7 +16,7 @@
 	secondUs    = 1_000_000
 )
 
-var silence = Silence{StaleUs: 4*heartbeatUs + sweepUs, LostUs: 12 * heartbeatUs}
+var silence = SilenceAfter(heartbeatUs)
 
 func at(id, address string, seq int64) messages.RunnerRecord {
 	n := beat(id, seq)
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -15,9 +15,13 @@
 	mostFleetCut  = 25 * Second
 	listedUs      = 5 * Second
 	unlistedUs    = 20 * Second
+	staleUs       = 10 * Second // the same where nothing but links to some is cut
 	answerWaitUs  = Second
 )
 
+// never is a moment before every history.
+const never = -fleetFaultsUs
+
 // runner is one place in the fleet: an address with one instance after another.
 type runner struct {
 	fleet    *fleet
@@ -45,25 +49,33 @@
 	network    *Network
 	registrars []*registrar
 	runners    []*runner
-	gone       []string // instances that have left or crashed
+	gone       []endedInstance
 	epoch      int64
 	partial    bool
 	active     int // faults of registrars under way
 	turns      int // how many of them have begun or ended
 	healed     bool
+
+	partitionedAtUs int64 // when some registrars last had no way to each other
+}
+
+// endedInstance is one that has left or crashed.
+type endedInstance struct {
+	id   string
+	atUs int64
 }
 
 // PlayFleet plays the runners' history of a seed.
 func PlayFleet(seed uint64, options Options) Result { return playFleet(seed, options, false) }
 
-// PlayFleetPartial is PlayFleet with cuts between some registrars only. One that
-// is in touch with a majority, but not with the registrar at which a runner
-// beats, takes that runner for silent: a fault that stands.
+// PlayFleetPartial is PlayFleet with cuts between some registrars only: one that
+// does not reach the registrar at which a runner beats must not take that runner
+// for silent while there is a way through others.
 func PlayFleetPartial(seed uint64, options Options) Result { return playFleet(seed, options, true) }
 
 func playFleet(seed uint64, options Options, partial bool) Result {
 	k := NewKernel(seed, options.Record)
-	f := &fleet{kernel: k, network: NewNetwork(k), partial: partial}
+	f := &fleet{kernel: k, network: NewNetwork(k), partial: partial, partitionedAtUs: never}
 	for i := range 3 + 2*k.Below(2) {
 		f.registrars = append(f.registrars, &registrar{fleet: f, addr: registrarName(i), process: NewProcess(k)})
 	}
@@ -108,7 +120,7 @@
 // end is a crash, or the end after leaving.
 func (r *runner) end() {
 	r.fleet.kernel.Note("%s ends", r.id())
-	r.fleet.gone = append(r.fleet.gone, r.id())
+	r.fleet.gone = append(r.fleet.gone, endedInstance{r.id(), r.fleet.kernel.NowUs()})
 	r.state = ended
 	r.life++
 }
@@ -154,7 +166,11 @@
 		r := f.runners[1+k.Below(len(f.runners)-1)]
 		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.turn(r) })
 	}
-	for range 1 + k.Below(4) {
+	faults := 1 + k.Below(4)
+	if f.partial {
+		faults = 1 + k.Below(2*len(f.registrars)) // so that some reach each other through two others only
+	}
+	for range faults {
 		victim := f.registrars[k.Below(len(f.registrars))]
 		forUs := k.Between(leastFault, mostFleetCut)
 		strike := []func(*registrar, int64){f.cutOff, f.cutOff, f.cutOneWay, f.freeze, f.crash, f.lose}[k.Below(6)]
@@ -218,7 +234,37 @@
 func (f *fleet) cutLinks(from, to string, forUs int64) {
 	l := f.network.Link(from, to)
 	l.Cuts++
-	f.later(forUs, func() { l.Cuts-- })
+	f.notePartition()
+	f.later(forUs, func() {
+		f.notePartition()
+		l.Cuts--
+	})
+}
+
+// notePartition is called as links come and go.
+func (f *fleet) notePartition() {
+	if !f.connected() {
+		f.partitionedAtUs = f.kernel.NowUs()
+	}
+}
+
+// connected tells whether every two registrars have a way to each other, be it
+// through others.
+func (f *fleet) connected() bool {
+	reached := map[*registrar]bool{f.registrars[0]: true}
+	queue := []*registrar{f.registrars[0]}
+	for len(queue) > 0 {
+		from := queue[0]
+		queue = queue[1:]
+		for _, to := range from.others() {
+			whole := f.network.Link(from.addr, to.addr).Cuts+f.network.Link(to.addr, from.addr).Cuts == 0
+			if whole && !reached[to] {
+				reached[to] = true
+				queue = append(queue, to)
+			}
+		}
+	}
+	return len(reached) == len(f.registrars)
 }
 
 // cutOff parts a registrar from the others; some runners still reach it.
@@ -243,25 +289,49 @@
 	f.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
 	f.cutLinks(victim.addr, other.addr, forUs)
 	f.cutLinks(other.addr, victim.addr, forUs)
-	f.later(forUs, f.conclusionsOf(victim))
+	for _, r := range []*registrar{victim, other} {
+		f.later(forUs, f.conclusionsOf(r))
+		f.later(forUs, f.endedUnlistedAt(r))
+	}
+}
+
+// endedUnlistedAt gives a check for the end of a cut that was alone, so that all
+// registrars were in contact: instances that ended are stale or gone by then.
+func (f *fleet) endedUnlistedAt(victim *registrar) func() {
+	turns, alone := f.turns, f.active == 1
+	return func() {
+		if !alone || f.turns != turns {
+			return
+		}
+		for _, instance := range f.gone {
+			sinceUs := f.kernel.NowUs() - max(instance.atUs, f.partitionedAtUs)
+			if sinceUs > staleUs && victim.listed(instance.id) {
+				f.kernel.Fail("%s ended, %d us have passed without a partition, and it is listed at %s", instance.id, sinceUs, victim.addr)
+			}
+		}
+	}
 }
 
 // conclusionsOf gives a check for the end of a cut: whoever was cut off drew no
 // conclusions about runners that went on beating, wherever they were heard. It
-// looks at cuts that were alone: a runner that beats at a registrar which is
-// itself cut off is silent to all others.
+// looks at cuts that were alone, since a runner that beats at a registrar which
+// is itself cut off is silent to all others, and at partial cuts that left a way
+// between all registrars.
 func (f *fleet) conclusionsOf(victim *registrar) func() {
-	if f.active > 1 {
-		return func() {}
+	begunUs, turns, alone := f.kernel.NowUs(), f.turns, f.active == 1
+	undisturbed := func() bool {
+		if f.partial {
+			return f.partitionedAtUs < begunUs-listedUs
+		}
+		return alone && f.turns == turns
 	}
-	turns := f.turns
 	life, listed := victim.process.life, map[string]bool{}
 	for _, r := range f.runners {
 		listed[r.id()] = r.settled() && victim.process.Up() && victim.listed(r.id())
 	}
 	return func() {
 		for _, r := range f.runners {
-			if f.turns == turns && victim.process.life == life && listed[r.id()] && r.settled() && !victim.listed(r.id()) {
+			if undisturbed() && victim.process.life == life && listed[r.id()] && r.settled() && !victim.listed(r.id()) {
 				f.kernel.Fail("%s beats and is no longer listed at %s, which was cut off", r.id(), victim.addr)
 			}
 		}
@@ -328,10 +398,10 @@
 
 // checkUnlisted has no runner that ended be listed anywhere.
 func (f *fleet) checkUnlisted() {
-	for _, id := range f.gone {
+	for _, instance := range f.gone {
 		for _, at := range f.registrars {
-			if at.listed(id) {
-				f.kernel.Fail("%s has ended and is listed at %s", id, at.addr)
+			if at.listed(instance.id) {
+				f.kernel.Fail("%s has ended and is listed at %s", instance.id, at.addr)
 			}
 		}
 	}
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -24,7 +24,7 @@
 )
 
 // silence is after how many heartbeats missed a runner counts as stale and lost.
-var silence = registry.Silence{StaleUs: 4*heartbeatUs + sweepEveryUs, LostUs: 12 * heartbeatUs}
+var silence = registry.SilenceAfter(heartbeatUs)
 
 // registrar is one controller's part in knowing the runners.
 type registrar struct {
@@ -152,24 +152,41 @@
 // ask names what is held of another's stream and gets what is lacking.
 func (r *registrar) ask(of *registrar) {
 	epoch, version := r.mirrors[of.addr].Holds()
-	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
-	answered := r.process.inLifeOf(life, func() { r.reached[of.addr] = max(r.reached[of.addr], sentUs) })
-	net.Send(r.addr, of.addr, func() {
+	r.fleet.network.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
 			if change, lacks := of.stream.Since(epoch, version); lacks {
 				of.send(r, change)
 			}
-			net.Send(of.addr, r.addr, answered)
 		})
 	})
 }
 
+// compare asks every other registrar for what is lacking of its stream and for
+// heartbeats of runners that are silent here.
 func (r *registrar) compare() {
+	silent := r.runners.Unheard(r.process.NowUs(), silence)
 	for _, other := range r.others() {
 		r.ask(other)
+		r.askForHeartbeats(other, silent)
 	}
 }
 
+// askForHeartbeats is the call that also shows that another is in reach.
+func (r *registrar) askForHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
+	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
+	net.Send(r.addr, of.addr, func() {
+		of.process.Deliver(func() {
+			heard := of.runners.HeardSince(silent, of.process.NowUs())
+			net.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
+				r.reached[of.addr] = max(r.reached[of.addr], sentUs)
+				for _, id := range r.runners.TakeHeard(heard, sentUs, r.process.NowUs()) {
+					r.tell(id)
+				}
+			}))
+		})
+	})
+}
+
 // inContact tells whether a majority of the registrars answers.
 func (r *registrar) inContact() bool {
 	near := 1
