--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -125,41 +125,21 @@
 	}
 	f := &d.feed
 	f.mu.Lock()
-	for _, id := range ids {
-		if n, ok := d.registry.Record(id); ok {
-			if b, err := n.MarshalMsg(nil); err == nil {
-				f.registry.Put(id, string(b))
-			}
-		}
-	}
+	err := d.registry.Publish(f.registry, ids...)
 	f.mu.Unlock()
+	if err != nil {
+		d.log.Error(err, "a runner's record cannot be sent")
+	}
 	f.hurry()
 }
 
 // syncRunners brings what is told of runners to what the registry holds: those
 // recalled from disk go in, those it has forgotten go out.
 func (d *Controller) syncRunners() {
-	f := &d.feed
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	known := map[string]bool{}
-	for _, n := range d.registry.All() {
-		known[n.ID] = true
-		if _, told := f.registry.Get(n.ID); told {
-			continue
-		}
-		if b, err := n.MarshalMsg(nil); err == nil {
-			f.registry.Put(n.ID, string(b))
-		}
-	}
-	var gone []string
-	f.registry.Each(func(id, _ string) {
-		if !known[id] {
-			gone = append(gone, id)
-		}
-	})
-	for _, id := range gone {
-		f.registry.Drop(id)
+	d.feed.mu.Lock()
+	defer d.feed.mu.Unlock()
+	if err := d.registry.Sync(d.feed.registry); err != nil {
+		d.log.Error(err, "a runner's record cannot be sent")
 	}
 }
 
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -145,23 +145,11 @@
 		if r == statesync.Mismatch {
 			continue
 		}
-		for _, p := range ch.Puts {
-			var n messages.RunnerRecord
-			if p.Gone {
-				continue
-			}
-			if _, err := n.UnmarshalMsg([]byte(p.Value)); err != nil {
-				f.malformed.Add(1)
-				continue
-			}
-			if d.registry.Merge(n, now) {
-				changed = append(changed, n.ID)
-			}
-		}
-	}
-	if len(changed) > 0 {
-		d.tellRunners(changed...)
+		merged, malformed := d.registry.MergeChange(ch, now)
+		changed = append(changed, merged...)
+		f.malformed.Add(int64(malformed))
 	}
+	d.tellRunners(changed...)
 	var kept []messages.KeptChange
 	d.kmu.Lock()
 	for _, c := range in.Kept {
--- /dev/null
+++ b/internal/registry/stream_test.go
@@ -0,0 +1,47 @@
+package registry
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/statesync"
+)
+
+func TestStreamFollowsTheRegistry(t *testing.T) {
+	r, stream := New(), statesync.NewEntries()
+	stream.Begin(1, 0)
+	r.Hear(at("x", "1:1", 1), 1)
+	r.Hear(at("y", "2:1", 1), 1)
+	must.NoError(t, r.Publish(stream, "x", "unknown"))
+	must.NoError(t, r.Sync(stream))
+	receiver := New()
+	changed, malformed := receiver.MergeChange(stream.Commit(1), 1)
+	must.Eq(t, []string{"x", "y"}, changed)
+	must.Zero(t, malformed)
+
+	r.Leave("x", 2)
+	must.NoError(t, r.Sync(stream))
+	must.False(t, stream.Dirty(), must.Sprint("what was published before is published again by Publish only"))
+	must.NoError(t, r.Publish(stream, "x"))
+	changed, _ = receiver.MergeChange(stream.Commit(2), 2)
+	must.Eq(t, []string{"x"}, changed)
+	must.MapLen(t, 1, receiver.Snapshot().ByID)
+
+	r.Sweep(2+keepGoneUs+1, silence, true)
+	must.NoError(t, r.Sync(stream))
+	changed, malformed = receiver.MergeChange(stream.Commit(3), 3)
+	must.SliceEmpty(t, changed, must.Sprint("what is forgotten there is forgotten here in its own time"))
+	must.Zero(t, malformed)
+	must.Len(t, 2, receiver.All())
+}
+
+func TestUnreadableRecordsAreCountedAndPassedOver(t *testing.T) {
+	stream, r := statesync.NewEntries(), New()
+	stream.Begin(1, 0)
+	must.NoError(t, putRecord(stream, at("x", "1:1", 1)))
+	stream.Put("torn", "\x81")
+	changed, malformed := r.MergeChange(stream.Commit(1), 1)
+	must.Eq(t, []string{"x"}, changed)
+	must.Eq(t, 1, malformed)
+}
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -88,14 +88,10 @@
 	}
 }
 
-// tell has the next flush send a record as it is now.
-func (r *registrar) tell(id string) {
-	if record, ok := r.runners.Record(id); ok {
-		raw, err := record.MarshalMsg(nil)
-		if err != nil {
-			r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
-		}
-		r.stream.Put(id, string(raw))
+// tell has the next flush send records as they are now.
+func (r *registrar) tell(ids ...string) {
+	if err := r.runners.Publish(r.stream, ids...); err != nil {
+		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
 	}
 }
 
@@ -134,19 +130,11 @@
 	case statesync.Known:
 		return
 	}
-	slices.SortFunc(change.Puts, func(a, b statesync.Put[string, string]) int { return cmp.Compare(a.Key, b.Key) })
-	for _, p := range change.Puts {
-		var record messages.RunnerRecord
-		if p.Gone {
-			continue
-		}
-		if _, err := record.UnmarshalMsg([]byte(p.Value)); err != nil {
-			r.fleet.kernel.Fail("a runner's record does not read: %v", err)
-		}
-		if r.runners.Merge(record, r.process.NowUs()) {
-			r.tell(record.ID)
-		}
+	changed, malformed := r.runners.MergeChange(change, r.process.NowUs())
+	if malformed > 0 {
+		r.fleet.kernel.Fail("%d records of runners do not read", malformed)
 	}
+	r.tell(changed...)
 }
 
 // ask names what is held of another's stream and gets what is lacking.
@@ -179,9 +167,7 @@
 			heard := of.runners.HeardSince(silent, of.process.NowUs())
 			net.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
 				r.reached[of.addr] = max(r.reached[of.addr], sentUs)
-				for _, id := range r.runners.TakeHeard(heard, sentUs, r.process.NowUs()) {
-					r.tell(id)
-				}
+				r.tell(r.runners.TakeHeard(heard, sentUs, r.process.NowUs())...)
 			}))
 		})
 	})
@@ -205,21 +191,8 @@
 	for _, record := range r.runners.Sweep(r.process.NowUs(), silence, r.inContact()) {
 		r.tell(record.ID)
 	}
-	known := map[string]bool{}
-	for _, record := range r.records() {
-		known[record.ID] = true
-		if _, told := r.stream.Get(record.ID); !told {
-			r.tell(record.ID)
-		}
-	}
-	var forgotten []string
-	r.stream.Each(func(id, _ string) {
-		if !known[id] {
-			forgotten = append(forgotten, id)
-		}
-	})
-	for _, id := range forgotten {
-		r.stream.Drop(id)
+	if err := r.runners.Sync(r.stream); err != nil {
+		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
 	}
 }
 
