--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,7 +92,7 @@
 		if _, err := from.UnmarshalMsg(body); err == nil && !from.Controller {
 			m.Parts = d.told()
 		}
-		m.Heard = d.registry.HeardSince(from.Silent, d.clock())
+		m.LaterHeartbeats = d.registry.LaterHeartbeats(from.SilentRunners, d.clock())
 		return m.MarshalMsg(nil)
 	})
 	trans.OnCall(transport.KindCondition, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
@@ -270,7 +270,7 @@
 	alive := d.monitor.Alive(messages.Controller)
 	view, core := coreView(alive)
 	d.calm.saw(view, d.clock())
-	silent := d.registry.Unheard(d.clock(), d.silence())
+	silent := d.registry.SilentRunners(d.clock(), d.silence())
 	for _, p := range alive {
 		if p.Addr == d.transport.Addr() {
 			continue
@@ -279,7 +279,7 @@
 			cctx, cancel := context.WithTimeout(ctx, 450*time.Millisecond)
 			defer cancel()
 			mine, sentUs := d.versions(), d.clock()
-			mine.Silent = silent
+			mine.SilentRunners = silent
 			b, err := d.transport.Call(cctx, p.Addr, transport.KindVersions, &mine)
 			if core[p.Addr] {
 				d.calm.tried(p.Addr, err == nil, d.clock())
@@ -291,7 +291,7 @@
 			if _, err := m.UnmarshalMsg(b); err != nil {
 				return
 			}
-			d.tellRunners(d.registry.TakeHeard(m.Heard, sentUs, d.clock())...)
+			d.tellRunners(d.registry.ApplyLaterHeartbeats(m.LaterHeartbeats, sentUs, d.clock())...)
 			d.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // the earlier format has none
 			for part := range min(len(m.Parts), consensus.Parts) {
 				if m.Parts[part] > mine.Parts[part] {
--- a/internal/controller/three_test.go
+++ b/internal/controller/three_test.go
@@ -120,7 +120,7 @@
 	must.False(t, other.registry.Hear(record, other.clock()))
 	skipUs.Add(cutOff.silence().AskUs)
 	first := []messages.LastHeartbeat{{ID: "x", Seq: 1}}
-	until(t, func() bool { return len(cutOff.registry.HeardSince(first, cutOff.clock())) == 1 })
+	until(t, func() bool { return len(cutOff.registry.LaterHeartbeats(first, cutOff.clock())) == 1 })
 	known, _ := cutOff.registry.Record("x")
 	must.Eq(t, 1, known.Seq, must.Sprint("the record itself did not travel"))
 }
--- a/internal/messages/msgp.gen.go
+++ b/internal/messages/msgp.gen.go
@@ -4497,18 +4497,18 @@
 	o = msgp.AppendBool(o, z.Controller)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Heard)))
-	for za0001 := range z.Heard {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.LaterHeartbeats)))
+	for za0001 := range z.LaterHeartbeats {
 		// map header, size 3
 		// string "a"
 		o = append(o, 0x83, 0xa1, 0x61)
-		o = msgp.AppendInt64(o, z.Heard[za0001].AgeUs)
+		o = msgp.AppendInt64(o, z.LaterHeartbeats[za0001].AgeUs)
 		// string "i"
 		o = append(o, 0xa1, 0x69)
-		o = msgp.AppendString(o, z.Heard[za0001].ID)
+		o = msgp.AppendString(o, z.LaterHeartbeats[za0001].ID)
 		// string "q"
 		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendInt64(o, z.Heard[za0001].Seq)
+		o = msgp.AppendInt64(o, z.LaterHeartbeats[za0001].Seq)
 	}
 	// string "i"
 	o = append(o, 0xa1, 0x69)
@@ -4524,18 +4524,18 @@
 	o = msgp.AppendUint64(o, z.RegistrySum)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Silent)))
-	for za0003 := range z.Silent {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.SilentRunners)))
+	for za0003 := range z.SilentRunners {
 		// map header, size 3
 		// string "a"
 		o = append(o, 0x83, 0xa1, 0x61)
-		o = msgp.AppendInt64(o, z.Silent[za0003].AgeUs)
+		o = msgp.AppendInt64(o, z.SilentRunners[za0003].AgeUs)
 		// string "i"
 		o = append(o, 0xa1, 0x69)
-		o = msgp.AppendString(o, z.Silent[za0003].ID)
+		o = msgp.AppendString(o, z.SilentRunners[za0003].ID)
 		// string "q"
 		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendInt64(o, z.Silent[za0003].Seq)
+		o = msgp.AppendInt64(o, z.SilentRunners[za0003].Seq)
 	}
 	// string "u"
 	o = append(o, 0xa1, 0x75)
@@ -4571,51 +4571,51 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Heard")
+				err = msgp.WrapError(err, "LaterHeartbeats")
 				return
 			}
-			if cap(z.Heard) >= int(zb0002) {
-				z.Heard = (z.Heard)[:zb0002]
+			if cap(z.LaterHeartbeats) >= int(zb0002) {
+				z.LaterHeartbeats = (z.LaterHeartbeats)[:zb0002]
 			} else {
-				z.Heard = make([]LastHeartbeat, zb0002)
+				z.LaterHeartbeats = make([]LastHeartbeat, zb0002)
 			}
-			for za0001 := range z.Heard {
+			for za0001 := range z.LaterHeartbeats {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Heard", za0001)
+					err = msgp.WrapError(err, "LaterHeartbeats", za0001)
 					return
 				}
 				for zb0003 > 0 {
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Heard", za0001)
+						err = msgp.WrapError(err, "LaterHeartbeats", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "a":
-						z.Heard[za0001].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+						z.LaterHeartbeats[za0001].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Heard", za0001, "AgeUs")
+							err = msgp.WrapError(err, "LaterHeartbeats", za0001, "AgeUs")
 							return
 						}
 					case "i":
-						z.Heard[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
+						z.LaterHeartbeats[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Heard", za0001, "ID")
+							err = msgp.WrapError(err, "LaterHeartbeats", za0001, "ID")
 							return
 						}
 					case "q":
-						z.Heard[za0001].Seq, bts, err = msgp.ReadInt64Bytes(bts)
+						z.LaterHeartbeats[za0001].Seq, bts, err = msgp.ReadInt64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Heard", za0001, "Seq")
+							err = msgp.WrapError(err, "LaterHeartbeats", za0001, "Seq")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Heard", za0001)
+							err = msgp.WrapError(err, "LaterHeartbeats", za0001)
 							return
 						}
 					}
@@ -4656,51 +4656,51 @@
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Silent")
+				err = msgp.WrapError(err, "SilentRunners")
 				return
 			}
-			if cap(z.Silent) >= int(zb0005) {
-				z.Silent = (z.Silent)[:zb0005]
+			if cap(z.SilentRunners) >= int(zb0005) {
+				z.SilentRunners = (z.SilentRunners)[:zb0005]
 			} else {
-				z.Silent = make([]LastHeartbeat, zb0005)
+				z.SilentRunners = make([]LastHeartbeat, zb0005)
 			}
-			for za0003 := range z.Silent {
+			for za0003 := range z.SilentRunners {
 				var zb0006 uint32
 				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Silent", za0003)
+					err = msgp.WrapError(err, "SilentRunners", za0003)
 					return
 				}
 				for zb0006 > 0 {
 					zb0006--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Silent", za0003)
+						err = msgp.WrapError(err, "SilentRunners", za0003)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "a":
-						z.Silent[za0003].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+						z.SilentRunners[za0003].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Silent", za0003, "AgeUs")
+							err = msgp.WrapError(err, "SilentRunners", za0003, "AgeUs")
 							return
 						}
 					case "i":
-						z.Silent[za0003].ID, bts, err = msgp.ReadStringBytes(bts)
+						z.SilentRunners[za0003].ID, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Silent", za0003, "ID")
+							err = msgp.WrapError(err, "SilentRunners", za0003, "ID")
 							return
 						}
 					case "q":
-						z.Silent[za0003].Seq, bts, err = msgp.ReadInt64Bytes(bts)
+						z.SilentRunners[za0003].Seq, bts, err = msgp.ReadInt64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Silent", za0003, "Seq")
+							err = msgp.WrapError(err, "SilentRunners", za0003, "Seq")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Silent", za0003)
+							err = msgp.WrapError(err, "SilentRunners", za0003)
 							return
 						}
 					}
@@ -4727,12 +4727,12 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Versions) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Heard {
-		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Heard[za0001].ID) + 2 + msgp.Int64Size
+	for za0001 := range z.LaterHeartbeats {
+		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.LaterHeartbeats[za0001].ID) + 2 + msgp.Int64Size
 	}
 	s += 2 + msgp.StringPrefixSize + len(z.MemberID) + 2 + msgp.ArrayHeaderSize + (len(z.Parts) * (msgp.Int64Size)) + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Silent {
-		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Silent[za0003].ID) + 2 + msgp.Int64Size
+	for za0003 := range z.SilentRunners {
+		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.SilentRunners[za0003].ID) + 2 + msgp.Int64Size
 	}
 	s += 2 + msgp.Int64Size
 	return
--- a/internal/messages/types.gen.go
+++ b/internal/messages/types.gen.go
@@ -436,13 +436,13 @@
 type Versions struct {
 	Controller bool `msg:"d"`
 
-	// Heard in a response, those of the silent ones of which the sender knows a later heartbeat
-	Heard       []LastHeartbeat `msg:"h"`
-	MemberID    string          `msg:"i"`
-	Parts       []int64         `msg:"p"`
-	RegistrySum uint64          `msg:"r"`
-
-	// Silent in a request, runners that the sender has not heard for a while
-	Silent []LastHeartbeat `msg:"s"`
-	CalmUs int64           `msg:"u"`
+	// LaterHeartbeats in a response, those of the silent ones of which the sender knows a later heartbeat
+	LaterHeartbeats []LastHeartbeat `msg:"h"`
+	MemberID        string          `msg:"i"`
+	Parts           []int64         `msg:"p"`
+	RegistrySum     uint64          `msg:"r"`
+
+	// SilentRunners in a request, runners that the sender has not heard for a while
+	SilentRunners []LastHeartbeat `msg:"s"`
+	CalmUs        int64           `msg:"u"`
 }
--- a/internal/registry/doubt.go
+++ b/internal/registry/doubt.go
@@ -10,5 +10,5 @@
 	if e == nil || !e.usable() {
 		return
 	}
-	e.heardUs = min(e.heardUs, r.newsUs-after.StaleUs-1)
+	e.lastObservedUs = min(e.lastObservedUs, r.newestObservedUs-after.StaleUs-1)
 }
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -9,88 +9,89 @@
 
 // A controller that is cut off from another one misses the heartbeats that
 // arrive there. Before it concludes anything from a runner's silence it asks the
-// controllers that it reaches for later heartbeats (Unheard, HeardSince,
-// TakeHeard). What they answer may itself come from a third one, so freshness
-// passes along any chain of controllers.
+// controllers that it reaches for later heartbeats (SilentRunners,
+// LaterHeartbeats, ApplyLaterHeartbeats). What they answer may itself come from a
+// third one, so freshness passes along any chain of controllers.
 //
 // An age is measured by the clock of the node that answers and counted back from
 // the moment of the question: the heartbeat is never taken for later than it was.
 // So ages of a runner that has ended only grow, however often they are passed on,
 // and it is lost as soon as without the exchange.
 
-// maxUnheard bounds one question. Where more runners are silent, those asked
-// about least recently go first.
-const maxUnheard = 1024
+// maxSilentRunners bounds one question. Where more runners are silent, those
+// asked about least recently go first.
+const maxSilentRunners = 1024
 
-// Unheard lists the usable runners that have been silent here for long enough to
-// ask about, and those that are stale, with the newest heartbeat known of each.
-func (r *Registry) Unheard(nowUs int64, after Silence) []messages.LastHeartbeat {
+// SilentRunners lists the usable runners that have been silent here for long
+// enough to ask about, and those that are stale, with the newest heartbeat known
+// of each.
+func (r *Registry) SilentRunners(nowUs int64, after Silence) []messages.LastHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var silent []*entry
 	for _, e := range r.entries {
-		if e.usable() && (e.record.Stale || nowUs-e.heardAtUs > after.AskUs) {
+		if e.usable() && (e.record.Stale || nowUs-e.lastHeartbeatUs > after.AskUs) {
 			silent = append(silent, e)
 		}
 	}
 	slices.SortFunc(silent, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.askedAtUs, b.askedAtUs), cmp.Compare(a.record.ID, b.record.ID))
+		return cmp.Or(cmp.Compare(a.lastAskedUs, b.lastAskedUs), cmp.Compare(a.record.ID, b.record.ID))
 	})
-	silent = silent[:min(len(silent), maxUnheard)]
+	silent = silent[:min(len(silent), maxSilentRunners)]
 	question := make([]messages.LastHeartbeat, 0, len(silent))
 	for _, e := range silent {
-		e.askedAtUs = nowUs
+		e.lastAskedUs = nowUs
 		question = append(question, e.lastHeartbeat(nowUs))
 	}
 	return question
 }
 
-// HeardSince answers another controller's question: of the runners that it
+// LaterHeartbeats answers another controller's question: of the runners that it
 // names, those of which a later heartbeat is known here.
-func (r *Registry) HeardSince(question []messages.LastHeartbeat, nowUs int64) []messages.LastHeartbeat {
+func (r *Registry) LaterHeartbeats(question []messages.LastHeartbeat, nowUs int64) []messages.LastHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var heard []messages.LastHeartbeat
 	for _, asked := range question {
 		e := r.entries[asked.ID]
-		if e != nil && e.usable() && e.heardSeq > asked.Seq {
+		if e != nil && e.usable() && e.lastSeq > asked.Seq {
 			heard = append(heard, e.lastHeartbeat(nowUs))
 		}
 	}
 	return heard
 }
 
-// TakeHeard takes the answer to a question that was sent at sentUs. A later
-// heartbeat ends staleness as one that came straight does; what a runner's record
+// ApplyLaterHeartbeats takes the answer to a question that was sent at sentUs. A
+// later heartbeat ends staleness as one that came straight does; what a runner's record
 // says comes with the records. It returns the ids of runners whose staleness
 // ended.
-func (r *Registry) TakeHeard(answer []messages.LastHeartbeat, sentUs, nowUs int64) []string {
+func (r *Registry) ApplyLaterHeartbeats(answer []messages.LastHeartbeat, sentUs, nowUs int64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	observedUs := r.observed.advance(nowUs)
 	var changed []string
 	for _, heard := range answer {
 		e := r.entries[heard.ID]
-		if e == nil || !e.usable() || heard.Seq <= e.heardSeq {
+		if e == nil || !e.usable() || heard.Seq <= e.lastSeq {
 			continue
 		}
 		heardAtUs := sentUs - max(heard.AgeUs, 0)
-		e.heardSeq = heard.Seq
-		e.heardAtUs = max(e.heardAtUs, heardAtUs)
+		e.lastSeq = heard.Seq
+		e.lastHeartbeatUs = max(e.lastHeartbeatUs, heardAtUs)
 		// Observed time runs no faster than the clock, so this is not too late either.
-		e.heardUs = max(e.heardUs, observedUs-(nowUs-heardAtUs))
-		r.newsUs = max(r.newsUs, e.heardUs)
+		e.lastObservedUs = max(e.lastObservedUs, observedUs-(nowUs-heardAtUs))
+		r.newestObservedUs = max(r.newestObservedUs, e.lastObservedUs)
 		if e.record.Stale {
 			e.record.Stale = false
 			changed = append(changed, heard.ID)
 		}
 	}
 	if len(changed) > 0 {
-		r.publish()
+		r.updateSnapshot()
 	}
 	return changed
 }
 
 func (e *entry) lastHeartbeat(nowUs int64) messages.LastHeartbeat {
-	return messages.LastHeartbeat{ID: e.record.ID, Seq: e.heardSeq, AgeUs: nowUs - e.heardAtUs}
+	return messages.LastHeartbeat{ID: e.record.ID, Seq: e.lastSeq, AgeUs: nowUs - e.lastHeartbeatUs}
 }
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -12,8 +12,8 @@
 // ask has one observer ask another, as controllers do with every comparison of
 // versions.
 func ask(from, to *Registry, nowUs int64) {
-	heard := to.HeardSince(from.Unheard(nowUs, silence), nowUs)
-	from.TakeHeard(heard, nowUs, nowUs)
+	heard := to.LaterHeartbeats(from.SilentRunners(nowUs, silence), nowUs)
+	from.ApplyLaterHeartbeats(heard, nowUs, nowUs)
 }
 
 // chain is observers of which each reaches only those beside it, and one runner
@@ -99,13 +99,13 @@
 	asks, hears := New(), New()
 	asks.Hear(at("x", "1:1", 1), 1)
 	hears.Hear(at("x", "1:1", 2), 1*secondUs)
-	question := asks.Unheard(4*secondUs, silence)
+	question := asks.SilentRunners(4*secondUs, silence)
 	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 1, AgeUs: 4*secondUs - 1}}, question)
-	answer := hears.HeardSince(question, 4*secondUs)
+	answer := hears.LaterHeartbeats(question, 4*secondUs)
 	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 2, AgeUs: 3 * secondUs}}, answer)
-	asks.TakeHeard(answer, 4*secondUs, 6*secondUs)
-	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 2, AgeUs: 5 * secondUs}}, asks.Unheard(6*secondUs, silence))
-	must.SliceEmpty(t, asks.HeardSince(answer, 6*secondUs), must.Sprint("nothing later is known"))
+	asks.ApplyLaterHeartbeats(answer, 4*secondUs, 6*secondUs)
+	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 2, AgeUs: 5 * secondUs}}, asks.SilentRunners(6*secondUs, silence))
+	must.SliceEmpty(t, asks.LaterHeartbeats(answer, 6*secondUs), must.Sprint("nothing later is known"))
 }
 
 func TestAnswersEndDoubtsByLaterHeartbeatsOnly(t *testing.T) {
@@ -114,10 +114,10 @@
 	r.Hear(at("y", "2:1", 5), 1)
 	r.Doubt("x", silence)
 	must.Len(t, 1, r.Sweep(2, silence, true))
-	must.Len(t, 1, r.Unheard(2, silence), must.Sprint("a stale runner is asked about at once"))
-	must.SliceEmpty(t, r.TakeHeard([]messages.LastHeartbeat{{ID: "x", Seq: 5}, {ID: "unknown", Seq: 9}}, 3, 3))
+	must.Len(t, 1, r.SilentRunners(2, silence), must.Sprint("a stale runner is asked about at once"))
+	must.SliceEmpty(t, r.ApplyLaterHeartbeats([]messages.LastHeartbeat{{ID: "x", Seq: 5}, {ID: "unknown", Seq: 9}}, 3, 3))
 	must.True(t, r.Snapshot().ByID["x"].Stale)
-	must.Eq(t, []string{"x"}, r.TakeHeard([]messages.LastHeartbeat{{ID: "x", Seq: 6}}, 4, 4))
+	must.Eq(t, []string{"x"}, r.ApplyLaterHeartbeats([]messages.LastHeartbeat{{ID: "x", Seq: 6}}, 4, 4))
 	must.False(t, r.Snapshot().ByID["x"].Stale)
 	must.SliceEmpty(t, r.Sweep(5, silence, true))
 }
@@ -127,7 +127,7 @@
 func TestRecordsAreTakenAfterTheirHeartbeatWasToldOf(t *testing.T) {
 	r := New()
 	r.Hear(at("x", "1:1", 1), 1)
-	r.TakeHeard([]messages.LastHeartbeat{{ID: "x", Seq: 9}}, 2, 2)
+	r.ApplyLaterHeartbeats([]messages.LastHeartbeat{{ID: "x", Seq: 9}}, 2, 2)
 	changed := at("x", "1:1", 7)
 	changed.Capacity = 3
 	must.True(t, r.Merge(changed, 3))
@@ -141,9 +141,9 @@
 	r.Hear(at("evicted", "2:1", 1), 1)
 	r.Hear(at("successor", "2:1", 1), 2)
 	later := []messages.LastHeartbeat{{ID: "left", Seq: 9}, {ID: "evicted", Seq: 9}}
-	must.SliceEmpty(t, r.TakeHeard(later, 3, 3))
+	must.SliceEmpty(t, r.ApplyLaterHeartbeats(later, 3, 3))
 	must.MapLen(t, 1, r.Snapshot().ByID)
-	must.SliceEmpty(t, r.HeardSince([]messages.LastHeartbeat{{ID: "left"}, {ID: "evicted"}}, 3))
+	must.SliceEmpty(t, r.LaterHeartbeats([]messages.LastHeartbeat{{ID: "left"}, {ID: "evicted"}}, 3))
 }
 
 // One question is bounded; all silent runners have their turn, and nobody is
@@ -155,12 +155,12 @@
 		id := fmt.Sprint("runner-", i)
 		r.entries[id] = newEntry(at(id, fmt.Sprint("10.0.0.1:", i), 1), 1, 1)
 	}
-	must.SliceEmpty(t, r.Unheard(secondUs, silence))
+	must.SliceEmpty(t, r.SilentRunners(secondUs, silence))
 	asked := map[string]bool{}
 	size := 0
 	for round := range int64(2) {
-		question := r.Unheard(3*secondUs+round*sweepUs, silence)
-		must.Len(t, maxUnheard, question)
+		question := r.SilentRunners(3*secondUs+round*sweepUs, silence)
+		must.Len(t, maxSilentRunners, question)
 		size = 0
 		for _, q := range question {
 			asked[q.ID] = true
@@ -168,5 +168,5 @@
 		}
 	}
 	must.MapLen(t, runners, asked)
-	t.Logf("a question of %d runners has at most %d bytes", maxUnheard, size)
+	t.Logf("a question of %d runners has at most %d bytes", maxSilentRunners, size)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -22,37 +22,37 @@
 const keepGoneUs = 120_000_000
 
 type entry struct {
-	record     messages.RunnerRecord
-	heardSeq   int64 // of the newest heartbeat known, be it heard here or elsewhere
-	heardUs    int64 // observed time of that heartbeat
-	heardAtUs  int64 // the same on the node's monotonic clock
-	askedAtUs  int64 // when other controllers were last asked for a later one
-	endedUs    int64 // when it left or was lost
-	unlistedUs int64 // since when the node that is mirrored does not list it
+	record          messages.RunnerRecord
+	lastSeq         int64 // of the newest heartbeat known, be it heard here or elsewhere
+	lastObservedUs  int64 // observed time of that heartbeat
+	lastHeartbeatUs int64 // the same on the node's monotonic clock
+	lastAskedUs     int64 // when other controllers were last asked for a later one
+	removedAtUs     int64 // when it left or was lost
+	unlistedUs      int64 // since when the node that is mirrored does not list it
 }
 
 func (e *entry) usable() bool { return !e.record.Gone && !e.record.Lost }
 
-// hear notes a heartbeat that is known from now on.
-func (e *entry) hear(seq, observedUs, nowUs int64) {
-	if seq > e.heardSeq {
-		e.heardSeq, e.heardUs, e.heardAtUs = seq, observedUs, nowUs
+// recordHeartbeat notes a heartbeat that is known from now on.
+func (e *entry) recordHeartbeat(seq, observedUs, nowUs int64) {
+	if seq > e.lastSeq {
+		e.lastSeq, e.lastObservedUs, e.lastHeartbeatUs = seq, observedUs, nowUs
 	}
 }
 
 func newEntry(n messages.RunnerRecord, observedUs, nowUs int64) *entry {
-	return &entry{record: n, heardSeq: n.Seq, heardUs: observedUs, heardAtUs: nowUs}
+	return &entry{record: n, lastSeq: n.Seq, lastObservedUs: observedUs, lastHeartbeatUs: nowUs}
 }
 
 // Registry is the mutable side.
 type Registry struct {
-	mu        sync.Mutex
-	entries   map[string]*entry
-	byAddress map[string]string // the id of the runner last heard at an address
-	pending   map[string]bool   // beliefs that changed outside of Sweep
-	observed  observedClock
-	newsUs    int64 // observed time of the newest heartbeat of any runner
-	snapshot  atomic.Pointer[Snapshot]
+	mu               sync.Mutex
+	entries          map[string]*entry
+	byAddress        map[string]string // the id of the runner last heard at an address
+	pending          map[string]bool   // beliefs that changed outside of Sweep
+	observed         observedClock
+	newestObservedUs int64 // observed time of the newest heartbeat of any runner
+	snapshot         atomic.Pointer[Snapshot]
 }
 
 // New makes an empty registry.
@@ -75,46 +75,46 @@
 	heardUs := r.observed.advance(nowUs)
 	e := r.entries[n.ID]
 	if e != nil && (e.record.Gone || n.Seq <= e.record.Seq) {
-		return r.hearLate(e, n)
+		return r.applyLateHeartbeat(e, n)
 	}
-	r.newsUs = heardUs
-	r.supersede(n, nowUs)
+	r.newestObservedUs = heardUs
+	r.evictAddress(n, nowUs)
 	if e == nil {
 		r.entries[n.ID] = newEntry(n, heardUs, nowUs)
-		r.publish()
+		r.updateSnapshot()
 		return true
 	}
 	old := e.record
-	e.hear(n.Seq, heardUs, nowUs)
+	e.recordHeartbeat(n.Seq, heardUs, nowUs)
 	e.record = n
 	e.record = withFacts(e.record, old)
-	return r.settle(e, old)
+	return r.publishIfChanged(e, old)
 }
 
-// hearLate takes a heartbeat that is not newer than what is known. Draining is
-// never taken back, so it holds however late it comes.
-func (r *Registry) hearLate(e *entry, n messages.RunnerRecord) bool {
+// applyLateHeartbeat takes a heartbeat that is not newer than what is known.
+// Draining is never taken back, so it holds however late it comes.
+func (r *Registry) applyLateHeartbeat(e *entry, n messages.RunnerRecord) bool {
 	if e.record.Gone || e.record.Draining || !n.Draining {
 		return false
 	}
 	e.record.Draining = true
-	r.publish()
+	r.updateSnapshot()
 	return true
 }
 
-// supersede takes the address from the runner that was last heard there: an
+// evictAddress takes the address from the runner that was last heard there: an
 // address belongs to one runner at a time. That is a belief like silence, since
 // the word may have come late.
-func (r *Registry) supersede(n messages.RunnerRecord, nowUs int64) {
+func (r *Registry) evictAddress(n messages.RunnerRecord, nowUs int64) {
 	former := r.byAddress[n.Addr]
 	r.byAddress[n.Addr] = n.ID
 	if former == "" || former == n.ID {
 		return
 	}
 	if e := r.entries[former]; e != nil && e.usable() && e.record.Addr == n.Addr {
-		e.record.Lost, e.endedUs = true, nowUs
+		e.record.Lost, e.removedAtUs = true, nowUs
 		r.pending[former] = true
-		r.publish()
+		r.updateSnapshot()
 	}
 }
 
@@ -130,7 +130,7 @@
 	n.Stale, n.Lost = false, false
 	if e != nil {
 		n.Stale, n.Lost = e.record.Stale, e.record.Lost
-		if n.Seq > e.heardSeq {
+		if n.Seq > e.lastSeq {
 			n.Stale, n.Lost = false, false
 		}
 	}
@@ -156,14 +156,14 @@
 		if r.byAddress[n.Addr] == "" {
 			r.byAddress[n.Addr] = n.ID
 		}
-		r.publish()
+		r.updateSnapshot()
 		return true
 	}
 	old := e.record
 	if old.Gone {
 		return false
 	}
-	e.hear(n.Seq, heardUs, nowUs)
+	e.recordHeartbeat(n.Seq, heardUs, nowUs)
 	if n.Seq >= old.Seq {
 		e.record = n
 	}
@@ -171,16 +171,16 @@
 	e.record = withFacts(e.record, old)
 	e.record = withFacts(e.record, n)
 	if !e.usable() && (!old.Lost || e.record.Gone) {
-		e.endedUs = nowUs
+		e.removedAtUs = nowUs
 	}
-	return r.settle(e, old)
+	return r.publishIfChanged(e, old)
 }
 
-func (r *Registry) settle(e *entry, old messages.RunnerRecord) bool {
+func (r *Registry) publishIfChanged(e *entry, old messages.RunnerRecord) bool {
 	if sameButSequence(e.record, old) {
 		return false
 	}
-	r.publish()
+	r.updateSnapshot()
 	return true
 }
 
@@ -194,9 +194,9 @@
 		r.entries[id] = e
 	}
 	changed := !e.record.Gone
-	e.record.Gone, e.endedUs = true, nowUs
+	e.record.Gone, e.removedAtUs = true, nowUs
 	if changed {
-		r.publish()
+		r.updateSnapshot()
 	}
 	return e.record, changed
 }
@@ -212,7 +212,7 @@
 	}
 	old := e.record
 	e.record.Barred, e.record.Easing, e.record.BarVersion = barred, easing, version
-	return e.record, r.settle(e, old)
+	return e.record, r.publishIfChanged(e, old)
 }
 
 // Weights notes the version of a model at a runner, as a report told it.
@@ -225,7 +225,7 @@
 	}
 	old := e.record
 	e.record.Models = newestOf(old.Models, []messages.Target{{Model: model, Version: version}})
-	return e.record, r.settle(e, old)
+	return e.record, r.publishIfChanged(e, old)
 }
 
 // Sweep draws this observer's conclusions and forgets runners that ended long
@@ -241,7 +241,7 @@
 	for id, e := range r.entries {
 		if !e.usable() {
 			r.forgetOld(id, e, nowUs)
-		} else if r.judge(e, after, nowUs) {
+		} else if r.evaluate(e, after, nowUs) {
 			r.pending[id] = true
 		}
 		if r.pending[id] && r.entries[id] != nil {
@@ -250,17 +250,17 @@
 	}
 	clear(r.pending)
 	if len(changed) > 0 {
-		r.publish()
+		r.updateSnapshot()
 	}
 	return changed
 }
 
-// judge compares a runner's silence with the newest word of any runner: an
+// evaluate compares a runner's silence with the newest word of any runner: an
 // observer that hears nobody learns nothing about one of them.
-func (r *Registry) judge(e *entry, after Silence, nowUs int64) bool {
-	silentUs := r.newsUs - e.heardUs
+func (r *Registry) evaluate(e *entry, after Silence, nowUs int64) bool {
+	silentUs := r.newestObservedUs - e.lastObservedUs
 	if silentUs > after.LostUs {
-		e.record.Lost, e.endedUs = true, nowUs
+		e.record.Lost, e.removedAtUs = true, nowUs
 		return true
 	}
 	stale := silentUs > after.StaleUs
@@ -270,7 +270,7 @@
 }
 
 func (r *Registry) forgetOld(id string, e *entry, nowUs int64) {
-	if nowUs-e.endedUs <= keepGoneUs {
+	if nowUs-e.removedAtUs <= keepGoneUs {
 		return
 	}
 	delete(r.entries, id)
@@ -297,12 +297,12 @@
 			e.unlistedUs = nowUs
 		case nowUs-e.unlistedUs > unlistedLimitUs:
 			went = went || e.usable()
-			e.endedUs = min(e.endedUs, nowUs-keepGoneUs-1)
+			e.removedAtUs = min(e.removedAtUs, nowUs-keepGoneUs-1)
 			r.forgetOld(id, e, nowUs)
 		}
 	}
 	if went {
-		r.publish()
+		r.updateSnapshot()
 	}
 	return went
 }
@@ -329,6 +329,6 @@
 	return all
 }
 
-func (r *Registry) publish() {
+func (r *Registry) updateSnapshot() {
 	r.snapshot.Store(newSnapshot(r.entries))
 }
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -152,7 +152,7 @@
 // compare asks every other registrar for what is lacking of its stream and for
 // heartbeats of runners that are silent here.
 func (r *registrar) compare() {
-	silent := r.runners.Unheard(r.process.NowUs(), silence)
+	silent := r.runners.SilentRunners(r.process.NowUs(), silence)
 	for _, other := range r.others() {
 		r.ask(other)
 		r.askForHeartbeats(other, silent)
@@ -164,10 +164,10 @@
 	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
 	net.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
-			heard := of.runners.HeardSince(silent, of.process.NowUs())
+			heard := of.runners.LaterHeartbeats(silent, of.process.NowUs())
 			net.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
 				r.reached[of.addr] = max(r.reached[of.addr], sentUs)
-				r.tell(r.runners.TakeHeard(heard, sentUs, r.process.NowUs())...)
+				r.tell(r.runners.ApplyLaterHeartbeats(heard, sentUs, r.process.NowUs())...)
 			}))
 		})
 	})
