--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -120,43 +120,26 @@
 
 // tellRunners sends the notes of runners as the registry has them now.
 func (d *Controller) tellRunners(ids ...string) {
+	if len(ids) == 0 {
+		return
+	}
 	f := &d.feed
 	f.mu.Lock()
-	for _, id := range ids {
-		if n, ok := d.registry.Record(id); ok {
-			if b, err := n.MarshalMsg(nil); err == nil {
-				f.registry.Put(id, string(b))
-			}
-		}
-	}
+	err := d.registry.Publish(f.registry, ids...)
 	f.mu.Unlock()
+	if err != nil {
+		d.log.Error(err, "a runner's record cannot be sent")
+	}
 	f.hurry()
 }
 
 // syncRunners brings what is told of runners to what the registry holds: those
 // recalled from disk go in, those it has forgotten go out.
 func (d *Controller) syncRunners() {
-	f := &d.feed
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	known := map[string]bool{}
-	for _, n := range d.registry.All() {
-		known[n.ID] = true
-		if _, told := f.registry.Get(n.ID); told {
-			continue
-		}
-		if b, err := n.MarshalMsg(nil); err == nil {
-			f.registry.Put(n.ID, string(b))
-		}
-	}
-	var gone []string
-	f.registry.Each(func(id, _ string) {
-		if !known[id] {
-			gone = append(gone, id)
-		}
-	})
-	for _, id := range gone {
-		f.registry.Drop(id)
+	d.feed.mu.Lock()
+	defer d.feed.mu.Unlock()
+	if err := d.registry.Sync(d.feed.registry); err != nil {
+		d.log.Error(err, "a runner's record cannot be sent")
 	}
 }
 
@@ -316,7 +299,7 @@
 // toldBelow takes the loads of a node below.
 func (d *Controller) toldBelow(from string, t messages.Told) bool {
 	for _, id := range t.Absent {
-		d.registry.Doubt(id, silenceAfter(d.set.BeatPeriodMs))
+		d.registry.Doubt(id, d.silence())
 	}
 	f := &d.feed
 	f.mu.Lock()
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -15,9 +15,13 @@
 	mostFleetCut  = 25 * Second
 	listedUs      = 5 * Second
 	unlistedUs    = 20 * Second
+	staleUs       = 10 * Second // the same where nothing but links to some is cut
 	answerWaitUs  = Second
 )
 
+// never is a moment before every history.
+const never = -fleetFaultsUs
+
 // runner is one place in the fleet: an address with one instance after another.
 type runner struct {
 	fleet    *fleet
@@ -45,25 +49,33 @@
 	network    *Network
 	registrars []*registrar
 	runners    []*runner
-	gone       []string // instances that have left or crashed
+	gone       []endedInstance
 	epoch      int64
 	partial    bool
 	active     int // faults of registrars under way
 	turns      int // how many of them have begun or ended
 	healed     bool
+
+	partitionedAtUs int64 // when some registrars last had no way to each other
+}
+
+// endedInstance is one that has left or crashed.
+type endedInstance struct {
+	id   string
+	atUs int64
 }
 
 // PlayFleet plays the runners' history of a seed.
 func PlayFleet(seed uint64, options Options) Result { return playFleet(seed, options, false) }
 
-// PlayFleetPartial is PlayFleet with cuts between some registrars only. One that
-// is in touch with a majority, but not with the registrar at which a runner
-// beats, takes that runner for silent: a fault that stands.
+// PlayFleetPartial is PlayFleet with cuts between some registrars only: one that
+// does not reach the registrar at which a runner beats must not take that runner
+// for silent while there is a way through others.
 func PlayFleetPartial(seed uint64, options Options) Result { return playFleet(seed, options, true) }
 
 func playFleet(seed uint64, options Options, partial bool) Result {
 	k := NewKernel(seed, options.Record)
-	f := &fleet{kernel: k, network: NewNetwork(k), partial: partial}
+	f := &fleet{kernel: k, network: NewNetwork(k), partial: partial, partitionedAtUs: never}
 	for i := range 3 + 2*k.Below(2) {
 		f.registrars = append(f.registrars, &registrar{fleet: f, addr: registrarName(i), process: NewProcess(k)})
 	}
@@ -108,7 +120,7 @@
 // end is a crash, or the end after leaving.
 func (r *runner) end() {
 	r.fleet.kernel.Note("%s ends", r.id())
-	r.fleet.gone = append(r.fleet.gone, r.id())
+	r.fleet.gone = append(r.fleet.gone, endedInstance{r.id(), r.fleet.kernel.NowUs()})
 	r.state = ended
 	r.life++
 }
@@ -154,7 +166,11 @@
 		r := f.runners[1+k.Below(len(f.runners)-1)]
 		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.turn(r) })
 	}
-	for range 1 + k.Below(4) {
+	faults := 1 + k.Below(4)
+	if f.partial {
+		faults = 1 + k.Below(2*len(f.registrars)) // so that some reach each other through two others only
+	}
+	for range faults {
 		victim := f.registrars[k.Below(len(f.registrars))]
 		forUs := k.Between(leastFault, mostFleetCut)
 		strike := []func(*registrar, int64){f.cutOff, f.cutOff, f.cutOneWay, f.freeze, f.crash, f.lose}[k.Below(6)]
@@ -218,7 +234,11 @@
 func (f *fleet) cutLinks(from, to string, forUs int64) {
 	l := f.network.Link(from, to)
 	l.Cuts++
-	f.later(forUs, func() { l.Cuts-- })
+	f.notePartition()
+	f.later(forUs, func() {
+		f.notePartition()
+		l.Cuts--
+	})
 }
 
 // cutOff parts a registrar from the others; some runners still reach it.
@@ -243,28 +263,9 @@
 	f.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
 	f.cutLinks(victim.addr, other.addr, forUs)
 	f.cutLinks(other.addr, victim.addr, forUs)
-	f.later(forUs, f.conclusionsOf(victim))
-}
-
-// conclusionsOf gives a check for the end of a cut: whoever was cut off drew no
-// conclusions about runners that went on beating, wherever they were heard. It
-// looks at cuts that were alone: a runner that beats at a registrar which is
-// itself cut off is silent to all others.
-func (f *fleet) conclusionsOf(victim *registrar) func() {
-	if f.active > 1 {
-		return func() {}
-	}
-	turns := f.turns
-	life, listed := victim.process.life, map[string]bool{}
-	for _, r := range f.runners {
-		listed[r.id()] = r.settled() && victim.process.Up() && victim.listed(r.id())
-	}
-	return func() {
-		for _, r := range f.runners {
-			if f.turns == turns && victim.process.life == life && listed[r.id()] && r.settled() && !victim.listed(r.id()) {
-				f.kernel.Fail("%s beats and is no longer listed at %s, which was cut off", r.id(), victim.addr)
-			}
-		}
+	for _, r := range []*registrar{victim, other} {
+		f.later(forUs, f.conclusionsOf(r))
+		f.later(forUs, f.endedUnlistedAt(r))
 	}
 }
 
@@ -313,26 +314,3 @@
 		f.restart(r)
 	}
 }
-
-// checkListed has every runner that beats be listed at every registrar.
-func (f *fleet) checkListed() {
-	for _, r := range f.runners {
-		for _, at := range f.registrars {
-			if r.settled() && !at.listed(r.id()) {
-				record, known := at.runners.Record(r.id())
-				f.kernel.Fail("%s beats and is not listed at %s: known %v, %+v", r.id(), at.addr, known, record)
-			}
-		}
-	}
-}
-
-// checkUnlisted has no runner that ended be listed anywhere.
-func (f *fleet) checkUnlisted() {
-	for _, id := range f.gone {
-		for _, at := range f.registrars {
-			if at.listed(id) {
-				f.kernel.Fail("%s has ended and is listed at %s", id, at.addr)
-			}
-		}
-	}
-}
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -24,7 +24,7 @@
 )
 
 // silence is after how many heartbeats missed a runner counts as stale and lost.
-var silence = registry.Silence{StaleUs: 4*heartbeatUs + sweepEveryUs, LostUs: 12 * heartbeatUs}
+var silence = registry.SilenceAfter(heartbeatUs)
 
 // registrar is one controller's part in knowing the runners.
 type registrar struct {
@@ -88,14 +88,10 @@
 	}
 }
 
-// tell has the next flush send a record as it is now.
-func (r *registrar) tell(id string) {
-	if record, ok := r.runners.Record(id); ok {
-		raw, err := record.MarshalMsg(nil)
-		if err != nil {
-			r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
-		}
-		r.stream.Put(id, string(raw))
+// tell has the next flush send records as they are now.
+func (r *registrar) tell(ids ...string) {
+	if err := r.runners.Publish(r.stream, ids...); err != nil {
+		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
 	}
 }
 
@@ -134,42 +130,49 @@
 	case statesync.Known:
 		return
 	}
-	slices.SortFunc(change.Puts, func(a, b statesync.Put[string, string]) int { return cmp.Compare(a.Key, b.Key) })
-	for _, p := range change.Puts {
-		var record messages.RunnerRecord
-		if p.Gone {
-			continue
-		}
-		if _, err := record.UnmarshalMsg([]byte(p.Value)); err != nil {
-			r.fleet.kernel.Fail("a runner's record does not read: %v", err)
-		}
-		if r.runners.Merge(record, r.process.NowUs()) {
-			r.tell(record.ID)
-		}
+	changed, malformed := r.runners.MergeChange(change, r.process.NowUs())
+	if malformed > 0 {
+		r.fleet.kernel.Fail("%d records of runners do not read", malformed)
 	}
+	r.tell(changed...)
 }
 
 // ask names what is held of another's stream and gets what is lacking.
 func (r *registrar) ask(of *registrar) {
 	epoch, version := r.mirrors[of.addr].Holds()
-	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
-	answered := r.process.inLifeOf(life, func() { r.reached[of.addr] = max(r.reached[of.addr], sentUs) })
-	net.Send(r.addr, of.addr, func() {
+	r.fleet.network.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
 			if change, lacks := of.stream.Since(epoch, version); lacks {
 				of.send(r, change)
 			}
-			net.Send(of.addr, r.addr, answered)
 		})
 	})
 }
 
+// compare asks every other registrar for what is lacking of its stream and for
+// heartbeats of runners that are silent here.
 func (r *registrar) compare() {
+	silent := r.runners.SilentRunners(r.process.NowUs(), silence)
 	for _, other := range r.others() {
 		r.ask(other)
+		r.askForHeartbeats(other, silent)
 	}
 }
 
+// askForHeartbeats is the call that also shows that another is in reach.
+func (r *registrar) askForHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
+	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
+	net.Send(r.addr, of.addr, func() {
+		of.process.Deliver(func() {
+			heard := of.runners.LaterHeartbeats(silent, of.process.NowUs())
+			net.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
+				r.reached[of.addr] = max(r.reached[of.addr], sentUs)
+				r.tell(r.runners.ApplyLaterHeartbeats(heard, sentUs, r.process.NowUs())...)
+			}))
+		})
+	})
+}
+
 // inContact tells whether a majority of the registrars answers.
 func (r *registrar) inContact() bool {
 	near := 1
@@ -188,21 +191,8 @@
 	for _, record := range r.runners.Sweep(r.process.NowUs(), silence, r.inContact()) {
 		r.tell(record.ID)
 	}
-	known := map[string]bool{}
-	for _, record := range r.records() {
-		known[record.ID] = true
-		if _, told := r.stream.Get(record.ID); !told {
-			r.tell(record.ID)
-		}
-	}
-	var forgotten []string
-	r.stream.Each(func(id, _ string) {
-		if !known[id] {
-			forgotten = append(forgotten, id)
-		}
-	})
-	for _, id := range forgotten {
-		r.stream.Drop(id)
+	if err := r.runners.Sync(r.stream); err != nil {
+		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
 	}
 }
 
