--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -20,6 +20,7 @@
 	"beechtide.org/beechtide/internal/consensus"
 	"beechtide.org/beechtide/internal/lease"
 	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/routeconfig"
 	"beechtide.org/beechtide/internal/settings"
 )
 
@@ -146,7 +147,7 @@
 	must.SliceNotEmpty(t, f.Registry, must.Sprint("the list of runners at a start"))
 	must.False(t, f.CutOff)
 	clock.Store(nowUs)
-	must.False(t, empty(d.since(messages.Hold{Configuration: messages.StreamHold{Epoch: configEpoch, Version: 3}})))
+	must.False(t, empty(d.since(messages.Hold{Configuration: messages.StreamHold{Epoch: routeconfig.Epoch, Version: 3}})))
 	touch(d)
 	f = d.since(messages.Hold{})
 	must.False(t, empty(f))
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -42,7 +42,7 @@
 type feed struct {
 	mu            sync.Mutex
 	registry      *statesync.Entries
-	configuration *statesync.Entries
+	configuration *routeconfig.Replica
 	parts         map[int]messages.PartNote
 	below         *statesync.Sum // the nodes below this one
 	all           *statesync.Sum // those and the ones below the other controllers
@@ -69,19 +69,14 @@
 }
 
 func (f *feed) init(epoch int64) {
-	f.registry, f.configuration = statesync.NewEntries(), statesync.NewEntries()
+	f.registry, f.configuration = statesync.NewEntries(), routeconfig.NewSource()
 	epoch = epoch ^ time.Now().UnixNano()
 	f.registry.Begin(epoch, 0)
-	f.configuration.Begin(configEpoch, 0)
 	f.parts = map[int]messages.PartNote{}
 	f.below, f.all = statesync.NewSum(epoch), statesync.NewSum(epoch+1)
 	f.urgent = make(chan struct{}, 1)
 }
 
-// configEpoch is that of the configuration: its versions are the register's, the
-// same at every node and in every life.
-const configEpoch = 1
-
 func (f *feed) hurry() {
 	select {
 	case f.urgent <- struct{}{}:
@@ -104,7 +99,7 @@
 // or only another group, is none to those below.
 func (f *feed) versions() []int64 {
 	out := make([]int64, consensus.Parts)
-	out[consensus.ConfigPart] = f.configuration.Version
+	out[consensus.ConfigPart] = f.configuration.Version()
 	for p, n := range f.parts {
 		out[p] = n.Version
 	}
@@ -170,9 +165,7 @@
 	}
 	f := &d.feed
 	f.mu.Lock()
-	if version > f.configuration.Version {
-		f.configuration.Replace(entries)
-		c := statesync.SendEntries(f.configuration.Commit(version))
+	if c, newer := f.configuration.Commit(version, entries); newer {
 		f.own.configuration, f.down.configuration = append(f.own.configuration, c), append(f.down.configuration, c)
 	}
 	f.mu.Unlock()
@@ -281,8 +274,8 @@
 	f := &d.feed
 	f.mu.Lock()
 	out.Versions = f.versions()
-	if c, lacks := f.configuration.Since(h.Configuration.Epoch, h.Configuration.Version); lacks && f.configuration.Version > h.Configuration.Version && !withheld {
-		out.Configuration = append(out.Configuration, statesync.SendEntries(c))
+	if c, lacks := f.configuration.Since(h.Configuration); lacks && !withheld {
+		out.Configuration = append(out.Configuration, c)
 	}
 	for p, n := range f.parts {
 		if p >= len(h.Parts) || h.Parts[p] < n.Version {
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -10,6 +10,7 @@
 	"beechtide.org/beechtide/internal/loop"
 	"beechtide.org/beechtide/internal/membership"
 	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/routeconfig"
 	"beechtide.org/beechtide/internal/statesync"
 )
 
@@ -99,7 +100,7 @@
 func (d *Controller) holdOf(addr string, runners *statesync.Entries) messages.Hold {
 	f := &d.feed
 	f.mu.Lock()
-	h := messages.Hold{Configuration: messages.StreamHold{Epoch: configEpoch, Version: never}}
+	h := messages.Hold{Configuration: messages.StreamHold{Epoch: routeconfig.Epoch, Version: never}}
 	h.Registry.Epoch, h.Registry.Version = runners.Holds()
 	if l := f.all.Teller(addr); l != nil {
 		h.Loads.Epoch, h.Loads.Version = l.Holds()
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -8,7 +8,6 @@
 
 	"beechtide.org/beechtide/internal/dissemination"
 	"beechtide.org/beechtide/internal/messages"
-	"beechtide.org/beechtide/internal/routeconfig"
 	"beechtide.org/beechtide/internal/statesync"
 )
 
@@ -37,7 +36,7 @@
 		}
 		h.Parts[p] = n.Version
 	}
-	h.Configuration.Epoch, h.Configuration.Version = c.configuration.Holds()
+	h.Configuration = c.configuration.Holds()
 	h.Registry.Epoch, h.Registry.Version = c.runners.Holds()
 	c.nmu.Unlock()
 	h.Loads = c.loads.hold()
@@ -57,8 +56,8 @@
 			f.Parts = append(f.Parts, n)
 		}
 	}
-	if ch, lacks := c.configuration.Since(h.Configuration.Epoch, h.Configuration.Version); lacks && c.configuration.Version > h.Configuration.Version {
-		f.Configuration = append(f.Configuration, statesync.SendEntries(ch))
+	if ch, lacks := c.configuration.Since(h.Configuration); lacks {
+		f.Configuration = append(f.Configuration, ch)
 	}
 	if ch, lacks := c.runners.Since(h.Registry.Epoch, h.Registry.Version); lacks {
 		f.Registry = append(f.Registry, statesync.SendEntries(ch))
@@ -78,7 +77,7 @@
 
 // versions are those of the parts that are held.
 func (c *Router) versions() []int64 {
-	out := []int64{c.configuration.Version}
+	out := []int64{c.configuration.Version()}
 	for p, n := range c.parts {
 		for len(out) <= p {
 			out = append(out, 0)
@@ -134,8 +133,8 @@
 	changed := false
 	c.nmu.Lock()
 	for _, ch := range f.Configuration {
-		again := ch.Whole && c.configuration.Epoch == ch.Epoch
-		r, renewed := c.takeMenu(ch)
+		again := ch.Whole && c.configuration.Holds().Epoch == ch.Epoch
+		r, renewed := c.applyConfig(ch)
 		note(r, again)
 		changed = changed || renewed
 	}
@@ -217,37 +216,19 @@
 	}
 }
 
-// takeMenu takes a change of the configuration; the table is made anew from the
-// entries that changed and then swapped in.
-func (c *Router) takeMenu(ch messages.EntryChange) (r statesync.Result, renewed bool) {
-	if ch.Whole && ch.To <= c.configuration.Version {
-		return statesync.Known, false
-	}
-	in := statesync.HearEntries(ch)
-	entries := map[string]string{}
-	for _, p := range in.Puts {
-		entries[p.Key] = ""
-		if !p.Gone {
-			entries[p.Key] = p.Value
-		}
-	}
-	before := c.assembly
-	if err := c.assembly.Take(entries, ch.Whole); err != nil {
-		c.log.Error(err, "a change of the configuration cannot be read")
+// applyConfig takes a change of the configuration; a new table is swapped in.
+func (c *Router) applyConfig(ch messages.EntryChange) (r statesync.Result, renewed bool) {
+	r, renewed, err := c.configuration.Apply(ch)
+	if err != nil {
+		c.log.Error(err, "a change of the configuration is left aside")
 		c.news.malformed.Add(1)
-		return statesync.Mismatch, false
-	}
-	if r = c.configuration.Apply(in); r != statesync.Applied {
-		c.assembly = before
-		return r, false
 	}
-	if len(entries) == 0 {
-		return r, false
+	if renewed {
+		t := c.configuration.Table()
+		c.table.Store(t)
+		c.log.Info("configuration in place", "version", t.Version, "entries", len(ch.Entries), "whole", ch.Whole)
 	}
-	t := routeconfig.Compile(c.assembly.Configuration())
-	c.table.Store(t)
-	c.log.Info("configuration in place", "version", t.Version, "entries", len(entries), "whole", ch.Whole)
-	return r, true
+	return r, renewed
 }
 
 func (c *Router) takePart(p messages.PartNote, nowUs int64) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,8 +42,7 @@
 
 	nmu           sync.Mutex
 	parts         map[int]messages.PartNote
-	configuration *statesync.Entries
-	assembly      routeconfig.Assembly
+	configuration *routeconfig.Replica
 	runners       *statesync.Entries // as the parent has them
 	news          stats
 
@@ -78,7 +77,7 @@
 		return nil, err
 	}
 	c := &Router{set: set, log: log, clock: clock, transport: trans, registry: registry.New(), connPool: upstream.NewConnPool(clock), parts: map[int]messages.PartNote{}, admission: admission.New(admission.Defaults, set.Zone), budgets: map[string]*upstream.Budget{}, kick: make(chan struct{}, 1), fresh: make(chan struct{}, 1), stir: make(chan struct{}, 1), missing: make(chan struct{}, 1)}
-	c.configuration, c.runners = statesync.NewEntries(), statesync.NewEntries()
+	c.configuration, c.runners = routeconfig.NewReplica(), statesync.NewEntries()
 	c.loads.init(clock())
 	none := ""
 	c.parent.Store(&none)
--- a/internal/statesync/stream.go
+++ b/internal/statesync/stream.go
@@ -171,6 +171,9 @@
 	return s.Epoch, s.Version
 }
 
+// InDoubt tells whether a change onto the version held did not come out.
+func (s *Stream[K, V]) InDoubt() bool { return s.doubt }
+
 // had tells whether this stream itself was at a version, as far as its log goes.
 // One that it skipped is no base: what changed there and back is not in its log.
 func (s *Stream[K, V]) had(version int64) bool {
@@ -255,7 +258,7 @@
 		}
 		keys = append(keys, k)
 	}
-	s.digest = digest
+	s.digest, s.doubt = digest, false // the digest covers all of the state
 	s.note(c.To, keys)
 	return Applied
 }
