--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -147,13 +147,15 @@
 	return set.SeedAddrs()
 }
 
-// syncAdmission brings the admission control to the runners and services that are known.
+// syncAdmission brings the admission control to the runners and services that are
+// known. Several feeds may be taken in at the same time; what is known is read
+// under the lock, so that the last to get it leaves the newest behind.
 func (c *Router) syncAdmission() {
-	t := c.table.Load()
-	snap := c.registry.Snapshot()
 	c.loads.anew()
 	c.dmu.Lock()
 	defer c.dmu.Unlock()
+	t := c.table.Load()
+	snap := c.registry.Snapshot()
 	if t != nil {
 		c.admission.SetRelinquished(t.Relinquished, c.clock())
 	}
