--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -143,6 +143,7 @@
 	go loop.Every(live, 200*time.Millisecond, func() { d.reconcileRollouts(live) })
 	go d.flushFeed(live)
 	go d.settleRegisters(live)
+	go d.finishRounds(live)
 	if d.disk != nil {
 		go d.keepRunners(live)
 	}
--- /dev/null
+++ b/internal/controller/unfinished_test.go
@@ -0,0 +1,56 @@
+package controller
+
+import (
+	"context"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/consensus"
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// A proposer wins its round, so that it may acknowledge the change, and ends before
+// it tells anybody. The members that accepted the change put it into force.
+func TestChosenValueOfAProposerThatEndedComesIntoForce(t *testing.T) {
+	nodes, url, _ := three(t)
+	until(t, func() bool {
+		status, _ := call(t, "GET", url+"/api/Config.Read", "", 0)
+		return status == 404
+	})
+	base, ok := nodes[0].registers.Committed(consensus.ConfigPart)
+	must.True(t, ok)
+	order := messages.ConfigBody{Version: 3, Raw: []byte(`{"version":3,"routes":[],"services":[]}`)}
+	body, err := order.MarshalMsg(nil)
+	must.NoError(t, err)
+	next := messages.Value{Version: base.Version + 1, Body: body, Group: base.Group, Stamp: "ended"}
+	ballot := messages.Ballot{N: 1 << 40, Who: "ended"}
+	for _, d := range nodes {
+		for _, step := range []messages.Step{messages.Prepare, messages.Accept} {
+			ask := messages.ConsensusRequest{Part: consensus.ConfigPart, To: d.registers.ID(), Step: step, Slot: next.Version, Ballot: ballot, Value: next}
+			b, err := ask.MarshalMsg(nil)
+			must.NoError(t, err)
+			answer, err := d.registers.Handle(context.Background(), b)
+			must.NoError(t, err)
+			var got messages.ConsensusResponse
+			_, err = got.UnmarshalMsg(answer)
+			must.NoError(t, err)
+			must.Eq(t, messages.Granted, got.Verdict)
+		}
+	}
+	for _, d := range nodes {
+		until(t, func() bool { return d.told()[consensus.ConfigPart] == next.Version })
+		must.Eq(t, order.Version, d.table.Load().Version)
+	}
+}
+
+// Each of the members waits for a time of its own, and begins to wait anew with
+// the next round.
+func TestUnfinishedRoundIsDueAfterItsWait(t *testing.T) {
+	var rounds unfinishedRounds
+	must.False(t, rounds.due(0, 7, 1000, 300))
+	must.False(t, rounds.due(0, 7, 1299, 300))
+	must.False(t, rounds.due(1, 7, 1300, 300))
+	must.False(t, rounds.due(0, 8, 1300, 300))
+	must.True(t, rounds.due(0, 8, 1600, 300))
+}
