--- /dev/null
+++ b/internal/router/compare_test.go
@@ -0,0 +1,136 @@
+package router
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/go-logr/logr"
+	"github.com/panjf2000/ants/v2"
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/membership"
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/transport"
+)
+
+func TestComparisonsGoRoundAndPassBySilentControllers(t *testing.T) {
+	var p comparisons
+	all := []string{"a", "b", "c", "d", "parent"}
+	asked := map[string]int{}
+	for range 8 {
+		for _, addr := range p.next(all, "parent", false) {
+			asked[addr]++
+			p.ended(addr, true, true)
+		}
+	}
+	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}, asked)
+	silent := p.next(all, "parent", false)
+	must.Len(t, 1, silent)
+	for range 8 {
+		next := p.next(all, "parent", false)
+		must.Len(t, 1, next, must.Sprint("one that does not answer holds up no other"))
+		must.NotEq(t, silent[0], next[0])
+		p.ended(next[0], true, true)
+	}
+}
+
+func TestComparisonsAskSeveralWhenTheParentIsOverdue(t *testing.T) {
+	var p comparisons
+	all := []string{"a", "b", "c", "d", "e", "f", "g", "parent"}
+	must.Len(t, overdueAtOnce, p.next(all, "parent", true))
+	must.Len(t, overdueAtOnce, p.next(all, "parent", true))
+	must.SliceEmpty(t, p.next(all, "parent", true), must.Sprint("as many as may be are under way"))
+	must.Eq(t, []string{"parent"}, (&comparisons{}).next([]string{"parent"}, "parent", false))
+}
+
+func TestRunnersAreFetchedWhenTwoAnswersDiffer(t *testing.T) {
+	var p comparisons
+	for _, same := range []bool{false, false} {
+		must.False(t, p.wantRunners())
+		p.ended("a", true, same)
+	}
+	must.True(t, p.wantRunners())
+	p.ended("a", false, false)
+	must.True(t, p.wantRunners(), must.Sprint("no answer says nothing"))
+	p.ended("a", true, true)
+	must.False(t, p.wantRunners())
+}
+
+// The second request comes while the first one's check is under way: it must not be
+// rejected before that has come out.
+func TestConfirmWaitsForACheckUnderWay(t *testing.T) {
+	var c currencyChecks
+	clock := func() int64 { return 1 }
+	begun, answer, results := make(chan bool), make(chan bool), make(chan bool, 2)
+	go func() {
+		results <- c.confirm(clock, func() bool {
+			close(begun)
+			return <-answer
+		})
+	}()
+	<-begun
+	go func() { results <- c.confirm(clock, func() bool { t.Error("a second check"); return false }) }()
+	select {
+	case <-results:
+		t.Fatal("answered before the check came out")
+	case <-time.After(20 * time.Millisecond):
+	}
+	answer <- true
+	must.True(t, <-results)
+	must.True(t, <-results)
+}
+
+func TestConfirmAsksAgainOnceACheckIsOld(t *testing.T) {
+	var c currencyChecks
+	now, asked := int64(1), 0
+	confirm := func(answer bool) bool {
+		return c.confirm(func() int64 { return now }, func() bool { asked++; return answer })
+	}
+	must.False(t, confirm(false))
+	must.False(t, confirm(true), must.Sprint("one that did not come out holds for as long"))
+	must.Eq(t, 1, asked)
+	now += recheckUs
+	must.True(t, confirm(true))
+	must.True(t, confirm(false))
+	must.Eq(t, 2, asked)
+}
+
+// A controller that is alive and gives no answer leaves it open whether a route is
+// unknown; once it answers, the route is.
+func TestUnknownRouteIsPutOffUntilAControllerConfirms(t *testing.T) {
+	c, front, _ := start(t, newRunner(t))
+	pool, err := ants.NewPool(8, ants.WithNonblocking(true))
+	must.NoError(t, err)
+	station, err := transport.New(fmt.Sprintf("127.0.0.1:%d", ports(t, 1)[0]), pool, logr.Discard())
+	must.NoError(t, err)
+	var answers atomic.Bool
+	station.OnCall(transport.KindVersions, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
+		if !answers.Load() {
+			return nil, transport.ErrFailed
+		}
+		return (&messages.Versions{Parts: []int64{1}}).MarshalMsg(nil)
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	station.Run(ctx)
+	self := messages.Peer{Addr: station.Addr(), Role: messages.Controller, Zone: "a", Node: "c", Counted: true}
+	go membership.NewMonitor(station, self, c.clock, func() []string { return []string{c.transport.Addr()} }).Run(ctx)
+	for len(c.aliveDispatches()) == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	unknown := strings.Replace(request("/pay/", "x"), "/pay/", "/nothing/", 1)
+	ans, _, err := say(t, front, unknown)
+	must.NoError(t, err)
+	must.Eq(t, 503, ans.StatusCode)
+	must.NotEq(t, "", ans.Header.Get(hRetryAfter))
+	answers.Store(true)
+	for ans.StatusCode == 503 {
+		ans, _, err = say(t, front, unknown)
+		must.NoError(t, err)
+	}
+	must.Eq(t, 404, ans.StatusCode)
+}
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -110,6 +110,9 @@
 // takeFeed takes what the parent sent and passes it on.
 func (c *Router) takeFeed(parent string, f messages.Feed, raw []byte) *messages.Hold {
 	c.parent.Store(&parent)
+	if !f.CutOff {
+		c.heardUs.Store(c.clock())
+	}
 	c.publisher.Pass(dissemination.ToRouters, raw)
 	if !c.take(parent, f) || c.behind(f.Versions) {
 		h := c.hold()
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -111,9 +111,13 @@
 		return
 	}
 	status := v.find(t, path)
-	if status != 0 && c.recheck() {
+	if status != 0 {
+		confirmed := c.confirmCurrent()
 		t = c.table.Load()
-		status = v.find(t, path)
+		if status = v.find(t, path); status != 0 && !confirmed {
+			v.reject(503, "", recheckUs)
+			return
+		}
 	}
 	if status != 0 {
 		v.reject(status, "", 0)
--- /dev/null
+++ b/internal/router/recheck.go
@@ -0,0 +1,98 @@
+// Before a proper request is rejected because its route or key is unknown, the
+// router makes sure that its configuration is the newest. A request that it can't
+// make sure about is put off instead.
+package router
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+// Times of a check.
+const (
+	// recheckUs is for how long a check that came out holds. What it may miss is
+	// younger than that, and convergeMs is much longer.
+	recheckUs = 200_000
+	// recheckParts is the part of convergeMs that a check may take.
+	recheckParts     = 5
+	recheckLeastWait = 100 * time.Millisecond
+)
+
+// currencyChecks sees to it that one check goes on at a time, and that the
+// requests which come meanwhile wait for it. The zero value is ready for use.
+type currencyChecks struct {
+	mu      sync.Mutex
+	current *currencyCheck
+}
+
+// currencyCheck is one check; the fields are set before done is closed.
+type currencyCheck struct {
+	done      chan struct{}
+	endedUs   int64
+	confirmed bool
+}
+
+// confirm tells whether the configuration was the newest a short while ago. It asks
+// by way of ask, unless a check is under way or has ended lately.
+func (c *currencyChecks) confirm(clock func() int64, ask func() bool) bool {
+	c.mu.Lock()
+	check := c.current
+	if check != nil && check.holds(clock()) {
+		c.mu.Unlock()
+		<-check.done
+		return check.confirmed
+	}
+	check = &currencyCheck{done: make(chan struct{})}
+	c.current = check
+	c.mu.Unlock()
+	check.confirmed = ask()
+	check.endedUs = clock()
+	close(check.done)
+	return check.confirmed
+}
+
+// holds tells whether a check is under way or has ended lately.
+func (c *currencyCheck) holds(nowUs int64) bool {
+	select {
+	case <-c.done:
+		return nowUs-c.endedUs < recheckUs
+	default:
+		return true
+	}
+}
+
+func (c *Router) recheckWait() time.Duration {
+	return max(c.convergeTime()/recheckParts, recheckLeastWait)
+}
+
+// confirmCurrent tells whether no controller in reach has a newer configuration,
+// or none had a short while ago. What is newer is taken in first. A router that
+// knows of no controller has nobody to ask and goes by what it holds.
+func (c *Router) confirmCurrent() bool {
+	return c.currency.confirm(c.clock, func() bool { return c.askMost(c.aliveDispatches()) })
+}
+
+// askMost compares with all of these controllers at once, and tells whether more
+// than half of them have answered in time.
+func (c *Router) askMost(list []string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), c.recheckWait())
+	defer cancel()
+	answers := make(chan bool, len(list))
+	for _, addr := range list {
+		go func() {
+			_, ok := c.compareWith(ctx, addr, false)
+			answers <- ok
+		}()
+	}
+	answered := 0
+	for range list {
+		if <-answers {
+			answered++
+		}
+		if answered > len(list)/2 {
+			return true
+		}
+	}
+	return len(list) == 0
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -59,7 +58,9 @@
 	stir      chan struct{} // this node's loads have changed
 	missing   chan struct{} // a runner was not at its address
 
-	recheckedUs atomic.Int64
+	currency    currencyChecks
+	comparisons comparisons
+	heardUs     atomic.Int64 // when the parent, in reach of the core, last sent a feed
 
 	trail    compliance.Trail
 	seeds    atomic.Pointer[[]string]
@@ -102,7 +103,7 @@
 	c.transport.Run(live)
 	go c.monitor.Run(live)
 	go c.up.Listen(live, c.transport)
-	go loop.Every(live, compareEvery, c.compareVersions(live))
+	go loop.Every(live, c.convergeTime()/compareParts, c.compareVersions(live))
 	go c.tellLoads(live)
 	go loop.Every(live, time.Second, func() { c.connPool.Sweep(func(string) bool { return true }) })
 	go loop.Every(live, forgetEvery, c.forgetUnlisted)
@@ -229,107 +230,11 @@
 // forgetEvery is how often runners that the parent no longer lists are looked for.
 const forgetEvery = 5 * time.Second
 
-// compareEvery is how often a router asks a controller that is not its parent
-// for its versions. What it lacks reaches it through its parent; this covers a
-// parent that is on the wrong side of a cut and does not know it.
-const compareEvery = 500 * time.Millisecond
-
-// compareVersions asks the controllers in turn what they hold, and takes what is
-// newer.
-func (c *Router) compareVersions(ctx context.Context) func() {
-	turn, differs := rand.IntN(64), 0
-	return func() {
-		list := c.aliveDispatches()
-		for i, addr := range list {
-			if len(list) > 1 && addr == *c.parent.Load() {
-				list = append(list[:i:i], list[i+1:]...)
-				break
-			}
-		}
-		if len(list) == 0 {
-			return
-		}
-		turn++
-		m, ok := c.compareWith(ctx, list[turn%len(list)], differs%4 == 2)
-		if !ok {
-			return
-		}
-		if m.RegistrySum != c.registry.Snapshot().Sum {
-			differs++
-		} else {
-			differs = 0
-		}
-	}
-}
-
-func (c *Router) aliveDispatches() []string {
-	var list []string
-	for _, p := range membership.Core(c.monitor.Alive(messages.Controller)) {
-		if p.Status == messages.Alive {
-			list = append(list, p.Addr)
-		}
-	}
-	return list
-}
-
-// compareWith asks one controller for its versions and takes the changes since
-// this node's from it where it has something newer; all runners with anyway.
-func (c *Router) compareWith(ctx context.Context, addr string, anyway bool) (m messages.Versions, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
-	defer cancel()
-	b, err := c.transport.Call(ctx, addr, transport.KindVersions, &messages.Versions{Parts: []int64{}})
-	if err != nil {
-		return m, false
-	}
-	if _, err := m.UnmarshalMsg(b); err != nil {
-		return m, false
-	}
-	c.calm(m.CalmUs)
-	if !c.behind(m.Parts) && !anyway {
-		return m, true
-	}
-	h := c.hold()
-	h.ConfigOnly, h.Kept = true, nil
-	if !anyway {
-		h.Registry.Epoch = -1
-	}
-	if b, err = c.transport.Call(ctx, addr, transport.KindSince, &h); err != nil {
-		return m, false
-	}
-	var f messages.Feed
-	if _, err := f.UnmarshalMsg(b); err == nil {
-		c.take("", f)
-	}
-	return m, true
-}
-
 // contactPartUs is how long after the last change in the core the stretch begins
 // in which runners must come to new weights: the time of contact, less what the
 // controllers may have taken to see the change.
 func contactPartUs(contactMs int) int64 { return int64(contactMs) * 1000 / 2 }
 
-// recheckUs is how seldom a node asks before it rejects an unknown route or key.
-const recheckUs = 200_000
-
-// recheck makes sure, before a proper request may be rejected for a configuration
-// that is on its way, that no controller in reach has a newer one. It tells
-// whether the table has changed.
-func (c *Router) recheck() bool {
-	last, now := c.recheckedUs.Load(), c.clock()
-	if now-last < recheckUs || !c.recheckedUs.CompareAndSwap(last, now) {
-		return false
-	}
-	before := c.table.Load()
-	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
-	defer cancel()
-	var wg sync.WaitGroup
-	for _, addr := range c.aliveDispatches() {
-		wg.Go(func() { c.compareWith(ctx, addr, false) })
-	}
-	wg.Wait()
-	return c.table.Load() != before
-}
-
 func (c *Router) wake() { poke(c.kick) }
 
 func poke(ch chan struct{}) {
