--- /dev/null
+++ b/internal/dissemination/comparisons_test.go
@@ -0,0 +1,50 @@
+package dissemination
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+func TestComparisonsGoRoundAndPassBySilentControllers(t *testing.T) {
+	var p Comparisons
+	all := []string{"a", "b", "c", "d", "parent"}
+	asked := map[string]int{}
+	for range 8 {
+		for _, addr := range p.Next(all, "parent", false) {
+			asked[addr]++
+			p.Ended(addr, true, true)
+		}
+	}
+	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}, asked)
+	silent := p.Next(all, "parent", false)
+	must.Len(t, 1, silent)
+	for range 8 {
+		next := p.Next(all, "parent", false)
+		must.Len(t, 1, next, must.Sprint("one that does not answer holds up no other"))
+		must.NotEq(t, silent[0], next[0])
+		p.Ended(next[0], true, true)
+	}
+}
+
+func TestComparisonsAskSeveralWhenTheParentIsOverdue(t *testing.T) {
+	var p Comparisons
+	all := []string{"a", "b", "c", "d", "e", "f", "g", "parent"}
+	must.Len(t, overdueAtOnce, p.Next(all, "parent", true))
+	must.Len(t, overdueAtOnce, p.Next(all, "parent", true))
+	must.SliceEmpty(t, p.Next(all, "parent", true), must.Sprint("as many as may be are under way"))
+	must.Eq(t, []string{"parent"}, (&Comparisons{}).Next([]string{"parent"}, "parent", false))
+}
+
+func TestRunnersAreFetchedWhenTwoAnswersDiffer(t *testing.T) {
+	var p Comparisons
+	for _, same := range []bool{false, false} {
+		must.False(t, p.WantRunners())
+		p.Ended("a", true, same)
+	}
+	must.True(t, p.WantRunners())
+	p.Ended("a", false, false)
+	must.True(t, p.WantRunners(), must.Sprint("no answer says nothing"))
+	p.Ended("a", true, true)
+	must.False(t, p.WantRunners())
+}
--- /dev/null
+++ b/internal/dissemination/policy.go
@@ -0,0 +1,73 @@
+// The decisions of a subscriber, apart from its sockets: which parent comes first,
+// when one is left, and when something is asked for again. Times are whole
+// microseconds of a monotonic clock that starts above 0.
+package dissemination
+
+import "time"
+
+// ParentPolicy says which parent a node takes and when it leaves one. The zero value
+// is ready for use.
+type ParentPolicy struct {
+	shunned     string
+	shunUntilUs int64
+	leftCutUs   int64 // when a parent was last left for being cut off, 0 for never
+}
+
+// Order puts the wanted parents in the order in which they are tried.
+func (p *ParentPolicy) Order(wanted []string, nowUs int64) []string {
+	if len(wanted) > 1 && p.shuns(wanted[0], nowUs) {
+		return append(append([]string{}, wanted[1:]...), wanted[0])
+	}
+	return wanted
+}
+
+func (p *ParentPolicy) shuns(parent string, nowUs int64) bool {
+	return parent == p.shunned && nowUs < p.shunUntilUs
+}
+
+// LeaveSilent tells whether a parent is left that has been silent for so long.
+func (p *ParentPolicy) LeaveSilent(parent string, silentUs, nowUs int64) bool {
+	if silentUs <= silentFor.Microseconds() {
+		return false
+	}
+	p.shunned, p.shunUntilUs = parent, nowUs+shunFor.Microseconds()
+	return true
+}
+
+// LeaveCutOff tells whether a parent is left that says that the core is out of its
+// reach.
+func (p *ParentPolicy) LeaveCutOff(parent string, nowUs int64) bool {
+	if p.leftCutUs != 0 && nowUs-p.leftCutUs <= shunCut.Microseconds() {
+		return false
+	}
+	p.leftCutUs = nowUs
+	p.shunned, p.shunUntilUs = parent, nowUs+shunCut.Microseconds()
+	return true
+}
+
+// Moves tells whether another parent is wanted now.
+func (p *ParentPolicy) Moves(wanted []string, parent string, nowUs int64) bool {
+	return len(wanted) > 0 && wanted[0] != parent && !p.shuns(wanted[0], nowUs)
+}
+
+// askAgain is how long an answer may take before what is lacking is asked for
+// again.
+const askAgain = 200 * time.Millisecond
+
+// RequestPacer keeps a node from asking again before an answer can be there. The
+// zero value is ready for use.
+type RequestPacer struct {
+	lacking bool // something did not fit and has not been asked for
+	askedUs int64
+}
+
+// Due tells whether to ask now. lacks says that something does not fit; it is
+// remembered where it is too early to ask.
+func (p *RequestPacer) Due(lacks bool, nowUs int64) bool {
+	p.lacking = p.lacking || lacks
+	if !p.lacking || p.askedUs != 0 && nowUs-p.askedUs < askAgain.Microseconds() {
+		return false
+	}
+	p.lacking, p.askedUs = false, nowUs
+	return true
+}
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -22,6 +22,9 @@
 	FeedEvery = 250 * time.Millisecond
 	// silentFor is after how long without one a parent is left.
 	silentFor = 900 * time.Millisecond
+	// dialWait and subscribeWait are how long a parent may take to be joined.
+	dialWait      = 250 * time.Millisecond
+	subscribeWait = 600 * time.Millisecond
 	// shunFor is how long a parent that fell silent is not the first choice.
 	shunFor = 2 * time.Second
 	// shunCut is the same for one that the core is out of reach of. It also
@@ -48,16 +51,15 @@
 
 	Malformed atomic.Int64
 
-	lacking bool // something did not fit and has not been asked for
-	askedAt time.Time
-
-	link      atomic.Pointer[transport.Conn]
-	shun      string
-	shunUntil time.Time
-	cutAt     time.Time
-	began     time.Time // when Listen began
+	pacer  RequestPacer
+	policy ParentPolicy
+	link   atomic.Pointer[transport.Conn]
+	began  time.Time // when Listen began
 }
 
+// nowUs is the subscriber's clock.
+func (u *Subscriber) nowUs() int64 { return time.Since(u.began).Microseconds() + 1 }
+
 // Listen subscribes until ctx ends.
 func (u *Subscriber) Listen(ctx context.Context, r *transport.Transport) {
 	u.began = time.Now()
@@ -65,11 +67,7 @@
 		u.Patience = anythingAfter
 	}
 	for ctx.Err() == nil {
-		list := u.Parents()
-		if len(list) > 1 && u.shuns(list[0]) {
-			list = append(append([]string{}, list[1:]...), list[0])
-		}
-		for _, p := range list {
+		for _, p := range u.policy.Order(u.Parents(), u.nowUs()) {
 			if u.once(ctx, r, p) {
 				break
 			}
@@ -78,10 +76,6 @@
 	}
 }
 
-func (u *Subscriber) shuns(parent string) bool {
-	return parent == u.shun && time.Now().Before(u.shunUntil)
-}
-
 // Tell sends something up; false where there is no parent now.
 func (u *Subscriber) Tell(kind int, body msgp.Marshaler) bool {
 	l := u.link.Load()
@@ -111,7 +105,7 @@
 	if parent == r.Addr() {
 		return false
 	}
-	dctx, dcancel := context.WithTimeout(ctx, 250*time.Millisecond)
+	dctx, dcancel := context.WithTimeout(ctx, dialWait)
 	l, err := r.DialFresh(dctx, parent)
 	dcancel()
 	if err != nil {
@@ -119,14 +113,13 @@
 	}
 	defer l.Close()
 	var last atomic.Int64
-	began := time.Now()
 	leave := make(chan struct{}, 1)
 	l.OnPush = func(kind int, body []byte) {
-		u.hear(l, parent, kind, body, func() { last.Store(int64(time.Since(began))) }, leave)
+		u.hear(l, parent, kind, body, func() { last.Store(u.nowUs()) }, leave)
 	}
 	go l.Serve(ctx)
 	h := u.holds()
-	cctx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
+	cctx, cancel := context.WithTimeout(ctx, subscribeWait)
 	_, err = l.Call(cctx, transport.KindSubscribe, &h)
 	cancel()
 	if err != nil {
@@ -138,7 +131,7 @@
 		u.link.CompareAndSwap(l, nil)
 		u.Ended(parent)
 	}()
-	last.Store(int64(time.Since(began)))
+	last.Store(u.nowUs())
 	t := time.NewTicker(FeedEvery)
 	defer t.Stop()
 	for {
@@ -151,17 +144,12 @@
 			if h := u.holds(); newcomer(h) && !h.Anything {
 				return false
 			}
-			if time.Since(u.cutAt) > shunCut {
-				u.cutAt = time.Now()
-				u.shun, u.shunUntil = parent, u.cutAt.Add(shunCut)
+			if u.policy.LeaveCutOff(parent, u.nowUs()) {
 				return true
 			}
 		case <-t.C:
-			if time.Since(began)-time.Duration(last.Load()) > silentFor {
-				u.shun, u.shunUntil = parent, time.Now().Add(shunFor)
-				return true
-			}
-			if list := u.Parents(); len(list) > 0 && list[0] != parent && !u.shuns(list[0]) {
+			nowUs := u.nowUs()
+			if u.policy.LeaveSilent(parent, nowUs-last.Load(), nowUs) || u.policy.Moves(u.Parents(), parent, nowUs) {
 				return true
 			}
 		}
@@ -175,12 +163,11 @@
 		var f messages.Feed
 		if _, err := f.UnmarshalMsg(body); err != nil {
 			u.Malformed.Add(1)
-			u.want(l, nil)
+			u.want(l, nil, true)
 			return
 		}
-		if want := u.Take(parent, f, body); want != nil || u.lacking {
-			u.want(l, want)
-		}
+		want := u.Take(parent, f, body)
+		u.want(l, want, want != nil)
 		if f.CutOff && !u.Controller {
 			select {
 			case leave <- struct{}{}:
@@ -199,17 +186,11 @@
 	}
 }
 
-// askAgain is how long an answer may take before what is lacking is asked for
-// again.
-const askAgain = 200 * time.Millisecond
-
-// want asks the parent for what is lacking, at most once in askAgain.
-func (u *Subscriber) want(l *transport.Conn, h *messages.Hold) {
-	u.lacking = true
-	if time.Since(u.askedAt) < askAgain {
+// want asks the parent for what is lacking, if anything is and it is time.
+func (u *Subscriber) want(l *transport.Conn, h *messages.Hold, lacks bool) {
+	if !u.pacer.Due(lacks, u.nowUs()) {
 		return
 	}
-	u.lacking, u.askedAt = false, time.Now()
 	if h == nil {
 		held := u.Hold()
 		h = &held
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -6,9 +6,7 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"slices"
-	"sync"
 	"time"
 
 	"beechtide.org/beechtide/internal/dissemination"
@@ -25,18 +23,8 @@
 	overdueParts     = 4
 )
 
-const (
-	// defaultConverge stands for convergeMs where the settings name none.
-	defaultConverge = 2 * time.Second
-	// overdueAtOnce is how many controllers are asked at once when the parent's
-	// feed is overdue.
-	overdueAtOnce = 3
-	// mostComparisons bounds how many go on at a time.
-	mostComparisons = 6
-	// takeRunnersAfter is after how many comparisons in a row with other runners
-	// than this node's all of them are fetched.
-	takeRunnersAfter, takeRunnersEvery = 2, 4
-)
+// defaultConverge stands for convergeMs where the settings name none.
+const defaultConverge = 2 * time.Second
 
 // convergeTime is the time within which a change must be in force.
 func (c *Router) convergeTime() time.Duration {
@@ -46,76 +34,17 @@
 	return time.Duration(c.set.Bounds.ConvergeMs) * time.Millisecond
 }
 
-// comparisons are those under way, and whose turn is next. The zero value is ready
-// for use.
-type comparisons struct {
-	mu      sync.Mutex
-	turn    int
-	asked   map[string]bool // who has not answered yet
-	differs int             // answers in a row with other runners than here
-}
-
-// next picks whom to ask now: one controller, or several where the parent's feed is
-// overdue. The parent is passed over where there are others, and so is who has
-// not answered yet.
-func (p *comparisons) next(controllers []string, parent string, overdue bool) []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.asked == nil {
-		p.asked, p.turn = map[string]bool{}, rand.IntN(64)
-	}
-	most := 1
-	if overdue {
-		most = overdueAtOnce
-	}
-	most = min(most, mostComparisons-len(p.asked))
-	var out []string
-	for range controllers {
-		if len(out) >= most {
-			break
-		}
-		p.turn++
-		addr := controllers[p.turn%len(controllers)]
-		if p.asked[addr] || addr == parent && len(controllers) > 1 {
-			continue
-		}
-		p.asked[addr] = true
-		out = append(out, addr)
-	}
-	return out
-}
-
-// ended notes an answer, or that there is none.
-func (p *comparisons) ended(addr string, answered, sameRunners bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.asked, addr)
-	switch {
-	case answered && sameRunners:
-		p.differs = 0
-	case answered:
-		p.differs++
-	}
-}
-
-// wantRunners tells whether the next comparison fetches all runners.
-func (p *comparisons) wantRunners() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.differs%takeRunnersEvery == takeRunnersAfter
-}
-
 // compareVersions asks the controllers in turn what they hold, and takes what is
 // newer. A comparison that takes long does not put off the next.
 func (c *Router) compareVersions(ctx context.Context) func() {
 	return func() {
 		overdue := c.clock()-c.heardUs.Load() > max(c.convergeTime()/overdueParts, 2*dissemination.FeedEvery).Microseconds()
-		for _, addr := range c.comparisons.next(c.aliveDispatches(), *c.parent.Load(), overdue) {
+		for _, addr := range c.comparisons.Next(c.aliveDispatches(), *c.parent.Load(), overdue) {
 			go func() {
 				cctx, cancel := context.WithTimeout(ctx, c.convergeTime()/compareWaitParts)
 				defer cancel()
-				m, ok := c.compareWith(cctx, addr, c.comparisons.wantRunners())
-				c.comparisons.ended(addr, ok, m.RegistrySum == c.registry.Snapshot().Sum)
+				m, ok := c.compareWith(cctx, addr, c.comparisons.WantRunners())
+				c.comparisons.Ended(addr, ok, m.RegistrySum == c.registry.Snapshot().Sum)
 			}()
 		}
 	}
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -17,49 +17,6 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-func TestComparisonsGoRoundAndPassBySilentControllers(t *testing.T) {
-	var p comparisons
-	all := []string{"a", "b", "c", "d", "parent"}
-	asked := map[string]int{}
-	for range 8 {
-		for _, addr := range p.next(all, "parent", false) {
-			asked[addr]++
-			p.ended(addr, true, true)
-		}
-	}
-	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}, asked)
-	silent := p.next(all, "parent", false)
-	must.Len(t, 1, silent)
-	for range 8 {
-		next := p.next(all, "parent", false)
-		must.Len(t, 1, next, must.Sprint("one that does not answer holds up no other"))
-		must.NotEq(t, silent[0], next[0])
-		p.ended(next[0], true, true)
-	}
-}
-
-func TestComparisonsAskSeveralWhenTheParentIsOverdue(t *testing.T) {
-	var p comparisons
-	all := []string{"a", "b", "c", "d", "e", "f", "g", "parent"}
-	must.Len(t, overdueAtOnce, p.next(all, "parent", true))
-	must.Len(t, overdueAtOnce, p.next(all, "parent", true))
-	must.SliceEmpty(t, p.next(all, "parent", true), must.Sprint("as many as may be are under way"))
-	must.Eq(t, []string{"parent"}, (&comparisons{}).next([]string{"parent"}, "parent", false))
-}
-
-func TestRunnersAreFetchedWhenTwoAnswersDiffer(t *testing.T) {
-	var p comparisons
-	for _, same := range []bool{false, false} {
-		must.False(t, p.wantRunners())
-		p.ended("a", true, same)
-	}
-	must.True(t, p.wantRunners())
-	p.ended("a", false, false)
-	must.True(t, p.wantRunners(), must.Sprint("no answer says nothing"))
-	p.ended("a", true, true)
-	must.False(t, p.wantRunners())
-}
-
 // The second request comes while the first one's check is under way: it must not be
 // rejected before that has come out.
 func TestConfirmWaitsForACheckUnderWay(t *testing.T) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -59,7 +60,7 @@
 	missing   chan struct{} // a runner was not at its address
 
 	currency    currencyChecks
-	comparisons comparisons
+	comparisons *dissemination.Comparisons
 	heardUs     atomic.Int64 // when the parent, in reach of the core, last sent a feed
 
 	trail    compliance.Trail
@@ -80,6 +81,7 @@
 	c := &Router{set: set, log: log, clock: clock, transport: trans, registry: registry.New(), connPool: upstream.NewConnPool(clock), parts: map[int]messages.PartNote{}, admission: admission.New(admission.Defaults, set.Zone), budgets: map[string]*upstream.Budget{}, kick: make(chan struct{}, 1), fresh: make(chan struct{}, 1), stir: make(chan struct{}, 1), missing: make(chan struct{}, 1)}
 	c.configuration, c.runners = routeconfig.NewReplica(), statesync.NewEntries()
 	c.loads.init(clock())
+	c.comparisons = dissemination.NewComparisons(rand.IntN(64))
 	none := ""
 	c.parent.Store(&none)
 	c.admission.MarkUs = int64(set.Bounds.VersionMs)*1000 - 2_300_000
