--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -30,7 +30,7 @@
 
 // Counts tell what histories were made of, so that a quiet one is seen.
 type Counts struct {
-	Histories, Chosen, Taken, Refused, Read, Unclear, Regroups, Acts, Wipes, Fleets int64
+	Histories, Chosen, Taken, Refused, Read, Unclear, Regroups, Acts, Wipes, Fleets, Distributions int64
 }
 
 // Add sums counts up.
@@ -45,13 +45,14 @@
 	c.Acts += other.Acts
 	c.Wipes += other.Wipes
 	c.Fleets += other.Fleets
+	c.Distributions += other.Distributions
 }
 
 // String tells the counts in one line.
 func (c Counts) String() string {
 	return fmt.Sprintf("%d histories: %d values chosen, %d changes of a group, %d disks lost, %d acts under a lease; "+
-		"operators: %d configurations taken, %d refused, %d reads, %d calls unclear; %d histories of runners",
-		c.Histories, c.Chosen, c.Regroups, c.Wipes, c.Acts, c.Taken, c.Refused, c.Read, c.Unclear, c.Fleets)
+		"operators: %d configurations taken, %d refused, %d reads, %d calls unclear; %d histories of runners, %d of configurations",
+		c.Histories, c.Chosen, c.Regroups, c.Wipes, c.Acts, c.Taken, c.Refused, c.Read, c.Unclear, c.Fleets, c.Distributions)
 }
 
 func newChecks(c *Cluster) *checks {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -23,6 +23,8 @@
 	ForgetGenesis        bool // the first group isn't kept before the first value
 	JoinUnconfirmed      bool // members are taken in unasked whether they hold the value
 	TrustUnusedClaim     bool // a claim that was never acted under counts as one that was
+	LeaveUnfinished      bool // nobody ends the round of a proposer that has ended
+	NeverCompare         bool // routers rely on their place in the tree
 }
 
 // Cluster is everything in one history.
--- /dev/null
+++ b/internal/simulation/distribution_faults.go
@@ -0,0 +1,190 @@
+package simulation
+
+import "beechtide.org/beechtide/internal/messages"
+
+// node is a place in the tree that others may hang on.
+type node interface {
+	address() string
+	running() *Process
+	since(h messages.Hold) messages.Feed
+	subscribe(sub *subscription)
+}
+
+// subscription is one connection from a parent to a child. Feeds arrive in order, and
+// none is lost unless the connection ends.
+type subscription struct {
+	d                     *distribution
+	parent                node
+	child                 *sink
+	parentLife, childLife int64
+	open, pumping         bool
+	waiting               []messages.Feed
+}
+
+// push sends a feed after those that wait.
+func (s *subscription) push(f messages.Feed) {
+	if s.alive() {
+		s.waiting = append(s.waiting, f)
+		s.pump()
+	}
+}
+
+// alive tells whether both ends are still there; the end of one ends the connection.
+func (s *subscription) alive() bool {
+	s.open = s.open && s.parent.running().life == s.parentLife && s.child.process.life == s.childLife
+	return s.open
+}
+
+func (s *subscription) pump() {
+	if s.pumping || len(s.waiting) == 0 || !s.alive() {
+		return
+	}
+	s.pumping = true
+	f := s.waiting[0]
+	s.waiting = s.waiting[1:]
+	link := s.d.network.Link(s.parent.address(), s.child.addr)
+	s.d.kernel.After(s.d.kernel.Between(link.DelayLowUs, link.DelayHighUs), func() { s.arrive(f, s.d.kernel.NowUs()) })
+}
+
+// arrive hands a feed over once the link lets it through; a connection that gets
+// nothing through for long breaks.
+func (s *subscription) arrive(f messages.Feed, sentUs int64) {
+	const again = 50 * Millisecond
+	switch {
+	case !s.alive():
+	case s.d.network.Link(s.parent.address(), s.child.addr).Cuts == 0:
+		s.child.process.Deliver(func() {
+			s.d.step(s.child.process, func() {
+				if s.alive() {
+					s.child.hear(s, f)
+				}
+				s.pumping = false
+				s.pump()
+			})
+		})
+	case s.d.kernel.NowUs()-sentUs > connectionBrokenUs:
+		s.open = false
+	default:
+		s.d.kernel.After(again, func() { s.arrive(f, sentUs) })
+	}
+}
+
+// pushAll sends a feed to all who are still there, and gives those.
+func pushAll(list []*subscription, f messages.Feed) []*subscription {
+	var alive []*subscription
+	for _, s := range list {
+		if s.alive() {
+			s.push(f)
+			alive = append(alive, s)
+		}
+	}
+	return alive
+}
+
+// plan draws the operator's changes and the faults.
+func (d *distribution) plan() {
+	k := d.kernel
+	for range 2 + k.Below(5) {
+		atUs, gapUs := k.Between(Second, distributionUs+distributionCalmUs/2), k.Between(30*Millisecond, Second)
+		for i := range int64(1 + k.Below(12)) {
+			k.After(atUs+i*gapUs, d.release)
+		}
+	}
+	for range k.Below(7) {
+		forUs := k.Between(100*Millisecond, 9*Second)
+		k.After(k.Between(Second, distributionUs-Second), func() { d.fault(forUs) })
+	}
+}
+
+func (d *distribution) fault(forUs int64) {
+	k := d.kernel
+	c, r := d.controllers[k.Below(len(d.controllers))], d.routers[k.Below(len(d.routers))]
+	other := d.controllers[k.Below(len(d.controllers))]
+	switch k.Below(9) {
+	case 0, 1:
+		d.strike(c, forUs)
+	case 2:
+		d.cutCore(c, other, forUs, k.Chance(500))
+	case 3:
+		for _, o := range d.controllers {
+			d.cutCore(c, o, forUs, false)
+		}
+	case 4:
+		d.trouble(r, forUs, func() { d.slowed[r.process] = true }, func() { delete(d.slowed, r.process) })
+	case 5:
+		d.trouble(r, forUs, r.process.Freeze, r.process.Thaw)
+	case 6:
+		d.trouble(r, forUs, r.process.Stop, r.boot)
+	case 7:
+		d.coreTroubles++
+		d.slowed[c.process] = true
+		d.later(forUs, func() { d.coreTroubles--; d.coreUs = k.NowUs(); delete(d.slowed, c.process) })
+	default:
+		relay := d.routers[r.number/2]
+		for _, pair := range [][2]string{{c.addr, r.addr}, {relay.addr, r.addr}} {
+			l := d.network.Link(pair[0], pair[1])
+			d.trouble(r, forUs, func() { l.Cuts++ }, func() { l.Cuts-- })
+		}
+		d.trouble(relay, forUs, func() {}, func() {})
+	}
+}
+
+// strike kills or freezes a controller.
+func (d *distribution) strike(c *source, forUs int64) {
+	if !c.process.Up() || c.process.frozen {
+		return
+	}
+	d.coreUs, c.downUs = d.kernel.NowUs(), d.kernel.NowUs()
+	if d.kernel.Chance(500) {
+		d.kernel.Note("%s freezes for %d us", c.addr, forUs)
+		c.process.Freeze()
+		d.later(forUs, func() { d.coreUs = d.kernel.NowUs(); c.process.Thaw() })
+		return
+	}
+	d.kernel.Note("%s is killed for %d us", c.addr, forUs)
+	c.process.Stop()
+	d.later(forUs, func() { d.coreUs = d.kernel.NowUs(); c.boot() })
+}
+
+func (d *distribution) cutCore(a, b *source, forUs int64, oneWay bool) {
+	if a == b {
+		return
+	}
+	d.kernel.Note("%s and %s are cut apart for %d us, one way %v", a.addr, b.addr, forUs, oneWay)
+	links := []*Link{d.network.Link(a.addr, b.addr)}
+	if !oneWay {
+		links = append(links, d.network.Link(b.addr, a.addr))
+	}
+	d.coreUs = d.kernel.NowUs()
+	for _, l := range links {
+		l.Cuts++
+		d.later(forUs, func() { d.coreUs = d.kernel.NowUs(); l.Cuts-- })
+	}
+}
+
+// trouble is a fault of a router or its links, which is not in touch meanwhile.
+func (d *distribution) trouble(r *sink, forUs int64, begin, end func()) {
+	if !r.process.Up() || r.process.frozen {
+		return
+	}
+	d.kernel.Note("%s is in trouble for %d us", r.addr, forUs)
+	r.troubles++
+	r.troubledUs = d.kernel.NowUs()
+	begin()
+	d.later(forUs, func() {
+		r.troubles--
+		r.troubledUs = d.kernel.NowUs()
+		end()
+	})
+}
+
+// later ends a fault after a time, at the latest with the end of all faults.
+func (d *distribution) later(forUs int64, end func()) {
+	d.kernel.After(min(forUs, distributionUs-d.kernel.NowUs()), end)
+}
+
+// heal is when the last fault ends; each of them does so by itself.
+func (d *distribution) heal() {
+	d.kernel.Note("everything heals")
+	d.healed = true
+}
--- /dev/null
+++ b/internal/simulation/distribution_sink.go
@@ -0,0 +1,323 @@
+package simulation
+
+import (
+	"fmt"
+
+	"beechtide.org/beechtide/internal/dissemination"
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/routeconfig"
+	"beechtide.org/beechtide/internal/statesync"
+)
+
+// Times of a router.
+const (
+	joinPauseUs       = 50 * Millisecond
+	dialWaitUs        = 250 * Millisecond
+	subscribeWaitUs   = 600 * Millisecond
+	subscriberTickUs  = 250 * Millisecond
+	anythingUs        = 2_500 * Millisecond
+	compareEveryUs    = convergeUs / 5
+	compareWaitUs     = convergeUs / 2
+	overdueUs         = convergeUs / 4
+	unseenUs          = 1_200 * Millisecond // until one that can't be heard is taken for dead
+	spoiledPerMille   = 2                   // changes whose digest does not come out
+	fewestBeforeRelay = 3
+)
+
+// sink is a router, as far as the configuration is concerned. It passes on what it
+// hears to those that hang on it.
+type sink struct {
+	d          *distribution
+	addr       string
+	number     int
+	process    *Process
+	troubles   int   // faults that last
+	troubledUs int64 // when a fault last began or ended
+
+	// What follows is gone with each life of the process.
+	replica     *routeconfig.Replica
+	policy      dissemination.ParentPolicy
+	pacer       dissemination.RequestPacer
+	comparisons *dissemination.Comparisons
+	parent      *subscription
+	joining     bool
+	bootUs      int64
+	lastUs      int64 // when the parent last sent anything
+	heardUs     int64 // when it did so in reach of the core
+	subscribers []*subscription
+	inForce     int64 // the newest version that was in force in this life
+}
+
+func newSink(d *distribution, i int) *sink {
+	return &sink{d: d, addr: fmt.Sprintf("r%d", i+1), number: i, process: NewProcess(d.kernel)}
+}
+
+func (r *sink) address() string { return r.addr }
+
+func (r *sink) running() *Process { return r.process }
+
+func (r *sink) boot() {
+	r.process.Start()
+	r.replica, r.policy, r.pacer = routeconfig.NewReplica(), dissemination.ParentPolicy{}, dissemination.RequestPacer{}
+	r.comparisons, r.parent, r.joining = dissemination.NewComparisons(r.d.kernel.Below(64)), nil, false
+	r.bootUs, r.lastUs, r.heardUs, r.subscribers, r.inForce = r.process.NowUs(), 0, 0, nil, 0
+	r.d.every(r.process, joinPauseUs, r.join)
+	r.d.every(r.process, subscriberTickUs, r.tick)
+	if !r.d.defects.NeverCompare {
+		r.d.every(r.process, compareEveryUs, r.compare)
+	}
+}
+
+// wanted lists the parents: for some routers one before them, then the controllers in
+// an order of the tree.
+func (r *sink) wanted() []string {
+	var out []string
+	if r.number >= fewestBeforeRelay && r.number%2 == 0 {
+		if relay := r.d.routers[r.number/2]; r.d.seen(relay.process, relay.troubledUs) {
+			out = append(out, relay.addr)
+		}
+	}
+	var peers []messages.Peer
+	for _, c := range r.d.controllers {
+		if r.d.seen(c.process, c.downUs) {
+			peers = append(peers, messages.Peer{Addr: c.addr, Zone: "a", Counted: true})
+		}
+	}
+	return append(out, dissemination.Parents(r.addr, "a", peers, nil)...)
+}
+
+// seen tells whether a process is in the others' views.
+func (d *distribution) seen(p *Process, sinceUs int64) bool {
+	return p.Up() && !p.frozen || d.kernel.NowUs()-sinceUs < unseenUs
+}
+
+func (d *distribution) node(addr string) node {
+	for _, c := range d.controllers {
+		if c.addr == addr {
+			return c
+		}
+	}
+	for _, r := range d.routers {
+		if r.addr == addr {
+			return r
+		}
+	}
+	return nil
+}
+
+func (r *sink) hold() messages.Hold {
+	h := messages.Hold{Configuration: r.replica.Holds()}
+	h.Anything = h.Configuration.Version == 0 && r.process.NowUs()-r.bootUs > anythingUs
+	return h
+}
+
+// join looks for a parent where there is none.
+func (r *sink) join() {
+	if r.parent != nil || r.joining {
+		return
+	}
+	r.joining = true
+	r.try(r.policy.Order(r.wanted(), r.process.NowUs()))
+}
+
+func (r *sink) try(list []string) {
+	if len(list) == 0 {
+		r.joining = false
+		return
+	}
+	next := r.process.InLife(func() { r.try(list[1:]) })
+	to := r.d.node(list[0])
+	r.dial(to, func(ok bool) {
+		if !ok {
+			next()
+			return
+		}
+		sub := &subscription{d: r.d, parent: to, child: r, parentLife: to.running().life, childLife: r.process.life, open: true}
+		r.d.call(r.process, r.addr, to.running(), to.address(), subscribeWaitUs, func() func() {
+			if sub.parentLife != to.running().life {
+				return nil
+			}
+			to.subscribe(sub)
+			h := r.hold()
+			r.d.step(to.running(), func() { sub.push(to.since(h)) })
+			return func() { r.parent, r.lastUs = sub, r.process.NowUs() }
+		}, func(ok bool) {
+			if !ok {
+				sub.open = false
+				next()
+				return
+			}
+			r.joining = false
+		})
+	})
+}
+
+// dial opens a connection, which the other machine does without its process.
+func (r *sink) dial(to node, ended func(bool)) {
+	done := false
+	finish := r.process.InLife
+	end := func(ok bool) {
+		if !done {
+			done = true
+			ended(ok)
+		}
+	}
+	r.d.network.Send(r.addr, to.address(), func() {
+		up := to.running().Up()
+		r.d.network.Send(to.address(), r.addr, finish(func() { r.d.step(r.process, func() { end(up) }) }))
+	})
+	r.process.After(dialWaitUs, func() { end(false) })
+}
+
+// tick leaves a parent that is silent, gone or no longer wanted.
+func (r *sink) tick() {
+	if r.parent == nil {
+		return
+	}
+	nowUs := r.process.NowUs()
+	addr := r.parent.parent.address()
+	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastUs, nowUs) || r.policy.Moves(r.wanted(), addr, nowUs) {
+		r.leave()
+	}
+}
+
+func (r *sink) leave() {
+	r.parent.open = false
+	r.parent = nil
+}
+
+// hear takes a feed of the parent in and passes it on.
+func (r *sink) hear(sub *subscription, f messages.Feed) {
+	if r.parent != nil && r.parent != sub {
+		return
+	}
+	nowUs := r.process.NowUs()
+	r.lastUs = nowUs
+	if !f.CutOff {
+		r.heardUs = nowUs
+	}
+	r.subscribers = pushAll(r.subscribers, f)
+	fits := r.take(f)
+	if r.pacer.Due(!fits || r.replica.Version() < f.Versions[0], nowUs) {
+		h := r.hold()
+		r.d.network.Send(r.addr, sub.parent.address(), func() {
+			sub.parent.running().Deliver(func() {
+				r.d.step(sub.parent.running(), func() { sub.push(sub.parent.since(h)) })
+			})
+		})
+	}
+	if !f.CutOff || r.parent != sub {
+		return
+	}
+	if h := r.hold(); h.Configuration.Version == 0 && !h.Anything || r.policy.LeaveCutOff(sub.parent.address(), nowUs) {
+		r.leave()
+	}
+}
+
+// take applies the changes of a feed and checks what is in force then.
+func (r *sink) take(f messages.Feed) (fits bool) {
+	fits = true
+	for _, change := range f.Configuration {
+		if r.d.kernel.Chance(spoiledPerMille) {
+			change.Digest++
+		}
+		result, _, err := r.replica.Apply(change)
+		fits = fits && err == nil && (result == statesync.Applied || result == statesync.Known)
+	}
+	r.checkInForce()
+	return fits
+}
+
+func (r *sink) since(h messages.Hold) messages.Feed {
+	f := messages.Feed{Versions: []int64{r.replica.Version()}}
+	if change, lacks := r.replica.Since(h.Configuration); lacks {
+		f.Configuration = []messages.EntryChange{change}
+	}
+	return f
+}
+
+func (r *sink) subscribe(sub *subscription) { r.subscribers = append(r.subscribers, sub) }
+
+// compare asks controllers beside the tree.
+func (r *sink) compare() {
+	var alive []string
+	for _, c := range r.d.controllers {
+		if r.d.seen(c.process, c.downUs) {
+			alive = append(alive, c.addr)
+		}
+	}
+	parent := ""
+	if r.parent != nil {
+		parent = r.parent.parent.address()
+	}
+	for _, addr := range r.comparisons.Next(alive, parent, r.process.NowUs()-r.heardUs > overdueUs) {
+		r.compareWith(r.d.node(addr))
+	}
+}
+
+func (r *sink) compareWith(to node) {
+	begunUs := r.process.NowUs()
+	var version int64
+	ended := func(ok bool) { r.comparisons.Ended(to.address(), ok, true) }
+	r.d.call(r.process, r.addr, to.running(), to.address(), compareWaitUs, func() func() {
+		f := to.since(messages.Hold{Configuration: messages.StreamHold{Epoch: routeconfig.Epoch, Version: 1 << 62}})
+		return func() { version = f.Versions[0] }
+	}, func(ok bool) {
+		leftUs := compareWaitUs - (r.process.NowUs() - begunUs)
+		if !ok || version <= r.replica.Version() || leftUs <= 0 {
+			ended(ok)
+			return
+		}
+		h := messages.Hold{Configuration: r.replica.Holds()}
+		r.d.call(r.process, r.addr, to.running(), to.address(), leftUs, func() func() {
+			f := to.since(h)
+			return func() { r.take(f) }
+		}, ended)
+	})
+}
+
+// checkInForce looks at what is in force: never an older version within a life, never
+// one that was refused, and exactly the routes of its configuration.
+func (r *sink) checkInForce() {
+	k, version := r.d.kernel, r.replica.Version()
+	if version < r.inForce {
+		k.Fail("%s goes back from version %d to %d", r.addr, r.inForce, version)
+	}
+	table := r.replica.Table()
+	if version == r.inForce || table == nil {
+		return
+	}
+	r.inForce = version
+	if r.d.refused[table.Version] {
+		k.Fail("%s has configuration %d in force, which was refused", r.addr, table.Version)
+		return
+	}
+	config, err := routeconfig.ReadTaken(r.d.releases[version-1].order.Raw)
+	if err != nil || config.Version != table.Version {
+		k.Fail("%s has configuration %d in force under version %d: %v", r.addr, table.Version, version, err)
+		return
+	}
+	served := 0
+	for _, route := range config.Routes {
+		if got := table.Match(route.Host, route.Prefix); got == nil || got.Service != route.Service {
+			k.Fail("%s does not serve route %s of version %d", r.addr, route.Name, version)
+			return
+		}
+		served++
+	}
+	if got := table.Match("h", "/nothing/"); got != nil || served != len(config.Routes) {
+		k.Fail("%s serves what version %d does not hold", r.addr, version)
+	}
+}
+
+// checkDue has a router in touch be at a version or a newer one.
+func (r *sink) checkDue(due int64) {
+	inTouch := r.process.Up() && !r.process.frozen && r.troubles == 0 && r.d.kernel.NowUs()-r.troubledUs > contactBoundUs
+	if inTouch && r.replica.Version() < due {
+		parent := "nobody"
+		if r.parent != nil {
+			parent = r.parent.parent.address()
+		}
+		r.d.kernel.Fail("%s has version %d, below %s, more than %d us after version %d was acknowledged", r.addr, r.replica.Version(), parent, convergeUs, due)
+	}
+}
--- /dev/null
+++ b/internal/simulation/distribution_source.go
@@ -0,0 +1,165 @@
+package simulation
+
+import (
+	"fmt"
+
+	"beechtide.org/beechtide/internal/lease"
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/routeconfig"
+)
+
+// Times of a controller.
+const (
+	feedEveryUs       = 200 * Millisecond
+	catchUpUs         = 500 * Millisecond
+	catchUpWaitUs     = 450 * Millisecond
+	unfinishedLeastUs = 300 * Millisecond
+	unfinishedMostUs  = 900 * Millisecond
+)
+
+// source is a controller, as far as the configuration is concerned.
+type source struct {
+	d       *distribution
+	addr    string
+	process *Process
+	taken   []*release // what it has accepted or learned, as its disk has it
+	known   int64      // the newest committed version on its disk
+	downUs  int64      // since when it can't be heard, 0 for never
+	startUs int64
+
+	// What follows is gone with each life of the process.
+	replica     *routeconfig.Replica
+	contact     *lease.Contact
+	subscribers []*subscription
+}
+
+func newSource(d *distribution, i int) *source {
+	return &source{d: d, addr: fmt.Sprintf("c%d", i+1), process: NewProcess(d.kernel)}
+}
+
+func (s *source) address() string { return s.addr }
+
+func (s *source) running() *Process { return s.process }
+
+// boot begins a life with what the disk holds: the newest version that was kept, or
+// an older one.
+func (s *source) boot() {
+	s.process.Start()
+	s.startUs, s.downUs = s.process.NowUs(), 0
+	s.replica, s.contact, s.subscribers = routeconfig.NewSource(), &lease.Contact{Self: s.addr}, nil
+	if s.known > 0 {
+		recalled := max(s.known-int64(s.d.kernel.Below(3)), 1)
+		s.known = 0
+		s.learn(s.d.releases[recalled-1])
+	}
+	s.d.every(s.process, feedEveryUs, func() { s.publish(nil) })
+	s.d.every(s.process, catchUpUs, s.catchUp)
+	for _, r := range s.taken {
+		s.finishLater(r)
+	}
+}
+
+func (s *source) reaches(other *source) bool {
+	n := s.d.network
+	return other.process.Up() && !other.process.frozen && n.Link(s.addr, other.addr).Cuts == 0 && n.Link(other.addr, s.addr).Cuts == 0
+}
+
+// reachesMost tells whether it reaches a majority of the controllers, itself included.
+func (s *source) reachesMost() bool {
+	reached := 1
+	for _, other := range s.d.controllers {
+		if other != s && s.reaches(other) {
+			reached++
+		}
+	}
+	return reached > len(s.d.controllers)/2
+}
+
+// accepted notes a value that the process has accepted and may hear no more of.
+func (s *source) accepted(r *release) {
+	s.taken = append(s.taken, r)
+	s.finishLater(r)
+}
+
+// finishLater reads the register by a majority once a round has been unfinished for
+// a while.
+func (s *source) finishLater(r *release) {
+	if s.d.defects.LeaveUnfinished || s.known >= r.version {
+		return
+	}
+	s.process.After(s.d.kernel.Between(unfinishedLeastUs, unfinishedMostUs), func() {
+		s.d.step(s.process, func() {
+			if s.known < r.version && s.reachesMost() {
+				s.learn(s.d.releases[len(s.d.releases)-1])
+			}
+			s.finishLater(r)
+		})
+	})
+}
+
+// learn takes in a committed version, never an older one, and sends what changed.
+func (s *source) learn(r *release) {
+	if r.version <= s.known {
+		return
+	}
+	s.known = r.version
+	if change, newer := s.replica.Commit(r.version, r.entries); newer {
+		s.d.step(s.process, func() { s.publish([]messages.EntryChange{change}) })
+	}
+}
+
+func (s *source) group() []string {
+	var out []string
+	for _, c := range s.d.controllers {
+		out = append(out, c.addr)
+	}
+	return out
+}
+
+func (s *source) inContact() bool { return s.contact.Holds(s.group(), s.process.NowUs()) }
+
+func (s *source) starting() bool { return s.process.NowUs()-s.startUs < lease.ContactUs }
+
+func (s *source) feed() messages.Feed {
+	return messages.Feed{Versions: []int64{s.replica.Version()}, CutOff: !s.starting() && !s.inContact()}
+}
+
+func (s *source) publish(changes []messages.EntryChange) {
+	f := s.feed()
+	f.Configuration = changes
+	s.subscribers = pushAll(s.subscribers, f)
+}
+
+// since gives what a router lacks; a router that holds nothing gets nothing from a
+// controller without the lease, unless it takes anything.
+func (s *source) since(h messages.Hold) messages.Feed {
+	f := s.feed()
+	if h.Configuration.Version == 0 && !h.Anything && !s.inContact() {
+		return f
+	}
+	if change, lacks := s.replica.Since(h.Configuration); lacks {
+		f.Configuration = []messages.EntryChange{change}
+	}
+	return f
+}
+
+func (s *source) subscribe(sub *subscription) { s.subscribers = append(s.subscribers, sub) }
+
+// catchUp compares versions with the other controllers, which renews the lease too.
+func (s *source) catchUp() {
+	for _, other := range s.d.controllers {
+		if other == s {
+			continue
+		}
+		sentUs := s.process.NowUs()
+		s.d.call(s.process, s.addr, other.process, other.addr, catchUpWaitUs, func() func() {
+			known := other.known
+			return func() {
+				s.contact.Answered(other.addr, sentUs)
+				if known > s.known {
+					s.learn(s.d.releases[known-1])
+				}
+			}
+		}, func(bool) {})
+	}
+}
--- /dev/null
+++ b/internal/simulation/distribution_test.go
@@ -0,0 +1,47 @@
+package simulation
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// distributionRange is the fixed set of seeds that CI plays.
+var distributionRange = Range{Model: "distribution", Count: 300, Parallel: 3}
+
+func TestDistributionSeedsBreakNothing(t *testing.T) {
+	counts := Run(distributionRange, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
+	t.Log(counts)
+	must.Eq(t, int64(distributionRange.Count), counts.Distributions)
+	must.Positive(t, counts.Taken)
+	must.Positive(t, counts.Refused)
+}
+
+func TestOneDistributionSeedPlaysOneHistory(t *testing.T) {
+	for seed := range uint64(10) {
+		a, b := PlayDistribution(seed, Options{Record: true}), PlayDistribution(seed, Options{Record: true})
+		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
+	}
+}
+
+// Each mechanism that can be taken out in the model is missed by a check.
+func TestDistributionChecksFindWhatIsTakenOut(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		defects Defects
+	}{
+		{"nobody ends the round of a proposer that ended", Defects{LeaveUnfinished: true}},
+		{"no comparisons beside the tree", Defects{NeverCompare: true}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for seed := range uint64(mostSeedsToFind) {
+				if r := PlayDistribution(seed, Options{Defects: c.defects}); r.Failure != "" {
+					t.Logf("found by seed %d: %s", seed, r.Failure)
+					return
+				}
+			}
+			t.Error("no seed finds it")
+		})
+	}
+}
