--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -48,6 +48,8 @@
 	kick       chan struct{}
 	controller bool
 	heard      int64
+	wanted     *messages.Hold // what the receiver held when it last asked
+	bringing   bool           // an answer to it is being made
 }
 
 // atOnce bounds how many subscribers are brought up to date at one time.
@@ -77,7 +79,7 @@
 			return
 		}
 		if s := y.sub(from); s != nil {
-			go y.bring(s, h)
+			y.bring(s, h)
 		}
 	})
 	r.OnPush(transport.KindTold, func(from *transport.Conn, body []byte) {
@@ -113,10 +115,32 @@
 	return f.MarshalMsg(nil)
 }
 
+// bring sends a receiver what it lacks. One answer for it is made at a time; of what
+// it asks meanwhile the last counts.
 func (y *Publisher) bring(s *sub, h messages.Hold) {
-	if b, err := y.since(h); err == nil {
-		y.put(s, transport.KindFeed, b)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.wanted = &h
+	if s.bringing {
+		return
 	}
+	s.bringing = true
+	go func() {
+		for h := s.nextWanted(); h != nil; h = s.nextWanted() {
+			if b, err := y.since(*h); err == nil {
+				y.put(s, transport.KindFeed, b)
+			}
+		}
+	}()
+}
+
+// nextWanted gives what is to be answered next; nil ends the answering.
+func (s *sub) nextWanted() *messages.Hold {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	h := s.wanted
+	s.wanted, s.bringing = nil, h != nil
+	return h
 }
 
 func (y *Publisher) add(l *transport.Conn, h messages.Hold) {
