--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -203,10 +203,6 @@
 		var body messages.ConfigBody
 		if _, err := body.UnmarshalMsg(v.Body); err == nil && body.Version > 0 {
 			if m, err := routeconfig.ReadTaken(body.Raw); err == nil {
-				t := routeconfig.Compile(m)
-				if cur := d.table.Load(); cur == nil || cur.Version < t.Version {
-					d.table.Store(t)
-				}
 				d.publishConfig(v.Version, m)
 			}
 		}
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -155,17 +155,21 @@
 	}
 }
 
-// publishConfig sends what differs in a newly committed configuration. A version of
-// the register that only changes its group has no entries.
+// publishConfig puts a newly committed configuration into force here and sends what
+// differs in it. Versions may be learned at the same time, in any order; an older
+// one is left aside. A version of the register that only changes its group has no
+// entries.
 func (d *Controller) publishConfig(version int64, m api.Configuration) {
 	entries, err := routeconfig.Entries(m)
 	if err != nil {
 		d.log.Error(err, "a committed configuration cannot be cut")
 		return
 	}
+	t := routeconfig.Compile(m)
 	f := &d.feed
 	f.mu.Lock()
 	if c, newer := f.configuration.Commit(version, entries); newer {
+		d.table.Store(t)
 		f.own.configuration, f.down.configuration = append(f.own.configuration, c), append(f.down.configuration, c)
 	}
 	f.mu.Unlock()
