--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -145,6 +145,7 @@
 	go loop.Every(live, rolloutPeriod, func() { d.rollouts.step(live) })
 	go d.flushFeed(live)
 	go d.settleRegisters(live)
+	go d.finishRounds(live)
 	if d.disk != nil {
 		go d.keepRunners(live)
 	}
@@ -204,10 +205,6 @@
 		var body messages.ConfigBody
 		if _, err := body.UnmarshalMsg(v.Body); err == nil && body.Version > 0 {
 			if m, err := routeconfig.ReadTaken(body.Raw); err == nil {
-				t := routeconfig.Compile(m)
-				if cur := d.table.Load(); cur == nil || cur.Version < t.Version {
-					d.table.Store(t)
-				}
 				d.publishConfig(v.Version, m)
 			}
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,8 +42,7 @@
 
 	nmu           sync.Mutex
 	parts         map[int]messages.PartNote
-	configuration *statesync.Entries
-	assembly      routeconfig.Assembly
+	configuration *routeconfig.Replica
 	runners       *statesync.Entries // as the parent has them
 	news          stats
 
@@ -60,7 +59,9 @@
 	stir      chan struct{} // this node's loads have changed
 	missing   chan struct{} // a runner was not at its address
 
-	recheckedUs atomic.Int64
+	currency    currencyChecks
+	comparisons *dissemination.Comparisons
+	heardUs     atomic.Int64 // when the parent, in reach of the core, last sent a feed
 
 	trail    compliance.Trail
 	seeds    atomic.Pointer[[]string]
@@ -78,8 +79,9 @@
 		return nil, err
 	}
 	c := &Router{set: set, log: log, clock: clock, transport: trans, registry: registry.New(), connPool: upstream.NewConnPool(clock), parts: map[int]messages.PartNote{}, admission: admission.New(admission.Defaults, set.Zone), budgets: map[string]*upstream.Budget{}, kick: make(chan struct{}, 1), fresh: make(chan struct{}, 1), stir: make(chan struct{}, 1), missing: make(chan struct{}, 1)}
-	c.configuration, c.runners = statesync.NewEntries(), statesync.NewEntries()
+	c.configuration, c.runners = routeconfig.NewReplica(), statesync.NewEntries()
 	c.loads.init(clock())
+	c.comparisons = dissemination.NewComparisons(rand.IntN(64))
 	none := ""
 	c.parent.Store(&none)
 	c.admission.MarkUs = int64(set.Bounds.VersionMs)*1000 - 2_300_000
@@ -103,7 +105,7 @@
 	c.transport.Run(live)
 	go c.monitor.Run(live)
 	go c.up.Listen(live, c.transport)
-	go loop.Every(live, compareEvery, c.compareVersions(live))
+	go loop.Every(live, c.convergeTime()/compareParts, c.compareVersions(live))
 	go c.tellLoads(live)
 	go loop.Every(live, time.Second, func() { c.connPool.Sweep(func(string) bool { return true }) })
 	go loop.Every(live, forgetEvery, c.forgetUnlisted)
@@ -148,13 +150,15 @@
 	return set.SeedAddrs()
 }
 
-// syncAdmission brings the admission control to the runners and services that are known.
+// syncAdmission brings the admission control to the runners and services that are
+// known. Several feeds may be taken in at the same time; what is known is read
+// under the lock, so that the last to get it leaves the newest behind.
 func (c *Router) syncAdmission() {
-	t := c.table.Load()
-	snap := c.registry.Snapshot()
 	c.loads.anew()
 	c.dmu.Lock()
 	defer c.dmu.Unlock()
+	t := c.table.Load()
+	snap := c.registry.Snapshot()
 	if t != nil {
 		c.admission.SetRelinquished(t.Relinquished, c.clock())
 	}
@@ -228,107 +232,11 @@
 // forgetEvery is how often runners that the parent no longer lists are looked for.
 const forgetEvery = 5 * time.Second
 
-// compareEvery is how often a router asks a controller that is not its parent
-// for its versions. What it lacks reaches it through its parent; this covers a
-// parent that is on the wrong side of a cut and does not know it.
-const compareEvery = 500 * time.Millisecond
-
-// compareVersions asks the controllers in turn what they hold, and takes what is
-// newer.
-func (c *Router) compareVersions(ctx context.Context) func() {
-	turn, differs := rand.IntN(64), 0
-	return func() {
-		list := c.aliveDispatches()
-		for i, addr := range list {
-			if len(list) > 1 && addr == *c.parent.Load() {
-				list = append(list[:i:i], list[i+1:]...)
-				break
-			}
-		}
-		if len(list) == 0 {
-			return
-		}
-		turn++
-		m, ok := c.compareWith(ctx, list[turn%len(list)], differs%4 == 2)
-		if !ok {
-			return
-		}
-		if m.RegistrySum != c.registry.Snapshot().Sum {
-			differs++
-		} else {
-			differs = 0
-		}
-	}
-}
-
-func (c *Router) aliveDispatches() []string {
-	var list []string
-	for _, p := range membership.Core(c.monitor.Alive(messages.Controller)) {
-		if p.Status == messages.Alive {
-			list = append(list, p.Addr)
-		}
-	}
-	return list
-}
-
-// compareWith asks one controller for its versions and takes the changes since
-// this node's from it where it has something newer; all runners with anyway.
-func (c *Router) compareWith(ctx context.Context, addr string, anyway bool) (m messages.Versions, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
-	defer cancel()
-	b, err := c.transport.Call(ctx, addr, transport.KindVersions, &messages.Versions{Parts: []int64{}})
-	if err != nil {
-		return m, false
-	}
-	if _, err := m.UnmarshalMsg(b); err != nil {
-		return m, false
-	}
-	c.calm(m.CalmUs)
-	if !c.behind(m.Parts) && !anyway {
-		return m, true
-	}
-	h := c.hold()
-	h.ConfigOnly, h.Kept = true, nil
-	if !anyway {
-		h.Registry.Epoch = -1
-	}
-	if b, err = c.transport.Call(ctx, addr, transport.KindSince, &h); err != nil {
-		return m, false
-	}
-	var f messages.Feed
-	if _, err := f.UnmarshalMsg(b); err == nil {
-		c.take("", f)
-	}
-	return m, true
-}
-
 // contactPartUs is how long after the last change in the core the stretch begins
 // in which runners must come to new weights: the time of contact, less what the
 // controllers may have taken to see the change.
 func contactPartUs(contactMs int) int64 { return int64(contactMs) * 1000 / 2 }
 
-// recheckUs is how seldom a node asks before it rejects an unknown route or key.
-const recheckUs = 200_000
-
-// recheck makes sure, before a proper request may be rejected for a configuration
-// that is on its way, that no controller in reach has a newer one. It tells
-// whether the table has changed.
-func (c *Router) recheck() bool {
-	last, now := c.recheckedUs.Load(), c.clock()
-	if now-last < recheckUs || !c.recheckedUs.CompareAndSwap(last, now) {
-		return false
-	}
-	before := c.table.Load()
-	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
-	defer cancel()
-	var wg sync.WaitGroup
-	for _, addr := range c.aliveDispatches() {
-		wg.Go(func() { c.compareWith(ctx, addr, false) })
-	}
-	wg.Wait()
-	return c.table.Load() != before
-}
-
 func (c *Router) wake() { poke(c.kick) }
 
 func poke(ch chan struct{}) {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -24,6 +24,8 @@
 	JoinUnconfirmed      bool // members are taken in unasked whether they hold the value
 	TrustUnusedClaim     bool // a claim that was never acted under counts as one that was
 	OrderWithoutBound    bool // a roll-out goes on only as runners are back
+	LeaveUnfinished      bool // nobody ends the round of a proposer that has ended
+	NeverCompare         bool // routers rely on their place in the tree
 }
 
 // Cluster is everything in one history.
