--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -314,6 +314,9 @@
 		reject(c, 503, "", err.Error())
 		return
 	}
+	if err == nil {
+		d.targets.named(w.Model, w.Version, d.clock())
+	}
 	c.JSON(200, w)
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,6 +49,7 @@
 	heardUs map[string]int64 // when a runner's events or report last came
 
 	rollouts rollouts
+	targets  namedTargets
 	calm     calm
 	repairs  repairs
 	contact  contact
@@ -211,12 +212,13 @@
 		}
 	}
 	if p != consensus.ConfigPart {
+		d.committedTargets(v)
 		d.tellPart(messages.PartNote{Part: p, Version: v.Version, Body: v.Body})
 	}
 }
 
 func (d *Controller) versions() messages.Versions {
-	m := messages.Versions{Parts: make([]int64, consensus.Parts), RegistrySum: d.registry.Snapshot().Sum, Controller: true, CalmUs: d.calm.forUs(d.clock()), MemberID: d.registers.ID()}
+	m := messages.Versions{Parts: make([]int64, consensus.Parts), RegistrySum: d.registry.Snapshot().Sum, Controller: true, CalmUs: d.calm.forUs(d.clock()), MemberID: d.registers.ID(), CutOff: d.cutOff(), TargetAges: d.targets.ages(d.clock())}
 	for p := range m.Parts {
 		m.Parts[p] = -1
 		if v, ok := d.registers.Committed(p); ok {
@@ -294,6 +296,7 @@
 			if _, err := m.UnmarshalMsg(b); err != nil {
 				return
 			}
+			d.targets.observe(m.TargetAges, d.clock())
 			d.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // the earlier format has none
 			for part := range min(len(m.Parts), consensus.Parts) {
 				if m.Parts[part] > mine.Parts[part] {
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -247,6 +247,10 @@
 		down.Loads = append(down.Loads, statesync.SendLoads(f.all.Total.Commit(f.all.Total.Version+1)))
 	}
 	rest := d.clock()-f.sentUs > restUs
+	if rest || len(down.Parts) > 0 {
+		up.TargetAges = d.targets.ages(d.clock())
+		down.TargetAges = up.TargetAges
+	}
 	if rest || something(&up) {
 		d.publisher.Publish(dissemination.ToControllers, up)
 	}
@@ -272,7 +276,8 @@
 // this controller starts, only the configuration is withheld: runners are told of
 // as they come, and one that was missed at first would be asked for late.
 func (d *Controller) since(h messages.Hold) messages.Feed {
-	out := messages.Feed{CalmUs: d.calm.forUs(d.clock()), CutOff: d.cutOff()}
+	d.targets.observe(h.TargetAges, d.clock())
+	out := messages.Feed{CalmUs: d.calm.forUs(d.clock()), CutOff: d.cutOff(), TargetAges: d.targets.ages(d.clock())}
 	withheld := newcomer(h) && !h.Anything && !d.inContact()
 	if withheld && !d.starting() {
 		out.Versions = d.told()
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -134,6 +134,7 @@
 	fits = true
 	f := &d.feed
 	d.pullNewer(addr, in.Versions)
+	d.targets.observe(in.TargetAges, now)
 	var changed []string
 	for _, c := range in.Registry {
 		ch := statesync.HearEntries(c)
--- /dev/null
+++ b/internal/controller/targets.go
@@ -0,0 +1,72 @@
+// Named weights: this controller's record of how long ago the newest version of
+// each model's weights was acknowledged. The register says which version that is
+// and is durable; the moment is not, since no clock is shared between two lives of
+// a process. It is therefore told to the other controllers and to all routers,
+// and a controller that restarts learns it from any of them.
+package controller
+
+import (
+	"sync"
+
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/targets"
+)
+
+// namedTargets is the record, safe for concurrent use.
+type namedTargets struct {
+	mu    sync.Mutex
+	table targets.Table
+}
+
+// committed notes the versions in a register that are new here; a register also
+// changes for other reasons. What a process finds as it starts was named before
+// it began.
+func (n *namedTargets) committed(list []messages.Target, starting bool, nowUs int64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, t := range list {
+		if t.Version <= n.table.Newest(t.Model).Version {
+			continue
+		}
+		if starting {
+			n.table.Recall(t.Model, t.Version, nowUs)
+		} else {
+			n.table.Named(t.Model, t.Version, nowUs)
+		}
+	}
+}
+
+// named notes a version that this controller is about to acknowledge.
+func (n *namedTargets) named(model string, version, nowUs int64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.table.Named(model, version, nowUs)
+}
+
+// observe takes the ages that another node has sent.
+func (n *namedTargets) observe(ages []messages.TargetAge, nowUs int64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.table.Observe(ages, nowUs)
+}
+
+// ages are those of all targets now, for other nodes.
+func (n *namedTargets) ages(nowUs int64) []messages.TargetAge {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.table.Ages(nowUs)
+}
+
+// of is the newest target of a model.
+func (n *namedTargets) of(model string) targets.Target {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.table.Newest(model)
+}
+
+// committedTargets notes the versions that a register names.
+func (d *Controller) committedTargets(v messages.Value) {
+	if body, err := leaseBody(v); err == nil {
+		d.targets.committed(body.Targets, d.starting(), d.clock())
+	}
+}
--- a/internal/messages/msgp.gen.go
+++ b/internal/messages/msgp.gen.go
@@ -1277,85 +1277,100 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *Feed) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 10
+	// map header, size 12
+	// string "a"
+	o = append(o, 0x8c, 0xa1, 0x61)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.TargetAges)))
+	for za0001 := range z.TargetAges {
+		// map header, size 3
+		// string "a"
+		o = append(o, 0x83, 0xa1, 0x61)
+		o = msgp.AppendInt64(o, z.TargetAges[za0001].AgeUs)
+		// string "m"
+		o = append(o, 0xa1, 0x6d)
+		o = msgp.AppendString(o, z.TargetAges[za0001].Model)
+		// string "v"
+		o = append(o, 0xa1, 0x76)
+		o = msgp.AppendInt64(o, z.TargetAges[za0001].Version)
+	}
 	// string "c"
-	o = append(o, 0x8a, 0xa1, 0x63)
+	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Coming)))
-	for za0001 := range z.Coming {
-		o, err = z.Coming[za0001].MarshalMsg(o)
+	for za0002 := range z.Coming {
+		o, err = z.Coming[za0002].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Coming", za0001)
+			err = msgp.WrapError(err, "Coming", za0002)
 			return
 		}
 	}
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Kept)))
-	for za0002 := range z.Kept {
-		o, err = z.Kept[za0002].MarshalMsg(o)
+	for za0003 := range z.Kept {
+		o, err = z.Kept[za0003].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Kept", za0002)
+			err = msgp.WrapError(err, "Kept", za0003)
 			return
 		}
 	}
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
-	for za0003 := range z.Loads {
-		o, err = z.Loads[za0003].MarshalMsg(o)
+	for za0004 := range z.Loads {
+		o, err = z.Loads[za0004].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0003)
+			err = msgp.WrapError(err, "Loads", za0004)
 			return
 		}
 	}
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Versions)))
-	for za0004 := range z.Versions {
-		o = msgp.AppendInt64(o, z.Versions[za0004])
+	for za0005 := range z.Versions {
+		o = msgp.AppendInt64(o, z.Versions[za0005])
 	}
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Configuration)))
-	for za0005 := range z.Configuration {
-		o, err = z.Configuration[za0005].MarshalMsg(o)
+	for za0006 := range z.Configuration {
+		o, err = z.Configuration[za0006].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Configuration", za0005)
+			err = msgp.WrapError(err, "Configuration", za0006)
 			return
 		}
 	}
 	// string "o"
 	o = append(o, 0xa1, 0x6f)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Reports)))
-	for za0006 := range z.Reports {
-		o, err = z.Reports[za0006].MarshalMsg(o)
+	for za0007 := range z.Reports {
+		o, err = z.Reports[za0007].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Reports", za0006)
+			err = msgp.WrapError(err, "Reports", za0007)
 			return
 		}
 	}
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Parts)))
-	for za0007 := range z.Parts {
+	for za0008 := range z.Parts {
 		// map header, size 3
 		// string "b"
 		o = append(o, 0x83, 0xa1, 0x62)
-		o = msgp.AppendBytes(o, z.Parts[za0007].Body)
+		o = msgp.AppendBytes(o, z.Parts[za0008].Body)
 		// string "m"
 		o = append(o, 0xa1, 0x6d)
-		o = msgp.AppendInt64(o, z.Parts[za0007].Version)
+		o = msgp.AppendInt64(o, z.Parts[za0008].Version)
 		// string "p"
 		o = append(o, 0xa1, 0x70)
-		o = msgp.AppendInt(o, z.Parts[za0007].Part)
+		o = msgp.AppendInt(o, z.Parts[za0008].Part)
 	}
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Registry)))
-	for za0008 := range z.Registry {
-		o, err = z.Registry[za0008].MarshalMsg(o)
+	for za0009 := range z.Registry {
+		o, err = z.Registry[za0009].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Registry", za0008)
+			err = msgp.WrapError(err, "Registry", za0009)
 			return
 		}
 	}
@@ -1365,6 +1380,9 @@
 	// string "x"
 	o = append(o, 0xa1, 0x78)
 	o = msgp.AppendBool(o, z.CutOff)
+	// string "y"
+	o = append(o, 0xa1, 0x79)
+	o = msgp.AppendBool(o, z.FromRelay)
 	return
 }
 
@@ -1386,190 +1404,244 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "c":
+		case "a":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "TargetAges")
+				return
+			}
+			if cap(z.TargetAges) >= int(zb0002) {
+				z.TargetAges = (z.TargetAges)[:zb0002]
+			} else {
+				z.TargetAges = make([]TargetAge, zb0002)
+			}
+			for za0001 := range z.TargetAges {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "TargetAges", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "TargetAges", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "a":
+						z.TargetAges[za0001].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001, "AgeUs")
+							return
+						}
+					case "m":
+						z.TargetAges[za0001].Model, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001, "Model")
+							return
+						}
+					case "v":
+						z.TargetAges[za0001].Version, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001, "Version")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "c":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Coming")
 				return
 			}
-			if cap(z.Coming) >= int(zb0002) {
-				z.Coming = (z.Coming)[:zb0002]
+			if cap(z.Coming) >= int(zb0004) {
+				z.Coming = (z.Coming)[:zb0004]
 			} else {
-				z.Coming = make([]KeptNote, zb0002)
+				z.Coming = make([]KeptNote, zb0004)
 			}
-			for za0001 := range z.Coming {
-				bts, err = z.Coming[za0001].UnmarshalMsg(bts)
+			for za0002 := range z.Coming {
+				bts, err = z.Coming[za0002].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Coming", za0001)
+					err = msgp.WrapError(err, "Coming", za0002)
 					return
 				}
 			}
 		case "k":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Kept")
 				return
 			}
-			if cap(z.Kept) >= int(zb0003) {
-				z.Kept = (z.Kept)[:zb0003]
+			if cap(z.Kept) >= int(zb0005) {
+				z.Kept = (z.Kept)[:zb0005]
 			} else {
-				z.Kept = make([]KeptChange, zb0003)
+				z.Kept = make([]KeptChange, zb0005)
 			}
-			for za0002 := range z.Kept {
-				bts, err = z.Kept[za0002].UnmarshalMsg(bts)
+			for za0003 := range z.Kept {
+				bts, err = z.Kept[za0003].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Kept", za0002)
+					err = msgp.WrapError(err, "Kept", za0003)
 					return
 				}
 			}
 		case "l":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0006 uint32
+			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Loads")
 				return
 			}
-			if cap(z.Loads) >= int(zb0004) {
-				z.Loads = (z.Loads)[:zb0004]
+			if cap(z.Loads) >= int(zb0006) {
+				z.Loads = (z.Loads)[:zb0006]
 			} else {
-				z.Loads = make([]LoadChange, zb0004)
+				z.Loads = make([]LoadChange, zb0006)
 			}
-			for za0003 := range z.Loads {
-				bts, err = z.Loads[za0003].UnmarshalMsg(bts)
+			for za0004 := range z.Loads {
+				bts, err = z.Loads[za0004].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0003)
+					err = msgp.WrapError(err, "Loads", za0004)
 					return
 				}
 			}
 		case "m":
-			var zb0005 uint32
-			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0007 uint32
+			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Versions")
 				return
 			}
-			if cap(z.Versions) >= int(zb0005) {
-				z.Versions = (z.Versions)[:zb0005]
+			if cap(z.Versions) >= int(zb0007) {
+				z.Versions = (z.Versions)[:zb0007]
 			} else {
-				z.Versions = make([]int64, zb0005)
+				z.Versions = make([]int64, zb0007)
 			}
-			for za0004 := range z.Versions {
-				z.Versions[za0004], bts, err = msgp.ReadInt64Bytes(bts)
+			for za0005 := range z.Versions {
+				z.Versions[za0005], bts, err = msgp.ReadInt64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Versions", za0004)
+					err = msgp.WrapError(err, "Versions", za0005)
 					return
 				}
 			}
 		case "n":
-			var zb0006 uint32
-			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0008 uint32
+			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Configuration")
 				return
 			}
-			if cap(z.Configuration) >= int(zb0006) {
-				z.Configuration = (z.Configuration)[:zb0006]
+			if cap(z.Configuration) >= int(zb0008) {
+				z.Configuration = (z.Configuration)[:zb0008]
 			} else {
-				z.Configuration = make([]EntryChange, zb0006)
+				z.Configuration = make([]EntryChange, zb0008)
 			}
-			for za0005 := range z.Configuration {
-				bts, err = z.Configuration[za0005].UnmarshalMsg(bts)
+			for za0006 := range z.Configuration {
+				bts, err = z.Configuration[za0006].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Configuration", za0005)
+					err = msgp.WrapError(err, "Configuration", za0006)
 					return
 				}
 			}
 		case "o":
-			var zb0007 uint32
-			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0009 uint32
+			zb0009, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Reports")
 				return
 			}
-			if cap(z.Reports) >= int(zb0007) {
-				z.Reports = (z.Reports)[:zb0007]
+			if cap(z.Reports) >= int(zb0009) {
+				z.Reports = (z.Reports)[:zb0009]
 			} else {
-				z.Reports = make([]ReportNote, zb0007)
+				z.Reports = make([]ReportNote, zb0009)
 			}
-			for za0006 := range z.Reports {
-				bts, err = z.Reports[za0006].UnmarshalMsg(bts)
+			for za0007 := range z.Reports {
+				bts, err = z.Reports[za0007].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Reports", za0006)
+					err = msgp.WrapError(err, "Reports", za0007)
 					return
 				}
 			}
 		case "p":
-			var zb0008 uint32
-			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0010 uint32
+			zb0010, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Parts")
 				return
 			}
-			if cap(z.Parts) >= int(zb0008) {
-				z.Parts = (z.Parts)[:zb0008]
+			if cap(z.Parts) >= int(zb0010) {
+				z.Parts = (z.Parts)[:zb0010]
 			} else {
-				z.Parts = make([]PartNote, zb0008)
+				z.Parts = make([]PartNote, zb0010)
 			}
-			for za0007 := range z.Parts {
-				var zb0009 uint32
-				zb0009, bts, err = msgp.ReadMapHeaderBytes(bts)
+			for za0008 := range z.Parts {
+				var zb0011 uint32
+				zb0011, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Parts", za0007)
+					err = msgp.WrapError(err, "Parts", za0008)
 					return
 				}
-				for zb0009 > 0 {
-					zb0009--
+				for zb0011 > 0 {
+					zb0011--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Parts", za0007)
+						err = msgp.WrapError(err, "Parts", za0008)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "b":
-						z.Parts[za0007].Body, bts, err = msgp.ReadBytesBytes(bts, z.Parts[za0007].Body)
+						z.Parts[za0008].Body, bts, err = msgp.ReadBytesBytes(bts, z.Parts[za0008].Body)
 						if err != nil {
-							err = msgp.WrapError(err, "Parts", za0007, "Body")
+							err = msgp.WrapError(err, "Parts", za0008, "Body")
 							return
 						}
 					case "m":
-						z.Parts[za0007].Version, bts, err = msgp.ReadInt64Bytes(bts)
+						z.Parts[za0008].Version, bts, err = msgp.ReadInt64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Parts", za0007, "Version")
+							err = msgp.WrapError(err, "Parts", za0008, "Version")
 							return
 						}
 					case "p":
-						z.Parts[za0007].Part, bts, err = msgp.ReadIntBytes(bts)
+						z.Parts[za0008].Part, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Parts", za0007, "Part")
+							err = msgp.WrapError(err, "Parts", za0008, "Part")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Parts", za0007)
+							err = msgp.WrapError(err, "Parts", za0008)
 							return
 						}
 					}
 				}
 			}
 		case "r":
-			var zb0010 uint32
-			zb0010, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0012 uint32
+			zb0012, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Registry")
 				return
 			}
-			if cap(z.Registry) >= int(zb0010) {
-				z.Registry = (z.Registry)[:zb0010]
+			if cap(z.Registry) >= int(zb0012) {
+				z.Registry = (z.Registry)[:zb0012]
 			} else {
-				z.Registry = make([]EntryChange, zb0010)
+				z.Registry = make([]EntryChange, zb0012)
 			}
-			for za0008 := range z.Registry {
-				bts, err = z.Registry[za0008].UnmarshalMsg(bts)
+			for za0009 := range z.Registry {
+				bts, err = z.Registry[za0009].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Registry", za0008)
+					err = msgp.WrapError(err, "Registry", za0009)
 					return
 				}
 			}
@@ -1585,6 +1657,12 @@
 				err = msgp.WrapError(err, "CutOff")
 				return
 			}
+		case "y":
+			z.FromRelay, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "FromRelay")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1600,34 +1678,38 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Feed) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Coming {
-		s += z.Coming[za0001].Msgsize()
+	for za0001 := range z.TargetAges {
+		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.TargetAges[za0001].Model) + 2 + msgp.Int64Size
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Kept {
-		s += z.Kept[za0002].Msgsize()
+	for za0002 := range z.Coming {
+		s += z.Coming[za0002].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Loads {
-		s += z.Loads[za0003].Msgsize()
+	for za0003 := range z.Kept {
+		s += z.Kept[za0003].Msgsize()
+	}
+	s += 2 + msgp.ArrayHeaderSize
+	for za0004 := range z.Loads {
+		s += z.Loads[za0004].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize + (len(z.Versions) * (msgp.Int64Size)) + 2 + msgp.ArrayHeaderSize
-	for za0005 := range z.Configuration {
-		s += z.Configuration[za0005].Msgsize()
+	for za0006 := range z.Configuration {
+		s += z.Configuration[za0006].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0006 := range z.Reports {
-		s += z.Reports[za0006].Msgsize()
+	for za0007 := range z.Reports {
+		s += z.Reports[za0007].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0007 := range z.Parts {
-		s += 1 + 2 + msgp.BytesPrefixSize + len(z.Parts[za0007].Body) + 2 + msgp.Int64Size + 2 + msgp.IntSize
+	for za0008 := range z.Parts {
+		s += 1 + 2 + msgp.BytesPrefixSize + len(z.Parts[za0008].Body) + 2 + msgp.Int64Size + 2 + msgp.IntSize
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0008 := range z.Registry {
-		s += z.Registry[za0008].Msgsize()
+	for za0009 := range z.Registry {
+		s += z.Registry[za0009].Msgsize()
 	}
-	s += 2 + msgp.Int64Size + 2 + msgp.BoolSize
+	s += 2 + msgp.Int64Size + 2 + msgp.BoolSize + 2 + msgp.BoolSize
 	return
 }
 
@@ -1713,9 +1795,9 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *Hold) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 8
+	// map header, size 9
 	// string "a"
-	o = append(o, 0x88, 0xa1, 0x61)
+	o = append(o, 0x89, 0xa1, 0x61)
 	o = msgp.AppendBool(o, z.Anything)
 	// string "d"
 	o = append(o, 0xa1, 0x64)
@@ -1780,6 +1862,21 @@
 	// string "t"
 	o = append(o, 0xa1, 0x74)
 	o = msgp.AppendInt64(o, z.Registry.Version)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.TargetAges)))
+	for za0003 := range z.TargetAges {
+		// map header, size 3
+		// string "a"
+		o = append(o, 0x83, 0xa1, 0x61)
+		o = msgp.AppendInt64(o, z.TargetAges[za0003].AgeUs)
+		// string "m"
+		o = append(o, 0xa1, 0x6d)
+		o = msgp.AppendString(o, z.TargetAges[za0003].Model)
+		// string "v"
+		o = append(o, 0xa1, 0x76)
+		o = msgp.AppendInt64(o, z.TargetAges[za0003].Version)
+	}
 	return
 }
 
@@ -2015,6 +2112,60 @@
 					}
 				}
 			}
+		case "t":
+			var zb0008 uint32
+			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "TargetAges")
+				return
+			}
+			if cap(z.TargetAges) >= int(zb0008) {
+				z.TargetAges = (z.TargetAges)[:zb0008]
+			} else {
+				z.TargetAges = make([]TargetAge, zb0008)
+			}
+			for za0003 := range z.TargetAges {
+				var zb0009 uint32
+				zb0009, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "TargetAges", za0003)
+					return
+				}
+				for zb0009 > 0 {
+					zb0009--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "TargetAges", za0003)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "a":
+						z.TargetAges[za0003].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0003, "AgeUs")
+							return
+						}
+					case "m":
+						z.TargetAges[za0003].Model, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0003, "Model")
+							return
+						}
+					case "v":
+						z.TargetAges[za0003].Version, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0003, "Version")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0003)
+							return
+						}
+					}
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -2033,7 +2184,10 @@
 	for za0001 := range z.Kept {
 		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Kept[za0001].ID) + 2 + msgp.Int64Size
 	}
-	s += 2 + 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Loads.ID) + 2 + msgp.Int64Size + 2 + 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Configuration.ID) + 2 + msgp.Int64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize + (len(z.Parts) * (msgp.Int64Size)) + 2 + 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Registry.ID) + 2 + msgp.Int64Size
+	s += 2 + 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Loads.ID) + 2 + msgp.Int64Size + 2 + 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Configuration.ID) + 2 + msgp.Int64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize + (len(z.Parts) * (msgp.Int64Size)) + 2 + 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Registry.ID) + 2 + msgp.Int64Size + 2 + msgp.ArrayHeaderSize
+	for za0003 := range z.TargetAges {
+		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.TargetAges[za0003].Model) + 2 + msgp.Int64Size
+	}
 	return
 }
 
@@ -4109,6 +4263,76 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z TargetAge) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "a"
+	o = append(o, 0x83, 0xa1, 0x61)
+	o = msgp.AppendInt64(o, z.AgeUs)
+	// string "m"
+	o = append(o, 0xa1, 0x6d)
+	o = msgp.AppendString(o, z.Model)
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o = msgp.AppendInt64(o, z.Version)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *TargetAge) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "a":
+			z.AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "AgeUs")
+				return
+			}
+		case "m":
+			z.Model, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Model")
+				return
+			}
+		case "v":
+			z.Version, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z TargetAge) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.Int64Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Told) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -4421,9 +4645,24 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *Versions) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
+	// map header, size 7
+	// string "a"
+	o = append(o, 0x87, 0xa1, 0x61)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.TargetAges)))
+	for za0001 := range z.TargetAges {
+		// map header, size 3
+		// string "a"
+		o = append(o, 0x83, 0xa1, 0x61)
+		o = msgp.AppendInt64(o, z.TargetAges[za0001].AgeUs)
+		// string "m"
+		o = append(o, 0xa1, 0x6d)
+		o = msgp.AppendString(o, z.TargetAges[za0001].Model)
+		// string "v"
+		o = append(o, 0xa1, 0x76)
+		o = msgp.AppendInt64(o, z.TargetAges[za0001].Version)
+	}
 	// string "d"
-	o = append(o, 0x85, 0xa1, 0x64)
+	o = append(o, 0xa1, 0x64)
 	o = msgp.AppendBool(o, z.Controller)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
@@ -4431,8 +4670,8 @@
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Parts)))
-	for za0001 := range z.Parts {
-		o = msgp.AppendInt64(o, z.Parts[za0001])
+	for za0002 := range z.Parts {
+		o = msgp.AppendInt64(o, z.Parts[za0002])
 	}
 	// string "r"
 	o = append(o, 0xa1, 0x72)
@@ -4440,6 +4679,9 @@
 	// string "u"
 	o = append(o, 0xa1, 0x75)
 	o = msgp.AppendInt64(o, z.CalmUs)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendBool(o, z.CutOff)
 	return
 }
 
@@ -4461,6 +4703,60 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "a":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "TargetAges")
+				return
+			}
+			if cap(z.TargetAges) >= int(zb0002) {
+				z.TargetAges = (z.TargetAges)[:zb0002]
+			} else {
+				z.TargetAges = make([]TargetAge, zb0002)
+			}
+			for za0001 := range z.TargetAges {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "TargetAges", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "TargetAges", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "a":
+						z.TargetAges[za0001].AgeUs, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001, "AgeUs")
+							return
+						}
+					case "m":
+						z.TargetAges[za0001].Model, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001, "Model")
+							return
+						}
+					case "v":
+						z.TargetAges[za0001].Version, bts, err = msgp.ReadInt64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001, "Version")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "TargetAges", za0001)
+							return
+						}
+					}
+				}
+			}
 		case "d":
 			z.Controller, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
@@ -4474,21 +4770,21 @@
 				return
 			}
 		case "p":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Parts")
 				return
 			}
-			if cap(z.Parts) >= int(zb0002) {
-				z.Parts = (z.Parts)[:zb0002]
+			if cap(z.Parts) >= int(zb0004) {
+				z.Parts = (z.Parts)[:zb0004]
 			} else {
-				z.Parts = make([]int64, zb0002)
+				z.Parts = make([]int64, zb0004)
 			}
-			for za0001 := range z.Parts {
-				z.Parts[za0001], bts, err = msgp.ReadInt64Bytes(bts)
+			for za0002 := range z.Parts {
+				z.Parts[za0002], bts, err = msgp.ReadInt64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Parts", za0001)
+					err = msgp.WrapError(err, "Parts", za0002)
 					return
 				}
 			}
@@ -4504,6 +4800,12 @@
 				err = msgp.WrapError(err, "CalmUs")
 				return
 			}
+		case "x":
+			z.CutOff, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "CutOff")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -4518,6 +4820,10 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Versions) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.MemberID) + 2 + msgp.ArrayHeaderSize + (len(z.Parts) * (msgp.Int64Size)) + 2 + msgp.Uint64Size + 2 + msgp.Int64Size
+	s = 1 + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.TargetAges {
+		s += 1 + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.TargetAges[za0001].Model) + 2 + msgp.Int64Size
+	}
+	s += 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.MemberID) + 2 + msgp.ArrayHeaderSize + (len(z.Parts) * (msgp.Int64Size)) + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + msgp.BoolSize
 	return
 }
--- a/internal/messages/types.gen.go
+++ b/internal/messages/types.gen.go
@@ -200,6 +200,7 @@
 
 // Feed what a node sends down the tree; versions of parts go along with every one
 type Feed struct {
+	TargetAges    []TargetAge   `msg:"a"`
 	Coming        []KeptNote    `msg:"c"`
 	Kept          []KeptChange  `msg:"k"`
 	Loads         []LoadChange  `msg:"l"`
@@ -210,6 +211,9 @@
 	Registry      []EntryChange `msg:"r"`
 	CalmUs        int64         `msg:"u"`
 	CutOff        bool          `msg:"x"`
+
+	// FromRelay a relay put it together from what it holds; no controller need be in reach
+	FromRelay bool `msg:"y"`
 }
 
 // Frame defines model for Frame.
@@ -237,6 +241,9 @@
 
 	// Registry how much of a stream a receiver holds
 	Registry StreamHold `msg:"r"`
+
+	// TargetAges a sender that has restarted learns them from its receivers
+	TargetAges []TargetAge `msg:"t"`
 }
 
 // KeptChange parts that a runner keeps now; 0 tokens mean that it keeps one no longer
@@ -404,6 +411,14 @@
 	Version int64  `msg:"v"`
 }
 
+// TargetAge how long ago the newest version of a model's weights was acknowledged
+type TargetAge struct {
+	// AgeUs in microseconds, by the sender's monotonic clock; below 0: the sender does not know
+	AgeUs   int64  `msg:"a"`
+	Model   string `msg:"m"`
+	Version int64  `msg:"v"`
+}
+
 // Told what a node sends up the tree, and the word back that it was heard
 type Told struct {
 	// Absent runners that were not at their address; a hint
@@ -426,9 +441,13 @@
 
 // Versions defines model for Versions.
 type Versions struct {
-	Controller  bool    `msg:"d"`
-	MemberID    string  `msg:"i"`
-	Parts       []int64 `msg:"p"`
-	RegistrySum uint64  `msg:"r"`
-	CalmUs      int64   `msg:"u"`
+	TargetAges  []TargetAge `msg:"a"`
+	Controller  bool        `msg:"d"`
+	MemberID    string      `msg:"i"`
+	Parts       []int64     `msg:"p"`
+	RegistrySum uint64      `msg:"r"`
+	CalmUs      int64       `msg:"u"`
+
+	// CutOff the group that holds the configuration is out of the sender's reach
+	CutOff bool `msg:"x"`
 }
