--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -10,6 +10,7 @@
 	"beechtide.org/beechtide/internal/messages"
 	"beechtide.org/beechtide/internal/placement"
 	"beechtide.org/beechtide/internal/prefixindex"
+	"beechtide.org/beechtide/internal/targets"
 )
 
 // Ask is a request at the door.
@@ -60,9 +61,6 @@
 	nodes   int
 	pools   map[string]*pool
 	tenants map[string]*tenantState
-	oldUs   map[string]int64 // by model: since when the newest version is known
-	newest  map[string]int64 // by model
-	calmUs  int64
 	left    map[string]relinquished // by zone
 	list    []placement.Candidate   // kept from one look for candidates to the next
 	who     []*runner
@@ -71,13 +69,16 @@
 	toldUs  int64               // when the others' loads last came
 	fresh   []messages.KeptNote // parts that this node has sent somewhere to be read
 	absent  []string            // runners that are not at their address, for others to hear of
-	MarkUs  int64               // after how long an older version is out of bounds
-	Salt    func(tenant string, isolated bool, regime string, version int64) string
+	Bound   WeightsBound
+	targets targets.Table
+	// contactUs is when a controller that has the core in reach was last heard of.
+	contactUs int64
+	Salt      func(tenant string, isolated bool, regime string, version int64) string
 }
 
 // New makes a admission control for a node at a zone.
 func New(t Tuning, zone string) *Controller {
-	return &Controller{T: t, Zone: zone, Index: prefixindex.NewIndex(), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, oldUs: map[string]int64{}, newest: map[string]int64{}, MarkUs: 6_000_000, Salt: Salt}
+	return &Controller{T: t, Zone: zone, Index: prefixindex.NewIndex(), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
 }
 
 // Salt keeps weight versions apart, isolated tenants from all others, and the
@@ -104,18 +105,6 @@
 // SetNodes tells how many nodes share the runners.
 func (d *Controller) SetNodes(n int) { d.nodes = max(n, 1) }
 
-// SetNewest tells the newest version named for a model.
-func (d *Controller) SetNewest(model string, version, nowUs int64) {
-	if version > d.newest[model] {
-		d.newest[model] = version
-		d.oldUs[model] = nowUs
-	}
-}
-
-// Calm tells since when the core has been calm. The time in which runners are
-// to be brought to new weights counts in one calm stretch.
-func (d *Controller) Calm(sinceUs int64) { d.calmUs = max(d.calmUs, sinceUs) }
-
 // Arrive rules on a new request.
 func (d *Controller) Arrive(a Ask, nowUs int64) Ruling {
 	p := d.pool(a.Service)
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -24,6 +24,7 @@
 	reading  bool
 	tenant   string
 	service  string
+	model    string
 	tokensIn int
 	Keys     []uint64
 	Parts    []prefixindex.Part
@@ -50,9 +51,9 @@
 		return nil
 	}
 	r, c := who[i], list[i]
-	version := markOf(r.note, a.Model)
+	version := weightsVersion(r.note, a.Model)
 	salt := d.Salt(a.Tenant, a.Isolated, a.Regime, version)
-	adm := &Admission{Runner: r.note, Salt: salt, Version: version, Kept: c.Kept, Source: c.From, atUs: nowUs, tenant: a.Tenant, service: a.Service, tokensIn: a.TokensIn, Parts: a.Parts, Keys: prefixindex.Keys(salt, a.Model, a.Parts), reading: true}
+	adm := &Admission{Runner: r.note, Salt: salt, Version: version, Kept: c.Kept, Source: c.From, atUs: nowUs, tenant: a.Tenant, service: a.Service, model: a.Model, tokensIn: a.TokensIn, Parts: a.Parts, Keys: prefixindex.Keys(salt, a.Model, a.Parts), reading: true}
 	bt := d.T.BlockTokens
 	inParts := 0
 	for j, k := range adm.Keys {
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -5,7 +5,6 @@
 import (
 	"slices"
 
-	"beechtide.org/beechtide/internal/messages"
 	"beechtide.org/beechtide/internal/placement"
 	"beechtide.org/beechtide/internal/prefixindex"
 )
@@ -42,7 +41,7 @@
 			if r.absence.out || r.note.Draining || r.barred(nowUs) || !p.lets(a, id) || avoided(a.Avoid, id) || pass != d.preference(a, r, nowUs) {
 				continue
 			}
-			if !d.markAllowed(a.Model, r, nowUs) || leaving && d.Leaves(a, r.note.Zone, nowUs) {
+			if !d.weightsAllowed(a.Model, r, nowUs) || leaving && d.Leaves(a, r.note.Zone, nowUs) {
 				continue
 			}
 			use := r.settle(&d.T, nowUs, d.nodes, told)
@@ -50,7 +49,7 @@
 			if r.busyKV || r.busyRead || r.capacity > 0 && active >= r.capacity || share > 0 && r.own.count >= share {
 				continue
 			}
-			kept := d.Index.Expected(id, keysOf(markOf(r.note, a.Model)), a.Parts)
+			kept := d.Index.Expected(id, keysOf(weightsVersion(r.note, a.Model)), a.Parts)
 			d.free = true
 			if r.blocks > 0 && active > 0 {
 				if after := use + float64(need-kept/d.T.BlockTokens)/float64(r.blocks); after > 0.98 {
@@ -144,7 +143,7 @@
 		if r.absence.out || r.note.Stale || r.avoidUntilUs > nowUs || !p.lets(a, id) {
 			continue
 		}
-		version := markOf(r.note, a.Model)
+		version := weightsVersion(r.note, a.Model)
 		kept, expected := d.Index.Both(id, keysOf(version), a.Parts)
 		add(holder{addr: r.note.Addr, zone: r.note.Zone, version: version, kept: kept, moveUs: p.moveUs})
 		known[version] = max(known[version], min(shared, expected))
@@ -162,7 +161,7 @@
 	}
 	for i := range out {
 		c := &out[i]
-		version := markOf(who[i].note, a.Model)
+		version := weightsVersion(who[i].note, a.Model)
 		best := 0.0
 		for _, h := range holders {
 			more := h.kept - c.Kept
@@ -203,21 +202,3 @@
 	}
 	return false
 }
-
-func markOf(n messages.RunnerRecord, model string) int64 {
-	for _, m := range n.Models {
-		if m.Model == model {
-			return m.Version
-		}
-	}
-	return 0
-}
-
-func (d *Controller) markAllowed(model string, r *runner, nowUs int64) bool {
-	want := d.newest[model]
-	if want == 0 || nowUs-max(d.oldUs[model], d.calmUs) < d.MarkUs {
-		return true
-	}
-	have := markOf(r.note, model)
-	return have == 0 || have >= want
-}
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -13,7 +13,7 @@
 	for _, p := range d.pools {
 		if r := p.runners[n.ID]; r != nil {
 			r.report = word{blocks: n.Used / d.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
-			r.reported = true
+			r.reported, r.queued = true, n.Queued
 			if n.Total > 0 {
 				r.blocks = n.Total / d.T.BlockTokens
 			}
--- a/internal/admission/runner.go
+++ b/internal/admission/runner.go
@@ -25,6 +25,7 @@
 	others       word // what the other nodes have there, added up
 	report       word
 	reported     bool
+	queued       int // requests that wait there, by its own report
 	rate         float64
 	barredUs     int64 // since when it has been barred; 0: it is not
 	busyKV       bool
--- /dev/null
+++ b/internal/admission/weights.go
@@ -0,0 +1,108 @@
+// Bound on old weights: from some time before a named version has to be in use
+// everywhere, nothing is sent to runners with older weights, and what was sent
+// there and has not begun is taken back.
+package admission
+
+import "beechtide.org/beechtide/internal/messages"
+
+// Margins before the moment from which nothing may begin on older weights.
+const (
+	// leastSendMarginUs is how long before that moment the last request is sent
+	// to a runner with older weights, where nothing waits at that runner.
+	leastSendMarginUs = 2_300_000
+	// mostExpectedWaitUs bounds what the wait expected at the runner adds to it.
+	mostExpectedWaitUs = 2_300_000
+	// queuedWaitUs is what each request adds that the runner reports as waiting.
+	queuedWaitUs = 400_000
+	// withdrawMarginUs is how long before that moment requests that have not
+	// begun are taken back. It covers the age's error (what it took on its way),
+	// a slow step of this process and one of the runner's.
+	withdrawMarginUs = 1_200_000
+)
+
+// WeightsBound says when older weights are no longer allowed.
+type WeightsBound struct {
+	// VersionUs is how long after the acknowledgement of a version requests may
+	// still begin on older ones.
+	VersionUs int64
+	// ContactLossUs is after how long without word from a controller that has the
+	// core in reach the bound is suspended; 0: never.
+	ContactLossUs int64
+}
+
+// AssumeTarget notes a named version that came without its age.
+func (d *Controller) AssumeTarget(model string, version, nowUs int64) {
+	d.targets.Assume(model, version, nowUs)
+}
+
+// ObserveTargets takes the ages of named versions that another node has sent.
+func (d *Controller) ObserveTargets(ages []messages.TargetAge, nowUs int64) {
+	d.targets.Observe(ages, nowUs)
+}
+
+// TargetAges gives the ages of the named versions, for other nodes.
+func (d *Controller) TargetAges(nowUs int64) []messages.TargetAge { return d.targets.Ages(nowUs) }
+
+// Contact notes that a controller that has the core in reach was heard of.
+func (d *Controller) Contact(nowUs int64) { d.contactUs = max(d.contactUs, nowUs) }
+
+// outOfContact tells whether the bound is suspended. Only this node's own loss of
+// contact does that; how the core looks to its members does not.
+func (d *Controller) outOfContact(nowUs int64) bool {
+	return d.Bound.ContactLossUs > 0 && nowUs-d.contactUs >= d.Bound.ContactLossUs
+}
+
+// pastBound tells whether a version of a model's weights is too old for requests
+// that begin marginUs from now. A version that is not known, 0, counts as older
+// than any that was named.
+func (d *Controller) pastBound(model string, version, marginUs, nowUs int64) bool {
+	if version >= d.targets.Newest(model).Version || d.outOfContact(nowUs) {
+		return false
+	}
+	return d.targets.OutdatedUs(model, version, nowUs) >= d.Bound.VersionUs-marginUs
+}
+
+// weightsAllowed tells whether a request for a model may be sent to a runner. A
+// runner whose version is not known counts as one with older weights.
+func (d *Controller) weightsAllowed(model string, r *runner, nowUs int64) bool {
+	return !d.pastBound(model, weightsVersion(r.note, model), leastSendMarginUs+r.expectedWaitUs(&d.T, nowUs), nowUs)
+}
+
+// expectedWaitUs estimates for how long a request sent now waits at the runner
+// before it begins.
+func (r *runner) expectedWaitUs(t *Tuning, nowUs int64) int64 {
+	wait := float64(r.prefill()) / r.readRate(t)
+	if r.reported && nowUs-r.report.atUs < t.ReportFreshUs {
+		wait += float64(r.queued) * queuedWaitUs
+	}
+	return int64(min(max(wait, 0), mostExpectedWaitUs))
+}
+
+// WeightsAllowed tells whether an admitted request may still be sent to its
+// runner. It goes by the version at admission, which the salt was made for and
+// which the request asks the runner for: past the bound that is never one that is
+// too old.
+func (d *Controller) WeightsAllowed(adm *Admission, nowUs int64) bool {
+	return !d.pastBound(adm.model, adm.Version, leastSendMarginUs, nowUs)
+}
+
+// MustWithdraw tells whether a request that was sent and has not begun is to be
+// taken back, because it would begin on weights that are too old by then.
+func (d *Controller) MustWithdraw(adm *Admission, nowUs int64) bool {
+	version := adm.Version
+	if r := d.pool(adm.service).runners[adm.Runner.ID]; r != nil {
+		version = max(version, weightsVersion(r.note, adm.model))
+	}
+	return d.pastBound(adm.model, version, withdrawMarginUs, nowUs)
+}
+
+// weightsVersion is the version of a model's weights that a runner is known to
+// have; 0 where none is known.
+func weightsVersion(n messages.RunnerRecord, model string) int64 {
+	for _, m := range n.Models {
+		if m.Model == model {
+			return m.Version
+		}
+	}
+	return 0
+}
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -43,13 +43,18 @@
 	h.Loads = c.loads.hold()
 	c.dmu.Lock()
 	h.Kept = c.admission.Index.Holds()
+	h.TargetAges = c.admission.TargetAges(c.clock())
 	c.dmu.Unlock()
 	return h
 }
 
 // since gives what a node below lacks.
 func (c *Router) since(h messages.Hold) messages.Feed {
-	var f messages.Feed
+	f := messages.Feed{FromRelay: true}
+	c.dmu.Lock()
+	c.admission.ObserveTargets(h.TargetAges, c.clock())
+	f.TargetAges = c.admission.TargetAges(c.clock())
+	c.dmu.Unlock()
 	c.nmu.Lock()
 	f.Versions = c.versions()
 	for p, n := range c.parts {
@@ -101,13 +106,6 @@
 	return false
 }
 
-// calm takes a controller's word on how long the core has been as it is.
-func (c *Router) calm(forUs int64) {
-	c.dmu.Lock()
-	c.admission.Calm(c.clock() - forUs + contactPartUs(c.set.Bounds.ContactMs))
-	c.dmu.Unlock()
-}
-
 // takeFeed takes what the parent sent and passes it on.
 func (c *Router) takeFeed(parent string, f messages.Feed, raw []byte) *messages.Hold {
 	c.parent.Store(&parent)
@@ -128,9 +126,7 @@
 		c.news.count(r, again)
 		fits = fits && (r == statesync.Applied || r == statesync.Known)
 	}
-	if parent != "" {
-		c.calm(f.CalmUs)
-	}
+	c.takeTargetAges(f, now)
 	changed := false
 	c.nmu.Lock()
 	for _, ch := range f.Configuration {
@@ -259,10 +255,6 @@
 		c.news.malformed.Add(1)
 		return
 	}
-	c.dmu.Lock()
-	for _, t := range body.Targets {
-		c.admission.SetNewest(t.Model, t.Version, nowUs)
-	}
-	c.dmu.Unlock()
+	c.assumeTargets(body.Targets, nowUs)
 	c.parts[p.Part] = p
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -82,7 +82,8 @@
 	c.loads.init(clock())
 	none := ""
 	c.parent.Store(&none)
-	c.admission.MarkUs = int64(set.Bounds.VersionMs)*1000 - 2_300_000
+	c.admission.Bound = admission.WeightsBound{VersionUs: int64(set.Bounds.VersionMs) * 1000, ContactLossUs: int64(set.Bounds.ContactMs) * 1000}
+	c.admission.Contact(clock())
 	c.nodes.Store(1)
 	c.publisher = dissemination.NewPublisher(trans, dissemination.Upstream{Since: c.since, Told: c.toldBelow, Gone: c.goneBelow})
 	c.up.Hold, c.up.Parents, c.up.Take = c.hold, c.parents, c.takeFeed
@@ -283,7 +284,7 @@
 	if _, err := m.UnmarshalMsg(b); err != nil {
 		return m, false
 	}
-	c.calm(m.CalmUs)
+	c.takeVersions(m)
 	if !c.behind(m.Parts) && !anyway {
 		return m, true
 	}
@@ -302,11 +303,6 @@
 	return m, true
 }
 
-// contactPartUs is how long after the last change in the core the stretch begins
-// in which runners must come to new weights: the time of contact, less what the
-// controllers may have taken to see the change.
-func contactPartUs(contactMs int) int64 { return int64(contactMs) * 1000 / 2 }
-
 // recheckUs is how seldom a node asks before it rejects an unknown route or key.
 const recheckUs = 200_000
 
--- /dev/null
+++ b/internal/router/targets.go
@@ -0,0 +1,30 @@
+// Named weights: what this router hears of the versions that were named, of how
+// long ago that was, and of the controllers that say so.
+package router
+
+import "beechtide.org/beechtide/internal/messages"
+
+// takeTargetAges takes the ages that came with a feed. A feed that a controller
+// sent which has the core in reach also shows that this node is in contact.
+func (c *Router) takeTargetAges(f messages.Feed, nowUs int64) {
+	c.dmu.Lock()
+	defer c.dmu.Unlock()
+	c.admission.ObserveTargets(f.TargetAges, nowUs)
+	if !f.CutOff && !f.FromRelay {
+		c.admission.Contact(nowUs)
+	}
+}
+
+// takeVersions takes the same from a controller's answer to a call.
+func (c *Router) takeVersions(m messages.Versions) {
+	c.takeTargetAges(messages.Feed{TargetAges: m.TargetAges, CutOff: m.CutOff}, c.clock())
+}
+
+// assumeTargets notes named versions that may have come without their ages.
+func (c *Router) assumeTargets(named []messages.Target, nowUs int64) {
+	c.dmu.Lock()
+	defer c.dmu.Unlock()
+	for _, t := range named {
+		c.admission.AssumeTarget(t.Model, t.Version, nowUs)
+	}
+}
