--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -37,7 +37,7 @@
 	r := newRunner(t)
 	c, _, _ := start(t, r)
 	v, adm, link := chosen(t, c, -1)
-	end, _ := v.put(adm, link, nil)
+	end := v.put(adm, link, nil)
 	must.Eq(t, notSent, end)
 	link.Close()
 	must.Eq(t, 0, r.count())
@@ -47,7 +47,7 @@
 	c, _, _ := start(t, newRunner(t))
 	v, adm, link := chosen(t, c, 1_000_000)
 	link.Close()
-	end, _ := v.put(adm, link, nil)
+	end := v.put(adm, link, nil)
 	must.Eq(t, notSent, end)
 }
 
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/protocol"
+	"github.com/pkg/errors"
 
 	"beechtide.org/beechtide/internal/admission"
 	"beechtide.org/beechtide/internal/compliance"
@@ -96,7 +97,7 @@
 			return false
 		}
 	}
-	return v.attempts < max(v.route.Tries, 1) && v.c.clock() < v.endUs && v.spend()
+	return v.attempts < max(v.route.Tries, 1) && !v.timeOver() && v.spend()
 }
 
 // goesOnUnsent is the same for an attempt of which nothing reached the runner: it
@@ -104,7 +105,7 @@
 func (v *visit) goesOnUnsent(runnerID string, so *course) bool {
 	v.attempts--
 	so.unsent++
-	if so.unsent >= maxUnsent || v.c.clock() >= v.endUs {
+	if so.unsent >= maxUnsent || v.timeOver() {
 		return false
 	}
 	if v.changed {
@@ -135,7 +136,7 @@
 func (v *visit) rejectFailed(so *course) {
 	switch {
 	case so.stream != nil && so.stream.started:
-	case so.ran && v.c.clock() >= v.endUs:
+	case so.ran && v.timeOver():
 		v.reject(504, "", 0)
 	case so.ran:
 		v.reject(502, "", 0)
@@ -201,7 +202,7 @@
 		c.done(adm, false)
 		return notSent, stream
 	}
-	if n, ok := c.registry.Snapshot().ByID[adm.Runner.ID]; !ok || n.Draining || c.isAbsent(adm) {
+	if !c.mayStillGo(adm) {
 		link.Close()
 		c.done(adm, true)
 		return notSent, stream
@@ -211,24 +212,29 @@
 		c.done(adm, true)
 		return notSent, stream
 	}
-	end, deadline := v.put(adm, link, stream)
+	attempt := c.sent.add(adm, link)
+	defer c.sent.remove(attempt)
+	end := v.put(adm, link, stream)
 	if end != sentWhole {
 		link.Close()
 		return end, stream
 	}
 	r := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(r)
-	if err := link.HeadFor(v.id, r, deadline); err != nil {
-		c.ended(adm, link, false, false) // silence, too, is a failure of the runner
+	if err := v.readHead(attempt, r); err != nil {
+		withdrawn := errors.Is(err, errWithdrawn)
+		if !withdrawn {
+			c.ended(adm, link, false, false) // silence, too, is a failure of the runner
+		}
 		link.Close()
-		c.done(adm, false)
+		c.done(adm, withdrawn)
 		return unknown, stream
 	}
 	status := r.StatusCode()
 	if status == statusWrongInstance {
 		_, err := upstream.ReadBody(r, mostUnwanted)
 		c.giveBack(adm, link, r, err == nil)
-		c.wrongInstance(adm)
+		c.wrongInstance(adm, otherWeights(adm, r))
 		return notRun, stream
 	}
 	if r.Header.Get(hNotRun) != "" {
@@ -254,32 +260,28 @@
 	return end, stream
 }
 
-// lateUs is how long after the client's deadline an answer may still be read.
-const lateUs = 150_000
-
 // mostUnwanted bounds the body of an answer that is not passed on.
 const mostUnwanted = 1 << 20
 
 // put sends the request. Where it has not all been sent it says what that means:
 // as long as no byte can have reached the runner, it has not run.
-func (v *visit) put(adm *admission.Admission, link *upstream.Conn, stream *answerStream) (ending, time.Time) {
+func (v *visit) put(adm *admission.Admission, link *upstream.Conn, stream *answerStream) ending {
 	c := v.c
 	leftUs := v.endUs - c.clock()
-	if leftUs <= 0 { // as after a freeze of this process
+	if leftUs <= closeLeadUs { // as after a freeze of this process
 		c.done(adm, true)
-		return notSent, time.Time{}
+		return notSent
 	}
-	deadline := time.Now().Add(time.Duration(leftUs+lateUs) * time.Microsecond)
-	sent, err := link.Send(v.head(adm, leftUs, stream), v.rc.Request.Body(), deadline)
+	sent, err := link.Send(v.head(adm, leftUs, stream), v.rc.Request.Body(), v.deadline(-closeLeadUs))
 	if err == nil {
-		return sentWhole, deadline
+		return sentWhole
 	}
 	c.ended(adm, link, false, false)
 	c.done(adm, false)
 	if sent {
-		return unknown, deadline
+		return unknown
 	}
-	return notSent, deadline
+	return notSent
 }
 
 // promises tells whether a status says that the request has not run.
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -34,6 +34,7 @@
 	hAuth       = "Authorization"
 	hRetryAfter = "Retry-After"
 	hInstance   = "Beechtide-Instance"
+	hWeights    = "Beechtide-Weight-Versions"
 )
 
 var requestRules = map[string]headerRule{
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -7,9 +7,12 @@
 import (
 	"context"
 	"net/http"
+	"strconv"
 	"sync"
 	"time"
 
+	"github.com/cloudwego/hertz/pkg/protocol"
+
 	"beechtide.org/beechtide/internal/admission"
 	"beechtide.org/beechtide/internal/loop"
 	"beechtide.org/beechtide/internal/messages"
@@ -25,18 +28,24 @@
 	missingWait  = time.Second            // for one answer
 )
 
-// isAbsent tells whether a runner has left the choice since it was chosen.
-func (c *Router) isAbsent(adm *admission.Admission) bool {
-	c.dmu.Lock()
-	defer c.dmu.Unlock()
-	return c.admission.Absent(adm)
+// otherWeights tells whether the 421 of a runner says that it is about the weights:
+// it names a version, and not the one that was asked for.
+func otherWeights(adm *admission.Admission, r *protocol.Response) bool {
+	version, err := strconv.ParseInt(r.Header.Get(hWeights), 10, 64)
+	return err == nil && adm.Version > 0 && version != adm.Version
 }
 
-// wrongInstance notes that a runner answered 421.
-func (c *Router) wrongInstance(adm *admission.Admission) {
+// wrongInstance notes that a runner answered 421. One that only has other weights
+// is there; it has no place for a short while, until its new version is known.
+func (c *Router) wrongInstance(adm *admission.Admission, otherWeights bool) {
 	expected := adm.Version > 0
+	left := false
 	c.dmu.Lock()
-	left := c.admission.WrongInstance(adm, expected, c.clock())
+	if otherWeights {
+		c.admission.Full(adm, c.clock())
+	} else {
+		left = c.admission.WrongInstance(adm, expected, c.clock())
+	}
 	c.dmu.Unlock()
 	if !left {
 		return
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -59,6 +59,7 @@
 	fresh     chan struct{} // shared parts have been sent to be read
 	stir      chan struct{} // this node's loads have changed
 	missing   chan struct{} // a runner was not at its address
+	sent      sentAttempts
 
 	recheckedUs atomic.Int64
 
@@ -110,6 +111,7 @@
 	go loop.Every(live, forgetEvery, c.forgetUnlisted)
 	go c.pump(live)
 	go c.probeMissing(live)
+	go loop.Every(live, withdrawEvery, c.withdrawFromOldWeights)
 	failed := make(chan error, 2)
 	go func() { failed <- c.serveReady() }()
 	for c.table.Load() == nil {
--- /dev/null
+++ b/internal/router/withdraw.go
@@ -0,0 +1,139 @@
+// Withdrawal of attempts: one that was sent and has not begun is taken back from
+// its runner, by closing the connection, when the weights there become too old
+// for it, and when the request's time is over. An attempt has begun once the head
+// of its answer is there. Whether one that was taken back ran is not known.
+package router
+
+import (
+	"sync"
+	"time"
+
+	"github.com/cloudwego/hertz/pkg/protocol"
+	"github.com/pkg/errors"
+
+	"beechtide.org/beechtide/internal/admission"
+	"beechtide.org/beechtide/internal/upstream"
+)
+
+// withdrawEvery is how often attempts that have not begun are looked at.
+const withdrawEvery = 50 * time.Millisecond
+
+// closeLeadUs is how long before the end of a request's time an attempt that has
+// not begun is taken back, so that the closing is at the runner by then.
+const closeLeadUs = 20_000
+
+// lateUs is how long after the end of a request's time the rest of an answer that
+// has begun may still be read.
+const lateUs = 150_000
+
+// errWithdrawn says that the attempt was taken back for the weights.
+var errWithdrawn = errors.New("router: the attempt was taken back")
+
+// sentAttempt is an attempt that has been sent and has not begun.
+type sentAttempt struct {
+	adm       *admission.Admission
+	link      *upstream.Conn
+	withdrawn bool
+}
+
+// sentAttempts are those of a router.
+type sentAttempts struct {
+	mu   sync.Mutex
+	list map[*sentAttempt]struct{}
+}
+
+func (s *sentAttempts) add(adm *admission.Admission, link *upstream.Conn) *sentAttempt {
+	a := &sentAttempt{adm: adm, link: link}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.list == nil {
+		s.list = map[*sentAttempt]struct{}{}
+	}
+	s.list[a] = struct{}{}
+	return a
+}
+
+// remove ends the watch over an attempt and tells whether it was taken back.
+func (s *sentAttempts) remove(a *sentAttempt) (withdrawn bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.list, a)
+	return a.withdrawn
+}
+
+func (s *sentAttempts) snapshot() []*sentAttempt {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]*sentAttempt, 0, len(s.list))
+	for a := range s.list {
+		out = append(out, a)
+	}
+	return out
+}
+
+// withdraw takes back those of the attempts that have not begun meanwhile.
+func (s *sentAttempts) withdraw(attempts []*sentAttempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, a := range attempts {
+		if _, waits := s.list[a]; waits {
+			a.withdrawn = true
+			a.link.Interrupt()
+		}
+	}
+}
+
+// withdrawFromOldWeights takes back the attempts that would begin on weights that
+// are too old by then.
+func (c *Router) withdrawFromOldWeights() {
+	attempts := c.sent.snapshot()
+	if len(attempts) == 0 {
+		return
+	}
+	due := attempts[:0]
+	now := c.clock()
+	c.dmu.Lock()
+	for _, a := range attempts {
+		if c.admission.MustWithdraw(a.adm, now) {
+			due = append(due, a)
+		}
+	}
+	c.dmu.Unlock()
+	c.sent.withdraw(due)
+}
+
+// timeOver tells whether the request's time is over for attempts that have not
+// begun.
+func (v *visit) timeOver() bool { return v.c.clock() >= v.endUs-closeLeadUs }
+
+// readHead reads the head of the answer to an attempt that was sent. It returns
+// errWithdrawn where the attempt was taken back before a head came.
+func (v *visit) readHead(a *sentAttempt, r *protocol.Response) error {
+	begunBy := v.deadline(-closeLeadUs)
+	err := a.link.HeadFor(v.id, r, begunBy)
+	withdrawn := v.c.sent.remove(a)
+	switch {
+	case err == nil:
+		a.link.Resume(v.deadline(lateUs))
+		return nil
+	case withdrawn:
+		return errWithdrawn
+	}
+	return err
+}
+
+// deadline is the end of the request's time, put off by afterUs.
+func (v *visit) deadline(afterUs int64) time.Time {
+	return time.Now().Add(time.Duration(v.endUs-v.c.clock()+afterUs) * time.Microsecond)
+}
+
+// mayStillGo tells whether an admitted request may still be sent to its runner:
+// what was true at admission may have changed since.
+func (c *Router) mayStillGo(adm *admission.Admission) bool {
+	if n, ok := c.registry.Snapshot().ByID[adm.Runner.ID]; !ok || n.Draining {
+		return false
+	}
+	c.dmu.Lock()
+	defer c.dmu.Unlock()
+	return !c.admission.Absent(adm) && c.admission.WeightsAllowed(adm, c.clock())
+}
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -61,6 +61,9 @@
 // stream of out until the end, which comes as io.EOF only if it is whole.
 func (l *Conn) Head(out *protocol.Response, deadline time.Time) error {
 	_ = l.conn.SetReadDeadline(deadline)
+	if l.interrupted.Load() { // after the deadline was set, which an interrupt replaces
+		return errors.Wrap(ErrLate, "interrupted")
+	}
 	if err := readHead(out, l.in); err != nil {
 		return err
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,6 +9,7 @@
 	"net"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -44,6 +45,8 @@
 	keepUs  int64 // for how long the runner keeps it idle; 0: unknown
 	spoiled bool  // it carries bytes that belong to no request
 	service string
+	// interrupted is set while no answer is waited for any longer.
+	interrupted atomic.Bool
 
 	Answers  int
 	RestedUs int64 // how long it had rested when it was taken; 0: it is new
@@ -95,6 +98,20 @@
 	return err == nil && good
 }
 
+// Interrupt ends the wait for a head, now or when it begins. It may be called
+// while another goroutine uses the conn.
+func (l *Conn) Interrupt() {
+	l.interrupted.Store(true)
+	_ = l.conn.SetReadDeadline(time.Unix(1, 0))
+}
+
+// Resume lets an answer whose head has come be read on until the deadline, also
+// where the conn was interrupted meanwhile.
+func (l *Conn) Resume(deadline time.Time) {
+	l.interrupted.Store(false)
+	_ = l.conn.SetReadDeadline(deadline)
+}
+
 // Spoil notes that something came on the conn that was no answer to what was
 // asked on it. It is not used again.
 func (l *Conn) Spoil() { l.spoiled = true }
