--- a/internal/admission/absent.go
+++ b/internal/admission/absent.go
@@ -62,8 +62,8 @@
 // WrongInstance notes that a runner answered 421. expected tells whether the
 // request named a version of the weights, so that the answer may be about that.
 // It tells whether the runner has left the choice by it.
-func (d *Controller) WrongInstance(adm *Admission, expected bool, nowUs int64) bool {
-	p := d.pool(adm.service)
+func (a *Controller) WrongInstance(adm *Admission, expected bool, nowUs int64) bool {
+	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
 	if r == nil || r.absence.out {
 		return false
@@ -79,7 +79,7 @@
 	pauseUs := r.absence.pauseUs
 	r.absence = absence{out: true, proven: !expected, sequence: r.note.Seq, addr: r.note.Addr, pauseUs: pauseUs, probeUs: nowUs + pauseUs}
 	if !expected {
-		d.surelyAbsent(r.note.ID)
+		a.surelyAbsent(r.note.ID)
 	}
 	return true
 }
@@ -96,15 +96,15 @@
 }
 
 // Absent tells whether the runner of an admission has left the choice since.
-func (d *Controller) Absent(adm *Admission) bool {
-	r := d.pool(adm.service).runners[adm.Runner.ID]
+func (a *Controller) Absent(adm *Admission) bool {
+	r := a.pool(adm.service).runners[adm.Runner.ID]
 	return r != nil && r.absence.out
 }
 
 // DueProbes gives the registrations of absent runners whose probe is due, and
 // whether any runner is absent at all.
-func (d *Controller) DueProbes(nowUs int64) (due []messages.RunnerRecord, any bool) {
-	for _, p := range d.pools {
+func (a *Controller) DueProbes(nowUs int64) (due []messages.RunnerRecord, any bool) {
+	for _, p := range a.pools {
 		for _, id := range p.order {
 			r := p.runners[id]
 			if !r.absence.out {
@@ -124,8 +124,8 @@
 
 // Found takes what a probe found at the address of a runner. It tells whether the
 // runner's absence has become sure by it.
-func (d *Controller) Found(n messages.RunnerRecord, what Presence, nowUs int64) (sure bool) {
-	r := d.pool(n.Service).runners[n.ID]
+func (a *Controller) Found(n messages.RunnerRecord, what Presence, nowUs int64) (sure bool) {
+	r := a.pool(n.Service).runners[n.ID]
 	if r == nil || !r.absence.out || r.note.Addr != n.Addr {
 		return false
 	}
@@ -138,7 +138,7 @@
 	case Elsewhere:
 		if !r.absence.proven {
 			r.absence.proven = true
-			d.surelyAbsent(n.ID)
+			a.surelyAbsent(n.ID)
 			return true
 		}
 	}
@@ -146,17 +146,17 @@
 }
 
 // surelyAbsent forgets what the runner kept and notes it for others.
-func (d *Controller) surelyAbsent(id string) {
-	d.Index.Reset(id)
-	if len(d.absent) < hintsAtOnce {
-		d.absent = append(d.absent, id)
+func (a *Controller) surelyAbsent(id string) {
+	a.Index.Reset(id)
+	if len(a.absent) < hintsAtOnce {
+		a.absent = append(a.absent, id)
 	}
 }
 
 // TakeAbsent gives the runners that were surely not at their address and have
 // not been given before.
-func (d *Controller) TakeAbsent() []string {
-	ids := d.absent
-	d.absent = nil
+func (a *Controller) TakeAbsent() []string {
+	ids := a.absent
+	a.absent = nil
 	return ids
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -103,27 +103,27 @@
 }
 
 // SetNodes tells how many nodes share the runners.
-func (d *Controller) SetNodes(n int) { d.nodes = max(n, 1) }
+func (a *Controller) SetNodes(n int) { a.nodes = max(n, 1) }
 
 // Arrive rules on a new request.
-func (d *Controller) Arrive(a Ask, nowUs int64) Ruling {
-	p := d.pool(a.Service)
-	t := d.tenant(a.Tenant, nowUs)
-	if !d.allowRate(t, p, nowUs) {
-		return d.reject(a, p, RejectRate, 429)
+func (a *Controller) Arrive(request Ask, nowUs int64) Ruling {
+	p := a.pool(request.Service)
+	t := a.tenant(request.Tenant, nowUs)
+	if !a.allowRate(t, p, nowUs) {
+		return a.reject(request, p, RejectRate, 429)
 	}
-	if p.tokens > 0 && a.TokensIn+a.TokensOut > p.tokens {
-		return d.reject(a, p, RejectContext, 503)
+	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens {
+		return a.reject(request, p, RejectContext, 503)
 	}
-	if p.queue.count == 0 || p.queue.bands[0].rank > a.Rank || d.nothingAhead(p, a.Rank) {
-		if adm := d.admit(a, p, t, nowUs); adm != nil {
-			return Ruling{Ref: a.Ref, Admit: adm}
+	if p.queue.count == 0 || p.queue.bands[0].rank > request.Rank || a.nothingAhead(p, request.Rank) {
+		if adm := a.admit(request, p, t, nowUs); adm != nil {
+			return Ruling{Ref: request.Ref, Admit: adm}
 		}
 	}
-	return d.hold(a, p, nowUs)
+	return a.hold(request, p, nowUs)
 }
 
-func (d *Controller) nothingAhead(p *pool, rank int) bool {
+func (a *Controller) nothingAhead(p *pool, rank int) bool {
 	for _, b := range p.queue.bands {
 		if b.rank <= rank && len(b.turn) > 0 {
 			return false
@@ -132,37 +132,37 @@
 	return true
 }
 
-func (d *Controller) hold(a Ask, p *pool, nowUs int64) Ruling {
+func (a *Controller) hold(request Ask, p *pool, nowUs int64) Ruling {
 	share := func(total float64) float64 {
-		if d.nodes > 2 {
-			return 2 * total / float64(d.nodes)
+		if a.nodes > 2 {
+			return 2 * total / float64(a.nodes)
 		}
 		return total
 	}
-	if float64(p.queue.count+1) > share(float64(d.places(p)+d.T.BufferRequests)) {
-		return d.reject(a, p, RejectQueue, 503)
+	if float64(p.queue.count+1) > share(float64(a.places(p)+a.T.BufferRequests)) {
+		return a.reject(request, p, RejectQueue, 503)
 	}
-	setpoint := max(a.SetpointUs, 100_000)
-	if p.queue.count > 0 && float64(p.queue.tokens+a.TokensIn) > share(float64(setpoint)*d.rate(p)) {
-		return d.reject(a, p, RejectTokens, 503)
+	setpoint := max(request.SetpointUs, 100_000)
+	if p.queue.count > 0 && float64(p.queue.tokens+request.TokensIn) > share(float64(setpoint)*a.rate(p)) {
+		return a.reject(request, p, RejectTokens, 503)
 	}
-	ttl := min(int64(float64(a.LeftUs)*d.T.TTLPart), int64(float64(setpoint)*d.T.TTLSetpoints))
-	p.queue.put(&waiting{ask: a, untilUs: nowUs + max(ttl, 50_000)})
-	return Ruling{Ref: a.Ref, Hold: true}
+	ttl := min(int64(float64(request.LeftUs)*a.T.TTLPart), int64(float64(setpoint)*a.T.TTLSetpoints))
+	p.queue.put(&waiting{ask: request, untilUs: nowUs + max(ttl, 50_000)})
+	return Ruling{Ref: request.Ref, Hold: true}
 }
 
 // ShedFor makes room for a request of a higher band that was rejected for a full
 // queue: the newest of the lowest band goes instead.
-func (d *Controller) ShedFor(a Ask, nowUs int64) (Ruling, bool) {
-	p := d.pool(a.Service)
-	w := p.queue.shed(a.Rank)
+func (a *Controller) ShedFor(request Ask, nowUs int64) (Ruling, bool) {
+	p := a.pool(request.Service)
+	w := p.queue.shed(request.Rank)
 	if w == nil {
 		return Ruling{}, false
 	}
-	return d.reject(w.ask, p, RejectShed, 503), true
+	return a.reject(w.ask, p, RejectShed, 503), true
 }
 
-func (d *Controller) reject(a Ask, p *pool, why Reason, status int) Ruling {
-	again := int64(float64(p.queue.tokens)/d.rate(p)) + 60_000
-	return Ruling{Ref: a.Ref, Reject: why, Status: status, AgainUs: min(max(again, 60_000), 1_000_000)}
+func (a *Controller) reject(request Ask, p *pool, why Reason, status int) Ruling {
+	again := int64(float64(p.queue.tokens)/a.rate(p)) + 60_000
+	return Ruling{Ref: request.Ref, Reject: why, Status: status, AgainUs: min(max(again, 60_000), 1_000_000)}
 }
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -36,41 +36,41 @@
 	blocks int
 }
 
-func (d *Controller) admit(a Ask, p *pool, t *tenantState, nowUs int64) *Admission {
-	d.free = true
+func (a *Controller) admit(request Ask, p *pool, t *tenantState, nowUs int64) *Admission {
+	a.free = true
 	if float64(t.admitted) >= t.window {
 		return nil
 	}
-	list, who := d.candidates(a, p, nowUs)
-	prompt := placement.Prompt{Tokens: a.TokensIn, Out: a.TokensOut}
-	if n := len(a.Parts); n > 1 {
-		prompt.Shared = prefixindex.Key("", a.Model, a.Parts[n-2].ID)
+	list, who := a.candidates(request, p, nowUs)
+	prompt := placement.Prompt{Tokens: request.TokensIn, Out: request.TokensOut}
+	if n := len(request.Parts); n > 1 {
+		prompt.Shared = prefixindex.Key("", request.Model, request.Parts[n-2].ID)
 	}
 	i := placement.Match(prompt, list)
 	if i < 0 {
 		return nil
 	}
 	r, c := who[i], list[i]
-	version := weightsVersion(r.note, a.Model)
-	salt := d.Salt(a.Tenant, a.Isolated, a.Regime, version)
-	adm := &Admission{Runner: r.note, Salt: salt, Version: version, Kept: c.Kept, Source: c.From, atUs: nowUs, tenant: a.Tenant, service: a.Service, model: a.Model, tokensIn: a.TokensIn, Parts: a.Parts, Keys: prefixindex.Keys(salt, a.Model, a.Parts), reading: true}
-	bt := d.T.BlockTokens
+	version := weightsVersion(r.note, request.Model)
+	salt := a.Salt(request.Tenant, request.Isolated, request.Regime, version)
+	adm := &Admission{Runner: r.note, Salt: salt, Version: version, Kept: c.Kept, Source: c.From, atUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), reading: true}
+	bt := a.T.BlockTokens
 	inParts := 0
 	for j, k := range adm.Keys {
-		n := (a.Parts[j].Tokens + bt - 1) / bt
-		inParts += a.Parts[j].Tokens
+		n := (request.Parts[j].Tokens + bt - 1) / bt
+		inParts += request.Parts[j].Tokens
 		adm.pins = append(adm.pins, pin{k, n})
 		if r.pins[k]++; r.pins[k] == 1 {
 			r.own.blocks += n
 		}
 	}
-	adm.blocks = (max(a.TokensIn-inParts, 0) + a.TokensOut + bt - 1) / bt
+	adm.blocks = (max(request.TokensIn-inParts, 0) + request.TokensOut + bt - 1) / bt
 	r.own.blocks += adm.blocks
-	if d.expect(adm, len(a.Parts)-1) && c.Moved < moveMin {
-		adm.Sink = p.sink(a, adm.Keys)
+	if a.expect(adm, len(request.Parts)-1) && c.Moved < moveMin {
+		adm.Sink = p.sink(request, adm.Keys)
 	}
 	adm.ahead = c.Prefill
-	adm.prefill = max(a.TokensIn-c.Kept-c.Moved, 0)
+	adm.prefill = max(request.TokensIn-c.Kept-c.Moved, 0)
 	r.own.prefill += adm.prefill
 	r.sent(adm.prefill, nowUs)
 	r.own.count++
@@ -78,16 +78,16 @@
 	r.trim(nowUs)
 	t.admitted++
 	t.hit += float64(c.Kept + c.Moved)
-	t.all += float64(a.TokensIn)
+	t.all += float64(request.TokensIn)
 	return adm
 }
 
 // sink is the store for a prompt's shared parts: by the deepest of them, so that
 // what hangs together lies in one, and all stores are used.
-func (p *pool) sink(a Ask, keys []uint64) string {
+func (p *pool) sink(request Ask, keys []uint64) string {
 	best, top := "", uint64(0)
 	for _, s := range p.stores {
-		if v := statesync.Mix(keys[max(len(keys)-2, 0)] ^ statesync.HashText(s.ID, "")); p.lets(a, s.ID) && (best == "" || v > top) {
+		if v := statesync.Mix(keys[max(len(keys)-2, 0)] ^ statesync.HashText(s.ID, "")); p.lets(request, s.ID) && (best == "" || v > top) {
 			best, top = s.Addr, v
 		}
 	}
@@ -96,30 +96,30 @@
 
 // expect notes the shared parts that a runner is about to read, here and for
 // the other nodes.
-func (d *Controller) expect(adm *Admission, shared int) bool {
+func (a *Controller) expect(adm *Admission, shared int) bool {
 	note := messages.KeptNote{ID: adm.Runner.ID, Parts: []messages.KeptPart{}}
 	for i := range max(shared, 0) {
 		k, n := adm.Keys[i], int32(adm.Parts[i].Tokens)
-		if d.Index.Kept(note.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
-			d.Index.Expect(note.ID, k, n)
+		if a.Index.Kept(note.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
+			a.Index.Expect(note.ID, k, n)
 			adm.coming = append(adm.coming, k)
 			note.Parts = append(note.Parts, messages.KeptPart{Key: k, Tokens: n})
 		}
 	}
 	if len(note.Parts) > 0 {
-		d.fresh = append(d.fresh, note)
+		a.fresh = append(a.fresh, note)
 	}
 	return len(note.Parts) > 0
 }
 
 // HasFresh tells whether there is something that the other nodes should hear
 // soon.
-func (d *Controller) HasFresh() bool { return len(d.fresh) > 0 }
+func (a *Controller) HasFresh() bool { return len(a.fresh) > 0 }
 
 // FirstToken notes that a runner has read a prompt, which also tells how fast
 // it reads and what it keeps now.
-func (d *Controller) FirstToken(adm *Admission, nowUs int64) {
-	r := d.pool(adm.service).runners[adm.Runner.ID]
+func (a *Controller) FirstToken(adm *Admission, nowUs int64) {
+	r := a.pool(adm.service).runners[adm.Runner.ID]
 	if r == nil || !adm.reading {
 		return
 	}
@@ -134,16 +134,16 @@
 		}
 	}
 	for i, k := range adm.Keys {
-		d.Index.Put(r.note.ID, k, int32(adm.Parts[i].Tokens))
+		a.Index.Put(r.note.ID, k, int32(adm.Parts[i].Tokens))
 	}
 }
 
 // Done gives the place back. ok tells whether the runner behaved; a runner
 // whose links fail is passed over for a while.
-func (d *Controller) Done(adm *Admission, ok bool, nowUs int64) {
-	p := d.pool(adm.service)
+func (a *Controller) Done(adm *Admission, ok bool, nowUs int64) {
+	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
-	d.tenant(adm.tenant, nowUs).admitted--
+	a.tenant(adm.tenant, nowUs).admitted--
 	if r == nil {
 		return
 	}
@@ -151,7 +151,7 @@
 		adm.reading = false
 		r.own.prefill -= adm.prefill
 		for _, k := range adm.coming {
-			d.Index.Forget(r.note.ID, k)
+			a.Index.Forget(r.note.ID, k)
 		}
 	}
 	for _, k := range adm.pins {
@@ -166,13 +166,13 @@
 		r.pauseUs, r.avoidUntilUs = 0, 0
 		return
 	}
-	r.pauseUs = min(max(2*r.pauseUs, d.T.UnsoundUs), d.T.UnsoundMaxUs)
+	r.pauseUs = min(max(2*r.pauseUs, a.T.UnsoundUs), a.T.UnsoundMaxUs)
 	r.avoidUntilUs = nowUs + r.pauseUs
 }
 
 // Ended notes how a request that ran at a runner ended there.
-func (d *Controller) Ended(adm *Admission, good bool, nowUs int64) {
-	p := d.pool(adm.service)
+func (a *Controller) Ended(adm *Admission, good bool, nowUs int64) {
+	p := a.pool(adm.service)
 	if r := p.runners[adm.Runner.ID]; r != nil {
 		r.health.note(good, nowUs)
 		if !good {
@@ -185,16 +185,16 @@
 
 // Full notes that a runner turned a request away: for a short while it counts
 // as having no place.
-func (d *Controller) Full(adm *Admission, nowUs int64) {
-	if r := d.pool(adm.service).runners[adm.Runner.ID]; r != nil {
+func (a *Controller) Full(adm *Admission, nowUs int64) {
+	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
 		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+turnedAwayUs)
 	}
 }
 
 // TakeFresh gives the parts that this node has sent to be read since the last
 // call.
-func (d *Controller) TakeFresh() []messages.KeptNote {
-	out := d.fresh
-	d.fresh = nil
+func (a *Controller) TakeFresh() []messages.KeptNote {
+	out := a.fresh
+	a.fresh = nil
 	return out
 }
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -10,68 +10,68 @@
 )
 
 // Candidates lists the runners that a request may go to now.
-func (d *Controller) Candidates(a Ask, nowUs int64) []placement.Candidate {
-	list, _ := d.candidates(a, d.pool(a.Service), nowUs)
+func (a *Controller) Candidates(request Ask, nowUs int64) []placement.Candidate {
+	list, _ := a.candidates(request, a.pool(request.Service), nowUs)
 	return slices.Clone(list)
 }
 
 // candidates gives the runners that a request may go to; the result holds until
 // the next call.
-func (d *Controller) candidates(a Ask, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
-	out, who := d.list[:0], d.who[:0]
-	defer func() { d.list, d.who = out, who }()
-	d.free = false
-	share := d.linkShare(p)
-	d.forgetOthers(nowUs)
-	told := d.told(nowUs)
-	keysOf := d.keysOf(a)
-	near, leaving := d.Zone, false
-	if len(d.left) > 0 {
-		if home := d.home(a, p); home != "" {
+func (a *Controller) candidates(request Ask, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
+	out, who := a.list[:0], a.who[:0]
+	defer func() { a.list, a.who = out, who }()
+	a.free = false
+	share := a.linkShare(p)
+	a.forgetOthers(nowUs)
+	told := a.told(nowUs)
+	keysOf := a.keysOf(request)
+	near, leaving := a.Zone, false
+	if len(a.left) > 0 {
+		if home := a.home(request, p); home != "" {
 			leaving = true // there is where to go
-			if d.Leaves(a, d.Zone, nowUs) {
+			if a.Leaves(request, a.Zone, nowUs) {
 				near = home
 			}
 		}
 	}
-	need := (a.TokensIn + a.TokensOut + d.T.BlockTokens - 1) / d.T.BlockTokens
+	need := (request.TokensIn + request.TokensOut + a.T.BlockTokens - 1) / a.T.BlockTokens
 	for pass := range 3 {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if r.absence.out || r.note.Draining || r.barred(nowUs) || !p.lets(a, id) || avoided(a.Avoid, id) || pass != d.preference(a, r, nowUs) {
+			if r.absence.out || r.note.Draining || r.barred(nowUs) || !p.lets(request, id) || avoided(request.Avoid, id) || pass != a.preference(request, r, nowUs) {
 				continue
 			}
-			if !d.weightsAllowed(a.Model, r, nowUs) || leaving && d.Leaves(a, r.note.Zone, nowUs) {
+			if !a.weightsAllowed(request.Model, r, nowUs) || leaving && a.Leaves(request, r.note.Zone, nowUs) {
 				continue
 			}
-			use := r.settle(&d.T, nowUs, d.nodes, told)
-			active := r.active(&d.T, nowUs)
+			use := r.settle(&a.T, nowUs, a.nodes, told)
+			active := r.active(&a.T, nowUs)
 			if r.busyKV || r.busyRead || r.capacity > 0 && active >= r.capacity || share > 0 && r.own.count >= share {
 				continue
 			}
-			kept := d.Index.Expected(id, keysOf(weightsVersion(r.note, a.Model)), a.Parts)
-			d.free = true
+			kept := a.Index.Expected(id, keysOf(weightsVersion(r.note, request.Model)), request.Parts)
+			a.free = true
 			if r.blocks > 0 && active > 0 {
-				if after := use + float64(need-kept/d.T.BlockTokens)/float64(r.blocks); after > 0.98 {
+				if after := use + float64(need-kept/a.T.BlockTokens)/float64(r.blocks); after > 0.98 {
 					continue
 				}
 			}
-			out = append(out, placement.Candidate{ID: id, NearSite: r.note.Zone == near, Kept: kept, Prefill: r.prefill(), Active: active, Capacity: r.capacity, Used: use, Rate: r.readRate(&d.T), Reading: r.reading(&d.T, nowUs), DoubtUs: r.health.doubtUs(nowUs)})
+			out = append(out, placement.Candidate{ID: id, NearSite: r.note.Zone == near, Kept: kept, Prefill: r.prefill(), Active: active, Capacity: r.capacity, Used: use, Rate: r.readRate(&a.T), Reading: r.reading(&a.T, nowUs), DoubtUs: r.health.doubtUs(nowUs)})
 			who = append(who, r)
 		}
 		if len(out) > 0 {
 			break
 		}
 	}
-	if p.moveUs > 0 && len(a.Parts) > 0 {
-		d.findMoves(a, p, out, who, keysOf, nowUs)
+	if p.moveUs > 0 && len(request.Parts) > 0 {
+		a.findMoves(request, p, out, who, keysOf, nowUs)
 	}
 	return out, who
 }
 
 // keysOf gives the keys of a request's parts under each version, each worked out
 // once.
-func (d *Controller) keysOf(a Ask) func(version int64) []uint64 {
+func (a *Controller) keysOf(request Ask) func(version int64) []uint64 {
 	var versions []int64
 	var keys [][]uint64
 	return func(version int64) []uint64 {
@@ -81,7 +81,7 @@
 			}
 		}
 		versions = append(versions, version)
-		keys = append(keys, prefixindex.Keys(d.Salt(a.Tenant, a.Isolated, a.Regime, version), a.Model, a.Parts))
+		keys = append(keys, prefixindex.Keys(a.Salt(request.Tenant, request.Isolated, request.Regime, version), request.Model, request.Parts))
 		return keys[len(keys)-1]
 	}
 }
@@ -106,9 +106,9 @@
 
 // findMoves finds for every candidate the runner with the same weights that
 // keeps more of the prompt and from where it comes soonest.
-func (d *Controller) findMoves(a Ask, p *pool, out []placement.Candidate, who []*runner, keysOf func(version int64) []uint64, nowUs int64) {
+func (a *Controller) findMoves(request Ask, p *pool, out []placement.Candidate, who []*runner, keysOf func(version int64) []uint64, nowUs int64) {
 	shared := 0
-	for _, part := range a.Parts[:len(a.Parts)-1] {
+	for _, part := range request.Parts[:len(request.Parts)-1] {
 		shared += part.Tokens
 	}
 	known := map[int64]int{}
@@ -129,7 +129,7 @@
 				*o = h
 			case h.kept == o.kept:
 				o.equals++
-				if d.turn++; d.turn%(o.equals+1) == 0 {
+				if a.turn++; a.turn%(o.equals+1) == 0 {
 					h.equals = o.equals
 					*o = h
 				}
@@ -140,20 +140,20 @@
 	}
 	for _, id := range p.order {
 		r := p.runners[id]
-		if r.absence.out || r.note.Stale || r.avoidUntilUs > nowUs || !p.lets(a, id) {
+		if r.absence.out || r.note.Stale || r.avoidUntilUs > nowUs || !p.lets(request, id) {
 			continue
 		}
-		version := weightsVersion(r.note, a.Model)
-		kept, expected := d.Index.Both(id, keysOf(version), a.Parts)
+		version := weightsVersion(r.note, request.Model)
+		kept, expected := a.Index.Both(id, keysOf(version), request.Parts)
 		add(holder{addr: r.note.Addr, zone: r.note.Zone, version: version, kept: kept, moveUs: p.moveUs})
 		known[version] = max(known[version], min(shared, expected))
 	}
 	for _, s := range p.stores {
-		if !p.lets(a, s.ID) {
+		if !p.lets(request, s.ID) {
 			continue
 		}
 		for version := range known {
-			if kept := d.Index.Kept(s.ID, keysOf(version), a.Parts); kept >= moveMin {
+			if kept := a.Index.Kept(s.ID, keysOf(version), request.Parts); kept >= moveMin {
 				add(holder{addr: s.Addr, zone: s.Zone, version: version, kept: kept, moveUs: s.MoveUs})
 				known[version] = max(known[version], min(shared, kept))
 			}
@@ -161,7 +161,7 @@
 	}
 	for i := range out {
 		c := &out[i]
-		version := weightsVersion(who[i].note, a.Model)
+		version := weightsVersion(who[i].note, request.Model)
 		best := 0.0
 		for _, h := range holders {
 			more := h.kept - c.Kept
@@ -184,11 +184,11 @@
 // preference sorts runners into three: those to be used, those that are about
 // to get an order and should not begin a long request, and those that are
 // silent or whose links fail.
-func (d *Controller) preference(a Ask, r *runner, nowUs int64) int {
+func (a *Controller) preference(request Ask, r *runner, nowUs int64) int {
 	switch {
 	case r.note.Stale || r.avoidUntilUs > nowUs || r.health.out(nowUs):
 		return 2
-	case r.note.Easing && a.TokensOut > d.T.LongOut:
+	case r.note.Easing && request.TokensOut > a.T.LongOut:
 		return 1
 	}
 	return 0
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -17,8 +17,8 @@
 	return door(ids...), ids
 }
 
-func (d *Controller) end(id string, good bool, nowUs int64) {
-	d.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, good, nowUs)
+func (a *Controller) end(id string, good bool, nowUs int64) {
+	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, good, nowUs)
 }
 
 func offered(d *Controller, nowUs int64) map[string]bool {
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -9,41 +9,41 @@
 )
 
 // Report takes a runner's own word.
-func (d *Controller) Report(n messages.ReportNote, nowUs int64) {
-	for _, p := range d.pools {
+func (a *Controller) Report(n messages.ReportNote, nowUs int64) {
+	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
-			r.report = word{blocks: n.Used / d.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
+			r.report = word{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
 			r.reported, r.queued = true, n.Queued
 			if n.Total > 0 {
-				r.blocks = n.Total / d.T.BlockTokens
+				r.blocks = n.Total / a.T.BlockTokens
 			}
 		}
 	}
 }
 
 // Coming takes other nodes' word on the parts that they have sent to be read.
-func (d *Controller) Coming(notes []messages.KeptNote) {
+func (a *Controller) Coming(notes []messages.KeptNote) {
 	for _, n := range notes {
 		for _, part := range n.Parts {
-			d.Index.Expect(n.ID, part.Key, part.Tokens)
+			a.Index.Expect(n.ID, part.Key, part.Tokens)
 		}
 	}
 }
 
 // Others takes what the other nodes have at the runners, added up; a runner
 // that is not named has nothing of theirs.
-func (d *Controller) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
-	for _, p := range d.pools {
+func (a *Controller) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
+	for _, p := range a.pools {
 		for id, r := range p.runners {
 			r.other(loads(id))
 		}
 	}
-	d.Told(nowUs)
+	a.Told(nowUs)
 }
 
 // Other takes it for one runner.
-func (d *Controller) Other(id string, l messages.RunnerLoad) {
-	for _, p := range d.pools {
+func (a *Controller) Other(id string, l messages.RunnerLoad) {
+	for _, p := range a.pools {
 		if r := p.runners[id]; r != nil {
 			r.other(l)
 		}
@@ -51,20 +51,20 @@
 }
 
 // Told notes that what is known of the others is of now.
-func (d *Controller) Told(nowUs int64) {
-	d.toldUs = nowUs
-	for _, p := range d.pools {
+func (a *Controller) Told(nowUs int64) {
+	a.toldUs = nowUs
+	for _, p := range a.pools {
 		p.eject(nowUs)
 	}
 }
 
 // forgetOthers lets go of what the others said once it is too old.
-func (d *Controller) forgetOthers(nowUs int64) {
-	if d.toldUs == 0 || d.told(nowUs) {
+func (a *Controller) forgetOthers(nowUs int64) {
+	if a.toldUs == 0 || a.told(nowUs) {
 		return
 	}
-	d.toldUs = 0
-	for _, p := range d.pools {
+	a.toldUs = 0
+	for _, p := range a.pools {
 		for _, r := range p.runners {
 			r.others = word{}
 		}
@@ -72,18 +72,18 @@
 }
 
 // told tells whether the others' loads are fresh enough to go by.
-func (d *Controller) told(nowUs int64) bool {
-	return d.toldUs > 0 && nowUs-d.toldUs < d.T.ReportFreshUs
+func (a *Controller) told(nowUs int64) bool {
+	return a.toldUs > 0 && nowUs-a.toldUs < a.T.ReportFreshUs
 }
 
 // Blind lists the runners whose thresholds cannot fire as they should: memory
 // that is not known, or no report within three times the time one is believed.
-func (d *Controller) Blind(nowUs int64) []string {
+func (a *Controller) Blind(nowUs int64) []string {
 	var out []string
-	for _, p := range d.pools {
+	for _, p := range a.pools {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if r.blocks == 0 || !r.reported || nowUs-r.report.atUs > 3*d.T.ReportFreshUs {
+			if r.blocks == 0 || !r.reported || nowUs-r.report.atUs > 3*a.T.ReportFreshUs {
 				out = append(out, id)
 			}
 		}
@@ -97,9 +97,9 @@
 const flowStep = 250
 
 // Own is what this node has at the runners.
-func (d *Controller) Own(nowUs int64) map[string]messages.RunnerLoad {
+func (a *Controller) Own(nowUs int64) map[string]messages.RunnerLoad {
 	out := map[string]messages.RunnerLoad{}
-	for _, p := range d.pools {
+	for _, p := range a.pools {
 		for id, r := range p.runners {
 			flow := int(r.ownFlow(nowUs)/flowStep+0.5) * flowStep
 			seen := r.health.own(nowUs)
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -24,8 +24,8 @@
 
 // SetService tells the runners of a service, the memory of each in tokens, and
 // how long moving the memory of a token takes.
-func (d *Controller) SetService(service string, notes []messages.RunnerRecord, tokens int, moveUs float64) {
-	p := d.pool(service)
+func (a *Controller) SetService(service string, notes []messages.RunnerRecord, tokens int, moveUs float64) {
+	p := a.pool(service)
 	p.tokens, p.moveUs = tokens, moveUs
 	keep := map[string]bool{}
 	p.order = p.order[:0]
@@ -35,7 +35,7 @@
 			r = newRunner()
 			p.runners[n.ID] = r
 		}
-		r.note, r.capacity, r.blocks = n, n.Capacity, tokens/d.T.BlockTokens
+		r.note, r.capacity, r.blocks = n, n.Capacity, tokens/a.T.BlockTokens
 		r.absence.hear(n)
 		keep[n.ID] = true
 		p.order = append(p.order, n.ID)
@@ -43,7 +43,7 @@
 	for id, r := range p.runners {
 		if !keep[id] && r.own.count == 0 {
 			delete(p.runners, id)
-			d.Index.Reset(id)
+			a.Index.Reset(id)
 		}
 	}
 }
@@ -53,48 +53,50 @@
 const linkPart = 0.9
 
 // SetLinks tells how many connections a runner of a service takes in all.
-func (d *Controller) SetLinks(service string, limit int) { d.pool(service).links = limit }
+func (a *Controller) SetLinks(service string, limit int) { a.pool(service).links = limit }
 
 // linkShare is how many requests this node may have at one runner at a time,
 // each on a connection of its own; 0 means any number.
-func (d *Controller) linkShare(p *pool) int {
+func (a *Controller) linkShare(p *pool) int {
 	if p.links <= 0 {
 		return 0
 	}
-	return max(int(linkPart*float64(p.links))/d.nodes, 1)
+	return max(int(linkPart*float64(p.links))/a.nodes, 1)
 }
 
 // SetCertified tells which runners and stores of a service each regime lets in.
-func (d *Controller) SetCertified(service string, allowed map[string]map[string]bool) {
-	d.pool(service).allowed = allowed
+func (a *Controller) SetCertified(service string, allowed map[string]map[string]bool) {
+	a.pool(service).allowed = allowed
 }
 
 // lets tells whether a request may have to do with a runner or store. Without
 // sure knowledge the answer is no.
-func (p *pool) lets(a Ask, id string) bool { return a.Regime == "" || p.allowed[a.Regime][id] }
+func (p *pool) lets(request Ask, id string) bool {
+	return request.Regime == "" || p.allowed[request.Regime][id]
+}
 
 // SetStores tells the stores that runners of a service may use.
-func (d *Controller) SetStores(service string, stores []Store) { d.pool(service).stores = stores }
+func (a *Controller) SetStores(service string, stores []Store) { a.pool(service).stores = stores }
 
 // Services lists those with requests waiting.
-func (d *Controller) Services() []string {
+func (a *Controller) Services() []string {
 	var out []string
-	for name := range d.pools {
+	for name := range a.pools {
 		out = append(out, name)
 	}
 	return out
 }
 
-func (d *Controller) pool(service string) *pool {
-	p := d.pools[service]
+func (a *Controller) pool(service string) *pool {
+	p := a.pools[service]
 	if p == nil {
 		p = &pool{runners: map[string]*runner{}}
-		d.pools[service] = p
+		a.pools[service] = p
 	}
 	return p
 }
 
-func (d *Controller) places(p *pool) int {
+func (a *Controller) places(p *pool) int {
 	n := 0
 	for _, id := range p.order {
 		n += p.runners[id].capacity
@@ -102,10 +104,10 @@
 	return n
 }
 
-func (d *Controller) rate(p *pool) float64 {
+func (a *Controller) rate(p *pool) float64 {
 	sum := 0.0
 	for _, id := range p.order {
-		sum += p.runners[id].readRate(&d.T)
+		sum += p.runners[id].readRate(&a.T)
 	}
-	return max(sum, d.T.RateFloor)
+	return max(sum, a.T.RateFloor)
 }
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -15,32 +15,32 @@
 
 // SetRelinquished tells which zones give up their sessions, and over how long
 // each. What has been left stays left for as long as the zone is named.
-func (d *Controller) SetRelinquished(zones map[string]int64, nowUs int64) {
+func (a *Controller) SetRelinquished(zones map[string]int64, nowUs int64) {
 	next := map[string]relinquished{}
 	for zone, overUs := range zones {
-		x, known := d.left[zone]
+		x, known := a.left[zone]
 		if !known {
 			x.sinceUs = nowUs
 		}
 		x.overUs = overUs
 		next[zone] = x
 	}
-	d.left = next
+	a.left = next
 }
 
 // Session names the session that a request belongs to.
-func Session(a Ask) uint64 {
-	h := statesync.HashText(a.Tenant, a.Model)
-	if n := len(a.Parts); n > 0 {
-		h = statesync.Mix(h ^ statesync.HashText(a.Parts[max(n-2, 0)].ID, ""))
+func Session(request Ask) uint64 {
+	h := statesync.HashText(request.Tenant, request.Model)
+	if n := len(request.Parts); n > 0 {
+		h = statesync.Mix(h ^ statesync.HashText(request.Parts[max(n-2, 0)].ID, ""))
 	}
 	return h
 }
 
 // Leaves tells whether a request's session has left a zone, or is to leave it
 // now.
-func (d *Controller) Leaves(a Ask, zone string, nowUs int64) bool {
-	x, ok := d.left[zone]
+func (a *Controller) Leaves(request Ask, zone string, nowUs int64) bool {
+	x, ok := a.left[zone]
 	if !ok {
 		return false
 	}
@@ -48,16 +48,16 @@
 		return true
 	}
 	// its turn comes by its hash, at the same time at every node
-	return float64(Session(a)>>11)/(1<<53) < float64(nowUs-x.sinceUs)/float64(x.overUs)
+	return float64(Session(request)>>11)/(1<<53) < float64(nowUs-x.sinceUs)/float64(x.overUs)
 }
 
 // home is the zone that a session goes to: the same for all nodes, and the same
 // again whatever becomes of the other zones.
-func (d *Controller) home(a Ask, p *pool) string {
-	session, best, top := Session(a), "", uint64(0)
+func (a *Controller) home(request Ask, p *pool) string {
+	session, best, top := Session(request), "", uint64(0)
 	for _, id := range p.order {
 		n := &p.runners[id].note
-		if _, left := d.left[n.Zone]; left || n.Draining || n.Stale {
+		if _, left := a.left[n.Zone]; left || n.Draining || n.Stale {
 			continue
 		}
 		if v := statesync.Mix(session ^ statesync.HashText(n.Zone, "")); best == "" || v > top {
@@ -69,10 +69,10 @@
 
 // TryNow admits a request if there is a place for it at this moment, and does
 // not let it wait.
-func (d *Controller) TryNow(a Ask, nowUs int64) *Admission {
-	p := d.pool(a.Service)
-	if p.tokens > 0 && a.TokensIn+a.TokensOut > p.tokens || !d.nothingAhead(p, a.Rank) {
+func (a *Controller) TryNow(request Ask, nowUs int64) *Admission {
+	p := a.pool(request.Service)
+	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens || !a.nothingAhead(p, request.Rank) {
 		return nil
 	}
-	return d.admit(a, p, d.tenant(a.Tenant, nowUs), nowUs)
+	return a.admit(request, p, a.tenant(request.Tenant, nowUs), nowUs)
 }
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -31,41 +31,41 @@
 }
 
 // AssumeTarget notes a named version that came without its age.
-func (d *Controller) AssumeTarget(model string, version, nowUs int64) {
-	d.targets.Assume(model, version, nowUs)
+func (a *Controller) AssumeTarget(model string, version, nowUs int64) {
+	a.targets.Assume(model, version, nowUs)
 }
 
 // ObserveTargets takes the ages of named versions that another node has sent.
-func (d *Controller) ObserveTargets(ages []messages.TargetAge, nowUs int64) {
-	d.targets.Observe(ages, nowUs)
+func (a *Controller) ObserveTargets(ages []messages.TargetAge, nowUs int64) {
+	a.targets.Observe(ages, nowUs)
 }
 
 // TargetAges gives the ages of the named versions, for other nodes.
-func (d *Controller) TargetAges(nowUs int64) []messages.TargetAge { return d.targets.Ages(nowUs) }
+func (a *Controller) TargetAges(nowUs int64) []messages.TargetAge { return a.targets.Ages(nowUs) }
 
 // Contact notes that a controller that has the core in reach was heard of.
-func (d *Controller) Contact(nowUs int64) { d.contactUs = max(d.contactUs, nowUs) }
+func (a *Controller) Contact(nowUs int64) { a.contactUs = max(a.contactUs, nowUs) }
 
 // outOfContact tells whether the bound is suspended. Only this node's own loss of
 // contact does that; how the core looks to its members does not.
-func (d *Controller) outOfContact(nowUs int64) bool {
-	return d.Bound.ContactLossUs > 0 && nowUs-d.contactUs >= d.Bound.ContactLossUs
+func (a *Controller) outOfContact(nowUs int64) bool {
+	return a.Bound.ContactLossUs > 0 && nowUs-a.contactUs >= a.Bound.ContactLossUs
 }
 
 // pastBound tells whether a version of a model's weights is too old for requests
 // that begin marginUs from now. A version that is not known, 0, counts as older
 // than any that was named.
-func (d *Controller) pastBound(model string, version, marginUs, nowUs int64) bool {
-	if version >= d.targets.Newest(model).Version || d.outOfContact(nowUs) {
+func (a *Controller) pastBound(model string, version, marginUs, nowUs int64) bool {
+	if version >= a.targets.Newest(model).Version || a.outOfContact(nowUs) {
 		return false
 	}
-	return d.targets.OutdatedUs(model, version, nowUs) >= d.Bound.VersionUs-marginUs
+	return a.targets.OutdatedUs(model, version, nowUs) >= a.Bound.VersionUs-marginUs
 }
 
 // weightsAllowed tells whether a request for a model may be sent to a runner. A
 // runner whose version is not known counts as one with older weights.
-func (d *Controller) weightsAllowed(model string, r *runner, nowUs int64) bool {
-	return !d.pastBound(model, weightsVersion(r.note, model), leastSendMarginUs+r.expectedWaitUs(&d.T, nowUs), nowUs)
+func (a *Controller) weightsAllowed(model string, r *runner, nowUs int64) bool {
+	return !a.pastBound(model, weightsVersion(r.note, model), leastSendMarginUs+r.expectedWaitUs(&a.T, nowUs), nowUs)
 }
 
 // expectedWaitUs estimates for how long a request sent now waits at the runner
@@ -82,18 +82,18 @@
 // runner. It goes by the version at admission, which the salt was made for and
 // which the request asks the runner for: past the bound that is never one that is
 // too old.
-func (d *Controller) WeightsAllowed(adm *Admission, nowUs int64) bool {
-	return !d.pastBound(adm.model, adm.Version, leastSendMarginUs, nowUs)
+func (a *Controller) WeightsAllowed(adm *Admission, nowUs int64) bool {
+	return !a.pastBound(adm.model, adm.Version, leastSendMarginUs, nowUs)
 }
 
 // MustWithdraw tells whether a request that was sent and has not begun is to be
 // taken back, because it would begin on weights that are too old by then.
-func (d *Controller) MustWithdraw(adm *Admission, nowUs int64) bool {
+func (a *Controller) MustWithdraw(adm *Admission, nowUs int64) bool {
 	version := adm.Version
-	if r := d.pool(adm.service).runners[adm.Runner.ID]; r != nil {
+	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
 		version = max(version, weightsVersion(r.note, adm.model))
 	}
-	return d.pastBound(adm.model, version, withdrawMarginUs, nowUs)
+	return a.pastBound(adm.model, version, withdrawMarginUs, nowUs)
 }
 
 // weightsVersion is the version of a model's weights that a runner is known to
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -10,17 +10,17 @@
 	windowUs int64
 }
 
-func (d *Controller) tenant(name string, nowUs int64) *tenantState {
-	t := d.tenants[name]
+func (a *Controller) tenant(name string, nowUs int64) *tenantState {
+	t := a.tenants[name]
 	if t == nil {
-		t = &tenantState{window: d.T.WindowStart, bucket: -1, bucketUs: nowUs, windowUs: nowUs}
-		d.tenants[name] = t
+		t = &tenantState{window: a.T.WindowStart, bucket: -1, bucketUs: nowUs, windowUs: nowUs}
+		a.tenants[name] = t
 	}
 	return t
 }
 
-func (d *Controller) allowRate(t *tenantState, p *pool, nowUs int64) bool {
-	most := max(d.T.TenantBurst*float64(d.places(p)), 64)
+func (a *Controller) allowRate(t *tenantState, p *pool, nowUs int64) bool {
+	most := max(a.T.TenantBurst*float64(a.places(p)), 64)
 	if t.bucket < 0 {
 		t.bucket = most
 	}
@@ -35,52 +35,52 @@
 
 // Tick lets time pass: requests whose wait is over are rejected, others that
 // find room are admitted, and the tenants' windows move.
-func (d *Controller) Tick(nowUs int64) []Ruling {
+func (a *Controller) Tick(nowUs int64) []Ruling {
 	var out []Ruling
-	for _, p := range d.pools {
+	for _, p := range a.pools {
 		if p.queue.count == 0 {
 			continue
 		}
 		for _, w := range p.queue.expired(nowUs) {
-			out = append(out, d.reject(w.ask, p, RejectTTL, 503))
+			out = append(out, a.reject(w.ask, p, RejectTTL, 503))
 		}
 		full := false
 		p.queue.walk(func(w *waiting) bool {
 			if full {
 				return false
 			}
-			adm := d.admit(w.ask, p, d.tenant(w.ask.Tenant, nowUs), nowUs)
+			adm := a.admit(w.ask, p, a.tenant(w.ask.Tenant, nowUs), nowUs)
 			if adm == nil {
 				// no place anywhere for this one means none for the next
-				full = !d.free && w.ask.Regime == "" && len(w.ask.Avoid) == 0
+				full = !a.free && w.ask.Regime == "" && len(w.ask.Avoid) == 0
 				return false
 			}
 			out = append(out, Ruling{Ref: w.ask.Ref, Admit: adm})
 			return true
 		})
 	}
-	d.moveWindows(nowUs)
+	a.moveWindows(nowUs)
 	return out
 }
 
-func (d *Controller) moveWindows(nowUs int64) {
+func (a *Controller) moveWindows(nowUs int64) {
 	use, n := 0.0, 0
-	for name, t := range d.tenants {
-		if nowUs-t.windowUs < d.T.WindowEveryUs {
+	for name, t := range a.tenants {
+		if nowUs-t.windowUs < a.T.WindowEveryUs {
 			continue
 		}
 		if n == 0 {
-			use, n = d.meanUse(nowUs), 1
+			use, n = a.meanUse(nowUs), 1
 		}
 		t.windowUs = nowUs
 		hits := 1.0
 		if t.all > 0 {
 			hits = t.hit / t.all
 		}
-		t.window = Window(&d.T, t.window, use, hits)
+		t.window = Window(&a.T, t.window, use, hits)
 		t.hit, t.all = t.hit/2, t.all/2
-		if t.admitted == 0 && t.all < 1 && t.window >= d.T.WindowStart && t.bucket >= 0 && nowUs-t.bucketUs > 60_000_000 {
-			delete(d.tenants, name)
+		if t.admitted == 0 && t.all < 1 && t.window >= a.T.WindowStart && t.bucket >= 0 && nowUs-t.bucketUs > 60_000_000 {
+			delete(a.tenants, name)
 		}
 	}
 }
@@ -96,12 +96,12 @@
 	return min(max(w, t.WindowMin), t.WindowMax)
 }
 
-func (d *Controller) meanUse(nowUs int64) float64 {
+func (a *Controller) meanUse(nowUs int64) float64 {
 	sum, n := 0.0, 0
-	for _, p := range d.pools {
+	for _, p := range a.pools {
 		for _, id := range p.order {
 			if r := p.runners[id]; r.blocks > 0 {
-				sum += r.settle(&d.T, nowUs, d.nodes, d.told(nowUs))
+				sum += r.settle(&a.T, nowUs, a.nodes, a.told(nowUs))
 				n++
 			}
 		}
