--- a/internal/admission/absent.go
+++ b/internal/admission/absent.go
@@ -62,7 +62,7 @@
 // WrongInstance notes that a runner answered 421. expected tells whether the
 // request named a version of the weights, so that the answer may be about that.
 // It tells whether the runner has left the choice by it.
-func (a *Controller) WrongInstance(adm *Admission, expected bool, nowUs int64) bool {
+func (a *Admitter) WrongInstance(adm *Admission, expected bool, nowUs int64) bool {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
 	if r == nil || r.absence.out {
@@ -96,14 +96,14 @@
 }
 
 // Absent tells whether the runner of an admission has left the choice since.
-func (a *Controller) Absent(adm *Admission) bool {
+func (a *Admitter) Absent(adm *Admission) bool {
 	r := a.pool(adm.service).runners[adm.Runner.ID]
 	return r != nil && r.absence.out
 }
 
 // DueProbes gives the registrations of absent runners whose probe is due, and
 // whether any runner is absent at all.
-func (a *Controller) DueProbes(nowUs int64) (due []messages.RunnerRecord, any bool) {
+func (a *Admitter) DueProbes(nowUs int64) (due []messages.RunnerRecord, any bool) {
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			r := p.runners[id]
@@ -124,7 +124,7 @@
 
 // Found takes what a probe found at the address of a runner. It tells whether the
 // runner's absence has become sure by it.
-func (a *Controller) Found(n messages.RunnerRecord, what Presence, nowUs int64) (sure bool) {
+func (a *Admitter) Found(n messages.RunnerRecord, what Presence, nowUs int64) (sure bool) {
 	r := a.pool(n.Service).runners[n.ID]
 	if r == nil || !r.absence.out || r.note.Addr != n.Addr {
 		return false
@@ -146,7 +146,7 @@
 }
 
 // surelyAbsent forgets what the runner kept and notes it for others.
-func (a *Controller) surelyAbsent(id string) {
+func (a *Admitter) surelyAbsent(id string) {
 	a.Index.Reset(id)
 	if len(a.absent) < hintsAtOnce {
 		a.absent = append(a.absent, id)
@@ -155,7 +155,7 @@
 
 // TakeAbsent gives the runners that were surely not at their address and have
 // not been given before.
-func (a *Controller) TakeAbsent() []string {
+func (a *Admitter) TakeAbsent() []string {
 	ids := a.absent
 	a.absent = nil
 	return ids
--- a/internal/admission/absent_test.go
+++ b/internal/admission/absent_test.go
@@ -12,7 +12,7 @@
 // crowd plays requests, one every 10 ms for 7 s and each 200 ms long, against
 // runners of which one is gone: its address answers 421. It counts the requests
 // that were answered so.
-func crowd(t *testing.T, d *Controller, gone string) (misdirected int) {
+func crowd(t *testing.T, d *Admitter, gone string) (misdirected int) {
 	t.Helper()
 	const stepUs, heldUs = 10_000, 200_000
 	type running struct {
@@ -25,7 +25,7 @@
 			d.Done(list[0].adm, true, nowUs)
 			list = list[1:]
 		}
-		adm := d.Arrive(ask(100, 10), nowUs).Admit
+		adm := d.Submit(ask(100, 10), nowUs).Admit
 		if adm == nil {
 			continue
 		}
@@ -52,14 +52,14 @@
 }
 
 // misdirect sends requests until one goes to a runner, and answers that one 421.
-func misdirect(t *testing.T, d *Controller, id string, expected bool, nowUs int64) bool {
+func misdirect(t *testing.T, d *Admitter, id string, expected bool, nowUs int64) bool {
 	t.Helper()
 	r := d.pool("s").runners[id]
 	adm := &Admission{Runner: r.note, service: "s", tenant: "t"}
 	return d.WrongInstance(adm, expected, nowUs)
 }
 
-func chosen(d *Controller, nowUs int64) map[string]bool {
+func chosen(d *Admitter, nowUs int64) map[string]bool {
 	out := map[string]bool{}
 	for _, c := range d.Candidates(ask(100, 10), nowUs) {
 		out[c.ID] = true
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Controller holds all of admission's state of one node. Checks run cheapest
+// Admitter holds all of admission's state of one node. Checks run cheapest
 // first; load is counted in blocks of runner memory, output blocks included,
 // and in prompt tokens waiting to be read; a runner past a threshold gets no
 // new request; what cannot go now waits within caps and a time to live, or is
@@ -13,8 +13,8 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// Ask is a request at the door.
-type Ask struct {
+// Request is what admission knows of a client's request.
+type Request struct {
 	Ref        inflight.Ref
 	Service    string
 	Tenant     string
@@ -43,8 +43,8 @@
 	RejectTTL     Reason = "ttl"
 )
 
-// Ruling is what the admission control says of one request.
-type Ruling struct {
+// Decision is what is decided on one request: it is admitted, queued or rejected.
+type Decision struct {
 	Ref     inflight.Ref
 	Admit   *Admission
 	Hold    bool
@@ -53,8 +53,8 @@
 	AgainUs int64
 }
 
-// Controller is not safe for concurrent use.
-type Controller struct {
+// Admitter is not safe for concurrent use.
+type Admitter struct {
 	T       Tuning
 	Zone    string
 	Index   *prefixindex.Index
@@ -76,9 +76,9 @@
 	Salt      func(tenant string, isolated bool, regime string, version int64) string
 }
 
-// New makes a admission control for a node at a zone.
-func New(t Tuning, zone string) *Controller {
-	return &Controller{T: t, Zone: zone, Index: prefixindex.NewIndex(), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
+// New makes the admitter of a node in a zone.
+func New(t Tuning, zone string) *Admitter {
+	return &Admitter{T: t, Zone: zone, Index: prefixindex.NewIndex(), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
 }
 
 // Salt keeps weight versions apart, isolated tenants from all others, and the
@@ -103,10 +103,10 @@
 }
 
 // SetNodes tells how many nodes share the runners.
-func (a *Controller) SetNodes(n int) { a.nodes = max(n, 1) }
+func (a *Admitter) SetNodes(n int) { a.nodes = max(n, 1) }
 
-// Arrive rules on a new request.
-func (a *Controller) Arrive(request Ask, nowUs int64) Ruling {
+// Submit decides on a new request.
+func (a *Admitter) Submit(request Request, nowUs int64) Decision {
 	p := a.pool(request.Service)
 	t := a.tenant(request.Tenant, nowUs)
 	if !a.allowRate(t, p, nowUs) {
@@ -117,13 +117,13 @@
 	}
 	if p.queue.count == 0 || p.queue.bands[0].rank > request.Rank || a.nothingAhead(p, request.Rank) {
 		if adm := a.admit(request, p, t, nowUs); adm != nil {
-			return Ruling{Ref: request.Ref, Admit: adm}
+			return Decision{Ref: request.Ref, Admit: adm}
 		}
 	}
-	return a.hold(request, p, nowUs)
+	return a.enqueue(request, p, nowUs)
 }
 
-func (a *Controller) nothingAhead(p *pool, rank int) bool {
+func (a *Admitter) nothingAhead(p *pool, rank int) bool {
 	for _, b := range p.queue.bands {
 		if b.rank <= rank && len(b.turn) > 0 {
 			return false
@@ -132,7 +132,7 @@
 	return true
 }
 
-func (a *Controller) hold(request Ask, p *pool, nowUs int64) Ruling {
+func (a *Admitter) enqueue(request Request, p *pool, nowUs int64) Decision {
 	share := func(total float64) float64 {
 		if a.nodes > 2 {
 			return 2 * total / float64(a.nodes)
@@ -148,21 +148,21 @@
 	}
 	ttl := min(int64(float64(request.LeftUs)*a.T.TTLPart), int64(float64(setpoint)*a.T.TTLSetpoints))
 	p.queue.put(&waiting{ask: request, untilUs: nowUs + max(ttl, 50_000)})
-	return Ruling{Ref: request.Ref, Hold: true}
+	return Decision{Ref: request.Ref, Hold: true}
 }
 
 // ShedFor makes room for a request of a higher band that was rejected for a full
 // queue: the newest of the lowest band goes instead.
-func (a *Controller) ShedFor(request Ask, nowUs int64) (Ruling, bool) {
+func (a *Admitter) ShedFor(request Request, nowUs int64) (Decision, bool) {
 	p := a.pool(request.Service)
 	w := p.queue.shed(request.Rank)
 	if w == nil {
-		return Ruling{}, false
+		return Decision{}, false
 	}
 	return a.reject(w.ask, p, RejectShed, 503), true
 }
 
-func (a *Controller) reject(request Ask, p *pool, why Reason, status int) Ruling {
+func (a *Admitter) reject(request Request, p *pool, why Reason, status int) Decision {
 	again := int64(float64(p.queue.tokens)/a.rate(p)) + 60_000
-	return Ruling{Ref: request.Ref, Reject: why, Status: status, AgainUs: min(max(again, 60_000), 1_000_000)}
+	return Decision{Ref: request.Ref, Reject: why, Status: status, AgainUs: min(max(again, 60_000), 1_000_000)}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,7 +17,7 @@
 	return messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Zone: "a", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 1}}}
 }
 
-func door(ids ...string) *Controller {
+func door(ids ...string) *Admitter {
 	d := New(Defaults, "a")
 	var notes []messages.RunnerRecord
 	for _, id := range ids {
@@ -29,13 +29,13 @@
 
 var slab inflight.Slab[int]
 
-func ask(in, out int) Ask {
-	return Ask{Ref: slab.Put(func(int) {}), Service: "s", Tenant: "t", TokensIn: in, TokensOut: out, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: in}}, SetpointUs: 400_000, LeftUs: 6_000_000}
+func ask(in, out int) Request {
+	return Request{Ref: slab.Put(func(int) {}), Service: "s", Tenant: "t", TokensIn: in, TokensOut: out, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: in}}, SetpointUs: 400_000, LeftUs: 6_000_000}
 }
 
 func TestFreeRunnerAdmits(t *testing.T) {
 	d := door("x")
-	r := d.Arrive(ask(100, 10), 1)
+	r := d.Submit(ask(100, 10), 1)
 	must.NotNil(t, r.Admit)
 	must.Eq(t, "x", r.Admit.Runner.ID)
 	must.Eq(t, "w1", r.Admit.Salt)
@@ -45,29 +45,29 @@
 	d := door("x")
 	a := ask(memory, memory)
 	for range 64 {
-		must.Eq(t, RejectContext, d.Arrive(a, 1).Reject)
+		must.Eq(t, RejectContext, d.Submit(a, 1).Reject)
 	}
-	r := d.Arrive(a, 1)
+	r := d.Submit(a, 1)
 	must.Eq(t, RejectRate, r.Reject)
 	must.Eq(t, 429, r.Status)
 	must.Greater(t, 0, r.AgainUs)
-	must.Eq(t, RejectContext, d.Arrive(a, 10_000_000).Reject, must.Sprint("the bucket fills again"))
+	must.Eq(t, RejectContext, d.Submit(a, 10_000_000).Reject, must.Sprint("the bucket fills again"))
 }
 
 func TestContextBudgetCountsOutputAndIsNo4xx(t *testing.T) {
 	d := door("x")
-	r := d.Arrive(ask(memory-5, 6), 1)
+	r := d.Submit(ask(memory-5, 6), 1)
 	must.Eq(t, RejectContext, r.Reject)
 	must.Eq(t, 503, r.Status)
-	must.NotNil(t, d.Arrive(ask(memory-6, 6), 2).Admit)
+	must.NotNil(t, d.Submit(ask(memory-6, 6), 2).Admit)
 }
 
 func TestBusyByMemoryWithOutputBlocksAndHysteresis(t *testing.T) {
 	d := door("x")
-	first := d.Arrive(ask(400, 13_300), 1).Admit // 25 + 832 blocks
+	first := d.Submit(ask(400, 13_300), 1).Admit // 25 + 832 blocks
 	must.NotNil(t, first)
 	d.FirstToken(first, 2)
-	must.True(t, d.Arrive(ask(16, 1), 3).Hold, must.Sprint("0.857 of the memory, nearly all of it output"))
+	must.True(t, d.Submit(ask(16, 1), 3).Hold, must.Sprint("0.857 of the memory, nearly all of it output"))
 	d.Done(first, true, 4)
 	out := d.Tick(5)
 	must.Len(t, 1, out)
@@ -80,7 +80,7 @@
 		d.Report(messages.ReportNote{ID: "x", Used: used, Total: memory, Active: 1}, now)
 	}
 	report(memory*86/100, 1_000_000)
-	must.True(t, d.Arrive(ask(16, 1), 1_000_001).Hold)
+	must.True(t, d.Submit(ask(16, 1), 1_000_001).Hold)
 	report(memory*82/100, 1_200_000)
 	must.SliceEmpty(t, d.Tick(1_200_001))
 	report(memory*79/100, 1_300_000)
@@ -90,9 +90,9 @@
 func TestBusyByPrefillTokens(t *testing.T) {
 	d := door("x")
 	d.T.RateStart = 0.02 // 12,000 tokens are 0.6 s
-	big := d.Arrive(ask(12_000, 1), 1).Admit
+	big := d.Submit(ask(12_000, 1), 1).Admit
 	must.NotNil(t, big)
-	must.True(t, d.Arrive(ask(16, 1), 2).Hold)
+	must.True(t, d.Submit(ask(16, 1), 2).Hold)
 	d.FirstToken(big, 500_000)
 	must.Len(t, 1, d.Tick(500_001))
 }
@@ -100,8 +100,8 @@
 func TestThresholdsFireWithoutReports(t *testing.T) {
 	d := door("x")
 	d.SetNodes(4)
-	must.NotNil(t, d.Arrive(ask(3_600, 20), 1).Admit)
-	must.True(t, d.Arrive(ask(16, 1), 2).Hold, must.Sprint("no word from others: this node keeps to its share"))
+	must.NotNil(t, d.Submit(ask(3_600, 20), 1).Admit)
+	must.True(t, d.Submit(ask(16, 1), 2).Hold, must.Sprint("no word from others: this node keeps to its share"))
 }
 
 func TestThresholdsFireWithLateReportsAndGaps(t *testing.T) {
@@ -110,12 +110,12 @@
 	d.Report(messages.ReportNote{ID: "x", Used: 0, Total: memory}, 1)
 	now := int64(1 + d.T.ReportFreshUs) // the report is too old to be believed
 	d.Others(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: 870, Count: 2} }, now)
-	must.True(t, d.Arrive(ask(16, 1), now+1).Hold, must.Sprint("others' word counts"))
+	must.True(t, d.Submit(ask(16, 1), now+1).Hold, must.Sprint("others' word counts"))
 	must.Len(t, 1, d.Tick(now+1_000_000), must.Sprint("a held request does not wait for ever"))
 	late := now + d.T.ReportFreshUs + 1
 	d.SetNodes(4)
-	must.NotNil(t, d.Arrive(ask(3_600, 20), late).Admit, must.Sprint("an old word is let go"))
-	must.True(t, d.Arrive(ask(16, 1), late+1).Hold, must.Sprint("and the node keeps to its share"))
+	must.NotNil(t, d.Submit(ask(3_600, 20), late).Admit, must.Sprint("an old word is let go"))
+	must.True(t, d.Submit(ask(16, 1), late+1).Hold, must.Sprint("and the node keeps to its share"))
 }
 
 // Sums that are short, because a part of the tree is missing from them, must
@@ -124,8 +124,8 @@
 	d := door("x")
 	d.SetNodes(3)
 	d.Others(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: -40, Count: -2, Prefill: -5} }, 1)
-	must.NotNil(t, d.Arrive(ask(13_600, 20), 2).Admit)
-	must.True(t, d.Arrive(ask(16, 1), 3).Hold)
+	must.NotNil(t, d.Submit(ask(13_600, 20), 2).Admit)
+	must.True(t, d.Submit(ask(16, 1), 3).Hold)
 }
 
 func TestStoresAreAllUsedAndHoldTogetherWhatIsShared(t *testing.T) {
@@ -138,7 +138,7 @@
 		for j := range 2 {
 			a := ask(116, 1)
 			a.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("deep", i), Tokens: 50}, {ID: fmt.Sprint("own", i, j), Tokens: 16}}
-			r := d.Arrive(a, int64(1+i)*1_000_000)
+			r := d.Submit(a, int64(1+i)*1_000_000)
 			must.NotNil(t, r.Admit)
 			if j == 0 {
 				last = r.Admit.Sink
@@ -154,20 +154,20 @@
 func TestOwnRequestsCountOnTopOfALateReport(t *testing.T) {
 	d := door("x")
 	d.Report(messages.ReportNote{ID: "x", Used: memory / 2, Total: memory, Active: 1}, 1_000_000)
-	a := d.Arrive(ask(5_700, 10), 1_000_001).Admit
+	a := d.Submit(ask(5_700, 10), 1_000_001).Admit
 	must.NotNil(t, a)
 	d.FirstToken(a, 1_100_000)
-	must.True(t, d.Arrive(ask(160, 1), 1_100_001).Hold)
+	must.True(t, d.Submit(ask(160, 1), 1_100_001).Hold)
 }
 
 func TestCapacityAndPendingCap(t *testing.T) {
 	d := door("x")
 	for i := range 4 {
-		must.NotNil(t, d.Arrive(ask(16, 1), int64(i)).Admit)
+		must.NotNil(t, d.Submit(ask(16, 1), int64(i)).Admit)
 	}
 	held := 0
 	for i := range 40 {
-		r := d.Arrive(ask(16, 1), int64(10+i))
+		r := d.Submit(ask(16, 1), int64(10+i))
 		if r.Hold {
 			held++
 			continue
@@ -183,18 +183,18 @@
 	d := door("x")
 	d.T.RateStart = 0.01 // 0.4 s x 10 tokens a ms = 4,000 tokens
 	for i := range 4 {
-		d.Arrive(ask(16, 1), int64(i))
+		d.Submit(ask(16, 1), int64(i))
 	}
-	must.True(t, d.Arrive(ask(3_000, 1), 10).Hold)
-	must.Eq(t, RejectTokens, d.Arrive(ask(1_500, 1), 11).Reject)
-	must.True(t, d.Arrive(ask(900, 1), 12).Hold)
+	must.True(t, d.Submit(ask(3_000, 1), 10).Hold)
+	must.Eq(t, RejectTokens, d.Submit(ask(1_500, 1), 11).Reject)
+	must.True(t, d.Submit(ask(900, 1), 12).Hold)
 }
 
 func TestTTLIsBelowTheTimeLeft(t *testing.T) {
 	d := door()
 	a := ask(16, 1)
 	a.LeftUs = 300_000
-	must.True(t, d.Arrive(a, 1).Hold)
+	must.True(t, d.Submit(a, 1).Hold)
 	must.SliceEmpty(t, d.Tick(98_000))
 	out := d.Tick(100_000)
 	must.Len(t, 1, out)
@@ -206,7 +206,7 @@
 	d := door("x")
 	var first *Admission
 	for i := range 4 {
-		first = d.Arrive(ask(16, 1), int64(i)).Admit
+		first = d.Submit(ask(16, 1), int64(i)).Admit
 	}
 	order := []string{}
 	names := map[inflight.Ref]string{}
@@ -217,7 +217,7 @@
 		a := ask(16, 1)
 		a.Tenant, a.Rank = c.tenant, c.rank
 		names[a.Ref] = c.tenant
-		must.True(t, d.Arrive(a, int64(10+i)).Hold)
+		must.True(t, d.Submit(a, int64(10+i)).Hold)
 	}
 	for i := range 6 {
 		d.Done(first, true, int64(100+i))
@@ -232,22 +232,22 @@
 func TestSheddableGoFirst(t *testing.T) {
 	d := door("x")
 	for i := range 4 {
-		d.Arrive(ask(16, 1), int64(i))
+		d.Submit(ask(16, 1), int64(i))
 	}
 	var last inflight.Ref
 	for i := range 4 + d.T.BufferRequests {
 		a := ask(16, 1)
 		a.Rank = 1
 		last = a.Ref
-		must.True(t, d.Arrive(a, int64(10+i)).Hold)
+		must.True(t, d.Submit(a, int64(10+i)).Hold)
 	}
 	high := ask(16, 1)
-	must.Eq(t, RejectQueue, d.Arrive(high, 50).Reject)
+	must.Eq(t, RejectQueue, d.Submit(high, 50).Reject)
 	shed, ok := d.ShedFor(high, 51)
 	must.True(t, ok)
 	must.Eq(t, last, shed.Ref)
 	must.Eq(t, RejectShed, shed.Reject)
-	must.True(t, d.Arrive(high, 52).Hold)
+	must.True(t, d.Submit(high, 52).Hold)
 	low := ask(16, 1)
 	low.Rank = 1
 	_, ok = d.ShedFor(low, 53)
@@ -268,13 +268,13 @@
 	d := door("x", "y")
 	d.T.WindowStart = 3
 	for i := range 3 {
-		must.NotNil(t, d.Arrive(ask(16, 1), int64(i)).Admit)
+		must.NotNil(t, d.Submit(ask(16, 1), int64(i)).Admit)
 	}
-	must.True(t, d.Arrive(ask(16, 1), 4).Hold)
+	must.True(t, d.Submit(ask(16, 1), 4).Hold)
 	other := ask(16, 1)
 	other.Tenant = "u"
-	d.pool("s").queue = pending{}
-	must.NotNil(t, d.Arrive(other, 5).Admit)
+	d.pool("s").queue = queue{}
+	must.NotNil(t, d.Submit(other, 5).Admit)
 }
 
 func TestDrainingBarredAndAvoidedAreNoCandidates(t *testing.T) {
@@ -304,9 +304,9 @@
 	d := door("x")
 	d.SetLinks("s", 10)
 	d.SetNodes(4)
-	must.NotNil(t, d.Arrive(ask(16, 1), 1).Admit)
-	must.NotNil(t, d.Arrive(ask(16, 1), 2).Admit)
-	must.True(t, d.Arrive(ask(16, 1), 3).Hold, must.Sprint("nine of ten over four nodes are two"))
+	must.NotNil(t, d.Submit(ask(16, 1), 1).Admit)
+	must.NotNil(t, d.Submit(ask(16, 1), 2).Admit)
+	must.True(t, d.Submit(ask(16, 1), 3).Hold, must.Sprint("nine of ten over four nodes are two"))
 	d.SetNodes(1)
 	must.Len(t, 1, d.Tick(4))
 }
@@ -340,7 +340,7 @@
 	for i := range 3 {
 		a := ask(16, 1)
 		a.Avoid = []string{"y"}
-		r := d.Arrive(a, int64(1+i*3_000_000))
+		r := d.Submit(a, int64(1+i*3_000_000))
 		must.NotNil(t, r.Admit)
 		d.Done(r.Admit, false, int64(1+i*3_000_000))
 		list := d.Candidates(ask(16, 1), int64(2+i*3_000_000))
@@ -382,7 +382,7 @@
 	for i := range 8 {
 		a := ask(100+i, 50)
 		a.Parts = []prefixindex.Part{{ID: "shared", Tokens: 64}, {ID: fmt.Sprint(i), Tokens: 36 + i}}
-		r := d.Arrive(a, int64(i))
+		r := d.Submit(a, int64(i))
 		must.NotNil(t, r.Admit)
 		list = append(list, r.Admit)
 	}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -36,7 +36,7 @@
 	blocks int
 }
 
-func (a *Controller) admit(request Ask, p *pool, t *tenantState, nowUs int64) *Admission {
+func (a *Admitter) admit(request Request, p *pool, t *tenantState, nowUs int64) *Admission {
 	a.free = true
 	if float64(t.admitted) >= t.window {
 		return nil
@@ -84,7 +84,7 @@
 
 // sink is the store for a prompt's shared parts: by the deepest of them, so that
 // what hangs together lies in one, and all stores are used.
-func (p *pool) sink(request Ask, keys []uint64) string {
+func (p *pool) sink(request Request, keys []uint64) string {
 	best, top := "", uint64(0)
 	for _, s := range p.stores {
 		if v := statesync.Mix(keys[max(len(keys)-2, 0)] ^ statesync.HashText(s.ID, "")); p.lets(request, s.ID) && (best == "" || v > top) {
@@ -96,7 +96,7 @@
 
 // expect notes the shared parts that a runner is about to read, here and for
 // the other nodes.
-func (a *Controller) expect(adm *Admission, shared int) bool {
+func (a *Admitter) expect(adm *Admission, shared int) bool {
 	note := messages.KeptNote{ID: adm.Runner.ID, Parts: []messages.KeptPart{}}
 	for i := range max(shared, 0) {
 		k, n := adm.Keys[i], int32(adm.Parts[i].Tokens)
@@ -114,11 +114,11 @@
 
 // HasFresh tells whether there is something that the other nodes should hear
 // soon.
-func (a *Controller) HasFresh() bool { return len(a.fresh) > 0 }
+func (a *Admitter) HasFresh() bool { return len(a.fresh) > 0 }
 
 // FirstToken notes that a runner has read a prompt, which also tells how fast
 // it reads and what it keeps now.
-func (a *Controller) FirstToken(adm *Admission, nowUs int64) {
+func (a *Admitter) FirstToken(adm *Admission, nowUs int64) {
 	r := a.pool(adm.service).runners[adm.Runner.ID]
 	if r == nil || !adm.reading {
 		return
@@ -140,7 +140,7 @@
 
 // Done gives the place back. ok tells whether the runner behaved; a runner
 // whose links fail is passed over for a while.
-func (a *Controller) Done(adm *Admission, ok bool, nowUs int64) {
+func (a *Admitter) Done(adm *Admission, ok bool, nowUs int64) {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
 	a.tenant(adm.tenant, nowUs).admitted--
@@ -171,7 +171,7 @@
 }
 
 // Ended notes how a request that ran at a runner ended there.
-func (a *Controller) Ended(adm *Admission, good bool, nowUs int64) {
+func (a *Admitter) Ended(adm *Admission, good bool, nowUs int64) {
 	p := a.pool(adm.service)
 	if r := p.runners[adm.Runner.ID]; r != nil {
 		r.health.note(good, nowUs)
@@ -185,7 +185,7 @@
 
 // Full notes that a runner turned a request away: for a short while it counts
 // as having no place.
-func (a *Controller) Full(adm *Admission, nowUs int64) {
+func (a *Admitter) Full(adm *Admission, nowUs int64) {
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
 		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+turnedAwayUs)
 	}
@@ -193,7 +193,7 @@
 
 // TakeFresh gives the parts that this node has sent to be read since the last
 // call.
-func (a *Controller) TakeFresh() []messages.KeptNote {
+func (a *Admitter) TakeFresh() []messages.KeptNote {
 	out := a.fresh
 	a.fresh = nil
 	return out
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -10,14 +10,14 @@
 )
 
 // Candidates lists the runners that a request may go to now.
-func (a *Controller) Candidates(request Ask, nowUs int64) []placement.Candidate {
+func (a *Admitter) Candidates(request Request, nowUs int64) []placement.Candidate {
 	list, _ := a.candidates(request, a.pool(request.Service), nowUs)
 	return slices.Clone(list)
 }
 
 // candidates gives the runners that a request may go to; the result holds until
 // the next call.
-func (a *Controller) candidates(request Ask, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
+func (a *Admitter) candidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
 	out, who := a.list[:0], a.who[:0]
 	defer func() { a.list, a.who = out, who }()
 	a.free = false
@@ -71,7 +71,7 @@
 
 // keysOf gives the keys of a request's parts under each version, each worked out
 // once.
-func (a *Controller) keysOf(request Ask) func(version int64) []uint64 {
+func (a *Admitter) keysOf(request Request) func(version int64) []uint64 {
 	var versions []int64
 	var keys [][]uint64
 	return func(version int64) []uint64 {
@@ -106,7 +106,7 @@
 
 // findMoves finds for every candidate the runner with the same weights that
 // keeps more of the prompt and from where it comes soonest.
-func (a *Controller) findMoves(request Ask, p *pool, out []placement.Candidate, who []*runner, keysOf func(version int64) []uint64, nowUs int64) {
+func (a *Admitter) findMoves(request Request, p *pool, out []placement.Candidate, who []*runner, keysOf func(version int64) []uint64, nowUs int64) {
 	shared := 0
 	for _, part := range request.Parts[:len(request.Parts)-1] {
 		shared += part.Tokens
@@ -184,7 +184,7 @@
 // preference sorts runners into three: those to be used, those that are about
 // to get an order and should not begin a long request, and those that are
 // silent or whose links fail.
-func (a *Controller) preference(request Ask, r *runner, nowUs int64) int {
+func (a *Admitter) preference(request Request, r *runner, nowUs int64) int {
 	switch {
 	case r.note.Stale || r.avoidUntilUs > nowUs || r.health.out(nowUs):
 		return 2
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func tenRunners() (*Controller, []string) {
+func tenRunners() (*Admitter, []string) {
 	var ids []string
 	for i := range 10 {
 		ids = append(ids, fmt.Sprint("r", i))
@@ -17,11 +17,11 @@
 	return door(ids...), ids
 }
 
-func (a *Controller) end(id string, good bool, nowUs int64) {
+func (a *Admitter) end(id string, good bool, nowUs int64) {
 	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, good, nowUs)
 }
 
-func offered(d *Controller, nowUs int64) map[string]bool {
+func offered(d *Admitter, nowUs int64) map[string]bool {
 	out := map[string]bool{}
 	for _, c := range d.Candidates(ask(16, 1), nowUs) {
 		out[c.ID] = true
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -9,7 +9,7 @@
 )
 
 // Report takes a runner's own word.
-func (a *Controller) Report(n messages.ReportNote, nowUs int64) {
+func (a *Admitter) Report(n messages.ReportNote, nowUs int64) {
 	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
 			r.report = word{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
@@ -22,7 +22,7 @@
 }
 
 // Coming takes other nodes' word on the parts that they have sent to be read.
-func (a *Controller) Coming(notes []messages.KeptNote) {
+func (a *Admitter) Coming(notes []messages.KeptNote) {
 	for _, n := range notes {
 		for _, part := range n.Parts {
 			a.Index.Expect(n.ID, part.Key, part.Tokens)
@@ -32,7 +32,7 @@
 
 // Others takes what the other nodes have at the runners, added up; a runner
 // that is not named has nothing of theirs.
-func (a *Controller) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
+func (a *Admitter) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
 	for _, p := range a.pools {
 		for id, r := range p.runners {
 			r.other(loads(id))
@@ -42,7 +42,7 @@
 }
 
 // Other takes it for one runner.
-func (a *Controller) Other(id string, l messages.RunnerLoad) {
+func (a *Admitter) Other(id string, l messages.RunnerLoad) {
 	for _, p := range a.pools {
 		if r := p.runners[id]; r != nil {
 			r.other(l)
@@ -51,7 +51,7 @@
 }
 
 // Told notes that what is known of the others is of now.
-func (a *Controller) Told(nowUs int64) {
+func (a *Admitter) Told(nowUs int64) {
 	a.toldUs = nowUs
 	for _, p := range a.pools {
 		p.eject(nowUs)
@@ -59,7 +59,7 @@
 }
 
 // forgetOthers lets go of what the others said once it is too old.
-func (a *Controller) forgetOthers(nowUs int64) {
+func (a *Admitter) forgetOthers(nowUs int64) {
 	if a.toldUs == 0 || a.told(nowUs) {
 		return
 	}
@@ -72,13 +72,13 @@
 }
 
 // told tells whether the others' loads are fresh enough to go by.
-func (a *Controller) told(nowUs int64) bool {
+func (a *Admitter) told(nowUs int64) bool {
 	return a.toldUs > 0 && nowUs-a.toldUs < a.T.ReportFreshUs
 }
 
 // Blind lists the runners whose thresholds cannot fire as they should: memory
 // that is not known, or no report within three times the time one is believed.
-func (a *Controller) Blind(nowUs int64) []string {
+func (a *Admitter) Blind(nowUs int64) []string {
 	var out []string
 	for _, p := range a.pools {
 		for _, id := range p.order {
@@ -97,7 +97,7 @@
 const flowStep = 250
 
 // Own is what this node has at the runners.
-func (a *Controller) Own(nowUs int64) map[string]messages.RunnerLoad {
+func (a *Admitter) Own(nowUs int64) map[string]messages.RunnerLoad {
 	out := map[string]messages.RunnerLoad{}
 	for _, p := range a.pools {
 		for id, r := range p.runners {
--- a/internal/admission/pending.go
+++ b/internal/admission/pending.go
@@ -5,7 +5,7 @@
 import "sort"
 
 type waiting struct {
-	ask     Ask
+	ask     Request
 	untilUs int64
 }
 
@@ -15,13 +15,13 @@
 	tenants map[string][]*waiting
 }
 
-type pending struct {
+type queue struct {
 	bands  []*band
 	count  int
 	tokens int
 }
 
-func (p *pending) put(w *waiting) {
+func (p *queue) put(w *waiting) {
 	i := sort.Search(len(p.bands), func(i int) bool { return p.bands[i].rank >= w.ask.Rank })
 	if i == len(p.bands) || p.bands[i].rank != w.ask.Rank {
 		p.bands = append(p.bands, nil)
@@ -38,7 +38,7 @@
 }
 
 // remove takes out the i-th request of a tenant in a band.
-func (p *pending) remove(b *band, tenant string, i int) *waiting {
+func (p *queue) remove(b *band, tenant string, i int) *waiting {
 	list := b.tenants[tenant]
 	w := list[i]
 	b.tenants[tenant] = append(list[:i:i], list[i+1:]...)
@@ -57,7 +57,7 @@
 }
 
 // expired takes out all whose time to live is over.
-func (p *pending) expired(nowUs int64) []*waiting {
+func (p *queue) expired(nowUs int64) []*waiting {
 	var out []*waiting
 	for _, b := range p.bands {
 		for _, tenant := range append([]string{}, b.turn...) {
@@ -72,7 +72,7 @@
 }
 
 // shed takes out the newest request of the lowest band below rank.
-func (p *pending) shed(rank int) *waiting {
+func (p *queue) shed(rank int) *waiting {
 	for i := len(p.bands) - 1; i >= 0 && p.bands[i].rank > rank; i-- {
 		b := p.bands[i]
 		worst, at := "", -1
@@ -91,7 +91,7 @@
 // walk offers the requests in their order, band by band and the tenants of a
 // band in turn; what take accepts leaves the queue. A tenant whose first
 // request is not taken is passed over.
-func (p *pending) walk(take func(*waiting) bool) {
+func (p *queue) walk(take func(*waiting) bool) {
 	for _, b := range p.bands {
 		for tries := len(b.turn); tries > 0 && len(b.turn) > 0; tries-- {
 			tenant := b.turn[0]
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -6,7 +6,7 @@
 type pool struct {
 	runners map[string]*runner
 	order   []string
-	queue   pending
+	queue   queue
 	stores  []Store
 	links   int                        // connections a runner takes from all nodes together; 0: no limit
 	allowed map[string]map[string]bool // by regime, the ids of runners and stores let in
@@ -24,7 +24,7 @@
 
 // SetService tells the runners of a service, the memory of each in tokens, and
 // how long moving the memory of a token takes.
-func (a *Controller) SetService(service string, notes []messages.RunnerRecord, tokens int, moveUs float64) {
+func (a *Admitter) SetService(service string, notes []messages.RunnerRecord, tokens int, moveUs float64) {
 	p := a.pool(service)
 	p.tokens, p.moveUs = tokens, moveUs
 	keep := map[string]bool{}
@@ -53,11 +53,11 @@
 const linkPart = 0.9
 
 // SetLinks tells how many connections a runner of a service takes in all.
-func (a *Controller) SetLinks(service string, limit int) { a.pool(service).links = limit }
+func (a *Admitter) SetLinks(service string, limit int) { a.pool(service).links = limit }
 
 // linkShare is how many requests this node may have at one runner at a time,
 // each on a connection of its own; 0 means any number.
-func (a *Controller) linkShare(p *pool) int {
+func (a *Admitter) linkShare(p *pool) int {
 	if p.links <= 0 {
 		return 0
 	}
@@ -65,21 +65,21 @@
 }
 
 // SetCertified tells which runners and stores of a service each regime lets in.
-func (a *Controller) SetCertified(service string, allowed map[string]map[string]bool) {
+func (a *Admitter) SetCertified(service string, allowed map[string]map[string]bool) {
 	a.pool(service).allowed = allowed
 }
 
 // lets tells whether a request may have to do with a runner or store. Without
 // sure knowledge the answer is no.
-func (p *pool) lets(request Ask, id string) bool {
+func (p *pool) lets(request Request, id string) bool {
 	return request.Regime == "" || p.allowed[request.Regime][id]
 }
 
 // SetStores tells the stores that runners of a service may use.
-func (a *Controller) SetStores(service string, stores []Store) { a.pool(service).stores = stores }
+func (a *Admitter) SetStores(service string, stores []Store) { a.pool(service).stores = stores }
 
 // Services lists those with requests waiting.
-func (a *Controller) Services() []string {
+func (a *Admitter) Services() []string {
 	var out []string
 	for name := range a.pools {
 		out = append(out, name)
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (a *Controller) pool(service string) *pool {
+func (a *Admitter) pool(service string) *pool {
 	p := a.pools[service]
 	if p == nil {
 		p = &pool{runners: map[string]*runner{}}
@@ -96,7 +96,7 @@
 	return p
 }
 
-func (a *Controller) places(p *pool) int {
+func (a *Admitter) places(p *pool) int {
 	n := 0
 	for _, id := range p.order {
 		n += p.runners[id].capacity
@@ -104,7 +104,7 @@
 	return n
 }
 
-func (a *Controller) rate(p *pool) float64 {
+func (a *Admitter) rate(p *pool) float64 {
 	sum := 0.0
 	for _, id := range p.order {
 		sum += p.runners[id].readRate(&a.T)
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -15,7 +15,7 @@
 
 // SetRelinquished tells which zones give up their sessions, and over how long
 // each. What has been left stays left for as long as the zone is named.
-func (a *Controller) SetRelinquished(zones map[string]int64, nowUs int64) {
+func (a *Admitter) SetRelinquished(zones map[string]int64, nowUs int64) {
 	next := map[string]relinquished{}
 	for zone, overUs := range zones {
 		x, known := a.left[zone]
@@ -29,7 +29,7 @@
 }
 
 // Session names the session that a request belongs to.
-func Session(request Ask) uint64 {
+func Session(request Request) uint64 {
 	h := statesync.HashText(request.Tenant, request.Model)
 	if n := len(request.Parts); n > 0 {
 		h = statesync.Mix(h ^ statesync.HashText(request.Parts[max(n-2, 0)].ID, ""))
@@ -39,7 +39,7 @@
 
 // Leaves tells whether a request's session has left a zone, or is to leave it
 // now.
-func (a *Controller) Leaves(request Ask, zone string, nowUs int64) bool {
+func (a *Admitter) Leaves(request Request, zone string, nowUs int64) bool {
 	x, ok := a.left[zone]
 	if !ok {
 		return false
@@ -53,7 +53,7 @@
 
 // home is the zone that a session goes to: the same for all nodes, and the same
 // again whatever becomes of the other zones.
-func (a *Controller) home(request Ask, p *pool) string {
+func (a *Admitter) home(request Request, p *pool) string {
 	session, best, top := Session(request), "", uint64(0)
 	for _, id := range p.order {
 		n := &p.runners[id].note
@@ -69,7 +69,7 @@
 
 // TryNow admits a request if there is a place for it at this moment, and does
 // not let it wait.
-func (a *Controller) TryNow(request Ask, nowUs int64) *Admission {
+func (a *Admitter) TryNow(request Request, nowUs int64) *Admission {
 	p := a.pool(request.Service)
 	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens || !a.nothingAhead(p, request.Rank) {
 		return nil
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -20,17 +20,17 @@
 	return out
 }
 
-func sessionAsk(i int) Ask {
+func sessionAsk(i int) Request {
 	a := ask(116, 1)
 	a.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("session", i), Tokens: 50}, {ID: "own", Tokens: 16}}
 	return a
 }
 
-func goes(t *testing.T, d *Controller, i int, nowUs int64) string {
+func goes(t *testing.T, d *Admitter, i int, nowUs int64) string {
 	t.Helper()
 	a := sessionAsk(i)
 	a.Tenant = fmt.Sprint("t", i) // so that no tenant's rate is in the way
-	r := d.Arrive(a, nowUs)
+	r := d.Submit(a, nowUs)
 	must.NotNil(t, r.Admit, must.Sprint(r.Reject))
 	d.FirstToken(r.Admit, nowUs)
 	d.Done(r.Admit, true, nowUs)
@@ -39,7 +39,7 @@
 
 const some = 400
 
-func moveDoor() *Controller {
+func moveDoor() *Admitter {
 	d := New(Defaults, "a")
 	d.SetService("s", sited("a", "b", "c", "a", "b", "c"), memory, 0.01)
 	return d
@@ -80,7 +80,7 @@
 func TestASecondMoveTakesOnlyItsOwn(t *testing.T) {
 	one, two := moveDoor(), moveDoor()
 	two.Zone = "c"
-	for _, d := range []*Controller{one, two} {
+	for _, d := range []*Admitter{one, two} {
 		d.SetRelinquished(map[string]int64{"a": 0}, 1)
 	}
 	first := map[int]string{}
@@ -129,7 +129,7 @@
 	for i, k := range prefixindex.Keys(d.Salt(a.Tenant, false, "", 1), "m", a.Parts) {
 		d.Index.Put("r0", k, int32(a.Parts[i].Tokens))
 	}
-	adm := d.Arrive(a, 30).Admit
+	adm := d.Submit(a, 30).Admit
 	must.Eq(t, "r1", adm.Runner.ID)
 	must.Eq(t, "", adm.Source)
 	d.Done(adm, true, 31)
@@ -137,11 +137,11 @@
 	d.SetService("s", sited("a", "b", "c"), memory, 0.01)
 	d.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true, "r2": true}})
 	a.Regime = "allergen"
-	must.Eq(t, "r2", d.Arrive(a, 40).Admit.Runner.ID)
+	must.Eq(t, "r2", d.Submit(a, 40).Admit.Runner.ID)
 	d.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true}})
-	must.True(t, d.Arrive(a, 50).Hold, must.Sprint("the regime goes before the move, and the zone is left"))
+	must.True(t, d.Submit(a, 50).Hold, must.Sprint("the regime goes before the move, and the zone is left"))
 
-	d.pool("s").queue = pending{}
+	d.pool("s").queue = queue{}
 	d.SetService("s", sited("a", "a"), memory, 0.01)
 	must.Eq(t, "a", goes(t, d, 3, 60), must.Sprint("nowhere else to go"))
 }
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -31,31 +31,31 @@
 }
 
 // AssumeTarget notes a named version that came without its age.
-func (a *Controller) AssumeTarget(model string, version, nowUs int64) {
+func (a *Admitter) AssumeTarget(model string, version, nowUs int64) {
 	a.targets.Assume(model, version, nowUs)
 }
 
 // ObserveTargets takes the ages of named versions that another node has sent.
-func (a *Controller) ObserveTargets(ages []messages.TargetAge, nowUs int64) {
+func (a *Admitter) ObserveTargets(ages []messages.TargetAge, nowUs int64) {
 	a.targets.Observe(ages, nowUs)
 }
 
 // TargetAges gives the ages of the named versions, for other nodes.
-func (a *Controller) TargetAges(nowUs int64) []messages.TargetAge { return a.targets.Ages(nowUs) }
+func (a *Admitter) TargetAges(nowUs int64) []messages.TargetAge { return a.targets.Ages(nowUs) }
 
 // Contact notes that a controller that has the core in reach was heard of.
-func (a *Controller) Contact(nowUs int64) { a.contactUs = max(a.contactUs, nowUs) }
+func (a *Admitter) Contact(nowUs int64) { a.contactUs = max(a.contactUs, nowUs) }
 
 // outOfContact tells whether the bound is suspended. Only this node's own loss of
 // contact does that; how the core looks to its members does not.
-func (a *Controller) outOfContact(nowUs int64) bool {
+func (a *Admitter) outOfContact(nowUs int64) bool {
 	return a.Bound.ContactLossUs > 0 && nowUs-a.contactUs >= a.Bound.ContactLossUs
 }
 
 // pastBound tells whether a version of a model's weights is too old for requests
 // that begin marginUs from now. A version that is not known, 0, counts as older
 // than any that was named.
-func (a *Controller) pastBound(model string, version, marginUs, nowUs int64) bool {
+func (a *Admitter) pastBound(model string, version, marginUs, nowUs int64) bool {
 	if version >= a.targets.Newest(model).Version || a.outOfContact(nowUs) {
 		return false
 	}
@@ -64,7 +64,7 @@
 
 // weightsAllowed tells whether a request for a model may be sent to a runner. A
 // runner whose version is not known counts as one with older weights.
-func (a *Controller) weightsAllowed(model string, r *runner, nowUs int64) bool {
+func (a *Admitter) weightsAllowed(model string, r *runner, nowUs int64) bool {
 	return !a.pastBound(model, weightsVersion(r.note, model), leastSendMarginUs+r.expectedWaitUs(&a.T, nowUs), nowUs)
 }
 
@@ -82,13 +82,13 @@
 // runner. It goes by the version at admission, which the salt was made for and
 // which the request asks the runner for: past the bound that is never one that is
 // too old.
-func (a *Controller) WeightsAllowed(adm *Admission, nowUs int64) bool {
+func (a *Admitter) WeightsAllowed(adm *Admission, nowUs int64) bool {
 	return !a.pastBound(adm.model, adm.Version, leastSendMarginUs, nowUs)
 }
 
 // MustWithdraw tells whether a request that was sent and has not begun is to be
 // taken back, because it would begin on weights that are too old by then.
-func (a *Controller) MustWithdraw(adm *Admission, nowUs int64) bool {
+func (a *Admitter) MustWithdraw(adm *Admission, nowUs int64) bool {
 	version := adm.Version
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
 		version = max(version, weightsVersion(r.note, adm.model))
--- a/internal/admission/weights_test.go
+++ b/internal/admission/weights_test.go
@@ -15,7 +15,7 @@
 }
 
 // boundDoor has runners with weights 1, and version 2 was acknowledged at 0.
-func boundDoor(ids ...string) *Controller {
+func boundDoor(ids ...string) *Admitter {
 	d := door(ids...)
 	d.Bound = WeightsBound{VersionUs: versionUs, ContactLossUs: 3_000_000}
 	d.Contact(1)
@@ -25,7 +25,7 @@
 
 // withVersion replaces the runner x by one with a version of the weights, 0 for
 // one of which nothing is known.
-func withVersion(d *Controller, version int64) {
+func withVersion(d *Admitter, version int64) {
 	n := note("x")
 	n.Models = nil
 	if version > 0 {
@@ -46,7 +46,7 @@
 	}
 	must.SliceEmpty(t, d.Candidates(ask(16, 1), bound))
 	withVersion(d, 2)
-	r := d.Arrive(ask(16, 1), bound)
+	r := d.Submit(ask(16, 1), bound)
 	must.NotNil(t, r.Admit)
 	must.Eq(t, "w2", r.Admit.Salt)
 }
@@ -107,18 +107,18 @@
 	d := boundDoor("x")
 	const bound = versionUs - leastSendMarginUs
 	d.Contact(bound)
-	adm := d.Arrive(ask(16, 1), bound-1).Admit
+	adm := d.Submit(ask(16, 1), bound-1).Admit
 	must.NotNil(t, adm)
 	must.True(t, d.WeightsAllowed(adm, bound-1_000_000))
 	must.False(t, d.WeightsAllowed(adm, bound))
 	withVersion(d, 2)
 	must.False(t, d.WeightsAllowed(adm, bound), must.Sprint("its salt is that of the old weights"))
-	must.True(t, d.WeightsAllowed(d.Arrive(ask(16, 1), bound).Admit, bound))
+	must.True(t, d.WeightsAllowed(d.Submit(ask(16, 1), bound).Admit, bound))
 }
 
 func TestRequestThatHasNotBegunIsWithdrawnBeforeTheBound(t *testing.T) {
 	d := boundDoor("x")
-	adm := d.Arrive(ask(16, 1), 1_000_000).Admit
+	adm := d.Submit(ask(16, 1), 1_000_000).Admit
 	must.NotNil(t, adm)
 	const withdraw = versionUs - withdrawMarginUs
 	d.Contact(withdraw)
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -10,7 +10,7 @@
 	windowUs int64
 }
 
-func (a *Controller) tenant(name string, nowUs int64) *tenantState {
+func (a *Admitter) tenant(name string, nowUs int64) *tenantState {
 	t := a.tenants[name]
 	if t == nil {
 		t = &tenantState{window: a.T.WindowStart, bucket: -1, bucketUs: nowUs, windowUs: nowUs}
@@ -19,7 +19,7 @@
 	return t
 }
 
-func (a *Controller) allowRate(t *tenantState, p *pool, nowUs int64) bool {
+func (a *Admitter) allowRate(t *tenantState, p *pool, nowUs int64) bool {
 	most := max(a.T.TenantBurst*float64(a.places(p)), 64)
 	if t.bucket < 0 {
 		t.bucket = most
@@ -35,8 +35,8 @@
 
 // Tick lets time pass: requests whose wait is over are rejected, others that
 // find room are admitted, and the tenants' windows move.
-func (a *Controller) Tick(nowUs int64) []Ruling {
-	var out []Ruling
+func (a *Admitter) Tick(nowUs int64) []Decision {
+	var out []Decision
 	for _, p := range a.pools {
 		if p.queue.count == 0 {
 			continue
@@ -55,7 +55,7 @@
 				full = !a.free && w.ask.Regime == "" && len(w.ask.Avoid) == 0
 				return false
 			}
-			out = append(out, Ruling{Ref: w.ask.Ref, Admit: adm})
+			out = append(out, Decision{Ref: w.ask.Ref, Admit: adm})
 			return true
 		})
 	}
@@ -63,7 +63,7 @@
 	return out
 }
 
-func (a *Controller) moveWindows(nowUs int64) {
+func (a *Admitter) moveWindows(nowUs int64) {
 	use, n := 0.0, 0
 	for name, t := range a.tenants {
 		if nowUs-t.windowUs < a.T.WindowEveryUs {
@@ -96,7 +96,7 @@
 	return min(max(w, t.WindowMin), t.WindowMax)
 }
 
-func (a *Controller) meanUse(nowUs int64) float64 {
+func (a *Admitter) meanUse(nowUs int64) float64 {
 	sum, n := 0.0, 0
 	for _, p := range a.pools {
 		for _, id := range p.order {
--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -20,10 +20,10 @@
 	v := &visit{c: c, rc: app.NewContext(0), id: "id1", route: &routeconfig.Route{}, service: "s"}
 	v.rc.Request.Header.SetMethod("POST")
 	v.rc.Request.SetRequestURI("/pay/")
-	v.ask = admission.Ask{Service: "s", LeftUs: 1_000_000}
+	v.ask = admission.Request{Service: "s", LeftUs: 1_000_000}
 	v.endUs = c.clock() + endsInUs
 	c.dmu.Lock()
-	adm := c.admission.Arrive(v.ask, c.clock()).Admit
+	adm := c.admission.Submit(v.ask, c.clock()).Admit
 	c.dmu.Unlock()
 	must.NotNil(t, adm)
 	link, err := upstream.Connect(context.Background(), adm.Runner.Addr)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -78,9 +78,9 @@
 }
 
 // place is where the next attempt goes.
-func (v *visit) place() admission.Ruling {
+func (v *visit) place() admission.Decision {
 	if v.next != nil {
-		return admission.Ruling{Admit: v.next.adm}
+		return admission.Decision{Admit: v.next.adm}
 	}
 	return v.admit()
 }
@@ -118,7 +118,7 @@
 
 // rejectPlaceless answers a request for which there is no place, unless a part of
 // its answer has gone out.
-func (v *visit) rejectPlaceless(ruling admission.Ruling, so *course) {
+func (v *visit) rejectPlaceless(ruling admission.Decision, so *course) {
 	switch {
 	case so.stream != nil:
 	case so.ran:
@@ -163,18 +163,18 @@
 }
 
 // admit asks the admission control, and waits where the request is held.
-func (v *visit) admit() admission.Ruling {
+func (v *visit) admit() admission.Decision {
 	c := v.c
-	ch := make(chan admission.Ruling, 1)
-	v.ask.Ref = c.slab.Put(func(r admission.Ruling) { ch <- r })
+	ch := make(chan admission.Decision, 1)
+	v.ask.Ref = c.slab.Put(func(r admission.Decision) { ch <- r })
 	now := c.clock()
 	v.ask.LeftUs = v.endUs - now
 	c.dmu.Lock()
-	r := c.admission.Arrive(v.ask, now)
+	r := c.admission.Submit(v.ask, now)
 	if r.Reject == admission.RejectQueue || r.Reject == admission.RejectTokens {
 		if shed, ok := c.admission.ShedFor(v.ask, now); ok {
 			defer c.slab.Resume(shed.Ref, shed)
-			r = c.admission.Arrive(v.ask, now)
+			r = c.admission.Submit(v.ask, now)
 		}
 	}
 	fresh := c.admission.HasFresh()
--- a/internal/router/evening_test.go
+++ b/internal/router/evening_test.go
@@ -42,8 +42,8 @@
 	name      string
 	table     *routeconfig.Table
 	registry  *registry.Registry
-	admission *admission.Controller
-	slab      inflight.Slab[admission.Ruling]
+	admission *admission.Admitter
+	slab      inflight.Slab[admission.Decision]
 	trail     *compliance.Trail
 	cut       bool
 	up        bool
@@ -52,7 +52,7 @@
 type guest struct {
 	id     string
 	node   *deskNode
-	ask    admission.Ask
+	ask    admission.Request
 	adm    *admission.Admission
 	endsUs int64
 }
@@ -115,7 +115,7 @@
 	}
 	e.count++
 	g := &guest{id: fmt.Sprint(e.count), node: n}
-	g.ask = admission.Ask{Service: "s", Tenant: "taxi", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, LeftUs: 6_000_000}
+	g.ask = admission.Request{Service: "s", Tenant: "taxi", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, LeftUs: 6_000_000}
 	if e.rnd.IntN(2) == 0 {
 		g.ask.Tenant = "directorate"
 		g.ask.Regime = n.table.RegimeOf("directorate")
@@ -127,14 +127,14 @@
 
 func (e *evening) offer(g *guest) {
 	n := g.node
-	g.ask.Ref = n.slab.Put(func(r admission.Ruling) { e.ruled(g, r) })
-	r := n.admission.Arrive(g.ask, e.nowUs)
+	g.ask.Ref = n.slab.Put(func(r admission.Decision) { e.ruled(g, r) })
+	r := n.admission.Submit(g.ask, e.nowUs)
 	if !r.Hold {
 		n.slab.Resume(g.ask.Ref, r)
 	}
 }
 
-func (e *evening) ruled(g *guest, r admission.Ruling) {
+func (e *evening) ruled(g *guest, r admission.Decision) {
 	if r.Admit == nil {
 		e.end(g, compliance.Rejected)
 		return
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -85,7 +85,7 @@
 	id       string
 	startUs  int64
 	endUs    int64 // the client's deadline or the route's cutoff
-	ask      admission.Ask
+	ask      admission.Request
 	attempts int
 	next     *nextShot // for a stream on the move
 	moveUs   int64     // when it looks for a place again
@@ -131,7 +131,7 @@
 	in, out, _ := strings.Cut(get(rc, hTokens), ",")
 	tokensIn, _ := strconv.Atoi(strings.TrimSpace(in))
 	tokensOut, _ := strconv.Atoi(strings.TrimSpace(out))
-	v.ask = admission.Ask{
+	v.ask = admission.Request{
 		Service: v.service, Tenant: tenant, Rank: v.route.Rank, TokensIn: max(tokensIn, 0), TokensOut: max(tokensOut, 0),
 		Model: get(rc, hModel), Parts: prefixindex.ParseParts(get(rc, hPrefix)), SetpointUs: v.route.SetpointUs, LeftUs: v.endUs - v.startUs,
 	}
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -118,7 +118,7 @@
 }
 
 // tell brings the admission control to what the other nodes have.
-func (l *loads) tell(d *admission.Controller, nowUs int64) {
+func (l *loads) tell(d *admission.Admitter, nowUs int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.all {
--- a/internal/router/move_test.go
+++ b/internal/router/move_test.go
@@ -162,7 +162,7 @@
 		notes = append(notes, messages.RunnerRecord{ID: fmt.Sprint("r", i), Service: "s", Addr: fmt.Sprint("r", i, ":1"), Zone: []string{"a", "b", "c"}[i%3], Capacity: 8, Models: []messages.Target{{Model: "m", Version: 1}}})
 	}
 	d.SetService("s", notes, 100_000, 0.01)
-	ask := admission.Ask{
+	ask := admission.Request{
 		Service: "s", Tenant: "t", Model: "m", TokensIn: 6200, TokensOut: 20, SetpointUs: 800_000, LeftUs: 5_000_000,
 		Parts: []prefixindex.Part{{ID: "top", Tokens: 2500}, {ID: "deep", Tokens: 3500}, {ID: "own", Tokens: 200}},
 	}
@@ -170,17 +170,17 @@
 	for i, k := range keys[:2] {
 		d.Index.Put("r0", k, int32(ask.Parts[i].Tokens))
 	}
-	before := d.Arrive(ask, 1_000_000).Admit
+	before := d.Submit(ask, 1_000_000).Admit
 	must.Eq(t, "r0", before.Runner.ID)
 	must.Eq(t, 6000, before.Kept)
 	d.Done(before, true, 1_500_000)
 	d.SetRelinquished(map[string]int64{"a": 0}, 2_000_000)
-	after := d.Arrive(ask, 2_000_000).Admit
+	after := d.Submit(ask, 2_000_000).Admit
 	must.NotEq(t, "a", after.Runner.Zone)
 	must.Eq(t, "r0:1", after.Source, must.Sprint("taken over from the old runner"))
 	d.FirstToken(after, 2_100_000)
 	d.Done(after, true, 2_200_000)
-	again := d.Arrive(ask, 3_000_000).Admit
+	again := d.Submit(ask, 3_000_000).Admit
 	must.Eq(t, after.Runner.ID, again.Runner.ID, must.Sprint("it stays at its new home"))
 	must.Eq(t, "", again.Source)
 	must.Eq(t, 6200, again.Kept, must.Sprint("and finds all of it there"))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -52,9 +52,9 @@
 	loads  loads
 
 	dmu       sync.Mutex
-	admission *admission.Controller
+	admission *admission.Admitter
 	budgets   map[string]*upstream.Budget
-	slab      inflight.Slab[admission.Ruling]
+	slab      inflight.Slab[admission.Decision]
 	kick      chan struct{}
 	fresh     chan struct{} // shared parts have been sent to be read
 	stir      chan struct{} // this node's loads have changed
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -132,7 +132,7 @@
 	c, _, _ := start(t, old)
 	v, _, _ := chosen(t, c, 1_000_000)
 	v.ask.Model = "m"
-	adm := c.admission.Arrive(v.ask, c.clock()).Admit
+	adm := c.admission.Submit(v.ask, c.clock()).Admit
 	must.NotNil(t, adm)
 	must.True(t, c.mayStillGo(adm))
 	c.nameWeights(5)
