--- /dev/null
+++ b/internal/router/targets_test.go
@@ -0,0 +1,46 @@
+package router
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/admission"
+	"beechtide.org/beechtide/internal/messages"
+)
+
+func TestOnlyAControllerWithTheCoreInReachCountsAsContact(t *testing.T) {
+	const versionUs, contactLossUs = 8_000_000, 3_000_000
+	c := &Router{admission: admission.New(admission.Defaults, "a")}
+	c.admission.Bound = admission.WeightsBound{VersionUs: versionUs, ContactLossUs: contactLossUs}
+	old := messages.RunnerRecord{ID: "r0", Service: "s", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 4}}}
+	c.admission.SetService("s", []messages.RunnerRecord{old}, 1000, 0)
+	adm := c.admission.Submit(admission.Request{Service: "s", Model: "m", TokensIn: 8, LeftUs: 1_000_000}, 1).Admit
+	must.NotNil(t, adm)
+
+	c.takeTargetAges(messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: versionUs}}}, 1)
+	must.False(t, c.admission.WeightsAllowed(adm, contactLossUs))
+	lostUs := int64(1 + contactLossUs)
+	must.True(t, c.admission.WeightsAllowed(adm, lostUs))
+	for _, f := range []messages.Feed{{CutOff: true}, {FromRelay: true}, {CutOff: true, FromRelay: true}} {
+		c.takeTargetAges(f, lostUs)
+		must.True(t, c.admission.WeightsAllowed(adm, lostUs), must.Sprintf("%+v", f))
+	}
+	c.takeTargetAges(messages.Feed{}, lostUs)
+	must.False(t, c.admission.WeightsAllowed(adm, lostUs))
+}
+
+// A node above that recalled its targets learns their ages from this one, and one
+// below gets them with whatever else it lacks.
+func TestAgesOfTargetsGoBothWaysInTheTree(t *testing.T) {
+	c, _, _ := start(t)
+	c.take("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: 1_000_000}}})
+	up := c.hold().TargetAges
+	must.Len(t, 1, up)
+	must.GreaterEq(t, 1_000_000, up[0].AgeUs)
+	below := messages.Hold{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: 60_000_000}}}
+	f := c.since(below)
+	must.True(t, f.FromRelay)
+	must.Len(t, 1, f.TargetAges)
+	must.GreaterEq(t, 60_000_000, f.TargetAges[0].AgeUs)
+}
