--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Controller holds all of admission's state of one node. Checks run cheapest
+// Admitter holds all of admission's state of one node. Checks run cheapest
 // first; load is counted in blocks of runner memory, output blocks included,
 // and in prompt tokens waiting to be read; a runner past a threshold gets no
 // new request; what cannot go now waits within caps and a time to live, or is
@@ -10,10 +10,11 @@
 	"beechtide.org/beechtide/internal/messages"
 	"beechtide.org/beechtide/internal/placement"
 	"beechtide.org/beechtide/internal/prefixindex"
+	"beechtide.org/beechtide/internal/targets"
 )
 
-// Ask is a request at the door.
-type Ask struct {
+// Request is what admission knows of a client's request.
+type Request struct {
 	Ref        inflight.Ref
 	Service    string
 	Tenant     string
@@ -42,8 +43,8 @@
 	RejectTTL     Reason = "ttl"
 )
 
-// Ruling is what the admission control says of one request.
-type Ruling struct {
+// Decision is what is decided on one request: it is admitted, queued or rejected.
+type Decision struct {
 	Ref     inflight.Ref
 	Admit   *Admission
 	Hold    bool
@@ -52,17 +53,14 @@
 	AgainUs int64
 }
 
-// Controller is not safe for concurrent use.
-type Controller struct {
+// Admitter is not safe for concurrent use.
+type Admitter struct {
 	T       Tuning
 	Zone    string
 	Index   *prefixindex.Index
 	nodes   int
 	pools   map[string]*pool
 	tenants map[string]*tenantState
-	oldUs   map[string]int64 // by model: since when the newest version is known
-	newest  map[string]int64 // by model
-	calmUs  int64
 	left    map[string]relinquished // by zone
 	list    []placement.Candidate   // kept from one look for candidates to the next
 	who     []*runner
@@ -71,13 +69,16 @@
 	toldUs  int64               // when the others' loads last came
 	fresh   []messages.KeptNote // parts that this node has sent somewhere to be read
 	absent  []string            // runners that are not at their address, for others to hear of
-	MarkUs  int64               // after how long an older version is out of bounds
-	Salt    func(tenant string, isolated bool, regime string, version int64) string
+	Bound   WeightsBound
+	targets targets.Table
+	// contactUs is when a controller that has the core in reach was last heard of.
+	contactUs int64
+	Salt      func(tenant string, isolated bool, regime string, version int64) string
 }
 
-// New makes a admission control for a node at a zone.
-func New(t Tuning, zone string) *Controller {
-	return &Controller{T: t, Zone: zone, Index: prefixindex.NewIndex(), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, oldUs: map[string]int64{}, newest: map[string]int64{}, MarkUs: 6_000_000, Salt: Salt}
+// New makes the admitter of a node in a zone.
+func New(t Tuning, zone string) *Admitter {
+	return &Admitter{T: t, Zone: zone, Index: prefixindex.NewIndex(), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
 }
 
 // Salt keeps weight versions apart, isolated tenants from all others, and the
@@ -102,39 +103,27 @@
 }
 
 // SetNodes tells how many nodes share the runners.
-func (d *Controller) SetNodes(n int) { d.nodes = max(n, 1) }
-
-// SetNewest tells the newest version named for a model.
-func (d *Controller) SetNewest(model string, version, nowUs int64) {
-	if version > d.newest[model] {
-		d.newest[model] = version
-		d.oldUs[model] = nowUs
-	}
-}
-
-// Calm tells since when the core has been calm. The time in which runners are
-// to be brought to new weights counts in one calm stretch.
-func (d *Controller) Calm(sinceUs int64) { d.calmUs = max(d.calmUs, sinceUs) }
-
-// Arrive rules on a new request.
-func (d *Controller) Arrive(a Ask, nowUs int64) Ruling {
-	p := d.pool(a.Service)
-	t := d.tenant(a.Tenant, nowUs)
-	if !d.allowRate(t, p, nowUs) {
-		return d.reject(a, p, RejectRate, 429)
+func (a *Admitter) SetNodes(n int) { a.nodes = max(n, 1) }
+
+// Submit decides on a new request.
+func (a *Admitter) Submit(request Request, nowUs int64) Decision {
+	p := a.pool(request.Service)
+	t := a.tenant(request.Tenant, nowUs)
+	if !a.allowRate(t, p, nowUs) {
+		return a.reject(request, p, RejectRate, 429)
 	}
-	if p.tokens > 0 && a.TokensIn+a.TokensOut > p.tokens {
-		return d.reject(a, p, RejectContext, 503)
+	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens {
+		return a.reject(request, p, RejectContext, 503)
 	}
-	if p.queue.count == 0 || p.queue.bands[0].rank > a.Rank || d.nothingAhead(p, a.Rank) {
-		if adm := d.admit(a, p, t, nowUs); adm != nil {
-			return Ruling{Ref: a.Ref, Admit: adm}
+	if p.queue.count == 0 || p.queue.bands[0].rank > request.Rank || a.nothingAhead(p, request.Rank) {
+		if adm := a.admit(request, p, t, nowUs); adm != nil {
+			return Decision{Ref: request.Ref, Admit: adm}
 		}
 	}
-	return d.hold(a, p, nowUs)
+	return a.enqueue(request, p, nowUs)
 }
 
-func (d *Controller) nothingAhead(p *pool, rank int) bool {
+func (a *Admitter) nothingAhead(p *pool, rank int) bool {
 	for _, b := range p.queue.bands {
 		if b.rank <= rank && len(b.turn) > 0 {
 			return false
@@ -143,37 +132,37 @@
 	return true
 }
 
-func (d *Controller) hold(a Ask, p *pool, nowUs int64) Ruling {
+func (a *Admitter) enqueue(request Request, p *pool, nowUs int64) Decision {
 	share := func(total float64) float64 {
-		if d.nodes > 2 {
-			return 2 * total / float64(d.nodes)
+		if a.nodes > 2 {
+			return 2 * total / float64(a.nodes)
 		}
 		return total
 	}
-	if float64(p.queue.count+1) > share(float64(d.places(p)+d.T.BufferRequests)) {
-		return d.reject(a, p, RejectQueue, 503)
+	if float64(p.queue.count+1) > share(float64(a.places(p)+a.T.BufferRequests)) {
+		return a.reject(request, p, RejectQueue, 503)
 	}
-	setpoint := max(a.SetpointUs, 100_000)
-	if p.queue.count > 0 && float64(p.queue.tokens+a.TokensIn) > share(float64(setpoint)*d.rate(p)) {
-		return d.reject(a, p, RejectTokens, 503)
+	setpoint := max(request.SetpointUs, 100_000)
+	if p.queue.count > 0 && float64(p.queue.tokens+request.TokensIn) > share(float64(setpoint)*a.rate(p)) {
+		return a.reject(request, p, RejectTokens, 503)
 	}
-	ttl := min(int64(float64(a.LeftUs)*d.T.TTLPart), int64(float64(setpoint)*d.T.TTLSetpoints))
-	p.queue.put(&waiting{ask: a, untilUs: nowUs + max(ttl, 50_000)})
-	return Ruling{Ref: a.Ref, Hold: true}
+	ttl := min(int64(float64(request.LeftUs)*a.T.TTLPart), int64(float64(setpoint)*a.T.TTLSetpoints))
+	p.queue.put(&waiting{ask: request, untilUs: nowUs + max(ttl, 50_000)})
+	return Decision{Ref: request.Ref, Hold: true}
 }
 
 // ShedFor makes room for a request of a higher band that was rejected for a full
 // queue: the newest of the lowest band goes instead.
-func (d *Controller) ShedFor(a Ask, nowUs int64) (Ruling, bool) {
-	p := d.pool(a.Service)
-	w := p.queue.shed(a.Rank)
+func (a *Admitter) ShedFor(request Request, nowUs int64) (Decision, bool) {
+	p := a.pool(request.Service)
+	w := p.queue.shed(request.Rank)
 	if w == nil {
-		return Ruling{}, false
+		return Decision{}, false
 	}
-	return d.reject(w.ask, p, RejectShed, 503), true
+	return a.reject(w.ask, p, RejectShed, 503), true
 }
 
-func (d *Controller) reject(a Ask, p *pool, why Reason, status int) Ruling {
-	again := int64(float64(p.queue.tokens)/d.rate(p)) + 60_000
-	return Ruling{Ref: a.Ref, Reject: why, Status: status, AgainUs: min(max(again, 60_000), 1_000_000)}
+func (a *Admitter) reject(request Request, p *pool, why Reason, status int) Decision {
+	again := int64(float64(p.queue.tokens)/a.rate(p)) + 60_000
+	return Decision{Ref: request.Ref, Reject: why, Status: status, AgainUs: min(max(again, 60_000), 1_000_000)}
 }
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -72,7 +72,7 @@
 	if _, err := m.UnmarshalMsg(b); err != nil {
 		return m, false
 	}
-	c.calm(m.CalmUs)
+	c.takeVersions(m)
 	if !c.behind(m.Parts) && !anyway {
 		return m, true
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -51,13 +51,14 @@
 	loads  loads
 
 	dmu       sync.Mutex
-	admission *admission.Controller
+	admission *admission.Admitter
 	budgets   map[string]*upstream.Budget
-	slab      inflight.Slab[admission.Ruling]
+	slab      inflight.Slab[admission.Decision]
 	kick      chan struct{}
 	fresh     chan struct{} // shared parts have been sent to be read
 	stir      chan struct{} // this node's loads have changed
 	missing   chan struct{} // a runner was not at its address
+	sent      sentAttempts
 
 	currency    currencyChecks
 	comparisons *dissemination.Comparisons
@@ -84,7 +85,8 @@
 	c.comparisons = dissemination.NewComparisons(rand.IntN(64))
 	none := ""
 	c.parent.Store(&none)
-	c.admission.MarkUs = int64(set.Bounds.VersionMs)*1000 - 2_300_000
+	c.admission.Bound = admission.WeightsBound{VersionUs: int64(set.Bounds.VersionMs) * 1000, ContactLossUs: int64(set.Bounds.ContactMs) * 1000}
+	c.admission.Contact(clock())
 	c.nodes.Store(1)
 	c.publisher = dissemination.NewPublisher(trans, dissemination.Upstream{Since: c.since, Told: c.toldBelow, Gone: c.goneBelow})
 	c.up.Hold, c.up.Parents, c.up.Take = c.hold, c.parents, c.takeFeed
@@ -111,6 +113,7 @@
 	go loop.Every(live, forgetEvery, c.forgetUnlisted)
 	go c.pump(live)
 	go c.probeMissing(live)
+	go loop.Every(live, withdrawEvery, c.withdrawFromOldWeights)
 	failed := make(chan error, 2)
 	go func() { failed <- c.serveReady() }()
 	for c.table.Load() == nil {
@@ -232,10 +235,6 @@
 // forgetEvery is how often runners that the parent no longer lists are looked for.
 const forgetEvery = 5 * time.Second
 
-// contactPartUs is how long after the last change in the core the stretch begins
-// in which runners must come to new weights: the time of contact, less what the
-// controllers may have taken to see the change.
-func contactPartUs(contactMs int) int64 { return int64(contactMs) * 1000 / 2 }
 
 func (c *Router) wake() { poke(c.kick) }
 
