--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -59,6 +59,9 @@
 		}
 		var end ending
 		end, so.stream = v.send(ruling.Admit, so.stream)
+		if end != whole && v.client.hasLeft() {
+			end = clientGone
+		}
 		switch end {
 		case moving:
 			continue
@@ -67,6 +70,8 @@
 			return
 		case clientGone:
 			v.ended = compliance.Cut
+			v.releaseNext()
+			v.cut()
 			return
 		}
 		if !v.goesOn(end, ruling.Admit.Runner.ID, &so) {
@@ -187,7 +192,25 @@
 		return r
 	}
 	c.wake()
-	return <-ch
+	select {
+	case r = <-ch:
+		return r
+	case <-v.client.leftChannel():
+		return v.abandon(ch)
+	}
+}
+
+// abandon takes a request whose client has left out of the queue. A ruling that
+// was already on its way stands.
+func (v *visit) abandon(ruling <-chan admission.Ruling) admission.Ruling {
+	c := v.c
+	if !c.slab.Drop(v.ask.Ref) {
+		return <-ruling
+	}
+	c.dmu.Lock()
+	c.admission.Abandon(v.ask)
+	c.dmu.Unlock()
+	return admission.Ruling{Ref: v.ask.Ref, Status: 503}
 }
 
 func (v *visit) send(adm *admission.Admission, stream *answerStream) (ending, *answerStream) {
@@ -198,9 +221,15 @@
 	if v.next != nil {
 		link, v.next = v.next.link, nil
 	} else if link, err = v.link(adm.Runner.Addr); err != nil {
-		c.done(adm, false)
+		c.done(adm, v.client.hasLeft())
 		return notSent, stream
 	}
+	defer v.client.use(nil)
+	if !v.useLink(link) {
+		link.Close()
+		c.done(adm, true)
+		return clientGone, stream
+	}
 	if n, ok := c.registry.Snapshot().ByID[adm.Runner.ID]; !ok || n.Draining || c.isAbsent(adm) {
 		link.Close()
 		c.done(adm, true)
@@ -219,9 +248,8 @@
 	r := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(r)
 	if err := link.HeadFor(v.id, r, deadline); err != nil {
-		c.ended(adm, link, false, false) // silence, too, is a failure of the runner
+		v.failed(adm, link, false) // silence, too, is a failure of the runner
 		link.Close()
-		c.done(adm, false)
 		return unknown, stream
 	}
 	status := r.StatusCode()
@@ -274,8 +302,7 @@
 	if err == nil {
 		return sentWhole, deadline
 	}
-	c.ended(adm, link, false, false)
-	c.done(adm, false)
+	v.failed(adm, link, false)
 	if sent {
 		return unknown, deadline
 	}
@@ -318,6 +345,7 @@
 func (v *visit) link(addr string) (*upstream.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(max(v.endUs-v.c.clock(), 1000))*time.Microsecond)
 	defer cancel()
+	defer v.client.onLeave(cancel)()
 	return v.c.connPool.GetFor(ctx, addr, v.service, v.route.Repeatable())
 }
 
@@ -336,6 +364,17 @@
 	c.dmu.Unlock()
 }
 
+// failed gives back the place of an attempt that broke off. It is the runner's
+// failure unless the client has left, which ends the connection to the runner.
+func (v *visit) failed(adm *admission.Admission, link *upstream.Conn, answered bool) {
+	if v.client.hasLeft() {
+		v.c.done(adm, true)
+		return
+	}
+	v.c.ended(adm, link, false, answered)
+	v.c.done(adm, false)
+}
+
 func (c *Router) done(adm *admission.Admission, ok bool) {
 	c.dmu.Lock()
 	c.admission.Done(adm, ok, c.clock())
--- /dev/null
+++ b/internal/router/client_watch_test.go
@@ -0,0 +1,205 @@
+package router
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/admission"
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// patience is how long a test waits for what should come soon.
+const patience = 20 * time.Second
+
+// unhurriedMenu is the usual configuration with hours for every request: what ends
+// earlier was ended by something else.
+var unhurriedMenu = strings.NewReplacer(`"version":3`, `"version":4`, `"cutoffMs":3000`, `"cutoffMs":7200000`).Replace(menuText)
+
+// unhurried is a request whose client waits for hours.
+func unhurried(path string) string {
+	return strings.Replace(request(path, "x"), "Time-Left: 2500", "Time-Left: 7200000", 1)
+}
+
+// working is a runner that tells when a request reaches it and when its connection
+// ends. It writes what is given and then works on.
+func working(t *testing.T, writes string) (r *runner, reached, ended chan struct{}) {
+	t.Helper()
+	reached, ended = make(chan struct{}, 8), make(chan struct{}, 8)
+	r = newRunner(t)
+	r.stream = func(write func(string), closed <-chan struct{}) {
+		write(writes)
+		reached <- struct{}{}
+		<-closed
+		ended <- struct{}{}
+	}
+	return r, reached, ended
+}
+
+func awaited(t *testing.T, event <-chan struct{}, what string) {
+	t.Helper()
+	select {
+	case <-event:
+	case <-time.After(patience):
+		t.Fatalf("%s: nothing happened", what)
+	}
+}
+
+func send(t *testing.T, front, raw string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp4", front)
+	must.NoError(t, err)
+	t.Cleanup(func() { conn.Close() })
+	_, err = io.WriteString(conn, raw)
+	must.NoError(t, err)
+	return conn
+}
+
+func (c *Router) takesMenu(t *testing.T, text string) {
+	t.Helper()
+	must.True(t, c.take("", messages.Feed{Configuration: []messages.EntryChange{wholeMenu(t, text, 2)}}))
+}
+
+func TestRunnerIsReleasedWhenTheClientLeaves(t *testing.T) {
+	for _, tc := range []struct{ name, path, writes string }{
+		{"stream before its head", "/chat/", ""},
+		{"stream between events", "/chat/", streamHead + chunk("id: 1\ndata: a\n\n")},
+		{"resumable stream between events", "/sort/", streamHead + chunk("id: 1\ndata: a\n\n")},
+		{"repeatable request before its head", "/open/", ""},
+		{"repeatable request in its body", "/open/", "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 9\r\n\r\nsome"},
+	} {
+		for name, leave := range map[string]func(net.Conn){
+			"close": func(conn net.Conn) { conn.Close() },
+			"reset": func(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0); conn.Close() },
+		} {
+			t.Run(tc.name+", "+name, func(t *testing.T) {
+				r, reached, ended := working(t, tc.writes)
+				c, front, _ := start(t, r)
+				c.takesMenu(t, unhurriedMenu)
+				conn := send(t, front, unhurried(tc.path))
+				awaited(t, reached, "the request at the runner")
+				leave(conn)
+				awaited(t, ended, "the end of the runner's connection")
+				for c.inFlight.Load() > 0 {
+					time.Sleep(time.Millisecond)
+				}
+				must.Eq(t, 1, r.count(), must.Sprint("not sent once more"))
+				c.dmu.Lock()
+				defer c.dmu.Unlock()
+				must.NotNil(t, c.admission.TryNow(admission.Ask{Service: "s", LeftUs: 1_000_000}, c.clock()), must.Sprint("no failure of the runner"))
+			})
+		}
+	}
+}
+
+func TestRequestThatRunsOnceIsLeftToItsEnd(t *testing.T) {
+	finish := make(chan struct{})
+	r, ran := newRunner(t), make(chan bool, 1)
+	r.stream = func(write func(string), closed <-chan struct{}) {
+		<-finish
+		select {
+		case <-closed:
+			ran <- false
+		default:
+			write("HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok")
+			ran <- true
+		}
+	}
+	c, front, _ := start(t, r)
+	c.takesMenu(t, unhurriedMenu)
+	conn := send(t, front, unhurried("/pay/"))
+	for r.count() == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	conn.Close()
+	time.Sleep(2 * watchDelay)
+	close(finish)
+	must.True(t, <-ran)
+}
+
+func TestWaitingRequestLeavesTheQueueWithItsClient(t *testing.T) {
+	r, reached, ended := working(t, streamHead+chunk("id: 1\ndata: a\n\n"))
+	c, front, _ := start(t, r)
+	c.takesMenu(t, strings.Replace(unhurriedMenu, `"setpointMs":400`, `"setpointMs":3600000`, 1))
+	var busy []net.Conn
+	waits := func() bool { return c.slab.Len() > 0 }
+	for !waits() {
+		busy = append(busy, send(t, front, strings.Replace(unhurried("/chat/"), "20,5", "20,40000", 1)))
+		select {
+		case <-reached:
+		case <-time.After(watchDelay):
+		}
+	}
+	seen := r.count()
+	busy[len(busy)-1].Close()
+	for waits() {
+		time.Sleep(time.Millisecond)
+	}
+	busy[0].Close()
+	awaited(t, ended, "the end of the first stream")
+	send(t, front, unhurried("/chat/"))
+	awaited(t, reached, "the next request")
+	must.Eq(t, seen+1, r.count(), must.Sprint("the one that left was not sent"))
+}
+
+// A client may send its next request before it has the answer to the last.
+func TestPipelinedRequestIsAnsweredInItsTurn(t *testing.T) {
+	r := newRunner(t)
+	free := make(chan struct{})
+	r.next = func() string {
+		<-free
+		return "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"
+	}
+	c, front, _ := start(t, r)
+	conn := send(t, front, request("/open/", "x"))
+	for c.inFlight.Load() == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	time.Sleep(2 * watchDelay)
+	_, err := io.WriteString(conn, strings.Replace(request("/open/", "y"), "id1", "id2", 1))
+	must.NoError(t, err)
+	time.Sleep(watchDelay / 2)
+	close(free)
+	br := bufio.NewReader(conn)
+	for i := range 2 {
+		a, err := http.ReadResponse(br, nil)
+		must.NoError(t, err)
+		must.Eq(t, 200, a.StatusCode)
+		must.Eq(t, fmt.Sprint("id", i+1), a.Header.Get(hAttempt))
+		_, err = io.Copy(io.Discard, a.Body)
+		must.NoError(t, err)
+	}
+}
+
+// A connection that served a long request is bounded as before.
+func TestConnectionIsReadAgainAfterAWatch(t *testing.T) {
+	ln, err := listenFront("127.0.0.1:0", patience, patience)
+	must.NoError(t, err)
+	defer ln.Listener.Close()
+	client, err := net.Dial("tcp4", ln.Addr().String())
+	must.NoError(t, err)
+	defer client.Close()
+	served, err := ln.Accept()
+	must.NoError(t, err)
+	left := make(chan struct{}, 1)
+	watch := served.(*timedConn).watchClose(func() { left <- struct{}{} })
+	time.Sleep(2 * watchDelay)
+	watch.stop()
+	_, err = io.WriteString(client, "next")
+	must.NoError(t, err)
+	b := make([]byte, 8)
+	n, err := served.Read(b)
+	must.NoError(t, err)
+	must.Eq(t, "next", string(b[:n]))
+	watch = served.(*timedConn).watchClose(func() { left <- struct{}{} })
+	client.Close()
+	awaited(t, left, "the client's close")
+	watch.stop()
+}
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -6,6 +6,7 @@
 	"bytes"
 	"context"
 	"math/rand/v2"
+	"net"
 	"strconv"
 	"strings"
 	"time"
@@ -67,7 +68,7 @@
 		return err
 	}
 	h := controller.Server(c.set.Listen.Front,
-		server.WithListener(ln), server.WithMaxRequestBodySize(body), server.WithMaxHeaderBytes(head),
+		server.WithListener(ln), server.WithOnAccept(onAccept), server.WithMaxRequestBodySize(body), server.WithMaxHeaderBytes(head),
 		server.WithWriteTimeout(10*time.Second), server.WithDisableHeaderNamesNormalizing(true), server.WithUseRawPath(true),
 		server.WithMaxKeepBodySize(64<<10), server.WithReadBufferSize(4096))
 	h.NoRoute(c.serve)
@@ -89,11 +90,12 @@
 	attempts int
 	next     *nextShot // for a stream on the move
 	moveUs   int64     // when it looks for a place again
+	client   *clientState
 	ended    compliance.Step
 	changed  bool // the tenant's regime changed while the request waited
 }
 
-func (c *Router) serve(_ context.Context, rc *app.RequestContext) {
+func (c *Router) serve(ctx context.Context, rc *app.RequestContext) {
 	c.inFlight.Add(1)
 	defer c.inFlight.Add(-1)
 	defer func() {
@@ -144,9 +146,21 @@
 		v.note(compliance.Asked, nil, -1)
 		defer func() { v.note(v.ended, nil, -1) }()
 	}
+	if conn := clientConn(ctx); conn != nil {
+		v.client = newClientState()
+		defer conn.watchClose(v.client.leave).stop()
+	}
 	v.run()
 }
 
+// onAccept makes the context in which the requests of a connection are served.
+func onAccept(conn net.Conn) context.Context {
+	if timed, ok := conn.(*timedConn); ok {
+		return withClientConn(timed)
+	}
+	return context.Background()
+}
+
 // note adds to the audit trail of regulated requests.
 func (v *visit) note(step compliance.Step, n *messages.RunnerRecord, certificate int) {
 	e := compliance.Entry{Node: v.c.set.Node, Step: step, Attempt: v.id, Tenant: v.tenant.Name, Regime: v.ask.Regime, Certificate: certificate, Version: v.c.table.Load().Version}
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -63,6 +63,17 @@
 	return true
 }
 
+// releaseNext gives up the place and the link of a stream that does not move after
+// all.
+func (v *visit) releaseNext() {
+	if v.next == nil {
+		return
+	}
+	v.next.link.Close()
+	v.c.done(v.next.adm, true)
+	v.next = nil
+}
+
 // moveAgainUs is how long a stream that found no place to go to stays before it
 // looks again.
 const moveAgainUs = 200_000
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -46,8 +46,8 @@
 func (v *visit) passBody(adm *admission.Admission, link *upstream.Conn, r *protocol.Response, stream *answerStream) ending {
 	b, err := upstream.ReadBody(r, mostBody)
 	if err != nil {
-		v.c.ended(adm, link, false, true)
-		v.c.giveBack(adm, link, r, false)
+		link.Close()
+		v.failed(adm, link, true)
 		return unknown
 	}
 	v.c.first(adm)
@@ -111,9 +111,8 @@
 			continue
 		}
 		if err != io.EOF {
-			c.ended(adm, link, false, true)
 			link.Close()
-			c.done(adm, false)
+			v.failed(adm, link, true)
 			if stream.started {
 				return brokeOff, stream
 			}
