--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -118,7 +118,16 @@
 			}
 			return unknown, nil
 		}
-		if rest := stream.events.Rest(); len(rest) > 0 && stream.cutting {
+		rest := stream.events.Rest()
+		if len(rest) > 0 && stream.cutting && upstream.EndsWithConn(r) {
+			link.Close()
+			v.failed(adm, link, true) // nothing but a whole event tells an end from a crash
+			if stream.started {
+				return brokeOff, stream
+			}
+			return unknown, nil
+		}
+		if len(rest) > 0 && stream.cutting {
 			if !v.write(r, stream, rest) {
 				link.Close()
 				c.done(adm, true)
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -42,21 +42,39 @@
 	return b, err
 }
 
-// readHead reads a head, once all of it is there and has been checked.
+// readHead reads a head, once all of it is there and has been checked, and makes
+// the stream of its body.
 func readHead(out *protocol.Response, in reader) error {
 	if err := awaitHead(in); err != nil {
 		return err
 	}
-	if err := resp.ReadHeaderBodyStream(out, in, 0, func(bool) error { return nil }); err != nil {
+	if err := resp.ReadHeaders(out, in); err != nil {
 		return errors.Wrap(ErrBroken, err.Error())
 	}
 	h := &out.Header
 	if h.ContentLength() == identityLength && !h.MustSkipContentLength() {
-		return errors.Wrap(ErrBroken, "an answer without an end")
+		out.SetBodyStream(untilClose{in.in}, identityLength)
+		return nil
+	}
+	if err := resp.ReadRespBodyStream(out, in, 0, func(bool) error { return nil }); err != nil {
+		return errors.Wrap(ErrBroken, err.Error())
 	}
 	return nil
 }
 
+// untilClose is the body of an answer without a length, which ends with the
+// conn. It is whole where the runner closes the conn in order; a reset is an
+// error. The library's reader takes either for the end.
+type untilClose struct{ in *bufio.Reader }
+
+func (u untilClose) Read(b []byte) (int, error) { return u.in.Read(b) }
+
+// EndsWithConn tells whether only the end of the conn says where an answer ends.
+func EndsWithConn(r *protocol.Response) bool {
+	_, ok := r.BodyStream().(untilClose)
+	return ok
+}
+
 // Head reads the head of the next answer. Its body is then read from the
 // stream of out until the end, which comes as io.EOF only if it is whole.
 func (l *Conn) Head(out *protocol.Response, deadline time.Time) error {
