--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -125,6 +125,8 @@
 func (v *visit) rejectPlaceless(ruling admission.Ruling, so *course) {
 	switch {
 	case so.stream != nil:
+	case so.ran && v.c.clock() >= v.endUs:
+		v.reject(504, ruling.Reject, 0)
 	case so.ran:
 		v.reject(502, ruling.Reject, 0)
 	default:
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -103,7 +103,8 @@
 			rc.Response.Header.SetConnectionClose(true)
 		}
 	}()
-	v := &visit{c: c, rc: rc, startUs: c.clock(), id: get(rc, hAttempt)}
+	conn := clientConn(ctx)
+	v := &visit{c: c, rc: rc, startUs: c.clock() - conn.requestAge().Microseconds(), id: get(rc, hAttempt)}
 	t := c.table.Load()
 	uri := rc.Request.Header.RequestURI()
 	path, _, _ := strings.Cut(string(uri), "?")
@@ -125,17 +126,15 @@
 	if v.tenant != nil {
 		tenant = v.tenant.Name
 	}
-	v.endUs = v.startUs + v.route.CutoffUs
-	if ms, err := strconv.ParseFloat(get(rc, hTimeLeft), 64); err == nil {
-		v.endUs = min(v.endUs, v.startUs+int64(ms*1000))
-	}
+	v.endUs = endOf(v.startUs, v.route.CutoffUs, get(rc, hTimeLeft))
+	conn.answerUntil(time.Now().Add(time.Duration(v.endUs-c.clock()) * time.Microsecond))
 	v.service = v.route.Pick(rand.Float64())
 	in, out, _ := strings.Cut(get(rc, hTokens), ",")
 	tokensIn, _ := strconv.Atoi(strings.TrimSpace(in))
 	tokensOut, _ := strconv.Atoi(strings.TrimSpace(out))
 	v.ask = admission.Ask{
 		Service: v.service, Tenant: tenant, Rank: v.route.Rank, TokensIn: max(tokensIn, 0), TokensOut: max(tokensOut, 0),
-		Model: get(rc, hModel), Parts: prefixindex.ParseParts(get(rc, hPrefix)), SetpointUs: v.route.SetpointUs, LeftUs: v.endUs - v.startUs,
+		Model: get(rc, hModel), Parts: prefixindex.ParseParts(get(rc, hPrefix)), SetpointUs: v.route.SetpointUs, LeftUs: v.endUs - c.clock(),
 	}
 	if v.tenant != nil {
 		v.ask.Rank += 16 * v.tenant.Rank
@@ -146,7 +145,7 @@
 		v.note(compliance.Asked, nil, -1)
 		defer func() { v.note(v.ended, nil, -1) }()
 	}
-	if conn := clientConn(ctx); conn != nil {
+	if conn != nil {
 		v.client = newClientState()
 		defer conn.watchClose(v.client.leave).stop()
 	}
--- a/internal/router/listener.go
+++ b/internal/router/listener.go
@@ -86,6 +86,8 @@
 	l       *timedListener
 	begun   time.Time   // when the request being read began; zero between requests
 	waiting atomic.Bool // it waits for a request to begin
+
+	answerBy time.Time // when the request in hand is over; zero between requests
 }
 
 // Close is called by hertz and by closeIdle.
@@ -108,7 +110,7 @@
 		return 0, net.ErrClosed
 	}
 	if n > 0 && c.begun.IsZero() {
-		c.begun = time.Now()
+		c.begun, c.answerBy = time.Now(), time.Time{}
 	}
 	if err != nil && !c.begun.IsZero() && errors.Is(err, os.ErrDeadlineExceeded) {
 		_, _ = c.Conn.Write([]byte(answer408))
@@ -118,6 +120,6 @@
 
 func (c *timedConn) Write(b []byte) (int, error) {
 	c.begun = time.Time{}
-	_ = c.SetWriteDeadline(time.Now().Add(writeWait))
+	_ = c.SetWriteDeadline(c.writeDeadline())
 	return c.Conn.Write(b)
 }
