--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -60,6 +60,9 @@
 		}
 		var end ending
 		end, so.stream = v.send(ruling.Admit, so.stream)
+		if end != whole && v.client.hasLeft() {
+			end = clientGone
+		}
 		switch end {
 		case moving:
 			continue
@@ -68,6 +71,8 @@
 			return
 		case clientGone:
 			v.ended = compliance.Cut
+			v.releaseNext()
+			v.cut()
 			return
 		}
 		if !v.goesOn(end, ruling.Admit.Runner.ID, &so) {
@@ -121,6 +126,8 @@
 func (v *visit) rejectPlaceless(ruling admission.Decision, so *course) {
 	switch {
 	case so.stream != nil:
+	case so.ran && v.c.clock() >= v.endUs:
+		v.reject(504, ruling.Reject, 0)
 	case so.ran:
 		v.reject(502, ruling.Reject, 0)
 	default:
@@ -188,7 +195,25 @@
 		return r
 	}
 	c.wake()
-	return <-ch
+	select {
+	case r = <-ch:
+		return r
+	case <-v.client.leftChannel():
+		return v.abandon(ch)
+	}
+}
+
+// abandon takes a request whose client has left out of the queue. A ruling that
+// was already on its way stands.
+func (v *visit) abandon(ruling <-chan admission.Decision) admission.Decision {
+	c := v.c
+	if !c.slab.Drop(v.ask.Ref) {
+		return <-ruling
+	}
+	c.dmu.Lock()
+	c.admission.Abandon(v.ask)
+	c.dmu.Unlock()
+	return admission.Decision{Ref: v.ask.Ref, Status: 503}
 }
 
 func (v *visit) send(adm *admission.Admission, stream *answerStream) (ending, *answerStream) {
@@ -199,9 +224,15 @@
 	if v.next != nil {
 		link, v.next = v.next.link, nil
 	} else if link, err = v.link(adm.Runner.Addr); err != nil {
-		c.done(adm, false)
+		c.done(adm, v.client.hasLeft())
 		return notSent, stream
 	}
+	defer v.client.use(nil)
+	if !v.useLink(link) {
+		link.Close()
+		c.done(adm, true)
+		return clientGone, stream
+	}
 	if !c.mayStillGo(adm) {
 		link.Close()
 		c.done(adm, true)
@@ -222,12 +253,12 @@
 	r := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(r)
 	if err := v.readHead(attempt, r); err != nil {
-		withdrawn := errors.Is(err, errWithdrawn)
-		if !withdrawn {
-			c.ended(adm, link, false, false) // silence, too, is a failure of the runner
+		if errors.Is(err, errWithdrawn) {
+			c.done(adm, true)
+		} else {
+			v.failed(adm, link, false) // silence, too, is a failure of the runner
 		}
 		link.Close()
-		c.done(adm, withdrawn)
 		return unknown, stream
 	}
 	status := r.StatusCode()
@@ -276,8 +307,7 @@
 	if err == nil {
 		return sentWhole
 	}
-	c.ended(adm, link, false, false)
-	c.done(adm, false)
+	v.failed(adm, link, false)
 	if sent {
 		return unknown
 	}
@@ -320,6 +350,7 @@
 func (v *visit) link(addr string) (*upstream.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(max(v.endUs-v.c.clock(), 1000))*time.Microsecond)
 	defer cancel()
+	defer v.client.onLeave(cancel)()
 	return v.c.connPool.GetFor(ctx, addr, v.service, v.route.Repeatable())
 }
 
@@ -338,6 +369,17 @@
 	c.dmu.Unlock()
 }
 
+// failed gives back the place of an attempt that broke off. It is the runner's
+// failure unless the client has left, which ends the connection to the runner.
+func (v *visit) failed(adm *admission.Admission, link *upstream.Conn, answered bool) {
+	if v.client.hasLeft() {
+		v.c.done(adm, true)
+		return
+	}
+	v.c.ended(adm, link, false, answered)
+	v.c.done(adm, false)
+}
+
 func (c *Router) done(adm *admission.Admission, ok bool) {
 	c.dmu.Lock()
 	c.admission.Done(adm, ok, c.clock())
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -6,6 +6,7 @@
 	"bytes"
 	"context"
 	"math/rand/v2"
+	"net"
 	"strconv"
 	"strings"
 	"time"
@@ -67,7 +68,7 @@
 		return err
 	}
 	h := controller.Server(c.set.Listen.Front,
-		server.WithListener(ln), server.WithMaxRequestBodySize(body), server.WithMaxHeaderBytes(head),
+		server.WithListener(ln), server.WithOnAccept(onAccept), server.WithMaxRequestBodySize(body), server.WithMaxHeaderBytes(head),
 		server.WithWriteTimeout(10*time.Second), server.WithDisableHeaderNamesNormalizing(true), server.WithUseRawPath(true),
 		server.WithMaxKeepBodySize(64<<10), server.WithReadBufferSize(4096))
 	h.NoRoute(c.serve)
@@ -89,11 +90,12 @@
 	attempts int
 	next     *nextShot // for a stream on the move
 	moveUs   int64     // when it looks for a place again
+	client   *clientState
 	ended    compliance.Step
 	changed  bool // the tenant's regime changed while the request waited
 }
 
-func (c *Router) serve(_ context.Context, rc *app.RequestContext) {
+func (c *Router) serve(ctx context.Context, rc *app.RequestContext) {
 	c.inFlight.Add(1)
 	defer c.inFlight.Add(-1)
 	defer func() {
@@ -101,7 +103,8 @@
 			rc.Response.Header.SetConnectionClose(true)
 		}
 	}()
-	v := &visit{c: c, rc: rc, startUs: c.clock(), id: get(rc, hAttempt)}
+	conn := clientConn(ctx)
+	v := &visit{c: c, rc: rc, startUs: c.clock() - conn.requestAge().Microseconds(), id: get(rc, hAttempt)}
 	t := c.table.Load()
 	uri := rc.Request.Header.RequestURI()
 	path, _, _ := strings.Cut(string(uri), "?")
@@ -127,17 +130,15 @@
 	if v.tenant != nil {
 		tenant = v.tenant.Name
 	}
-	v.endUs = v.startUs + v.route.CutoffUs
-	if ms, err := strconv.ParseFloat(get(rc, hTimeLeft), 64); err == nil {
-		v.endUs = min(v.endUs, v.startUs+int64(ms*1000))
-	}
+	v.endUs = endOf(v.startUs, v.route.CutoffUs, get(rc, hTimeLeft))
+	conn.answerUntil(time.Now().Add(time.Duration(v.endUs-c.clock()) * time.Microsecond))
 	v.service = v.route.Pick(rand.Float64())
 	in, out, _ := strings.Cut(get(rc, hTokens), ",")
 	tokensIn, _ := strconv.Atoi(strings.TrimSpace(in))
 	tokensOut, _ := strconv.Atoi(strings.TrimSpace(out))
 	v.ask = admission.Request{
 		Service: v.service, Tenant: tenant, Rank: v.route.Rank, TokensIn: max(tokensIn, 0), TokensOut: max(tokensOut, 0),
-		Model: get(rc, hModel), Parts: prefixindex.ParseParts(get(rc, hPrefix)), SetpointUs: v.route.SetpointUs, LeftUs: v.endUs - v.startUs,
+		Model: get(rc, hModel), Parts: prefixindex.ParseParts(get(rc, hPrefix)), SetpointUs: v.route.SetpointUs, LeftUs: v.endUs - c.clock(),
 	}
 	if v.tenant != nil {
 		v.ask.Rank += 16 * v.tenant.Rank
@@ -148,9 +149,21 @@
 		v.note(compliance.Asked, nil, -1)
 		defer func() { v.note(v.ended, nil, -1) }()
 	}
+	if conn != nil {
+		v.client = newClientState()
+		defer conn.watchClose(v.client.leave).stop()
+	}
 	v.run()
 }
 
+// onAccept makes the context in which the requests of a connection are served.
+func onAccept(conn net.Conn) context.Context {
+	if timed, ok := conn.(*timedConn); ok {
+		return withClientConn(timed)
+	}
+	return context.Background()
+}
+
 // note adds to the audit trail of regulated requests.
 func (v *visit) note(step compliance.Step, n *messages.RunnerRecord, certificate int) {
 	e := compliance.Entry{Node: v.c.set.Node, Step: step, Attempt: v.id, Tenant: v.tenant.Name, Regime: v.ask.Regime, Certificate: certificate, Version: v.c.table.Load().Version}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -235,7 +235,6 @@
 // forgetEvery is how often runners that the parent no longer lists are looked for.
 const forgetEvery = 5 * time.Second
 
-
 func (c *Router) wake() { poke(c.kick) }
 
 func poke(ch chan struct{}) {
