--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -86,8 +86,6 @@
 	DrainUs = int64(700_000)
 	// SettleUs is how long a cordoned runner is left to begin what it was sent.
 	SettleUs = int64(300_000)
-	// slowUs is after how long an ordered runner is not waited for any more.
-	slowUs = int64(3_000_000)
 	// reportWaitUs is how long a runner that another holder has cordoned is asked
 	// whether it is under order already.
 	reportWaitUs = int64(500_000)
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -36,7 +36,7 @@
 		p.prepared, p.startUs = true, nowUs
 	}
 	waiting := p.waiting()
-	out, draining := p.out(nowUs)
+	out, draining := p.out()
 	limit := min(maxOut(len(p.jobs)), p.loads.limit(len(p.jobs)))
 	for i, j := range waiting {
 		turnUs := p.turnUs(j, len(waiting)-1-i)
@@ -71,9 +71,9 @@
 	return out
 }
 
-// out counts the runners that are waited for, and those that drain. One that is
-// slow or does not answer is not waited for.
-func (p *Plan) out(nowUs int64) (out, draining int) {
+// out counts the runners that get no requests for their orders, and those that
+// drain. One that does not answer is not counted: it may be gone.
+func (p *Plan) out() (out, draining int) {
 	for _, j := range p.jobs {
 		switch j.stage {
 		case Draining:
@@ -81,7 +81,7 @@
 		case Cordoned:
 			out++
 		case Ordered:
-			if nowUs-j.sinceUs < slowUs && !j.silent() {
+			if !j.silent() {
 				out++
 			}
 		case Serving, Completed:
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -119,11 +119,21 @@
 		version, body := h.register.version, h.register.copy()
 		c.majority(c.soon(func() {
 			c.learn(version, body)
+			c.spread(version, body)
 			end(true, body)
 		}))
 	}))
 }
 
+// spread tells the others what was committed; who misses it hears it with a ping.
+func (c *coordinator) spread(version int64, body messages.LeaseBody) {
+	for _, other := range c.history.coordinators {
+		if other != c {
+			c.ask(other, func() { other.learn(version, body) }, func() {})
+		}
+	}
+}
+
 // majority runs something once more than half of the controllers have answered.
 func (c *coordinator) majority(run func()) {
 	h := c.history
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -33,6 +33,7 @@
 	loads    bool
 	sequence int64
 	fence    int64
+	accepted int // orders that were taken, by all lives
 	streams  int
 	queued   int64 // rises with each order: what waited before it is turned away
 	past     []pastReport
@@ -158,6 +159,7 @@
 	}
 	e.history.kernel.Note("%s is ordered to version %d under fence %d by %s", e.id(), o.Version, fence, from.addr())
 	e.target = o.Version
+	e.accepted++
 	e.sequence++
 	e.queued++
 	e.remember()
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -53,35 +53,39 @@
 // keeps old weights from being used too late.
 func PlayRollouts(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
-	h := &rolloutHistory{kernel: k, network: NewNetwork(k), defects: options.Defects}
-	h.disturbed = k.Chance(500)
-	h.bounded = h.disturbed
+	disturbed := k.Chance(500)
+	h := newRolloutHistory(k, options.Defects, 3+2*k.Below(2), 4+k.Below(8))
+	h.disturbed, h.bounded = disturbed, disturbed
+	h.plan()
+	k.RunUntil(noVersionsUs + rolloutFaultsUs)
+	h.heal()
+	k.RunUntil(k.NowUs() + orderedUs)
+	h.checks.ordered()
+	k.RunUntil(k.NowUs() + completedUs - orderedUs)
+	h.checks.completed()
+	counts := Counts{Rollouts: 1, Orders: h.checks.orders, Begun: h.checks.begun, Takeovers: h.register.holders}
+	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: counts}
+}
+
+// newRolloutHistory starts controllers and runners.
+func newRolloutHistory(k *Kernel, defects Defects, controllers, engines int) *rolloutHistory {
+	h := &rolloutHistory{kernel: k, network: NewNetwork(k), defects: defects}
 	h.checks = newRolloutChecks(h)
 	h.fleet = &fleet{kernel: k, network: h.network}
-	for i := range 3 + 2*k.Below(2) {
-		h.fleet.registrars = append(h.fleet.registrars, &registrar{fleet: h.fleet, addr: registrarName(i), process: NewProcess(k)})
-	}
-	for _, r := range h.fleet.registrars {
-		c := &coordinator{history: h, registrar: r}
-		h.coordinators = append(h.coordinators, c)
+	for i := range controllers {
+		r := &registrar{fleet: h.fleet, addr: registrarName(i), process: NewProcess(k)}
+		h.fleet.registrars = append(h.fleet.registrars, r)
+		h.coordinators = append(h.coordinators, &coordinator{history: h, registrar: r})
 	}
 	for _, c := range h.coordinators {
 		c.boot()
 	}
-	for i := range 4 + k.Below(8) {
+	for i := range engines {
 		e := &engine{history: h, address: fmt.Sprintf("engine-%d:1", i+1), version: 1}
 		h.engines = append(h.engines, e)
 		e.begin()
 	}
-	h.plan()
-	k.RunUntil(noVersionsUs + rolloutFaultsUs)
-	h.heal()
-	k.RunUntil(k.NowUs() + orderedUs)
-	h.checks.ordered()
-	k.RunUntil(k.NowUs() + completedUs - orderedUs)
-	h.checks.completed()
-	counts := Counts{Rollouts: 1, Orders: h.checks.orders, Begun: h.checks.begun, Takeovers: h.register.holders}
-	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: counts}
+	return h
 }
 
 // plan draws what happens.
@@ -143,6 +147,16 @@
 	h.kernel.After(forUs, func() { e.slow = 1 })
 }
 
+// holder is the controller that the register names.
+func (h *rolloutHistory) holder() *coordinator {
+	for _, c := range h.coordinators {
+		if c.member() == h.register.body.Lease.Holder {
+			return c
+		}
+	}
+	return nil
+}
+
 // strike disturbs one controller, mostly the holder of the lease.
 func (h *rolloutHistory) strike(forUs int64) {
 	if h.healed {
@@ -150,32 +164,44 @@
 	}
 	k := h.kernel
 	victim := h.coordinators[k.Below(len(h.coordinators))]
-	for _, c := range h.coordinators {
-		if c.member() == h.register.body.Lease.Holder && k.Chance(700) {
-			victim = c
-		}
+	if holder := h.holder(); holder != nil && k.Chance(700) {
+		victim = holder
 	}
-	switch k.Below(4) {
-	case 0:
-		k.Note("%s is killed for %d us", victim.addr(), forUs)
-		victim.process().Stop()
-		h.later(forUs, func() { h.restart(victim) })
-	case 1:
-		k.Note("%s freezes for %d us", victim.addr(), forUs)
-		victim.process().Freeze()
-		h.later(forUs, func() { h.thaw(victim) })
-	case 2:
-		k.Note("%s is cut off for %d us", victim.addr(), forUs)
-		for _, other := range h.coordinators {
-			h.cut(victim, other, forUs)
-		}
-	case 3:
-		other := h.coordinators[k.Below(len(h.coordinators))]
-		k.Note("%s and %s are cut apart for %d us", victim.addr(), other.addr(), forUs)
+	controllerFaults[k.Below(len(controllerFaults))](h, victim, forUs)
+}
+
+// controllerFaults are what strikes a controller for a while.
+var controllerFaults = []func(h *rolloutHistory, victim *coordinator, forUs int64){
+	(*rolloutHistory).kill, (*rolloutHistory).freeze, (*rolloutHistory).cutOff, (*rolloutHistory).cutApart,
+}
+
+func (h *rolloutHistory) kill(victim *coordinator, forUs int64) {
+	h.kernel.Note("%s is killed for %d us", victim.addr(), forUs)
+	victim.process().Stop()
+	h.later(forUs, func() { h.restart(victim) })
+}
+
+func (h *rolloutHistory) freeze(victim *coordinator, forUs int64) {
+	h.kernel.Note("%s freezes for %d us", victim.addr(), forUs)
+	victim.process().Freeze()
+	h.later(forUs, func() { h.thaw(victim) })
+}
+
+// cutOff parts a controller from all others; runners still reach it.
+func (h *rolloutHistory) cutOff(victim *coordinator, forUs int64) {
+	h.kernel.Note("%s is cut off for %d us", victim.addr(), forUs)
+	for _, other := range h.coordinators {
 		h.cut(victim, other, forUs)
 	}
 }
 
+// cutApart parts two controllers that both reach the others.
+func (h *rolloutHistory) cutApart(victim *coordinator, forUs int64) {
+	other := h.coordinators[h.kernel.Below(len(h.coordinators))]
+	h.kernel.Note("%s and %s are cut apart for %d us", victim.addr(), other.addr(), forUs)
+	h.cut(victim, other, forUs)
+}
+
 func (h *rolloutHistory) later(forUs int64, end func()) {
 	h.kernel.After(forUs, func() {
 		if !h.healed {
--- a/internal/simulation/rollouts_test.go
+++ b/internal/simulation/rollouts_test.go
@@ -24,6 +24,42 @@
 	}
 }
 
+// A successor goes on where the holder was: every runner comes to the weights by one
+// order, within what the takeover needs. What it needs: the holder is found gone
+// (1.2 s), the candidates' ranks (0.3 s each), the wait of the lease (4.2 s) and late
+// steps.
+func TestHolderLostAtEveryStepLosesNoProgress(t *testing.T) {
+	const takeoverUs = 8 * Second
+	for name, strike := range map[string]func(*rolloutHistory, *coordinator, int64){
+		"killed": (*rolloutHistory).kill, "frozen": (*rolloutHistory).freeze, "cut off": (*rolloutHistory).cutOff,
+	} {
+		t.Run(name, func(t *testing.T) {
+			for step := range int64(60) {
+				atUs := step * 100 * Millisecond
+				k := NewKernel(uint64(step), true)
+				h := newRolloutHistory(k, Defects{}, 3, 9)
+				h.bounded = true
+				k.After(noVersionsUs, func() { h.name(2) })
+				for !h.checks.isNamed(2) {
+					k.RunUntil(k.NowUs() + Millisecond)
+				}
+				k.RunUntil(k.NowUs() + 5*Millisecond + atUs)
+				holder := h.holder()
+				must.NotNil(t, holder)
+				strike(h, holder, 10*Second)
+				k.RunUntil(k.NowUs() + takeoverUs)
+				h.checks.ordered()
+				k.RunUntil(k.NowUs() + completedUs)
+				h.checks.completed()
+				must.Eq(t, "", k.failure, must.Sprintf("%d us after the naming\n%s", atUs, strings.Join(k.history, "\n")))
+				for _, e := range h.engines {
+					must.Eq(t, 1, e.accepted, must.Sprintf("orders taken by %s; holder lost %d us after the naming", e.id(), atUs))
+				}
+			}
+		})
+	}
+}
+
 // Each mechanism that can be taken out in the model is missed by a check.
 func TestRolloutChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
