--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -51,6 +51,7 @@
 	heard     map[string]peer
 	direct    map[string]int64 // when another was last reached and answered
 	duty      lease.Lease
+	takeover  lease.Takeover
 	diskFault bool // the last write was refused
 	dutyBusy  bool
 	actedAs   int64 // the fence under which it has noted that it acted
@@ -70,6 +71,7 @@
 	c.process.Start()
 	c.heard, c.direct, c.dutyBusy, c.actedAs = map[string]peer{}, map[string]int64{}, false, 0
 	c.duty = lease.Lease{T: dutyTimes}
+	c.takeover = lease.Takeover{}
 	c.id, c.registers = "", [parts]*register{}
 	if kept, ok := c.disk.Read(identityFile); ok {
 		c.open(string(kept), founding)
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -8,6 +8,7 @@
 
 	"beechtide.org/beechtide/internal/lease"
 	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/rollout"
 )
 
 const (
@@ -29,10 +30,7 @@
 	}
 	held := dutyOf(v).Lease
 	if held.Holder != c.id {
-		c.duty.Released()
-		if alive := c.alive(); alive[0].Addr == c.addr && !hasMember(alive, held.Holder) {
-			c.takeDuty(held)
-		}
+		c.watchHolder(held)
 		return
 	}
 	if c.duty.Fence() != held.Fence {
@@ -62,6 +60,27 @@
 	})
 }
 
+// watchHolder takes the duty over once its holder is gone.
+func (c *Controller) watchHolder(held messages.Lease) {
+	now := c.process.NowUs()
+	if c.duty.Fence() > 0 && c.duty.Fence() < held.Fence {
+		c.duty.Released()
+		c.takeover.Lost(now)
+	}
+	var candidates []string
+	alive := c.alive()
+	for _, p := range alive {
+		if p.MemberID != held.Holder {
+			candidates = append(candidates, p.Addr)
+		}
+	}
+	rank, found := rollout.Rank(candidates, c.addr, held)
+	view := lease.HolderView{Holder: held.Holder, Fence: held.Fence, Gone: !hasMember(alive, held.Holder), InContact: found, Needed: true, Rank: rank}
+	if c.takeover.Due(view, now) {
+		c.takeDuty(held)
+	}
+}
+
 func (c *Controller) mayAct() bool {
 	now := c.process.NowUs()
 	if c.cluster.defects.ActWithoutWaiting {
