--- a/cmd/beechtide/doctor.go
+++ b/cmd/beechtide/doctor.go
@@ -7,7 +7,6 @@
 	"flag"
 	"fmt"
 	"os"
-	"sort"
 	"time"
 
 	"github.com/go-logr/logr"
@@ -39,7 +38,7 @@
 	}
 	set, err := settings.Load(*path)
 	if err != nil {
-		return report([]doctor.Finding{{Severity: doctor.Fault, About: *path, What: err.Error(), Do: "mend the settings file"}}, *asJSON)
+		return report([]doctor.Finding{{Severity: doctor.Fault, Subject: *path, Problem: err.Error(), Remedy: "correct the settings file"}}, *asJSON)
 	}
 	pool, err := ants.NewPool(16, ants.WithNonblocking(true))
 	if err != nil {
@@ -57,17 +56,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	list := doctor.Visit(ctx, r, set.SeedAddrs())
+	list := doctor.Collect(ctx, r, set.SeedAddrs())
 	status := report(doctor.Examine(list), *asJSON)
 	if *rings {
-		texts := doctor.Rings(ctx, r, list)
-		var nodes []string
-		for n := range texts {
-			nodes = append(nodes, n)
-		}
-		sort.Strings(nodes)
-		for _, n := range nodes {
-			fmt.Printf("== %s\n%s", n, texts[n])
+		for _, l := range doctor.CollectLogs(ctx, r, list) {
+			fmt.Printf("== %s\n%s", l.Node, l.Text)
 		}
 	}
 	return status
@@ -79,7 +72,7 @@
 			list = []doctor.Finding{}
 		}
 		_ = json.NewEncoder(os.Stdout).Encode(list)
-		return doctor.Status(list)
+		return doctor.ExitStatus(list)
 	}
 	for _, f := range list {
 		fmt.Println(f)
@@ -87,5 +80,5 @@
 	if len(list) == 0 {
 		fmt.Println("nothing found")
 	}
-	return doctor.Status(list)
+	return doctor.ExitStatus(list)
 }
--- /dev/null
+++ b/internal/doctor/doctor.go
@@ -0,0 +1,73 @@
+// Package doctor finds common faults of a running system and tells the operator
+// what to do about each.
+//
+// Collect asks the nodes for their condition over the transport; Examine turns
+// the answers into findings. Examine is pure: it reads no clock and sends
+// nothing, and gives the same findings for the same answers. The package keeps
+// no state and starts no goroutine; everything runs on the caller's goroutine.
+package doctor
+
+import (
+	"fmt"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// Severity tells how bad a finding is. Its text is part of the JSON output.
+type Severity string
+
+const (
+	// Warning is something to look at; the system still does all its work.
+	Warning Severity = "warning"
+	// Fault is something that keeps a part of the system from working.
+	Fault Severity = "fault"
+)
+
+// Finding is one problem and what the operator can do about it.
+type Finding struct {
+	Severity Severity `json:"severity"`
+	Subject  string   `json:"about"` // the node, partition or file that has the problem
+	Problem  string   `json:"what"`
+	Remedy   string   `json:"do"`
+}
+
+// String gives the finding as one line.
+func (f Finding) String() string {
+	return fmt.Sprintf("%s %s: %s; %s", f.Severity, f.Subject, f.Problem, f.Remedy)
+}
+
+// Exit statuses of the doctor command; 2 is for wrong use of the command line.
+const (
+	statusHealthy = 0
+	statusWarning = 1
+	statusFault   = 3
+)
+
+// ExitStatus is the exit status of the doctor command for these findings: 0 for
+// none, 1 for warnings only, 3 where one is a fault.
+func ExitStatus(findings []Finding) int {
+	status := statusHealthy
+	for _, f := range findings {
+		if f.Severity == Fault {
+			return statusFault
+		}
+		status = statusWarning
+	}
+	return status
+}
+
+// roleName is the operator's word for a role. The text of messages.Role is fixed
+// by the wire format and differs from it.
+func roleName(role messages.Role) string {
+	switch role {
+	case messages.Controller:
+		return "controller"
+	case messages.Router:
+		return "router"
+	default:
+		return string(role)
+	}
+}
+
+// nodeName names the node that gave a condition, with its role.
+func nodeName(c *messages.Condition) string { return c.Node + " " + roleName(c.Role) }
--- /dev/null
+++ b/internal/doctor/examine_node.go
@@ -0,0 +1,125 @@
+package doctor
+
+import (
+	"fmt"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// Limits past which a node is reported.
+const (
+	slowSaveUs  = 250_000 // a write to disk
+	clockSkewUs = 500_000 // difference of its time of day from the doctor's
+
+	// A receiver asks for a snapshot where updates of a stream are lost or do
+	// not apply. More snapshots than minSnapshots, and more than one for each
+	// changesPerSnapshot updates, are too many.
+	minSnapshots       = 20
+	changesPerSnapshot = 50
+)
+
+// nodeExam gathers the warnings about one node.
+type nodeExam struct {
+	condition *messages.Condition
+	findings  []Finding
+}
+
+// examineNode names the problems that a node's own condition shows.
+func examineNode(result NodeResult, partitions []partition) []Finding {
+	exam := &nodeExam{condition: result.Condition}
+	exam.checkVersions(partitions)
+	if exam.condition.Role == messages.Controller {
+		exam.checkDisk()
+		exam.checkRegistrations()
+	}
+	exam.checkStreams()
+	exam.checkRunners()
+	exam.checkClock(result.RequestedUs + result.RoundTripUs/2)
+	return exam.findings
+}
+
+func (n *nodeExam) warn(problem, remedy string) {
+	n.findings = append(n.findings, Finding{Warning, nodeName(n.condition), problem, remedy})
+}
+
+func (n *nodeExam) checkVersions(partitions []partition) {
+	for index, version := range n.condition.Versions {
+		if newest := partitions[index].version; version < newest {
+			n.warn(fmt.Sprintf("partition %d is at version %d, other nodes have %d", index, version, newest),
+				"run the doctor again; if this stays, check the links between this node and the controllers")
+		}
+	}
+}
+
+func (n *nodeExam) checkDisk() {
+	c := n.condition
+	if !c.HasDisk && isGroupMember(c) {
+		n.warn("keeps the control state in memory only",
+			"set dataDir in its settings, or make sure that a majority of members never stops at once")
+	}
+	if len(c.Unconfirmed) > 0 {
+		n.warn(fmt.Sprintf("a repair waits for members %v to confirm that they hold the state on disk", c.Unconfirmed),
+			"run the doctor again; if this stays, check the disks and links of these members")
+	}
+	switch {
+	case c.SaveFault != "":
+		n.warn("last write to disk failed: "+c.SaveFault,
+			"free space on its disk or replace the disk; the other members decide without it meanwhile")
+	case c.SaveUs > slowSaveUs:
+		n.warn(fmt.Sprintf("last write to disk took %d ms", c.SaveUs/1000), "check the health and the load of its disk")
+	}
+}
+
+func (n *nodeExam) checkRegistrations() {
+	if n.condition.Runners == 0 {
+		n.warn("knows no runner", "check that runners can reach its control address")
+	}
+}
+
+func (n *nodeExam) checkStreams() {
+	c := n.condition
+	if c.Wholes >= minSnapshots && c.Wholes*changesPerSnapshot > c.Changes {
+		n.warn(fmt.Sprintf("needed %d snapshots beside %d incremental updates", c.Wholes, c.Changes),
+			"check its links and whether it keeps up: updates to it are lost or do not apply")
+	}
+	if c.Malformed > 0 {
+		n.warn(fmt.Sprintf("received %d messages that it could not decode", c.Malformed),
+			"check whether its peers run another release")
+	}
+}
+
+func (n *nodeExam) checkRunners() {
+	for _, id := range n.condition.Stale {
+		n.warn("heartbeats of runner "+id+" are missing", "check that it runs; it is passed over until its heartbeats return")
+	}
+	for _, id := range n.condition.Unread {
+		n.warn("cache events of runner "+id+" cannot be read",
+			"check its /api/kv-events and concurrency in the configuration")
+	}
+	for _, id := range n.condition.Blind {
+		n.warn("thresholds of runner "+id+" cannot fire as they should: no report, or its memory size is not known",
+			"check its /api/report and cacheTokens in the configuration")
+	}
+}
+
+// checkClock compares the node's time of day with the doctor's at the middle of
+// the round trip, microseconds since 1970.
+func (n *nodeExam) checkClock(doctorUs int64) {
+	if skew := n.condition.TimeUs - doctorUs; skew > clockSkewUs || skew < -clockSkewUs {
+		n.warn(fmt.Sprintf("time of day is %d ms off from this machine's", skew/1000),
+			"set its clock; no decision depends on it, but the times in its log mislead")
+	}
+}
+
+// isGroupMember tells whether a controller is a member of the group of any
+// partition.
+func isGroupMember(c *messages.Condition) bool {
+	for _, group := range c.Groups {
+		for _, member := range group {
+			if member.ID == c.MemberID {
+				return true
+			}
+		}
+	}
+	return false
+}
