--- a/internal/compliance/trail.go
+++ b/internal/compliance/trail.go
@@ -1,56 +1,57 @@
-// Trail is the audit trail of regulated requests: a bounded ring of what was
-// asked, sent, answered and rejected, each with the runner, its certificate and
-// the version of the configuration that was in force at the node.
 package compliance
 
 import (
 	"bufio"
 	"encoding/json"
-	"fmt"
 	"io"
+	"slices"
 	"sync"
 
-	"beechtide.org/beechtide/internal/api"
+	"github.com/pkg/errors"
 )
 
-// Step is what happened to a request.
+// Step is what happened to a request. Its text is part of the trail's format.
 type Step string
 
-// Steps.
+// The steps of a request: it is received, sent to a runner, once or more often,
+// and ends in one of the three other ways.
 const (
 	Asked    Step = "asked"
 	Sent     Step = "sent"
 	Answered Step = "answered"
 	Rejected Step = "denied"
-	Cut      Step = "cut"
+	Cut      Step = "cut" // ended before its response was complete
 )
 
 // Entry is one line of a trail.
 type Entry struct {
-	Seq         int64  `json:"seq"`
+	Seq         int64  `json:"seq"` // counts the entries of a node from 1
 	Node        string `json:"node"`
 	Step        Step   `json:"step"`
-	Attempt     string `json:"attempt"`
+	Attempt     string `json:"attempt"` // names the request
 	Tenant      string `json:"tenant"`
 	Regime      string `json:"regime"`
 	Runner      string `json:"runner,omitempty"`
 	Service     string `json:"service,omitempty"`
 	Zone        string `json:"zone,omitempty"`
-	Certificate int    `json:"certificate"`
-	Version     int64  `json:"version"`
+	Certificate int    `json:"certificate"` // index in the configuration; -1: none
+	Version     int64  `json:"version"`     // of the configuration in force at the node
 }
 
-// trailSize bounds what a node remembers.
+// trailSize bounds how many entries a node keeps.
 const trailSize = 4096
 
-// Trail is safe for concurrent use. The zero Trail is ready.
+// Trail is the audit trail of regulated requests at one node: a ring that keeps
+// the newest 4096 entries. It is safe for concurrent use, and its zero value is
+// ready to use.
 type Trail struct {
-	mu   sync.Mutex
+	mu   sync.Mutex // guards the fields below
 	ring []Entry
-	seq  int64
+	seq  int64 // of the newest entry
 }
 
-// Note adds an entry; the oldest gives way.
+// Note appends an entry and numbers it; the oldest is dropped when the ring is
+// full.
 func (t *Trail) Note(e Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,117 +66,39 @@
 
 // Write writes the entries as JSON lines, oldest first.
 func (t *Trail) Write(w io.Writer) error {
-	t.mu.Lock()
-	list := append([]Entry{}, t.ring...)
-	start := 0
-	if len(list) == trailSize {
-		start = int(t.seq % trailSize)
-	}
-	t.mu.Unlock()
 	enc := json.NewEncoder(w)
-	for i := range list {
-		if err := enc.Encode(list[(start+i)%len(list)]); err != nil {
-			return err
+	for _, e := range t.entries() {
+		if err := enc.Encode(e); err != nil {
+			return errors.Wrap(err, "compliance: write trail")
 		}
 	}
 	return nil
 }
 
-// ReadTrail reads JSON lines.
-func ReadTrail(r io.Reader) ([]Entry, error) {
-	var out []Entry
-	sc := bufio.NewScanner(r)
-	for n := 1; sc.Scan(); n++ {
-		if len(sc.Bytes()) == 0 {
-			continue
-		}
-		var e Entry
-		if err := json.Unmarshal(sc.Bytes(), &e); err != nil {
-			return nil, fmt.Errorf("line %d: %w", n, err)
-		}
-		out = append(out, e)
+// entries copies the entries, oldest first.
+func (t *Trail) entries() []Entry {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.ring) < trailSize {
+		return slices.Clone(t.ring)
 	}
-	return out, sc.Err()
-}
-
-// Violation is something a trail should not hold.
-type Violation struct {
-	Entry  Entry
-	Reason string
-}
-
-func (v Violation) String() string {
-	return fmt.Sprintf("%s seq %d attempt %s runner %s: %s", v.Entry.Node, v.Entry.Seq, v.Entry.Attempt, v.Entry.Runner, v.Reason)
+	oldest := int(t.seq % trailSize)
+	return slices.Concat(t.ring[oldest:], t.ring[:oldest])
 }
 
-// CheckTrail names each violation: a regulated request sent to a runner that
-// the configuration in force did not let in, one answered twice, one whose end
-// is missing. Configurations are matched by their version; an entry of a version
-// that is not given can't be vouched for and is named as well.
-func CheckTrail(list []Entry, menus []api.Configuration) []Violation {
-	var out []Violation
-	rules := map[int64]*Policies{}
-	regimeOf := map[int64]map[string]string{}
-	for _, m := range menus {
-		if p, err := Compile(m); err == nil {
-			rules[m.Version] = p
-			regimeOf[m.Version] = map[string]string{}
-			for _, t := range m.Tenants {
-				regimeOf[m.Version][t.Name] = t.Regime
-			}
-		}
-	}
-	ended := map[string]Step{}
-	asked := map[string]Entry{}
-	var order []string
-	for _, e := range list {
-		switch e.Step {
-		case Asked:
-			if _, ok := asked[e.Attempt]; !ok {
-				order = append(order, e.Attempt)
-			}
-			asked[e.Attempt] = e
-		case Sent:
-			if why := checkSent(e, rules[e.Version], regimeOf[e.Version]); why != "" {
-				out = append(out, Violation{e, why})
-			}
-			if was, ok := ended[e.Attempt]; ok && was == Answered {
-				out = append(out, Violation{e, "sent after it was answered"})
-			}
-		case Answered, Rejected, Cut:
-			if was, ok := ended[e.Attempt]; ok {
-				out = append(out, Violation{e, fmt.Sprintf("ended twice: %s and %s", was, e.Step)})
-			}
-			ended[e.Attempt] = e.Step
-		default:
-			out = append(out, Violation{e, fmt.Sprintf("unknown step %q", e.Step)})
+// ReadTrail reads entries from JSON lines; empty lines are skipped.
+func ReadTrail(r io.Reader) ([]Entry, error) {
+	var entries []Entry
+	scanner := bufio.NewScanner(r)
+	for line := 1; scanner.Scan(); line++ {
+		if len(scanner.Bytes()) == 0 {
+			continue
 		}
-	}
-	for _, id := range order {
-		if _, ok := ended[id]; !ok {
-			out = append(out, Violation{asked[id], "its end is missing"})
+		var e Entry
+		if err := json.Unmarshal(scanner.Bytes(), &e); err != nil {
+			return nil, errors.Wrapf(err, "line %d", line)
 		}
+		entries = append(entries, e)
 	}
-	return out
-}
-
-func checkSent(e Entry, p *Policies, regimeOf map[string]string) string {
-	if p == nil {
-		return fmt.Sprintf("configuration %d is not at hand", e.Version)
-	}
-	want := regimeOf[e.Tenant]
-	if want != e.Regime {
-		return fmt.Sprintf("tenant %s has regime %q in version %d, not %q", e.Tenant, want, e.Version, e.Regime)
-	}
-	if want == "" {
-		return ""
-	}
-	cert, ok := p.Allows(want, Runner{ID: e.Runner, Service: e.Service, Zone: e.Zone})
-	if !ok {
-		return fmt.Sprintf("not certified for %s in version %d", want, e.Version)
-	}
-	if cert != e.Certificate {
-		return fmt.Sprintf("names certificate %d, version %d has %d", e.Certificate, e.Version, cert)
-	}
-	return ""
+	return entries, errors.Wrap(scanner.Err(), "read trail")
 }
--- /dev/null
+++ b/internal/compliance/trail_test.go
@@ -0,0 +1,75 @@
+package compliance
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/api"
+)
+
+// answeredRequest gives the entries of a request that one runner answered.
+func answeredRequest(name, runner string, certificate int) []Entry {
+	e := Entry{Node: "n", Attempt: name, Tenant: "directorate", Regime: "allergen", Version: 1, Certificate: -1}
+	asked, sent, answered := e, e, e
+	asked.Step, sent.Step, answered.Step = Asked, Sent, Answered
+	sent.Runner, sent.Service, sent.Zone, sent.Certificate = runner, "s", "a", certificate
+	return []Entry{asked, sent, answered}
+}
+
+func TestCheckTrailPassesCorrectTrailAndNamesEachViolation(t *testing.T) {
+	configs := []api.Configuration{testConfig()}
+	correct := append(answeredRequest("1", "r1", 0), answeredRequest("2", "r2", 0)...)
+	must.SliceEmpty(t, CheckTrail(correct, configs))
+	for _, c := range []struct {
+		reason  string
+		corrupt func([]Entry) []Entry
+	}{
+		{"not certified", func(l []Entry) []Entry { l[1].Zone = "b"; return l }},
+		{"names certificate", func(l []Entry) []Entry { l[1].Certificate = 1; return l }},
+		{"has regime", func(l []Entry) []Entry { l[1].Regime = "strict"; return l }},
+		{"not at hand", func(l []Entry) []Entry { l[1].Version = 7; return l }},
+		{"ended twice", func(l []Entry) []Entry { return append(l, l[2]) }},
+		{"end is missing", func(l []Entry) []Entry { return append(l[:2:2], l[3:]...) }},
+		{"sent after", func(l []Entry) []Entry { return append(l, l[1]) }},
+		{"unknown step", func(l []Entry) []Entry { l[2].Step = "lost"; return l[:3] }},
+	} {
+		violations := CheckTrail(c.corrupt(append([]Entry{}, correct...)), configs)
+		must.SliceNotEmpty(t, violations, must.Sprint(c.reason))
+		must.StrContains(t, violations[0].String(), c.reason)
+	}
+}
+
+func TestTrailKeepsNewestEntriesAndReadsBack(t *testing.T) {
+	var trail Trail
+	for range trailSize + 10 {
+		trail.Note(Entry{Step: Asked, Attempt: "x"})
+	}
+	var b bytes.Buffer
+	must.NoError(t, trail.Write(&b))
+	entries, err := ReadTrail(&b)
+	must.NoError(t, err)
+	must.Len(t, trailSize, entries)
+	must.Eq(t, int64(11), entries[0].Seq)
+	must.Eq(t, int64(trailSize+10), entries[trailSize-1].Seq)
+}
+
+func TestTrailWritesPartlyFilledRingInOrder(t *testing.T) {
+	var trail Trail
+	trail.Note(Entry{Attempt: "first"})
+	trail.Note(Entry{Attempt: "second"})
+	var b bytes.Buffer
+	must.NoError(t, trail.Write(&b))
+	entries, err := ReadTrail(&b)
+	must.NoError(t, err)
+	must.Len(t, 2, entries)
+	must.Eq(t, "first", entries[0].Attempt)
+	must.Eq(t, "second", entries[1].Attempt)
+}
+
+func TestReadTrailNamesInvalidLine(t *testing.T) {
+	_, err := ReadTrail(strings.NewReader("{}\n\nnot JSON\n"))
+	must.ErrorContains(t, err, "line 3")
+}
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -100,7 +100,7 @@
 		}
 	}
 	_, err := compliance.Compile(m)
-	var fault *compliance.Fault
+	var fault *compliance.ConfigError
 	if errors.As(err, &fault) {
 		return &Invalid{fault.Field, fault.Reason}
 	}
