--- /dev/null
+++ b/internal/placement/placement.go
@@ -0,0 +1,149 @@
+// Package placement chooses the runner for an admitted request among the
+// candidates that the admission control left.
+//
+// It takes the runner where the first token can be expected soonest: the cost of
+// a candidate weighs its cached prefix of the prompt against its backlog. Where
+// no candidate has a useful part of the prompt in its cache, rendezvous hashing
+// of the prompt's shared prefix decides, so that all routers send the same
+// prefix to the same runner without coordination.
+//
+// All functions are pure: equal arguments give equal results. The package keeps
+// no state and starts no goroutine.
+package placement
+
+import (
+	"encoding/binary"
+	"hash/fnv"
+)
+
+// AgainUs is the cost in microseconds, beyond the time it takes, of each token
+// that a candidate prefills although another runner has it in its cache.
+const AgainUs = 100.0
+
+// Weights of the parts of a candidate's cost, in microseconds where the name
+// ends with Us.
+const (
+	otherZoneUs = 2_000  // the candidate is in another zone
+	occupancyUs = 20_000 // all of its slots are in use
+	notHomeUs   = 60_000 // rendezvous hashing gives the prefix to another candidate
+	fullCacheUs = 80_000 // all of its memory is in use; grows with the square
+
+	// prefillDelayShare weighs the delay that a prefill brings to each active
+	// request, as a share of the prefill's time.
+	prefillDelayShare = 0.3
+
+	// slowDecodeUs is the cost of each token of output where the candidate
+	// spends all of its time on prefill.
+	slowDecodeUs = 8_000
+)
+
+// minRate is the lowest prefill rate taken for a candidate, in tokens a
+// microsecond.
+const minRate = 0.002
+
+// A candidate with less than one part in usefulCacheDivisor of the prompt in its
+// cache bears notHomeUs.
+const usefulCacheDivisor = 4
+
+// Candidate is a runner that may take the request, as the admission control
+// sees it.
+type Candidate struct {
+	ID       string
+	NearSite bool    // in the router's zone
+	Kept     int     // tokens of the prompt in its cache
+	Moved    int     // tokens that it could transfer from another runner's cache
+	MoveUs   float64 // how long the transfer takes
+	From     string  // address of that other runner
+	Again    int     // shared tokens it would prefill although another runner has them cached
+	Prefill  int     // tokens waiting for prefill
+	Active   int     // requests in progress
+	Capacity int     // most requests at once; 0: not known
+	Used     float64 // share of its memory in use, 0 to 1
+	Rate     float64 // prefill rate, tokens a microsecond
+	DoubtUs  float64 // penalty for suspected bad health
+	Reading  float64 // share of its time spent on prefill, 0 to 1
+}
+
+// uncached is the number of prompt tokens that the candidate must prefill.
+func (c Candidate) uncached(p Prompt) int { return max(p.Tokens-c.Kept-c.Moved, 0) }
+
+// Prompt describes the request.
+type Prompt struct {
+	Tokens int
+	Out    int    // most tokens of output
+	Shared uint64 // hash of the deepest shared prefix; 0 without one
+}
+
+// Match returns the index of the candidate with the lowest cost, the first of
+// equals, or -1 without any.
+func Match(p Prompt, candidates []Candidate) int {
+	best, bestUs := -1, 0.0
+	home := rendezvous(p.Shared, candidates)
+	for i, c := range candidates {
+		us := costUs(p, c)
+		if p.Shared != 0 && i != home && c.Kept+c.Moved < p.Tokens/usefulCacheDivisor {
+			us += notHomeUs
+		}
+		if best < 0 || us < bestUs {
+			best, bestUs = i, us
+		}
+	}
+	return best
+}
+
+// costUs estimates the time to the first token at a candidate, with penalties
+// for what the request costs others.
+func costUs(p Prompt, c Candidate) float64 {
+	rate := max(c.Rate, minRate)
+	us := float64(c.Prefill+c.uncached(p))/rate + c.MoveUs
+	us += AgainUs * float64(c.Again)
+	us += prefillDelayShare * float64(c.uncached(p)) / rate * float64(c.Active)
+	us += slowDecodeUs * float64(p.Out) * min(c.Reading, 1)
+	if c.Capacity > 0 {
+		us += occupancyUs * float64(c.Active) / float64(c.Capacity)
+	}
+	us += fullCacheUs * c.Used * c.Used
+	if !c.NearSite {
+		us += otherZoneUs
+	}
+	us += c.DoubtUs
+	return us
+}
+
+// rendezvous returns the index of the candidate with the highest hash of prefix
+// and ID (Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous",
+// 1996), or -1 without a prefix or candidates. When a candidate leaves, only its
+// own prefixes move to others.
+func rendezvous(prefix uint64, candidates []Candidate) int {
+	if prefix == 0 {
+		return -1
+	}
+	best, highest := -1, uint64(0)
+	for i, c := range candidates {
+		if score := rendezvousScore(prefix, c.ID); best < 0 || score > highest {
+			best, highest = i, score
+		}
+	}
+	return best
+}
+
+// rendezvousScore must be the same on all routers: changing it moves prefixes
+// away from the caches that hold them.
+func rendezvousScore(prefix uint64, id string) uint64 {
+	h := fnv.New64a()
+	var b [8]byte
+	binary.LittleEndian.PutUint64(b[:], prefix)
+	_, _ = h.Write(b[:])
+	_, _ = h.Write([]byte(id))
+	return mix64(h.Sum64())
+}
+
+// mix64 is the 64-bit finalizer of MurmurHash3. FNV alone spreads short inputs
+// too little over the high bits.
+func mix64(x uint64) uint64 {
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	x *= 0xc4ceb9fe1a85ec53
+	return x ^ x>>33
+}
--- /dev/null
+++ b/internal/placement/placement_test.go
@@ -0,0 +1,59 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// idleCandidates gives three candidates that are equal but for their IDs.
+func idleCandidates() []Candidate {
+	var candidates []Candidate
+	for _, id := range []string{"a", "b", "c"} {
+		candidates = append(candidates, Candidate{ID: id, NearSite: true, Rate: 0.03, Capacity: 64})
+	}
+	return candidates
+}
+
+func TestMatchPrefersCachedPrefixUntilBacklogOutweighsIt(t *testing.T) {
+	candidates := idleCandidates()
+	candidates[1].Kept = 6000
+	p := Prompt{Tokens: 9000, Shared: 1}
+	must.Eq(t, 1, Match(p, candidates))
+	candidates[1].Prefill = 40_000
+	must.NotEq(t, 1, Match(p, candidates))
+}
+
+func TestMatchTakesIdleRunnerWhenPrefixCanBeTransferred(t *testing.T) {
+	candidates := idleCandidates()
+	candidates[1].Kept, candidates[1].Prefill = 6000, 5000
+	candidates[2].Moved, candidates[2].MoveUs, candidates[2].From = 6000, 20_000, "b"
+	must.Eq(t, 2, Match(Prompt{Tokens: 9000, Shared: 1}, candidates))
+}
+
+func TestMatchChargesDuplicatePrefill(t *testing.T) {
+	candidates := idleCandidates()
+	candidates[0].Prefill = 3000
+	candidates[0].Kept = 2500
+	candidates[1].Again, candidates[2].Again = 2500, 2500
+	must.Eq(t, 0, Match(Prompt{Tokens: 5000, Shared: 1}, candidates))
+}
+
+func TestMatchSpreadsUncachedPrefixesByRendezvousHash(t *testing.T) {
+	matches := map[int]int{}
+	for prefix := uint64(1); prefix < 300; prefix++ {
+		i := Match(Prompt{Tokens: 5000, Shared: prefix}, idleCandidates())
+		must.Eq(t, rendezvous(prefix, idleCandidates()), i)
+		matches[i]++
+	}
+	for i := range idleCandidates() {
+		must.Greater(t, 60, matches[i])
+	}
+	must.Eq(t, -1, Match(Prompt{}, nil))
+}
+
+// All routers of a fleet must agree, whichever release they run.
+func TestRendezvousScoreIsStable(t *testing.T) {
+	must.Eq(t, uint64(0xdea13a43162696b9), rendezvousScore(1, "a"))
+	must.Eq(t, uint64(0x372f9746cc5dcf1c), rendezvousScore(0xfedcba9876543210, "runner-7"))
+}
