--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,115 +13,111 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Errors of a call. After any of them the call may have been carried out: the
-// transport never repeats one by itself.
+// Errors of a request. After any of them the peer may have carried the request
+// out; the transport never retries.
 var (
-	ErrClosed  = errors.New("transport: link closed")
-	ErrTimeout = errors.New("transport: no answer in time")
-	ErrFailed  = errors.New("transport: the other end could not answer")
+	ErrClosed  = errors.New("transport: connection closed")
+	ErrTimeout = errors.New("transport: no response in time")
+	ErrRemote  = errors.New("transport: the peer could not respond")
 )
 
-// Conn is one TCP connection between two nodes, used both ways. An answer is
-// matched by connection, number and kind; the numbers are never used again, so
-// an answer that comes late, twice or from an earlier connection finds nothing.
+const (
+	// A write has writeTimeout plus writeTimePerByte for each byte. A write
+	// past that ends the connection.
+	writeTimeout     = time.Second
+	writeTimePerByte = 4 * time.Microsecond
+
+	readBufferBytes = 2048
+	frameHeadBytes  = 32 // room for all of a frame but its body
+)
+
+// Conn is one TCP connection between two nodes; both ends send requests on it.
+// The methods are safe for concurrent use. One goroutine runs Serve; it calls
+// the handlers of one-way frames itself, and has requests handled in the
+// transport's pool.
 type Conn struct {
 	transport *Transport
-	addr      string
+	addr      string // the peer's listening address; empty on an accepted connection
 	conn      net.Conn
-	wmu       sync.Mutex
-	broken    bool // a write ended in the middle of a frame, or may have
-	mu        sync.Mutex
-	pending   map[int64]call
-	seq       int64
+	pending   *pendingRequests
 	closed    atomic.Bool
 	done      chan struct{}
-	OnPush    func(kind int, body []byte) // instead of the transport's own handlers
-}
 
-// call is one that waits for its answer.
-type call struct {
-	kind int
-	ch   chan result
-}
+	// OnPush handles the one-way frames of this connection instead of the
+	// transport's handlers. It is set before Serve.
+	OnPush func(kind int, body []byte)
 
-type result struct {
-	body []byte
-	err  error
+	writeMu sync.Mutex // guards writes to conn and the field below
+	broken  bool       // a write ended in the middle of a frame, or may have
 }
 
-func (r *Transport) newConn(addr string, c net.Conn) *Conn {
-	return &Conn{transport: r, addr: addr, conn: c, pending: map[int64]call{}, done: make(chan struct{})}
+func (t *Transport) newConn(addr string, c net.Conn) *Conn {
+	return &Conn{transport: t, addr: addr, conn: c, pending: newPendingRequests(), done: make(chan struct{})}
 }
 
 // Done is closed when the connection has ended.
-func (l *Conn) Done() <-chan struct{} { return l.done }
+func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Remote is the address at the other end.
-func (l *Conn) Remote() string { return l.conn.RemoteAddr().String() }
+// Remote is the address of the peer's end.
+func (c *Conn) Remote() string { return c.conn.RemoteAddr().String() }
 
-// Close ends the connection, and every call that waits on it.
-func (l *Conn) Close() {
-	if !l.closed.CompareAndSwap(false, true) {
+// Close ends the connection; the requests that wait on it end with ErrClosed.
+func (c *Conn) Close() {
+	if !c.closed.CompareAndSwap(false, true) {
 		return
 	}
-	l.conn.Close()
-	close(l.done)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for seq, waiting := range l.pending {
-		delete(l.pending, seq)
-		waiting.ch <- result{err: ErrClosed}
-	}
+	c.conn.Close()
+	close(c.done)
+	c.pending.failAll(ErrClosed)
 }
 
-func (l *Conn) write(f messages.Frame) error {
-	b, err := f.MarshalMsg(make([]byte, 0, len(f.Body)+32))
+func (c *Conn) write(f messages.Frame) error {
+	b, err := f.MarshalMsg(make([]byte, 0, len(f.Body)+frameHeadBytes))
 	if err != nil {
-		return err
+		return errors.Wrap(err, "transport: encode frame")
 	}
-	return l.SendRaw(b)
+	return c.SendRaw(b)
 }
 
-// perByte is the time that a byte of a long write may take.
-const perByte = 4 * time.Microsecond
-
 // SendRaw writes encoded frames as they are. After a write that failed nothing
-// more is written: the other end would read it as the rest of the frame before.
-func (l *Conn) SendRaw(b []byte) error {
-	l.wmu.Lock()
-	defer l.wmu.Unlock()
-	if l.broken {
+// more is written: the peer would read it as the rest of the frame before.
+func (c *Conn) SendRaw(b []byte) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	if c.broken {
 		return ErrClosed
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(time.Second + time.Duration(len(b))*perByte))
-	if _, err := l.conn.Write(b); err != nil {
-		l.broken = true
-		go l.Close()
+	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout + time.Duration(len(b))*writeTimePerByte))
+	if _, err := c.conn.Write(b); err != nil {
+		c.broken = true
+		go c.Close()
 		return errors.Wrap(ErrClosed, err.Error())
 	}
 	return nil
 }
 
-// Push sends a frame that wants no answer.
-func (l *Conn) Push(kind int, body []byte) error {
-	return l.write(messages.Frame{Kind: kind, Body: body})
+// Push sends a one-way frame.
+func (c *Conn) Push(kind int, body []byte) error {
+	return c.write(messages.Frame{Kind: kind, Body: body})
 }
 
-// Call sends a frame and waits for its answer.
-func (l *Conn) Call(ctx context.Context, kind int, body msgp.Marshaler) ([]byte, error) {
+// Call sends a request and returns the body of its response. The error is, or
+// wraps, one of ErrClosed, ErrTimeout (also where ctx is cancelled) and
+// ErrRemote, or tells that the request could not be encoded.
+func (c *Conn) Call(ctx context.Context, kind int, body msgp.Marshaler) ([]byte, error) {
 	b, err := body.MarshalMsg(nil)
 	if err != nil {
-		return nil, err
+		return nil, errors.Wrapf(err, "transport: encode %s request", kindName(kind))
 	}
 	if ctx.Err() != nil {
-		return nil, ErrTimeout // as after a freeze of this process: nobody waits for it any more
+		return nil, ErrTimeout // the process was stopped for a while: nobody waits for the response
 	}
-	seq, ch := l.expect(kind)
-	defer l.forget(seq)
-	if l.closed.Load() {
+	seq, ch := c.pending.add(kind)
+	defer c.pending.remove(seq)
+	if c.closed.Load() {
 		return nil, ErrClosed
 	}
-	if err := l.write(messages.Frame{Kind: kind, Seq: seq, Body: b}); err != nil {
+	if err := c.write(messages.Frame{Kind: kind, Seq: seq, Body: b}); err != nil {
 		return nil, err
 	}
 	select {
@@ -132,108 +128,82 @@
 	}
 }
 
-func (l *Conn) expect(kind int) (seq int64, ch chan result) {
-	ch = make(chan result, 1)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.seq++
-	l.pending[l.seq] = call{kind, ch}
-	return l.seq, ch
-}
-
-func (l *Conn) forget(seq int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.pending, seq)
-}
-
-// answered hands an answer to the call that waits for it. It tells whether the
-// other end keeps to the protocol: an answer of another kind is none to the call
-// under its number.
-func (l *Conn) answered(seq int64, kind int, r result) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	waiting, ok := l.pending[seq]
-	if !ok {
-		return true // late, doubled or never asked for
-	}
-	if waiting.kind != kind {
-		return false
-	}
-	delete(l.pending, seq)
-	waiting.ch <- r
-	return true
-}
-
-// Serve reads frames until the connection ends, and hands them on.
-func (l *Conn) Serve(ctx context.Context) {
-	defer l.Close()
-	in := newFrameReader(msgp.NewReaderSize(l.conn, 2048))
+// Serve reads frames and handles them until the connection ends. Handlers of
+// requests get ctx.
+func (c *Conn) Serve(ctx context.Context) {
+	defer c.Close()
+	in := newFrameReader(msgp.NewReaderSize(c.conn, readBufferBytes))
 	for {
 		f, err := in.next()
-		if err != nil || !l.take(ctx, f) {
+		if err != nil || !c.handle(ctx, f) {
 			return
 		}
 	}
 }
 
-// take hands one frame on. It tells whether the connection can go on.
-func (l *Conn) take(ctx context.Context, f messages.Frame) bool {
+// handle handles one frame. It returns false where the peer breaks the protocol
+// and the connection has to end.
+func (c *Conn) handle(ctx context.Context, f messages.Frame) bool {
 	switch {
 	case f.Reply:
-		return l.answered(f.Seq, f.Kind, result{body: f.Body})
+		return c.pending.complete(f.Seq, f.Kind, result{body: f.Body})
 	case f.Kind == KindFailed:
-		seq, kind, ok := readFailure(f.Body)
-		return ok && l.answered(seq, kind, result{err: ErrFailed})
+		seq, kind, ok := decodeFailure(f.Body)
+		return ok && c.pending.complete(seq, kind, result{err: ErrRemote})
 	case f.Seq == 0:
-		l.pushed(f)
+		c.handleOneWay(f)
 	default:
-		l.called(ctx, f)
+		c.handleRequest(ctx, f)
 	}
 	return true
 }
 
-// pushed hands on a frame that wants no answer; a kind that this node does not
-// know passes by.
-func (l *Conn) pushed(f messages.Frame) {
-	if l.OnPush != nil {
-		l.OnPush(f.Kind, f.Body)
+// handleOneWay handles a frame without a response; one of a kind without a
+// handler is ignored.
+func (c *Conn) handleOneWay(f messages.Frame) {
+	if c.OnPush != nil {
+		c.OnPush(f.Kind, f.Body)
 		return
 	}
-	if f.Kind > 0 && f.Kind < kinds && l.transport.pushes[f.Kind] != nil {
-		l.transport.pushes[f.Kind](l, f.Body)
+	if f.Kind > 0 && f.Kind < kindCount && c.transport.pushHandlers[f.Kind] != nil {
+		c.transport.pushHandlers[f.Kind](c, f.Body)
 	}
 }
 
-// called answers a call, or tells the caller at once that it gets no answer.
-func (l *Conn) called(ctx context.Context, f messages.Frame) {
-	if f.Kind <= 0 || f.Kind >= kinds || l.transport.calls[f.Kind] == nil {
-		_ = l.fail(f)
+// handleRequest responds to a request in the pool, or in a goroutine of its own
+// where the pool is full, so that a long request does not hold up reading.
+func (c *Conn) handleRequest(ctx context.Context, f messages.Frame) {
+	if f.Kind <= 0 || f.Kind >= kindCount || c.transport.requestHandlers[f.Kind] == nil {
+		_ = c.respondFailure(f)
 		return
 	}
-	handler := l.transport.calls[f.Kind]
-	work := func() {
-		out, err := handler(ctx, l, f.Body)
-		if err != nil {
-			l.transport.log.V(1).Info("call failed", "kind", f.Kind, "err", err)
-			_ = l.fail(f)
-			return
-		}
-		_ = l.write(messages.Frame{Kind: f.Kind, Seq: f.Seq, Reply: true, Body: out})
+	respond := func() { c.respond(ctx, c.transport.requestHandlers[f.Kind], f) }
+	if err := c.transport.pool.Submit(respond); err != nil {
+		go respond()
 	}
-	if err := l.transport.pool.Submit(work); err != nil {
-		go work()
+}
+
+func (c *Conn) respond(ctx context.Context, handler Handler, f messages.Frame) {
+	body, err := handler(ctx, c, f.Body)
+	if err != nil {
+		c.transport.log.V(1).Info("request failed", "kind", kindName(f.Kind), "err", err)
+		_ = c.respondFailure(f)
+		return
 	}
+	_ = c.write(messages.Frame{Kind: f.Kind, Seq: f.Seq, Reply: true, Body: body})
 }
 
-// fail tells the caller that a call gets no answer. It is a frame of its own
-// kind and no reply, which a node of an earlier version passes by.
-func (l *Conn) fail(f messages.Frame) error {
+// respondFailure tells the peer that a request gets no response. It is a one-way
+// frame of its own kind, not a response, since nodes of earlier releases ignore
+// unknown one-way frames.
+func (c *Conn) respondFailure(f messages.Frame) error {
 	body := msgp.AppendInt(msgp.AppendInt64(nil, f.Seq), f.Kind)
-	return l.Push(KindFailed, body)
+	return c.Push(KindFailed, body)
 }
 
-func readFailure(body []byte) (seq int64, kind int, ok bool) {
+// decodeFailure reads the body of a frame of KindFailed: sequence number and
+// kind of the request.
+func decodeFailure(body []byte) (seq int64, kind int, ok bool) {
 	seq, rest, err := msgp.ReadInt64Bytes(body)
 	if err != nil {
 		return 0, 0, false
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"bytes"
 	"context"
 	"io"
 	"net"
@@ -17,6 +16,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// testTransport is a transport without sockets.
 func testTransport(t testing.TB) *Transport {
 	t.Helper()
 	pool, err := ants.NewPool(8, ants.WithNonblocking(true))
@@ -25,185 +25,184 @@
 	return &Transport{log: logr.Discard(), pool: pool, conns: map[string]*Conn{}}
 }
 
-// far is the other end of a connection, played by the test.
-type far struct {
-	t   *testing.T
-	c   net.Conn
-	in  frameReader
-	end *Conn
+// fakePeer is the other end of a connection, played by the test.
+type fakePeer struct {
+	t    *testing.T
+	conn net.Conn
+	in   frameReader
+	near *Conn // the end under test
 }
 
-func pair(t *testing.T, r *Transport) *far {
+func newFakePeer(t *testing.T, trans *Transport) *fakePeer {
 	t.Helper()
-	near, other := net.Pipe()
-	l := r.newConn("far", near)
-	go l.Serve(context.Background())
-	t.Cleanup(l.Close)
-	return &far{t: t, c: other, in: newFrameReader(msgp.NewReader(other)), end: l}
+	nearEnd, peerEnd := net.Pipe()
+	near := trans.newConn("peer", nearEnd)
+	go near.Serve(context.Background())
+	t.Cleanup(near.Close)
+	return &fakePeer{t: t, conn: peerEnd, in: newFrameReader(msgp.NewReader(peerEnd)), near: near}
 }
 
-func (f *far) read() messages.Frame {
+func (f *fakePeer) read() messages.Frame {
 	f.t.Helper()
-	got, err := f.in.next()
+	frame, err := f.in.next()
 	must.NoError(f.t, err)
-	return got
+	return frame
 }
 
-func (f *far) write(frames ...messages.Frame) {
+func (f *fakePeer) write(frames ...messages.Frame) {
 	f.t.Helper()
-	var raw []byte
-	for _, one := range frames {
-		raw, _ = one.MarshalMsg(raw)
-	}
-	_, err := f.c.Write(raw)
+	_, err := f.conn.Write(encode(f.t, frames...))
 	must.NoError(f.t, err)
 }
 
+// pendingCount tells how many requests of the near end wait for a response.
+func (f *fakePeer) pendingCount() int {
+	f.near.pending.mu.Lock()
+	defer f.near.pending.mu.Unlock()
+	return len(f.near.pending.waiting)
+}
+
+// outcome is how a request ended.
 type outcome struct {
 	body string
 	err  error
 }
 
-func (f *far) call(ctx context.Context, kind int) chan outcome {
+// call has the near end send a request.
+func (f *fakePeer) call(ctx context.Context, kind int) chan outcome {
 	out := make(chan outcome, 1)
 	go func() {
-		b, err := f.end.Call(ctx, kind, &messages.Versions{Parts: []int64{}})
-		out <- outcome{string(b), err}
+		body, err := f.near.Call(ctx, kind, &messages.Versions{Parts: []int64{}})
+		out <- outcome{string(body), err}
 	}()
 	return out
 }
 
-func (l *Conn) waiting() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.pending)
-}
-
-func reply(q messages.Frame, body string) messages.Frame {
-	return messages.Frame{Kind: q.Kind, Seq: q.Seq, Reply: true, Body: []byte(body)}
+func response(request messages.Frame, body string) messages.Frame {
+	return messages.Frame{Kind: request.Kind, Seq: request.Seq, Reply: true, Body: []byte(body)}
 }
 
-func soon(t *testing.T) context.Context {
+// withTimeout gives a context that ends long after any test should.
+func withTimeout(t *testing.T) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestLateAndDoubledAnswersFindNothing(t *testing.T) {
-	f := pair(t, testTransport(t))
+func TestLateAndRepeatedResponsesAreIgnored(t *testing.T) {
+	peer := newFakePeer(t, testTransport(t))
 	ctx, cancel := context.WithCancel(context.Background())
-	first := f.call(ctx, KindSince)
-	q1 := f.read()
+	first := peer.call(ctx, KindSince)
+	request1 := peer.read()
 	cancel()
 	must.ErrorIs(t, (<-first).err, ErrTimeout)
-	must.Eq(t, 0, f.end.waiting(), must.Sprint("a call that nobody waits for is forgotten"))
-
-	second := f.call(soon(t), KindSince)
-	q2 := f.read()
-	f.write(reply(q1, "late"), reply(q2, "own"), reply(q2, "doubled"), reply(messages.Frame{Kind: KindSince, Seq: q2.Seq + 1}, "early"))
+	must.Eq(t, 0, peer.pendingCount(), must.Sprint("a request that nobody waits for is forgotten"))
+
+	second := peer.call(withTimeout(t), KindSince)
+	request2 := peer.read()
+	peer.write(
+		response(request1, "late"),
+		response(request2, "own"),
+		response(request2, "repeated"),
+		response(messages.Frame{Kind: KindSince, Seq: request2.Seq + 1}, "early"),
+	)
 	must.Eq(t, outcome{body: "own"}, <-second)
 
-	third := f.call(soon(t), KindSince)
-	q3 := f.read()
-	f.write(reply(q3, "third"))
+	third := peer.call(withTimeout(t), KindSince)
+	request3 := peer.read()
+	peer.write(response(request3, "third"))
 	must.Eq(t, outcome{body: "third"}, <-third)
 }
 
-func TestAnAnswerOfAnotherKindEndsTheConnection(t *testing.T) {
-	f := pair(t, testTransport(t))
-	waiting := f.call(soon(t), KindSince)
-	q := f.read()
-	q.Kind = KindVersions
-	f.write(reply(q, "foreign"))
-	must.ErrorIs(t, (<-waiting).err, ErrClosed)
-}
-
-func TestAnAnswerOnAnotherConnectionFindsNothing(t *testing.T) {
-	r := testTransport(t)
-	a, b := pair(t, r), pair(t, r)
-	waiting := a.call(soon(t), KindSince)
-	q := a.read()
-	b.write(reply(q, "of another life"))
-	a.write(reply(q, "own"))
-	must.Eq(t, outcome{body: "own"}, <-waiting)
-}
-
-func TestAHandlerThatFailsEndsTheCallAtOnce(t *testing.T) {
-	r := testTransport(t)
-	r.OnCall(KindSince, func(context.Context, *Conn, []byte) ([]byte, error) { return nil, errors.New("no") })
-	near, other := net.Pipe()
-	caller, answering := r.newConn("a", near), r.newConn("b", other)
-	defer caller.Close()
-	go caller.Serve(context.Background())
-	go answering.Serve(context.Background())
-	for _, kind := range []int{KindSince, KindVersions, kinds + 7} {
-		_, err := caller.Call(soon(t), kind, &messages.Versions{Parts: []int64{}})
-		must.ErrorIs(t, err, ErrFailed, must.Sprint("kind", kind))
+func TestResponseOfAnotherKindClosesConn(t *testing.T) {
+	peer := newFakePeer(t, testTransport(t))
+	pending := peer.call(withTimeout(t), KindSince)
+	request := peer.read()
+	request.Kind = KindVersions
+	peer.write(response(request, "foreign"))
+	must.ErrorIs(t, (<-pending).err, ErrClosed)
+}
+
+func TestResponseOnAnotherConnIsIgnored(t *testing.T) {
+	trans := testTransport(t)
+	a, b := newFakePeer(t, trans), newFakePeer(t, trans)
+	pending := a.call(withTimeout(t), KindSince)
+	request := a.read()
+	b.write(response(request, "of another connection"))
+	a.write(response(request, "own"))
+	must.Eq(t, outcome{body: "own"}, <-pending)
+}
+
+func TestHandlerErrorEndsRequestAtOnce(t *testing.T) {
+	trans := testTransport(t)
+	trans.OnCall(KindSince, func(context.Context, *Conn, []byte) ([]byte, error) { return nil, errors.New("no") })
+	requesterEnd, responderEnd := net.Pipe()
+	requester, responder := trans.newConn("a", requesterEnd), trans.newConn("b", responderEnd)
+	defer requester.Close()
+	go requester.Serve(context.Background())
+	go responder.Serve(context.Background())
+	for _, kind := range []int{KindSince, KindVersions, kindCount + 7} {
+		_, err := requester.Call(withTimeout(t), kind, &messages.Versions{Parts: []int64{}})
+		must.ErrorIs(t, err, ErrRemote, must.Sprint("kind", kind))
 	}
-	must.False(t, answering.closed.Load(), must.Sprint("the other calls of the connection go on"))
+	must.False(t, responder.closed.Load(), must.Sprint("the connection's other requests go on"))
 }
 
-func TestACallThatNobodyWaitsForIsNotSent(t *testing.T) {
-	f := pair(t, testTransport(t))
-	over, cancel := context.WithCancel(context.Background())
+func TestRequestIsNotSentAfterContextEnded(t *testing.T) {
+	peer := newFakePeer(t, testTransport(t))
+	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	must.ErrorIs(t, (<-f.call(over, KindSince)).err, ErrTimeout)
-	waiting := f.call(soon(t), KindVersions)
-	q := f.read()
-	must.Eq(t, KindVersions, q.Kind, must.Sprint("nothing came before it"))
-	f.write(reply(q, ""))
-	must.NoError(t, (<-waiting).err)
-}
-
-func TestAClosedConnectionEndsAllItsCalls(t *testing.T) {
-	f := pair(t, testTransport(t))
-	a, b := f.call(soon(t), KindSince), f.call(soon(t), KindVersions)
-	f.read()
-	f.read()
-	f.c.Close()
+	must.ErrorIs(t, (<-peer.call(ended, KindSince)).err, ErrTimeout)
+	pending := peer.call(withTimeout(t), KindVersions)
+	request := peer.read()
+	must.Eq(t, KindVersions, request.Kind, must.Sprint("nothing came before it"))
+	peer.write(response(request, ""))
+	must.NoError(t, (<-pending).err)
+}
+
+func TestClosedConnEndsAllItsRequests(t *testing.T) {
+	peer := newFakePeer(t, testTransport(t))
+	a, b := peer.call(withTimeout(t), KindSince), peer.call(withTimeout(t), KindVersions)
+	peer.read()
+	peer.read()
+	peer.conn.Close()
 	must.ErrorIs(t, (<-a).err, ErrClosed)
 	must.ErrorIs(t, (<-b).err, ErrClosed)
 }
 
-// stuck takes a part of the first write and then fails it, as at a deadline.
-type stuck struct {
+// shortWriter takes half of the first write and then fails it, as at a deadline.
+type shortWriter struct {
 	net.Conn
-	got []byte
+	written []byte
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	if len(s.got) == 0 {
-		s.got = append(s.got, b[:len(b)/2]...)
+func (s *shortWriter) Write(b []byte) (int, error) {
+	if len(s.written) == 0 {
+		s.written = append(s.written, b[:len(b)/2]...)
 		return len(b) / 2, io.ErrShortWrite
 	}
-	s.got = append(s.got, b...)
+	s.written = append(s.written, b...)
 	return len(b), nil
 }
 
-func TestNothingFollowsAFrameThatWasCutShort(t *testing.T) {
-	near, _ := net.Pipe()
-	s := &stuck{Conn: near}
-	l := testTransport(t).newConn("far", s)
-	must.ErrorIs(t, l.Push(KindFeed, []byte("one")), ErrClosed)
-	had := len(s.got)
-	must.ErrorIs(t, l.Push(KindFeed, []byte("two")), ErrClosed)
-	must.Len(t, had, s.got)
+func TestNothingIsWrittenAfterPartialFrame(t *testing.T) {
+	end, _ := net.Pipe()
+	writer := &shortWriter{Conn: end}
+	conn := testTransport(t).newConn("peer", writer)
+	must.ErrorIs(t, conn.Push(KindFeed, []byte("one")), ErrClosed)
+	length := len(writer.written)
+	must.ErrorIs(t, conn.Push(KindFeed, []byte("two")), ErrClosed)
+	must.Len(t, length, writer.written)
 }
 
-func TestAClaimedLengthTakesNoMemory(t *testing.T) {
-	for _, raw := range [][]byte{
-		{0xdf, 0xff, 0xff, 0xff, 0xff},                     // fields
-		{0x81, 0xa1, 'b', 0xc6, 0xff, 0xff, 0xff, 0xff, 1}, // body
-	} {
-		_, err := newFrameReader(msgp.NewReader(bytes.NewReader(raw))).next()
-		must.ErrorIs(t, err, errFrame)
-	}
-	for _, raw := range [][]byte{
-		{0x81, 0xdb, 0xff, 0xff, 0xff, 0xff, 1}, // name of a field
-		{0x81, 0xc6, 0xff, 0xff, 0xff, 0xff, 1}, // the same as bytes, found by FuzzFrames
-	} {
-		_, err := newFrameReader(msgp.NewReader(bytes.NewReader(raw))).next()
-		must.Error(t, err)
-		must.False(t, errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF), must.Sprint("it is refused for what it claims"))
+func TestEachKindHasName(t *testing.T) {
+	names := map[string]int{}
+	for kind := 1; kind < kindCount; kind++ {
+		name := kindName(kind)
+		must.NotEq(t, "", name, must.Sprint("kind", kind))
+		must.MapNotContainsKey(t, names, name)
+		names[name] = kind
 	}
+	must.Eq(t, "kind 99", kindName(99))
 }
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -7,79 +7,84 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Bounds of what is read from a connection. A frame past them is no frame of
-// ours: memory is taken as bytes come, never because a length was claimed.
+// Limits of what is read from a connection. Memory is allocated as bytes arrive,
+// never because a length was claimed.
 const (
-	mostFields     = 16
-	mostKeyBytes   = 64
-	mostBodyBytes  = 64 << 20
-	mostNesting    = 32
-	bodyPieceBytes = 64 << 10
+	maxFields      = 16
+	maxKeyBytes    = 64
+	maxBodyBytes   = 64 << 20
+	maxNesting     = 32
+	bodyChunkBytes = 64 << 10 // most of a body that is allocated before its bytes arrive
 )
 
-// errFrame tells of bytes that are no frame. Nothing that follows on the
+// errFrame tells of bytes that are not a frame. Nothing that follows on the
 // connection can be trusted.
 var errFrame = errors.New("transport: not a frame")
 
-// frameReader reads frames one after the other.
+// frameReader reads the frames of a connection one after the other.
 type frameReader struct{ in *msgp.Reader }
 
 func newFrameReader(in *msgp.Reader) frameReader {
-	in.SetMaxStringLength(mostKeyBytes)
-	in.SetMaxRecursionDepth(mostNesting)
+	in.SetMaxStringLength(maxKeyBytes)
+	in.SetMaxRecursionDepth(maxNesting)
 	return frameReader{in}
 }
 
-// next reads one frame. Fields that this version does not know are skipped.
-func (r frameReader) next() (messages.Frame, error) {
-	var f messages.Frame
-	fields, err := r.in.ReadMapHeader()
+// next reads one frame. Fields that this release does not know are skipped.
+func (f frameReader) next() (messages.Frame, error) {
+	var frame messages.Frame
+	fields, err := f.in.ReadMapHeader()
 	if err != nil {
-		return f, err
+		return frame, err
 	}
-	if fields > mostFields {
-		return f, errFrame
+	if fields > maxFields {
+		return frame, errors.Wrapf(errFrame, "%d fields", fields)
 	}
 	for range fields {
-		key, err := r.in.ReadStringAsBytes(nil) // bounded by mostKeyBytes; a key of bytes is none
-		if err != nil {
-			return f, err
-		}
-		switch string(key) {
-		case "k":
-			f.Kind, err = r.in.ReadInt()
-		case "q":
-			f.Seq, err = r.in.ReadInt64()
-		case "a":
-			f.Reply, err = r.in.ReadBool()
-		case "b":
-			f.Body, err = r.body()
-		default:
-			err = r.in.Skip()
-		}
-		if err != nil {
-			return f, err
+		if err := f.readField(&frame); err != nil {
+			return frame, err
 		}
 	}
-	return f, nil
+	return frame, nil
+}
+
+// readField reads one field. The keys are those of messages.Frame.
+func (f frameReader) readField(frame *messages.Frame) error {
+	key, err := f.in.ReadStringAsBytes(nil) // bounded by maxKeyBytes
+	if err != nil {
+		return err
+	}
+	switch string(key) {
+	case "k":
+		frame.Kind, err = f.in.ReadInt()
+	case "q":
+		frame.Seq, err = f.in.ReadInt64()
+	case "a":
+		frame.Reply, err = f.in.ReadBool()
+	case "b":
+		frame.Body, err = f.readBody()
+	default:
+		err = f.in.Skip()
+	}
+	return err
 }
 
-func (r frameReader) body() ([]byte, error) {
-	if r.in.IsNil() {
-		return nil, r.in.ReadNil()
+func (f frameReader) readBody() ([]byte, error) {
+	if f.in.IsNil() {
+		return nil, f.in.ReadNil()
 	}
-	size, err := r.in.ReadBytesHeader()
+	size, err := f.in.ReadBytesHeader()
 	if err != nil {
 		return nil, err
 	}
-	if size > mostBodyBytes {
-		return nil, errFrame
+	if size > maxBodyBytes {
+		return nil, errors.Wrapf(errFrame, "a body of %d bytes", size)
 	}
-	body := make([]byte, 0, min(size, bodyPieceBytes))
+	body := make([]byte, 0, min(size, bodyChunkBytes))
 	for len(body) < int(size) {
-		had := len(body)
-		body = append(body, make([]byte, min(int(size)-had, bodyPieceBytes))...)
-		if _, err := r.in.ReadFull(body[had:]); err != nil {
+		start := len(body)
+		body = append(body, make([]byte, min(int(size)-start, bodyChunkBytes))...)
+		if _, err := f.in.ReadFull(body[start:]); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,7 +1,15 @@
-// Package transport carries messages between nodes. A Transport owns one TCP
-// listener and one UDP socket on an internal address. Calls and pushes go over
-// long-lived TCP connections in msgp frames; datagrams may be lost. What the
-// messages mean is up to the handlers that other packages register.
+// Package transport carries messages between nodes. It knows nothing of what
+// they mean: other packages register handlers by kind of message.
+//
+// A Transport owns one TCP listener and one UDP socket on the node's internal
+// address. Requests with their responses and one-way frames go over long-lived
+// TCP connections in msgp frames; datagrams may get lost. Frames of one
+// connection arrive in order, or the connection ends. A request is sent at most
+// once: after an error the caller decides whether to retry.
+//
+// Handlers are registered before Run and not changed afterwards. A goroutine for
+// each connection runs Conn.Serve; one goroutine reads datagrams and calls their
+// handlers, one after the other; one accepts connections.
 package transport
 
 import (
@@ -17,190 +25,169 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Kinds of frames.
 const (
-	KindConsensus = iota + 1
-	KindVersions
-	KindSince
-	KindSubscribe
-	KindFeed
-	KindIdentity
-	KindProbe
-	KindAck
-	KindTold
-	KindRunner
-	KindCondition
-	KindRing
-	KindWant
-	KindHeard
-	KindTellAgain
-	KindFailed // a call could not be answered
-	KindDraining
-	kinds
+	dialTimeout      = 800 * time.Millisecond
+	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed, as without file descriptors
+
+	// userTimeoutMs is after how long bytes that the peer did not acknowledge
+	// end a connection.
+	userTimeoutMs  = 1500
+	tcpUserTimeout = 18 // TCP_USER_TIMEOUT of tcp(7)
 )
 
-// Handler answers a call. A nil body with a nil error is an empty answer; after
-// an error the caller is told at once that there will be none.
+// Handler responds to a request with a body; a nil body is an empty response.
+// After an error the requester is told at once that there will be no response.
 type Handler func(ctx context.Context, from *Conn, body []byte) ([]byte, error)
 
-// PushHandler takes a frame that wants no answer; the frames of a connection come one
-// after the other.
+// PushHandler handles a one-way frame. It is called for one frame of a
+// connection after the other and must not block.
 type PushHandler func(from *Conn, body []byte)
 
-// DatagramHandler takes a datagram.
+// DatagramHandler handles a datagram from a network address. The body is valid
+// until it returns.
 type DatagramHandler func(from string, body []byte)
 
-// Transport is one node's end of all its conns.
+// Transport is one node's end of all its connections. It is safe for concurrent
+// use once it runs.
 type Transport struct {
-	addr      string
-	log       logr.Logger
-	pool      *ants.Pool
-	udp       *net.UDPConn
-	ln        net.Listener
-	mu        sync.Mutex
-	conns     map[string]*Conn
-	calls     [kinds]Handler
-	datagrams [kinds]DatagramHandler
-	pushes    [kinds]PushHandler
+	addr     string
+	log      logr.Logger
+	pool     *ants.Pool // handles requests
+	udp      *net.UDPConn
+	listener net.Listener
+
+	// The handlers by kind; not changed once the transport runs.
+	requestHandlers  [kindCount]Handler
+	pushHandlers     [kindCount]PushHandler
+	datagramHandlers [kindCount]DatagramHandler
+
+	mu    sync.Mutex // guards conns
+	conns map[string]*Conn
 }
 
-// New listens on addr. Handlers are hung in before Run.
+// New listens on addr, an IPv4 address with a port, for TCP and UDP. Requests
+// are handled in the pool, which must not block when it is full.
 func New(addr string, pool *ants.Pool, log logr.Logger) (*Transport, error) {
-	lc := net.ListenConfig{Control: tune}
-	ln, err := lc.Listen(context.Background(), "tcp4", addr)
+	udpAddr, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "transport: listen")
+		return nil, errors.Wrapf(err, "transport: address %s", addr)
 	}
-	ua, err := net.ResolveUDPAddr("udp4", addr)
+	config := net.ListenConfig{Control: setSocketOptions}
+	// The context bounds the look-up of a name only; addr holds none.
+	listener, err := config.Listen(context.Background(), "tcp4", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "transport: address")
+		return nil, errors.Wrap(err, "transport: listen for TCP")
 	}
-	udp, err := net.ListenUDP("udp4", ua)
+	udp, err := net.ListenUDP("udp4", udpAddr)
 	if err != nil {
-		return nil, errors.Wrap(err, "transport: listen udp")
+		listener.Close()
+		return nil, errors.Wrap(err, "transport: listen for UDP")
 	}
-	return &Transport{addr: addr, log: log, pool: pool, udp: udp, ln: ln, conns: map[string]*Conn{}}, nil
+	return &Transport{addr: addr, log: log, pool: pool, udp: udp, listener: listener, conns: map[string]*Conn{}}, nil
 }
 
-// userTimeoutMs is after how long unacknowledged bytes end a connection.
-const userTimeoutMs = 1500
-
-const tcpUserTimeout = 18
-
-func tune(_, _ string, c syscall.RawConn) error {
+func setSocketOptions(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeoutMs)
 	})
 }
 
-// Addr is the node's own inner address.
-func (r *Transport) Addr() string { return r.addr }
+// Addr is the node's own internal address, as given to New.
+func (t *Transport) Addr() string { return t.addr }
 
-// OnCall hangs in the handler of a kind of call.
-func (r *Transport) OnCall(kind int, h Handler) { r.calls[kind] = h }
+// OnCall registers the handler of a kind of request.
+func (t *Transport) OnCall(kind int, h Handler) { t.requestHandlers[kind] = h }
 
-// OnPush hangs in the handler of a kind of frame that wants no answer.
-func (r *Transport) OnPush(kind int, h PushHandler) { r.pushes[kind] = h }
+// OnPush registers the handler of a kind of one-way frame.
+func (t *Transport) OnPush(kind int, h PushHandler) { t.pushHandlers[kind] = h }
 
-// OnDatagram hangs in the handler of a kind of datagram.
-func (r *Transport) OnDatagram(kind int, h DatagramHandler) { r.datagrams[kind] = h }
+// OnDatagram registers the handler of a kind of datagram.
+func (t *Transport) OnDatagram(kind int, h DatagramHandler) { t.datagramHandlers[kind] = h }
 
-// Run accepts conns and reads datagrams until ctx ends.
-func (r *Transport) Run(ctx context.Context) {
-	go r.readDatagrams()
-	go func() {
-		for {
-			c, err := r.ln.Accept()
-			if err != nil {
-				if ctx.Err() != nil {
-					return
-				}
-				time.Sleep(10 * time.Millisecond)
-				continue
-			}
-			l := r.newConn("", c)
-			go l.Serve(ctx)
-		}
-	}()
+// Run starts to accept connections and to read datagrams, and returns at once;
+// both end with ctx.
+func (t *Transport) Run(ctx context.Context) {
+	go t.readDatagrams()
+	go t.acceptConns(ctx)
 	go func() {
 		<-ctx.Done()
-		r.ln.Close()
-		r.udp.Close()
+		t.listener.Close()
+		t.udp.Close()
 	}()
 }
 
-func (r *Transport) readDatagrams() {
-	buf := make([]byte, 64<<10)
+func (t *Transport) acceptConns(ctx context.Context) {
 	for {
-		n, from, err := r.udp.ReadFromUDPAddrPort(buf)
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
+		c, err := t.listener.Accept()
+		if err == nil {
+			go t.newConn("", c).Serve(ctx)
 			continue
 		}
-		if n < 1 || int(buf[0]) >= kinds || r.datagrams[buf[0]] == nil {
-			continue
+		if ctx.Err() != nil {
+			return
 		}
-		r.datagrams[buf[0]](from.String(), buf[1:n])
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// SendDatagram sends a datagram; it may be lost.
-func (r *Transport) SendDatagram(addr string, kind int, body msgp.Marshaler) {
-	b := make([]byte, 1, 512)
-	b[0] = byte(kind)
-	b, err := body.MarshalMsg(b)
-	if err != nil || len(b) > 60<<10 {
-		return
+// Dial returns the connection to addr that all callers share, and opens it if
+// there is none.
+func (t *Transport) Dial(ctx context.Context, addr string) (*Conn, error) {
+	if c := t.openConn(addr); c != nil {
+		return c, nil
 	}
-	ua, err := net.ResolveUDPAddr("udp4", addr)
+	c, err := t.DialFresh(ctx, addr)
 	if err != nil {
-		return
+		return nil, err
+	}
+	if earlier := t.shareConn(addr, c); earlier != nil {
+		c.Close()
+		return earlier, nil
 	}
-	_, _ = r.udp.WriteToUDP(b, ua)
+	// Other callers use the connection too: it outlives this caller's context.
+	go c.Serve(context.Background())
+	return c, nil
 }
 
-// Dial gives the connection to addr, opening it if there is none.
-func (r *Transport) Dial(ctx context.Context, addr string) (*Conn, error) {
-	r.mu.Lock()
-	l := r.conns[addr]
-	r.mu.Unlock()
-	if l != nil && !l.closed.Load() {
-		return l, nil
+// openConn gives the shared connection to addr, or nil.
+func (t *Transport) openConn(addr string) *Conn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if c := t.conns[addr]; c != nil && !c.closed.Load() {
+		return c
 	}
-	l, err := r.DialFresh(ctx, addr)
-	if err != nil {
-		return nil, err
-	}
-	r.mu.Lock()
-	if old := r.conns[addr]; old != nil && !old.closed.Load() {
-		r.mu.Unlock()
-		l.Close()
-		return old, nil
+	return nil
+}
+
+// shareConn makes c the shared connection to addr, unless another caller has
+// opened one meanwhile, which it returns.
+func (t *Transport) shareConn(addr string, c *Conn) (earlier *Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if earlier := t.conns[addr]; earlier != nil && !earlier.closed.Load() {
+		return earlier
 	}
-	r.conns[addr] = l
-	r.mu.Unlock()
-	go l.Serve(context.Background())
-	return l, nil
+	t.conns[addr] = c
+	return nil
 }
 
-// DialFresh opens a connection of its own; the caller serves it.
-func (r *Transport) DialFresh(ctx context.Context, addr string) (*Conn, error) {
-	d := net.Dialer{Timeout: 800 * time.Millisecond, Control: tune, KeepAlive: -1}
-	c, err := d.DialContext(ctx, "tcp4", addr)
+// DialFresh opens a connection that is not shared. The caller runs its Serve and
+// closes it.
+func (t *Transport) DialFresh(ctx context.Context, addr string) (*Conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout, Control: setSocketOptions, KeepAlive: -1}
+	c, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "transport: dial")
 	}
-	return r.newConn(addr, c), nil
+	return t.newConn(addr, c), nil
 }
 
-// Call asks addr and waits for the answer.
-func (r *Transport) Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error) {
-	l, err := r.Dial(ctx, addr)
+// Call sends a request to addr over the shared connection; see Conn.Call.
+func (t *Transport) Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error) {
+	c, err := t.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return l.Call(ctx, kind, body)
+	return c.Call(ctx, kind, body)
 }
