--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,6 +1,12 @@
-// Package logring keeps the log: a ring in memory behind logr, written out
-// when something goes wrong, on SIGQUIT, or when the doctor asks. In quiet
-// times nothing is written, which is what writing costs least.
+// Package logring keeps the log in memory and writes it out when it is needed.
+//
+// A Ring is the sink of a logr.Logger. It keeps the newest lines and writes them
+// out when an error is logged, on demand (SIGQUIT, the doctor), or at once where
+// it was told so. In normal operation nothing is written, so that logging costs
+// neither disk nor a wait for a slow standard error.
+//
+// All loggers derived from one Ring share its buffer, which a mutex guards: any
+// goroutine may log. The package starts no goroutine.
 package logring
 
 import (
@@ -13,102 +19,135 @@
 	"github.com/go-logr/logr"
 )
 
-// Ring is a logr.LogSink that remembers the newest lines.
+const (
+	maxLevel     = 1           // lines of a higher level are not kept
+	dumpInterval = time.Second // least time between dumps because of errors
+	timeFormat   = "15:04:05.000000"
+)
+
+// Ring is a logr.LogSink with a bounded buffer of lines.
 type Ring struct {
-	mu    *sync.Mutex
-	lines *[]string
-	next  *int
-	out   io.Writer
-	name  string
-	vals  []any
-	spill *time.Time
-	all   bool
+	buffer *buffer // shared with the sinks derived from this one
+	name   string
+	values []any // alternating keys and values of WithValues
+}
+
+// buffer is the state that all sinks derived from a Ring share.
+type buffer struct {
+	out io.Writer // for dumps because of errors, and for writeAll
+
+	mu       sync.Mutex // guards the fields below and writes to out
+	lines    []string   // "" is a free place
+	next     int        // place of the next line, and of the oldest
+	lastDump time.Time  // when an error last caused, or could have caused, a dump
+	writeAll bool
 }
 
-// New makes a ring of the given size; Error calls write it to out.
+var _ logr.LogSink = (*Ring)(nil)
+
+// New returns a ring that keeps so many lines and dumps them to out when an
+// error is logged.
 func New(size int, out io.Writer) *Ring {
-	lines, next := make([]string, size), 0
-	return &Ring{mu: &sync.Mutex{}, lines: &lines, next: &next, out: out, spill: &time.Time{}}
+	return &Ring{buffer: &buffer{out: out, lines: make([]string, size)}}
 }
 
-// WriteAll makes every line go out at once, for a search for a fault.
-func (r *Ring) WriteAll() { r.all = true }
+// WriteAll has each line written at once instead of in dumps, for debugging.
+func (r *Ring) WriteAll() {
+	r.buffer.mu.Lock()
+	defer r.buffer.mu.Unlock()
+	r.buffer.writeAll = true
+}
 
 // Init is part of logr.LogSink.
 func (r *Ring) Init(logr.RuntimeInfo) {}
 
-// Enabled is part of logr.LogSink: everything at level 0 and 1 goes to the ring.
-func (r *Ring) Enabled(level int) bool { return level <= 1 }
+// Enabled is part of logr.LogSink: levels 0 and 1 are kept.
+func (r *Ring) Enabled(level int) bool { return level <= maxLevel }
 
-// Info notes a line in the ring.
-func (r *Ring) Info(_ int, msg string, kv ...any) { r.note("I", msg, kv) }
+// Info is part of logr.LogSink.
+func (r *Ring) Info(_ int, msg string, keysAndValues ...any) {
+	r.buffer.add(r.format("I", msg, keysAndValues))
+}
 
-// Error notes a line and writes the ring out, at most once a second.
-func (r *Ring) Error(err error, msg string, kv ...any) {
-	r.note("E", msg, append([]any{"err", err}, kv...))
-	r.mu.Lock()
-	due := time.Since(*r.spill) > time.Second
-	if due {
-		*r.spill = time.Now()
-	}
-	r.mu.Unlock()
-	if due && !r.all {
-		r.Dump(r.out)
+// Error is part of logr.LogSink: it keeps the line and dumps the ring, at most
+// once a second.
+func (r *Ring) Error(err error, msg string, keysAndValues ...any) {
+	r.buffer.add(r.format("E", msg, append([]any{"err", err}, keysAndValues...)))
+	if r.buffer.dumpDue() {
+		r.buffer.dump(r.buffer.out)
 	}
 }
 
 // WithValues is part of logr.LogSink.
-func (r *Ring) WithValues(kv ...any) logr.LogSink {
-	c := *r
-	c.vals = append(append([]any{}, r.vals...), kv...)
-	return &c
+func (r *Ring) WithValues(keysAndValues ...any) logr.LogSink {
+	derived := *r
+	derived.values = append(append([]any{}, r.values...), keysAndValues...)
+	return &derived
 }
 
-// WithName is part of logr.LogSink.
+// WithName is part of logr.LogSink. The name replaces an earlier one.
 func (r *Ring) WithName(name string) logr.LogSink {
-	c := *r
-	c.name = name
-	return &c
+	derived := *r
+	derived.name = name
+	return &derived
 }
 
-// Show writes what the ring holds, oldest first, and keeps it.
-func (r *Ring) Show(w io.Writer) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i := range len(*r.lines) {
-		if line := (*r.lines)[(*r.next+i)%len(*r.lines)]; line != "" {
-			fmt.Fprintln(w, line)
+// Show writes the lines that the ring holds, oldest first, and keeps them.
+func (r *Ring) Show(w io.Writer) { r.buffer.show(w) }
+
+// Dump writes the lines that the ring holds, oldest first, and removes them.
+func (r *Ring) Dump(w io.Writer) { r.buffer.dump(w) }
+
+func (r *Ring) format(level, msg string, keysAndValues []any) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s %s %s: %s", time.Now().UTC().Format(timeFormat), level, r.name, msg)
+	for _, list := range [][]any{r.values, keysAndValues} {
+		for i := 0; i+1 < len(list); i += 2 {
+			fmt.Fprintf(&b, " %v=%v", list[i], list[i+1])
 		}
 	}
+	return b.String()
 }
 
-// Dump writes what the ring holds, oldest first, and empties it.
-func (r *Ring) Dump(w io.Writer) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	size := len(*r.lines)
-	for i := range size {
-		at := (*r.next + i) % size
-		if line := (*r.lines)[at]; line != "" {
-			fmt.Fprintln(w, line)
-			(*r.lines)[at] = ""
-		}
+func (b *buffer) add(line string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.writeAll {
+		fmt.Fprintln(b.out, line)
 	}
+	b.lines[b.next] = line
+	b.next = (b.next + 1) % len(b.lines)
 }
 
-func (r *Ring) note(level, msg string, kv []any) {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %s: %s", time.Now().UTC().Format("15:04:05.000000"), level, r.name, msg)
-	for _, list := range [][]any{r.vals, kv} {
-		for i := 0; i+1 < len(list); i += 2 {
-			fmt.Fprintf(&b, " %v=%v", list[i], list[i+1])
-		}
+// dumpDue tells whether an error should dump the ring now.
+func (b *buffer) dumpDue() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if time.Since(b.lastDump) <= dumpInterval {
+		return false
 	}
-	r.mu.Lock()
-	if r.all {
-		fmt.Fprintln(r.out, b.String())
+	b.lastDump = time.Now()
+	return !b.writeAll
+}
+
+func (b *buffer) show(w io.Writer) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.writeLines(w)
+}
+
+func (b *buffer) dump(w io.Writer) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.writeLines(w)
+	clear(b.lines)
+}
+
+// writeLines is called with mu held.
+func (b *buffer) writeLines(w io.Writer) {
+	for i := range len(b.lines) {
+		if line := b.lines[(b.next+i)%len(b.lines)]; line != "" {
+			fmt.Fprintln(w, line)
+		}
 	}
-	(*r.lines)[*r.next] = b.String()
-	*r.next = (*r.next + 1) % len(*r.lines)
-	r.mu.Unlock()
 }
