--- a/internal/inflight/slab.go
+++ b/internal/inflight/slab.go
@@ -1,73 +1,91 @@
-// Package inflight keeps the requests that are waiting in a slab: a slot and a
-// generation name one of them, and with it the continuation that goes on once
-// something is decided. A late decision finds another generation and does
-// nothing, so no request ever gets what was meant for another.
+// Package inflight keeps the continuations of requests that wait for a decision.
+//
+// A Slab gives each continuation a reference of slot and generation. A slot is
+// reused once its continuation has been taken, under the next generation, so
+// that a late decision finds another generation and does nothing: no request
+// gets a decision meant for another. A continuation runs at most once.
+//
+// A Slab is safe for concurrent use. Continuations run on the goroutine that
+// calls Resume, without the Slab's lock. The package starts no goroutine.
 package inflight
 
 import "sync"
 
-// Ref names a ticket. The zero Ref names none.
+// Ref names a continuation in a Slab. The zero Ref names none.
 type Ref struct {
-	slot uint32
-	gen  uint32
+	slot       uint32
+	generation uint32 // from 1 on
 }
 
-type slot[T any] struct {
-	gen  uint32
-	next func(T)
-}
-
-// Slab holds continuations that take a T.
+// Slab holds continuations that take a T. The zero Slab is empty and ready to
+// use.
 type Slab[T any] struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	slots []slot[T]
-	free  []uint32
+	free  []uint32 // indexes of the slots without a continuation
+}
+
+type slot[T any] struct {
+	generation   uint32
+	continuation func(T) // nil where the slot is free
 }
 
 // Put stores a continuation.
-func (s *Slab[T]) Put(next func(T)) Ref {
+func (s *Slab[T]) Put(continuation func(T)) Ref {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var i uint32
-	if n := len(s.free); n > 0 {
-		i, s.free = s.free[n-1], s.free[:n-1]
-	} else {
-		s.slots = append(s.slots, slot[T]{})
-		i = uint32(len(s.slots) - 1)
+	index := s.allocate()
+	s.slots[index].generation++
+	s.slots[index].continuation = continuation
+	return Ref{slot: index, generation: s.slots[index].generation}
+}
+
+// allocate gives the index of a free slot. It is called with mu held.
+func (s *Slab[T]) allocate() uint32 {
+	if last := len(s.free) - 1; last >= 0 {
+		index := s.free[last]
+		s.free = s.free[:last]
+		return index
 	}
-	s.slots[i].gen++
-	s.slots[i].next = next
-	return Ref{slot: i, gen: s.slots[i].gen}
+	s.slots = append(s.slots, slot[T]{})
+	return uint32(len(s.slots) - 1)
 }
 
-// Resume runs the continuation once; it tells whether it was still there.
-func (s *Slab[T]) Resume(r Ref, with T) bool {
-	next := s.take(r)
-	if next == nil {
+// Resume removes the continuation and runs it with value. It returns false, and
+// does nothing, where the continuation has been taken before.
+func (s *Slab[T]) Resume(r Ref, value T) bool {
+	continuation := s.take(r)
+	if continuation == nil {
 		return false
 	}
-	next(with)
+	continuation(value)
 	return true
 }
 
-// Drop forgets a continuation without running it.
+// Drop removes the continuation without running it. It returns false where it
+// has been taken before.
 func (s *Slab[T]) Drop(r Ref) bool { return s.take(r) != nil }
 
-// Len counts the tickets held.
+// Len counts the continuations held.
 func (s *Slab[T]) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.slots) - len(s.free)
 }
 
+// take removes a continuation and frees its slot; nil if it is not there.
 func (s *Slab[T]) take(r Ref) func(T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.gen == 0 || int(r.slot) >= len(s.slots) || s.slots[r.slot].gen != r.gen || s.slots[r.slot].next == nil {
+	if r.generation == 0 || int(r.slot) >= len(s.slots) {
+		return nil
+	}
+	entry := &s.slots[r.slot]
+	if entry.generation != r.generation || entry.continuation == nil {
 		return nil
 	}
-	next := s.slots[r.slot].next
-	s.slots[r.slot].next = nil
+	continuation := entry.continuation
+	entry.continuation = nil
 	s.free = append(s.free, r.slot)
-	return next
+	return continuation
 }
--- a/internal/inflight/slab_test.go
+++ b/internal/inflight/slab_test.go
@@ -6,18 +6,29 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestLateDecisionFindsNobodyElse(t *testing.T) {
-	var s Slab[int]
+func TestResumeIgnoresStaleRefWhenSlotIsReused(t *testing.T) {
+	var slab Slab[int]
 	got := 0
-	a := s.Put(func(n int) { got = n })
-	must.True(t, s.Resume(a, 1))
+	first := slab.Put(func(n int) { got = n })
+	must.True(t, slab.Resume(first, 1))
 	must.Eq(t, 1, got)
 	other := 0
-	b := s.Put(func(n int) { other = n })
-	must.False(t, s.Resume(a, 2))
+	second := slab.Put(func(n int) { other = n })
+	must.Eq(t, first.slot, second.slot)
+	must.False(t, slab.Resume(first, 2))
 	must.Eq(t, 0, other)
-	must.True(t, s.Drop(b))
-	must.False(t, s.Resume(b, 3))
-	must.False(t, s.Resume(Ref{}, 1))
-	must.Eq(t, 0, s.Len())
+	must.True(t, slab.Drop(second))
+	must.False(t, slab.Resume(second, 3))
+	must.False(t, slab.Resume(Ref{}, 1))
+	must.Eq(t, 0, slab.Len())
+}
+
+func TestDropReturnsFalseForUnknownAndTakenRefs(t *testing.T) {
+	var slab Slab[int]
+	must.False(t, slab.Drop(Ref{}))
+	must.False(t, slab.Drop(Ref{slot: 5, generation: 1}))
+	ref := slab.Put(func(int) {})
+	must.Eq(t, 1, slab.Len())
+	must.True(t, slab.Drop(ref))
+	must.False(t, slab.Drop(ref))
 }
