--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -1,12 +1,14 @@
-// Package settings reads the settings file of a process and checks it. The type
-// Settings is generated from api/settings.yaml; this file adds reading, checks
-// and the few values that follow from the settings, such as inner addresses.
+// Package settings reads and checks the settings file of a process.
+//
+// The type Settings is generated from api/settings.yaml. This package adds
+// reading, checks and defaults, and the addresses that follow from the settings.
+// Settings are values: what Load returns is valid and complete, and later changes
+// of the file do not reach it. The package keeps no state and starts no
+// goroutine.
 package settings
 
 import (
 	"encoding/json"
-	"fmt"
-	"net"
 	"os"
 
 	"github.com/go-playground/validator/v10"
@@ -14,101 +16,103 @@
 	"gopkg.in/yaml.v3"
 )
 
-// EnvPath names the variable that holds the path of the settings file.
+// EnvPath names the environment variable that holds the path of the settings
+// file.
 const EnvPath = "BEECHTIDE_CONFIG"
 
-// DefaultPath is read where the variable is not set.
+// DefaultPath is the path of the settings file where EnvPath is not set.
 const DefaultPath = "/etc/beechtide/local.yaml"
 
-// ErrSettings is the cause of every error that Load returns.
-var ErrSettings = errors.New("settings")
+var validate = validator.New(validator.WithRequiredStructEnabled())
 
-var check = validator.New(validator.WithRequiredStructEnabled())
-
-// Path tells where the settings file lies.
+// Path gives the path of the settings file.
 func Path() string {
-	if p := os.Getenv(EnvPath); p != "" {
-		return p
+	if path := os.Getenv(EnvPath); path != "" {
+		return path
 	}
 	return DefaultPath
 }
 
-// Load reads the file at path.
+// Load reads and checks the file at path. Errors are ErrSettings.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, errors.Wrap(ErrSettings, err.Error())
+		return Settings{}, newError(err)
 	}
 	return Parse(raw)
 }
 
-// Parse reads settings from YAML. Unknown fields are ignored; a field that is
-// missing or makes no sense is named in the error.
+// Parse reads settings from YAML, checks them and fills in defaults. Unknown
+// fields are ignored. Errors are ErrSettings and name the first field that is
+// missing or not valid.
 func Parse(raw []byte) (Settings, error) {
-	var loose map[string]any
-	if err := yaml.Unmarshal(raw, &loose); err != nil {
-		return Settings{}, errors.Wrap(ErrSettings, err.Error())
-	}
-	asJSON, err := json.Marshal(loose)
+	s, err := decode(raw)
 	if err != nil {
-		return Settings{}, errors.Wrap(ErrSettings, err.Error())
-	}
-	var s Settings
-	if err := json.Unmarshal(asJSON, &s); err != nil {
-		return Settings{}, errors.Wrap(ErrSettings, err.Error())
+		return Settings{}, newError(err)
 	}
-	if err := check.Struct(s); err != nil {
-		var faults validator.ValidationErrors
-		if errors.As(err, &faults) && len(faults) > 0 {
-			f := faults[0]
-			return Settings{}, errors.Wrap(ErrSettings, fmt.Sprintf("field %s: %v does not satisfy %s %s", f.Namespace(), f.Value(), f.Tag(), f.Param()))
-		}
-		return Settings{}, errors.Wrap(ErrSettings, err.Error())
+	if err := s.check(); err != nil {
+		return Settings{}, newError(err)
 	}
-	if s.Ports[1] < s.Ports[0]+1 {
-		return Settings{}, errors.Wrap(ErrSettings, "field Settings.portRange: needs two ports")
-	}
-	s.fill()
+	s.setDefaults()
 	return s, nil
 }
 
-func (s *Settings) fill() {
-	b := &s.Bounds
-	orInt(&s.BeatPeriodMs, 1000)
-	orInt(&b.LeaseMs, 3000)
-	orInt(&b.VersionMs, 8000)
-	orInt(&b.DrainMs, 2000)
-	if b.GraceS <= 0 {
-		b.GraceS = 8
+// decode goes by way of JSON, since the generated type has no YAML tags.
+func decode(raw []byte) (Settings, error) {
+	var fields map[string]any
+	if err := yaml.Unmarshal(raw, &fields); err != nil {
+		return Settings{}, err
 	}
-	if b.RetryWindowS <= 0 {
-		b.RetryWindowS = 10
+	asJSON, err := json.Marshal(fields)
+	if err != nil {
+		return Settings{}, err
 	}
+	var s Settings
+	err = json.Unmarshal(asJSON, &s)
+	return s, err
 }
 
-func orInt(at *int, fallback int) {
-	if *at <= 0 {
-		*at = fallback
+func (s *Settings) check() error {
+	if err := validate.Struct(s); err != nil {
+		return describe(err)
+	}
+	if s.Ports[1] < s.Ports[0]+1 {
+		return errors.New("field Settings.portRange: needs two ports")
 	}
+	return nil
 }
 
-// RouterAddr is where the router of this machine listens to other nodes.
-func (s Settings) RouterAddr() string { return fmt.Sprintf("%s:%d", s.Ip, s.Ports[0]) }
+// describe names the first invalid field of a validation error on one line.
+func describe(err error) error {
+	var invalid validator.ValidationErrors
+	if !errors.As(err, &invalid) || len(invalid) == 0 {
+		return err
+	}
+	field := invalid[0]
+	return errors.Errorf("field %s: %v does not satisfy %s %s", field.Namespace(), field.Value(), field.Tag(), field.Param())
+}
 
-// ControllerAddr is where the controller of this machine listens to other nodes.
-func (s Settings) ControllerAddr() string { return s.DispatchAt(s.Ip) }
+// Defaults of the settings that may be left out or be 0.
+const (
+	defaultHeartbeatMs = 1000
+	defaultLeaseMs     = 3000
+	defaultVersionMs   = 8000
+	defaultDrainMs     = 2000
+	defaultGraceS      = 8
+	defaultRetryS      = 10
+)
 
-// DispatchAt is where the controller of another machine listens.
-func (s Settings) DispatchAt(ip string) string { return fmt.Sprintf("%s:%d", ip, s.Ports[0]+1) }
+func (s *Settings) setDefaults() {
+	setDefault(&s.BeatPeriodMs, defaultHeartbeatMs)
+	setDefault(&s.Bounds.LeaseMs, defaultLeaseMs)
+	setDefault(&s.Bounds.VersionMs, defaultVersionMs)
+	setDefault(&s.Bounds.DrainMs, defaultDrainMs)
+	setDefault(&s.Bounds.GraceS, defaultGraceS)
+	setDefault(&s.Bounds.RetryWindowS, defaultRetryS)
+}
 
-// SeedAddrs are the inner addresses of the controllers named as seeds.
-func (s Settings) SeedAddrs() []string {
-	var out []string
-	for _, seed := range s.Seeds {
-		host, _, err := net.SplitHostPort(seed)
-		if err == nil {
-			out = append(out, s.DispatchAt(host))
-		}
+func setDefault[T int | float64](value *T, fallback T) {
+	if *value <= 0 {
+		*value = fallback
 	}
-	return out
 }
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -1,13 +1,15 @@
 package settings
 
 import (
+	"io/fs"
+	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/shoenig/test/must"
 )
 
-const sheet = `
+const testSettings = `
 node: "n1"
 ip: "10.0.0.1"
 zone: "a"
@@ -19,16 +21,21 @@
 bounds: {leaseMs: 2500}
 `
 
-func TestUnknownFieldsAreIgnoredAndDefaultsFilled(t *testing.T) {
-	s, err := Parse([]byte(sheet))
+func TestParseIgnoresUnknownFieldsAndSetsDefaults(t *testing.T) {
+	s, err := Parse([]byte(testSettings))
 	must.NoError(t, err)
 	must.Eq(t, "10.0.0.1:7000", s.RouterAddr())
+	must.Eq(t, "10.0.0.1:7001", s.ControllerAddr())
 	must.Eq(t, []string{"10.0.0.1:7001", "10.0.0.2:7001"}, s.SeedAddrs())
 	must.Eq(t, 2500, s.Bounds.LeaseMs)
 	must.Eq(t, 8.0, s.Bounds.GraceS)
+	must.Eq(t, 10.0, s.Bounds.RetryWindowS)
+	must.Eq(t, 8000, s.Bounds.VersionMs)
+	must.Eq(t, 2000, s.Bounds.DrainMs)
+	must.Eq(t, 1000, s.BeatPeriodMs)
 }
 
-func TestSenselessFieldsAreNamed(t *testing.T) {
+func TestParseNamesInvalidField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`node: "n1"`, ``, "Node"},
 		{`"10.0.0.1"`, `"nowhere"`, "Ip"},
@@ -38,9 +45,15 @@
 		{`zone: "a"`, `zone: [`, "settings"},
 		{`leaseMs: 2500`, `leaseMs: "soon"`, "leaseMs"},
 	} {
-		_, err := Parse([]byte(strings.Replace(sheet, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(testSettings, c.old, c.new, 1)))
 		must.ErrorIs(t, err, ErrSettings)
 		must.StrContains(t, err.Error(), c.want)
 		must.StrNotContains(t, err.Error(), "\n  ")
 	}
 }
+
+func TestLoadKeepsCauseOfError(t *testing.T) {
+	_, err := Load(filepath.Join(t.TempDir(), "missing.yaml"))
+	must.ErrorIs(t, err, ErrSettings)
+	must.ErrorIs(t, err, fs.ErrNotExist)
+}
