--- a/cmd/beechtide/audit.go
+++ b/cmd/beechtide/audit.go
@@ -1,4 +1,3 @@
-// The audit command: checks trails of regulated requests.
 package main
 
 import (
@@ -7,72 +6,92 @@
 	"os"
 	"strings"
 
+	"github.com/pkg/errors"
+
 	"beechtide.org/beechtide/internal/api"
 	"beechtide.org/beechtide/internal/compliance"
-	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-type files []string
+// pathList is a flag that may be given more than once.
+type pathList []string
 
-func (f *files) String() string { return strings.Join(*f, ",") }
+func (p *pathList) String() string { return strings.Join(*p, ",") }
 
-func (f *files) Set(s string) error {
-	*f = append(*f, s)
+// Set appends a path.
+func (p *pathList) Set(path string) error {
+	*p = append(*p, path)
 	return nil
 }
 
-// audit ends with 0 where a trail holds no violation, 1 where it holds some or
-// can't be read, 2 on wrong use.
-func audit(args []string) int {
-	fs := flag.NewFlagSet("beechtide audit", flag.ContinueOnError)
-	var configs files
-	fs.Var(&configs, "c", "a configuration `file` that was in force; give it once for each version")
-	fs.Usage = func() {
-		fmt.Fprintln(fs.Output(), "usage: beechtide audit -c CONFIGURATION... TRAIL...\n\nTrails are JSON lines as GET /api/audit on a router's ready address gives them.")
-		fs.PrintDefaults()
+// runAudit checks audit trails of regulated requests. The status is 0 where a
+// trail holds no violation, 1 where it holds some or cannot be read, 2 on wrong
+// use.
+func runAudit(args []string) int {
+	flags := flag.NewFlagSet("beechtide audit", flag.ContinueOnError)
+	var configPaths pathList
+	flags.Var(&configPaths, "c", "a configuration `file` that was in force; give it once for each version")
+	flags.Usage = func() {
+		fmt.Fprintln(flags.Output(), "usage: beechtide audit -c CONFIGURATION... TRAIL...\n\nTrails are JSON lines as GET /api/audit on a router's ready address gives them.")
+		flags.PrintDefaults()
 	}
-	if status := parse(fs, args); status >= 0 {
+	if status, done := parseFlags(flags, args); done {
 		return status
 	}
-	if len(configs) == 0 || fs.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "beechtide audit: name at least one configuration (-c) and one trail")
-		return 2
+	if len(configPaths) == 0 || flags.NArg() == 0 {
+		return usageError(flags, "name at least one configuration (-c) and one trail")
 	}
-	var menus []api.Configuration
-	for _, path := range configs {
-		raw, err := os.ReadFile(path)
-		if err == nil {
-			var m api.Configuration
-			if m, err = routeconfig.Parse(raw); err == nil {
-				menus = append(menus, m)
-				continue
-			}
-		}
-		fmt.Fprintf(os.Stderr, "beechtide audit: %s: %v\n", path, err)
-		return 1
+	configs, err := readConfigs(configPaths)
+	if err != nil {
+		reportError(flags, err)
+		return statusFailure
+	}
+	entries, err := readTrails(flags.Args())
+	if err != nil {
+		reportError(flags, err)
+		return statusFailure
+	}
+	violations := compliance.CheckTrail(entries, configs)
+	for _, v := range violations {
+		fmt.Println(v)
+	}
+	fmt.Printf("%d entries, %d violations\n", len(entries), len(violations))
+	if len(violations) > 0 {
+		return statusFailure
 	}
-	var list []compliance.Entry
-	for _, path := range fs.Args() {
-		f, err := os.Open(path)
+	return statusOK
+}
+
+func readConfigs(paths []string) ([]api.Configuration, error) {
+	var configs []api.Configuration
+	for _, path := range paths {
+		config, err := readConfig(path)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "beechtide audit: %v\n", err)
-			return 1
+			return nil, errors.Wrap(err, path)
 		}
-		part, err := compliance.ReadTrail(f)
-		f.Close()
+		configs = append(configs, config)
+	}
+	return configs, nil
+}
+
+// readTrails reads trails and joins them in the order of the files.
+func readTrails(paths []string) ([]compliance.Entry, error) {
+	var entries []compliance.Entry
+	for _, path := range paths {
+		trail, err := readTrail(path)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "beechtide audit: %s: %v\n", path, err)
-			return 1
+			return nil, err
 		}
-		list = append(list, part...)
+		entries = append(entries, trail...)
 	}
-	bad := compliance.CheckTrail(list, menus)
-	for _, v := range bad {
-		fmt.Println(v)
-	}
-	fmt.Printf("%d entries, %d violations\n", len(list), len(bad))
-	if len(bad) > 0 {
-		return 1
+	return entries, nil
+}
+
+func readTrail(path string) ([]compliance.Entry, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
 	}
-	return 0
+	defer f.Close()
+	entries, err := compliance.ReadTrail(f)
+	return entries, errors.Wrap(err, path)
 }
--- a/cmd/beechtide/doctor.go
+++ b/cmd/beechtide/doctor.go
@@ -1,4 +1,3 @@
-// The doctor command: looks for common faults of a running system.
 package main
 
 import (
@@ -11,74 +10,106 @@
 
 	"github.com/go-logr/logr"
 	"github.com/panjf2000/ants/v2"
+	"github.com/pkg/errors"
 
 	"beechtide.org/beechtide/internal/doctor"
 	"beechtide.org/beechtide/internal/settings"
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// examine ends with 0 where nothing is found, 1 on warnings, 3 on faults and 2
-// on wrong use.
-func examine(args []string) int {
-	fs := flag.NewFlagSet("beechtide doctor", flag.ContinueOnError)
-	path := fs.String("config", settings.Path(), "path of the settings file")
-	asJSON := fs.Bool("json", false, "print the findings as JSON")
-	rings := fs.Bool("rings", false, "print the log rings of the nodes as well")
-	from := fs.String("from", "", "address to ask from; empty: any free port of the settings' ip")
-	fs.Usage = func() {
-		fmt.Fprintln(fs.Output(), "usage: beechtide doctor [flags]\n\nEnds with 0 where all is well, 1 on warnings, 3 on faults.")
-		fs.PrintDefaults()
+const (
+	doctorTimeout  = 30 * time.Second // for all requests to all nodes
+	doctorPoolSize = 16
+
+	// statusDoctorFailure is the status where the doctor cannot look at all, the
+	// same as for a fault of the system.
+	statusDoctorFailure = 3
+)
+
+// doctorOptions are the flags of the doctor command.
+type doctorOptions struct {
+	settingsPath string
+	from         string // address to ask from
+	asJSON       bool
+	rings        bool // print the log rings as well
+}
+
+// runDoctor looks for common faults of a running system. The status is 0 where
+// nothing is found, 1 on warnings, 3 on faults and 2 on wrong use.
+func runDoctor(args []string) int {
+	var options doctorOptions
+	flags := flag.NewFlagSet("beechtide doctor", flag.ContinueOnError)
+	flags.StringVar(&options.settingsPath, "config", settings.Path(), "path of the settings file")
+	flags.BoolVar(&options.asJSON, "json", false, "print the findings as JSON")
+	flags.BoolVar(&options.rings, "rings", false, "print the log rings of the nodes as well")
+	flags.StringVar(&options.from, "from", "", "address to ask from; empty: any free port of the settings' ip")
+	flags.Usage = func() {
+		fmt.Fprintln(flags.Output(), "usage: beechtide doctor [flags]\n\nEnds with 0 where all is well, 1 on warnings, 3 on faults.")
+		flags.PrintDefaults()
 	}
-	if status := parse(fs, args); status >= 0 {
+	if status, done := parseFlags(flags, args); done {
 		return status
 	}
-	if fs.NArg() > 0 {
-		fmt.Fprintln(os.Stderr, "beechtide doctor: takes no arguments; see -h")
-		return 2
+	if flags.NArg() > 0 {
+		return usageError(flags, "takes no arguments; see -h")
+	}
+	set, err := settings.Load(options.settingsPath)
+	if err != nil {
+		invalid := doctor.Finding{Severity: doctor.Fault, Subject: options.settingsPath, Problem: err.Error(), Remedy: "correct the settings file"}
+		return printFindings([]doctor.Finding{invalid}, options.asJSON)
 	}
-	set, err := settings.Load(*path)
+	status, err := examineSystem(set, options)
 	if err != nil {
-		return report([]doctor.Finding{{Severity: doctor.Fault, Subject: *path, Problem: err.Error(), Remedy: "correct the settings file"}}, *asJSON)
+		reportError(flags, err)
+		return statusDoctorFailure
 	}
-	pool, err := ants.NewPool(16, ants.WithNonblocking(true))
+	return status
+}
+
+// examineSystem asks the nodes, prints what it finds and returns the exit
+// status.
+func examineSystem(set settings.Settings, options doctorOptions) (status int, err error) {
+	pool, err := ants.NewPool(doctorPoolSize, ants.WithNonblocking(true))
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "beechtide doctor: %v\n", err)
-		return 3
+		return 0, errors.Wrap(err, "start goroutine pool")
 	}
 	defer pool.Release()
-	if *from == "" {
-		*from = set.Ip + ":0"
+	addr := options.from
+	if addr == "" {
+		addr = set.Ip + ":0"
 	}
-	r, err := transport.New(*from, pool, logr.Discard())
+	trans, err := transport.New(addr, pool, logr.Discard())
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "beechtide doctor: %v\n", err)
-		return 3
+		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), doctorTimeout)
 	defer cancel()
-	list := doctor.Collect(ctx, r, set.SeedAddrs())
-	status := report(doctor.Examine(list), *asJSON)
-	if *rings {
-		for _, l := range doctor.CollectLogs(ctx, r, list) {
+	results := doctor.Collect(ctx, trans, set.SeedAddrs())
+	status = printFindings(doctor.Examine(results), options.asJSON)
+	if options.rings {
+		for _, l := range doctor.CollectLogs(ctx, trans, results) {
 			fmt.Printf("== %s\n%s", l.Node, l.Text)
 		}
 	}
-	return status
+	return status, nil
 }
 
-func report(list []doctor.Finding, asJSON bool) int {
+// printFindings prints findings and returns the exit status for them.
+func printFindings(findings []doctor.Finding, asJSON bool) int {
 	if asJSON {
-		if list == nil {
-			list = []doctor.Finding{}
-		}
-		_ = json.NewEncoder(os.Stdout).Encode(list)
-		return doctor.ExitStatus(list)
+		printJSON(findings)
+		return doctor.ExitStatus(findings)
 	}
-	for _, f := range list {
+	for _, f := range findings {
 		fmt.Println(f)
 	}
-	if len(list) == 0 {
+	if len(findings) == 0 {
 		fmt.Println("nothing found")
 	}
-	return doctor.ExitStatus(list)
+	return doctor.ExitStatus(findings)
+}
+
+// printJSON prints findings as one JSON array, also where there are none.
+func printJSON(findings []doctor.Finding) {
+	_ = json.NewEncoder(os.Stdout).Encode(append([]doctor.Finding{}, findings...))
 }
--- a/cmd/beechtide/main_test.go
+++ b/cmd/beechtide/main_test.go
@@ -10,64 +10,112 @@
 	"github.com/shoenig/test/must"
 )
 
-// say runs the command line and gives its status and what it wrote.
-func say(t *testing.T, args ...string) (status int, stdout, stderr string) {
+// runCommand runs the command line and gives its status and what it wrote. It
+// replaces the process's standard streams: tests that use it are not parallel.
+func runCommand(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	oldOut, oldErr := os.Stdout, os.Stderr
 	defer func() { os.Stdout, os.Stderr = oldOut, oldErr }()
-	outR, outW, err := os.Pipe()
+	outReader, outWriter, err := os.Pipe()
 	must.NoError(t, err)
-	errR, errW, err := os.Pipe()
+	errReader, errWriter, err := os.Pipe()
 	must.NoError(t, err)
-	os.Stdout, os.Stderr = outW, errW
+	os.Stdout, os.Stderr = outWriter, errWriter
 	status = run(args)
-	outW.Close()
-	errW.Close()
-	a, _ := io.ReadAll(outR)
-	b, _ := io.ReadAll(errR)
-	return status, string(a), string(b)
+	outWriter.Close()
+	errWriter.Close()
+	out, err := io.ReadAll(outReader)
+	must.NoError(t, err)
+	errs, err := io.ReadAll(errReader)
+	must.NoError(t, err)
+	return status, string(out), string(errs)
+}
+
+// writeFile writes a file of the test and gives its path.
+func writeFile(t *testing.T, name, content string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	must.NoError(t, os.WriteFile(path, []byte(content), 0o644))
+	return path
 }
 
-func TestWrongUseEndsWithTwoAndOneLine(t *testing.T) {
+func TestWrongUseReturnsTwoAndOneLine(t *testing.T) {
 	for _, args := range [][]string{
-		{"nonsense"}, {"router", "-x"}, {"controller", "-config"}, {"check"}, {"check", "a", "b"}, {"doctor", "x"}, {"doctor", "-y"}, {"audit"}, {"audit", "-c"},
+		{"nonsense"},
+		{"router", "-x"},
+		{"controller", "-config"},
+		{"check"},
+		{"check", "a", "b"},
+		{"doctor", "x"},
+		{"doctor", "-y"},
+		{"audit"},
+		{"audit", "-c"},
+		{"simulate", "x"},
+		{"simulate", "-model", "nonsense"},
 	} {
-		status, out, err := say(t, args...)
+		status, stdout, stderr := runCommand(t, args...)
 		must.Eq(t, 2, status, must.Sprint(args))
-		must.Eq(t, "", out)
-		must.Eq(t, 1, strings.Count(err, "\n"), must.Sprint(args, err))
+		must.Eq(t, "", stdout)
+		must.Eq(t, 1, strings.Count(stderr, "\n"), must.Sprint(args, stderr))
 	}
 }
 
 func TestEachSubcommandHasHelp(t *testing.T) {
-	for _, name := range []string{"router", "controller", "check", "doctor", "audit"} {
-		status, out, err := say(t, name, "-h")
+	for _, name := range []string{"router", "controller", "check", "doctor", "audit", "simulate"} {
+		status, stdout, stderr := runCommand(t, name, "-h")
 		must.Eq(t, 0, status, must.Sprint(name))
-		must.StrContains(t, out, "usage: beechtide "+name)
-		must.Eq(t, "", err)
+		must.StrContains(t, stdout, "usage: beechtide "+name)
+		must.Eq(t, "", stderr)
 	}
-	status, out, _ := say(t, "-h")
+	status, stdout, _ := runCommand(t, "-h")
 	must.Eq(t, 0, status)
-	must.StrContains(t, out, "doctor")
+	must.StrContains(t, stdout, "doctor")
 }
 
-func TestSenselessSettingsEndTheStartWithOneLine(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "local.yaml")
-	must.NoError(t, os.WriteFile(path, []byte("node: x\n"), 0o644))
-	status, _, err := say(t, "router", "-config", path)
+func TestInvalidSettingsAreReportedOnOneLine(t *testing.T) {
+	path := writeFile(t, "local.yaml", "node: x\n")
+	status, _, stderr := runCommand(t, "router", "-config", path)
 	must.Eq(t, 1, status)
-	must.Eq(t, 1, strings.Count(err, "\n"))
-	must.StrContains(t, err, "Settings.")
-	status, out, _ := say(t, "doctor", "-config", path, "-json")
+	must.Eq(t, 1, strings.Count(stderr, "\n"))
+	must.StrContains(t, stderr, "Settings.")
+	status, stdout, _ := runCommand(t, "doctor", "-config", path, "-json")
 	must.Eq(t, 3, status)
-	must.StrContains(t, out, `"severity":"fault"`)
+	must.StrContains(t, stdout, `"severity":"fault"`)
 }
 
 func TestCheckNamesFieldAndReason(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "c.json")
-	must.NoError(t, os.WriteFile(path, []byte(`{"version":1,"routes":[{"name":"r","host":"h","prefix":"/a/","kind":"idempotent","cutoffMs":5,"service":"none"}],"services":[]}`), 0o644))
-	status, _, err := say(t, "check", path)
+	path := writeFile(t, "c.json", `{"version":1,"routes":[{"name":"r","host":"h","prefix":"/a/","kind":"idempotent","cutoffMs":5,"service":"none"}],"services":[]}`)
+	status, _, stderr := runCommand(t, "check", path)
 	must.Eq(t, 1, status)
-	must.StrContains(t, err, "routes[0].service")
-	must.StrContains(t, err, "unknown service")
+	must.StrContains(t, stderr, "routes[0].service")
+	must.StrContains(t, stderr, "unknown service")
+}
+
+func TestAuditStatusTellsViolations(t *testing.T) {
+	config := writeFile(t, "config.json", `{"version":1,"routes":[],"services":[]}`)
+	const asked, answered = `{"step":"asked","attempt":"1","version":1}`, `{"step":"answered","attempt":"1","version":1}`
+	for _, c := range []struct {
+		name   string
+		trail  string
+		status int
+		stdout string
+		stderr string
+	}{
+		{"correct trail", asked + "\n" + answered + "\n", 0, "2 entries, 0 violations\n", ""},
+		{"missing end", asked + "\n", 1, "its end is missing", ""},
+		{"invalid line", asked + "\nnot JSON\n", 1, "", "line 2"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			status, stdout, stderr := runCommand(t, "audit", "-c", config, writeFile(t, "trail", c.trail))
+			must.Eq(t, c.status, status, must.Sprint(stdout, stderr))
+			must.StrContains(t, stdout, c.stdout)
+			must.StrContains(t, stderr, c.stderr)
+		})
+	}
+}
+
+func TestSimulatePrintsCounts(t *testing.T) {
+	status, stdout, stderr := runCommand(t, "simulate", "-seeds", "2")
+	must.Eq(t, 0, status, must.Sprint(stdout, stderr))
+	must.StrContains(t, stdout, "0 broke a check")
 }
--- a/cmd/beechtide/simulate.go
+++ b/cmd/beechtide/simulate.go
@@ -1,58 +1,66 @@
-// The command that plays simulated histories of the control side.
 package main
 
 import (
 	"flag"
 	"fmt"
-	"os"
 
 	"beechtide.org/beechtide/internal/simulation"
 )
 
-func simulate(args []string) int {
-	fs := flag.NewFlagSet("beechtide simulate", flag.ContinueOnError)
-	model := fs.String("model", "registers", "what to play: registers, runners or runners-partial")
-	seeds := fs.Uint64("seeds", 1000, "how many histories to play")
-	first := fs.Uint64("first", 0, "the first seed")
-	parallel := fs.Int("parallel", 1, "how many to play at a time")
-	show := fs.Bool("print", false, "print the history of every seed, not only of those that break a check")
-	fs.Usage = func() {
-		fmt.Fprintf(fs.Output(), "usage: beechtide simulate [flags]\n\nPlays histories of the control side in memory, one a seed, with faults drawn from it. Prints the\nhistory of each seed that breaks a check, and ends with status 1 then.\n")
-		fs.PrintDefaults()
+const defaultSeeds = 1000
+
+// runSimulate runs simulated histories of the control plane. The status is 1
+// where a seed breaks a check.
+func runSimulate(args []string) int {
+	flags := flag.NewFlagSet("beechtide simulate", flag.ContinueOnError)
+	model := flags.String("model", "registers", "what to play: registers, runners or runners-partial")
+	seeds := flags.Uint64("seeds", defaultSeeds, "how many histories to play")
+	first := flags.Uint64("first", 0, "the first seed")
+	parallel := flags.Int("parallel", 1, "how many to play at a time")
+	printAll := flags.Bool("print", false, "print the history of every seed, not only of those that break a check")
+	flags.Usage = func() {
+		fmt.Fprintf(flags.Output(), "usage: beechtide simulate [flags]\n\nPlays histories of the control side in memory, one a seed, with faults drawn from it. Prints the\nhistory of each seed that breaks a check, and ends with status 1 then.\n")
+		flags.PrintDefaults()
 	}
-	if status := parse(fs, args); status >= 0 {
+	if status, done := parseFlags(flags, args); done {
 		return status
 	}
-	if fs.NArg() != 0 {
-		fmt.Fprintln(os.Stderr, "beechtide simulate: takes flags only; see -h")
-		return 2
+	if flags.NArg() != 0 {
+		return usageError(flags, "takes flags only; see -h")
 	}
 	if simulation.Models[*model] == nil {
-		fmt.Fprintf(os.Stderr, "beechtide simulate: no model %q; see -h\n", *model)
-		return 2
+		return usageError(flags, fmt.Sprintf("no model %q; see -h", *model))
 	}
-	if *show {
+	if *printAll {
 		return printHistories(*model, *first, *seeds)
 	}
-	broken := 0
-	counts := simulation.Run(simulation.Range{Model: *model, First: *first, Count: *seeds, Parallel: *parallel}, simulation.Options{}, func(r simulation.Result) {
-		broken++
-		printHistory(*model, r)
+	return checkHistories(simulation.Range{Model: *model, First: *first, Count: *seeds, Parallel: *parallel})
+}
+
+// checkHistories runs the seeds and prints the histories of those that break a
+// check.
+func checkHistories(seeds simulation.Range) int {
+	failures := 0
+	counts := simulation.Run(seeds, simulation.Options{}, func(r simulation.Result) {
+		failures++
+		printHistory(seeds.Model, r)
 	})
-	fmt.Printf("%s; %d broke a check\n", counts, broken)
-	if broken > 0 {
-		return 1
+	fmt.Printf("%s; %d broke a check\n", counts, failures)
+	if failures > 0 {
+		return statusFailure
 	}
-	return 0
+	return statusOK
 }
 
+// printHistories runs the seeds one after the other and prints the history of
+// each.
 func printHistories(model string, first, count uint64) int {
-	status := 0
+	status := statusOK
 	for seed := first; seed < first+count; seed++ {
 		r := simulation.Models[model](seed, simulation.Options{Record: true})
 		printHistory(model, r)
 		if r.Failure != "" {
-			status = 1
+			status = statusFailure
 		}
 	}
 	return status
