--- a/cmd/beechtide/simulate.go
+++ b/cmd/beechtide/simulate.go
@@ -19,7 +19,7 @@
 	parallel := flags.Int("parallel", 1, "how many to play at a time")
 	printAll := flags.Bool("print", false, "print the history of every seed, not only of those that break a check")
 	flags.Usage = func() {
-		fmt.Fprintf(flags.Output(), "usage: beechtide simulate [flags]\n\nPlays histories of the control side in memory, one a seed, with faults drawn from it. Prints the\nhistory of each seed that breaks a check, and ends with status 1 then.\n")
+		fmt.Fprint(flags.Output(), "usage: beechtide simulate [flags]\n\nPlays histories of the control side in memory, one a seed, with faults drawn from it. Prints the\nhistory of each seed that breaks a check, and ends with status 1 then.\n")
 		flags.PrintDefaults()
 	}
 	if status, done := parseFlags(flags, args); done {
--- a/internal/doctor/collect.go
+++ b/internal/doctor/collect.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
@@ -121,6 +120,6 @@
 		}
 		logs = append(logs, NodeLog{Node: nodeName(result.Condition), Text: string(text)})
 	}
-	sort.SliceStable(logs, func(i, j int) bool { return logs[i].Node < logs[j].Node })
+	slices.SortStableFunc(logs, func(a, b NodeLog) int { return strings.Compare(a.Node, b.Node) })
 	return logs
 }
--- a/internal/doctor/examine.go
+++ b/internal/doctor/examine.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"sort"
 
 	"beechtide.org/beechtide/internal/messages"
 )
@@ -24,10 +23,20 @@
 			findings = append(findings, examineNode(result, partitions)...)
 		}
 	}
-	sort.SliceStable(findings, func(i, j int) bool {
-		return findings[i].Severity == Fault && findings[j].Severity != Fault
-	})
-	return findings
+	return faultsFirst(findings)
+}
+
+// faultsFirst puts the faults before the warnings; each keep their order.
+func faultsFirst(findings []Finding) []Finding {
+	var faults, warnings []Finding
+	for _, f := range findings {
+		if f.Severity == Fault {
+			faults = append(faults, f)
+		} else {
+			warnings = append(warnings, f)
+		}
+	}
+	return append(faults, warnings...)
 }
 
 func anyAnswered(results []NodeResult) bool {
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -12,6 +12,7 @@
 import (
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -81,7 +82,7 @@
 // WithValues is part of logr.LogSink.
 func (r *Ring) WithValues(keysAndValues ...any) logr.LogSink {
 	derived := *r
-	derived.values = append(append([]any{}, r.values...), keysAndValues...)
+	derived.values = slices.Concat(r.values, keysAndValues)
 	return &derived
 }
 
