--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -331,6 +331,47 @@
 	}, kept.Records[0])
 }
 
+// The directory was written by the code of commit 611e145: every kind of file that
+// a controller keeps on disk (identity, one record a register, the highest fencing
+// token used, the runner list).
+func TestStoreReadsEveryKindOfFileOfCommit611e145(t *testing.T) {
+	dir := t.TempDir()
+	must.NoError(t, os.CopyFS(dir, os.DirFS("testdata/written-by-611e145")))
+	store := openTestStore(t, dir)
+	restored, err := Restore(store, "", serialIDs("other"))
+	must.NoError(t, err)
+	must.Eq(t, "10.0.0.1:7000/a1b2c3d4e5f6", restored.ID)
+	must.SliceEmpty(t, restored.Lost)
+
+	group := []messages.Member{{ID: "10.0.0.1:7000/a1b2c3d4e5f6", Addr: "10.0.0.1:7000"}, {ID: "10.0.0.2:7000/0", Addr: "10.0.0.2:7000"}, {ID: "10.0.0.3:7000/0", Addr: "10.0.0.3:7000"}}
+	committed := func(version int64) messages.Value {
+		return messages.Value{Version: version, Group: group, Body: []byte("committed"), Stamp: "s-committed"}
+	}
+	accepted := func(version int64) messages.Value {
+		return messages.Value{Version: version, Group: group[:1], Body: []byte("accepted"), Stamp: "s-accepted"}
+	}
+	ballot := func(n int64, proposer string) messages.Ballot { return messages.Ballot{N: n, Who: proposer} }
+	for part, want := range []messages.Record{
+		{Committed: committed(10)},
+		{Committed: committed(11)},
+		{Committed: committed(12), Promised: ballot(2, "promised")},
+		{Committed: committed(13), Promised: ballot(3, "promised"), AcceptedAt: ballot(2, "accepted"), Accepted: accepted(14), HasAccepted: true},
+		{Committed: committed(14), Promised: ballot(4, "promised"), AcceptedAt: ballot(3, "accepted"), Accepted: accepted(15), HasAccepted: true},
+	} {
+		must.Eq(t, want, restored.Records[part], must.Sprintf("part %d", part))
+	}
+
+	fence, ok := store.Note("acted-2")
+	must.True(t, ok)
+	must.Eq(t, "17", string(fence))
+	encoded, ok := store.Note("runners")
+	must.True(t, ok)
+	var update messages.News
+	_, err = update.UnmarshalMsg(encoded)
+	must.NoError(t, err)
+	must.Eq(t, []messages.RunnerRecord{{ID: "runner-1", Service: "chat", Addr: "10.0.1.1:8000", Seq: 3}}, update.Runners)
+}
+
 // The list of runners and notes of leases may be kept by several at a time.
 func TestThoseWhoKeepOneNameGoOneAfterTheOther(t *testing.T) {
 	d, err := NewDiskStore(t.TempDir())
