--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -31,38 +31,38 @@
 
 // Handle answers an ask. The second result tells that the record has changed
 // and must reach the disk before the word is sent.
-func (a *Acceptor) Handle(ask messages.ConsensusRequest) (messages.ConsensusResponse, bool) {
+func (a *Acceptor) Handle(request messages.ConsensusRequest) (messages.ConsensusResponse, bool) {
 	version := a.Rec.Committed.Version
 	known := len(a.Rec.Committed.Group) > 0
-	if ask.Step == messages.Read {
-		if ask.To != "" && ask.To != a.ID {
+	if request.Step == messages.Read {
+		if request.To != "" && request.To != a.ID {
 			return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}, false
 		}
-		w := messages.ConsensusResponse{Verdict: messages.Granted, Version: version, HasAccepted: a.Rec.HasAccepted}
+		response := messages.ConsensusResponse{Verdict: messages.Granted, Version: version, HasAccepted: a.Rec.HasAccepted}
 		if !known {
-			w.Verdict = messages.Behind
-		} else if version >= ask.Slot {
-			w.Value = a.Rec.Committed
+			response.Verdict = messages.Behind
+		} else if version >= request.Slot {
+			response.Value = a.Rec.Committed
 		}
-		return w, false
+		return response, false
 	}
-	if ask.To != a.ID {
+	if request.To != a.ID {
 		return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}, false
 	}
 	switch {
-	case known && ask.Slot <= version:
+	case known && request.Slot <= version:
 		return messages.ConsensusResponse{Verdict: messages.Ahead, Version: version, Value: a.Rec.Committed}, false
-	case !known || ask.Slot > version+1:
+	case !known || request.Slot > version+1:
 		return messages.ConsensusResponse{Verdict: messages.Behind, Version: version}, false
 	}
-	if Less(ask.Ballot, a.Rec.Promised) {
+	if Less(request.Ballot, a.Rec.Promised) {
 		return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Rec.Promised}, false
 	}
-	if ask.Step == messages.Prepare {
-		dirty := a.Rec.Promised != ask.Ballot
-		a.Rec.Promised = ask.Ballot
-		return messages.ConsensusResponse{Verdict: messages.Granted, Version: version, Promised: ask.Ballot, AcceptedAt: a.Rec.AcceptedAt, HasAccepted: a.Rec.HasAccepted, Value: a.Rec.Accepted}, dirty
+	if request.Step == messages.Prepare {
+		dirty := a.Rec.Promised != request.Ballot
+		a.Rec.Promised = request.Ballot
+		return messages.ConsensusResponse{Verdict: messages.Granted, Version: version, Promised: request.Ballot, AcceptedAt: a.Rec.AcceptedAt, HasAccepted: a.Rec.HasAccepted, Value: a.Rec.Accepted}, dirty
 	}
-	a.Rec.Promised, a.Rec.AcceptedAt, a.Rec.Accepted, a.Rec.HasAccepted = ask.Ballot, ask.Ballot, ask.Value, true
-	return messages.ConsensusResponse{Verdict: messages.Granted, Version: version, Promised: ask.Ballot}, true
+	a.Rec.Promised, a.Rec.AcceptedAt, a.Rec.Accepted, a.Rec.HasAccepted = request.Ballot, request.Ballot, request.Value, true
+	return messages.ConsensusResponse{Verdict: messages.Granted, Version: version, Promised: request.Ballot}, true
 }
--- a/internal/consensus/attempt.go
+++ b/internal/consensus/attempt.go
@@ -15,10 +15,10 @@
 // on nothing else; where it may not have been, SealRefusal closes the slot. And
 // what the change says no to, it says no to on every later value too.
 type Attempt struct {
-	part   int
-	stamp  string
-	change Change
-	seen   messages.Ballot
+	part          int
+	stamp         string
+	change        Change
+	highestBallot messages.Ballot
 }
 
 // NewAttempt starts an attempt. The stamp marks what it proposes and is used once.
@@ -28,7 +28,7 @@
 
 // Round starts the next round on top of the newest committed value known.
 func (a *Attempt) Round(base messages.Value) *Round {
-	return NewRound(a.part, base, messages.Ballot{N: a.seen.N + 1, Who: a.stamp}, a.stamp, a.change)
+	return NewRound(a.part, base, messages.Ballot{N: a.highestBallot.N + 1, Who: a.stamp}, a.stamp, a.change)
 }
 
 // Progress says how an attempt goes on after a round.
@@ -38,31 +38,31 @@
 const (
 	Finished  Progress = iota // the change is made, or refused with Err of the round
 	NextRound                 // another value came first: try on top of it
-	Pause                     // somebody bids higher, or nobody answers: wait a little
+	Backoff                   // somebody bids higher, or nobody answers: wait a little
 )
 
 // Close takes a round that has ended or was given up.
-func (a *Attempt) Close(r *Round) Progress {
-	switch r.End {
+func (a *Attempt) Close(round *Round) Progress {
+	switch round.End {
 	case Rejected:
 		return Finished
 	case Chosen:
-		a.seen = messages.Ballot{}
-		if r.Mine || r.Err != nil {
+		a.highestBallot = messages.Ballot{}
+		if round.Mine || round.Err != nil {
 			return Finished
 		}
 		return NextRound
 	case Overtook:
-		a.seen = messages.Ballot{}
-		if r.Value.Stamp == a.stamp {
+		a.highestBallot = messages.Ballot{}
+		if round.Value.Stamp == a.stamp {
 			return Finished
 		}
 		return NextRound
 	}
-	for _, b := range []messages.Ballot{r.Seen, r.Ballot} {
-		if Less(a.seen, b) {
-			a.seen = b
+	for _, b := range []messages.Ballot{round.HighestBallot, round.Ballot} {
+		if Less(a.highestBallot, b) {
+			a.highestBallot = b
 		}
 	}
-	return Pause
+	return Backoff
 }
--- a/internal/consensus/bounded_test.go
+++ b/internal/consensus/bounded_test.go
@@ -25,8 +25,8 @@
 	nodes, disks := map[string]*Registers{}, map[string]*disk.Disk{}
 	var accept atomic.Int64 // bytes of the newest ask for acceptance
 	net := carrier(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
-		var ask messages.ConsensusRequest
-		if _, err := ask.UnmarshalMsg(b); err == nil && ask.Step == messages.Accept {
+		var request messages.ConsensusRequest
+		if _, err := request.UnmarshalMsg(b); err == nil && request.Step == messages.Accept {
 			accept.Store(int64(len(b)))
 		}
 		return nodes[addr].Handle(ctx, b)
@@ -34,9 +34,9 @@
 	seeds := []string{"a", "b", "c"}
 	for i, s := range seeds {
 		disks[s] = disk.New(uint64(i))
-		l, err := Open(s, 1, true, seeds, net, openSimulated(t, disks[s]), logr.Discard(), nil)
+		registers, err := Open(s, 1, true, seeds, net, openSimulated(t, disks[s]), logr.Discard(), nil)
 		must.NoError(t, err)
-		nodes[s] = l
+		nodes[s] = registers
 	}
 	raw := bytes.Repeat([]byte("r"), 3000)
 	others := Parts - 1 // records of the other parts
--- a/internal/consensus/confirm.go
+++ b/internal/consensus/confirm.go
@@ -13,58 +13,58 @@
 
 // Confirm asks a member whether it holds the committed value v, or a newer one,
 // on its disk. It sends the value only to a member that does not have it.
-func (l *Registers) Confirm(ctx context.Context, p int, m messages.Member, v messages.Value) (bool, error) {
-	ask := messages.ConsensusRequest{Part: p, To: m.ID, Step: messages.Commit, Slot: v.Version, Flush: true}
-	w, err := l.send(ctx, m, ask)
-	if err != nil || w.Kept || w.Verdict != messages.Granted {
-		return w.Kept, err
+func (r *Registers) Confirm(ctx context.Context, part int, m messages.Member, v messages.Value) (bool, error) {
+	request := messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Commit, Slot: v.Version, Flush: true}
+	response, err := r.send(ctx, m, request)
+	if err != nil || response.Kept || response.Verdict != messages.Granted {
+		return response.Kept, err
 	}
-	if large(v) {
+	if isLarge(v) {
 		return false, nil // it fetches that by pieces and is asked again
 	}
-	ask.Value = v
-	w, err = l.send(ctx, m, ask)
-	return w.Kept, err
+	request.Value = v
+	response, err = r.send(ctx, m, request)
+	return response.Kept, err
 }
 
 // Retire makes this member refuse to join any group from now on, since it is
 // about to end; it goes on as a member where it is one.
-func (l *Registers) Retire() { l.retired.Store(true) }
+func (r *Registers) Retire() { r.retired.Store(true) }
 
 // flush answers a commit once the value is on disk.
-func (l *Registers) flush(ctx context.Context, ask messages.ConsensusRequest) (messages.ConsensusResponse, error) {
-	if ask.To != l.id {
+func (r *Registers) confirmDurable(ctx context.Context, request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
+	if request.To != r.id {
 		return messages.ConsensusResponse{Verdict: messages.Stranger}, nil
 	}
-	at := l.parts[ask.Part]
+	register := r.registers[request.Part]
 	select {
-	case at.sem <- struct{}{}:
+	case register.recordLock <- struct{}{}:
 	case <-ctx.Done():
 		return messages.ConsensusResponse{}, errors.Wrap(ErrStore, "busy")
 	}
-	defer func() { <-at.sem }()
-	v := at.learned.Load()
+	defer func() { <-register.recordLock }()
+	v := register.committed.Load()
 	if v == nil {
 		return messages.ConsensusResponse{Verdict: messages.Granted}, nil
 	}
-	if err := l.makeDurable(ask.Part, *v); err != nil {
+	if err := r.persistLocked(request.Part, *v); err != nil {
 		return messages.ConsensusResponse{}, err
 	}
-	joins := !has(at.acc.Rec.Committed.Group, l.id)
-	kept := at.durable >= ask.Slot && !(joins && l.retired.Load())
-	return messages.ConsensusResponse{Verdict: messages.Granted, Version: at.durable, Kept: kept}, nil
+	joins := !containsMember(register.acceptor.Rec.Committed.Group, r.id)
+	confirmed := register.durableVersion >= request.Slot && !(joins && r.retired.Load())
+	return messages.ConsensusResponse{Verdict: messages.Granted, Version: register.durableVersion, Kept: confirmed}, nil
 }
 
 // makeDurable folds a committed value into the record and saves it, unless the
 // disk holds it already. The caller holds the part.
-func (l *Registers) makeDurable(p int, v messages.Value) error {
-	at := l.parts[p]
-	before := at.acc.Rec
-	if !at.acc.Fold(v) && at.durable >= at.acc.Rec.Committed.Version {
-		return l.store.Settle()
+func (r *Registers) persistLocked(part int, v messages.Value) error {
+	register := r.registers[part]
+	before := register.acceptor.Rec
+	if !register.acceptor.Fold(v) && register.durableVersion >= register.acceptor.Rec.Committed.Version {
+		return r.store.Settle()
 	}
-	if err := l.save(p, at.acc.Rec); err != nil {
-		at.acc.Rec = before
+	if err := r.saveRecord(part, register.acceptor.Rec); err != nil {
+		register.acceptor.Rec = before
 		return err
 	}
 	return nil
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -31,14 +31,14 @@
 	Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error)
 }
 
-type part struct {
-	sem     chan struct{}
-	acc     Acceptor
-	learned atomic.Pointer[messages.Value]
-	keeping atomic.Bool
+type register struct {
+	recordLock chan struct{}
+	acceptor   Acceptor
+	committed  atomic.Pointer[messages.Value]
+	persisting atomic.Bool
 
-	transfers transfers
-	durable   int64 // the committed version on disk, notOnDisk for none; guarded by sem
+	transfers      transfers
+	durableVersion int64 // the committed version on disk, notOnDisk for none; guarded by sem
 }
 
 // notOnDisk says that no committed value is on disk.
@@ -46,18 +46,18 @@
 
 // Registers is one member's view of all registers.
 type Registers struct {
-	id, addr string
-	kind     int
-	caller   Caller
-	store    Store
-	log      logr.Logger
-	parts    [Parts]*part
-	onLearn  func(part int, v messages.Value)
-	life     string
-	started  time.Time
-	saveUs   atomic.Int64
-	saveErr  atomic.Pointer[string]
-	retired  atomic.Bool
+	id, addr      string
+	kind          int
+	caller        Caller
+	store         Store
+	log           logr.Logger
+	registers     [Parts]*register
+	onCommit      func(part int, v messages.Value)
+	incarnation   string
+	started       time.Time
+	lastSaveUs    atomic.Int64
+	lastSaveFault atomic.Pointer[string]
+	retired       atomic.Bool
 }
 
 // PartOf tells which part a service belongs to.
@@ -81,39 +81,39 @@
 
 // Open loads what the store holds. With found set, an empty store takes part
 // in founding the group made of the seeds.
-func Open(addr string, kind int, found bool, seeds []string, caller Caller, store Store, log logr.Logger, onLearn func(int, messages.Value)) (*Registers, error) {
-	l := &Registers{addr: addr, kind: kind, caller: caller, store: store, log: log, onLearn: onLearn, life: Random(), started: time.Now()}
-	first := ""
-	if found {
-		first = FirstID(addr)
+func Open(addr string, kind int, bootstrap bool, seeds []string, caller Caller, store Store, log logr.Logger, onLearn func(int, messages.Value)) (*Registers, error) {
+	registers := &Registers{addr: addr, kind: kind, caller: caller, store: store, log: log, onCommit: onLearn, incarnation: Random(), started: time.Now()}
+	bootstrapID := ""
+	if bootstrap {
+		bootstrapID = FirstID(addr)
 	}
-	kept, err := Restore(store, first, func() string { return addr + "/" + Random() })
+	restored, err := Restore(store, bootstrapID, func() string { return addr + "/" + Random() })
 	if err != nil {
 		return nil, err
 	}
-	if len(kept.Lost) > 0 {
-		log.Error(ErrDamaged, "votes are lost; this member goes on under a new identity", "parts", kept.Lost, "id", kept.ID)
+	if len(restored.Damaged) > 0 {
+		log.Error(ErrDamaged, "votes are lost; this member goes on under a new identity", "parts", restored.Damaged, "id", restored.ID)
 	}
-	l.id = kept.ID
-	for p, rec := range kept.Records {
-		at := &part{sem: make(chan struct{}, 1), durable: notOnDisk}
-		l.parts[p] = at
+	registers.id = restored.ID
+	for part, rec := range restored.Records {
+		register := &register{recordLock: make(chan struct{}, 1), durableVersion: notOnDisk}
+		registers.registers[part] = register
 		if len(rec.Committed.Group) > 0 {
-			at.durable = rec.Committed.Version
-		} else if found && l.id == FirstID(addr) {
+			register.durableVersion = rec.Committed.Version
+		} else if bootstrap && registers.id == FirstID(addr) {
 			// The founders may all restart before the first value: they have to
 			// know their group from disk. One whose disk refuses this learns it
 			// from the others; save tells the log.
 			rec.Committed = Genesis(seeds)
-			_ = l.save(p, rec)
+			_ = registers.saveRecord(part, rec)
 		}
-		at.acc = Acceptor{ID: l.id, Rec: rec}
+		register.acceptor = Acceptor{ID: registers.id, Rec: rec}
 		if len(rec.Committed.Group) > 0 {
 			v := rec.Committed
-			at.learned.Store(&v)
+			register.committed.Store(&v)
 		}
 	}
-	return l, nil
+	return registers, nil
 }
 
 // Genesis is the value before the first: the seeds form the group.
@@ -126,11 +126,11 @@
 }
 
 // ID is this member's identity.
-func (l *Registers) ID() string { return l.id }
+func (r *Registers) ID() string { return r.id }
 
 // Committed gives the newest committed value this node knows.
-func (l *Registers) Committed(p int) (messages.Value, bool) {
-	v := l.parts[p].learned.Load()
+func (r *Registers) Committed(part int) (messages.Value, bool) {
+	v := r.registers[part].committed.Load()
 	if v == nil {
 		return messages.Value{}, false
 	}
@@ -138,149 +138,149 @@
 }
 
 // Learn takes in a committed value; older ones are left aside.
-func (l *Registers) Learn(p int, v messages.Value) {
-	if p < 0 || p >= Parts || len(v.Group) == 0 {
+func (r *Registers) Learn(part int, v messages.Value) {
+	if part < 0 || part >= Parts || len(v.Group) == 0 {
 		return
 	}
 	for {
-		cur := l.parts[p].learned.Load()
+		cur := r.registers[part].committed.Load()
 		if cur != nil && cur.Version >= v.Version {
 			return
 		}
-		if l.parts[p].learned.CompareAndSwap(cur, &v) {
+		if r.registers[part].committed.CompareAndSwap(cur, &v) {
 			break
 		}
 	}
-	if l.onLearn != nil {
-		l.onLearn(p, v)
+	if r.onCommit != nil {
+		r.onCommit(part, v)
 	}
-	l.keep(p)
+	r.persistInBackground(part)
 }
 
 // keepWait is how long a member waits before it tries again to keep a value
 // that its disk refused.
-const keepWait = 300 * time.Millisecond
+const persistRetryInterval = 300 * time.Millisecond
 
 // keep makes what was learned durable, apart from everything else. Agreement
 // does not need it, but after a change of group the old one may be gone: then
 // the new one must know by itself, after a loss of power too, that it is it.
-func (l *Registers) keep(p int) {
-	at := l.parts[p]
-	if !at.keeping.CompareAndSwap(false, true) {
+func (r *Registers) persistInBackground(part int) {
+	register := r.registers[part]
+	if !register.persisting.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		for {
-			v := at.learned.Load()
-			at.sem <- struct{}{}
-			err := l.makeDurable(p, *v)
-			<-at.sem
+			v := register.committed.Load()
+			register.recordLock <- struct{}{}
+			err := r.persistLocked(part, *v)
+			<-register.recordLock
 			if err != nil {
-				time.Sleep(keepWait)
+				time.Sleep(persistRetryInterval)
 				continue
 			}
-			at.keeping.Store(false)
-			if at.learned.Load() == v || !at.keeping.CompareAndSwap(false, true) {
+			register.persisting.Store(false)
+			if register.committed.Load() == v || !register.persisting.CompareAndSwap(false, true) {
 				return
 			}
 		}
 	}()
 }
 
-func (l *Registers) save(p int, rec messages.Record) error {
+func (r *Registers) saveRecord(part int, rec messages.Record) error {
 	began := time.Now()
-	err := l.store.Save(p, rec)
-	l.noteSave(time.Since(began).Microseconds(), err)
+	err := r.store.Save(part, rec)
+	r.recordSaveResult(time.Since(began).Microseconds(), err)
 	if err == nil && len(rec.Committed.Group) > 0 {
-		l.parts[p].durable = rec.Committed.Version
+		r.registers[part].durableVersion = rec.Committed.Version
 	}
 	return err
 }
 
 // Handle answers an ask that came over the transport.
-func (l *Registers) Handle(ctx context.Context, body []byte) ([]byte, error) {
-	var ask messages.ConsensusRequest
-	if _, err := ask.UnmarshalMsg(body); err != nil {
+func (r *Registers) Handle(ctx context.Context, body []byte) ([]byte, error) {
+	var request messages.ConsensusRequest
+	if _, err := request.UnmarshalMsg(body); err != nil {
 		return nil, errors.Wrap(err, "consensus: ask")
 	}
-	if ask.Part < 0 || ask.Part >= Parts {
+	if request.Part < 0 || request.Part >= Parts {
 		return nil, errors.New("consensus: no such part")
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	w, err := l.local(ctx, ask)
+	response, err := r.handleRequest(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	return w.MarshalMsg(nil)
+	return response.MarshalMsg(nil)
 }
 
-func (l *Registers) local(ctx context.Context, ask messages.ConsensusRequest) (messages.ConsensusResponse, error) {
-	if ask.Step == messages.Commit {
-		if len(ask.Value.Group) == 0 && len(ask.Value.Body) > 0 {
-			return l.commitNamed(ctx, ask)
+func (r *Registers) handleRequest(ctx context.Context, request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
+	if request.Step == messages.Commit {
+		if len(request.Value.Group) == 0 && len(request.Value.Body) > 0 {
+			return r.commitByDigest(ctx, request)
 		}
-		l.Learn(ask.Part, ask.Value)
-		if ask.Flush {
-			return l.flush(ctx, ask)
+		r.Learn(request.Part, request.Value)
+		if request.Flush {
+			return r.confirmDurable(ctx, request)
 		}
 		return messages.ConsensusResponse{Verdict: messages.Granted}, nil
 	}
-	p := l.parts[ask.Part]
-	if ask.Step == messages.Read && ask.To == "" {
-		return l.give(ask)
+	register := r.registers[request.Part]
+	if request.Step == messages.Read && request.To == "" {
+		return r.serveRead(request)
 	}
 	select {
-	case p.sem <- struct{}{}:
+	case register.recordLock <- struct{}{}:
 	case <-ctx.Done():
 		return messages.ConsensusResponse{}, errors.Wrap(ErrStore, "busy")
 	}
-	defer func() { <-p.sem }()
-	if v := p.learned.Load(); v != nil {
-		p.acc.Fold(*v)
+	defer func() { <-register.recordLock }()
+	if v := register.committed.Load(); v != nil {
+		register.acceptor.Fold(*v)
 	}
-	before := p.acc.Rec
-	w, dirty := p.acc.Handle(ask)
+	before := register.acceptor.Rec
+	response, dirty := register.acceptor.Handle(request)
 	if !dirty {
-		return w, l.store.Settle()
+		return response, r.store.Settle()
 	}
-	if err := l.save(ask.Part, p.acc.Rec); err != nil {
-		p.acc.Rec = before
+	if err := r.saveRecord(request.Part, register.acceptor.Rec); err != nil {
+		register.acceptor.Rec = before
 		return messages.ConsensusResponse{}, err
 	}
-	return w, nil
+	return response, nil
 }
 
-func (l *Registers) noteSave(us int64, err error) {
-	l.saveUs.Store(us)
+func (r *Registers) recordSaveResult(us int64, err error) {
+	r.lastSaveUs.Store(us)
 	fault := ""
 	if err != nil {
 		fault = err.Error()
 	}
-	if old := l.saveErr.Swap(&fault); err != nil && (old == nil || *old == "") {
-		l.log.Error(err, "the store refuses writes; this member gives no votes meanwhile")
+	if old := r.lastSaveFault.Swap(&fault); err != nil && (old == nil || *old == "") {
+		r.log.Error(err, "the store refuses writes; this member gives no votes meanwhile")
 	}
 }
 
 // LastSave tells how long the last write to the store took, and how it failed.
-func (l *Registers) LastSave() (us int64, fault string) {
-	if f := l.saveErr.Load(); f != nil {
+func (r *Registers) LastSave() (us int64, fault string) {
+	if f := r.lastSaveFault.Load(); f != nil {
 		fault = *f
 	}
-	return l.saveUs.Load(), fault
+	return r.lastSaveUs.Load(), fault
 }
 
-func (l *Registers) send(ctx context.Context, to messages.Member, ask messages.ConsensusRequest) (messages.ConsensusResponse, error) {
-	if to.Addr == l.addr {
-		return l.local(ctx, ask)
+func (r *Registers) send(ctx context.Context, to messages.Member, request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
+	if to.Addr == r.addr {
+		return r.handleRequest(ctx, request)
 	}
-	b, err := l.caller.Call(ctx, to.Addr, l.kind, &ask)
+	b, err := r.caller.Call(ctx, to.Addr, r.kind, &request)
 	if err != nil {
 		return messages.ConsensusResponse{}, err
 	}
-	var w messages.ConsensusResponse
-	if _, err := w.UnmarshalMsg(b); err != nil {
+	var response messages.ConsensusResponse
+	if _, err := response.UnmarshalMsg(b); err != nil {
 		return messages.ConsensusResponse{}, err
 	}
-	return w, nil
+	return response, nil
 }
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -79,10 +79,10 @@
 func (w *world) start(n *node, change Change) {
 	w.serial++
 	stamp := fmt.Sprintf("s%d", w.serial)
-	r := NewRound(0, n.known, messages.Ballot{N: int64(1 + w.rnd.IntN(6)), Who: stamp}, stamp, change)
-	w.rounds = append(w.rounds, r)
-	for _, a := range r.Requests() {
-		w.wires = append(w.wires, message{round: r, ask: a, ok: true})
+	round := NewRound(0, n.known, messages.Ballot{N: int64(1 + w.rnd.IntN(6)), Who: stamp}, stamp, change)
+	w.rounds = append(w.rounds, round)
+	for _, request := range round.Requests() {
+		w.wires = append(w.wires, message{round: round, ask: request, ok: true})
 	}
 }
 
@@ -103,7 +103,7 @@
 		}
 		n.acc.Fold(n.known)
 		before := n.acc.Rec
-		word, dirty := n.acc.Handle(m.ask.Body)
+		response, dirty := n.acc.Handle(m.ask.Body)
 		if dirty {
 			switch w.rnd.IntN(12) {
 			case 0: // the disk refuses: no word
@@ -116,15 +116,15 @@
 			}
 			n.disk = n.acc.Rec
 		}
-		w.wires = append(w.wires, message{round: m.round, ask: m.ask, reply: true, word: word})
+		w.wires = append(w.wires, message{round: m.round, ask: m.ask, reply: true, word: response})
 		if w.rnd.IntN(15) == 0 { // doubled
-			w.wires = append(w.wires, message{round: m.round, ask: m.ask, reply: true, word: word})
+			w.wires = append(w.wires, message{round: m.round, ask: m.ask, reply: true, word: response})
 		}
 		return
 	}
 	was := m.round.End
-	for _, a := range m.round.Hear(m.ask.To, m.ask.Body.Step, m.word) {
-		w.wires = append(w.wires, message{round: m.round, ask: a})
+	for _, request := range m.round.Hear(m.ask.To, m.ask.Body.Step, m.word) {
+		w.wires = append(w.wires, message{round: m.round, ask: request})
 	}
 	if was == Going && m.round.End == Chosen {
 		w.commit(m.round.Value)
@@ -187,34 +187,34 @@
 			newest = n.known
 		}
 	}
-	for try := range 40 {
-		stamp := fmt.Sprintf("final%d", try)
-		r := NewRound(0, newest, messages.Ballot{N: 1000 + int64(try), Who: stamp}, stamp, body("final"))
-		asks := r.Requests()
-		for len(asks) > 0 && r.End == Going {
-			a := asks[0]
-			asks = asks[1:]
-			n := w.nodes[a.To.Addr]
+	for retries := range 40 {
+		stamp := fmt.Sprintf("final%d", retries)
+		round := NewRound(0, newest, messages.Ballot{N: 1000 + int64(retries), Who: stamp}, stamp, body("final"))
+		requests := round.Requests()
+		for len(requests) > 0 && round.End == Going {
+			request := requests[0]
+			requests = requests[1:]
+			n := w.nodes[request.To.Addr]
 			if n == nil {
 				continue
 			}
-			if a.Body.Step == messages.Commit {
-				w.learn(n, a.Body.Value)
+			if request.Body.Step == messages.Commit {
+				w.learn(n, request.Body.Value)
 				continue
 			}
 			n.acc.Fold(n.known)
-			word, _ := n.acc.Handle(a.Body)
-			asks = append(asks, r.Hear(a.To, a.Body.Step, word)...)
+			response, _ := n.acc.Handle(request.Body)
+			requests = append(requests, round.Hear(request.To, request.Body.Step, response)...)
 		}
-		switch r.End {
+		switch round.End {
 		case Chosen:
-			w.commit(r.Value)
-			newest = r.Value
-			if r.Mine {
+			w.commit(round.Value)
+			newest = round.Value
+			if round.Mine {
 				return newest
 			}
 		case Overtook:
-			newest = r.Value
+			newest = round.Value
 		}
 	}
 	w.t.Fatalf("no majority after everything came back")
@@ -271,9 +271,9 @@
 			for _, n := range w.nodes {
 				w.learn(n, last)
 			}
-			group, want := Regroup(last.Group, Status{Ready: w.ready(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+			group, want := RepairGroup(last.Group, Status{Ready: w.ready(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
 			must.True(t, want)
-			must.True(t, has(group, victim.acc.ID))
+			must.True(t, containsMember(group, victim.acc.ID))
 			w.swap(last, group)
 		}
 	}
@@ -316,14 +316,14 @@
 			}
 			for range lost {
 				v := w.nodes[last.Group[0].Addr].known
-				group, want := Regroup(v.Group, Status{Ready: w.ready(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+				group, want := RepairGroup(v.Group, Status{Ready: w.ready(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
 				must.True(t, want)
 				w.swap(v, group)
 			}
 			group := w.nodes[last.Group[0].Addr].known.Group
 			must.Len(t, size, group)
 			for _, n := range lost {
-				must.True(t, has(group, n.acc.ID), must.Sprintf("seed %d", seed))
+				must.True(t, containsMember(group, n.acc.ID), must.Sprintf("seed %d", seed))
 			}
 		}
 	}
@@ -338,25 +338,25 @@
 }
 
 func (w *world) swap(base messages.Value, group []messages.Member) {
-	r := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil })
-	asks := r.Requests()
-	for len(asks) > 0 && r.End == Going {
-		a := asks[0]
-		asks = asks[1:]
-		n := w.nodes[a.To.Addr]
-		if a.Body.Step == messages.Commit {
-			w.learn(n, a.Body.Value)
+	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil })
+	requests := round.Requests()
+	for len(requests) > 0 && round.End == Going {
+		request := requests[0]
+		requests = requests[1:]
+		n := w.nodes[request.To.Addr]
+		if request.Body.Step == messages.Commit {
+			w.learn(n, request.Body.Value)
 			continue
 		}
 		n.acc.Fold(n.known)
-		word, _ := n.acc.Handle(a.Body)
+		response, _ := n.acc.Handle(request.Body)
 		n.disk = n.acc.Rec
-		asks = append(asks, r.Hear(a.To, a.Body.Step, word)...)
+		requests = append(requests, round.Hear(request.To, request.Body.Step, response)...)
 	}
-	must.Eq(w.t, Chosen, r.End)
-	w.commit(r.Value)
+	must.Eq(w.t, Chosen, round.End)
+	w.commit(round.Value)
 	for _, n := range w.nodes {
-		w.learn(n, r.Value)
+		w.learn(n, round.Value)
 	}
 }
 
@@ -376,14 +376,14 @@
 		return n.Handle(ctx, body)
 	})
 	seeds := []string{"a", "b", "c"}
-	open := func(addr string, found bool) {
+	open := func(addr string, bootstrap bool) {
 		if stores[addr] == nil {
 			stores[addr] = &MemoryStore{}
 		}
-		l, err := Open(addr, 1, found, seeds, net, stores[addr], logr.Discard(), nil)
+		registers, err := Open(addr, 1, bootstrap, seeds, net, stores[addr], logr.Discard(), nil)
 		must.NoError(t, err)
 		mu.Lock()
-		nodes[addr] = l
+		nodes[addr] = registers
 		mu.Unlock()
 	}
 	stop := func(addr string) {
@@ -433,14 +433,14 @@
 	})
 	seeds := []string{"a", "b", "c"}
 	stores := map[string]*MemoryStore{}
-	for _, found := range []bool{true, false} {
+	for _, bootstrap := range []bool{true, false} {
 		for _, s := range seeds {
-			if found {
+			if bootstrap {
 				stores[s] = &MemoryStore{}
 			}
-			l, err := Open(s, 1, found, seeds, net, stores[s], logr.Discard(), nil)
+			registers, err := Open(s, 1, bootstrap, seeds, net, stores[s], logr.Discard(), nil)
 			must.NoError(t, err)
-			nodes[s] = l
+			nodes[s] = registers
 		}
 	}
 	_, err := nodes["b"].Change(context.Background(), 3, body("first"))
@@ -466,16 +466,16 @@
 		if s == "a" {
 			store = &refusing{}
 		}
-		l, err := Open(s, 1, true, seeds, net, store, log, nil)
+		registers, err := Open(s, 1, true, seeds, net, store, log, nil)
 		must.NoError(t, err)
-		nodes[s] = l
+		nodes[s] = registers
 	}
 	for i := range 3 {
 		_, err := nodes["a"].Change(context.Background(), 0, body(fmt.Sprint(i)))
 		must.NoError(t, err)
 	}
-	ask := messages.ConsensusRequest{To: nodes["a"].ID(), Step: messages.Prepare, Slot: 4, Ballot: messages.Ballot{N: 9, Who: "x"}}
-	b, err := ask.MarshalMsg(nil)
+	request := messages.ConsensusRequest{To: nodes["a"].ID(), Step: messages.Prepare, Slot: 4, Ballot: messages.Ballot{N: 9, Who: "x"}}
+	b, err := request.MarshalMsg(nil)
 	must.NoError(t, err)
 	_, err = nodes["a"].Handle(context.Background(), b)
 	must.ErrorIs(t, err, ErrStore)
@@ -497,37 +497,37 @@
 func TestWipedMemberNeitherPromisesNorVotes(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	a := Acceptor{ID: "a/new", Rec: messages.Record{Committed: g}}
-	w, dirty := a.Handle(messages.ConsensusRequest{To: FirstID("a"), Step: messages.Prepare, Slot: 1, Ballot: messages.Ballot{N: 1}})
-	must.Eq(t, messages.Stranger, w.Verdict)
+	response, dirty := a.Handle(messages.ConsensusRequest{To: FirstID("a"), Step: messages.Prepare, Slot: 1, Ballot: messages.Ballot{N: 1}})
+	must.Eq(t, messages.Stranger, response.Verdict)
 	must.False(t, dirty)
-	w, _ = a.Handle(messages.ConsensusRequest{To: FirstID("a"), Step: messages.Read, Slot: 1})
-	must.Eq(t, messages.Stranger, w.Verdict)
+	response, _ = a.Handle(messages.ConsensusRequest{To: FirstID("a"), Step: messages.Read, Slot: 1})
+	must.Eq(t, messages.Stranger, response.Verdict)
 }
 
 func TestDenialIsFinalOnlyAfterAMajorityPromised(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	no := errors.New("no")
-	r := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, no })
-	r.Hear(g.Group[0], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
-	must.Eq(t, Going, r.End)
-	r.Hear(g.Group[1], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
-	must.Eq(t, Rejected, r.End)
-	must.ErrorIs(t, r.Err, no)
+	round := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, no })
+	round.Hear(g.Group[0], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
+	must.Eq(t, Going, round.End)
+	round.Hear(g.Group[1], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
+	must.Eq(t, Rejected, round.End)
+	must.ErrorIs(t, round.Err, no)
 }
 
 func TestChangeOfGroupNeedsBothMajorities(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	next := []messages.Member{{ID: "d/1", Addr: "d"}, {ID: "e/1", Addr: "e"}, g.Group[0]}
-	r := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return next, nil, nil })
+	round := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return next, nil, nil })
 	for _, m := range g.Group[:2] {
-		r.Hear(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
+		round.Hear(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
 	}
 	for _, m := range g.Group {
-		r.Hear(m, messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
+		round.Hear(m, messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
 	}
-	must.Eq(t, Going, r.End)
-	r.Hear(next[0], messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
-	must.Eq(t, Chosen, r.End)
+	must.Eq(t, Going, round.End)
+	round.Hear(next[0], messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
+	must.Eq(t, Chosen, round.End)
 }
 
 func TestRegroup(t *testing.T) {
@@ -536,23 +536,23 @@
 	st := func(ready ...messages.Member) Status {
 		return Status{Ready: append(append([]messages.Member{}, g...), ready...), GoneFor: func(a string) int64 { return gone[a] }, GoneUs: 10}
 	}
-	_, want := Regroup(g, st())
+	_, want := RepairGroup(g, st())
 	must.False(t, want)
-	_, want = Regroup(g, st(messages.Member{ID: "d/1", Addr: "d"}))
+	_, want = RepairGroup(g, st(messages.Member{ID: "d/1", Addr: "d"}))
 	must.False(t, want, must.Sprint("a single newcomer waits"))
-	next, want := Regroup(g, st(messages.Member{ID: "b/2", Addr: "b"}))
+	next, want := RepairGroup(g, st(messages.Member{ID: "b/2", Addr: "b"}))
 	must.True(t, want)
-	must.False(t, has(next, FirstID("b")))
+	must.False(t, containsMember(next, FirstID("b")))
 	must.Len(t, 3, next)
 	gone["c"] = 11
-	next, want = Regroup(g, st(messages.Member{ID: "d/1", Addr: "d"}))
+	next, want = RepairGroup(g, st(messages.Member{ID: "d/1", Addr: "d"}))
 	must.True(t, want)
-	must.False(t, has(next, FirstID("c")))
-	must.True(t, has(next, "d/1"))
-	_, want = Regroup(g, st())
+	must.False(t, containsMember(next, FirstID("c")))
+	must.True(t, containsMember(next, "d/1"))
+	_, want = RepairGroup(g, st())
 	must.False(t, want, must.Sprint("nobody to take its place"))
 	delete(gone, "c")
-	next, want = Regroup(g, st(messages.Member{ID: "d/1", Addr: "d"}, messages.Member{ID: "e/1", Addr: "e"}))
+	next, want = RepairGroup(g, st(messages.Member{ID: "d/1", Addr: "d"}, messages.Member{ID: "e/1", Addr: "e"}))
 	must.True(t, want)
 	must.Len(t, 4, next)
 }
@@ -563,12 +563,12 @@
 		return messages.Peer{Addr: addr, MemberID: FirstID(addr), Counted: counted}
 	}
 	g := Genesis([]string{"a", "b", "x"}).Group
-	next, want := Regroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("c", true), peer("x", false)}, alive, 10))
+	next, want := RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("c", true), peer("x", false)}, alive, 10))
 	must.True(t, want)
-	must.True(t, has(next, FirstID("c")))
-	must.False(t, has(next, FirstID("x")))
-	_, want = Regroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("x", false)}, alive, 10))
+	must.True(t, containsMember(next, FirstID("c")))
+	must.False(t, containsMember(next, FirstID("x")))
+	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("x", false)}, alive, 10))
 	must.False(t, want, must.Sprint("nobody to take its place"))
-	_, want = Regroup(g, Stand([]messages.Peer{peer("a", false), peer("b", false), peer("x", false), peer("y", false)}, alive, 10))
+	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", false), peer("b", false), peer("x", false), peer("y", false)}, alive, 10))
 	must.False(t, want, must.Sprint("where none counts, all do"))
 }
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	identityFile = "identity"
-	asideSuffix  = ".new"
-	recordSuffix = ".rec"
-	checksumSize = 4 // bytes
+	identityFile    = "identity"
+	temporarySuffix = ".new"
+	recordSuffix    = ".rec"
+	checksumSize    = 4 // bytes
 )
 
 // DiskStore is a Store in a folder.
 type DiskStore struct {
-	files   filesystem.FileSystem
-	mu      sync.Mutex
-	seq     map[int]int64
-	keeping map[string]*sync.Mutex // by name of a small file
-	settled atomic.Bool
+	files           filesystem.FileSystem
+	mu              sync.Mutex
+	lastSequence    map[int]int64
+	fileLocks       map[string]*sync.Mutex // by name of a small file
+	directorySynced atomic.Bool
 
-	writing sync.RWMutex
-	closed  bool
+	closeLock sync.RWMutex
+	closed    bool
 }
 
 // NewDiskStore uses the folder dir, which is made if it is missing.
@@ -58,23 +58,23 @@
 		return nil, errors.Wrap(ErrStore, err.Error())
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, asideSuffix) {
+		if strings.HasSuffix(name, temporarySuffix) {
 			_ = files.Remove(name)
 		}
 	}
-	return &DiskStore{files: files, seq: map[int]int64{}, keeping: map[string]*sync.Mutex{}}, nil
+	return &DiskStore{files: files, lastSequence: map[int]int64{}, fileLocks: map[string]*sync.Mutex{}}, nil
 }
 
 // Close waits for the writes under way; later ones are refused.
-func (d *DiskStore) Close() {
-	d.writing.Lock()
-	d.closed = true
-	d.writing.Unlock()
+func (s *DiskStore) Close() {
+	s.closeLock.Lock()
+	s.closed = true
+	s.closeLock.Unlock()
 }
 
 // Identity reads the identity; one that is damaged or void counts as none.
-func (d *DiskStore) Identity() (string, bool, error) {
-	b, err := d.read(identityFile)
+func (s *DiskStore) Identity() (string, bool, error) {
+	b, err := s.read(identityFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist), errors.Is(err, ErrDamaged):
 		return "", false, nil
@@ -85,13 +85,13 @@
 }
 
 // Empty tells whether there is no file but those that were left aside.
-func (d *DiskStore) Empty() (bool, error) {
-	names, err := d.files.List()
+func (s *DiskStore) Empty() (bool, error) {
+	names, err := s.files.List()
 	if err != nil {
 		return false, errors.Wrap(ErrStore, err.Error())
 	}
 	for _, name := range names {
-		if !strings.HasSuffix(name, asideSuffix) {
+		if !strings.HasSuffix(name, temporarySuffix) {
 			return false, nil
 		}
 	}
@@ -100,47 +100,47 @@
 
 // Renew voids the identity, then drops the votes, then keeps the new identity. Ended
 // in between it begins again at the next start, as there is no identity by then.
-func (d *DiskStore) Renew(id string) error {
-	empty, err := d.Empty()
+func (s *DiskStore) Renew(id string) error {
+	empty, err := s.Empty()
 	if err != nil {
 		return err
 	}
 	if !empty {
-		err = d.Keep(identityFile, nil)
+		err = s.Keep(identityFile, nil)
 	}
 	if err != nil {
 		return err
 	}
 	for part := range Parts {
-		if err := d.dropVotes(part); err != nil {
+		if err := s.eraseVotes(part); err != nil {
 			return err
 		}
 	}
-	if err := d.syncNames(); err != nil {
+	if err := s.syncDirectory(); err != nil {
 		return err
 	}
-	return d.Keep(identityFile, []byte(id))
+	return s.Keep(identityFile, []byte(id))
 }
 
-func (d *DiskStore) dropVotes(part int) error {
-	rec, ok, err := d.Load(part)
+func (s *DiskStore) eraseVotes(part int) error {
+	rec, ok, err := s.Load(part)
 	switch {
 	case errors.Is(err, ErrDamaged):
-		return d.discard(part)
+		return s.removeRecords(part)
 	case err != nil || !ok || rec.Promised == messages.Ballot{} && !rec.HasAccepted:
 		return err
 	}
-	return d.Save(part, withoutVotes(rec))
+	return s.Save(part, withoutVotes(rec))
 }
 
 // discard removes all files of a part.
-func (d *DiskStore) discard(part int) error {
-	list, err := d.versions(part)
+func (s *DiskStore) removeRecords(part int) error {
+	list, err := s.recordFiles(part)
 	if err != nil {
 		return err
 	}
 	for _, v := range list {
-		if err := d.files.Remove(v.name); err != nil {
+		if err := s.files.Remove(v.name); err != nil {
 			return errors.Wrap(ErrStore, err.Error())
 		}
 	}
@@ -149,51 +149,51 @@
 
 // Settle syncs the folder once: a process that was killed may have left a name
 // that is there and would be gone after a loss of power.
-func (d *DiskStore) Settle() error {
-	if d.settled.Load() {
+func (s *DiskStore) Settle() error {
+	if s.directorySynced.Load() {
 		return nil
 	}
-	return d.syncNames()
+	return s.syncDirectory()
 }
 
-func (d *DiskStore) syncNames() error {
-	if err := d.files.Sync(); err != nil {
+func (s *DiskStore) syncDirectory() error {
+	if err := s.files.Sync(); err != nil {
 		return errors.Wrap(ErrStore, err.Error())
 	}
-	d.settled.Store(true)
+	s.directorySynced.Store(true)
 	return nil
 }
 
 // Note reads a file that Keep wrote; a damaged one counts as none.
-func (d *DiskStore) Note(name string) ([]byte, bool) {
-	b, err := d.read(name)
+func (s *DiskStore) Note(name string) ([]byte, bool) {
+	b, err := s.read(name)
 	return b, err == nil
 }
 
 // Keep makes a small file durable under a name, in place of what it held. Those
 // who keep under one name go one after the other, as they write aside under one
 // name too.
-func (d *DiskStore) Keep(name string, body []byte) error {
-	d.mu.Lock()
-	if d.keeping[name] == nil {
-		d.keeping[name] = &sync.Mutex{}
+func (s *DiskStore) Keep(name string, body []byte) error {
+	s.mu.Lock()
+	if s.fileLocks[name] == nil {
+		s.fileLocks[name] = &sync.Mutex{}
 	}
-	turn := d.keeping[name]
-	d.mu.Unlock()
+	turn := s.fileLocks[name]
+	s.mu.Unlock()
 	turn.Lock()
 	defer turn.Unlock()
-	return d.write(name, sealed(body))
+	return s.write(name, withChecksum(body))
 }
 
-func sealed(body []byte) []byte {
+func withChecksum(body []byte) []byte {
 	out := binary.BigEndian.AppendUint32(make([]byte, 0, len(body)+checksumSize), crc32.ChecksumIEEE(body))
 	return append(out, body...)
 }
 
 // read gives the body of a file. The error wraps ErrDamaged where the file is not
 // what was written, fs.ErrNotExist where there is none, and else ErrStore.
-func (d *DiskStore) read(name string) ([]byte, error) {
-	b, err := d.files.Read(name)
+func (s *DiskStore) read(name string) ([]byte, error) {
+	b, err := s.files.Read(name)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return nil, err
@@ -207,31 +207,31 @@
 	return b[checksumSize:], nil
 }
 
-func (d *DiskStore) write(name string, body []byte) error {
-	d.writing.RLock()
-	defer d.writing.RUnlock()
-	if d.closed {
+func (s *DiskStore) write(name string, body []byte) error {
+	s.closeLock.RLock()
+	defer s.closeLock.RUnlock()
+	if s.closed {
 		return errors.Wrap(ErrStore, "closed")
 	}
-	aside := name + asideSuffix
-	if err := d.writeAside(aside, body); err != nil {
-		_ = d.files.Remove(aside)
+	temporary := name + temporarySuffix
+	if err := s.writeTemporary(temporary, body); err != nil {
+		_ = s.files.Remove(temporary)
 		return errors.Wrap(ErrStore, err.Error())
 	}
-	if err := d.files.Rename(aside, name); err != nil {
-		_ = d.files.Remove(aside)
+	if err := s.files.Rename(temporary, name); err != nil {
+		_ = s.files.Remove(temporary)
 		return errors.Wrap(ErrStore, err.Error())
 	}
-	return d.syncNames()
+	return s.syncDirectory()
 }
 
-func (d *DiskStore) writeAside(aside string, body []byte) error {
-	f, err := d.files.Create(aside)
+func (s *DiskStore) writeTemporary(temporary string, body []byte) error {
+	f, err := s.files.Create(temporary)
 	if errors.Is(err, fs.ErrExist) {
-		if err := d.files.Remove(aside); err != nil {
+		if err := s.files.Remove(temporary); err != nil {
 			return err
 		}
-		f, err = d.files.Create(aside)
+		f, err = s.files.Create(temporary)
 	}
 	if err != nil {
 		return err
@@ -246,19 +246,19 @@
 	return err
 }
 
-type version struct {
-	seq  int64
-	name string
+type recordFile struct {
+	sequence int64
+	name     string
 }
 
 // versions lists the files of a part, the newest first.
-func (d *DiskStore) versions(part int) ([]version, error) {
-	names, err := d.files.List()
+func (s *DiskStore) recordFiles(part int) ([]recordFile, error) {
+	names, err := s.files.List()
 	if err != nil {
 		return nil, errors.Wrap(ErrStore, err.Error())
 	}
 	prefix := fmt.Sprintf("part-%d-", part)
-	var out []version
+	var out []recordFile
 	for _, name := range names {
 		rest, isPart := strings.CutPrefix(name, prefix)
 		number, isRecord := strings.CutSuffix(rest, recordSuffix)
@@ -266,25 +266,25 @@
 			continue
 		}
 		if seq, err := strconv.ParseInt(number, 10, 64); err == nil {
-			out = append(out, version{seq, name})
+			out = append(out, recordFile{seq, name})
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].seq > out[j].seq })
+	sort.Slice(out, func(i, j int) bool { return out[i].sequence > out[j].sequence })
 	return out, nil
 }
 
 // Load gives the newest record of a part. Its file is the only one that counts:
 // where it is damaged, the one before it would be a member that has forgotten.
-func (d *DiskStore) Load(part int) (messages.Record, bool, error) {
+func (s *DiskStore) Load(part int) (messages.Record, bool, error) {
 	var rec messages.Record
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	list, err := d.versions(part)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list, err := s.recordFiles(part)
 	if err != nil || len(list) == 0 {
 		return rec, false, err
 	}
-	d.seq[part] = max(d.seq[part], list[0].seq)
-	b, err := d.read(list[0].name)
+	s.lastSequence[part] = max(s.lastSequence[part], list[0].sequence)
+	b, err := s.read(list[0].name)
 	if errors.Is(err, fs.ErrNotExist) {
 		err = errors.Wrap(ErrStore, err.Error())
 	}
@@ -298,27 +298,27 @@
 }
 
 // Save makes a record durable.
-func (d *DiskStore) Save(part int, rec messages.Record) error {
+func (s *DiskStore) Save(part int, rec messages.Record) error {
 	b, err := rec.MarshalMsg(nil)
 	if err != nil {
 		return errors.Wrap(ErrStore, err.Error())
 	}
-	d.mu.Lock()
-	d.seq[part]++
-	seq := d.seq[part]
-	d.mu.Unlock()
+	s.mu.Lock()
+	s.lastSequence[part]++
+	seq := s.lastSequence[part]
+	s.mu.Unlock()
 	name := fmt.Sprintf("part-%d-%d%s", part, seq, recordSuffix)
-	if err := d.write(name, sealed(b)); err != nil {
-		_ = d.files.Remove(name) // it may have got its name and not outlast a loss of power
+	if err := s.write(name, withChecksum(b)); err != nil {
+		_ = s.files.Remove(name) // it may have got its name and not outlast a loss of power
 		return err
 	}
-	old, err := d.versions(part)
+	old, err := s.recordFiles(part)
 	if err != nil {
 		return nil
 	}
 	for _, v := range old {
-		if v.seq < seq {
-			_ = d.files.Remove(v.name)
+		if v.sequence < seq {
+			_ = s.files.Remove(v.name)
 		}
 	}
 	return nil
--- a/internal/consensus/driver.go
+++ b/internal/consensus/driver.go
@@ -15,108 +15,108 @@
 
 // Change runs rounds until the change is made, rejected by itself, or ctx ends.
 // After ErrUnsure the change may still come into force.
-func (l *Registers) Change(ctx context.Context, p int, change Change) (messages.Value, error) {
-	attempt := NewAttempt(p, l.life+Random(), change)
-	for try := 0; ; try++ {
+func (r *Registers) Change(ctx context.Context, part int, change Change) (messages.Value, error) {
+	attempt := NewAttempt(part, r.incarnation+Random(), change)
+	for retries := 0; ; retries++ {
 		if ctx.Err() != nil {
 			return messages.Value{}, ErrUnsure
 		}
-		base, ok := l.Committed(p)
+		base, ok := r.Committed(part)
 		if !ok {
 			return messages.Value{}, ErrNoGroup
 		}
-		r := attempt.Round(base)
-		l.run(ctx, r)
-		switch r.End {
+		round := attempt.Round(base)
+		r.runRound(ctx, round)
+		switch round.End {
 		case Chosen:
-			l.spread(p, r.Value, r.Base.Group)
+			r.broadcastCommit(part, round.Value, round.Base.Group)
 		case Overtook:
-			l.Learn(p, r.Value)
+			r.Learn(part, round.Value)
 		}
-		switch attempt.Close(r) {
+		switch attempt.Close(round) {
 		case Finished:
-			return r.Value, r.Err
-		case Pause:
-			pause(ctx, try)
+			return round.Value, round.Err
+		case Backoff:
+			backoff(ctx, retries)
 		}
 	}
 }
 
 // pause waits a little longer with each try, by chance, so that those who bid
 // against each other come apart.
-func pause(ctx context.Context, try int) {
-	n, _ := rand.Int(rand.Reader, big.NewInt(int64(10+20*min(try, 8))))
+func backoff(ctx context.Context, retries int) {
+	n, _ := rand.Int(rand.Reader, big.NewInt(int64(10+20*min(retries, 8))))
 	select {
 	case <-time.After(time.Duration(n.Int64()) * time.Millisecond):
 	case <-ctx.Done():
 	}
 }
 
-type heard struct {
-	from messages.Member
-	step messages.Step
-	word messages.ConsensusResponse
-	err  error
+type memberResponse struct {
+	member   messages.Member
+	step     messages.Step
+	response messages.ConsensusResponse
+	err      error
 }
 
 // sealWait is how long a sealed refusal waits for the members that have not
 // promised yet, before the slot is closed without them.
-const sealWait = 150 * time.Millisecond
+const sealTimeout = 150 * time.Millisecond
 
 // How long a round, and the word of its result, may take where values are small.
 const (
-	roundWait  = 500 * time.Millisecond
-	spreadWait = time.Second
+	roundTimeout  = 500 * time.Millisecond
+	commitTimeout = time.Second
 )
 
-func (l *Registers) run(ctx context.Context, r *Round) {
-	ctx, cancel := context.WithTimeout(ctx, roundWait+transferWait(r.Base))
+func (r *Registers) runRound(ctx context.Context, round *Round) {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout+transferAllowance(round.Base))
 	defer cancel()
-	words := make(chan heard, 64)
-	named := map[string]bool{} // members whom the base was named to, as it is large
-	post := func(asks []Request) {
+	responses := make(chan memberResponse, 64)
+	referencedTo := map[string]bool{} // members whom the base was named to, as it is large
+	send := func(requests []Request) {
 		byMember := map[string][]Request{}
-		for _, a := range asks {
-			byMember[a.To.ID] = append(byMember[a.To.ID], a)
+		for _, request := range requests {
+			byMember[request.To.ID] = append(byMember[request.To.ID], request)
 		}
 		for id, list := range byMember {
-			if !large(r.Base) || list[0].Body.Step != messages.Commit {
+			if !isLarge(round.Base) || list[0].Body.Step != messages.Commit {
 				continue
 			}
-			if named[id] { // it fetches the base by pieces, and votes once it has it
+			if referencedTo[id] { // it fetches the base by pieces, and votes once it has it
 				delete(byMember, id)
 				continue
 			}
-			named[id] = true
-			list[0].Body.Value = nameOf(r.Base)
+			referencedTo[id] = true
+			list[0].Body.Value = referenceTo(round.Base)
 		}
 		for _, list := range byMember {
 			go func() {
-				for _, a := range list {
-					w, err := l.send(ctx, a.To, a.Body)
-					if a.Body.Step == messages.Commit && err == nil {
+				for _, request := range list {
+					response, err := r.send(ctx, request.To, request.Body)
+					if request.Body.Step == messages.Commit && err == nil {
 						continue
 					}
 					select {
-					case words <- heard{a.To, a.Body.Step, w, err}:
+					case responses <- memberResponse{request.To, request.Body.Step, response, err}:
 					case <-ctx.Done():
 					}
 				}
 			}()
 		}
 	}
-	post(r.Requests())
-	var doubt <-chan time.Time
-	for r.End == Going {
-		if r.InDoubt() && doubt == nil {
-			doubt = time.After(sealWait)
+	send(round.Requests())
+	var sealDue <-chan time.Time
+	for round.End == Going {
+		if round.InDoubt() && sealDue == nil {
+			sealDue = time.After(sealTimeout)
 		}
 		select {
-		case <-doubt:
-			post(r.Seal())
-		case h := <-words:
+		case <-sealDue:
+			send(round.Seal())
+		case h := <-responses:
 			if h.err == nil {
-				post(r.Hear(h.from, h.step, h.word))
+				send(round.Hear(h.member, h.step, h.response))
 			}
 		case <-ctx.Done():
 			return
@@ -125,39 +125,39 @@
 }
 
 // spread tells the group what has been chosen; who misses it learns it later.
-func (l *Registers) spread(p int, v messages.Value, old []messages.Member) {
-	l.Learn(p, v)
-	for _, m := range union(old, v.Group) {
-		if m.Addr == l.addr {
+func (r *Registers) broadcastCommit(part int, v messages.Value, old []messages.Member) {
+	r.Learn(part, v)
+	for _, m := range unionOf(old, v.Group) {
+		if m.Addr == r.addr {
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), spreadWait+transferWait(v))
+			ctx, cancel := context.WithTimeout(context.Background(), commitTimeout+transferAllowance(v))
 			defer cancel()
-			_, _ = l.send(ctx, m, messages.ConsensusRequest{Part: p, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v})
+			_, _ = r.send(ctx, m, messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v})
 		}()
 	}
 }
 
 // readWait bounds one look at the members.
-const readWait = 400 * time.Millisecond
+const readTimeout = 400 * time.Millisecond
 
 // Read gives the newest value that a majority vouches for.
-func (l *Registers) Read(ctx context.Context, p int) (messages.Value, error) {
+func (r *Registers) Read(ctx context.Context, part int) (messages.Value, error) {
 	for ctx.Err() == nil {
-		base, ok := l.Committed(p)
+		base, ok := r.Committed(part)
 		if !ok {
 			return messages.Value{}, ErrNoGroup
 		}
-		look := l.look(ctx, p, base)
-		switch look.Found() {
+		quorumRead := r.readFromGroup(ctx, part, base)
+		switch quorumRead.Found() {
 		case Newer:
-			l.Learn(p, look.Newer)
+			r.Learn(part, quorumRead.Newer)
 			continue
 		case Current:
 			return base, nil
 		case Unsettled:
-			if _, err := l.Change(ctx, p, func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errSettled }); err != nil && !errors.Is(err, errSettled) {
+			if _, err := r.Change(ctx, part, func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errNoChange }); err != nil && !errors.Is(err, errNoChange) {
 				return messages.Value{}, err
 			}
 			continue
@@ -171,26 +171,26 @@
 }
 
 // look asks the members of the base's group what they hold.
-func (l *Registers) look(ctx context.Context, p int, base messages.Value) *Reading {
-	ctx, cancel := context.WithTimeout(ctx, readWait)
+func (r *Registers) readFromGroup(ctx context.Context, part int, base messages.Value) *Reading {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	words := make(chan heard, len(base.Group))
+	responses := make(chan memberResponse, len(base.Group))
 	for _, m := range base.Group {
 		go func() {
-			w, err := l.send(ctx, m, messages.ConsensusRequest{Part: p, To: m.ID, Step: messages.Read, Slot: base.Version + 1})
-			words <- heard{from: m, word: w, err: err}
+			response, err := r.send(ctx, m, messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Read, Slot: base.Version + 1})
+			responses <- memberResponse{member: m, response: response, err: err}
 		}()
 	}
-	look := NewReading(base)
+	quorumRead := NewReading(base)
 	for range base.Group {
-		if h := <-words; h.err == nil {
-			look.Hear(h.from, h.word)
+		if h := <-responses; h.err == nil {
+			quorumRead.Hear(h.member, h.response)
 		}
-		if found := look.Found(); found == Current || found == Newer {
+		if found := quorumRead.Found(); found == Current || found == Newer {
 			break
 		}
 	}
-	return look
+	return quorumRead
 }
 
-var errSettled = errors.New("consensus: settled")
+var errNoChange = errors.New("consensus: settled")
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -11,7 +11,7 @@
 )
 
 // maxGroup bounds the members of one register.
-const maxGroup = 9
+const maxGroupSize = 9
 
 // Status is what a controller sees of the others.
 type Status struct {
@@ -48,12 +48,12 @@
 }
 
 // Regroup returns the wanted group, and false where it should stay as it is.
-func Regroup(group []messages.Member, s Status) ([]messages.Member, bool) {
-	newcomers := Newcomers(group, s)
-	for _, n := range newcomers {
+func RepairGroup(group []messages.Member, s Status) ([]messages.Member, bool) {
+	candidates := Newcomers(group, s)
+	for _, n := range candidates {
 		for i, m := range group {
 			if m.Addr == n.Addr {
-				return swap(group, i, &n), true
+				return replaceMember(group, i, &n), true
 			}
 		}
 	}
@@ -65,12 +65,12 @@
 		}
 	}
 	switch {
-	case gone >= 0 && len(newcomers) > 0:
-		return swap(group, gone, &newcomers[0]), true
+	case gone >= 0 && len(candidates) > 0:
+		return replaceMember(group, gone, &candidates[0]), true
 	case gone >= 0 && len(group)%2 == 0:
-		return swap(group, gone, nil), true
-	case gone < 0 && len(newcomers) > 0 && len(group) < maxGroup && (len(group)%2 == 0 || len(newcomers) > 1):
-		return append(append([]messages.Member{}, group...), newcomers[0]), true
+		return replaceMember(group, gone, nil), true
+	case gone < 0 && len(candidates) > 0 && len(group) < maxGroupSize && (len(group)%2 == 0 || len(candidates) > 1):
+		return append(append([]messages.Member{}, group...), candidates[0]), true
 	}
 	return nil, false
 }
@@ -85,7 +85,7 @@
 		}
 		for i, m := range group {
 			if m.Addr == self {
-				return swap(group, i, &n), true
+				return replaceMember(group, i, &n), true
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 func Newcomers(group []messages.Member, s Status) []messages.Member {
 	var out []messages.Member
 	for _, m := range s.Ready {
-		if m.ID != "" && !has(group, m.ID) {
+		if m.ID != "" && !containsMember(group, m.ID) {
 			out = append(out, m)
 		}
 	}
@@ -104,7 +104,7 @@
 	return out
 }
 
-func swap(group []messages.Member, i int, by *messages.Member) []messages.Member {
+func replaceMember(group []messages.Member, i int, by *messages.Member) []messages.Member {
 	out := append([]messages.Member{}, group[:i]...)
 	if by != nil {
 		out = append(out, *by)
--- a/internal/consensus/office_faults_test.go
+++ b/internal/consensus/office_faults_test.go
@@ -8,18 +8,18 @@
 
 // keep makes what is learned durable.
 func (m *member) keep() {
-	for p := range m.acc {
-		if m.acc[p].Fold(m.known[p]) {
-			m.disk[p] = m.acc[p].Rec
+	for part := range m.acc {
+		if m.acc[part].Fold(m.known[part]) {
+			m.disk[part] = m.acc[part].Rec
 		}
 	}
 }
 
 func (o *office) crash(m *member) {
 	m.up = false
-	for p := range m.acc {
-		m.acc[p].Rec = m.disk[p]
-		m.known[p] = m.disk[p].Committed
+	for part := range m.acc {
+		m.acc[part].Rec = m.disk[part]
+		m.known[part] = m.disk[part].Committed
 	}
 	var left []*pending
 	for _, p := range o.pending {
@@ -91,7 +91,7 @@
 			return 0
 		}}
 		o.start(&pending{id: -1, at: at, part: part}, func(cur messages.Value) ([]messages.Member, []byte, error) {
-			group, want := Regroup(cur.Group, status)
+			group, want := RepairGroup(cur.Group, status)
 			if !want {
 				return nil, nil, errSettledHere
 			}
--- a/internal/consensus/office_test.go
+++ b/internal/consensus/office_test.go
@@ -76,10 +76,10 @@
 	}
 	for _, s := range seeds {
 		m := &member{addr: s, up: true}
-		for p := range m.acc {
-			m.disk[p] = messages.Record{Committed: Genesis(seeds)}
-			m.acc[p] = Acceptor{ID: FirstID(s), Rec: m.disk[p]}
-			m.known[p] = m.disk[p].Committed
+		for part := range m.acc {
+			m.disk[part] = messages.Record{Committed: Genesis(seeds)}
+			m.acc[part] = Acceptor{ID: FirstID(s), Rec: m.disk[part]}
+			m.known[part] = m.disk[part].Committed
 		}
 		o.members = append(o.members, m)
 	}
@@ -94,8 +94,8 @@
 	p.attempt, p.round = nil, nil
 	p.look = NewReading(p.at.known[p.part])
 	for _, m := range p.look.Base.Group {
-		ask := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Read, Slot: p.look.Base.Version + 1}
-		o.wires = append(o.wires, letter{call: p, of: p.look, ask: Request{To: m, Body: ask}})
+		request := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Read, Slot: p.look.Base.Version + 1}
+		o.wires = append(o.wires, letter{call: p, of: p.look, ask: Request{To: m, Body: request}})
 	}
 }
 
@@ -111,9 +111,9 @@
 	o.post(p, p.round.Requests())
 }
 
-func (o *office) post(p *pending, asks []Request) {
-	for _, a := range asks {
-		o.wires = append(o.wires, letter{call: p, of: p.round, ask: a})
+func (o *office) post(p *pending, requests []Request) {
+	for _, request := range requests {
+		o.wires = append(o.wires, letter{call: p, of: p.round, ask: request})
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 	m.acc[part].Fold(m.known[part])
 	before := m.acc[part].Rec
-	word, dirty := m.acc[part].Handle(l.ask.Body)
+	response, dirty := m.acc[part].Handle(l.ask.Body)
 	if dirty && o.trouble(15) { // the disk refuses: no word
 		m.acc[part].Rec = before
 		return
@@ -178,7 +178,7 @@
 		o.crash(m)
 		return
 	}
-	l.reply, l.word = true, word
+	l.reply, l.word = true, response
 	o.wires = append(o.wires, l)
 	if o.lot(15) {
 		o.wires = append(o.wires, l)
@@ -213,14 +213,14 @@
 
 // close goes on after a round, as Change does.
 func (o *office) close(p *pending) {
-	r := p.round
-	switch r.End {
+	round := p.round
+	switch round.End {
 	case Chosen:
 		o.chosen(p)
 	case Overtook:
-		p.at.learn(p.part, r.Value)
+		p.at.learn(p.part, round.Value)
 	}
-	if p.attempt.Close(r) == Finished {
+	if p.attempt.Close(round) == Finished {
 		o.finish(p)
 		return
 	}
@@ -234,9 +234,9 @@
 	}
 	p.at.learn(p.part, v)
 	o.hist.Note("part %d version %d chosen at %s: %s", p.part, v.Version, p.at.addr, v.Stamp)
-	for _, m := range union(p.round.Base.Group, v.Group) {
-		ask := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
-		o.wires = append(o.wires, letter{call: p, ask: Request{To: m, Body: ask}})
+	for _, m := range unionOf(p.round.Base.Group, v.Group) {
+		request := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
+		o.wires = append(o.wires, letter{call: p, ask: Request{To: m, Body: request}})
 	}
 }
 
--- a/internal/consensus/pull_test.go
+++ b/internal/consensus/pull_test.go
@@ -22,7 +22,7 @@
 
 // puller is a node without anything that pulls from a, over a link that loses
 // what lose says; it counts the bytes that reach it.
-func puller(t *testing.T, a *Registers, lose func() bool) (l *Registers, carried, largest *atomic.Int64) {
+func puller(t *testing.T, a *Registers, lose func() bool) (registers *Registers, carried, largest *atomic.Int64) {
 	carried, largest = &atomic.Int64{}, &atomic.Int64{}
 	link := carrier(func(ctx context.Context, _ string, body []byte) ([]byte, error) {
 		b, err := a.Handle(ctx, body)
@@ -33,15 +33,15 @@
 		}
 		return b, err
 	})
-	l, err := Open("b", 1, false, nil, link, &MemoryStore{}, logr.Discard(), nil)
+	registers, err := Open("b", 1, false, nil, link, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
-	return l, carried, largest
+	return registers, carried, largest
 }
 
 func opened(t *testing.T, addr string) *Registers {
-	l, err := Open(addr, 1, false, nil, nil, &MemoryStore{}, logr.Discard(), nil)
+	registers, err := Open(addr, 1, false, nil, nil, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
-	return l
+	return registers
 }
 
 // A value of 2 MB over a link that loses half of all answers, so that most pulls
@@ -119,29 +119,29 @@
 func TestLargeBaseIsNamedToWhoHasAcceptedIt(t *testing.T) {
 	nodes := map[string]*Registers{}
 	net := carrier(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
-		var ask messages.ConsensusRequest
-		_, err := ask.UnmarshalMsg(b)
+		var request messages.ConsensusRequest
+		_, err := request.UnmarshalMsg(b)
 		must.NoError(t, err)
-		if addr == "c" || ask.Step == messages.Commit && len(ask.Value.Group) > 0 {
+		if addr == "c" || request.Step == messages.Commit && len(request.Value.Group) > 0 {
 			return nil, errors.New("lost")
 		}
 		return nodes[addr].Handle(ctx, b)
 	})
 	seeds := []string{"a", "b", "c"}
 	for _, s := range seeds {
-		l, err := Open(s, 1, true, seeds, net, &MemoryStore{}, logr.Discard(), nil)
+		registers, err := Open(s, 1, true, seeds, net, &MemoryStore{}, logr.Discard(), nil)
 		must.NoError(t, err)
-		nodes[s] = l
+		nodes[s] = registers
 	}
 	bigBody := string(bytes.Repeat([]byte("x"), 2*statesync.PieceBytes))
 	first, err := nodes["a"].Change(t.Context(), 0, body(bigBody))
 	must.NoError(t, err)
-	other := nameOf(messages.Value{Version: 1, Group: first.Group, Body: []byte("another"), Stamp: first.Stamp})
-	_, err = nodes["b"].local(t.Context(), messages.ConsensusRequest{Step: messages.Commit, Slot: 1, Value: other})
+	other := referenceTo(messages.Value{Version: 1, Group: first.Group, Body: []byte("another"), Stamp: first.Stamp})
+	_, err = nodes["b"].handleRequest(t.Context(), messages.ConsensusRequest{Step: messages.Commit, Slot: 1, Value: other})
 	must.NoError(t, err)
 	v, _ := nodes["b"].Committed(0)
 	must.Eq(t, int64(0), v.Version)
-	ctx, cancel := context.WithTimeout(t.Context(), 3*roundWait)
+	ctx, cancel := context.WithTimeout(t.Context(), 3*roundTimeout)
 	defer cancel()
 	second, err := nodes["a"].Change(ctx, 0, body("small"))
 	must.NoError(t, err)
--- a/internal/consensus/reading.go
+++ b/internal/consensus/reading.go
@@ -9,54 +9,54 @@
 	Base  messages.Value
 	Newer messages.Value // a later committed value, if one came to light
 
-	heard        map[string]bool
-	votes, clean int
+	responded             map[string]bool
+	responses, unaccepted int
 }
 
 // NewReading starts a look on top of the newest committed value known.
 func NewReading(base messages.Value) *Reading {
-	return &Reading{Base: base, heard: map[string]bool{}}
+	return &Reading{Base: base, responded: map[string]bool{}}
 }
 
 // Finding is what a look found.
-type Finding int
+type ReadResult int
 
 // Findings.
 const (
-	NoMajority Finding = iota // too few answered
-	Current                   // the base is the newest value
-	Newer                     // somebody has a newer one
-	Unsettled                 // something may have been chosen: bring it to an end first
+	NoQuorum  ReadResult = iota // too few answered
+	Current                     // the base is the newest value
+	Newer                       // somebody has a newer one
+	Unsettled                   // something may have been chosen: bring it to an end first
 )
 
 // Hear takes a member's word; said twice it counts once.
-func (r *Reading) Hear(from messages.Member, w messages.ConsensusResponse) {
-	if w.Verdict != messages.Granted || r.heard[from.ID] {
+func (r *Reading) Hear(from messages.Member, response messages.ConsensusResponse) {
+	if response.Verdict != messages.Granted || r.responded[from.ID] {
 		return
 	}
-	r.heard[from.ID] = true
-	r.votes++
-	if w.Version > r.Base.Version {
-		if w.Version > r.Newer.Version {
-			r.Newer = w.Value
+	r.responded[from.ID] = true
+	r.responses++
+	if response.Version > r.Base.Version {
+		if response.Version > r.Newer.Version {
+			r.Newer = response.Value
 		}
 		return
 	}
-	if !w.HasAccepted || w.Version != r.Base.Version {
-		r.clean++
+	if !response.HasAccepted || response.Version != r.Base.Version {
+		r.unaccepted++
 	}
 }
 
 // Found tells what is found so far.
-func (r *Reading) Found() Finding {
+func (r *Reading) Found() ReadResult {
 	half := len(r.Base.Group) / 2
 	switch {
 	case len(r.Newer.Group) > 0:
 		return Newer
-	case r.clean > half:
+	case r.unaccepted > half:
 		return Current
-	case r.votes > r.clean:
+	case r.responses > r.unaccepted:
 		return Unsettled
 	}
-	return NoMajority
+	return NoQuorum
 }
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -20,10 +20,10 @@
 	RankDelayUs = 600_000
 	// PatienceUs is how long a member that is asked may take to say that it holds
 	// the value before others are preferred, or the change goes on without it.
-	PatienceUs = 1_500_000
+	ConfirmTimeoutUs = 1_500_000
 	// PauseUs is how long a coordinator may go unasked. After more, the process
 	// stood still: what it saw is old, and others have had the time to act.
-	PauseUs = 3_000_000
+	MaxStepGapUs = 3_000_000
 )
 
 // RepairView is what a controller sees of one register.
@@ -46,45 +46,45 @@
 
 // RepairCoordinator is the state of one register's repairs at one controller.
 type RepairCoordinator struct {
-	group    []messages.Member
-	proposed []messages.Member
-	joining  []messages.Member // taken in by the last change, not yet confirmed
-	mine     bool              // the last change was proposed here
-	needed   bool
-	needUs   int64 // when the need was first seen
-	lastUs   int64 // when Step was called last
-	version  int64
-	kept     map[string]bool  // members that hold version on disk
-	askedUs  map[string]int64 // since when a member has been asked in vain
+	group          []messages.Member
+	proposed       []messages.Member
+	joining        []messages.Member // taken in by the last change, not yet confirmed
+	proposedHere   bool              // the last change was proposed here
+	needed         bool
+	neededSinceUs  int64 // when the need was first seen
+	lastStepUs     int64 // when Step was called last
+	version        int64
+	confirmed      map[string]bool  // members that hold version on disk
+	waitingSinceUs map[string]int64 // since when a member has been asked in vain
 }
 
 // Kept notes that a member has said that it holds a version on its disk.
 func (c *RepairCoordinator) Kept(id string, version int64) {
-	if version == c.version && c.kept != nil {
-		c.kept[id] = true
-		delete(c.askedUs, id)
+	if version == c.version && c.confirmed != nil {
+		c.confirmed[id] = true
+		delete(c.waitingSinceUs, id)
 	}
 }
 
 // Complete tells whether the change that led to this group is complete: if it was
 // made here, its newcomers have said that they hold its outcome on disk.
 func (c *RepairCoordinator) Complete(group []messages.Member) bool {
-	return sameGroup(c.group, group) && (!c.mine || len(c.unkept(c.joining)) == 0)
+	return sameGroup(c.group, group) && (!c.proposedHere || len(c.withoutConfirmed(c.joining)) == 0)
 }
 
 // Awaited names the members that have been asked to confirm and have not yet.
 func (c *RepairCoordinator) Awaited() []string {
 	var out []string
-	for id := range c.askedUs {
+	for id := range c.waitingSinceUs {
 		out = append(out, id)
 	}
 	return out
 }
 
-func (c *RepairCoordinator) unkept(list []messages.Member) []messages.Member {
+func (c *RepairCoordinator) withoutConfirmed(list []messages.Member) []messages.Member {
 	var out []messages.Member
 	for _, m := range list {
-		if !c.kept[m.ID] {
+		if !c.confirmed[m.ID] {
 			out = append(out, m)
 		}
 	}
@@ -93,27 +93,27 @@
 
 // Step gives what to do now, and false where there is nothing.
 func (c *RepairCoordinator) Step(nowUs int64, v RepairView) (RepairStep, bool) {
-	paused := c.lastUs > 0 && nowUs-c.lastUs > PauseUs
-	c.lastUs = nowUs
-	c.see(v)
-	want, needed := c.want(nowUs, v)
+	paused := c.lastStepUs > 0 && nowUs-c.lastStepUs > MaxStepGapUs
+	c.lastStepUs = nowUs
+	c.observe(v)
+	want, needed := c.targetGroup(nowUs, v)
 	if !needed {
 		c.needed = false
-		return c.finish(nowUs, v)
+		return c.confirmJoining(nowUs, v)
 	}
 	if !c.needed {
-		c.needed, c.needUs = true, nowUs
+		c.needed, c.neededSinceUs = true, nowUs
 	}
 	if paused {
-		c.needUs = nowUs + RankDelayUs
+		c.neededSinceUs = nowUs + RankDelayUs
 	}
 	dueUs, may := c.dueUs(v)
 	if !may || nowUs < dueUs {
 		return RepairStep{}, false
 	}
-	missing, ready := c.unconfirmed(want, v, nowUs-dueUs >= PatienceUs)
+	missing, ready := c.missingConfirmations(want, v, nowUs-dueUs >= ConfirmTimeoutUs)
 	if !ready {
-		return c.ask(nowUs, missing)
+		return c.requestConfirmation(nowUs, missing)
 	}
 	c.proposed = want
 	return RepairStep{Propose: want, Version: c.version}, true
@@ -121,46 +121,46 @@
 
 // see takes in a newer base. What was confirmed of an older one counts no more,
 // and a change of the group starts the wait by rank anew.
-func (c *RepairCoordinator) see(v RepairView) {
-	if c.kept == nil || c.version != v.Base.Version {
-		c.version, c.kept = v.Base.Version, map[string]bool{}
+func (c *RepairCoordinator) observe(v RepairView) {
+	if c.confirmed == nil || c.version != v.Base.Version {
+		c.version, c.confirmed = v.Base.Version, map[string]bool{}
 	}
 	if sameGroup(c.group, v.Base.Group) {
 		return
 	}
-	c.joining, c.askedUs = nil, map[string]int64{}
+	c.joining, c.waitingSinceUs = nil, map[string]int64{}
 	if len(c.group) > 0 {
-		c.joining = added(c.group, v.Base.Group)
+		c.joining = addedMembers(c.group, v.Base.Group)
 	}
-	c.mine = sameGroup(c.proposed, v.Base.Group)
+	c.proposedHere = sameGroup(c.proposed, v.Base.Group)
 	c.group, c.proposed, c.needed = v.Base.Group, nil, false
 }
 
 // want is the group that is needed. A newcomer that has been asked in vain for
 // long is passed over where another one will do.
-func (c *RepairCoordinator) want(nowUs int64, v RepairView) ([]messages.Member, bool) {
-	if len(c.askedUs) > 0 {
-		if want, needed := wantedGroup(v, c.withoutSilent(nowUs, v)); needed {
+func (c *RepairCoordinator) targetGroup(nowUs int64, v RepairView) ([]messages.Member, bool) {
+	if len(c.waitingSinceUs) > 0 {
+		if want, needed := targetGroupFor(v, c.withoutUnresponsive(nowUs, v)); needed {
 			return want, true
 		}
 	}
-	return wantedGroup(v, v.Status)
+	return targetGroupFor(v, v.Status)
 }
 
-func wantedGroup(v RepairView, s Status) ([]messages.Member, bool) {
+func targetGroupFor(v RepairView, s Status) ([]messages.Member, bool) {
 	if v.Leaving {
 		return HandOver(v.Base.Group, v.Self, s)
 	}
-	return Regroup(v.Base.Group, s)
+	return RepairGroup(v.Base.Group, s)
 }
 
-func (c *RepairCoordinator) withoutSilent(nowUs int64, v RepairView) Status {
+func (c *RepairCoordinator) withoutUnresponsive(nowUs int64, v RepairView) Status {
 	s := v.Status
 	s.Ready = nil
 	silent := map[string]bool{}
 	for _, m := range v.Status.Ready {
-		asked, waiting := c.askedUs[m.ID]
-		if waiting && nowUs-asked >= PatienceUs && !has(v.Base.Group, m.ID) {
+		asked, waiting := c.waitingSinceUs[m.ID]
+		if waiting && nowUs-asked >= ConfirmTimeoutUs && !containsMember(v.Base.Group, m.ID) {
 			silent[m.Addr] = true
 			continue
 		}
@@ -182,7 +182,7 @@
 		return 0, false
 	}
 	if v.Leaving {
-		return c.needUs, true
+		return c.neededSinceUs, true
 	}
 	rank, among := 0, false
 	for _, m := range v.Status.Ready {
@@ -194,35 +194,35 @@
 	if v.DiskFault {
 		rank += len(v.Status.Ready)
 	}
-	return c.needUs + int64(rank)*RankDelayUs, among
+	return c.neededSinceUs + int64(rank)*RankDelayUs, among
 }
 
 // unconfirmed lists who is still to be asked, and tells whether the change may be
 // proposed: each newcomer and a majority of both groups have confirmed, and so
 // have those whom the last change took in, unless they are gone or have been
 // asked in vain until patience is over.
-func (c *RepairCoordinator) unconfirmed(want []messages.Member, v RepairView, patienceOver bool) (missing []messages.Member, ready bool) {
-	newcomers := added(v.Base.Group, want)
-	for _, m := range c.unkept(union(v.Base.Group, want)) {
-		if has(v.Status.Ready, m.ID) || has(newcomers, m.ID) || m.Addr == v.Self {
+func (c *RepairCoordinator) missingConfirmations(want []messages.Member, v RepairView, patienceOver bool) (missing []messages.Member, ready bool) {
+	candidates := addedMembers(v.Base.Group, want)
+	for _, m := range c.withoutConfirmed(unionOf(v.Base.Group, want)) {
+		if containsMember(v.Status.Ready, m.ID) || containsMember(candidates, m.ID) || m.Addr == v.Self {
 			missing = append(missing, m)
 		}
 	}
-	if len(c.unkept(newcomers)) > 0 || !c.most(v.Base.Group) || !c.most(want) {
+	if len(c.withoutConfirmed(candidates)) > 0 || !c.hasQuorum(v.Base.Group) || !c.hasQuorum(want) {
 		return missing, false
 	}
-	for _, m := range c.unkept(c.joining) {
-		if has(v.Status.Ready, m.ID) && !patienceOver {
+	for _, m := range c.withoutConfirmed(c.joining) {
+		if containsMember(v.Status.Ready, m.ID) && !patienceOver {
 			return missing, false
 		}
 	}
 	return nil, true
 }
 
-func (c *RepairCoordinator) most(group []messages.Member) bool {
+func (c *RepairCoordinator) hasQuorum(group []messages.Member) bool {
 	n := 0
 	for _, m := range group {
-		if c.kept[m.ID] {
+		if c.confirmed[m.ID] {
 			n++
 		}
 	}
@@ -231,10 +231,10 @@
 
 // finish asks the newcomers of the last change, if it was made here, until each
 // has said that it holds the outcome.
-func (c *RepairCoordinator) finish(nowUs int64, v RepairView) (RepairStep, bool) {
-	c.joining = c.unkept(c.joining)
-	if !c.mine || len(c.joining) == 0 {
-		clear(c.askedUs)
+func (c *RepairCoordinator) confirmJoining(nowUs int64, v RepairView) (RepairStep, bool) {
+	c.joining = c.withoutConfirmed(c.joining)
+	if !c.proposedHere || len(c.joining) == 0 {
+		clear(c.waitingSinceUs)
 		return RepairStep{}, false
 	}
 	if !v.Contact {
@@ -242,31 +242,31 @@
 	}
 	var alive []messages.Member
 	for _, m := range c.joining {
-		if has(v.Status.Ready, m.ID) {
+		if containsMember(v.Status.Ready, m.ID) {
 			alive = append(alive, m)
 		}
 	}
-	return c.ask(nowUs, alive)
+	return c.requestConfirmation(nowUs, alive)
 }
 
-func (c *RepairCoordinator) ask(nowUs int64, list []messages.Member) (RepairStep, bool) {
+func (c *RepairCoordinator) requestConfirmation(nowUs int64, list []messages.Member) (RepairStep, bool) {
 	for _, m := range list {
-		if _, waiting := c.askedUs[m.ID]; !waiting {
-			c.askedUs[m.ID] = nowUs
+		if _, waiting := c.waitingSinceUs[m.ID]; !waiting {
+			c.waitingSinceUs[m.ID] = nowUs
 		}
 	}
 	return RepairStep{Confirm: list, Version: c.version}, len(list) > 0
 }
 
 func sameGroup(a, b []messages.Member) bool {
-	return len(a) == len(b) && len(added(a, b)) == 0
+	return len(a) == len(b) && len(addedMembers(a, b)) == 0
 }
 
 // added lists who is in the second group and not in the first.
-func added(before, after []messages.Member) []messages.Member {
+func addedMembers(before, after []messages.Member) []messages.Member {
 	var out []messages.Member
 	for _, m := range after {
-		if !has(before, m.ID) {
+		if !containsMember(before, m.ID) {
 			out = append(out, m)
 		}
 	}
--- a/internal/consensus/repair_test.go
+++ b/internal/consensus/repair_test.go
@@ -205,18 +205,18 @@
 
 // atRound tells whether a machine is at a round that may still end.
 func (w *repairWorld) atRound(m *machine) bool {
-	r := w.busy[m.addr]
-	return r != nil && r.End == Going && w.nowUs-m.beganUs < roundUs
+	round := w.busy[m.addr]
+	return round != nil && round.End == Going && w.nowUs-m.beganUs < roundUs
 }
 
 // begin starts a round with a ballot above all before it.
 func (w *repairWorld) begin(m *machine, change Change) {
 	w.serial++
 	stamp := fmt.Sprintf("s%d", w.serial)
-	r := NewRound(0, m.known, messages.Ballot{N: int64(w.serial), Who: stamp}, stamp, change)
-	w.busy[m.addr], m.beganUs = r, w.nowUs
-	for _, a := range r.Requests() {
-		w.wires = append(w.wires, message{round: r, ask: a, ok: true})
+	round := NewRound(0, m.known, messages.Ballot{N: int64(w.serial), Who: stamp}, stamp, change)
+	w.busy[m.addr], m.beganUs = round, w.nowUs
+	for _, request := range round.Requests() {
+		w.wires = append(w.wires, message{round: round, ask: request, ok: true})
 	}
 }
 
@@ -251,7 +251,7 @@
 	}
 	to.acc.Fold(to.known)
 	before := to.acc.Rec
-	word, dirty := to.acc.Handle(m.ask.Body)
+	response, dirty := to.acc.Handle(m.ask.Body)
 	if dirty && to.full {
 		to.acc.Rec = before
 		return
@@ -259,13 +259,13 @@
 	if dirty {
 		to.disk = to.acc.Rec
 	}
-	w.wires = append(w.wires, message{round: m.round, ask: m.ask, reply: true, word: word})
+	w.wires = append(w.wires, message{round: m.round, ask: m.ask, reply: true, word: response})
 }
 
 // proposer is who works at a round, if it still lives.
-func (w *repairWorld) proposer(r *Round) *machine {
+func (w *repairWorld) proposer(round *Round) *machine {
 	for _, m := range w.machines {
-		if w.busy[m.addr] == r && m.up {
+		if w.busy[m.addr] == round && m.up {
 			return m
 		}
 	}
@@ -273,39 +273,39 @@
 }
 
 func (w *repairWorld) hear(m *machine, msg message) {
-	r := msg.round
-	was := r.End
-	for _, a := range r.Hear(msg.ask.To, msg.ask.Body.Step, msg.word) {
-		w.wires = append(w.wires, message{round: r, ask: a})
+	round := msg.round
+	was := round.End
+	for _, request := range round.Hear(msg.ask.To, msg.ask.Body.Step, msg.word) {
+		w.wires = append(w.wires, message{round: round, ask: request})
 	}
-	if was != Going || r.End != Chosen && r.End != Overtook {
+	if was != Going || round.End != Chosen && round.End != Overtook {
 		return
 	}
-	if r.End == Chosen {
-		w.check(r)
-		w.commit(r.Value)
+	if round.End == Chosen {
+		w.check(round)
+		w.commit(round.Value)
 	}
-	w.learn(m.node, r.Value)
+	w.learn(m.node, round.Value)
 }
 
 // check looks at a change of the group: each newcomer had the base on its disk,
 // and those that the change before took in, as far as they live, had its outcome.
-func (w *repairWorld) check(r *Round) {
-	for _, g := range added(r.Base.Group, r.Value.Group) {
+func (w *repairWorld) check(round *Round) {
+	for _, g := range addedMembers(round.Base.Group, round.Value.Group) {
 		m := w.machines[g.Addr]
 		if m.acc.ID != g.ID {
 			continue // lost since
 		}
-		must.GreaterEq(w.t, r.Base.Version, m.disk.Committed.Version, must.Sprintf("seed %d: %s counts without the state", w.seed, g.ID))
+		must.GreaterEq(w.t, round.Base.Version, m.disk.Committed.Version, must.Sprintf("seed %d: %s counts without the state", w.seed, g.ID))
 		must.SliceNotEmpty(w.t, m.disk.Committed.Group, must.Sprintf("seed %d: %s counts without the state", w.seed, g.ID))
-		m.takenIn = r.Value.Version
+		m.takenIn = round.Value.Version
 	}
-	if sameGroup(r.Base.Group, r.Value.Group) {
+	if sameGroup(round.Base.Group, round.Value.Group) {
 		return
 	}
-	for _, g := range r.Base.Group {
+	for _, g := range round.Base.Group {
 		m := w.machines[g.Addr]
-		if m.up && m.acc.ID == g.ID && m.takenIn > 0 && m.takenIn <= r.Base.Version && !m.full {
+		if m.up && m.acc.ID == g.ID && m.takenIn > 0 && m.takenIn <= round.Base.Version && !m.full {
 			must.GreaterEq(w.t, m.takenIn, m.disk.Committed.Version, must.Sprintf("seed %d: the next change began before %s had said so", w.seed, g.ID))
 		}
 	}
@@ -474,7 +474,7 @@
 			newest := w.join()
 			w.play(8)
 			w.repaired()
-			must.True(t, has(w.newest().Group, newest.acc.ID))
+			must.True(t, containsMember(w.newest().Group, newest.acc.ID))
 			w.loseDisk(newest)
 			w.othersLosePower(newest)
 			w.stands()
@@ -493,7 +493,7 @@
 				return
 			}
 			struck = true
-			if w.lossesAtOnce() > 1 && has(w.newest().Group, m.acc.ID) {
+			if w.lossesAtOnce() > 1 && containsMember(w.newest().Group, m.acc.ID) {
 				w.remove(m)
 				w.join()
 			} else {
@@ -533,8 +533,8 @@
 		w.play(5)
 		w.size = len(w.newest().Group)
 		w.repaired()
-		must.False(t, has(w.newest().Group, bad.acc.ID))
-		must.True(t, has(w.newest().Group, good.acc.ID))
+		must.False(t, containsMember(w.newest().Group, bad.acc.ID))
+		must.True(t, containsMember(w.newest().Group, good.acc.ID))
 		bad.full = false
 	})
 }
@@ -560,7 +560,7 @@
 		w.remove(leaver)
 		w.losePower(absent)
 		if whole {
-			must.True(t, has(w.newest().Group, newcomer.acc.ID), must.Sprintf("seed %d: %s", seed, w.describe()))
+			must.True(t, containsMember(w.newest().Group, newcomer.acc.ID), must.Sprintf("seed %d: %s", seed, w.describe()))
 			w.loseDisk(other)
 			w.othersLosePower(other)
 		} else {
@@ -642,9 +642,9 @@
 func openAlone(t *testing.T, store Store) *Registers {
 	t.Helper()
 	nobody := carrier(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
-	l, err := Open("d", 1, false, nil, nobody, store, logr.Discard(), nil)
+	registers, err := Open("d", 1, false, nil, nobody, store, logr.Discard(), nil)
 	must.NoError(t, err)
-	return l
+	return registers
 }
 
 func agreed(version int64) messages.Value {
@@ -656,36 +656,36 @@
 func TestConfirmSpeaksOfTheDisk(t *testing.T) {
 	ctx := context.Background()
 	store := &MemoryStore{}
-	l := openAlone(t, store)
-	self := messages.Member{ID: l.ID(), Addr: "d"}
-	kept, err := l.Confirm(ctx, 1, self, agreed(4))
+	registers := openAlone(t, store)
+	self := messages.Member{ID: registers.ID(), Addr: "d"}
+	confirmed, err := registers.Confirm(ctx, 1, self, agreed(4))
 	must.NoError(t, err)
-	must.True(t, kept)
+	must.True(t, confirmed)
 	rec, _, _ := store.Load(1)
 	must.Eq(t, int64(4), rec.Committed.Version)
-	kept, _ = l.Confirm(ctx, 1, messages.Member{ID: "d/other", Addr: "d"}, agreed(4))
-	must.False(t, kept, must.Sprint("another life's disk"))
-	l.Retire()
-	kept, _ = l.Confirm(ctx, 1, self, agreed(5))
-	must.False(t, kept, must.Sprint("one that is about to end joins no group"))
-
-	l = openAlone(t, &refusing{})
-	kept, err = l.Confirm(ctx, 1, messages.Member{ID: l.ID(), Addr: "d"}, agreed(4))
+	confirmed, _ = registers.Confirm(ctx, 1, messages.Member{ID: "d/other", Addr: "d"}, agreed(4))
+	must.False(t, confirmed, must.Sprint("another life's disk"))
+	registers.Retire()
+	confirmed, _ = registers.Confirm(ctx, 1, self, agreed(5))
+	must.False(t, confirmed, must.Sprint("one that is about to end joins no group"))
+
+	registers = openAlone(t, &refusing{})
+	confirmed, err = registers.Confirm(ctx, 1, messages.Member{ID: registers.ID(), Addr: "d"}, agreed(4))
 	must.ErrorIs(t, err, ErrStore)
-	must.False(t, kept)
+	must.False(t, confirmed)
 }
 
 // What was learned reaches the disk also if an ask has folded it into the record
 // in memory before.
 func TestLearnedValueReachesTheDiskAfterAnAskFoldedIt(t *testing.T) {
 	store := &MemoryStore{}
-	l := openAlone(t, store)
-	at := l.parts[2]
-	at.sem <- struct{}{}
-	l.Learn(2, agreed(3))
-	at.acc.Fold(agreed(3))
-	<-at.sem
-	for at.keeping.Load() {
+	registers := openAlone(t, store)
+	register := registers.registers[2]
+	register.recordLock <- struct{}{}
+	registers.Learn(2, agreed(3))
+	register.acceptor.Fold(agreed(3))
+	<-register.recordLock
+	for register.persisting.Load() {
 		runtime.Gosched()
 	}
 	rec, _, _ := store.Load(2)
@@ -737,9 +737,9 @@
 	calm.Status.GoneFor = func(string) int64 { return 0 }
 	_, due = c.Step(1, calm)
 	must.False(t, due)
-	_, due = c.Step(2+PauseUs, view("a"))
+	_, due = c.Step(2+MaxStepGapUs, view("a"))
 	must.False(t, due, must.Sprint("after a freeze what is seen is old"))
-	_, due = c.Step(2+PauseUs+RankDelayUs, view("a"))
+	_, due = c.Step(2+MaxStepGapUs+RankDelayUs, view("a"))
 	must.True(t, due)
 }
 
@@ -750,7 +750,7 @@
 	after := before
 	after.Version = 1
 	newest, newcomer := messages.Member{ID: "d/1", Addr: "d"}, messages.Member{ID: "e/1", Addr: "e"}
-	after.Group = swap(before.Group, 3, &newest)
+	after.Group = replaceMember(before.Group, 3, &newest)
 	whole := Status{Ready: before.Group, GoneFor: func(string) int64 { return 0 }, GoneUs: 1}
 	wiped := whole
 	wiped.Ready = append(append([]messages.Member{}, before.Group[:3]...), newest, newcomer)
@@ -772,7 +772,7 @@
 	}
 	must.Eq(t, []messages.Member{newest}, step(c, 3).Confirm)
 	must.Eq(t, []string{newest.ID}, c.Awaited())
-	must.SliceNotEmpty(t, step(c, 3+PatienceUs).Propose)
+	must.SliceNotEmpty(t, step(c, 3+ConfirmTimeoutUs).Propose)
 	c.Kept("d/1", 1)
 	must.SliceNotEmpty(t, step(c, 4).Propose)
 }
@@ -784,9 +784,9 @@
 	earlier = msgp.AppendString(msgp.AppendString(earlier, "d"), string(messages.Granted))
 	earlier = msgp.AppendInt64(msgp.AppendString(earlier, "m"), 4)
 	old := carrier(func(context.Context, string, []byte) ([]byte, error) { return earlier, nil })
-	l, err := Open("d", 1, false, nil, old, &MemoryStore{}, logr.Discard(), nil)
+	registers, err := Open("d", 1, false, nil, old, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
-	kept, err := l.Confirm(context.Background(), 1, messages.Member{ID: "e/1", Addr: "e"}, agreed(4))
+	confirmed, err := registers.Confirm(context.Background(), 1, messages.Member{ID: "e/1", Addr: "e"}, agreed(4))
 	must.NoError(t, err)
-	must.False(t, kept)
+	must.False(t, confirmed)
 }
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -25,48 +25,48 @@
 }
 
 // End says how a round stands.
-type End int
+type Outcome int
 
 // Ends of a round.
 const (
-	Going    End = iota
-	Chosen       // Value is agreed on
-	Overtook     // somebody is ahead; Value is what they have committed
-	Outbidden
+	Going    Outcome = iota
+	Chosen           // Value is agreed on
+	Overtook         // somebody is ahead; Value is what they have committed
+	Preempted
 	Rejected // the change itself said no; Err tells why
 )
 
 // Round is the state of the attempt.
 type Round struct {
-	Part   int
-	Base   messages.Value
-	Ballot messages.Ballot
-	Stamp  string
-	End    End
-	Value  messages.Value
-	Mine   bool
-	Err    error // why the change said no: with Rejected, or with Chosen where the refusal was sealed
-	Seen   messages.Ballot
-
-	change    Change
-	accepting bool
-	votes     map[string]bool
-	best      messages.Ballot
-	found     bool
-	doubt     bool // a majority promised, and a sealed refusal waits for the others
-	refused   map[string]bool
+	Part          int
+	Base          messages.Value
+	Ballot        messages.Ballot
+	Stamp         string
+	End           Outcome
+	Value         messages.Value
+	Mine          bool
+	Err           error // why the change said no: with Rejected, or with Chosen where the refusal was sealed
+	HighestBallot messages.Ballot
+
+	change          Change
+	accepting       bool
+	granted         map[string]bool
+	highestAccepted messages.Ballot
+	hasAccepted     bool
+	sealPending     bool // a majority promised, and a sealed refusal waits for the others
+	preemptedBy     map[string]bool
 }
 
 // NewRound starts from a committed value.
 func NewRound(part int, base messages.Value, ballot messages.Ballot, stamp string, change Change) *Round {
-	return &Round{Part: part, Base: base, Ballot: ballot, Stamp: stamp, change: change, votes: map[string]bool{}, refused: map[string]bool{}}
+	return &Round{Part: part, Base: base, Ballot: ballot, Stamp: stamp, change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{}}
 }
 
 // Requests gives the asks of the current phase, one a member.
 func (r *Round) Requests() []Request {
 	var out []Request
 	for _, m := range r.group() {
-		out = append(out, Request{To: m, Body: r.ask(m)})
+		out = append(out, Request{To: m, Body: r.requestFor(m)})
 	}
 	return out
 }
@@ -75,10 +75,10 @@
 	if !r.accepting {
 		return r.Base.Group
 	}
-	return union(r.Base.Group, r.Value.Group)
+	return unionOf(r.Base.Group, r.Value.Group)
 }
 
-func (r *Round) ask(m messages.Member) messages.ConsensusRequest {
+func (r *Round) requestFor(m messages.Member) messages.ConsensusRequest {
 	a := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot}
 	if r.accepting {
 		a.Step, a.Value = messages.Accept, r.Value
@@ -88,52 +88,52 @@
 
 // Hear takes the word of a member on an ask of the given step. It returns
 // further asks: the next phase's, or the committed base for one who is behind.
-func (r *Round) Hear(from messages.Member, step messages.Step, w messages.ConsensusResponse) []Request {
+func (r *Round) Hear(from messages.Member, step messages.Step, response messages.ConsensusResponse) []Request {
 	if r.End != Going || (step == messages.Accept) != r.accepting {
 		return nil
 	}
-	switch w.Verdict {
+	switch response.Verdict {
 	case messages.Ahead:
-		if w.Value.Version > r.Base.Version {
-			r.End, r.Value, r.Err = Overtook, w.Value, nil
+		if response.Value.Version > r.Base.Version {
+			r.End, r.Value, r.Err = Overtook, response.Value, nil
 		}
 		return nil
 	case messages.Behind:
 		return []Request{
 			{To: from, Body: messages.ConsensusRequest{Part: r.Part, To: from.ID, Step: messages.Commit, Slot: r.Base.Version, Value: r.Base}},
-			{To: from, Body: r.ask(from)},
+			{To: from, Body: r.requestFor(from)},
 		}
 	case messages.Outbid:
-		if Less(r.Seen, w.Promised) {
-			r.Seen = w.Promised
+		if Less(r.HighestBallot, response.Promised) {
+			r.HighestBallot = response.Promised
 		}
-		r.refused[from.ID] = true
+		r.preemptedBy[from.ID] = true
 		left := 0
 		for _, m := range r.Base.Group {
-			if !r.refused[m.ID] {
+			if !r.preemptedBy[m.ID] {
 				left++
 			}
 		}
 		if left <= len(r.Base.Group)/2 {
-			r.End = Outbidden
+			r.End = Preempted
 		}
 		return nil
 	case messages.Granted:
 	default:
 		return nil
 	}
-	r.votes[from.ID] = true
+	r.granted[from.ID] = true
 	if !r.accepting {
-		if w.HasAccepted && (!r.found || Less(r.best, w.AcceptedAt)) {
-			r.found, r.best, r.Value = true, w.AcceptedAt, w.Value
+		if response.HasAccepted && (!r.hasAccepted || Less(r.highestAccepted, response.AcceptedAt)) {
+			r.hasAccepted, r.highestAccepted, r.Value = true, response.AcceptedAt, response.Value
 		}
-		if !r.most(r.Base.Group) || r.doubt && !r.found {
-			r.settleDoubt()
+		if !r.hasQuorum(r.Base.Group) || r.sealPending && !r.hasAccepted {
+			r.rejectIfAllPromised()
 			return nil
 		}
 		return r.propose()
 	}
-	if r.most(r.Base.Group) && r.most(r.Value.Group) {
+	if r.hasQuorum(r.Base.Group) && r.hasQuorum(r.Value.Group) {
 		r.End = Chosen
 		r.Mine = r.Value.Stamp == r.Stamp
 	}
@@ -142,7 +142,7 @@
 
 // propose takes over what was found, else makes the change.
 func (r *Round) propose() []Request {
-	if r.found {
+	if r.hasAccepted {
 		r.Err = nil
 		return r.accept()
 	}
@@ -150,8 +150,8 @@
 	var s *sealedRefusal
 	switch {
 	case errors.As(err, &s):
-		r.doubt, r.Err = true, s.cause
-		r.settleDoubt()
+		r.sealPending, r.Err = true, s.cause
+		r.rejectIfAllPromised()
 		return nil
 	case err != nil:
 		r.End, r.Err, r.Value = Rejected, err, r.Base
@@ -165,19 +165,19 @@
 }
 
 func (r *Round) accept() []Request {
-	r.accepting, r.doubt = true, false
-	r.votes, r.refused = map[string]bool{}, map[string]bool{}
+	r.accepting, r.sealPending = true, false
+	r.granted, r.preemptedBy = map[string]bool{}, map[string]bool{}
 	return r.Requests()
 }
 
 // InDoubt tells that a sealed refusal waits for the members that have not
 // answered: one of them may have accepted an earlier try.
-func (r *Round) InDoubt() bool { return r.End == Going && r.doubt }
+func (r *Round) InDoubt() bool { return r.End == Going && r.sealPending }
 
 // settleDoubt refuses once every member has promised and none has accepted
 // anything: then nothing under a lower ballot can be chosen any more.
-func (r *Round) settleDoubt() {
-	if r.doubt && !r.found && len(r.votes) == len(r.Base.Group) {
+func (r *Round) rejectIfAllPromised() {
+	if r.sealPending && !r.hasAccepted && len(r.granted) == len(r.Base.Group) {
 		r.End, r.Value = Rejected, r.Base
 	}
 }
@@ -188,35 +188,35 @@
 	if !r.InDoubt() {
 		return nil
 	}
-	r.Value = messages.Value{Version: r.Base.Version + 1, Group: r.Base.Group, Body: r.Base.Body, Stamp: r.Stamp + sealMark}
+	r.Value = messages.Value{Version: r.Base.Version + 1, Group: r.Base.Group, Body: r.Base.Body, Stamp: r.Stamp + sealStampSuffix}
 	return r.accept()
 }
 
 // sealMark sets the stamp of a sealing value apart from that of a change made:
 // met again in a later round, it must not pass for the change.
-const sealMark = "/seal"
+const sealStampSuffix = "/seal"
 
-func (r *Round) most(group []messages.Member) bool {
+func (r *Round) hasQuorum(group []messages.Member) bool {
 	n := 0
 	for _, m := range group {
-		if r.votes[m.ID] {
+		if r.granted[m.ID] {
 			n++
 		}
 	}
 	return n > len(group)/2
 }
 
-func union(a, b []messages.Member) []messages.Member {
+func unionOf(a, b []messages.Member) []messages.Member {
 	out := append([]messages.Member{}, a...)
 	for _, m := range b {
-		if !has(out, m.ID) {
+		if !containsMember(out, m.ID) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func has(group []messages.Member, id string) bool {
+func containsMember(group []messages.Member, id string) bool {
 	for _, m := range group {
 		if m.ID == id {
 			return true
--- a/internal/consensus/seal_test.go
+++ b/internal/consensus/seal_test.go
@@ -24,19 +24,19 @@
 		accs[m.Addr] = &Acceptor{ID: m.ID, Rec: messages.Record{Committed: g}}
 	}
 	earlier = NewRound(0, g, messages.Ballot{N: 1, Who: "lax"}, "lax", body("taken by laxer checks"))
-	asks := tell(earlier, accs, earlier.Requests(), "a", "b")
-	tell(earlier, accs, asks, "c")
+	requests := tell(earlier, accs, earlier.Requests(), "a", "b")
+	tell(earlier, accs, requests, "c")
 	return g, accs, earlier
 }
 
 // tell carries asks to those named and their words back, and returns what is asked next.
-func tell(r *Round, accs map[string]*Acceptor, asks []Request, to ...string) []Request {
+func tell(round *Round, accs map[string]*Acceptor, requests []Request, to ...string) []Request {
 	var next []Request
 	for _, addr := range to {
-		for _, a := range asks {
-			if a.To.Addr == addr {
-				word, _ := accs[addr].Handle(a.Body)
-				next = append(next, r.Hear(a.To, a.Body.Step, word)...)
+		for _, request := range requests {
+			if request.To.Addr == addr {
+				response, _ := accs[addr].Handle(request.Body)
+				next = append(next, round.Hear(request.To, request.Body.Step, response)...)
 			}
 		}
 	}
@@ -47,57 +47,57 @@
 // sealed refusal closes the slot first, a plain one would be overturned.
 func TestSealedRefusalIsNotOverturned(t *testing.T) {
 	g, accs, _ := trio()
-	r := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
-	must.SliceEmpty(t, tell(r, accs, r.Requests(), "a", "b"))
-	must.True(t, r.InDoubt(), must.Sprint("c may hold an earlier try"))
-	asks := r.Seal()
-	tell(r, accs, asks, "a", "b")
-	must.Eq(t, Chosen, r.End)
-	must.False(t, r.Mine)
-	must.ErrorIs(t, r.Err, errStricter)
-	must.Eq(t, Finished, NewAttempt(0, "strict", refuse).Close(r))
+	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
+	must.SliceEmpty(t, tell(round, accs, round.Requests(), "a", "b"))
+	must.True(t, round.InDoubt(), must.Sprint("c may hold an earlier try"))
+	requests := round.Seal()
+	tell(round, accs, requests, "a", "b")
+	must.Eq(t, Chosen, round.End)
+	must.False(t, round.Mine)
+	must.ErrorIs(t, round.Err, errStricter)
+	must.Eq(t, Finished, NewAttempt(0, "strict", refuse).Close(round))
 	later := NewRound(0, g, messages.Ballot{N: 3, Who: "later"}, "later", body("x"))
 	tell(later, accs, later.Requests(), "b", "c")
-	must.Eq(t, r.Value.Stamp, later.Value.Stamp, must.Sprint("the seal stands, not the earlier try"))
+	must.Eq(t, round.Value.Stamp, later.Value.Stamp, must.Sprint("the seal stands, not the earlier try"))
 }
 
 func TestSealedRefusalTakesOverAnEarlierTry(t *testing.T) {
 	g, accs, earlier := trio()
-	r := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
-	prepare := r.Requests()
-	tell(r, accs, prepare, "a", "b")
-	asks := tell(r, accs, prepare, "c")
-	tell(r, accs, asks, "a", "c")
-	must.Eq(t, Chosen, r.End)
-	must.Eq(t, earlier.Value.Stamp, r.Value.Stamp)
-	must.NoError(t, r.Err)
-	must.Eq(t, NextRound, NewAttempt(0, "strict", refuse).Close(r), must.Sprint("the order is looked up again"))
+	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
+	prepare := round.Requests()
+	tell(round, accs, prepare, "a", "b")
+	requests := tell(round, accs, prepare, "c")
+	tell(round, accs, requests, "a", "c")
+	must.Eq(t, Chosen, round.End)
+	must.Eq(t, earlier.Value.Stamp, round.Value.Stamp)
+	must.NoError(t, round.Err)
+	must.Eq(t, NextRound, NewAttempt(0, "strict", refuse).Close(round), must.Sprint("the order is looked up again"))
 }
 
 // Where every member has promised, nothing has to be written.
 func TestSealedRefusalNeedsNoSlotWhereAllPromised(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
-	r := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
+	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
 	for _, m := range g.Group {
-		must.Eq(t, Going, r.End)
-		must.SliceEmpty(t, r.Hear(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted}))
+		must.Eq(t, Going, round.End)
+		must.SliceEmpty(t, round.Hear(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted}))
 	}
-	must.Eq(t, Rejected, r.End)
-	must.ErrorIs(t, r.Err, errStricter)
-	must.SliceEmpty(t, r.Seal())
+	must.Eq(t, Rejected, round.End)
+	must.ErrorIs(t, round.Err, errStricter)
+	must.SliceEmpty(t, round.Seal())
 }
 
 // A member that answers twice is one member; one that has accepted something
 // vouches for nothing.
 func TestReadingCountsMembersNotAnswers(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
-	look := NewReading(g)
+	quorumRead := NewReading(g)
 	clean := messages.ConsensusResponse{Verdict: messages.Granted}
-	look.Hear(g.Group[0], clean)
-	look.Hear(g.Group[0], clean)
-	must.Eq(t, NoMajority, look.Found())
-	look.Hear(g.Group[1], messages.ConsensusResponse{Verdict: messages.Granted, HasAccepted: true})
-	must.Eq(t, Unsettled, look.Found())
-	look.Hear(g.Group[2], clean)
-	must.Eq(t, Current, look.Found(), must.Sprint("a majority is clean: what one has accepted was not chosen"))
+	quorumRead.Hear(g.Group[0], clean)
+	quorumRead.Hear(g.Group[0], clean)
+	must.Eq(t, NoQuorum, quorumRead.Found())
+	quorumRead.Hear(g.Group[1], messages.ConsensusResponse{Verdict: messages.Granted, HasAccepted: true})
+	must.Eq(t, Unsettled, quorumRead.Found())
+	quorumRead.Hear(g.Group[2], clean)
+	must.Eq(t, Current, quorumRead.Found(), must.Sprint("a majority is clean: what one has accepted was not chosen"))
 }
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -43,35 +43,35 @@
 type Restored struct {
 	ID      string
 	Records [Parts]messages.Record
-	Lost    []int // parts whose records were damaged
+	Damaged []int // parts whose records were damaged
 }
 
 // Restore reads a store. first is the identity of a member that takes part in
 // founding the group, or empty; it is taken only where the store is empty, so
 // that a member that has lost anything never founds a group again.
-func Restore(store Store, first string, fresh func() string) (Restored, error) {
-	out, err := identify(store, first, fresh)
+func Restore(store Store, bootstrapID string, newID func() string) (Restored, error) {
+	out, err := loadIdentity(store, bootstrapID, newID)
 	if err != nil {
 		return out, err
 	}
-	if out.Lost, err = out.load(store); err != nil {
+	if out.Damaged, err = out.loadRecords(store); err != nil {
 		return out, err
 	}
-	if len(out.Lost) == 0 {
+	if len(out.Damaged) == 0 {
 		return out, nil
 	}
-	out.ID = fresh()
+	out.ID = newID()
 	if err := store.Renew(out.ID); err != nil {
 		return out, err
 	}
-	again, err := out.load(store)
+	again, err := out.loadRecords(store)
 	if err == nil && len(again) > 0 {
 		err = errors.Wrap(ErrDamaged, "still there under a new identity")
 	}
 	return out, err
 }
 
-func identify(store Store, first string, fresh func() string) (Restored, error) {
+func loadIdentity(store Store, bootstrapID string, newID func() string) (Restored, error) {
 	id, known, err := store.Identity()
 	if err != nil || known {
 		return Restored{ID: id}, err
@@ -80,15 +80,15 @@
 	if err != nil {
 		return Restored{}, err
 	}
-	id = first
+	id = bootstrapID
 	if id == "" || !empty {
-		id = fresh()
+		id = newID()
 	}
 	return Restored{ID: id}, store.Renew(id)
 }
 
 // load reads all parts and names those that are damaged.
-func (r *Restored) load(store Store) (damaged []int, err error) {
+func (r *Restored) loadRecords(store Store) (damaged []int, err error) {
 	for part := range r.Records {
 		rec, _, err := store.Load(part)
 		if errors.Is(err, ErrDamaged) {
@@ -110,54 +110,54 @@
 
 // MemoryStore is a Store that ends with the process.
 type MemoryStore struct {
-	mu  sync.Mutex
-	rec map[int]messages.Record
-	id  string
+	mu      sync.Mutex
+	records map[int]messages.Record
+	id      string
 }
 
 // Identity gives the one of this process.
-func (m *MemoryStore) Identity() (string, bool, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.id, m.id != "", nil
+func (s *MemoryStore) Identity() (string, bool, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.id, s.id != "", nil
 }
 
 // Empty tells whether nothing was kept.
-func (m *MemoryStore) Empty() (bool, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.id == "" && len(m.rec) == 0, nil
+func (s *MemoryStore) Empty() (bool, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.id == "" && len(s.records) == 0, nil
 }
 
 // Renew takes another identity.
-func (m *MemoryStore) Renew(id string) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.id = id
-	for part, rec := range m.rec {
-		m.rec[part] = withoutVotes(rec)
+func (s *MemoryStore) Renew(id string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.id = id
+	for part, rec := range s.records {
+		s.records[part] = withoutVotes(rec)
 	}
 	return nil
 }
 
 // Load gives what was saved.
-func (m *MemoryStore) Load(part int) (messages.Record, bool, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	r, ok := m.rec[part]
+func (s *MemoryStore) Load(part int) (messages.Record, bool, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r, ok := s.records[part]
 	return r, ok, nil
 }
 
 // Save keeps the record.
-func (m *MemoryStore) Save(part int, rec messages.Record) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.rec == nil {
-		m.rec = map[int]messages.Record{}
+func (s *MemoryStore) Save(part int, rec messages.Record) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.records == nil {
+		s.records = map[int]messages.Record{}
 	}
-	m.rec[part] = rec
+	s.records[part] = rec
 	return nil
 }
 
 // Settle has nothing to do: a loss of power takes the process along.
-func (m *MemoryStore) Settle() error { return nil }
+func (s *MemoryStore) Settle() error { return nil }
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -53,9 +53,9 @@
 	for {
 		store, err := OpenDiskStore(m.disk)
 		if err == nil {
-			var kept Restored
-			if kept, err = Restore(store, "", m.fresh); err == nil {
-				m.begin(store, kept)
+			var restored Restored
+			if restored, err = Restore(store, "", m.fresh); err == nil {
+				m.begin(store, restored)
 				return
 			}
 		}
@@ -69,18 +69,18 @@
 	}
 }
 
-func (m *diskMachine) begin(store *DiskStore, kept Restored) {
-	if kept.ID != m.id {
+func (m *diskMachine) begin(store *DiskStore, restored Restored) {
+	if restored.ID != m.id {
 		must.True(m.t, m.ground || !m.shown, must.Sprint("an identity was given up without need"))
-		for p, rec := range kept.Records {
-			must.Eq(m.t, messages.Ballot{}, rec.Promised, must.Sprintf("part %d: a vote of another identity", p))
+		for part, rec := range restored.Records {
+			must.Eq(m.t, messages.Ballot{}, rec.Promised, must.Sprintf("part %d: a vote of another identity", part))
 		}
 		m.told = [Parts]int64{}
 	}
-	m.id, m.store, m.ground, m.shown = kept.ID, store, false, false
-	for p, rec := range kept.Records {
-		must.GreaterEq(m.t, m.told[p], rec.Promised.N, must.Sprintf("part %d: an older record under the same identity", p))
-		m.now[p] = rec.Promised.N
+	m.id, m.store, m.ground, m.shown = restored.ID, store, false, false
+	for part, rec := range restored.Records {
+		must.GreaterEq(m.t, m.told[part], rec.Promised.N, must.Sprintf("part %d: an older record under the same identity", part))
+		m.now[part] = rec.Promised.N
 	}
 }
 
@@ -125,7 +125,7 @@
 func (m *diskMachine) damage() {
 	m.disk.Restart()
 	name := identityFile
-	if list, _ := m.store.versions(m.rnd.IntN(Parts)); len(list) > 0 && m.rnd.IntN(4) > 0 {
+	if list, _ := m.store.recordFiles(m.rnd.IntN(Parts)); len(list) > 0 && m.rnd.IntN(4) > 0 {
 		name = list[0].name
 	}
 	m.ground = m.disk.Damage(name) || m.ground
@@ -172,12 +172,12 @@
 			d.StopAfter(cut)
 			acknowledged := store.Save(2, voted(8)) == nil
 			d.LosePower()
-			kept, err := Restore(openSimulated(t, d), "", serialIDs("other"))
+			restored, err := Restore(openSimulated(t, d), "", serialIDs("other"))
 			must.NoError(t, err)
-			must.Eq(t, "me", kept.ID)
-			must.Eq(t, int64(7), min(kept.Records[2].Promised.N, 7))
+			must.Eq(t, "me", restored.ID)
+			must.Eq(t, int64(7), min(restored.Records[2].Promised.N, 7))
 			if acknowledged {
-				must.Eq(t, int64(8), kept.Records[2].Promised.N)
+				must.Eq(t, int64(8), restored.Records[2].Promised.N)
 			}
 		}
 	}
@@ -194,17 +194,17 @@
 		d.StopAfter(4) // create, write, sync, rename
 		must.ErrorIs(t, store.Save(2, voted(8)), ErrStore)
 		d.Restart()
-		l, err := Open("m", 1, false, nil, nil, openSimulated(t, d), logr.Discard(), nil)
+		registers, err := Open("m", 1, false, nil, nil, openSimulated(t, d), logr.Discard(), nil)
 		must.NoError(t, err)
 		again := messages.ConsensusRequest{Part: 2, To: "me", Step: messages.Prepare, Slot: 3, Ballot: voted(8).Promised}
-		word, err := l.local(context.Background(), again)
+		response, err := registers.handleRequest(context.Background(), again)
 		must.NoError(t, err)
-		must.Eq(t, messages.Granted, word.Verdict)
+		must.Eq(t, messages.Granted, response.Verdict)
 		d.LosePower()
-		kept, err := Restore(openSimulated(t, d), "", serialIDs("other"))
+		restored, err := Restore(openSimulated(t, d), "", serialIDs("other"))
 		must.NoError(t, err)
-		must.Eq(t, "me", kept.ID)
-		must.Eq(t, int64(8), kept.Records[2].Promised.N)
+		must.Eq(t, "me", restored.ID)
+		must.Eq(t, int64(8), restored.Records[2].Promised.N)
 	}
 }
 
@@ -226,14 +226,14 @@
 func TestDamagedRecordMakesANewMember(t *testing.T) {
 	dir := t.TempDir()
 	store := openTestStore(t, dir)
-	kept, err := Restore(store, FirstID("a"), serialIDs("a"))
+	restored, err := Restore(store, FirstID("a"), serialIDs("a"))
 	must.NoError(t, err)
-	must.Eq(t, FirstID("a"), kept.ID)
+	must.Eq(t, FirstID("a"), restored.ID)
 	for n := range int64(5) {
 		must.NoError(t, store.Save(2, voted(n+1)))
 		must.NoError(t, store.Save(3, voted(n+1)))
 	}
-	list, err := store.versions(2)
+	list, err := store.recordFiles(2)
 	must.NoError(t, err)
 	path := filepath.Join(dir, list[0].name)
 	whole, err := os.ReadFile(path)
@@ -243,19 +243,19 @@
 	again := openTestStore(t, dir)
 	_, _, err = again.Load(2)
 	must.ErrorIs(t, err, ErrDamaged)
-	kept, err = Restore(again, FirstID("a"), serialIDs("a"))
+	restored, err = Restore(again, FirstID("a"), serialIDs("a"))
 	must.NoError(t, err)
-	must.Eq(t, []int{2}, kept.Lost)
-	must.Eq(t, "a/fresh1", kept.ID)
-	must.Eq(t, messages.Record{}, kept.Records[2])
-	must.Eq(t, withoutVotes(voted(5)).Committed.Version, kept.Records[3].Committed.Version)
-	must.Eq(t, messages.Ballot{}, kept.Records[3].Promised)
+	must.Eq(t, []int{2}, restored.Damaged)
+	must.Eq(t, "a/fresh1", restored.ID)
+	must.Eq(t, messages.Record{}, restored.Records[2])
+	must.Eq(t, withoutVotes(voted(5)).Committed.Version, restored.Records[3].Committed.Version)
+	must.Eq(t, messages.Ballot{}, restored.Records[3].Promised)
 	must.NoError(t, again.Save(2, voted(9)))
 
-	kept, err = Restore(openTestStore(t, dir), FirstID("a"), serialIDs("b"))
+	restored, err = Restore(openTestStore(t, dir), FirstID("a"), serialIDs("b"))
 	must.NoError(t, err)
-	must.Eq(t, "a/fresh1", kept.ID, must.Sprint("once is enough"))
-	must.Eq(t, int64(9), kept.Records[2].Promised.N)
+	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("once is enough"))
+	must.Eq(t, int64(9), restored.Records[2].Promised.N)
 }
 
 // Without its identity a member is nobody that it was, also where it would found
@@ -268,11 +268,11 @@
 		must.NoError(t, err)
 		must.NoError(t, store.Save(1, voted(4)))
 		must.NoError(t, spoil(filepath.Join(dir, identityFile)))
-		kept, err := Restore(openTestStore(t, dir), FirstID("a"), serialIDs("a"))
+		restored, err := Restore(openTestStore(t, dir), FirstID("a"), serialIDs("a"))
 		must.NoError(t, err)
-		must.Eq(t, "a/fresh1", kept.ID)
-		must.Eq(t, messages.Ballot{}, kept.Records[1].Promised)
-		must.Eq(t, int64(1), kept.Records[1].Committed.Version, must.Sprint("what is committed is true whoever knows it"))
+		must.Eq(t, "a/fresh1", restored.ID)
+		must.Eq(t, messages.Ballot{}, restored.Records[1].Promised)
+		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("what is committed is true whoever knows it"))
 	}
 }
 
@@ -309,7 +309,7 @@
 		must.NoError(t, err)
 		must.LessEq(t, Parts+1, len(names))
 		for _, name := range names {
-			must.False(t, strings.HasSuffix(name, asideSuffix))
+			must.False(t, strings.HasSuffix(name, temporarySuffix))
 		}
 	}
 }
@@ -318,9 +318,9 @@
 func TestReadsARecordOfTheEarlierCode(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.CopyFS(dir, os.DirFS("testdata/written-by-b77aa1a")))
-	kept, err := Restore(openTestStore(t, dir), "", serialIDs("other"))
+	restored, err := Restore(openTestStore(t, dir), "", serialIDs("other"))
 	must.NoError(t, err)
-	must.Eq(t, "10.0.0.1:7000/0", kept.ID)
+	must.Eq(t, "10.0.0.1:7000/0", restored.ID)
 	group := []messages.Member{{ID: "10.0.0.1:7000/0", Addr: "10.0.0.1:7000"}, {ID: "10.0.0.2:7000/0", Addr: "10.0.0.2:7000"}, {ID: "10.0.0.3:7000/5f2b", Addr: "10.0.0.3:7000"}}
 	must.Eq(t, messages.Record{
 		Committed:   messages.Value{Version: 41, Group: group, Body: []byte("the configuration"), Stamp: "s41"},
@@ -328,7 +328,7 @@
 		AcceptedAt:  messages.Ballot{N: 6, Who: "w6"},
 		Accepted:    messages.Value{Version: 42, Group: group, Body: []byte("the next"), Stamp: "s42"},
 		HasAccepted: true,
-	}, kept.Records[0])
+	}, restored.Records[0])
 }
 
 // The directory was written by the code of commit 611e145: every kind of file that
@@ -341,7 +341,7 @@
 	restored, err := Restore(store, "", serialIDs("other"))
 	must.NoError(t, err)
 	must.Eq(t, "10.0.0.1:7000/a1b2c3d4e5f6", restored.ID)
-	must.SliceEmpty(t, restored.Lost)
+	must.SliceEmpty(t, restored.Damaged)
 
 	group := []messages.Member{{ID: "10.0.0.1:7000/a1b2c3d4e5f6", Addr: "10.0.0.1:7000"}, {ID: "10.0.0.2:7000/0", Addr: "10.0.0.2:7000"}, {ID: "10.0.0.3:7000/0", Addr: "10.0.0.3:7000"}}
 	committed := func(version int64) messages.Value {
