--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -21,7 +21,7 @@
 }
 
 // Fold takes in a committed value learned elsewhere.
-func (a *Acceptor) Fold(v messages.Value) bool {
+func (a *Acceptor) Learn(v messages.Value) bool {
 	if v.Version <= a.Rec.Committed.Version && len(a.Rec.Committed.Group) > 0 || len(v.Group) == 0 {
 		return false
 	}
--- a/internal/consensus/attempt.go
+++ b/internal/consensus/attempt.go
@@ -42,7 +42,7 @@
 )
 
 // Close takes a round that has ended or was given up.
-func (a *Attempt) Close(round *Round) Progress {
+func (a *Attempt) Finish(round *Round) Progress {
 	switch round.End {
 	case Rejected:
 		return Finished
@@ -52,7 +52,7 @@
 			return Finished
 		}
 		return NextRound
-	case Overtook:
+	case Superseded:
 		a.highestBallot = messages.Ballot{}
 		if round.Value.Stamp == a.stamp {
 			return Finished
--- a/internal/consensus/confirm.go
+++ b/internal/consensus/confirm.go
@@ -60,7 +60,7 @@
 func (r *Registers) persistLocked(part int, v messages.Value) error {
 	register := r.registers[part]
 	before := register.acceptor.Rec
-	if !register.acceptor.Fold(v) && register.durableVersion >= register.acceptor.Rec.Committed.Version {
+	if !register.acceptor.Learn(v) && register.durableVersion >= register.acceptor.Rec.Committed.Version {
 		return r.store.Settle()
 	}
 	if err := r.saveRecord(part, register.acceptor.Rec); err != nil {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -237,7 +237,7 @@
 	}
 	defer func() { <-register.recordLock }()
 	if v := register.committed.Load(); v != nil {
-		register.acceptor.Fold(*v)
+		register.acceptor.Learn(*v)
 	}
 	before := register.acceptor.Rec
 	response, dirty := register.acceptor.Handle(request)
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -101,7 +101,7 @@
 			w.learn(n, m.ask.Body.Value)
 			return
 		}
-		n.acc.Fold(n.known)
+		n.acc.Learn(n.known)
 		before := n.acc.Rec
 		response, dirty := n.acc.Handle(m.ask.Body)
 		if dirty {
@@ -123,10 +123,10 @@
 		return
 	}
 	was := m.round.End
-	for _, request := range m.round.Hear(m.ask.To, m.ask.Body.Step, m.word) {
+	for _, request := range m.round.Receive(m.ask.To, m.ask.Body.Step, m.word) {
 		w.wires = append(w.wires, message{round: m.round, ask: request})
 	}
-	if was == Going && m.round.End == Chosen {
+	if was == InProgress && m.round.End == Chosen {
 		w.commit(m.round.Value)
 		for _, n := range w.nodes {
 			if w.rnd.IntN(3) > 0 && n.up {
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	if was == Going && m.round.End == Overtook {
+	if was == InProgress && m.round.End == Superseded {
 		for _, n := range w.nodes {
 			if n.up && w.rnd.IntN(2) == 0 {
 				w.learn(n, m.round.Value)
@@ -191,7 +191,7 @@
 		stamp := fmt.Sprintf("final%d", retries)
 		round := NewRound(0, newest, messages.Ballot{N: 1000 + int64(retries), Who: stamp}, stamp, body("final"))
 		requests := round.Requests()
-		for len(requests) > 0 && round.End == Going {
+		for len(requests) > 0 && round.End == InProgress {
 			request := requests[0]
 			requests = requests[1:]
 			n := w.nodes[request.To.Addr]
@@ -202,9 +202,9 @@
 				w.learn(n, request.Body.Value)
 				continue
 			}
-			n.acc.Fold(n.known)
+			n.acc.Learn(n.known)
 			response, _ := n.acc.Handle(request.Body)
-			requests = append(requests, round.Hear(request.To, request.Body.Step, response)...)
+			requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
 		}
 		switch round.End {
 		case Chosen:
@@ -213,7 +213,7 @@
 			if round.Mine {
 				return newest
 			}
-		case Overtook:
+		case Superseded:
 			newest = round.Value
 		}
 	}
@@ -340,7 +340,7 @@
 func (w *world) swap(base messages.Value, group []messages.Member) {
 	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil })
 	requests := round.Requests()
-	for len(requests) > 0 && round.End == Going {
+	for len(requests) > 0 && round.End == InProgress {
 		request := requests[0]
 		requests = requests[1:]
 		n := w.nodes[request.To.Addr]
@@ -348,10 +348,10 @@
 			w.learn(n, request.Body.Value)
 			continue
 		}
-		n.acc.Fold(n.known)
+		n.acc.Learn(n.known)
 		response, _ := n.acc.Handle(request.Body)
 		n.disk = n.acc.Rec
-		requests = append(requests, round.Hear(request.To, request.Body.Step, response)...)
+		requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
 	}
 	must.Eq(w.t, Chosen, round.End)
 	w.commit(round.Value)
@@ -508,9 +508,9 @@
 	g := Genesis([]string{"a", "b", "c"})
 	no := errors.New("no")
 	round := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, no })
-	round.Hear(g.Group[0], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
-	must.Eq(t, Going, round.End)
-	round.Hear(g.Group[1], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
+	round.Receive(g.Group[0], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
+	must.Eq(t, InProgress, round.End)
+	round.Receive(g.Group[1], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
 	must.Eq(t, Rejected, round.End)
 	must.ErrorIs(t, round.Err, no)
 }
@@ -520,13 +520,13 @@
 	next := []messages.Member{{ID: "d/1", Addr: "d"}, {ID: "e/1", Addr: "e"}, g.Group[0]}
 	round := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return next, nil, nil })
 	for _, m := range g.Group[:2] {
-		round.Hear(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
+		round.Receive(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
 	}
 	for _, m := range g.Group {
-		round.Hear(m, messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
+		round.Receive(m, messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
 	}
-	must.Eq(t, Going, round.End)
-	round.Hear(next[0], messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
+	must.Eq(t, InProgress, round.End)
+	round.Receive(next[0], messages.Accept, messages.ConsensusResponse{Verdict: messages.Granted})
 	must.Eq(t, Chosen, round.End)
 }
 
--- a/internal/consensus/driver.go
+++ b/internal/consensus/driver.go
@@ -30,10 +30,10 @@
 		switch round.End {
 		case Chosen:
 			r.broadcastCommit(part, round.Value, round.Base.Group)
-		case Overtook:
+		case Superseded:
 			r.Learn(part, round.Value)
 		}
-		switch attempt.Close(round) {
+		switch attempt.Finish(round) {
 		case Finished:
 			return round.Value, round.Err
 		case Backoff:
@@ -107,8 +107,8 @@
 	}
 	send(round.Requests())
 	var sealDue <-chan time.Time
-	for round.End == Going {
-		if round.InDoubt() && sealDue == nil {
+	for round.End == InProgress {
+		if round.SealPending() && sealDue == nil {
 			sealDue = time.After(sealTimeout)
 		}
 		select {
@@ -116,7 +116,7 @@
 			send(round.Seal())
 		case h := <-responses:
 			if h.err == nil {
-				send(round.Hear(h.member, h.step, h.response))
+				send(round.Receive(h.member, h.step, h.response))
 			}
 		case <-ctx.Done():
 			return
@@ -150,13 +150,13 @@
 			return messages.Value{}, ErrNoGroup
 		}
 		quorumRead := r.readFromGroup(ctx, part, base)
-		switch quorumRead.Found() {
+		switch quorumRead.Result() {
 		case Newer:
 			r.Learn(part, quorumRead.Newer)
 			continue
 		case Current:
 			return base, nil
-		case Unsettled:
+		case Undecided:
 			if _, err := r.Change(ctx, part, func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errNoChange }); err != nil && !errors.Is(err, errNoChange) {
 				return messages.Value{}, err
 			}
@@ -184,9 +184,9 @@
 	quorumRead := NewReading(base)
 	for range base.Group {
 		if h := <-responses; h.err == nil {
-			quorumRead.Hear(h.member, h.response)
+			quorumRead.Receive(h.member, h.response)
 		}
-		if found := quorumRead.Found(); found == Current || found == Newer {
+		if found := quorumRead.Result(); found == Current || found == Newer {
 			break
 		}
 	}
--- a/internal/consensus/office_faults_test.go
+++ b/internal/consensus/office_faults_test.go
@@ -9,7 +9,7 @@
 // keep makes what is learned durable.
 func (m *member) keep() {
 	for part := range m.acc {
-		if m.acc[part].Fold(m.known[part]) {
+		if m.acc[part].Learn(m.known[part]) {
 			m.disk[part] = m.acc[part].Rec
 		}
 	}
--- a/internal/consensus/office_test.go
+++ b/internal/consensus/office_test.go
@@ -164,7 +164,7 @@
 		m.learn(part, l.ask.Body.Value)
 		return
 	}
-	m.acc[part].Fold(m.known[part])
+	m.acc[part].Learn(m.known[part])
 	before := m.acc[part].Rec
 	response, dirty := m.acc[part].Handle(l.ask.Body)
 	if dirty && o.trouble(15) { // the disk refuses: no word
@@ -193,13 +193,13 @@
 	}
 	switch l.of {
 	case p.round:
-		o.post(p, p.round.Hear(l.ask.To, l.ask.Body.Step, l.word))
-		if p.round.End != Going {
+		o.post(p, p.round.Receive(l.ask.To, l.ask.Body.Step, l.word))
+		if p.round.End != InProgress {
 			o.close(p)
 		}
 	case p.look:
-		p.look.Hear(l.ask.To, l.word)
-		switch p.look.Found() {
+		p.look.Receive(l.ask.To, l.word)
+		switch p.look.Result() {
 		case Current:
 			o.tell(p)
 		case Newer:
@@ -217,10 +217,10 @@
 	switch round.End {
 	case Chosen:
 		o.chosen(p)
-	case Overtook:
+	case Superseded:
 		p.at.learn(p.part, round.Value)
 	}
-	if p.attempt.Close(round) == Finished {
+	if p.attempt.Finish(round) == Finished {
 		o.finish(p)
 		return
 	}
@@ -252,11 +252,11 @@
 	case o.trouble(3):
 		o.hist.Note("call %d: no answer", p.id)
 		o.drop(p)
-	case p.round != nil && p.round.InDoubt():
+	case p.round != nil && p.round.SealPending():
 		o.post(p, p.round.Seal())
 	case p.round != nil:
 		o.close(p)
-	case p.look.Found() == Unsettled:
+	case p.look.Result() == Undecided:
 		o.serial++
 		p.attempt = NewAttempt(p.part, fmt.Sprintf("s%d", o.serial), func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errSettledHere })
 		o.nextRound(p)
--- a/internal/consensus/reading.go
+++ b/internal/consensus/reading.go
@@ -26,11 +26,11 @@
 	NoQuorum  ReadResult = iota // too few answered
 	Current                     // the base is the newest value
 	Newer                       // somebody has a newer one
-	Unsettled                   // something may have been chosen: bring it to an end first
+	Undecided                   // something may have been chosen: bring it to an end first
 )
 
 // Hear takes a member's word; said twice it counts once.
-func (r *Reading) Hear(from messages.Member, response messages.ConsensusResponse) {
+func (r *Reading) Receive(from messages.Member, response messages.ConsensusResponse) {
 	if response.Verdict != messages.Granted || r.responded[from.ID] {
 		return
 	}
@@ -48,7 +48,7 @@
 }
 
 // Found tells what is found so far.
-func (r *Reading) Found() ReadResult {
+func (r *Reading) Result() ReadResult {
 	half := len(r.Base.Group) / 2
 	switch {
 	case len(r.Newer.Group) > 0:
@@ -56,7 +56,7 @@
 	case r.unaccepted > half:
 		return Current
 	case r.responses > r.unaccepted:
-		return Unsettled
+		return Undecided
 	}
 	return NoQuorum
 }
--- a/internal/consensus/repair_test.go
+++ b/internal/consensus/repair_test.go
@@ -179,7 +179,7 @@
 }
 
 func (w *repairWorld) keep(m *machine) {
-	m.acc.Fold(m.known)
+	m.acc.Learn(m.known)
 	m.disk = m.acc.Rec
 }
 
@@ -206,7 +206,7 @@
 // atRound tells whether a machine is at a round that may still end.
 func (w *repairWorld) atRound(m *machine) bool {
 	round := w.busy[m.addr]
-	return round != nil && round.End == Going && w.nowUs-m.beganUs < roundUs
+	return round != nil && round.End == InProgress && w.nowUs-m.beganUs < roundUs
 }
 
 // begin starts a round with a ballot above all before it.
@@ -249,7 +249,7 @@
 		w.learn(to.node, m.ask.Body.Value)
 		return
 	}
-	to.acc.Fold(to.known)
+	to.acc.Learn(to.known)
 	before := to.acc.Rec
 	response, dirty := to.acc.Handle(m.ask.Body)
 	if dirty && to.full {
@@ -275,10 +275,10 @@
 func (w *repairWorld) hear(m *machine, msg message) {
 	round := msg.round
 	was := round.End
-	for _, request := range round.Hear(msg.ask.To, msg.ask.Body.Step, msg.word) {
+	for _, request := range round.Receive(msg.ask.To, msg.ask.Body.Step, msg.word) {
 		w.wires = append(w.wires, message{round: round, ask: request})
 	}
-	if was != Going || round.End != Chosen && round.End != Overtook {
+	if was != InProgress || round.End != Chosen && round.End != Superseded {
 		return
 	}
 	if round.End == Chosen {
@@ -683,7 +683,7 @@
 	register := registers.registers[2]
 	register.recordLock <- struct{}{}
 	registers.Learn(2, agreed(3))
-	register.acceptor.Fold(agreed(3))
+	register.acceptor.Learn(agreed(3))
 	<-register.recordLock
 	for register.persisting.Load() {
 		runtime.Gosched()
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -29,9 +29,9 @@
 
 // Ends of a round.
 const (
-	Going    Outcome = iota
-	Chosen           // Value is agreed on
-	Overtook         // somebody is ahead; Value is what they have committed
+	InProgress Outcome = iota
+	Chosen             // Value is agreed on
+	Superseded         // somebody is ahead; Value is what they have committed
 	Preempted
 	Rejected // the change itself said no; Err tells why
 )
@@ -88,14 +88,14 @@
 
 // Hear takes the word of a member on an ask of the given step. It returns
 // further asks: the next phase's, or the committed base for one who is behind.
-func (r *Round) Hear(from messages.Member, step messages.Step, response messages.ConsensusResponse) []Request {
-	if r.End != Going || (step == messages.Accept) != r.accepting {
+func (r *Round) Receive(from messages.Member, step messages.Step, response messages.ConsensusResponse) []Request {
+	if r.End != InProgress || (step == messages.Accept) != r.accepting {
 		return nil
 	}
 	switch response.Verdict {
 	case messages.Ahead:
 		if response.Value.Version > r.Base.Version {
-			r.End, r.Value, r.Err = Overtook, response.Value, nil
+			r.End, r.Value, r.Err = Superseded, response.Value, nil
 		}
 		return nil
 	case messages.Behind:
@@ -172,7 +172,7 @@
 
 // InDoubt tells that a sealed refusal waits for the members that have not
 // answered: one of them may have accepted an earlier try.
-func (r *Round) InDoubt() bool { return r.End == Going && r.sealPending }
+func (r *Round) SealPending() bool { return r.End == InProgress && r.sealPending }
 
 // settleDoubt refuses once every member has promised and none has accepted
 // anything: then nothing under a lower ballot can be chosen any more.
@@ -185,7 +185,7 @@
 // Seal ends the wait for members that don't answer: the value as it is takes
 // the slot, so that no earlier try can. Once that is chosen, the refusal stands.
 func (r *Round) Seal() []Request {
-	if !r.InDoubt() {
+	if !r.SealPending() {
 		return nil
 	}
 	r.Value = messages.Value{Version: r.Base.Version + 1, Group: r.Base.Group, Body: r.Base.Body, Stamp: r.Stamp + sealStampSuffix}
--- a/internal/consensus/seal_test.go
+++ b/internal/consensus/seal_test.go
@@ -36,7 +36,7 @@
 		for _, request := range requests {
 			if request.To.Addr == addr {
 				response, _ := accs[addr].Handle(request.Body)
-				next = append(next, round.Hear(request.To, request.Body.Step, response)...)
+				next = append(next, round.Receive(request.To, request.Body.Step, response)...)
 			}
 		}
 	}
@@ -49,13 +49,13 @@
 	g, accs, _ := trio()
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
 	must.SliceEmpty(t, tell(round, accs, round.Requests(), "a", "b"))
-	must.True(t, round.InDoubt(), must.Sprint("c may hold an earlier try"))
+	must.True(t, round.SealPending(), must.Sprint("c may hold an earlier try"))
 	requests := round.Seal()
 	tell(round, accs, requests, "a", "b")
 	must.Eq(t, Chosen, round.End)
 	must.False(t, round.Mine)
 	must.ErrorIs(t, round.Err, errStricter)
-	must.Eq(t, Finished, NewAttempt(0, "strict", refuse).Close(round))
+	must.Eq(t, Finished, NewAttempt(0, "strict", refuse).Finish(round))
 	later := NewRound(0, g, messages.Ballot{N: 3, Who: "later"}, "later", body("x"))
 	tell(later, accs, later.Requests(), "b", "c")
 	must.Eq(t, round.Value.Stamp, later.Value.Stamp, must.Sprint("the seal stands, not the earlier try"))
@@ -71,7 +71,7 @@
 	must.Eq(t, Chosen, round.End)
 	must.Eq(t, earlier.Value.Stamp, round.Value.Stamp)
 	must.NoError(t, round.Err)
-	must.Eq(t, NextRound, NewAttempt(0, "strict", refuse).Close(round), must.Sprint("the order is looked up again"))
+	must.Eq(t, NextRound, NewAttempt(0, "strict", refuse).Finish(round), must.Sprint("the order is looked up again"))
 }
 
 // Where every member has promised, nothing has to be written.
@@ -79,8 +79,8 @@
 	g := Genesis([]string{"a", "b", "c"})
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", refuse)
 	for _, m := range g.Group {
-		must.Eq(t, Going, round.End)
-		must.SliceEmpty(t, round.Hear(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted}))
+		must.Eq(t, InProgress, round.End)
+		must.SliceEmpty(t, round.Receive(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted}))
 	}
 	must.Eq(t, Rejected, round.End)
 	must.ErrorIs(t, round.Err, errStricter)
@@ -93,11 +93,11 @@
 	g := Genesis([]string{"a", "b", "c"})
 	quorumRead := NewReading(g)
 	clean := messages.ConsensusResponse{Verdict: messages.Granted}
-	quorumRead.Hear(g.Group[0], clean)
-	quorumRead.Hear(g.Group[0], clean)
-	must.Eq(t, NoQuorum, quorumRead.Found())
-	quorumRead.Hear(g.Group[1], messages.ConsensusResponse{Verdict: messages.Granted, HasAccepted: true})
-	must.Eq(t, Unsettled, quorumRead.Found())
-	quorumRead.Hear(g.Group[2], clean)
-	must.Eq(t, Current, quorumRead.Found(), must.Sprint("a majority is clean: what one has accepted was not chosen"))
+	quorumRead.Receive(g.Group[0], clean)
+	quorumRead.Receive(g.Group[0], clean)
+	must.Eq(t, NoQuorum, quorumRead.Result())
+	quorumRead.Receive(g.Group[1], messages.ConsensusResponse{Verdict: messages.Granted, HasAccepted: true})
+	must.Eq(t, Undecided, quorumRead.Result())
+	quorumRead.Receive(g.Group[2], clean)
+	must.Eq(t, Current, quorumRead.Result(), must.Sprint("a majority is clean: what one has accepted was not chosen"))
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -203,7 +203,7 @@
 func (c *Controller) makeDurable(part int, v messages.Value, done func(error)) {
 	r := c.registers[part]
 	before := r.acceptor.Rec
-	if !r.acceptor.Fold(v) && r.durable >= r.acceptor.Rec.Committed.Version {
+	if !r.acceptor.Learn(v) && r.durable >= r.acceptor.Rec.Committed.Version {
 		done(nil)
 		return
 	}
@@ -274,7 +274,7 @@
 			return
 		}
 		if r.learned != nil {
-			r.acceptor.Fold(*r.learned)
+			r.acceptor.Learn(*r.learned)
 		}
 		before := r.acceptor.Rec
 		response, changed := r.acceptor.Handle(request)
--- a/internal/simulation/proposer.go
+++ b/internal/simulation/proposer.go
@@ -87,11 +87,11 @@
 			p.postInTurn(round, asks[1:])
 			return
 		}
-		if p.round != round || round.End != consensus.Going {
+		if p.round != round || round.End != consensus.InProgress {
 			return
 		}
-		more := round.Hear(a.To, a.Body.Step, r)
-		if round.End != consensus.Going {
+		more := round.Receive(a.To, a.Body.Step, r)
+		if round.End != consensus.InProgress {
 			p.finish(round)
 			return
 		}
@@ -103,7 +103,7 @@
 
 // sealLater closes the slot of a refusal that waits for members in vain.
 func (p *changing) sealLater(round *consensus.Round) {
-	if p.sealing || !round.InDoubt() {
+	if p.sealing || !round.SealPending() {
 		return
 	}
 	p.sealing = true
@@ -124,10 +124,10 @@
 	case consensus.Chosen:
 		p.node.cluster.checks.chosen(p.part, round.Value)
 		p.spread(round)
-	case consensus.Overtook:
+	case consensus.Superseded:
 		p.node.learn(p.part, round.Value)
 	}
-	switch p.attempt.Close(round) {
+	switch p.attempt.Finish(round) {
 	case consensus.Finished:
 		p.done(round.Value, round.Err)
 		return
@@ -204,8 +204,8 @@
 		return
 	}
 	q.heard++
-	q.Hear(from, r)
-	found := q.Found()
+	q.Receive(from, r)
+	found := q.Result()
 	if found == consensus.Current || found == consensus.Newer || q.heard == len(q.Base.Group) {
 		p.finish(q)
 	}
@@ -216,13 +216,13 @@
 		return
 	}
 	q.over = true
-	switch q.Found() {
+	switch q.Result() {
 	case consensus.Newer:
 		p.node.learn(p.part, q.Newer)
 		p.start()
 	case consensus.Current:
 		p.done(q.Base, nil)
-	case consensus.Unsettled:
+	case consensus.Undecided:
 		nothing := func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errSettled }
 		p.node.change(p.part, p.untilUs-p.node.process.NowUs(), nothing, func(_ messages.Value, err error) {
 			if err != nil && !errors.Is(err, errSettled) {
