--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -1,18 +1,17 @@
-// Acceptor is one member's part in agreeing on a register: what it knows to be
-// committed, the ballot it has promised for the next slot and what it has
-// accepted there. It is a pure state machine; whoever drives it must make a
-// changed record durable before the word goes out.
 package consensus
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Acceptor answers asks for one part under one identity.
+// Acceptor is the Paxos acceptor of one register under one identity: the value that
+// it knows to be committed, the ballot that it has promised for the next version
+// and what it has accepted there. It is a pure state machine; its driver makes
+// a changed record durable before the response is sent.
 type Acceptor struct {
-	ID  string
-	Rec messages.Record
+	ID  string          // the identity that votes are given under
+	Rec messages.Record // what has to survive a restart
 }
 
-// Less orders ballots.
+// Less orders ballots: by number, then by proposer.
 func Less(a, b messages.Ballot) bool {
 	if a.N != b.N {
 		return a.N < b.N
@@ -20,49 +19,83 @@
 	return a.Who < b.Who
 }
 
-// Fold takes in a committed value learned elsewhere.
+// Learn takes in a committed value and tells whether it is newer than the known
+// one. The promise and the accepted value of the older version are dropped.
 func (a *Acceptor) Learn(v messages.Value) bool {
-	if v.Version <= a.Rec.Committed.Version && len(a.Rec.Committed.Group) > 0 || len(v.Group) == 0 {
+	known := len(a.Rec.Committed.Group) > 0
+	if len(v.Group) == 0 || known && v.Version <= a.Rec.Committed.Version {
 		return false
 	}
 	a.Rec = messages.Record{Committed: v}
 	return true
 }
 
-// Handle answers an ask. The second result tells that the record has changed
-// and must reach the disk before the word is sent.
-func (a *Acceptor) Handle(request messages.ConsensusRequest) (messages.ConsensusResponse, bool) {
-	version := a.Rec.Committed.Version
-	known := len(a.Rec.Committed.Group) > 0
+// Handle answers a read, prepare or accept request. changed tells that the record
+// has changed and must be on disk before the response is sent.
+func (a *Acceptor) Handle(request messages.ConsensusRequest) (response messages.ConsensusResponse, changed bool) {
 	if request.Step == messages.Read {
-		if request.To != "" && request.To != a.ID {
-			return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}, false
-		}
-		response := messages.ConsensusResponse{Verdict: messages.Granted, Version: version, HasAccepted: a.Rec.HasAccepted}
-		if !known {
-			response.Verdict = messages.Behind
-		} else if version >= request.Slot {
-			response.Value = a.Rec.Committed
-		}
+		return a.read(request), false
+	}
+	if response, ok := a.admit(request); !ok {
 		return response, false
 	}
-	if request.To != a.ID {
-		return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}, false
+	if request.Step == messages.Prepare {
+		return a.prepare(request.Ballot)
 	}
+	return a.accept(request.Ballot, request.Value), true
+}
+
+// read answers a read: with the committed value only if it is at or above the
+// requested version, and with whether a value is accepted but not known as committed.
+func (a *Acceptor) read(request messages.ConsensusRequest) messages.ConsensusResponse {
+	version := a.Rec.Committed.Version
+	if request.To != "" && request.To != a.ID {
+		return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}
+	}
+	response := messages.ConsensusResponse{Verdict: messages.Granted, Version: version, HasAccepted: a.Rec.HasAccepted}
+	if len(a.Rec.Committed.Group) == 0 {
+		response.Verdict = messages.Behind
+	} else if version >= request.Slot {
+		response.Value = a.Rec.Committed
+	}
+	return response
+}
+
+// admit rejects a prepare or accept that is for another identity or another
+// version, or under a lower ballot than the promised one.
+func (a *Acceptor) admit(request messages.ConsensusRequest) (rejection messages.ConsensusResponse, ok bool) {
+	version := a.Rec.Committed.Version
+	known := len(a.Rec.Committed.Group) > 0
 	switch {
+	case request.To != a.ID:
+		return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}, false
 	case known && request.Slot <= version:
 		return messages.ConsensusResponse{Verdict: messages.Ahead, Version: version, Value: a.Rec.Committed}, false
 	case !known || request.Slot > version+1:
 		return messages.ConsensusResponse{Verdict: messages.Behind, Version: version}, false
-	}
-	if Less(request.Ballot, a.Rec.Promised) {
+	case Less(request.Ballot, a.Rec.Promised):
 		return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Rec.Promised}, false
 	}
-	if request.Step == messages.Prepare {
-		dirty := a.Rec.Promised != request.Ballot
-		a.Rec.Promised = request.Ballot
-		return messages.ConsensusResponse{Verdict: messages.Granted, Version: version, Promised: request.Ballot, AcceptedAt: a.Rec.AcceptedAt, HasAccepted: a.Rec.HasAccepted, Value: a.Rec.Accepted}, dirty
-	}
-	a.Rec.Promised, a.Rec.AcceptedAt, a.Rec.Accepted, a.Rec.HasAccepted = request.Ballot, request.Ballot, request.Value, true
-	return messages.ConsensusResponse{Verdict: messages.Granted, Version: version, Promised: request.Ballot}, true
+	return messages.ConsensusResponse{}, true
+}
+
+// prepare promises a ballot and reports what has been accepted under a lower one.
+func (a *Acceptor) prepare(ballot messages.Ballot) (response messages.ConsensusResponse, changed bool) {
+	changed = a.Rec.Promised != ballot
+	a.Rec.Promised = ballot
+	return messages.ConsensusResponse{
+		Verdict:     messages.Granted,
+		Version:     a.Rec.Committed.Version,
+		Promised:    ballot,
+		AcceptedAt:  a.Rec.AcceptedAt,
+		HasAccepted: a.Rec.HasAccepted,
+		Value:       a.Rec.Accepted,
+	}, changed
+}
+
+// accept accepts a value, which promises its ballot too.
+func (a *Acceptor) accept(ballot messages.Ballot, v messages.Value) messages.ConsensusResponse {
+	a.Rec.Promised, a.Rec.AcceptedAt = ballot, ballot
+	a.Rec.Accepted, a.Rec.HasAccepted = v, true
+	return messages.ConsensusResponse{Verdict: messages.Granted, Version: a.Rec.Committed.Version, Promised: ballot}
 }
--- a/internal/consensus/attempt.go
+++ b/internal/consensus/attempt.go
@@ -2,46 +2,61 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Attempt is one call's try to make a change: rounds one after the other, until
-// the change is made or refused. It is pure; whoever drives it plays the rounds,
-// learns what they bring to light, and may give up at any time, after which the
-// change may still come into force.
+// Attempt is the proposer of one change: it runs one Round after another, each under
+// a higher ballot or on a newer base, until the change is committed or rejected. It
+// is pure; its driver sends the requests of the rounds, learns the values that they
+// return, and may give up at any time, after which the change may still be committed.
 //
-// A refusal is final. It rests on three things. The round had promises by a
-// majority of the base's group, none of whom had accepted anything: so nothing
-// was chosen on top of the base when the last of them promised, and the refusal
-// holds for the newest state, however old the base was to its node. On that base
-// every earlier try of the same order was refused likewise, as a change depends
-// on nothing else; where it may not have been, SealRefusal closes the slot. And
-// what the change says no to, it says no to on every later value too.
+// A rejection is final, for three reasons. The round had promises from a majority
+// of the base's group, none of which had accepted a value: so nothing was committed
+// on top of the base when the last of them promised, and the rejection holds for the
+// newest state, however old the base was for its node. A change depends on nothing but
+// the base, so every earlier attempt of the same order was rejected on it too; where
+// that is not certain, SealRefusal closes the version first. And what a change
+// rejects on one value, it rejects on every later value.
 type Attempt struct {
 	part          int
 	stamp         string
 	change        Change
-	highestBallot messages.Ballot
+	highestBallot messages.Ballot // the highest ballot met on the current base
 }
 
-// NewAttempt starts an attempt. The stamp marks what it proposes and is used once.
+// NewAttempt starts an attempt. The stamp identifies what it proposes and must be
+// unique over all attempts of all members.
 func NewAttempt(part int, stamp string, change Change) *Attempt {
 	return &Attempt{part: part, stamp: stamp, change: change}
 }
 
 // Round starts the next round on top of the newest committed value known.
 func (a *Attempt) Round(base messages.Value) *Round {
-	return NewRound(a.part, base, messages.Ballot{N: a.highestBallot.N + 1, Who: a.stamp}, a.stamp, a.change)
+	ballot := messages.Ballot{N: a.highestBallot.N + 1, Who: a.stamp}
+	return NewRound(a.part, base, ballot, a.stamp, a.change)
 }
 
 // Progress says how an attempt goes on after a round.
 type Progress int
 
-// Ways to go on.
+// What to do after a round.
 const (
-	Finished  Progress = iota // the change is made, or refused with Err of the round
-	NextRound                 // another value came first: try on top of it
-	Backoff                   // somebody bids higher, or nobody answers: wait a little
+	Finished  Progress = iota // the change is committed, or rejected with Err of the round
+	NextRound                 // another value was committed first: start a round on top of it
+	Backoff                   // preempted by a higher ballot, or no quorum: wait, then start a round
 )
 
-// Close takes a round that has ended or was given up.
+// String names the progress for logs and test failures.
+func (p Progress) String() string {
+	switch p {
+	case Finished:
+		return "finished"
+	case NextRound:
+		return "next round"
+	case Backoff:
+		return "backoff"
+	}
+	return "unknown"
+}
+
+// Finish takes a round that has ended or was given up, and tells how to go on.
 func (a *Attempt) Finish(round *Round) Progress {
 	switch round.End {
 	case Rejected:
@@ -59,9 +74,9 @@
 		}
 		return NextRound
 	}
-	for _, b := range []messages.Ballot{round.HighestBallot, round.Ballot} {
-		if Less(a.highestBallot, b) {
-			a.highestBallot = b
+	for _, ballot := range []messages.Ballot{round.HighestBallot, round.Ballot} {
+		if Less(a.highestBallot, ballot) {
+			a.highestBallot = ballot
 		}
 	}
 	return Backoff
--- /dev/null
+++ b/internal/consensus/change.go
@@ -0,0 +1,183 @@
+package consensus
+
+import (
+	"context"
+	"crypto/rand"
+	"math/big"
+	"time"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+const (
+	// roundTimeout bounds one round where values are small; transferAllowance is
+	// added for large ones.
+	roundTimeout = 500 * time.Millisecond
+	// commitTimeout bounds a commit message where values are small.
+	commitTimeout = time.Second
+	// sealTimeout is how long a sealed rejection waits for the members that have
+	// not promised yet, before the version is closed without them.
+	sealTimeout = 150 * time.Millisecond
+
+	// A backoff is drawn from zero to backoffBaseMs, and backoffStepMs more for each
+	// attempt so far, of which backoffMaxSteps count.
+	backoffBaseMs   = 10
+	backoffStepMs   = 20
+	backoffMaxSteps = 8
+
+	// responseBuffer holds the responses of both phases and their repeats, so that
+	// senders rarely wait for the round.
+	responseBuffer = 64
+)
+
+// Change runs rounds until the change is committed or rejects itself, or until ctx
+// ends. It returns the committed value, or the error of the change. After ErrUnsure
+// the change may still be committed.
+func (r *Registers) Change(ctx context.Context, part int, change Change) (messages.Value, error) {
+	attempt := NewAttempt(part, r.incarnation+Random(), change)
+	for retries := 0; ; retries++ {
+		if ctx.Err() != nil {
+			return messages.Value{}, ErrUnsure
+		}
+		base, ok := r.Committed(part)
+		if !ok {
+			return messages.Value{}, ErrNoGroup
+		}
+		round := attempt.Round(base)
+		newRoundDriver(r, round).run(ctx)
+		switch round.End {
+		case Chosen:
+			r.broadcastCommit(part, round.Value, round.Base.Group)
+		case Superseded:
+			r.Learn(part, round.Value)
+		}
+		switch attempt.Finish(round) {
+		case Finished:
+			return round.Value, round.Err
+		case Backoff:
+			backoff(ctx, retries)
+		}
+	}
+}
+
+// backoff waits a random time that grows with the retries, so that proposers that
+// preempt each other get out of step.
+func backoff(ctx context.Context, retries int) {
+	limitMs := int64(backoffBaseMs + backoffStepMs*min(retries, backoffMaxSteps))
+	n, _ := rand.Int(rand.Reader, big.NewInt(limitMs))
+	select {
+	case <-time.After(time.Duration(n.Int64()) * time.Millisecond):
+	case <-ctx.Done():
+	}
+}
+
+// broadcastCommit learns a committed value and sends it to the members of the old
+// and the new group. Nothing waits for that: a member that misses it catches up later.
+func (r *Registers) broadcastCommit(part int, v messages.Value, old []messages.Member) {
+	r.Learn(part, v)
+	for _, m := range unionOf(old, v.Group) {
+		if m.Addr == r.addr {
+			continue
+		}
+		go func() {
+			// The commit outlives the request that made the change.
+			ctx, cancel := context.WithTimeout(context.Background(), commitTimeout+transferAllowance(v))
+			defer cancel()
+			_, _ = r.send(ctx, m, messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v})
+		}()
+	}
+}
+
+// memberResponse is a member's response to a request of a step, or the error of
+// the call.
+type memberResponse struct {
+	member   messages.Member
+	step     messages.Step
+	response messages.ConsensusResponse
+	err      error
+}
+
+// roundDriver carries the requests of one round to the members and their responses
+// back. All but its sending goroutines belong to the goroutine that calls run.
+type roundDriver struct {
+	registers *Registers
+	round     *Round
+	responses chan memberResponse
+	// referencedTo has the members that were sent a reference to the base in place
+	// of the base, as that is large.
+	referencedTo map[string]bool
+}
+
+func newRoundDriver(registers *Registers, round *Round) *roundDriver {
+	return &roundDriver{
+		registers:    registers,
+		round:        round,
+		responses:    make(chan memberResponse, responseBuffer),
+		referencedTo: map[string]bool{},
+	}
+}
+
+// run returns once the round has ended, or with the round in progress at its timeout.
+func (d *roundDriver) run(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout+transferAllowance(d.round.Base))
+	defer cancel()
+	d.send(ctx, d.round.Requests())
+	var sealDue <-chan time.Time
+	for d.round.End == InProgress {
+		if d.round.SealPending() && sealDue == nil {
+			sealDue = time.After(sealTimeout)
+		}
+		select {
+		case <-sealDue:
+			d.send(ctx, d.round.Seal())
+		case received := <-d.responses:
+			if received.err == nil {
+				d.send(ctx, d.round.Receive(received.member, received.step, received.response))
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// send sends requests, those to one member one after the other and those to different
+// members at once.
+func (d *roundDriver) send(ctx context.Context, requests []Request) {
+	byMember := map[string][]Request{}
+	for _, request := range requests {
+		byMember[request.To.ID] = append(byMember[request.To.ID], request)
+	}
+	for id, list := range byMember {
+		if d.replaceLargeBase(id, list) {
+			go d.sendInOrder(ctx, list)
+		}
+	}
+}
+
+// replaceLargeBase puts a reference to a large base in place of the base. It reports
+// false for a member that had one before: that one fetches the base in chunks, and
+// votes once it has it.
+func (d *roundDriver) replaceLargeBase(id string, list []Request) (send bool) {
+	if !isLarge(d.round.Base) || list[0].Body.Step != messages.Commit {
+		return true
+	}
+	if d.referencedTo[id] {
+		return false
+	}
+	d.referencedTo[id] = true
+	list[0].Body.Value = referenceTo(d.round.Base)
+	return true
+}
+
+func (d *roundDriver) sendInOrder(ctx context.Context, list []Request) {
+	for _, request := range list {
+		response, err := d.registers.send(ctx, request.To, request.Body)
+		if request.Body.Step == messages.Commit && err == nil {
+			continue // what matters is the response to the request that follows
+		}
+		select {
+		case d.responses <- memberResponse{request.To, request.Body.Step, response, err}:
+		case <-ctx.Done():
+		}
+	}
+}
--- /dev/null
+++ b/internal/consensus/doc.go
@@ -0,0 +1,58 @@
+// Package consensus replicates the control state. The state is split into Parts
+// registers (the configuration, and the registers that services are hashed to),
+// each agreed on by single-register Paxos among a small group of controllers.
+//
+// # What it is given and what it guarantees
+//
+// Open is given a Caller (the transport), a Store (the disk or memory of this
+// member) and a callback for committed values. Change replaces the value of a
+// register by compare-and-set, Read gives a linearizable read, Committed gives the
+// newest committed value that this node knows, which may be stale. At most one
+// value is ever committed for a version of a register, and a change that was
+// acknowledged is not lost as long as a majority of the group keeps its disks.
+//
+// # Roles
+//
+// The pure state machines take messages and time as arguments and do no I/O: the
+// acceptor (Acceptor), the proposer (Attempt, which runs one Round per ballot),
+// the linearizable read (Reading), membership changes (RepairGroup, HandOver) and
+// their schedule (RepairCoordinator). Registers drives them: it sends their
+// requests, writes records before responses leave, and is the learner. The
+// simulation drives the same machines.
+//
+// # Invariants
+//
+//   - A value is committed (chosen) under version N once a majority of the group
+//     named by version N-1 and a majority of the group that it names itself have
+//     accepted it under one ballot and have it on disk.
+//   - A promise (Record.Promised) binds an acceptor to reject every lower ballot for
+//     the version after its committed one. An accepted value (Record.Accepted, under
+//     the ballot AcceptedAt) may have been committed: a proposer that meets one while
+//     it prepares proposes the one with the highest ballot again, not its own.
+//     Learning a committed value ends that version: promise and accepted value go.
+//   - Quorums meet across a membership change because the group is part of the value
+//     and each value names the group that decides the next: the only value that
+//     moves from one group to another was accepted by majorities of both, and
+//     the next version is prepared among the new group alone, on top of that value.
+//   - Votes belong to an identity (Member.ID), not to an address, and every vote
+//     request names the identity that it is meant for. A member whose disk was wiped or
+//     damaged comes back under a new identity (Restore) and is no acceptor until a
+//     committed group names that identity, which the repair coordinator proposes
+//     only after the member has confirmed that it holds the committed value on disk.
+//   - A changed record is on disk before the response that rests on it is sent. Where
+//     the write fails, the record in memory is rolled back and no response is sent.
+//
+// # Who owns which state
+//
+// Registers has no goroutine of its own: requests are served in the goroutines of
+// the transport, changes and reads in those of their callers. The acceptor of a
+// register and its durableVersion belong to the goroutine that holds the register's
+// recordLock; it keeps the lock while the disk is written, so that a hanging disk
+// holds up this member's votes in this register and nothing else. The committed value
+// is an atomic pointer that any goroutine reads without the lock. A Round and its
+// roundDriver belong to the goroutine that called Change; goroutines that send
+// requests hand responses to it over a channel. After a value was learned, one
+// goroutine a register writes it to disk (persistInBackground). Transfers of large
+// values are guarded by the mutex in transfers. A RepairCoordinator is not safe for
+// concurrent use: its owner serializes calls.
+package consensus
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -1,7 +1,3 @@
-// Regroup decides whether the group of a register should change: a wiped
-// member is swapped for its new incarnation, one that is gone for a newcomer
-// that stands ready, and a group grows only to an odd size. One change at a
-// time; what is decided here still has to win a round.
 package consensus
 
 import (
@@ -10,89 +6,113 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// maxGroup bounds the members of one register.
+// maxGroupSize bounds the members of one register.
 const maxGroupSize = 9
 
-// Status is what a controller sees of the others.
+// Status is what a controller sees of the other controllers.
 type Status struct {
-	Ready   []messages.Member // alive, with the identity they now have
-	GoneFor func(addr string) int64
-	GoneUs  int64 // how long a member must be gone to be swapped or dropped
+	Ready   []messages.Member            // alive and eligible, with their current identities
+	GoneFor func(addr string) (us int64) // how long a controller has not answered, 0 if it is alive
+	GoneUs  int64                        // how long a member must be gone to be replaced or removed
 }
 
-// Stand sorts the live controllers. Where some of them count among those whose
-// loss is bounded, only they are to be members: any number of the others may go
-// at once, so a member that does not count is as good as gone once another
-// stands ready.
+// Stand makes a Status from the live controllers. Where some of them are counted
+// (the number that fails at once is bounded), only they are eligible as members: any
+// number of the others may go at once, so an uncounted member is treated as gone
+// and replaced once a counted controller is ready.
 func Stand(alive []messages.Peer, goneFor func(addr string) int64, goneUs int64) Status {
 	counted := false
-	for _, p := range alive {
-		counted = counted || p.Counted
+	for _, peer := range alive {
+		counted = counted || peer.Counted
 	}
-	s := Status{GoneUs: goneUs}
+	status := Status{GoneUs: goneUs}
 	uncounted := map[string]bool{}
-	for _, p := range alive {
-		if counted && !p.Counted {
-			uncounted[p.Addr] = true
+	for _, peer := range alive {
+		if counted && !peer.Counted {
+			uncounted[peer.Addr] = true
 			continue
 		}
-		s.Ready = append(s.Ready, messages.Member{ID: p.MemberID, Addr: p.Addr})
+		status.Ready = append(status.Ready, messages.Member{ID: peer.MemberID, Addr: peer.Addr})
 	}
-	s.GoneFor = func(addr string) int64 {
+	status.GoneFor = func(addr string) int64 {
 		if uncounted[addr] {
 			return goneUs
 		}
 		return goneFor(addr)
 	}
-	return s
+	return status
 }
 
-// Regroup returns the wanted group, and false where it should stay as it is.
+// RepairGroup gives the next group of a register, and false if it should stay as it
+// is. It makes one change: a wiped member is replaced by its new identity, else a
+// member that is gone by a candidate or, in a group of even size, removed, else the
+// group grows, unless it would stay at an even size for lack of a second candidate.
 func RepairGroup(group []messages.Member, s Status) ([]messages.Member, bool) {
 	candidates := Newcomers(group, s)
-	for _, n := range candidates {
+	if next, wiped := replaceWiped(group, candidates); wiped {
+		return next, true
+	}
+	gone, isGone := firstGone(group, s)
+	switch {
+	case isGone && len(candidates) > 0:
+		return replaceMember(group, gone, &candidates[0]), true
+	case isGone && len(group)%2 == 0:
+		return replaceMember(group, gone, nil), true
+	case !isGone && canGrow(group, candidates):
+		return append(append([]messages.Member{}, group...), candidates[0]), true
+	}
+	return nil, false
+}
+
+// replaceWiped replaces the first member that has come back under a new identity.
+func replaceWiped(group, candidates []messages.Member) ([]messages.Member, bool) {
+	for _, candidate := range candidates {
 		for i, m := range group {
-			if m.Addr == n.Addr {
-				return replaceMember(group, i, &n), true
+			if m.Addr == candidate.Addr {
+				return replaceMember(group, i, &candidate), true
 			}
 		}
 	}
-	gone := -1
+	return nil, false
+}
+
+// firstGone gives the index of the first member that is gone.
+func firstGone(group []messages.Member, s Status) (int, bool) {
 	for i, m := range group {
 		if s.GoneFor(m.Addr) >= s.GoneUs {
-			gone = i
-			break
+			return i, true
 		}
 	}
-	switch {
-	case gone >= 0 && len(candidates) > 0:
-		return replaceMember(group, gone, &candidates[0]), true
-	case gone >= 0 && len(group)%2 == 0:
-		return replaceMember(group, gone, nil), true
-	case gone < 0 && len(candidates) > 0 && len(group) < maxGroupSize && (len(group)%2 == 0 || len(candidates) > 1):
-		return append(append([]messages.Member{}, group...), candidates[0]), true
+	return 0, false
+}
+
+// canGrow tells whether a candidate may be added: an odd group grows only if a second
+// candidate can follow.
+func canGrow(group, candidates []messages.Member) bool {
+	if len(candidates) == 0 || len(group) >= maxGroupSize {
+		return false
 	}
-	return nil, false
+	return len(group)%2 == 0 || len(candidates) > 1
 }
 
-// HandOver is the group in which a member that is about to end has given its
-// place to a newcomer that stands ready. A newcomer at the address of a member
-// has lost that member's disk and takes its place, which is Regroup's affair.
+// HandOver gives the group in which a member that shuts down is replaced by a candidate,
+// and false if there is none. A candidate at the address of a member is that member
+// after a loss of its disk: it is for RepairGroup to take it in.
 func HandOver(group []messages.Member, self string, s Status) ([]messages.Member, bool) {
-	for _, n := range Newcomers(group, s) {
-		if memberAt(group, n.Addr).ID != "" {
+	for _, candidate := range Newcomers(group, s) {
+		if memberAt(group, candidate.Addr).ID != "" {
 			continue
 		}
 		for i, m := range group {
 			if m.Addr == self {
-				return replaceMember(group, i, &n), true
+				return replaceMember(group, i, &candidate), true
 			}
 		}
 	}
 	return nil, false
 }
 
-// Newcomers are those that stand ready and are no members, by identity.
+// Newcomers lists the candidates: who is ready and no member, ordered by identity.
 func Newcomers(group []messages.Member, s Status) []messages.Member {
 	var out []messages.Member
 	for _, m := range s.Ready {
@@ -103,11 +123,3 @@
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
-
-func replaceMember(group []messages.Member, i int, by *messages.Member) []messages.Member {
-	out := append([]messages.Member{}, group[:i]...)
-	if by != nil {
-		out = append(out, *by)
-	}
-	return append(out, group[i+1:]...)
-}
--- /dev/null
+++ b/internal/consensus/memory_store.go
@@ -0,0 +1,62 @@
+package consensus
+
+import (
+	"sync"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// MemoryStore is a Store that ends with the process, for machines without a disk. The
+// zero value is empty and ready for use.
+type MemoryStore struct {
+	mu      sync.Mutex // guards all below
+	records map[int]messages.Record
+	id      string
+}
+
+// Identity gives the identity of this process, if it has one yet.
+func (m *MemoryStore) Identity() (string, bool, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.id, m.id != "", nil
+}
+
+// Empty tells whether nothing was stored.
+func (m *MemoryStore) Empty() (bool, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.id == "" && len(m.records) == 0, nil
+}
+
+// Renew takes another identity and erases the votes.
+func (m *MemoryStore) Renew(id string) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.id = id
+	for part, record := range m.records {
+		m.records[part] = withoutVotes(record)
+	}
+	return nil
+}
+
+// Load gives the record that was saved last.
+func (m *MemoryStore) Load(part int) (messages.Record, bool, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	r, ok := m.records[part]
+	return r, ok, nil
+}
+
+// Save keeps the record.
+func (m *MemoryStore) Save(part int, record messages.Record) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.records == nil {
+		m.records = map[int]messages.Record{}
+	}
+	m.records[part] = record
+	return nil
+}
+
+// Settle has nothing to do: a loss of power ends the process too.
+func (m *MemoryStore) Settle() error { return nil }
--- /dev/null
+++ b/internal/consensus/persist.go
@@ -0,0 +1,86 @@
+package consensus
+
+import (
+	"time"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// persistRetryInterval is the wait before a write that the disk refused is repeated.
+const persistRetryInterval = 300 * time.Millisecond
+
+// persistInBackground writes the committed value to disk in a goroutine, one a
+// register. Agreement does not need that, but after a membership change the old group
+// may be gone: then the members of the new group must know it from their own disks,
+// after a loss of power too.
+func (r *Registers) persistInBackground(part int) {
+	register := r.registers[part]
+	if !register.persisting.CompareAndSwap(false, true) {
+		return
+	}
+	go func() {
+		for {
+			v := register.committed.Load()
+			register.recordLock <- struct{}{}
+			err := r.persistLocked(part, *v)
+			register.unlock()
+			if err != nil {
+				time.Sleep(persistRetryInterval)
+				continue
+			}
+			register.persisting.Store(false)
+			// A value learned before the flag was cleared started no goroutine of its own.
+			if register.committed.Load() == v || !register.persisting.CompareAndSwap(false, true) {
+				return
+			}
+		}
+	}()
+}
+
+// persistLocked learns a committed value into the record and saves it, unless it is
+// on disk already. The caller holds the register's recordLock.
+func (r *Registers) persistLocked(part int, v messages.Value) error {
+	register := r.registers[part]
+	before := register.acceptor.Rec
+	if !register.acceptor.Learn(v) && register.durableVersion >= register.acceptor.Rec.Committed.Version {
+		return r.store.Settle()
+	}
+	if err := r.saveRecord(part, register.acceptor.Rec); err != nil {
+		register.acceptor.Rec = before
+		return err
+	}
+	return nil
+}
+
+// saveRecord writes a record to the store and keeps how that went for LastSave. The
+// caller holds the register's recordLock.
+func (r *Registers) saveRecord(part int, record messages.Record) error {
+	began := time.Now()
+	err := r.store.Save(part, record)
+	r.recordSaveResult(time.Since(began), err)
+	if err == nil && len(record.Committed.Group) > 0 {
+		r.registers[part].durableVersion = record.Committed.Version
+	}
+	return err
+}
+
+// recordSaveResult keeps the result of a write, and logs the first of several failures.
+func (r *Registers) recordSaveResult(took time.Duration, err error) {
+	r.lastSaveUs.Store(took.Microseconds())
+	fault := ""
+	if err != nil {
+		fault = err.Error()
+	}
+	if old := r.lastSaveFault.Swap(&fault); err != nil && (old == nil || *old == "") {
+		r.log.Error(err, "the store refuses writes; this member gives no votes meanwhile")
+	}
+}
+
+// LastSave tells how many microseconds the last write to the store took, and its
+// error, which is empty where it succeeded.
+func (r *Registers) LastSave() (us int64, fault string) {
+	if f := r.lastSaveFault.Load(); f != nil {
+		fault = *f
+	}
+	return r.lastSaveUs.Load(), fault
+}
--- a/internal/consensus/reading.go
+++ b/internal/consensus/reading.go
@@ -2,34 +2,50 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Reading is one look at a register through the members' eyes. Members that
-// have accepted nothing on top of the base are clean; where a majority is, nothing
-// newer was chosen when the look began. It is pure.
+// Reading is a linearizable read: it asks the members of the group what they have
+// committed and accepted. Where a majority has accepted nothing on top of the base,
+// nothing newer was committed when the read began. It is pure.
 type Reading struct {
 	Base  messages.Value
-	Newer messages.Value // a later committed value, if one came to light
+	Newer messages.Value // a later committed value, if a member knows one
 
-	responded             map[string]bool
-	responses, unaccepted int
+	responded  map[string]bool
+	responses  int
+	unaccepted int // members that have accepted nothing on top of the base
 }
 
-// NewReading starts a look on top of the newest committed value known.
+// NewReading starts a read on top of the newest committed value known.
 func NewReading(base messages.Value) *Reading {
 	return &Reading{Base: base, responded: map[string]bool{}}
 }
 
-// Finding is what a look found.
-type ReadResult int
+// Finding is the result of a read.
+type Finding int
 
-// Findings.
+// Results of a read.
 const (
-	NoQuorum  ReadResult = iota // too few answered
-	Current                     // the base is the newest value
-	Newer                       // somebody has a newer one
-	Undecided                   // something may have been chosen: bring it to an end first
+	NoQuorum  Finding = iota // too few members answered
+	Current                  // the base is the newest committed value
+	Newer                    // a member knows a newer one
+	Undecided                // a value is accepted and may be committed: finish it, then read again
 )
 
-// Hear takes a member's word; said twice it counts once.
+// String names the result for logs and test failures.
+func (f Finding) String() string {
+	switch f {
+	case NoQuorum:
+		return "no quorum"
+	case Current:
+		return "current"
+	case Newer:
+		return "newer"
+	case Undecided:
+		return "undecided"
+	}
+	return "unknown"
+}
+
+// Receive takes a member's response; a repeated one counts once.
 func (r *Reading) Receive(from messages.Member, response messages.ConsensusResponse) {
 	if response.Verdict != messages.Granted || r.responded[from.ID] {
 		return
@@ -47,8 +63,8 @@
 	}
 }
 
-// Found tells what is found so far.
-func (r *Reading) Result() ReadResult {
+// Result gives the result as far as responses have come in.
+func (r *Reading) Result() Finding {
 	half := len(r.Base.Group) / 2
 	switch {
 	case len(r.Newer.Group) > 0:
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -1,7 +1,3 @@
-// Round is one attempt to agree on the next value of a register. It asks the
-// group for promises, takes over what may already have been chosen, else makes
-// the change that is wanted, and asks for acceptance by a majority of the old
-// and of the new group. It is a pure state machine: words come in, asks go out.
 package consensus
 
 import (
@@ -10,59 +6,84 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Change makes the next group and body from the current value. An error ends
-// the round with nothing changed and is handed to the caller as it is. It must
-// depend on nothing but the value and the order that it stands for: a refusal is
-// final as no earlier try of the same order can have found otherwise on the same
-// value. Where it may have (other checks in an earlier version of the program),
-// it returns the refusal as SealRefusal(err).
+// Change computes the next group and body from the committed value; an empty group
+// keeps the current one. An error rejects the change and is returned to the caller
+// as it is. A Change must depend on nothing but the value and the order that it
+// stands for: a rejection is final only because no earlier attempt of the same order
+// can have decided otherwise on the same value. Where it may have (an earlier version
+// of the program had other checks), the change returns SealRefusal(err).
 type Change func(cur messages.Value) (group []messages.Member, body []byte, err error)
 
-// Request is what a member is asked, with its receiver.
+// Request is a request with the member that it is sent to.
 type Request struct {
 	To   messages.Member
 	Body messages.ConsensusRequest
 }
 
-// End says how a round stands.
+// Outcome is the state of a round.
 type Outcome int
 
-// Ends of a round.
+// Outcomes of a round.
 const (
 	InProgress Outcome = iota
-	Chosen             // Value is agreed on
-	Superseded         // somebody is ahead; Value is what they have committed
-	Preempted
-	Rejected // the change itself said no; Err tells why
+	Chosen             // Value is committed
+	Superseded         // a member knows a newer committed value: Value
+	Preempted          // so many members promised a higher ballot that no quorum is left
+	Rejected           // the change returned an error: Err
 )
 
-// Round is the state of the attempt.
+// String names the outcome for logs and test failures.
+func (o Outcome) String() string {
+	switch o {
+	case InProgress:
+		return "in progress"
+	case Chosen:
+		return "chosen"
+	case Superseded:
+		return "superseded"
+	case Preempted:
+		return "preempted"
+	case Rejected:
+		return "rejected"
+	}
+	return "unknown"
+}
+
+// Round is the two phases of Paxos under one ballot. It prepares the version after
+// its base, proposes again what a member may already have accepted there, else what
+// the change computes, and ends once a majority of the old and of the new group has
+// accepted that. It is a pure state machine: responses come in, requests go out.
 type Round struct {
-	Part          int
-	Base          messages.Value
-	Ballot        messages.Ballot
-	Stamp         string
-	End           Outcome
-	Value         messages.Value
-	Mine          bool
-	Err           error // why the change said no: with Rejected, or with Chosen where the refusal was sealed
-	HighestBallot messages.Ballot
+	Part   int
+	Base   messages.Value
+	Ballot messages.Ballot
+	Stamp  string
+	End    Outcome
+	Value  messages.Value // what is proposed, or what Superseded the base
+	Mine   bool           // Value is what the change of this round computed
+	// Err is why the change was rejected: with Rejected, or with Chosen where the
+	// rejection was sealed.
+	Err           error
+	HighestBallot messages.Ballot // the highest ballot that preempted this one
 
 	change          Change
-	accepting       bool
-	granted         map[string]bool
-	highestAccepted messages.Ballot
-	hasAccepted     bool
-	sealPending     bool // a majority promised, and a sealed refusal waits for the others
-	preemptedBy     map[string]bool
+	accepting       bool            // in the accept phase, else in the prepare phase
+	granted         map[string]bool // members that granted the request of this phase
+	preemptedBy     map[string]bool // members that have promised a higher ballot
+	hasAccepted     bool            // a member has reported an accepted value: Value
+	highestAccepted messages.Ballot // the ballot of that value
+	sealPending     bool            // rejected by a majority's promises, waiting for the other members
 }
 
-// NewRound starts from a committed value.
+// NewRound starts a round on top of a committed value.
 func NewRound(part int, base messages.Value, ballot messages.Ballot, stamp string, change Change) *Round {
-	return &Round{Part: part, Base: base, Ballot: ballot, Stamp: stamp, change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{}}
+	return &Round{
+		Part: part, Base: base, Ballot: ballot, Stamp: stamp,
+		change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{},
+	}
 }
 
-// Requests gives the asks of the current phase, one a member.
+// Requests gives the requests of the current phase, one a member.
 func (r *Round) Requests() []Request {
 	var out []Request
 	for _, m := range r.group() {
@@ -71,6 +92,7 @@
 	return out
 }
 
+// group is who takes part in the current phase.
 func (r *Round) group() []messages.Member {
 	if !r.accepting {
 		return r.Base.Group
@@ -79,15 +101,16 @@
 }
 
 func (r *Round) requestFor(m messages.Member) messages.ConsensusRequest {
-	a := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot}
+	request := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot}
 	if r.accepting {
-		a.Step, a.Value = messages.Accept, r.Value
+		request.Step, request.Value = messages.Accept, r.Value
 	}
-	return a
+	return request
 }
 
-// Hear takes the word of a member on an ask of the given step. It returns
-// further asks: the next phase's, or the committed base for one who is behind.
+// Receive takes a member's response to a request of the given step. It returns
+// further requests: those of the next phase, or the committed base for a member that
+// is behind. Responses to the other phase are ignored.
 func (r *Round) Receive(from messages.Member, step messages.Step, response messages.ConsensusResponse) []Request {
 	if r.End != InProgress || (step == messages.Accept) != r.accepting {
 		return nil
@@ -99,58 +122,78 @@
 		}
 		return nil
 	case messages.Behind:
-		return []Request{
-			{To: from, Body: messages.ConsensusRequest{Part: r.Part, To: from.ID, Step: messages.Commit, Slot: r.Base.Version, Value: r.Base}},
-			{To: from, Body: r.requestFor(from)},
-		}
+		return r.catchUp(from)
 	case messages.Outbid:
-		if Less(r.HighestBallot, response.Promised) {
-			r.HighestBallot = response.Promised
-		}
-		r.preemptedBy[from.ID] = true
-		left := 0
-		for _, m := range r.Base.Group {
-			if !r.preemptedBy[m.ID] {
-				left++
-			}
-		}
-		if left <= len(r.Base.Group)/2 {
-			r.End = Preempted
-		}
+		r.preempt(from, response.Promised)
 		return nil
 	case messages.Granted:
-	default:
-		return nil
-	}
-	r.granted[from.ID] = true
-	if !r.accepting {
-		if response.HasAccepted && (!r.hasAccepted || Less(r.highestAccepted, response.AcceptedAt)) {
-			r.hasAccepted, r.highestAccepted, r.Value = true, response.AcceptedAt, response.Value
-		}
-		if !r.hasQuorum(r.Base.Group) || r.sealPending && !r.hasAccepted {
-			r.rejectIfAllPromised()
+		r.granted[from.ID] = true
+		if r.accepting {
+			r.finishAccept()
 			return nil
 		}
-		return r.propose()
+		return r.receivePromise(response)
+	}
+	return nil
+}
+
+// catchUp sends a member the base and then the request of this phase again.
+func (r *Round) catchUp(m messages.Member) []Request {
+	commit := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Commit, Slot: r.Base.Version, Value: r.Base}
+	return []Request{{To: m, Body: commit}, {To: m, Body: r.requestFor(m)}}
+}
+
+// preempt notes a member that has promised a higher ballot, and ends the round once
+// the others are no majority of the base's group.
+func (r *Round) preempt(from messages.Member, promised messages.Ballot) {
+	if Less(r.HighestBallot, promised) {
+		r.HighestBallot = promised
+	}
+	r.preemptedBy[from.ID] = true
+	left := 0
+	for _, m := range r.Base.Group {
+		if !r.preemptedBy[m.ID] {
+			left++
+		}
+	}
+	if left <= len(r.Base.Group)/2 {
+		r.End = Preempted
+	}
+}
+
+// receivePromise keeps the accepted value with the highest ballot, and goes on to
+// the accept phase once a majority has promised.
+func (r *Round) receivePromise(promise messages.ConsensusResponse) []Request {
+	if promise.HasAccepted && (!r.hasAccepted || Less(r.highestAccepted, promise.AcceptedAt)) {
+		r.hasAccepted, r.highestAccepted, r.Value = true, promise.AcceptedAt, promise.Value
 	}
+	if !r.hasQuorum(r.Base.Group) || r.sealPending && !r.hasAccepted {
+		r.rejectIfAllPromised()
+		return nil
+	}
+	return r.propose()
+}
+
+// finishAccept ends the round once majorities of both groups have accepted.
+func (r *Round) finishAccept() {
 	if r.hasQuorum(r.Base.Group) && r.hasQuorum(r.Value.Group) {
 		r.End = Chosen
 		r.Mine = r.Value.Stamp == r.Stamp
 	}
-	return nil
 }
 
-// propose takes over what was found, else makes the change.
+// propose starts the accept phase with the value that a member has accepted, else
+// with what the change computes.
 func (r *Round) propose() []Request {
 	if r.hasAccepted {
 		r.Err = nil
-		return r.accept()
+		return r.startAccept()
 	}
 	group, body, err := r.change(r.Base)
-	var s *sealedRefusal
+	var sealed *sealedRefusal
 	switch {
-	case errors.As(err, &s):
-		r.sealPending, r.Err = true, s.cause
+	case errors.As(err, &sealed):
+		r.sealPending, r.Err = true, sealed.cause
 		r.rejectIfAllPromised()
 		return nil
 	case err != nil:
@@ -161,81 +204,55 @@
 		group = r.Base.Group
 	}
 	r.Value = messages.Value{Version: r.Base.Version + 1, Group: group, Body: body, Stamp: r.Stamp}
-	return r.accept()
+	return r.startAccept()
 }
 
-func (r *Round) accept() []Request {
+func (r *Round) startAccept() []Request {
 	r.accepting, r.sealPending = true, false
 	r.granted, r.preemptedBy = map[string]bool{}, map[string]bool{}
 	return r.Requests()
 }
 
-// InDoubt tells that a sealed refusal waits for the members that have not
-// answered: one of them may have accepted an earlier try.
+// hasQuorum tells whether a majority of a group has granted the current phase.
+func (r *Round) hasQuorum(group []messages.Member) bool { return isMajority(group, r.granted) }
+
+// SealPending tells that a sealed rejection waits for the members that have not
+// promised yet: one of them may have accepted an earlier attempt.
 func (r *Round) SealPending() bool { return r.End == InProgress && r.sealPending }
 
-// settleDoubt refuses once every member has promised and none has accepted
-// anything: then nothing under a lower ballot can be chosen any more.
+// rejectIfAllPromised ends a sealed rejection once every member has promised and
+// none has accepted a value: then nothing can be committed under a lower ballot.
 func (r *Round) rejectIfAllPromised() {
 	if r.sealPending && !r.hasAccepted && len(r.granted) == len(r.Base.Group) {
 		r.End, r.Value = Rejected, r.Base
 	}
 }
 
-// Seal ends the wait for members that don't answer: the value as it is takes
-// the slot, so that no earlier try can. Once that is chosen, the refusal stands.
+// Seal ends the wait for the members that have not promised: the base is proposed
+// again for the next version, so that no earlier attempt can be committed there.
+// Once that is chosen, the rejection stands.
 func (r *Round) Seal() []Request {
 	if !r.SealPending() {
 		return nil
 	}
 	r.Value = messages.Value{Version: r.Base.Version + 1, Group: r.Base.Group, Body: r.Base.Body, Stamp: r.Stamp + sealStampSuffix}
-	return r.accept()
+	return r.startAccept()
 }
 
-// sealMark sets the stamp of a sealing value apart from that of a change made:
-// met again in a later round, it must not pass for the change.
+// sealStampSuffix makes the stamp of a sealing value differ from that of the change:
+// a later round that meets the sealing value must not take the change for committed.
 const sealStampSuffix = "/seal"
 
-func (r *Round) hasQuorum(group []messages.Member) bool {
-	n := 0
-	for _, m := range group {
-		if r.granted[m.ID] {
-			n++
-		}
-	}
-	return n > len(group)/2
-}
-
-func unionOf(a, b []messages.Member) []messages.Member {
-	out := append([]messages.Member{}, a...)
-	for _, m := range b {
-		if !containsMember(out, m.ID) {
-			out = append(out, m)
-		}
-	}
-	return out
-}
-
-func containsMember(group []messages.Member, id string) bool {
-	for _, m := range group {
-		if m.ID == id {
-			return true
-		}
-	}
-	return false
-}
-
-// sealedRefusal marks a refusal that needs the slot closed.
+// sealedRefusal marks a rejection that needs its version closed.
 type sealedRefusal struct{ cause error }
 
+// Error gives the text of the cause.
 func (s *sealedRefusal) Error() string { return s.cause.Error() }
 
-// SealRefusal marks a refusal as one that an earlier try of the same order may not
-// have met: the round gives it only when no such try can be chosen at its slot.
-func SealRefusal(cause error) error { return &sealedRefusal{cause} }
+// Unwrap gives the cause.
+func (s *sealedRefusal) Unwrap() error { return s.cause }
 
-// ErrUnsure means that a change may or may not have been made.
-var ErrUnsure = errors.New("consensus: no majority answered; the change may or may not have been made")
-
-// ErrNoGroup means that this node does not yet know any group.
-var ErrNoGroup = errors.New("consensus: no group known yet")
+// SealRefusal marks a rejection that an earlier attempt of the same order may not
+// have met: the round returns it only once no such attempt can be committed at its
+// version.
+func SealRefusal(cause error) error { return &sealedRefusal{cause} }
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -1,54 +1,45 @@
-// Store keeps what a member must not forget: its identity and a record a part.
-// Votes belong to an identity. A member that cannot show all its votes takes a
-// new one (Restore) and so votes no more as who it was. MemoryStore serves
-// machines without a disk.
 package consensus
 
 import (
-	"sync"
-
 	"github.com/pkg/errors"
 
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// ErrStore is the cause of every error of a store.
-var ErrStore = errors.New("consensus: store")
-
-// ErrDamaged means that a record was durable once and can't be read now: its
-// votes are lost.
-var ErrDamaged = errors.New("consensus: damaged record")
-
-// Store is where a member keeps its identity and its records.
+// Store keeps what a member must not forget: its identity and one record a register.
+// Votes belong to an identity: a member that can't show all its votes takes a new
+// one (Restore) and never votes under the earlier one again. A Store is safe for
+// concurrent use.
 type Store interface {
-	// Identity gives the identity that was kept, if one was and is readable.
+	// Identity gives the stored identity, if there is one and it is readable.
 	Identity() (id string, known bool, err error)
-	// Empty tells whether nothing was ever kept here.
+	// Empty tells whether nothing was ever stored here.
 	Empty() (bool, error)
-	// Renew takes another identity and forgets every vote of the earlier one: of
-	// whole records the committed value stays, damaged ones go. Whenever it is
-	// cut short, the votes of one identity are never found under another.
+	// Renew stores another identity and erases every vote of the earlier one: of
+	// readable records the committed value stays, damaged ones are removed. Wherever
+	// it is interrupted, votes of one identity are never found under another.
 	Renew(id string) error
-	// Load gives the record of a part, if one was saved. The error wraps
-	// ErrDamaged where the newest one is damaged; an older one never counts.
+	// Load gives the record of a register, if one was saved. The error wraps ErrDamaged
+	// if the newest one is damaged; it never falls back to an older one.
 	Load(part int) (messages.Record, bool, error)
-	// Save makes a record durable.
-	Save(part int, rec messages.Record) error
-	// Settle makes sure that what Identity and Load gave outlasts a loss of
-	// power. A member gives no vote before.
+	// Save returns once a record is durable.
+	Save(part int, record messages.Record) error
+	// Settle makes durable what Identity and Load returned. A member gives no vote
+	// that rests on it before.
 	Settle() error
 }
 
-// Restored is what a member begins with.
+// Restored is the state that a member starts from.
 type Restored struct {
 	ID      string
 	Records [Parts]messages.Record
-	Damaged []int // parts whose records were damaged
+	Damaged []int // registers whose records were damaged
 }
 
-// Restore reads a store. first is the identity of a member that takes part in
-// founding the group, or empty; it is taken only where the store is empty, so
-// that a member that has lost anything never founds a group again.
+// Restore reads a store. bootstrapID is the identity of a member that takes part in
+// founding the group, or empty. It is used only if the store is empty, so that a
+// member that has lost anything never founds a group again. newID makes a fresh
+// identity, which replaces the stored one if any record is damaged.
 func Restore(store Store, bootstrapID string, newID func() string) (Restored, error) {
 	out, err := loadIdentity(store, bootstrapID, newID)
 	if err != nil {
@@ -71,6 +62,8 @@
 	return out, err
 }
 
+// loadIdentity gives the stored identity, else the bootstrap identity if the store
+// is empty, else a fresh one.
 func loadIdentity(store Store, bootstrapID string, newID func() string) (Restored, error) {
 	id, known, err := store.Identity()
 	if err != nil || known {
@@ -87,10 +80,10 @@
 	return Restored{ID: id}, store.Renew(id)
 }
 
-// load reads all parts and names those that are damaged.
+// loadRecords reads the records of all registers and lists the damaged ones.
 func (r *Restored) loadRecords(store Store) (damaged []int, err error) {
 	for part := range r.Records {
-		rec, _, err := store.Load(part)
+		record, _, err := store.Load(part)
 		if errors.Is(err, ErrDamaged) {
 			damaged = append(damaged, part)
 			continue
@@ -98,66 +91,12 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Records[part] = rec
+		r.Records[part] = record
 	}
 	return damaged, nil
 }
 
-// withoutVotes is what stays of a record under another identity.
-func withoutVotes(rec messages.Record) messages.Record {
-	return messages.Record{Committed: rec.Committed}
-}
-
-// MemoryStore is a Store that ends with the process.
-type MemoryStore struct {
-	mu      sync.Mutex
-	records map[int]messages.Record
-	id      string
-}
-
-// Identity gives the one of this process.
-func (s *MemoryStore) Identity() (string, bool, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.id, s.id != "", nil
-}
-
-// Empty tells whether nothing was kept.
-func (s *MemoryStore) Empty() (bool, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.id == "" && len(s.records) == 0, nil
+// withoutVotes is what remains of a record under another identity.
+func withoutVotes(record messages.Record) messages.Record {
+	return messages.Record{Committed: record.Committed}
 }
-
-// Renew takes another identity.
-func (s *MemoryStore) Renew(id string) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.id = id
-	for part, rec := range s.records {
-		s.records[part] = withoutVotes(rec)
-	}
-	return nil
-}
-
-// Load gives what was saved.
-func (s *MemoryStore) Load(part int) (messages.Record, bool, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r, ok := s.records[part]
-	return r, ok, nil
-}
-
-// Save keeps the record.
-func (s *MemoryStore) Save(part int, rec messages.Record) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.records == nil {
-		s.records = map[int]messages.Record{}
-	}
-	s.records[part] = rec
-	return nil
-}
-
-// Settle has nothing to do: a loss of power takes the process along.
-func (s *MemoryStore) Settle() error { return nil }
