--- a/internal/consensus/acceptor_test.go
+++ b/internal/consensus/acceptor_test.go
@@ -8,6 +8,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// An acceptor under a new identity answers neither a prepare nor a read that names
+// the old one.
 func TestWipedAcceptorRejectsRequestsForOldIdentity(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	a := Acceptor{ID: "a/new", Rec: messages.Record{Committed: g}}
--- a/internal/consensus/catchup_test.go
+++ b/internal/consensus/catchup_test.go
@@ -15,14 +15,17 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
+// valueOfSize gives a committed value with a body of size bytes.
 func valueOfSize(version int64, size int) messages.Value {
 	group := []messages.Member{{ID: "a/0", Addr: "a"}}
 	return messages.Value{Version: version, Group: group, Body: bytes.Repeat([]byte{byte(version)}, size), Stamp: "s"}
 }
 
-// puller is a node without anything that pulls from a, over a link that loses
-// what lose says; it counts the bytes that reach it.
+// openBehind gives a node without any value that catches up from a, over a link
+// that loses the responses for which lose returns true, with the bytes that it
+// received in all and in the largest response.
 func openBehind(t *testing.T, a *Registers, lose func() bool) (registers *Registers, carried, largest *atomic.Int64) {
+	t.Helper()
 	carried, largest = &atomic.Int64{}, &atomic.Int64{}
 	link := callerFunc(func(ctx context.Context, _ string, body []byte) ([]byte, error) {
 		b, err := a.Handle(ctx, body)
@@ -38,15 +41,17 @@
 	return registers, carried, largest
 }
 
+// openRegisters gives a node that has no peers.
 func openRegisters(t *testing.T, addr string) *Registers {
+	t.Helper()
 	registers, err := Open(addr, 1, false, nil, nil, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
 	return registers
 }
 
-// A value of 2 MB over a link that loses half of all answers, so that most pulls
-// end in the middle, under a change at every tenth pull: it arrives, in answers
-// that are small, for little more bytes than were lost.
+// A value of 2 MB is fetched over a link that loses half of all responses, so that
+// most catch-ups are interrupted, while the value changes at every tenth one. It
+// arrives in small chunks, and few bytes are sent twice.
 func TestCatchUpFetchesLargeValueOverLossyLink(t *testing.T) {
 	const size = 2 << 20
 	for seed := range uint64(5) {
@@ -74,7 +79,8 @@
 	}
 }
 
-// A small value takes one call, as ever, also from a node that knows no pieces.
+// A small value takes one call, as for nodes of a version that does not know
+// chunks.
 func TestCatchUpFetchesSmallValueInOneResponse(t *testing.T) {
 	a := openRegisters(t, "a")
 	a.Learn(0, valueOfSize(4, 1000))
@@ -87,7 +93,7 @@
 	must.Eq(t, int64(4), v.Version)
 }
 
-// holding is a store whose writes hang.
+// blockingStore is a store whose writes hang until they are unblocked.
 type blockingStore struct {
 	MemoryStore
 	started, unblock chan struct{}
@@ -99,7 +105,7 @@
 	return b.MemoryStore.Save(part, record)
 }
 
-// A node whose disk hangs still tells others what is committed.
+// A node whose disk hangs still serves its committed value.
 func TestCatchUpIsServedWhileDiskHangs(t *testing.T) {
 	store := &blockingStore{started: make(chan struct{}), unblock: make(chan struct{})}
 	a, err := Open("a", 1, false, nil, nil, store, logr.Discard(), nil)
@@ -113,9 +119,9 @@
 	close(store.unblock)
 }
 
-// Two of three have accepted a large value and one was not told that it is
-// committed: the next round names it, and both vote at once. One whose accepted
-// value is another takes no notice.
+// Two of three members have accepted a large value, and one has missed the commit:
+// the next round sends it a reference, and both vote at once. A member that has
+// accepted another value ignores the reference.
 func TestLargeBaseIsCommittedByReference(t *testing.T) {
 	nodes := map[string]*Registers{}
 	net := callerFunc(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -6,7 +6,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// keep makes what is learned durable.
+// persist writes the committed values to disk.
 func (n *clusterNode) persist() {
 	for part := range n.acceptors {
 		if n.acceptors[part].Learn(n.known[part]) {
@@ -15,6 +15,8 @@
 	}
 }
 
+// crash loses what is not on the disk of a node, and the operations that it worked
+// on.
 func (c *cluster) crash(node *clusterNode) {
 	node.up = false
 	for part := range node.acceptors {
@@ -30,7 +32,7 @@
 	c.operations = left
 }
 
-// wipe takes a disk away: the member comes back as somebody new.
+// wipe takes the disk of a node, which comes back under a new identity.
 func (c *cluster) wipe(node *clusterNode) {
 	node.incarnation++
 	id := fmt.Sprintf("%s/w%d", node.addr, node.incarnation)
@@ -38,8 +40,8 @@
 	node.acceptors = [2]Acceptor{{ID: id}, {ID: id}}
 }
 
-// whole tells that every member of both groups has the newest value on its
-// disk: only then another disk may be lost.
+// fullyReplicated tells whether every member of both groups has the newest value on
+// disk: only then may another disk be lost.
 func (c *cluster) fullyReplicated() bool {
 	for part, v := range c.newest {
 		for _, m := range v.Group {
@@ -52,6 +54,7 @@
 	return true
 }
 
+// loseDisk wipes a random node if the state is fully replicated.
 func (c *cluster) loseDisk() {
 	for _, node := range c.nodes {
 		node.persist()
@@ -66,8 +69,8 @@
 	node.up = true
 }
 
-// regroup lets a member propose another group: a lost member's new life, or the
-// spare one for a member that is thought to be gone.
+// changeGroup lets a node propose another group: with the new identity of a wiped
+// member, or with the spare node in place of a member that is taken for gone.
 func (c *cluster) changeGroup() {
 	at := c.anyNode()
 	if at == nil {
@@ -100,11 +103,11 @@
 	}
 }
 
-// release starts every member again with a version of the program whose checks
-// are stricter, or laxer again.
+// upgrade restarts every node with a version of the program whose validation is
+// strict, or lax again.
 func (c *cluster) upgrade() {
 	c.strictValidation = !c.strictValidation
-	c.hist.Note("all start again, stricter: %v", c.strictValidation)
+	c.hist.Note("all nodes restart, strict validation: %v", c.strictValidation)
 	for _, node := range c.nodes {
 		c.crash(node)
 		node.up = true
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -11,13 +11,15 @@
 	"beechtide.org/beechtide/internal/simulation/history"
 )
 
-// client is an operator with the order it wants through.
+// client is an operator with the order that it repeats until it gets a final
+// answer.
 type client struct {
 	order        order
 	hasOrder     bool
-	knownVersion int64 // the newest version that it was told of
+	knownVersion int64 // the newest version that it knows to be committed
 }
 
+// order is a configuration that an operator submits.
 type order struct {
 	digest   string
 	version  int64
@@ -25,7 +27,7 @@
 	disputed bool
 }
 
-// apply is the change that an order asks for, by the rules of the product.
+// changeFor is the change that an order asks for, by the rules of the product.
 func (c *cluster) changeFor(wanted order) Change {
 	strict := c.strictValidation
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
@@ -43,6 +45,8 @@
 	}
 }
 
+// configOrder is the order as the product represents it. Strict validation rejects
+// a disputed one.
 func (r order) configOrder(strict bool) routeconfig.Order {
 	out := routeconfig.Order{Raw: []byte(r.digest), Version: r.version, Base: r.base}
 	if strict && r.disputed {
@@ -66,7 +70,7 @@
 	return n
 }
 
-var errNotHigher = errors.New("a higher one is named")
+var errNotHigher = errors.New("a higher version is set")
 
 func weights(n int64) Change {
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
@@ -77,6 +81,7 @@
 	}
 }
 
+// anyNode gives a random node that is up and knows both groups, or nil.
 func (c *cluster) anyNode() *clusterNode {
 	var up []*clusterNode
 	for _, node := range c.nodes {
@@ -90,8 +95,8 @@
 	return up[c.rnd.IntN(len(up))]
 }
 
-// act lets an operator call: an order, mostly the same again until it is told
-// something final, a read, or weights.
+// step lets an operator act: submit its order, mostly the same one until that has a
+// final answer, read, or set weights.
 func (c *cluster) step(i int) {
 	at := c.anyNode()
 	if at == nil {
@@ -118,8 +123,8 @@
 	}
 }
 
-// draw makes an order: at times on a base that is only under way, at times
-// under a number that others use too.
+// drawOrder makes an order: at times on a base that is not committed yet, at times
+// under a version that others use too.
 func (c *cluster) drawOrder(believes int64) order {
 	c.serial++
 	wanted := order{digest: fmt.Sprintf("c%d", c.serial), base: believes, disputed: c.chance(3)}
@@ -130,6 +135,7 @@
 	return wanted
 }
 
+// replace submits an order at a node.
 func (c *cluster) replace(i int, at *clusterNode, wanted order) {
 	call := history.Call{Kind: history.Replace, Digest: wanted.digest, Version: wanted.version, Base: wanted.base, Disputed: wanted.disputed}
 	id := c.hist.Begin(i, call)
@@ -141,6 +147,7 @@
 	c.start(&operation{id: id, client: i, node: at, part: ConfigPart}, c.changeFor(wanted))
 }
 
+// read starts a linearizable read at a node.
 func (c *cluster) read(i int, at *clusterNode, part int) {
 	call := history.Call{Kind: history.Read}
 	if part == weightsPart {
@@ -151,7 +158,7 @@
 	c.startRead(op)
 }
 
-// answer ends a call; the answer may be lost on its way.
+// answer ends an operation; the answer may be lost on its way to the operator.
 func (c *cluster) answer(op *operation, a history.Answer) {
 	c.remove(op)
 	if op.id < 0 {
@@ -168,6 +175,7 @@
 	c.clients[op.client].receive(a, op)
 }
 
+// receive takes note of an answer.
 func (c *client) receive(a history.Answer, op *operation) {
 	if op.part != ConfigPart || a.Verdict == history.Unclear {
 		return
@@ -182,12 +190,12 @@
 	c.hasOrder = false
 }
 
-// finish turns the end of an attempt into what the operator is told.
+// finishChange turns the end of an attempt into the answer of the product.
 func (c *cluster) finishChange(op *operation) {
 	var bad *routeconfig.Invalid
 	err := op.round.Err
 	switch {
-	case op.read != nil: // the settling of a read
+	case op.read != nil: // the round that a read ran to finish an accepted value
 		c.startRead(op)
 	case err == nil, errors.Is(err, routeconfig.ErrTakenBefore), errors.Is(err, errNotHigher):
 		c.answer(op, history.Answer{Verdict: history.Taken})
@@ -200,7 +208,7 @@
 	}
 }
 
-// tell answers a read.
+// answerRead answers a read with its base.
 func (c *cluster) answerRead(op *operation) {
 	if op.part == weightsPart {
 		c.answer(op, history.Answer{Verdict: history.Taken, Version: weightsOf(op.read.Base)})
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -16,9 +16,9 @@
 	weightsPart = 1
 )
 
-// office is eight operators at a group of members that lose messages, crash,
-// lose their disks, change their group and get versions of the
-// program with other checks, in an order drawn from a seed.
+// cluster is eight operators and a group of nodes that lose messages, crash, lose
+// their disks, change their group and get versions of the program with other
+// validation, in an order drawn from a seed.
 type cluster struct {
 	rnd              *rand.Rand
 	hist             history.History
@@ -26,14 +26,14 @@
 	inFlight         []envelope
 	operations       []*operation
 	clients          [operators]client
-	newest           [2]messages.Value // what was chosen
+	newest           [2]messages.Value // what was chosen last, by register
 	serial           int
-	healed           bool // no trouble any more
-	committedOrders  int  // orders that were taken
-	strictValidation bool // the program refuses disputed orders at present
+	healed           bool // no faults any more
+	committedOrders  int  // orders that were acknowledged
+	strictValidation bool // the program rejects disputed orders at present
 }
 
-// member is a node with its two registers.
+// clusterNode is a node with its two registers.
 type clusterNode struct {
 	addr        string
 	incarnation int // counts identities
@@ -43,16 +43,16 @@
 	known       [2]messages.Value
 }
 
-// letter is an ask or the word on it.
+// envelope is a request, or the response to it, on its way.
 type envelope struct {
 	op       *operation
-	exchange any // the round or look that it belongs to: words for another find nothing
+	exchange any // the Round or Reading that it belongs to
 	request  Request
 	reply    bool
 	response messages.ConsensusResponse
 }
 
-// pending is a call that a member works on.
+// operation is a change or read that a node works on.
 type operation struct {
 	id      int // in the history, -1 for repairs
 	client  int
@@ -60,14 +60,17 @@
 	part    int
 	attempt *Attempt
 	round   *Round
-	read    *Reading // of a read; nil for a change
+	read    *Reading // nil for a change
 }
 
+// chance is true once in n times.
 func (c *cluster) chance(n int) bool { return c.rnd.IntN(n) == 0 }
 
-// trouble is a lot that comes out only while there is trouble.
+// faulty is true once in n times until faults are over.
 func (c *cluster) faulty(n int) bool { return !c.healed && c.chance(n) }
 
+// newCluster founds a group of three or five nodes, by the seed, and adds a spare
+// node.
 func newCluster(seed uint64) *cluster {
 	cluster := &cluster{rnd: rand.New(rand.NewPCG(seed, 12))}
 	var seeds []string
@@ -90,6 +93,7 @@
 	return cluster
 }
 
+// startRead asks the group of the newest value that the node knows.
 func (c *cluster) startRead(op *operation) {
 	op.attempt, op.round = nil, nil
 	op.read = NewReading(op.node.known[op.part])
@@ -99,6 +103,7 @@
 	}
 }
 
+// start begins an attempt.
 func (c *cluster) start(op *operation, change Change) {
 	c.serial++
 	op.attempt = NewAttempt(op.part, fmt.Sprintf("s%d", c.serial), change)
@@ -141,7 +146,7 @@
 	return nil
 }
 
-// carry delivers one letter drawn by lot, or loses it.
+// deliver delivers a random message, or loses it.
 func (c *cluster) deliver() {
 	i := c.rnd.IntN(len(c.inFlight))
 	envelope := c.inFlight[i]
@@ -155,6 +160,8 @@
 	}
 }
 
+// handleRequest lets the acceptor of the receiver answer. The response may be lost
+// to a failed write or a crash, or be delivered twice.
 func (c *cluster) handleRequest(envelope envelope) {
 	node, part := c.nodeAt(envelope.request.To.Addr), envelope.request.Body.Part
 	if !node.up {
@@ -167,14 +174,14 @@
 	node.acceptors[part].Learn(node.known[part])
 	before := node.acceptors[part].Rec
 	response, changed := node.acceptors[part].Handle(envelope.request.Body)
-	if changed && c.faulty(15) { // the disk refuses: no word
+	if changed && c.faulty(15) { // the write fails: no response
 		node.acceptors[part].Rec = before
 		return
 	}
 	if changed {
 		node.disk[part] = node.acceptors[part].Rec
 	}
-	if changed && c.faulty(25) { // crash after the write, before the word
+	if changed && c.faulty(25) { // crash after the write, before the response
 		c.crash(node)
 		return
 	}
@@ -185,7 +192,8 @@
 	}
 }
 
-// hear brings a word to the call that asked.
+// receiveResponse takes a response to the operation that asked. One to an earlier
+// round or read is ignored.
 func (c *cluster) receiveResponse(envelope envelope) {
 	op := envelope.op
 	if !c.isOpen(op) {
@@ -209,9 +217,10 @@
 	}
 }
 
+// isOpen tells whether an operation has not been answered or lost.
 func (c *cluster) isOpen(op *operation) bool { return slices.Contains(c.operations, op) }
 
-// close goes on after a round, as Change does.
+// finishRound goes on after a round, as Registers.Change does.
 func (c *cluster) finishRound(op *operation) {
 	round := op.round
 	switch round.End {
@@ -227,6 +236,7 @@
 	c.nextRound(op)
 }
 
+// recordChosen notes a chosen value and sends the commits.
 func (c *cluster) recordChosen(op *operation) {
 	v := op.round.Value
 	if v.Version > c.newest[op.part].Version {
@@ -240,9 +250,9 @@
 	}
 }
 
-var errNothingToChange = errors.New("settled")
+var errNothingToChange = errors.New("nothing to change")
 
-// tire lets time pass for one call: a round or a look is given up, or the call.
+// timeOut times out a random operation, or its round or read.
 func (c *cluster) timeOut() {
 	if len(c.operations) == 0 {
 		return
--- a/internal/consensus/confirm_test.go
+++ b/internal/consensus/confirm_test.go
@@ -12,6 +12,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// openAlone gives a node whose peers do not answer.
 func openAlone(t *testing.T, store Store) *Registers {
 	t.Helper()
 	nobody := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
@@ -20,12 +21,15 @@
 	return registers
 }
 
+// committedValue gives a value of the group a, b, c.
 func committedValue(version int64) messages.Value {
 	v := Genesis([]string{"a", "b", "c"})
 	v.Version, v.Body, v.Stamp = version, []byte("x"), "s"
 	return v
 }
 
+// A member confirms under its own identity and once the value is on disk, and never
+// if it is retired and would join.
 func TestConfirmOnlyWhatIsOnDisk(t *testing.T) {
 	ctx := context.Background()
 	store := &MemoryStore{}
@@ -37,10 +41,10 @@
 	record, _, _ := store.Load(1)
 	must.Eq(t, int64(4), record.Committed.Version)
 	confirmed, _ = registers.Confirm(ctx, 1, messages.Member{ID: "d/other", Addr: "d"}, committedValue(4))
-	must.False(t, confirmed, must.Sprint("another life's disk"))
+	must.False(t, confirmed, must.Sprint("the disk of another identity"))
 	registers.Retire()
 	confirmed, _ = registers.Confirm(ctx, 1, self, committedValue(5))
-	must.False(t, confirmed, must.Sprint("one that is about to end joins no group"))
+	must.False(t, confirmed, must.Sprint("a retired member joins no group"))
 
 	registers = openAlone(t, &failingStore{})
 	confirmed, err = registers.Confirm(ctx, 1, messages.Member{ID: registers.ID(), Addr: "d"}, committedValue(4))
@@ -48,7 +52,7 @@
 	must.False(t, confirmed)
 }
 
-// What was learned reaches the disk also if an ask has folded it into the record
+// A learned value reaches the disk also if a request has merged it into the record
 // in memory before.
 func TestLearnedValueIsPersistedAfterAcceptorLearnedIt(t *testing.T) {
 	store := &MemoryStore{}
@@ -65,8 +69,8 @@
 	must.Eq(t, int64(3), record.Committed.Version)
 }
 
-// A member of the earlier format answers a commit without a word on its disk: it
-// is not taken to have confirmed.
+// A member of the old format grants a commit without saying that the value is on
+// disk: that is no confirmation.
 func TestConfirmIgnoresResponseOfOldFormat(t *testing.T) {
 	earlier := msgp.AppendMapHeader(nil, 2)
 	earlier = msgp.AppendString(msgp.AppendString(earlier, "d"), string(messages.Granted))
--- a/internal/consensus/disk_model_test.go
+++ b/internal/consensus/disk_model_test.go
@@ -11,7 +11,7 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// voted is a record whose content shows how many votes were given before it.
+// recordWithVote is a record that shows how many votes were given up to it.
 func recordWithVote(n int64) messages.Record {
 	return messages.Record{
 		Committed: messages.Value{Version: n / 3, Group: []messages.Member{{ID: "x", Addr: "y"}}, Body: make([]byte, n%50), Stamp: "s"},
@@ -19,6 +19,7 @@
 	}
 }
 
+// numberedIDs makes identities that are numbered in order.
 func numberedIDs(addr string) func() string {
 	n := 0
 	return func() string {
@@ -27,7 +28,8 @@
 	}
 }
 
-// A diskMachine is one member on a simulated disk, with what it has told others.
+// diskModel is one member on a simulated disk, with the votes that others may have
+// seen.
 type diskModel struct {
 	t            *testing.T
 	rnd          *rand.Rand
@@ -36,13 +38,13 @@
 	newID        func() string
 	id           string
 	currentVotes [Parts]int64 // votes of the running process
-	sentVotes    [Parts]int64 // votes that may have left it
-	identitySent bool         // its identity may have left it
-	identityLost bool         // something happened that costs an identity
+	sentVotes    [Parts]int64 // votes that may have been sent
+	identitySent bool         // the identity may have been sent
+	identityLost bool         // a file was damaged: the identity may change
 	serial       int64
 }
 
-// start opens the store; a process that ends meanwhile is started again.
+// start opens the store; a process that is killed meanwhile is started again.
 func (d *diskModel) start() {
 	for {
 		store, err := OpenDiskStore(d.disk)
@@ -63,11 +65,12 @@
 	}
 }
 
+// begin checks what a start has restored against what was sent before.
 func (d *diskModel) begin(store *DiskStore, restored Restored) {
 	if restored.ID != d.id {
-		must.True(d.t, d.identityLost || !d.identitySent, must.Sprint("an identity was given up without need"))
+		must.True(d.t, d.identityLost || !d.identitySent, must.Sprint("the identity changed without need"))
 		for part, record := range restored.Records {
-			must.Eq(d.t, messages.Ballot{}, record.Promised, must.Sprintf("part %d: a vote of another identity", part))
+			must.Eq(d.t, messages.Ballot{}, record.Promised, must.Sprintf("part %d: a vote of an earlier identity", part))
 		}
 		d.sentVotes = [Parts]int64{}
 	}
@@ -78,7 +81,7 @@
 	}
 }
 
-// act gives a vote, repeats one without a write, or meets with trouble.
+// step gives a vote, repeats one without a write, or injects a fault.
 func (d *diskModel) step() {
 	part := d.rnd.IntN(Parts)
 	switch k := d.rnd.IntN(40); {
@@ -106,6 +109,7 @@
 	}
 }
 
+// endProcess ends the process, and may kill the next one while it starts.
 func (d *diskModel) endProcess(how func()) {
 	d.disk.SetFull(false)
 	how()
@@ -115,7 +119,7 @@
 	d.start()
 }
 
-// damage spoils a file that is in force; the process finds it at its next start.
+// damage corrupts a file in use; the process finds that at its next start.
 func (d *diskModel) damage() {
 	d.disk.Restart()
 	name := identityFile
@@ -125,19 +129,19 @@
 	d.identityLost = d.disk.Damage(name) || d.identityLost
 	d.disk.SetFull(false)
 	calm := d.rnd.IntN(2) == 0
-	if !calm { // the renewal is cut short; a name that was never synced may go, and its damage with it
+	if !calm { // Renew is interrupted; a name that was never synced may be lost, and the damage with it
 		d.disk.StopAfter(d.rnd.IntN(30))
 	}
 	was := d.id
 	d.start()
 	if calm {
-		must.NotEq(d.t, was, d.id, must.Sprint("damage goes unseen"))
+		must.NotEq(d.t, was, d.id, must.Sprint("the damage was not noticed"))
 	}
 }
 
-// What a member has told others is on its disk, or it is somebody else: over
-// processes and machines that end at any operation, full disks, names that are
-// lost one by one, and damage to what was durable.
+// Every vote that others may have seen is on disk, or the identity has changed:
+// with processes killed and power lost at any operation, full disks, names lost one
+// by one, and corruption of durable files.
 func TestVotesSurviveUnderSameIdentity(t *testing.T) {
 	histories := uint64(4000)
 	if testing.Short() {
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -15,8 +15,8 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// A write that is cut short at any operation is a file aside: it costs neither
-// the record before it nor the identity.
+// A write that is interrupted at any operation leaves a temporary file: neither the
+// record before it nor the identity is lost.
 func TestTornTemporaryFileIsIgnored(t *testing.T) {
 	for seed := range uint64(100) {
 		for cut := range 6 {
@@ -38,9 +38,9 @@
 	}
 }
 
-// A process is killed after a record got its name and before the folder was
-// synced. The next one finds the record and answers by it, without a write: it
-// settles first, or a loss of power would take back what it said.
+// A process is killed after a record was renamed and before the directory was
+// synced. The next process finds the record and repeats its vote without a write.
+// It syncs the directory first, or a loss of power would take the vote back.
 func TestDirectoryIsSyncedBeforeFirstVoteAfterKill(t *testing.T) {
 	for seed := range uint64(20) {
 		d := disk.New(seed)
@@ -64,20 +64,22 @@
 }
 
 func openSimulated(t *testing.T, d *disk.Disk) *DiskStore {
+	t.Helper()
 	store, err := OpenDiskStore(d)
 	must.NoError(t, err)
 	return store
 }
 
 func openTestStore(t *testing.T, dir string) *DiskStore {
+	t.Helper()
 	store, err := NewDiskStore(dir)
 	must.NoError(t, err)
 	return store
 }
 
-// A record that is damaged after it was durable is lost votes: the one before it
-// does not come back, the member is somebody else in all parts, it founds no
-// group where bootstrap is still set, and it goes on saving.
+// A record that is damaged after it was durable means lost votes: the record before
+// it does not come back, the member gets a new identity in all registers, founds no
+// group even if bootstrap is set, and can save again.
 func TestDamagedRecordChangesIdentity(t *testing.T) {
 	dir := t.TempDir()
 	store := openTestStore(t, dir)
@@ -109,12 +111,12 @@
 
 	restored, err = Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("b"))
 	must.NoError(t, err)
-	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("once is enough"))
+	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("the identity changes once"))
 	must.Eq(t, int64(9), restored.Records[2].Promised.N)
 }
 
-// Without its identity a member is nobody that it was, also where it would found
-// a group: its first identity is known from the seeds and has voted.
+// A member without its identity gets a new one, also where it would found a group:
+// the identity that follows from the seeds has voted.
 func TestLostIdentityIsNotBootstrappedAgain(t *testing.T) {
 	for _, spoil := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
 		dir := t.TempDir()
@@ -127,12 +129,12 @@
 		must.NoError(t, err)
 		must.Eq(t, "a/fresh1", restored.ID)
 		must.Eq(t, messages.Ballot{}, restored.Records[1].Promised)
-		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("what is committed is true whoever knows it"))
+		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("the committed value stays"))
 	}
 }
 
-// A full disk refuses, and attempts leave nothing behind; when there is room the
-// next write is taken.
+// Failed writes to a full disk leave no files; once there is space the next write
+// succeeds.
 func TestFailedSaveLeavesNoFiles(t *testing.T) {
 	d := disk.New(3)
 	store := openSimulated(t, d)
@@ -153,7 +155,7 @@
 	must.Eq(t, int64(99), record.Promised.N)
 }
 
-// What 2,000 changes leave on the disk is one file a part and the identity.
+// After 2,000 changes the disk has one file for each register and the identity.
 func TestOldRecordFilesAreRemoved(t *testing.T) {
 	d := disk.New(4)
 	store := openSimulated(t, d)
@@ -169,7 +171,7 @@
 	}
 }
 
-// The list of runners and notes of leases may be kept by several at a time.
+// The runner list and fencing tokens may be written by several goroutines at once.
 func TestConcurrentKeepOfSameFile(t *testing.T) {
 	d, err := NewDiskStore(t.TempDir())
 	must.NoError(t, err)
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -8,33 +8,52 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// RepairGroup replaces wiped and gone members, and grows a group only if it can reach
+// an odd size.
 func TestRepairGroup(t *testing.T) {
-	g := Genesis([]string{"a", "b", "c"}).Group
-	gone := map[string]int64{}
-	st := func(ready ...messages.Member) Status {
-		return Status{Ready: append(append([]messages.Member{}, g...), ready...), GoneFor: func(a string) int64 { return gone[a] }, GoneUs: 10}
+	member := func(id string) messages.Member { return messages.Member{ID: id, Addr: id[:1]} }
+	members := func(ids ...string) (out []messages.Member) {
+		for _, id := range ids {
+			out = append(out, member(id))
+		}
+		return out
+	}
+	const goneUs = 10
+	for _, test := range []struct {
+		name       string
+		group      []messages.Member
+		candidates []messages.Member
+		gone       string // address
+		want       []messages.Member
+	}{
+		{name: "no candidate", group: members("a/0", "b/0", "c/0")},
+		{name: "odd group, one candidate", group: members("a/0", "b/0", "c/0"), candidates: members("d/1")},
+		{name: "odd group, two candidates", group: members("a/0", "b/0", "c/0"), candidates: members("d/1", "e/1"), want: members("a/0", "b/0", "c/0", "d/1")},
+		{name: "even group, one candidate", group: members("a/0", "b/0", "c/0", "d/0"), candidates: members("e/1"), want: members("a/0", "b/0", "c/0", "d/0", "e/1")},
+		{name: "member wiped", group: members("a/0", "b/0", "c/0"), candidates: members("b/2"), want: members("a/0", "b/2", "c/0")},
+		{name: "member gone, one candidate", group: members("a/0", "b/0", "c/0"), candidates: members("d/1"), gone: "c", want: members("a/0", "b/0", "d/1")},
+		{name: "member gone, no candidate", group: members("a/0", "b/0", "c/0"), gone: "c"},
+		{name: "even group, member gone, no candidate", group: members("a/0", "b/0", "c/0", "d/0"), gone: "c", want: members("a/0", "b/0", "d/0")},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			status := Status{
+				Ready: append(append([]messages.Member{}, test.group...), test.candidates...),
+				GoneFor: func(addr string) int64 {
+					if addr == test.gone {
+						return goneUs + 1
+					}
+					return 0
+				},
+				GoneUs: goneUs,
+			}
+			next, changed := RepairGroup(test.group, status)
+			must.Eq(t, test.want != nil, changed)
+			must.Eq(t, test.want, next)
+		})
 	}
-	_, want := RepairGroup(g, st())
-	must.False(t, want)
-	_, want = RepairGroup(g, st(messages.Member{ID: "d/1", Addr: "d"}))
-	must.False(t, want, must.Sprint("a single newcomer waits"))
-	next, want := RepairGroup(g, st(messages.Member{ID: "b/2", Addr: "b"}))
-	must.True(t, want)
-	must.False(t, containsMember(next, FirstID("b")))
-	must.Len(t, 3, next)
-	gone["c"] = 11
-	next, want = RepairGroup(g, st(messages.Member{ID: "d/1", Addr: "d"}))
-	must.True(t, want)
-	must.False(t, containsMember(next, FirstID("c")))
-	must.True(t, containsMember(next, "d/1"))
-	_, want = RepairGroup(g, st())
-	must.False(t, want, must.Sprint("nobody to take its place"))
-	delete(gone, "c")
-	next, want = RepairGroup(g, st(messages.Member{ID: "d/1", Addr: "d"}, messages.Member{ID: "e/1", Addr: "e"}))
-	must.True(t, want)
-	must.Len(t, 4, next)
 }
 
+// If some controllers are counted, only they become members.
 func TestRepairGroupPrefersCountedControllers(t *testing.T) {
 	alive := func(addr string) int64 { return 0 }
 	peer := func(addr string, counted bool) messages.Peer {
@@ -46,7 +65,7 @@
 	must.True(t, containsMember(next, FirstID("c")))
 	must.False(t, containsMember(next, FirstID("x")))
 	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("x", false)}, alive, 10))
-	must.False(t, want, must.Sprint("nobody to take its place"))
+	must.False(t, want, must.Sprint("no candidate"))
 	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", false), peer("b", false), peer("x", false), peer("y", false)}, alive, 10))
-	must.False(t, want, must.Sprint("where none counts, all do"))
+	must.False(t, want, must.Sprint("if none is counted, all are eligible"))
 }
--- a/internal/consensus/linearizability_test.go
+++ b/internal/consensus/linearizability_test.go
@@ -13,7 +13,7 @@
 	operatorFirst = flag.Uint64("operator-first", 0, "the first seed of them")
 )
 
-// checkLimit bounds the search for an order of the calls.
+// checkLimit bounds the search for a linearization.
 const checkLimit = 30 * time.Second
 
 const (
@@ -21,7 +21,8 @@
 	upgradeEvery = 350
 )
 
-// play runs a history: trouble first, and then every operator is answered.
+// play runs a history: with faults first, and then until every operator has an
+// answer.
 func (c *cluster) play() {
 	for step := range steps {
 		if step%upgradeEvery == upgradeEvery-1 {
@@ -52,7 +53,7 @@
 	c.heal()
 }
 
-// settle ends the trouble. Every order without an answer is sent again, and at
+// heal ends the faults. Every order without an answer is submitted again, and at
 // last the configuration and the weights are read.
 func (c *cluster) heal() {
 	c.healed = true
@@ -74,7 +75,8 @@
 	}
 }
 
-// drain carries letters until no call is left; one that makes no way is given up.
+// drain delivers messages until no operation is open; one that makes no progress is
+// given up.
 func (c *cluster) drain() {
 	for range 4000 {
 		switch {
@@ -89,18 +91,19 @@
 	c.operations, c.inFlight = nil, nil
 }
 
-// Eight operators at once, repeats at any node, two nodes on one order, lost
-// answers, crashes, lost disks, changes of group, and versions of the
-// program with stricter and laxer checks in turn: the answers are those of one register.
+// Eight operators at once, with repeats at any node, one order at two nodes, lost
+// answers, crashes, lost disks, membership changes, and versions of the program
+// with strict and lax validation in turn: the answers are those of one linearizable
+// register.
 func TestOperatorHistoriesAreLinearizable(t *testing.T) {
 	taken := 0
 	for seed := *operatorFirst; seed < *operatorFirst+*operatorSeeds; seed++ {
 		taken += playCluster(t, seed)
 	}
-	must.Greater(t, 3*int(*operatorSeeds), taken, must.Sprint("the histories must get somewhere"))
+	must.Greater(t, 3*int(*operatorSeeds), taken, must.Sprint("too few orders were committed"))
 }
 
-// tellingSeeds miss a mechanism that few histories miss: 380 the seal.
+// regressionSeeds need a mechanism that few histories need: 380 the seal.
 var regressionSeeds = []uint64{380}
 
 func TestRegressionSeedsAreLinearizable(t *testing.T) {
@@ -109,7 +112,8 @@
 	}
 }
 
-// playOffice plays and judges one history, and returns how many orders were taken.
+// playCluster plays and checks one history, and returns how many orders were
+// committed.
 func playCluster(t *testing.T, seed uint64) int {
 	t.Helper()
 	cluster := newCluster(seed)
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -10,9 +10,9 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// world plays messages, crashes, torn files and disk losses against the pure
-// machines, in an order drawn from a seed. It checks that no two values are
-// ever committed under one version and that nothing acknowledged is lost.
+// paxosModel plays messages, crashes, failed writes and disk losses against the
+// state machines, in an order drawn from a seed. It checks that no two values are
+// committed under one version and that no acknowledged change is lost.
 type paxosModel struct {
 	t            *testing.T
 	rnd          *rand.Rand
@@ -24,6 +24,7 @@
 	rounds       []*Round
 }
 
+// node is a member of the model.
 type node struct {
 	addr     string
 	acceptor Acceptor
@@ -32,6 +33,7 @@
 	known    messages.Value
 }
 
+// message is a request, or the response to it, on its way.
 type message struct {
 	round    *Round
 	request  Request
@@ -40,7 +42,9 @@
 	ok       bool
 }
 
+// newPaxosModel founds a group of size nodes.
 func newPaxosModel(t *testing.T, seed uint64, size int) *paxosModel {
+	t.Helper()
 	model := &paxosModel{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*node{}, chosen: map[int64]string{}}
 	var seeds []string
 	for i := range size {
@@ -53,6 +57,7 @@
 	return model
 }
 
+// recordChosen checks that a version has one value.
 func (p *paxosModel) recordChosen(v messages.Value) {
 	if old, ok := p.chosen[v.Version]; ok {
 		must.Eq(p.t, old, v.Stamp, must.Sprintf("two values under version %d", v.Version))
@@ -67,6 +72,7 @@
 	}
 }
 
+// startRound starts a round under a random ballot.
 func (p *paxosModel) startRound(n *node, change Change) {
 	p.serial++
 	stamp := fmt.Sprintf("s%d", p.serial)
@@ -77,6 +83,7 @@
 	}
 }
 
+// deliver delivers a message, duplicates it or loses it.
 func (p *paxosModel) deliver(i int) {
 	m := p.inFlight[i]
 	p.inFlight = append(p.inFlight[:i:i], p.inFlight[i+1:]...)
@@ -97,10 +104,10 @@
 		response, changed := n.acceptor.Handle(m.request.Body)
 		if changed {
 			switch p.rnd.IntN(12) {
-			case 0: // the disk refuses: no word
+			case 0: // the write fails: no response
 				n.acceptor.Rec = before
 				return
-			case 1: // crash after the write, before the word
+			case 1: // crash after the write, before the response
 				n.disk = n.acceptor.Rec
 				p.crash(n)
 				return
@@ -108,7 +115,7 @@
 			n.disk = n.acceptor.Rec
 		}
 		p.inFlight = append(p.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
-		if p.rnd.IntN(15) == 0 { // doubled
+		if p.rnd.IntN(15) == 0 { // duplicated
 			p.inFlight = append(p.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
 		}
 		return
@@ -134,13 +141,14 @@
 	}
 }
 
+// crash loses what is not on disk.
 func (p *paxosModel) crash(n *node) {
 	n.up = false
 	n.acceptor.Rec = n.disk
 	n.known = n.disk.Committed
 }
 
-// wipe takes a disk away; the node comes back as somebody new.
+// wipeDisk takes the disk of a node, which comes back under a new identity.
 func (p *paxosModel) wipeDisk(n *node) {
 	p.serial++
 	n.disk = messages.Record{}
@@ -148,10 +156,12 @@
 	n.known = messages.Value{}
 }
 
+// setBody is a change that sets the body and keeps the group.
 func setBody(s string) Change {
 	return func(messages.Value) ([]messages.Member, []byte, error) { return nil, []byte(s), nil }
 }
 
+// pickLive gives a random node that is up and knows its group, or nil.
 func (p *paxosModel) pickLive() *node {
 	var list []*node
 	for i := range len(p.nodes) {
@@ -166,7 +176,8 @@
 	return list[p.rnd.IntN(len(list))]
 }
 
-// settle delivers without loss until one more change is agreed on, and returns it.
+// commitFinal starts all nodes and delivers without loss until one more change is
+// committed, and returns it.
 func (p *paxosModel) commitFinal() messages.Value {
 	p.inFlight = nil
 	for _, n := range p.nodes {
@@ -212,6 +223,8 @@
 	return newest
 }
 
+// Rounds of random ballots run at once while messages are lost and duplicated and
+// nodes crash.
 func TestOneValueCommittedPerVersionInRandomOrders(t *testing.T) {
 	for seed := range uint64(400) {
 		size := 3 + 2*int(seed%2)
@@ -236,11 +249,12 @@
 		}
 		acked := model.acknowledged
 		last := model.commitFinal()
-		must.Greater(t, acked, last.Version, must.Sprintf("seed %d: acknowledged version lost", seed))
+		must.Greater(t, acked, last.Version, must.Sprintf("seed %d: acknowledged change lost", seed))
 	}
 }
 
-// One disk at a time is lost; the newcomer is swapped in before the next loss.
+// One disk is lost at a time; the new identity replaces the old one before the next
+// loss.
 func TestAcknowledgedChangeSurvivesDiskLoss(t *testing.T) {
 	for seed := range uint64(200) {
 		model := newPaxosModel(t, seed, 3)
@@ -262,9 +276,9 @@
 	}
 }
 
-// Groups of five and seven: two disks are lost at one moment while every other
-// member loses power. What was acknowledged stays, and the newcomers are taken
-// in one after the other.
+// In groups of five and seven two disks are lost at once while all other members
+// lose power. Acknowledged changes survive, and the new identities join one after
+// the other.
 func TestAcknowledgedChangeSurvivesTwoSimultaneousDiskLosses(t *testing.T) {
 	for seed := range uint64(200) {
 		size := 5 + 2*int(seed%2)
@@ -326,6 +340,7 @@
 	return out
 }
 
+// changeGroup commits a membership change without loss.
 func (p *paxosModel) changeGroup(base messages.Value, group []messages.Member) {
 	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil })
 	requests := round.Requests()
--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -18,8 +18,9 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A member is replaced, every node loses power, and another one its disk: the
-// new group must know by itself that it is it (ritwerk trouble-2 --seed 13).
+// A member is replaced, then every node loses power and another one its disk: the
+// new group knows from its own disks that it is the group (docs/incidents/group-
+// forgot-itself.md).
 func TestNewGroupRecoversFromDiskAfterPowerLoss(t *testing.T) {
 	nodes := map[string]*Registers{}
 	stores := map[string]*MemoryStore{}
@@ -59,7 +60,7 @@
 	group := []messages.Member{{ID: nodes["d"].ID(), Addr: "d"}, {ID: nodes["b"].ID(), Addr: "b"}, {ID: nodes["c"].ID(), Addr: "c"}}
 	_, err := nodes["b"].Change(ctx, 1, func(cur messages.Value) ([]messages.Member, []byte, error) { return group, []byte("x"), nil })
 	must.NoError(t, err)
-	for _, addr := range []string{"b", "c", "d"} { // what was told reaches the disks
+	for _, addr := range []string{"b", "c", "d"} { // the commit reaches the disks
 		for {
 			record, _, _ := stores[addr].Load(1)
 			if record.Committed.Version == 1 {
@@ -82,8 +83,8 @@
 	must.NoError(t, err)
 }
 
-// All founders restart before a register has taken its first value: they still
-// know its group (found by the simulation).
+// All founders restart before the first change of a register: they still know its
+// group (docs/incidents/founders-forgot-their-group.md).
 func TestBootstrapGroupSurvivesRestartBeforeFirstChange(t *testing.T) {
 	nodes := map[string]*Registers{}
 	net := callerFunc(func(ctx context.Context, addr string, body []byte) ([]byte, error) {
@@ -105,12 +106,13 @@
 	must.NoError(t, err)
 }
 
+// failingStore is a store whose writes fail.
 type failingStore struct{ MemoryStore }
 
 func (*failingStore) Save(int, messages.Record) error { return errors.Wrap(ErrStore, "full") }
 
-// A member whose disk refuses writes gives no vote, says so once, and does not
-// keep the others from agreeing.
+// A member whose disk refuses writes gives no vote, logs that once, and does not
+// keep the others from committing.
 func TestFailingStoreGivesNoVoteAndLogsOnce(t *testing.T) {
 	var out bytes.Buffer
 	nodes := map[string]*Registers{}
@@ -142,6 +144,7 @@
 	must.Eq(t, 1, strings.Count(out.String(), "refuses writes"))
 }
 
+// callerFunc is a Caller made of a function on encoded requests.
 type callerFunc func(ctx context.Context, addr string, body []byte) ([]byte, error)
 
 func (c callerFunc) Call(ctx context.Context, addr string, _ int, m msgp.Marshaler) ([]byte, error) {
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -14,15 +14,15 @@
 const (
 	tickUs      = 100_000
 	detectUs    = 1_000_000
-	catchUpUs   = 4_000_000 // within which a replaced member is a voter again
-	roundUs     = 500_000   // after which a round is given up
+	catchUpUs   = 4_000_000 // within which a replaced member votes again
+	roundUs     = 500_000   // after which a round times out
 	changeEvery = 3         // ticks, on average
-	oneLostIn   = 40        // messages, one is lost
+	oneLostIn   = 40        // of so many messages one is lost
 )
 
-// repairWorld plays repairs: every node runs a coordinator, and time goes on in
+// repairModel plays repairs: every node runs a coordinator, and time advances in
 // ticks in which messages are delivered in random order, some of them lost. It
-// checks at every change of a group what a group may count on.
+// checks the preconditions of every membership change.
 type repairModel struct {
 	*paxosModel
 	seed     uint64
@@ -31,23 +31,24 @@
 	machines map[string]*machine
 	serials  int
 	onStep   func(m *machine, s RepairStep)
-	busy     map[string]*Round // the round a machine is at
+	busy     map[string]*Round // the round that a machine runs, by address
 }
 
 // machine is a node with its faults.
 type machine struct {
 	*node
 	coordinator   RepairCoordinator
-	downUs        int64 // since when it is down, 0 where it is up
-	removed       bool  // taken away for good
-	partitioned   bool  // alive to probes, but out of contact
-	diskFull      bool  // the disk refuses writes
+	downUs        int64 // since when it is down, 0 if it is up
+	removed       bool  // for good
+	partitioned   bool  // health checks reach it, but messages do not
+	diskFull      bool  // writes fail
 	leaving       bool
 	roundBeganUs  int64 // when its last round began
-	joinedVersion int64 // version of the change that took it in last
+	joinedVersion int64 // version of the change by which it joined last
 }
 
 func newRepairModel(t *testing.T, seed uint64, size int) *repairModel {
+	t.Helper()
 	model := &repairModel{paxosModel: newPaxosModel(t, seed, size), seed: seed, size: size, machines: map[string]*machine{}, busy: map[string]*Round{}}
 	for addr, n := range model.nodes {
 		model.machines[addr] = &machine{node: n}
@@ -55,7 +56,8 @@
 	return model
 }
 
-// list gives the machines by address, so that a seed plays the same each time.
+// sortedMachines gives the machines by address, so that a seed plays the same each
+// time.
 func (r *repairModel) sortedMachines() []*machine {
 	var out []*machine
 	for _, m := range r.machines {
@@ -75,18 +77,19 @@
 	return r.machines[addr]
 }
 
+// remove takes a machine away for good.
 func (r *repairModel) remove(m *machine) {
 	m.up, m.removed, m.downUs = false, true, r.nowUs
 	delete(r.busy, m.addr)
 }
 
-// loseDisk takes a machine's disk; it is back at once under a new identity.
+// loseDisk takes the disk of a machine, which is back at once under a new identity.
 func (r *repairModel) loseDisk(m *machine) {
 	r.wipeDisk(m.node)
 	r.restart(m)
 }
 
-// losePower takes what is not on the disk; the machine is back at once.
+// losePower loses what is not on disk; the machine is back at once.
 func (r *repairModel) losePower(m *machine) {
 	if m.removed {
 		return
@@ -135,8 +138,8 @@
 	}
 }
 
-// tick moves time on: values spread and reach disks, coordinators step, and
-// messages go.
+// tick advances time: values are learned and reach disks, coordinators step, and
+// messages are delivered.
 func (r *repairModel) tick() {
 	r.nowUs += tickUs
 	list := r.sortedMachines()
@@ -160,8 +163,7 @@
 	}
 }
 
-// spread lets some learn from others what is committed, and some of that reach
-// the disks.
+// gossip lets some machines learn from others, and some values reach the disks.
 func (r *repairModel) gossip(list []*machine) {
 	for _, m := range list {
 		from := list[r.rnd.IntN(len(list))]
@@ -179,6 +181,7 @@
 	m.disk = m.acceptor.Rec
 }
 
+// execute carries out a step of a coordinator.
 func (r *repairModel) execute(m *machine, step RepairStep) {
 	if !m.up {
 		return
@@ -193,19 +196,19 @@
 	}
 	r.propose(m, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		if cur.Version != step.Version {
-			return nil, nil, fmt.Errorf("moved on")
+			return nil, nil, fmt.Errorf("the base has changed")
 		}
 		return step.Propose, cur.Body, nil
 	})
 }
 
-// atRound tells whether a machine is at a round that may still end.
+// inRound tells whether a machine has a round that may still end.
 func (r *repairModel) inRound(m *machine) bool {
 	round := r.busy[m.addr]
 	return round != nil && round.End == InProgress && r.nowUs-m.roundBeganUs < roundUs
 }
 
-// begin starts a round with a ballot above all before it.
+// propose starts a round with a ballot above all earlier ones.
 func (r *repairModel) propose(m *machine, change Change) {
 	r.serial++
 	stamp := fmt.Sprintf("s%d", r.serial)
@@ -216,7 +219,7 @@
 	}
 }
 
-// confirm brings a member the base and tells whether its disk holds it.
+// confirm sends a member the base and tells whether it has that on disk.
 func (r *repairModel) confirm(m *machine, to messages.Member) bool {
 	other := r.machines[to.Addr]
 	if !r.reaches(m, to.Addr) || other.acceptor.ID != to.ID {
@@ -229,6 +232,7 @@
 	return len(other.disk.Committed.Group) > 0 && other.disk.Committed.Version >= m.known.Version
 }
 
+// deliverOne delivers a message or loses it.
 func (r *repairModel) deliverOne(i int) {
 	m := r.inFlight[i]
 	r.inFlight = append(r.inFlight[:i:i], r.inFlight[i+1:]...)
@@ -258,7 +262,7 @@
 	r.inFlight = append(r.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
 }
 
-// proposer is who works at a round, if it still lives.
+// proposer is the machine that runs a round, or nil.
 func (r *repairModel) proposer(round *Round) *machine {
 	for _, m := range r.machines {
 		if r.busy[m.addr] == round && m.up {
@@ -268,6 +272,7 @@
 	return nil
 }
 
+// receive takes a response to a round.
 func (r *repairModel) receive(m *machine, msg message) {
 	round := msg.round
 	before := round.End
@@ -284,16 +289,17 @@
 	r.learn(m.node, round.Value)
 }
 
-// check looks at a change of the group: each newcomer had the base on its disk,
-// and those that the change before took in, as far as they live, had its outcome.
+// checkJoining checks a membership change: each member that joins had the base on
+// disk, and those that joined by the change before, as far as they are alive, had
+// its outcome.
 func (r *repairModel) checkJoining(round *Round) {
 	for _, g := range addedMembers(round.Base.Group, round.Value.Group) {
 		m := r.machines[g.Addr]
 		if m.acceptor.ID != g.ID {
 			continue // lost since
 		}
-		must.GreaterEq(r.t, round.Base.Version, m.disk.Committed.Version, must.Sprintf("seed %d: %s counts without the state", r.seed, g.ID))
-		must.SliceNotEmpty(r.t, m.disk.Committed.Group, must.Sprintf("seed %d: %s counts without the state", r.seed, g.ID))
+		must.GreaterEq(r.t, round.Base.Version, m.disk.Committed.Version, must.Sprintf("seed %d: %s joined without the base on disk", r.seed, g.ID))
+		must.SliceNotEmpty(r.t, m.disk.Committed.Group, must.Sprintf("seed %d: %s joined without the base on disk", r.seed, g.ID))
 		m.joinedVersion = round.Value.Version
 	}
 	if sameGroup(round.Base.Group, round.Value.Group) {
@@ -302,12 +308,12 @@
 	for _, g := range round.Base.Group {
 		m := r.machines[g.Addr]
 		if m.up && m.acceptor.ID == g.ID && m.joinedVersion > 0 && m.joinedVersion <= round.Base.Version && !m.diskFull {
-			must.GreaterEq(r.t, m.joinedVersion, m.disk.Committed.Version, must.Sprintf("seed %d: the next change began before %s had said so", r.seed, g.ID))
+			must.GreaterEq(r.t, m.joinedVersion, m.disk.Committed.Version, must.Sprintf("seed %d: the next change began before %s had its outcome on disk", r.seed, g.ID))
 		}
 	}
 }
 
-// play runs for some ticks, with operators' changes now and then.
+// play runs some ticks, with changes by operators.
 func (r *repairModel) play(ticks int) {
 	for range ticks {
 		if r.rnd.IntN(changeEvery) == 0 {
@@ -317,6 +323,7 @@
 	}
 }
 
+// operatorChange starts a change at a random machine that is free.
 func (r *repairModel) operatorChange() {
 	list := r.sortedMachines()
 	m := list[r.rnd.IntN(len(list))]
@@ -326,7 +333,7 @@
 	r.propose(m, setBody(fmt.Sprint(r.serial)))
 }
 
-// newest is the newest value that a machine in service knows.
+// newest is the newest value that a live machine knows.
 func (r *repairModel) newest() messages.Value {
 	var v messages.Value
 	for _, m := range r.sortedMachines() {
@@ -337,8 +344,8 @@
 	return v
 }
 
-// whole tells whether the group is of the wanted size, all of it alive with the
-// identity it has, and the last change complete for all who know of it.
+// isRepaired tells whether the group has the wanted size, all of it is alive under
+// its identities, and the last change is complete for all who know of it.
 func (r *repairModel) isRepaired() bool {
 	v := r.newest()
 	for _, g := range v.Group {
@@ -354,19 +361,19 @@
 	return len(v.Group) == r.size
 }
 
-// repaired plays until the group is whole, and fails where that takes too long.
+// waitRepaired plays until the group is repaired, and fails if that takes too long.
 func (r *repairModel) waitRepaired() {
 	r.t.Helper()
 	beganUs := r.nowUs
 	for !r.isRepaired() {
 		if r.nowUs-beganUs > catchUpUs {
-			r.t.Fatalf("seed %d, size %d: no whole group after %d ms: %s", r.seed, r.size, (r.nowUs-beganUs)/1000, r.describe())
+			r.t.Fatalf("seed %d, size %d: group not repaired after %d ms: %s", r.seed, r.size, (r.nowUs-beganUs)/1000, r.describe())
 		}
 		r.tick()
 	}
 }
 
-// describe tells each machine's state, for a history that fails.
+// describe gives the state of each machine, for a failure message.
 func (r *repairModel) describe() string {
 	out := fmt.Sprintf("group %v\n", r.newest().Group)
 	for _, m := range r.sortedMachines() {
@@ -375,7 +382,8 @@
 	return out
 }
 
-// stands checks that what was acknowledged is still there and that changes go on.
+// checkNothingLost checks that no acknowledged change is lost and that another one
+// can be committed.
 func (r *repairModel) checkNothingLost() {
 	r.t.Helper()
 	acked := r.acknowledged
@@ -390,7 +398,7 @@
 		}
 	}
 	last := r.commitFinal()
-	must.Greater(r.t, acked, last.Version, must.Sprintf("seed %d, size %d: acknowledged version lost", r.seed, r.size))
+	must.Greater(r.t, acked, last.Version, must.Sprintf("seed %d, size %d: acknowledged change lost", r.seed, r.size))
 	for addr, m := range r.machines {
 		m.up = ups[addr]
 		if !m.removed {
@@ -411,6 +419,7 @@
 	return out
 }
 
+// othersLosePower is a loss of power at all machines but these.
 func (r *repairModel) othersLosePower(but ...*machine) {
 	for _, m := range r.sortedMachines() {
 		spared := false
@@ -423,8 +432,9 @@
 	}
 }
 
-// eachWorld plays a history at groups of 3, 5 and 7, by seed.
+// forEachModel plays a history with groups of 3, 5 and 7, by seed.
 func forEachModel(t *testing.T, seeds uint64, history func(model *repairModel)) {
+	t.Helper()
 	for _, size := range []int{3, 5, 7} {
 		for seed := range seeds {
 			model := newRepairModel(t, seed, size)
@@ -435,17 +445,18 @@
 	}
 }
 
-// lossesAtOnce is how many losses a group bears.
+// tolerableLosses is how many simultaneous losses a group survives.
 func (r *repairModel) tolerableLosses() int { return min(2, r.size/2) }
 
+// pickRandom gives n different machines.
 func pickRandom(r *rand.Rand, list []*machine, n int) []*machine {
 	list = append([]*machine{}, list...)
 	r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:n]
 }
 
-// As many disks as may be are lost at one moment, while all others lose power;
-// once that is repaired, it comes again.
+// As many disks as tolerable are lost at once while all others lose power; once
+// that is repaired, it happens again.
 func TestRepairAfterSimultaneousDiskLosses(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		for range 3 {
@@ -461,8 +472,7 @@
 	})
 }
 
-// The newest member is the first to be lost, right after it was taken in, and
-// all others lose power.
+// The newest member is lost right after it joined, and all others lose power.
 func TestRepairAfterNewestMemberIsLost(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		for range 3 {
@@ -479,8 +489,8 @@
 	})
 }
 
-// The one who proposes the repair is lost in the middle of it, or, where one loss
-// is all that is borne, loses power.
+// The proposer of the repair is lost in the middle of it, or loses power if only
+// one loss is tolerable.
 func TestRepairAfterProposerFails(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		struck := false
@@ -503,8 +513,8 @@
 	})
 }
 
-// Who is first by address is cut off though alive to probes, or has a full disk:
-// somebody else repairs.
+// The machine of the first rank is partitioned, though health checks reach it, or
+// its disk is full: another one repairs.
 func TestRepairWhenFirstRankIsPartitionedOrDiskFull(t *testing.T) {
 	for _, size := range []int{5, 7} {
 		for seed := range uint64(60) {
@@ -520,7 +530,7 @@
 	}
 }
 
-// A newcomer whose disk takes nothing never counts; another one does.
+// A candidate whose disk refuses writes never joins; another one does.
 func TestRepairSkipsCandidateWithFailingDisk(t *testing.T) {
 	forEachModel(t, 30, func(model *repairModel) {
 		bad, good := model.join(), model.join()
@@ -535,9 +545,9 @@
 	})
 }
 
-// A member that leaves holds one of the two copies of what was acknowledged. It
-// gives its place to a newcomer first, so that the other copy may be lost. Where
-// lost messages keep it from that within its bound, the group repairs afterwards.
+// A leaving member has one of the two replicas of an acknowledged change. A
+// candidate takes its place first, so that the other replica may be lost. If lost
+// messages prevent that within the bound, the group is repaired afterwards.
 func TestHandOverCompletesBeforeLeaving(t *testing.T) {
 	const histories, boundUs = 100, 2_500_000
 	late := 0
@@ -570,8 +580,8 @@
 	must.LessEq(t, histories/50, late)
 }
 
-// As many disks as may be are lost at any moment of a handing over, while all
-// others lose power, the one that hands over too.
+// As many disks as tolerable are lost at any moment of a hand-over, while all
+// others lose power, the leaving member included.
 func TestRepairAfterDiskLossesDuringHandOver(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		leaver := pickRandom(model.rnd, model.members(), 1)[0]
@@ -597,7 +607,8 @@
 	})
 }
 
-// playWithout plays until something holds, while a member is down for a moment.
+// playWithout plays until a condition holds, while a member is down for too short a
+// time to be replaced.
 func (r *repairModel) playWithout(absent *machine, until func() bool) {
 	for !until() {
 		r.play(1)
@@ -605,12 +616,13 @@
 	}
 }
 
+// handedOver tells whether a leaving machine has nothing left to hand over.
 func (r *repairModel) handedOver(leaver *machine) bool {
 	_, may := HandOver(leaver.known.Group, leaver.addr, r.status())
 	return !may && leaver.coordinator.Complete(leaver.known.Group)
 }
 
-// A member that returns from a plain restart is not swapped out.
+// A member that comes back after a short restart is not replaced.
 func TestRestartDoesNotChangeGroup(t *testing.T) {
 	model := newRepairModel(t, 3, 3)
 	model.join()
--- a/internal/consensus/repair_test.go
+++ b/internal/consensus/repair_test.go
@@ -8,6 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// Without a candidate there is nothing to hand over and no step to take.
 func TestHandOverIsSkippedWithoutCandidate(t *testing.T) {
 	model := newRepairModel(t, 1, 3)
 	m := model.machines["10.0.0.2:1"]
@@ -18,8 +19,9 @@
 	must.False(t, due)
 }
 
-// Rank decides when somebody acts: who has no contact never does, who has a disk
-// in fault only after all others, and a change of the group starts the wait anew.
+// Rank decides when a controller acts. One without contact to a majority never
+// acts, one with a disk fault only after all others, and a change of the group
+// restarts the delay.
 func TestStepIsDelayedByRank(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	status := Status{
@@ -42,7 +44,7 @@
 	must.Eq(t, 0, firstActUs(view("a")))
 	must.Eq(t, RankDelayUs, firstActUs(view("b")))
 	must.Eq(t, 2*RankDelayUs, firstActUs(view("d")))
-	must.Eq(t, -1, firstActUs(view("x")), must.Sprint("one that does not count"))
+	must.Eq(t, -1, firstActUs(view("x")), must.Sprint("not eligible"))
 	v := view("a")
 	v.Contact = false
 	must.Eq(t, -1, firstActUs(v))
@@ -64,13 +66,13 @@
 	_, due = c.Step(1, calm)
 	must.False(t, due)
 	_, due = c.Step(2+MaxStepGapUs, view("a"))
-	must.False(t, due, must.Sprint("after a freeze what is seen is old"))
+	must.False(t, due, must.Sprint("after a suspension the view is old"))
 	_, due = c.Step(2+MaxStepGapUs+RankDelayUs, view("a"))
 	must.True(t, due)
 }
 
-// The next change waits for the word of the newcomer that the last one took in,
-// though not for ever.
+// The next change waits for the confirmation of the member that the last one took
+// in, up to a timeout.
 func TestNextChangeWaitsForJoiningMember(t *testing.T) {
 	before := Genesis([]string{"a", "b", "c", "d", "e"})
 	after := before
--- a/internal/consensus/round_seal_test.go
+++ b/internal/consensus/round_seal_test.go
@@ -9,27 +9,29 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-var errStrictValidation = errors.New("refused by today's checks")
+var errStrictValidation = errors.New("rejected by strict validation")
 
-// refuse is a change that other checks may have let pass.
+// rejectSealed is a change that other validation may have let pass.
 func rejectSealed(messages.Value) ([]messages.Member, []byte, error) {
 	return nil, nil, SealRefusal(errStrictValidation)
 }
 
-// trio is three members, of whom the last has accepted an earlier try.
+// threeAcceptors gives three acceptors, of which the last has accepted an earlier
+// attempt.
 func threeAcceptors() (g messages.Value, accs map[string]*Acceptor, earlier *Round) {
 	g = Genesis([]string{"a", "b", "c"})
 	accs = map[string]*Acceptor{}
 	for _, m := range g.Group {
 		accs[m.Addr] = &Acceptor{ID: m.ID, Rec: messages.Record{Committed: g}}
 	}
-	earlier = NewRound(0, g, messages.Ballot{N: 1, Who: "lax"}, "lax", setBody("taken by laxer checks"))
+	earlier = NewRound(0, g, messages.Ballot{N: 1, Who: "lax"}, "lax", setBody("accepted by lax validation"))
 	requests := exchange(earlier, accs, earlier.Requests(), "a", "b")
 	exchange(earlier, accs, requests, "c")
 	return g, accs, earlier
 }
 
-// tell carries asks to those named and their words back, and returns what is asked next.
+// exchange sends requests to the acceptors named, takes their responses, and
+// returns the requests that follow.
 func exchange(round *Round, accs map[string]*Acceptor, requests []Request, to ...string) []Request {
 	var next []Request
 	for _, addr := range to {
@@ -43,13 +45,14 @@
 	return next
 }
 
-// A try that stands at a member who has not answered can still be chosen: a
-// sealed refusal closes the slot first, a plain one would be overturned.
+// An attempt that was accepted by a member that has not answered can still be
+// committed: a sealed rejection closes the version first, where a plain one would
+// be overturned.
 func TestSealClosesVersionToEarlierAttempt(t *testing.T) {
 	g, accs, _ := threeAcceptors()
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
 	must.SliceEmpty(t, exchange(round, accs, round.Requests(), "a", "b"))
-	must.True(t, round.SealPending(), must.Sprint("c may hold an earlier try"))
+	must.True(t, round.SealPending(), must.Sprint("c may have accepted an earlier attempt"))
 	requests := round.Seal()
 	exchange(round, accs, requests, "a", "b")
 	must.Eq(t, Chosen, round.End)
@@ -58,9 +61,11 @@
 	must.Eq(t, Finished, NewAttempt(0, "strict", rejectSealed).Finish(round))
 	later := NewRound(0, g, messages.Ballot{N: 3, Who: "later"}, "later", setBody("x"))
 	exchange(later, accs, later.Requests(), "b", "c")
-	must.Eq(t, round.Value.Stamp, later.Value.Stamp, must.Sprint("the seal stands, not the earlier try"))
+	must.Eq(t, round.Value.Stamp, later.Value.Stamp, must.Sprint("the seal is committed, not the earlier attempt"))
 }
 
+// If the member answers before the version is closed, its accepted value is
+// proposed, and the rejection is dropped.
 func TestSealedRejectionAdoptsAcceptedValue(t *testing.T) {
 	g, accs, earlier := threeAcceptors()
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
@@ -71,10 +76,10 @@
 	must.Eq(t, Chosen, round.End)
 	must.Eq(t, earlier.Value.Stamp, round.Value.Stamp)
 	must.NoError(t, round.Err)
-	must.Eq(t, NextRound, NewAttempt(0, "strict", rejectSealed).Finish(round), must.Sprint("the order is looked up again"))
+	must.Eq(t, NextRound, NewAttempt(0, "strict", rejectSealed).Finish(round), must.Sprint("the change is computed again"))
 }
 
-// Where every member has promised, nothing has to be written.
+// If every member has promised, no value has to be written.
 func TestSealedRejectionWritesNothingWhenAllPromised(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
--- a/internal/consensus/round_test.go
+++ b/internal/consensus/round_test.go
@@ -9,6 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// A change can reject only once a majority has promised.
 func TestRejectionNeedsPromisesFromMajority(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	no := errors.New("no")
@@ -20,6 +21,8 @@
 	must.ErrorIs(t, round.Err, no)
 }
 
+// A value that changes the group is chosen once majorities of both groups have
+// accepted it.
 func TestMembershipChangeNeedsQuorumOfBothGroups(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	next := []messages.Member{{ID: "d/1", Addr: "d"}, {ID: "e/1", Addr: "e"}, g.Group[0]}
--- a/internal/consensus/storage_growth_test.go
+++ b/internal/consensus/storage_growth_test.go
@@ -15,15 +15,14 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// What is left behind by 2,000 changes of a configuration, and by some more, until
-// the digests of earlier versions have reached their bound (2,048): files stay as
-// few as at the start; bytes on disk and in a round grow by 26 a change up to
-// that bound and are flat from then on.
+// The number of files stays as at the start over 2,260 changes of a configuration.
+// The bytes on disk and in a round grow by 26 a change until the digests of earlier
+// versions reach their bound (2,048), and are constant from then on.
 func TestStorageStaysBoundedOver2000Changes(t *testing.T) {
-	const changes, flatFrom = 2260, 2180 // 2,048 digests, and the last of the 127 whose version takes a byte is gone
-	const mostFiles = 1 + 1 + 2          // identity, the record, one just written and one just replaced
+	const changes, flatFrom = 2260, 2180 // 2,048 digests, and the last of the 127 whose version takes one byte is dropped
+	const mostFiles = 1 + 1 + 2          // the identity, the record, one just written and one just replaced
 	nodes, disks := map[string]*Registers{}, map[string]*disk.Disk{}
-	var accept atomic.Int64 // bytes of the newest ask for acceptance
+	var accept atomic.Int64 // bytes of the newest accept request
 	net := callerFunc(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
 		var request messages.ConsensusRequest
 		if _, err := request.UnmarshalMsg(b); err == nil && request.Step == messages.Accept {
@@ -39,7 +38,7 @@
 		nodes[s] = registers
 	}
 	raw := bytes.Repeat([]byte("r"), 3000)
-	others := Parts - 1 // records of the other parts
+	others := Parts - 1 // records of the other registers
 	var rounds []int64
 	for n := range int64(changes) {
 		order := routeconfig.Order{Raw: append(fmt.Appendf(nil, "%06d", n), raw...), Version: n + 1, Base: n}
--- a/internal/consensus/stored_files_test.go
+++ b/internal/consensus/stored_files_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// The folder was written by the code of commit b77aa1a.
+// The directory was written by the code of commit b77aa1a.
 func TestStoreReadsRecordOfCommitB77aa1a(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.CopyFS(dir, os.DirFS("testdata/written-by-b77aa1a")))
