--- a/internal/filesystem/filesystem.go
+++ b/internal/filesystem/filesystem.go
@@ -1,6 +1,10 @@
-// Package filesystem is the little that the stores ask of a disk: files that are
-// written once, synced, renamed and removed, and folders that are synced. OS is
-// the machine's own; internal/simulation/disk is one in memory that loses power.
+// Package filesystem is the interface between the stores and the disk: a directory of
+// files that are written once, synced, renamed and removed, and the sync of the directory
+// itself. OS implements it by the operating system; internal/simulation/disk is an
+// implementation in memory that loses power and fails writes.
+//
+// What File.Sync has written and FileSystem.Sync has named survives a loss of power;
+// anything else may be lost or not.
 package filesystem
 
 import (
@@ -9,36 +13,40 @@
 	"path/filepath"
 )
 
-// FileSystem is one folder of files and what may be done to it. Names are plain
-// names inside that folder.
+// FileSystem is one directory of files. Names are names of files in it, without a path.
 type FileSystem interface {
 	// List gives the names of all files.
 	List() ([]string, error)
-	// Read gives the whole of a file; the error wraps fs.ErrNotExist where there is none.
+	// Read gives the content of a file; the error wraps fs.ErrNotExist if there is none.
 	Read(name string) ([]byte, error)
-	// Create makes a new, empty file; the error wraps fs.ErrExist where there is one.
+	// Create makes a new, empty file; the error wraps fs.ErrExist if there is one.
 	Create(name string) (File, error)
-	// Rename gives a file another name, in place of what that name meant.
+	// Rename gives a file another name, and replaces a file of that name.
 	Rename(from, to string) error
-	// Remove takes a name away.
+	// Remove removes a file.
 	Remove(name string) error
-	// Sync makes durable which names there are and what they mean.
+	// Sync makes creations, renames and removals durable.
 	Sync() error
 }
 
 // File is a file that is being written.
 type File interface {
 	io.WriteCloser
-	// Sync makes durable what has been written.
+	// Sync makes what was written durable.
 	Sync() error
 }
 
-// OS is a folder of the machine's own file system.
+// OS is a directory of the operating system.
 type OS struct{ dir string }
 
+const (
+	directoryMode = 0o755
+	fileMode      = 0o644
+)
+
 // Open uses dir, which is made if it is missing.
 func Open(dir string) (OS, error) {
-	return OS{dir: dir}, os.MkdirAll(dir, 0o755)
+	return OS{dir: dir}, os.MkdirAll(dir, directoryMode)
 }
 
 // List gives the names of all files.
@@ -48,18 +56,18 @@
 		return nil, err
 	}
 	names := make([]string, 0, len(entries))
-	for _, e := range entries {
-		names = append(names, e.Name())
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	return names, nil
 }
 
-// Read gives the whole of a file.
+// Read gives the content of a file.
 func (o OS) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(o.dir, name)) }
 
 // Create makes a new, empty file.
 func (o OS) Create(name string) (File, error) {
-	return os.OpenFile(filepath.Join(o.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+	return os.OpenFile(filepath.Join(o.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 }
 
 // Rename gives a file another name.
@@ -67,15 +75,15 @@
 	return os.Rename(filepath.Join(o.dir, from), filepath.Join(o.dir, to))
 }
 
-// Remove takes a name away.
+// Remove removes a file.
 func (o OS) Remove(name string) error { return os.Remove(filepath.Join(o.dir, name)) }
 
-// Sync syncs the folder.
+// Sync syncs the directory.
 func (o OS) Sync() error {
-	f, err := os.Open(o.dir)
+	directory, err := os.Open(o.dir)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	return f.Sync()
+	defer directory.Close()
+	return directory.Sync()
 }
