--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -27,29 +27,25 @@
 	disputed bool
 }
 
-// changeFor is the change that an order asks for, by the rules of the product.
+// changeFor is the change that an order asks for, by the rules of the product: a rejection
+// that an earlier attempt may not have met is sealed.
 func (c *cluster) changeFor(wanted order) Change {
-	strict := c.strictValidation
+	configOrder := wanted.configOrder(c.strictValidation)
+	apply := applyOrder(configOrder)
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
-		body := bodyOf(cur)
-		bring := wanted.configOrder(strict)
-		next, err := bring.Apply(body)
-		if err != nil && bring.Contested(body) {
+		group, body, err := apply(cur)
+		if err != nil && configOrder.Contested(bodyOf(cur)) {
 			return nil, nil, SealRefusal(err)
 		}
-		if err != nil {
-			return nil, nil, err
-		}
-		b, err := next.MarshalMsg(nil)
-		return nil, b, err
+		return group, body, err
 	}
 }
 
 // configOrder is the order as the product represents it. Strict validation rejects
 // a disputed one.
-func (r order) configOrder(strict bool) routeconfig.Order {
-	out := routeconfig.Order{Raw: []byte(r.digest), Version: r.version, Base: r.base}
-	if strict && r.disputed {
+func (o order) configOrder(strict bool) routeconfig.Order {
+	out := routeconfig.Order{Raw: []byte(o.digest), Version: o.version, Base: o.base}
+	if strict && o.disputed {
 		out.Fault = &routeconfig.Invalid{Field: "routes", Reason: "refused since the last version of the program"}
 	}
 	return out
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -30,10 +30,11 @@
 //     the ballot AcceptedAt) may have been committed: a proposer that meets one while
 //     it prepares proposes the one with the highest ballot again, not its own.
 //     Learning a committed value ends that version: promise and accepted value go.
-//   - Quorums meet across a membership change because the group is part of the value
-//     and each value names the group that decides the next: the only value that
-//     moves from one group to another was accepted by majorities of both, and
-//     the next version is prepared among the new group alone, on top of that value.
+//   - Quorums meet across a membership change because a value names the group that
+//     decides the next version, and is committed by majorities of both the old and the
+//     new group. A proposer that still builds on version N-1 prepares among the group
+//     of N-1 and meets an acceptor of N there. One that builds on N prepares among the
+//     group of N, of which a majority has accepted N.
 //   - Votes belong to an identity (Member.ID), not to an address, and every vote
 //     request names the identity that it is meant for. A member whose disk was wiped or
 //     damaged comes back under a new identity (Restore) and is no acceptor until a
@@ -42,9 +43,19 @@
 //   - A changed record is on disk before the response that rests on it is sent. Where
 //     the write fails, the record in memory is rolled back and no response is sent.
 //
+// # Words of the wire
+//
+// The messages keep their older keys and words. Slot is the version that is decided,
+// Stamp identifies the proposal that made a value, Ballot.Who is the proposer, and To the
+// identity that a vote is requested from. The verdicts of a response are Granted
+// (promised or accepted), Outbid (preempted by a higher ballot), Ahead (the version is
+// committed already), Behind (the acceptor lacks the base) and Stranger (the request is
+// for another identity). Flush asks for a confirmation that the value is on disk, and Kept
+// gives it. Pieces are the chunks of a large value.
+//
 // # Who owns which state
 //
-// Registers has no goroutine of its own: requests are served in the goroutines of
+// Registers has no permanent goroutine: requests are served in the goroutines of
 // the transport, changes and reads in those of their callers. The acceptor of a
 // register and its durableVersion belong to the goroutine that holds the register's
 // recordLock; it keeps the lock while the disk is written, so that a hanging disk
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -39,7 +39,6 @@
 	request  Request
 	reply    bool
 	response messages.ConsensusResponse
-	ok       bool
 }
 
 // newPaxosModel founds a group of size nodes.
@@ -79,47 +78,59 @@
 	round := NewRound(0, n.known, messages.Ballot{N: int64(1 + p.rnd.IntN(6)), Who: stamp}, stamp, change)
 	p.rounds = append(p.rounds, round)
 	for _, request := range round.Requests() {
-		p.inFlight = append(p.inFlight, message{round: round, request: request, ok: true})
+		p.inFlight = append(p.inFlight, message{round: round, request: request})
 	}
 }
 
-// deliver delivers a message, duplicates it or loses it.
+// deliver delivers a message or loses it.
 func (p *paxosModel) deliver(i int) {
 	m := p.inFlight[i]
 	p.inFlight = append(p.inFlight[:i:i], p.inFlight[i+1:]...)
-	if p.rnd.IntN(12) == 0 {
-		return // lost
+	switch {
+	case p.rnd.IntN(12) == 0: // lost
+	case m.reply:
+		p.receiveResponse(m)
+	default:
+		p.handleRequest(m)
 	}
-	if !m.reply {
-		n := p.nodes[m.request.To.Addr]
-		if n == nil || !n.up {
-			return
-		}
-		if m.request.Body.Step == messages.Commit {
-			p.learn(n, m.request.Body.Value)
+}
+
+// handleRequest lets the acceptor of the receiver answer. The response may be lost to a
+// failed write or a crash, or be duplicated.
+func (p *paxosModel) handleRequest(m message) {
+	n := p.nodes[m.request.To.Addr]
+	if n == nil || !n.up {
+		return
+	}
+	if m.request.Body.Step == messages.Commit {
+		p.learn(n, m.request.Body.Value)
+		return
+	}
+	n.acceptor.Learn(n.known)
+	before := n.acceptor.Rec
+	response, changed := n.acceptor.Handle(m.request.Body)
+	if changed {
+		switch p.rnd.IntN(12) {
+		case 0: // the write fails: no response
+			n.acceptor.Rec = before
 			return
-		}
-		n.acceptor.Learn(n.known)
-		before := n.acceptor.Rec
-		response, changed := n.acceptor.Handle(m.request.Body)
-		if changed {
-			switch p.rnd.IntN(12) {
-			case 0: // the write fails: no response
-				n.acceptor.Rec = before
-				return
-			case 1: // crash after the write, before the response
-				n.disk = n.acceptor.Rec
-				p.crash(n)
-				return
-			}
+		case 1: // crash after the write, before the response
 			n.disk = n.acceptor.Rec
+			p.crash(n)
+			return
 		}
-		p.inFlight = append(p.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
-		if p.rnd.IntN(15) == 0 { // duplicated
-			p.inFlight = append(p.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
-		}
-		return
+		n.disk = n.acceptor.Rec
+	}
+	m.reply, m.response = true, response
+	p.inFlight = append(p.inFlight, m)
+	if p.rnd.IntN(15) == 0 { // duplicated
+		p.inFlight = append(p.inFlight, m)
 	}
+}
+
+// receiveResponse takes a response to its round. Some nodes learn the value that the
+// round ends with.
+func (p *paxosModel) receiveResponse(m message) {
 	before := m.round.End
 	for _, request := range m.round.Receive(m.request.To, m.request.Body.Step, m.response) {
 		p.inFlight = append(p.inFlight, message{round: m.round, request: request})
--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -18,91 +18,114 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A member is replaced, then every node loses power and another one its disk: the
-// new group knows from its own disks that it is the group (docs/incidents/group-
-// forgot-itself.md).
-func TestNewGroupRecoversFromDiskAfterPowerLoss(t *testing.T) {
-	nodes := map[string]*Registers{}
-	stores := map[string]*MemoryStore{}
-	var mu sync.Mutex
-	net := callerFunc(func(ctx context.Context, addr string, body []byte) ([]byte, error) {
-		mu.Lock()
-		n := nodes[addr]
-		mu.Unlock()
-		if n == nil {
-			return nil, errors.New("dark")
-		}
-		return n.Handle(ctx, body)
-	})
-	seeds := []string{"a", "b", "c"}
-	open := func(addr string, bootstrap bool) {
-		if stores[addr] == nil {
-			stores[addr] = &MemoryStore{}
-		}
-		registers, err := Open(addr, 1, bootstrap, seeds, net, stores[addr], logr.Discard(), nil)
-		must.NoError(t, err)
-		mu.Lock()
-		nodes[addr] = registers
-		mu.Unlock()
+// testNodes are nodes that call each other, with stores that survive a restart. A call
+// to a node that is stopped fails.
+type testNodes struct {
+	t      *testing.T
+	seeds  []string
+	log    logr.Logger
+	stores map[string]Store // by address
+
+	mu    sync.Mutex // guards nodes
+	nodes map[string]*Registers
+}
+
+func newTestNodes(t *testing.T, seeds ...string) *testNodes {
+	return &testNodes{t: t, seeds: seeds, log: logr.Discard(), stores: map[string]Store{}, nodes: map[string]*Registers{}}
+}
+
+// start starts a node on its store, which is a new one at the first start.
+func (n *testNodes) start(addr string, bootstrap bool) {
+	n.t.Helper()
+	if n.stores[addr] == nil {
+		n.stores[addr] = &MemoryStore{}
 	}
-	stop := func(addr string) {
-		mu.Lock()
-		delete(nodes, addr)
-		mu.Unlock()
+	registers, err := Open(addr, 1, bootstrap, n.seeds, callerFunc(n.handle), n.stores[addr], n.log, nil)
+	must.NoError(n.t, err)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.nodes[addr] = registers
+}
+
+func (n *testNodes) stop(addr string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.nodes, addr)
+}
+
+// at gives the node at an address, or nil.
+func (n *testNodes) at(addr string) *Registers {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.nodes[addr]
+}
+
+func (n *testNodes) handle(ctx context.Context, addr string, body []byte) ([]byte, error) {
+	node := n.at(addr)
+	if node == nil {
+		return nil, errors.New("stopped")
 	}
-	for _, s := range seeds {
-		open(s, true)
+	return node.Handle(ctx, body)
+}
+
+// waitDurable waits until a node has a version of a register on disk.
+func (n *testNodes) waitDurable(addr string, part int, version int64) {
+	for {
+		record, _, _ := n.stores[addr].Load(part)
+		if record.Committed.Version == version {
+			return
+		}
+		runtime.Gosched()
 	}
+}
+
+// A member is replaced, then every node loses power and another one its disk: the new
+// group knows from its own disks that it is the group
+// (docs/incidents/group-forgot-itself.md).
+func TestNewGroupRecoversFromDiskAfterPowerLoss(t *testing.T) {
 	ctx := context.Background()
-	stop("a")
-	open("d", false)
-	must.NoError(t, nodes["d"].Pull(ctx, "b", 1))
-	group := []messages.Member{{ID: nodes["d"].ID(), Addr: "d"}, {ID: nodes["b"].ID(), Addr: "b"}, {ID: nodes["c"].ID(), Addr: "c"}}
-	_, err := nodes["b"].Change(ctx, 1, func(cur messages.Value) ([]messages.Member, []byte, error) { return group, []byte("x"), nil })
+	nodes := newTestNodes(t, "a", "b", "c")
+	for _, seed := range nodes.seeds {
+		nodes.start(seed, true)
+	}
+	nodes.stop("a")
+	nodes.start("d", false)
+	must.NoError(t, nodes.at("d").Pull(ctx, "b", 1))
+	members := []string{"d", "b", "c"}
+	var group []messages.Member
+	for _, addr := range members {
+		group = append(group, messages.Member{ID: nodes.at(addr).ID(), Addr: addr})
+	}
+	_, err := nodes.at("b").Change(ctx, 1, func(messages.Value) ([]messages.Member, []byte, error) { return group, []byte("x"), nil })
 	must.NoError(t, err)
-	for _, addr := range []string{"b", "c", "d"} { // the commit reaches the disks
-		for {
-			record, _, _ := stores[addr].Load(1)
-			if record.Committed.Version == 1 {
-				break
-			}
-			runtime.Gosched()
-		}
+	for _, addr := range members {
+		nodes.waitDurable(addr, 1, 1)
 	}
-	for _, addr := range []string{"b", "c", "d"} {
-		stop(addr)
+
+	for _, addr := range members {
+		nodes.stop(addr)
 	}
-	stores["b"] = &MemoryStore{}
-	for _, addr := range []string{"b", "c", "d"} {
-		open(addr, false)
+	nodes.stores["b"] = &MemoryStore{}
+	for _, addr := range members {
+		nodes.start(addr, false)
 	}
-	v, err := nodes["c"].Read(ctx, 1)
+	v, err := nodes.at("c").Read(ctx, 1)
 	must.NoError(t, err)
 	must.Eq(t, "x", string(v.Body))
-	_, err = nodes["d"].Change(ctx, 1, setBody("y"))
+	_, err = nodes.at("d").Change(ctx, 1, setBody("y"))
 	must.NoError(t, err)
 }
 
-// All founders restart before the first change of a register: they still know its
-// group (docs/incidents/founders-forgot-their-group.md).
+// All founders restart before the first change of a register: they still know its group
+// (docs/incidents/founders-forgot-their-group.md).
 func TestBootstrapGroupSurvivesRestartBeforeFirstChange(t *testing.T) {
-	nodes := map[string]*Registers{}
-	net := callerFunc(func(ctx context.Context, addr string, body []byte) ([]byte, error) {
-		return nodes[addr].Handle(ctx, body)
-	})
-	seeds := []string{"a", "b", "c"}
-	stores := map[string]*MemoryStore{}
+	nodes := newTestNodes(t, "a", "b", "c")
 	for _, bootstrap := range []bool{true, false} {
-		for _, s := range seeds {
-			if bootstrap {
-				stores[s] = &MemoryStore{}
-			}
-			registers, err := Open(s, 1, bootstrap, seeds, net, stores[s], logr.Discard(), nil)
-			must.NoError(t, err)
-			nodes[s] = registers
+		for _, seed := range nodes.seeds {
+			nodes.start(seed, bootstrap)
 		}
 	}
-	_, err := nodes["b"].Change(context.Background(), 3, setBody("first"))
+	_, err := nodes.at("b").Change(context.Background(), 3, setBody("first"))
 	must.NoError(t, err)
 }
 
@@ -115,31 +138,22 @@
 // keep the others from committing.
 func TestFailingStoreGivesNoVoteAndLogsOnce(t *testing.T) {
 	var out bytes.Buffer
-	nodes := map[string]*Registers{}
-	net := callerFunc(func(ctx context.Context, addr string, body []byte) ([]byte, error) {
-		return nodes[addr].Handle(ctx, body)
-	})
-	seeds := []string{"a", "b", "c"}
-	log := logr.New(logring.New(16, &out))
-	for _, s := range seeds {
-		var store Store = &MemoryStore{}
-		if s == "a" {
-			store = &failingStore{}
-		}
-		registers, err := Open(s, 1, true, seeds, net, store, log, nil)
-		must.NoError(t, err)
-		nodes[s] = registers
+	nodes := newTestNodes(t, "a", "b", "c")
+	nodes.log = logr.New(logring.New(16, &out))
+	nodes.stores["a"] = &failingStore{}
+	for _, seed := range nodes.seeds {
+		nodes.start(seed, true)
 	}
 	for i := range 3 {
-		_, err := nodes["a"].Change(context.Background(), 0, setBody(fmt.Sprint(i)))
+		_, err := nodes.at("a").Change(context.Background(), 0, setBody(fmt.Sprint(i)))
 		must.NoError(t, err)
 	}
-	request := messages.ConsensusRequest{To: nodes["a"].ID(), Step: messages.Prepare, Slot: 4, Ballot: messages.Ballot{N: 9, Who: "x"}}
+	request := messages.ConsensusRequest{To: nodes.at("a").ID(), Step: messages.Prepare, Slot: 4, Ballot: messages.Ballot{N: 9, Who: "x"}}
 	b, err := request.MarshalMsg(nil)
 	must.NoError(t, err)
-	_, err = nodes["a"].Handle(context.Background(), b)
+	_, err = nodes.at("a").Handle(context.Background(), b)
 	must.ErrorIs(t, err, ErrStore)
-	_, fault := nodes["a"].LastSave()
+	_, fault := nodes.at("a").LastSave()
 	must.StrContains(t, fault, "full")
 	must.Eq(t, 1, strings.Count(out.String(), "refuses writes"))
 }
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -215,7 +215,7 @@
 	round := NewRound(0, m.known, messages.Ballot{N: int64(r.serial), Who: stamp}, stamp, change)
 	r.busy[m.addr], m.roundBeganUs = round, r.nowUs
 	for _, request := range round.Requests() {
-		r.inFlight = append(r.inFlight, message{round: round, request: request, ok: true})
+		r.inFlight = append(r.inFlight, message{round: round, request: request})
 	}
 }
 
--- a/internal/consensus/storage_growth_test.go
+++ b/internal/consensus/storage_growth_test.go
@@ -42,20 +42,7 @@
 	var rounds []int64
 	for n := range int64(changes) {
 		order := routeconfig.Order{Raw: append(fmt.Appendf(nil, "%06d", n), raw...), Version: n + 1, Base: n}
-		_, err := nodes["a"].Change(t.Context(), ConfigPart, func(cur messages.Value) ([]messages.Member, []byte, error) {
-			var body messages.ConfigBody
-			if len(cur.Body) > 0 {
-				if _, err := body.UnmarshalMsg(cur.Body); err != nil {
-					return nil, nil, err
-				}
-			}
-			next, err := order.Apply(body)
-			if err != nil {
-				return nil, nil, err
-			}
-			b, err := next.MarshalMsg(nil)
-			return nil, b, err
-		})
+		_, err := nodes["a"].Change(t.Context(), ConfigPart, applyOrder(order))
 		must.NoError(t, err)
 		rounds = append(rounds, accept.Load())
 		for _, s := range seeds {
@@ -68,8 +55,20 @@
 	for _, s := range seeds {
 		most = max(most, disks[s].Bytes())
 	}
-	t.Logf("ask for acceptance: %d bytes at change 10, %d at 1000, %d at 2000, %d at %d; largest disk %d bytes", rounds[9], rounds[999], rounds[1999], rounds[changes-1], changes, most)
+	t.Logf("accept request: %d bytes at change 10, %d at 1000, %d at 2000, %d at %d; largest disk %d bytes", rounds[9], rounds[999], rounds[1999], rounds[changes-1], changes, most)
 	must.Between(t, 25*990, rounds[999]-rounds[9], 28*990)
 	must.Eq(t, rounds[flatFrom], rounds[changes-1])
 	must.Less(t, 6*rounds[changes-1], int64(most), must.Sprint("a record holds two values, and for a moment there are three files"))
 }
+
+// applyOrder is the change of a configuration that an order asks for.
+func applyOrder(order routeconfig.Order) Change {
+	return func(cur messages.Value) ([]messages.Member, []byte, error) {
+		next, err := order.Apply(bodyOf(cur))
+		if err != nil {
+			return nil, nil, err
+		}
+		body, err := next.MarshalMsg(nil)
+		return nil, body, err
+	}
+}
