--- /dev/null
+++ b/internal/consensus/catchup_test.go
@@ -0,0 +1,155 @@
+package consensus
+
+import (
+	"bytes"
+	"context"
+	"math/rand/v2"
+	"sync/atomic"
+	"testing"
+
+	"github.com/go-logr/logr"
+	"github.com/pkg/errors"
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/statesync"
+)
+
+// valueOfSize gives a committed value with a body of size bytes.
+func valueOfSize(version int64, size int) messages.Value {
+	group := []messages.Member{{ID: "a/0", Addr: "a"}}
+	return messages.Value{Version: version, Group: group, Body: bytes.Repeat([]byte{byte(version)}, size), Stamp: "s"}
+}
+
+// openBehind gives a node without any value that catches up from a, over a link
+// that loses the responses for which lose returns true, with the bytes that it
+// received in all and in the largest response.
+func openBehind(t *testing.T, a *Registers, lose func() bool) (registers *Registers, carried, largest *atomic.Int64) {
+	t.Helper()
+	carried, largest = &atomic.Int64{}, &atomic.Int64{}
+	link := callerFunc(func(ctx context.Context, _ string, body []byte) ([]byte, error) {
+		b, err := a.Handle(ctx, body)
+		carried.Add(int64(len(b)))
+		largest.Store(max(largest.Load(), int64(len(b))))
+		if lose() {
+			return nil, errors.New("lost")
+		}
+		return b, err
+	})
+	registers, err := Open("b", 1, false, nil, link, &MemoryStore{}, logr.Discard(), nil)
+	must.NoError(t, err)
+	return registers, carried, largest
+}
+
+// openRegisters gives a node that has no peers.
+func openRegisters(t *testing.T, addr string) *Registers {
+	t.Helper()
+	registers, err := Open(addr, 1, false, nil, nil, &MemoryStore{}, logr.Discard(), nil)
+	must.NoError(t, err)
+	return registers
+}
+
+// A value of 2 MB is fetched over a link that loses half of all responses, so that
+// most catch-ups are interrupted, while the value changes at every tenth one. It
+// arrives in small chunks, and few bytes are sent twice.
+func TestCatchUpFetchesLargeValueOverLossyLink(t *testing.T) {
+	const size = 2 << 20
+	for seed := range uint64(5) {
+		rnd := rand.New(rand.NewPCG(seed, 6))
+		a := openRegisters(t, "a")
+		b, carried, largest := openBehind(t, a, func() bool { return rnd.IntN(2) == 0 })
+		version := int64(1)
+		a.Learn(0, valueOfSize(version, size))
+		pulls := 0
+		for {
+			if _, ok := b.Committed(0); ok {
+				break
+			}
+			if pulls++; pulls%10 == 0 {
+				version++
+				a.Learn(0, valueOfSize(version, size))
+			}
+			must.Less(t, 400, pulls, must.Sprintf("seed %d", seed))
+			_ = b.Pull(context.Background(), "a", 0)
+		}
+		v, _ := b.Committed(0)
+		must.True(t, bytes.Equal(valueOfSize(v.Version, size).Body, v.Body))
+		must.Less(t, 3*size, carried.Load())
+		must.Less(t, int64(statesync.PieceBytes+1024), largest.Load())
+	}
+}
+
+// A small value takes one call, as for nodes of a version that does not know
+// chunks.
+func TestCatchUpFetchesSmallValueInOneResponse(t *testing.T) {
+	a := openRegisters(t, "a")
+	a.Learn(0, valueOfSize(4, 1000))
+	calls := 0
+	b, _, _ := openBehind(t, a, func() bool { calls++; return false })
+	must.NoError(t, b.Pull(context.Background(), "a", 0))
+	must.Eq(t, 1, calls)
+	v, ok := b.Committed(0)
+	must.True(t, ok)
+	must.Eq(t, int64(4), v.Version)
+}
+
+// blockingStore is a store whose writes hang until they are unblocked.
+type blockingStore struct {
+	MemoryStore
+	started, unblock chan struct{}
+}
+
+func (b *blockingStore) Save(part int, record messages.Record) error {
+	b.started <- struct{}{}
+	<-b.unblock
+	return b.MemoryStore.Save(part, record)
+}
+
+// A node whose disk hangs still serves its committed value.
+func TestCatchUpIsServedWhileDiskHangs(t *testing.T) {
+	store := &blockingStore{started: make(chan struct{}), unblock: make(chan struct{})}
+	a, err := Open("a", 1, false, nil, nil, store, logr.Discard(), nil)
+	must.NoError(t, err)
+	a.Learn(0, valueOfSize(1, 10))
+	<-store.started
+	b, _, _ := openBehind(t, a, func() bool { return false })
+	must.NoError(t, b.Pull(context.Background(), "a", 0))
+	_, ok := b.Committed(0)
+	must.True(t, ok)
+	close(store.unblock)
+}
+
+// Two of three members have accepted a large value, and one has missed the commit:
+// the next round sends it a reference, and both vote at once. A member that has
+// accepted another value ignores the reference.
+func TestLargeBaseIsCommittedByReference(t *testing.T) {
+	nodes := map[string]*Registers{}
+	net := callerFunc(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
+		var request messages.ConsensusRequest
+		_, err := request.UnmarshalMsg(b)
+		must.NoError(t, err)
+		if addr == "c" || request.Step == messages.Commit && len(request.Value.Group) > 0 {
+			return nil, errors.New("lost")
+		}
+		return nodes[addr].Handle(ctx, b)
+	})
+	seeds := []string{"a", "b", "c"}
+	for _, s := range seeds {
+		registers, err := Open(s, 1, true, seeds, net, &MemoryStore{}, logr.Discard(), nil)
+		must.NoError(t, err)
+		nodes[s] = registers
+	}
+	bigBody := string(bytes.Repeat([]byte("x"), 2*statesync.PieceBytes))
+	first, err := nodes["a"].Change(t.Context(), 0, setBody(bigBody))
+	must.NoError(t, err)
+	other := referenceTo(messages.Value{Version: 1, Group: first.Group, Body: []byte("another"), Stamp: first.Stamp})
+	_, err = nodes["b"].handleRequest(t.Context(), messages.ConsensusRequest{Step: messages.Commit, Slot: 1, Value: other})
+	must.NoError(t, err)
+	v, _ := nodes["b"].Committed(0)
+	must.Eq(t, int64(0), v.Version)
+	ctx, cancel := context.WithTimeout(t.Context(), 3*roundTimeout)
+	defer cancel()
+	second, err := nodes["a"].Change(ctx, 0, setBody("small"))
+	must.NoError(t, err)
+	must.Eq(t, int64(2), second.Version)
+}
--- /dev/null
+++ b/internal/consensus/disk_store_test.go
@@ -0,0 +1,194 @@
+package consensus
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/go-logr/logr"
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/simulation/disk"
+)
+
+// A write that is interrupted at any operation leaves a temporary file: neither the
+// record before it nor the identity is lost.
+func TestTornTemporaryFileIsIgnored(t *testing.T) {
+	for seed := range uint64(100) {
+		for cut := range 6 {
+			d := disk.New(seed)
+			store := openSimulated(t, d)
+			must.NoError(t, store.Renew("me"))
+			must.NoError(t, store.Save(2, recordWithVote(7)))
+			d.StopAfter(cut)
+			acknowledged := store.Save(2, recordWithVote(8)) == nil
+			d.LosePower()
+			restored, err := Restore(openSimulated(t, d), "", numberedIDs("other"))
+			must.NoError(t, err)
+			must.Eq(t, "me", restored.ID)
+			must.Eq(t, int64(7), min(restored.Records[2].Promised.N, 7))
+			if acknowledged {
+				must.Eq(t, int64(8), restored.Records[2].Promised.N)
+			}
+		}
+	}
+}
+
+// A process is killed after a record was renamed and before the directory was
+// synced. The next process finds the record and repeats its vote without a write.
+// It syncs the directory first, or a loss of power would take the vote back.
+func TestDirectoryIsSyncedBeforeFirstVoteAfterKill(t *testing.T) {
+	for seed := range uint64(20) {
+		d := disk.New(seed)
+		store := openSimulated(t, d)
+		must.NoError(t, store.Renew("me"))
+		d.StopAfter(4) // create, write, sync, rename
+		must.ErrorIs(t, store.Save(2, recordWithVote(8)), ErrStore)
+		d.Restart()
+		registers, err := Open("m", 1, false, nil, nil, openSimulated(t, d), logr.Discard(), nil)
+		must.NoError(t, err)
+		again := messages.ConsensusRequest{Part: 2, To: "me", Step: messages.Prepare, Slot: 3, Ballot: recordWithVote(8).Promised}
+		response, err := registers.handleRequest(context.Background(), again)
+		must.NoError(t, err)
+		must.Eq(t, messages.Granted, response.Verdict)
+		d.LosePower()
+		restored, err := Restore(openSimulated(t, d), "", numberedIDs("other"))
+		must.NoError(t, err)
+		must.Eq(t, "me", restored.ID)
+		must.Eq(t, int64(8), restored.Records[2].Promised.N)
+	}
+}
+
+func openSimulated(t *testing.T, d *disk.Disk) *DiskStore {
+	t.Helper()
+	store, err := OpenDiskStore(d)
+	must.NoError(t, err)
+	return store
+}
+
+func openTestStore(t *testing.T, dir string) *DiskStore {
+	t.Helper()
+	store, err := NewDiskStore(dir)
+	must.NoError(t, err)
+	return store
+}
+
+// A record that is damaged after it was durable means lost votes: the record before
+// it does not come back, the member gets a new identity in all registers, founds no
+// group even if bootstrap is set, and can save again.
+func TestDamagedRecordChangesIdentity(t *testing.T) {
+	dir := t.TempDir()
+	store := openTestStore(t, dir)
+	restored, err := Restore(store, FirstID("a"), numberedIDs("a"))
+	must.NoError(t, err)
+	must.Eq(t, FirstID("a"), restored.ID)
+	for n := range int64(5) {
+		must.NoError(t, store.Save(2, recordWithVote(n+1)))
+		must.NoError(t, store.Save(3, recordWithVote(n+1)))
+	}
+	list, err := store.recordFiles(2)
+	must.NoError(t, err)
+	path := filepath.Join(dir, list[0].name)
+	whole, err := os.ReadFile(path)
+	must.NoError(t, err)
+	must.NoError(t, os.WriteFile(path, whole[:len(whole)/2], 0o644))
+
+	again := openTestStore(t, dir)
+	_, _, err = again.Load(2)
+	must.ErrorIs(t, err, ErrDamaged)
+	restored, err = Restore(again, FirstID("a"), numberedIDs("a"))
+	must.NoError(t, err)
+	must.Eq(t, []int{2}, restored.Damaged)
+	must.Eq(t, "a/fresh1", restored.ID)
+	must.Eq(t, messages.Record{}, restored.Records[2])
+	must.Eq(t, withoutVotes(recordWithVote(5)).Committed.Version, restored.Records[3].Committed.Version)
+	must.Eq(t, messages.Ballot{}, restored.Records[3].Promised)
+	must.NoError(t, again.Save(2, recordWithVote(9)))
+
+	restored, err = Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("b"))
+	must.NoError(t, err)
+	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("the identity changes once"))
+	must.Eq(t, int64(9), restored.Records[2].Promised.N)
+}
+
+// A member without its identity gets a new one, also where it would found a group:
+// the identity that follows from the seeds has voted.
+func TestLostIdentityIsNotBootstrappedAgain(t *testing.T) {
+	for _, spoil := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
+		dir := t.TempDir()
+		store := openTestStore(t, dir)
+		_, err := Restore(store, FirstID("a"), numberedIDs("a"))
+		must.NoError(t, err)
+		must.NoError(t, store.Save(1, recordWithVote(4)))
+		must.NoError(t, spoil(filepath.Join(dir, identityFile)))
+		restored, err := Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("a"))
+		must.NoError(t, err)
+		must.Eq(t, "a/fresh1", restored.ID)
+		must.Eq(t, messages.Ballot{}, restored.Records[1].Promised)
+		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("the committed value stays"))
+	}
+}
+
+// Failed writes to a full disk leave no files; once there is space the next write
+// succeeds.
+func TestFailedSaveLeavesNoFiles(t *testing.T) {
+	d := disk.New(3)
+	store := openSimulated(t, d)
+	must.NoError(t, store.Renew("me"))
+	must.NoError(t, store.Save(0, recordWithVote(1)))
+	before, _ := d.List()
+	d.SetFull(true)
+	for n := range int64(50) {
+		must.ErrorIs(t, store.Save(0, recordWithVote(n+2)), ErrStore)
+	}
+	after, _ := d.List()
+	must.Eq(t, before, after)
+	d.SetFull(false)
+	must.NoError(t, store.Save(0, recordWithVote(99)))
+	record, ok, err := store.Load(0)
+	must.NoError(t, err)
+	must.True(t, ok)
+	must.Eq(t, int64(99), record.Promised.N)
+}
+
+// After 2,000 changes the disk has one file for each register and the identity.
+func TestOldRecordFilesAreRemoved(t *testing.T) {
+	d := disk.New(4)
+	store := openSimulated(t, d)
+	must.NoError(t, store.Renew("me"))
+	for n := range int64(2000) {
+		must.NoError(t, store.Save(int(n)%Parts, recordWithVote(n+1)))
+		names, err := d.List()
+		must.NoError(t, err)
+		must.LessEq(t, Parts+1, len(names))
+		for _, name := range names {
+			must.False(t, strings.HasSuffix(name, temporarySuffix))
+		}
+	}
+}
+
+// The runner list and fencing tokens may be written by several goroutines at once.
+func TestConcurrentKeepOfSameFile(t *testing.T) {
+	d, err := NewDiskStore(t.TempDir())
+	must.NoError(t, err)
+	var group sync.WaitGroup
+	faults := make(chan error, 400)
+	for range 8 {
+		group.Go(func() {
+			for range 50 {
+				faults <- d.Keep("note", []byte("kept"))
+			}
+		})
+	}
+	group.Wait()
+	for range cap(faults) {
+		must.NoError(t, <-faults)
+	}
+	kept, ok := d.Note("note")
+	must.True(t, ok)
+	must.Eq(t, "kept", string(kept))
+}
--- /dev/null
+++ b/internal/consensus/group_test.go
@@ -0,0 +1,71 @@
+package consensus
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// RepairGroup replaces wiped and gone members, and grows a group only if it can reach
+// an odd size.
+func TestRepairGroup(t *testing.T) {
+	member := func(id string) messages.Member { return messages.Member{ID: id, Addr: id[:1]} }
+	members := func(ids ...string) (out []messages.Member) {
+		for _, id := range ids {
+			out = append(out, member(id))
+		}
+		return out
+	}
+	const goneUs = 10
+	for _, test := range []struct {
+		name       string
+		group      []messages.Member
+		candidates []messages.Member
+		gone       string // address
+		want       []messages.Member
+	}{
+		{name: "no candidate", group: members("a/0", "b/0", "c/0")},
+		{name: "odd group, one candidate", group: members("a/0", "b/0", "c/0"), candidates: members("d/1")},
+		{name: "odd group, two candidates", group: members("a/0", "b/0", "c/0"), candidates: members("d/1", "e/1"), want: members("a/0", "b/0", "c/0", "d/1")},
+		{name: "even group, one candidate", group: members("a/0", "b/0", "c/0", "d/0"), candidates: members("e/1"), want: members("a/0", "b/0", "c/0", "d/0", "e/1")},
+		{name: "member wiped", group: members("a/0", "b/0", "c/0"), candidates: members("b/2"), want: members("a/0", "b/2", "c/0")},
+		{name: "member gone, one candidate", group: members("a/0", "b/0", "c/0"), candidates: members("d/1"), gone: "c", want: members("a/0", "b/0", "d/1")},
+		{name: "member gone, no candidate", group: members("a/0", "b/0", "c/0"), gone: "c"},
+		{name: "even group, member gone, no candidate", group: members("a/0", "b/0", "c/0", "d/0"), gone: "c", want: members("a/0", "b/0", "d/0")},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			status := Status{
+				Ready: append(append([]messages.Member{}, test.group...), test.candidates...),
+				GoneFor: func(addr string) int64 {
+					if addr == test.gone {
+						return goneUs + 1
+					}
+					return 0
+				},
+				GoneUs: goneUs,
+			}
+			next, changed := RepairGroup(test.group, status)
+			must.Eq(t, test.want != nil, changed)
+			must.Eq(t, test.want, next)
+		})
+	}
+}
+
+// If some controllers are counted, only they become members.
+func TestRepairGroupPrefersCountedControllers(t *testing.T) {
+	alive := func(addr string) int64 { return 0 }
+	peer := func(addr string, counted bool) messages.Peer {
+		return messages.Peer{Addr: addr, MemberID: FirstID(addr), Counted: counted}
+	}
+	g := Genesis([]string{"a", "b", "x"}).Group
+	next, want := RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("c", true), peer("x", false)}, alive, 10))
+	must.True(t, want)
+	must.True(t, containsMember(next, FirstID("c")))
+	must.False(t, containsMember(next, FirstID("x")))
+	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("x", false)}, alive, 10))
+	must.False(t, want, must.Sprint("no candidate"))
+	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", false), peer("b", false), peer("x", false), peer("y", false)}, alive, 10))
+	must.False(t, want, must.Sprint("if none is counted, all are eligible"))
+}
