--- a/internal/consensus/registers.go
+++ b/internal/consensus/registers.go
@@ -56,6 +56,16 @@
 	}
 }
 
+// tryLock takes the record if nobody holds it.
+func (r *register) tryLock() bool {
+	select {
+	case r.recordLock <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
 func (r *register) unlock() { <-r.recordLock }
 
 // Registers is one member's view of all registers: acceptor, proposer and learner.
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -4,19 +4,17 @@
 package consensus
 
 // Unfinished gives the slot for which this member has accepted a value that it
-// does not know to be committed; false where there is none, or where the part is
-// at work just now. A Read brings such a round to its end.
-func (l *Registers) Unfinished(p int) (slot int64, unfinished bool) {
-	at := l.parts[p]
-	select {
-	case at.sem <- struct{}{}:
-	default:
+// does not know to be committed; false where there is none, or while the record is
+// in use. A Read brings such a round to its end.
+func (r *Registers) Unfinished(part int) (slot int64, unfinished bool) {
+	register := r.registers[part]
+	if !register.tryLock() {
 		return 0, false
 	}
-	record := at.acc.Rec
-	<-at.sem
+	record := register.acceptor.Rec
+	register.unlock()
 	slot = record.Committed.Version + 1
-	if known := at.learned.Load(); known != nil && known.Version >= slot {
+	if known := register.committed.Load(); known != nil && known.Version >= slot {
 		return 0, false
 	}
 	return slot, record.HasAccepted
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -67,7 +67,7 @@
 	var answers atomic.Bool
 	station.OnCall(transport.KindVersions, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
 		if !answers.Load() {
-			return nil, transport.ErrFailed
+			return nil, transport.ErrRemote
 		}
 		return (&messages.Versions{Parts: []int64{1}}).MarshalMsg(nil)
 	})
