--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -236,7 +236,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observed.advance(nowUs)
-	r.observed.running = inContact
+	r.observed.setContact(inContact)
+	r.newestObservedUs = min(r.newestObservedUs, r.observed.nowUs)
 	var changed []messages.RunnerRecord
 	for id, e := range r.entries {
 		if !e.usable() {
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -68,6 +68,30 @@
 	must.MapLen(t, 2, r.Snapshot().ByID)
 }
 
+// Contact is found lost only a while after the last word of the others. What was
+// silent in that while was not observed.
+func TestTimeBeforeALossOfContactIsFoundCountsForNoSilence(t *testing.T) {
+	r := New()
+	r.Hear(at("there", "2:1", 1), 1)
+	now := int64(1)
+	play := func(untilUs int64, inContact bool) {
+		for ; now < untilUs; now += sweepUs {
+			r.Hear(at("here", "1:1", now), now)
+			r.Sweep(now, silence, inContact)
+		}
+	}
+	play(silence.StaleUs+secondUs, true)
+	must.True(t, r.Snapshot().ByID["there"].Stale)
+	play(now+10*secondUs, false)
+	must.False(t, r.Snapshot().ByID["there"].Stale, must.Sprint("the last 1.5 s were out of contact"))
+	for range 20 {
+		play(now+secondUs, true)
+		play(now+secondUs, false)
+	}
+	play(now+silence.LostUs+secondUs, true)
+	must.MapNotContainsKey(t, r.Snapshot().ByID, "there", must.Sprint("what was counted before a contact stays counted"))
+}
+
 func TestALostRunnerComesBackByItsNextHeartbeatOnly(t *testing.T) {
 	r := New()
 	r.Hear(at("x", "1:1", 7), 1)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -12,6 +12,15 @@
 	must.Eq(t, int64(fleets.Count), counts.Fleets)
 }
 
+// fleetsOnceFailing are seeds that broke a check before a fault was mended.
+var fleetsOnceFailing = []uint64{10803}
+
+func TestOnceFailingFleetSeedsBreakNothing(t *testing.T) {
+	for _, seed := range fleetsOnceFailing {
+		must.Eq(t, "", PlayFleet(seed, Options{}).Failure, must.Sprintf("seed %d", seed))
+	}
+}
+
 // Controllers are cut apart and reach each other through others. A runner that
 // beats at one of them is not silent at the other.
 func TestPartialCutsTakeNoLiveRunnerAway(t *testing.T) {
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"slices"
 
+	"beechtide.org/beechtide/internal/lease"
 	"beechtide.org/beechtide/internal/messages"
 	"beechtide.org/beechtide/internal/registry"
 	"beechtide.org/beechtide/internal/statesync"
@@ -19,7 +20,7 @@
 	flushEveryUs  = 60 * Millisecond
 	compareUs     = Second
 	sweepEveryUs  = 500 * Millisecond
-	contactUs     = 1_500 * Millisecond
+	contactUs     = lease.ContactUs
 	recallEveryUs = 5 * Second
 )
 
