--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -81,18 +81,7 @@
 		gone = c.nodes[c.rnd.IntN(len(c.nodes))].addr
 	}
 	for part := range at.acceptors {
-		var ready []messages.Member
-		for _, node := range c.nodes {
-			if node.up && node.addr != gone {
-				ready = append(ready, messages.Member{ID: node.acceptors[part].ID, Addr: node.addr})
-			}
-		}
-		status := Status{Ready: ready, GoneUs: 1, GoneFor: func(addr string) int64 {
-			if addr == gone {
-				return 1
-			}
-			return 0
-		}}
+		status := c.statusWithout(gone, part)
 		c.start(&operation{id: -1, node: at, part: part}, func(cur messages.Value) ([]messages.Member, []byte, error) {
 			group, want := RepairGroup(cur.Group, status)
 			if !want {
@@ -103,6 +92,22 @@
 	}
 }
 
+// statusWithout is the view in which a node is gone and all others that are up are ready.
+func (c *cluster) statusWithout(gone string, part int) Status {
+	status := Status{GoneUs: 1, GoneFor: func(addr string) int64 {
+		if addr == gone {
+			return 1
+		}
+		return 0
+	}}
+	for _, node := range c.nodes {
+		if node.up && node.addr != gone {
+			status.Ready = append(status.Ready, messages.Member{ID: node.acceptors[part].ID, Addr: node.addr})
+		}
+	}
+	return status
+}
+
 // upgrade restarts every node with a version of the program whose validation is
 // strict, or lax again.
 func (c *cluster) upgrade() {
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -1,9 +1,10 @@
 package consensus
 
 import (
+	"cmp"
 	"fmt"
 	"io/fs"
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -162,7 +163,7 @@
 			out = append(out, recordFile{sequence, name})
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].sequence > out[j].sequence })
+	slices.SortFunc(out, func(a, b recordFile) int { return cmp.Compare(b.sequence, a.sequence) })
 	return out, nil
 }
 
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -1,7 +1,8 @@
 package consensus
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"beechtide.org/beechtide/internal/messages"
 )
@@ -120,6 +121,6 @@
 			out = append(out, m)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
+	slices.SortFunc(out, func(a, b messages.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"slices"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -37,7 +38,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			status := Status{
-				Ready: append(append([]messages.Member{}, test.group...), test.candidates...),
+				Ready: slices.Concat(test.group, test.candidates),
 				GoneFor: func(addr string) int64 {
 					if addr == test.gone {
 						return goneUs + 1
@@ -55,7 +56,7 @@
 
 // If some controllers are counted, only they become members.
 func TestRepairGroupPrefersCountedControllers(t *testing.T) {
-	alive := func(addr string) int64 { return 0 }
+	alive := func(string) int64 { return 0 }
 	peer := func(addr string, counted bool) messages.Peer {
 		return messages.Peer{Addr: addr, MemberID: FirstID(addr), Counted: counted}
 	}
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -135,19 +135,23 @@
 	for _, request := range m.round.Receive(m.request.To, m.request.Body.Step, m.response) {
 		p.inFlight = append(p.inFlight, message{round: m.round, request: request})
 	}
-	if before == InProgress && m.round.End == Chosen {
+	if before != InProgress {
+		return
+	}
+	switch m.round.End {
+	case Chosen:
 		p.recordChosen(m.round.Value)
-		for _, n := range p.nodes {
-			if p.rnd.IntN(3) > 0 && n.up {
-				p.learn(n, m.round.Value)
-			}
-		}
+		p.learnWhere(m.round.Value, func(n *node) bool { return p.rnd.IntN(3) > 0 && n.up })
+	case Superseded:
+		p.learnWhere(m.round.Value, func(n *node) bool { return n.up && p.rnd.IntN(2) == 0 })
 	}
-	if before == InProgress && m.round.End == Superseded {
-		for _, n := range p.nodes {
-			if n.up && p.rnd.IntN(2) == 0 {
-				p.learn(n, m.round.Value)
-			}
+}
+
+// learnWhere lets the nodes for which receives is true learn a value.
+func (p *paxosModel) learnWhere(v messages.Value, receives func(n *node) bool) {
+	for _, n := range p.nodes {
+		if receives(n) {
+			p.learn(n, v)
 		}
 	}
 }
@@ -191,34 +195,12 @@
 // committed, and returns it.
 func (p *paxosModel) commitFinal() messages.Value {
 	p.inFlight = nil
-	for _, n := range p.nodes {
-		n.up = true
-	}
-	newest := messages.Value{}
-	for _, n := range p.nodes {
-		if n.known.Version >= newest.Version && len(n.known.Group) > 0 {
-			newest = n.known
-		}
-	}
+	p.startAll()
+	newest := p.newestKnown()
 	for retries := range 40 {
 		stamp := fmt.Sprintf("final%d", retries)
 		round := NewRound(0, newest, messages.Ballot{N: 1000 + int64(retries), Who: stamp}, stamp, setBody("final"))
-		requests := round.Requests()
-		for len(requests) > 0 && round.End == InProgress {
-			request := requests[0]
-			requests = requests[1:]
-			n := p.nodes[request.To.Addr]
-			if n == nil {
-				continue
-			}
-			if request.Body.Step == messages.Commit {
-				p.learn(n, request.Body.Value)
-				continue
-			}
-			n.acceptor.Learn(n.known)
-			response, _ := n.acceptor.Handle(request.Body)
-			requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
-		}
+		p.deliverInOrder(round, func(*node) {})
 		switch round.End {
 		case Chosen:
 			p.recordChosen(round.Value)
@@ -234,6 +216,62 @@
 	return newest
 }
 
+// newestKnown gives the newest committed value that a node knows.
+func (p *paxosModel) newestKnown() messages.Value {
+	newest := messages.Value{}
+	for _, n := range p.nodes {
+		if n.known.Version >= newest.Version && len(n.known.Group) > 0 {
+			newest = n.known
+		}
+	}
+	return newest
+}
+
+// deliverInOrder plays a round without loss. voted is called after each vote.
+func (p *paxosModel) deliverInOrder(round *Round, voted func(n *node)) {
+	requests := round.Requests()
+	for len(requests) > 0 && round.End == InProgress {
+		request := requests[0]
+		requests = requests[1:]
+		n := p.nodes[request.To.Addr]
+		if n == nil {
+			continue
+		}
+		if request.Body.Step == messages.Commit {
+			p.learn(n, request.Body.Value)
+			continue
+		}
+		n.acceptor.Learn(n.known)
+		response, _ := n.acceptor.Handle(request.Body)
+		voted(n)
+		requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
+	}
+}
+
+// step starts a change, crashes a node, restarts all or delivers a message.
+func (p *paxosModel) step() {
+	switch k := p.rnd.IntN(100); {
+	case k < 6:
+		if n := p.pickLive(); n != nil {
+			p.startRound(n, setBody(fmt.Sprint(p.serial)))
+		}
+	case k < 8:
+		if n := p.pickLive(); n != nil {
+			p.crash(n)
+		}
+	case k < 12:
+		p.startAll()
+	case len(p.inFlight) > 0:
+		p.deliver(p.rnd.IntN(len(p.inFlight)))
+	}
+}
+
+func (p *paxosModel) startAll() {
+	for _, n := range p.nodes {
+		n.up = true
+	}
+}
+
 // Rounds of random ballots run at once while messages are lost and duplicated and
 // nodes crash.
 func TestOneValueCommittedPerVersionInRandomOrders(t *testing.T) {
@@ -241,22 +279,7 @@
 		size := 3 + 2*int(seed%2)
 		model := newPaxosModel(t, seed, size)
 		for range 600 {
-			switch k := model.rnd.IntN(100); {
-			case k < 6:
-				if n := model.pickLive(); n != nil {
-					model.startRound(n, setBody(fmt.Sprint(model.serial)))
-				}
-			case k < 8:
-				if n := model.pickLive(); n != nil {
-					model.crash(n)
-				}
-			case k < 12:
-				for _, n := range model.nodes {
-					n.up = true
-				}
-			case len(model.inFlight) > 0:
-				model.deliver(model.rnd.IntN(len(model.inFlight)))
-			}
+			model.step()
 		}
 		acked := model.acknowledged
 		last := model.commitFinal()
@@ -287,6 +310,22 @@
 	}
 }
 
+// loseTwoDisks wipes two random nodes while all others lose power.
+func (p *paxosModel) loseTwoDisks(size int) (lost []*node) {
+	first := p.rnd.IntN(size)
+	second := (first + 1 + p.rnd.IntN(size-1)) % size
+	for i := range size {
+		n := p.nodes[fmt.Sprintf("10.0.0.%d:1", i+1)]
+		if i == first || i == second {
+			p.wipeDisk(n)
+			lost = append(lost, n)
+		} else {
+			p.crash(n)
+		}
+	}
+	return lost
+}
+
 // In groups of five and seven two disks are lost at once while all other members
 // lose power. Acknowledged changes survive, and the new identities join one after
 // the other.
@@ -297,18 +336,7 @@
 		for range 4 {
 			model.playChanges(90)
 			acked := model.acknowledged
-			first := model.rnd.IntN(size)
-			second := (first + 1 + model.rnd.IntN(size-1)) % size
-			var lost []*node
-			for i := range size {
-				n := model.nodes[fmt.Sprintf("10.0.0.%d:1", i+1)]
-				if i == first || i == second {
-					model.wipeDisk(n)
-					lost = append(lost, n)
-				} else {
-					model.crash(n)
-				}
-			}
+			lost := model.loseTwoDisks(size)
 			last := model.commitFinal()
 			must.Greater(t, acked, last.Version, must.Sprintf("seed %d", seed))
 			for _, n := range model.nodes {
@@ -353,21 +381,9 @@
 
 // changeGroup commits a membership change without loss.
 func (p *paxosModel) changeGroup(base messages.Value, group []messages.Member) {
-	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil })
-	requests := round.Requests()
-	for len(requests) > 0 && round.End == InProgress {
-		request := requests[0]
-		requests = requests[1:]
-		n := p.nodes[request.To.Addr]
-		if request.Body.Step == messages.Commit {
-			p.learn(n, request.Body.Value)
-			continue
-		}
-		n.acceptor.Learn(n.known)
-		response, _ := n.acceptor.Handle(request.Body)
-		n.disk = n.acceptor.Rec
-		requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
-	}
+	change := func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil }
+	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", change)
+	p.deliverInOrder(round, func(n *node) { n.disk = n.acceptor.Rec })
 	must.Eq(p.t, Chosen, round.End)
 	p.recordChosen(round.Value)
 	for _, n := range p.nodes {
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -1,11 +1,13 @@
 package consensus
 
 import (
+	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"sort"
+	"slices"
 	"testing"
 
+	"github.com/pkg/errors"
 	"github.com/shoenig/test/must"
 
 	"beechtide.org/beechtide/internal/messages"
@@ -63,7 +65,7 @@
 	for _, m := range r.machines {
 		out = append(out, m)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].addr < out[j].addr })
+	slices.SortFunc(out, func(a, b *machine) int { return cmp.Compare(a.addr, b.addr) })
 	return out
 }
 
@@ -196,7 +198,7 @@
 	}
 	r.propose(m, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		if cur.Version != step.Version {
-			return nil, nil, fmt.Errorf("the base has changed")
+			return nil, nil, errors.New("the base has changed")
 		}
 		return step.Propose, cur.Body, nil
 	})
