--- a/internal/consensus/disk_model_test.go
+++ b/internal/consensus/disk_model_test.go
@@ -91,7 +91,7 @@
 			d.currentVotes[part], d.sentVotes[part], d.identitySent = d.serial, d.serial, true
 		}
 	case k < 30:
-		if d.store.Settle() == nil {
+		if d.store.Sync() == nil {
 			d.sentVotes[part], d.identitySent = d.currentVotes[part], true
 		}
 	case k < 31:
@@ -129,7 +129,7 @@
 	d.identityLost = d.disk.Damage(name) || d.identityLost
 	d.disk.SetFull(false)
 	calm := d.rnd.IntN(2) == 0
-	if !calm { // Renew is interrupted; a name that was never synced may be lost, and the damage with it
+	if !calm { // ResetIdentity is interrupted; a name that was never synced may be lost, and the damage with it
 		d.disk.StopAfter(d.rnd.IntN(30))
 	}
 	was := d.id
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -77,9 +77,9 @@
 	return true, nil
 }
 
-// Renew empties the identity file, erases the votes, and then writes the new identity.
+// ResetIdentity empties the identity file, erases the votes, and then writes the new identity.
 // If it is interrupted there is no identity, and the next start begins it again.
-func (d *DiskStore) Renew(id string) error {
+func (d *DiskStore) ResetIdentity(id string) error {
 	empty, err := d.Empty()
 	if err != nil {
 		return err
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// Settle syncs the directory once: a process that was killed may have left a name
+// Sync syncs the directory once: a process that was killed may have left a name
 // that would not outlast a loss of power.
-func (d *DiskStore) Settle() error { return d.files.syncDirectoryOnce() }
+func (d *DiskStore) Sync() error { return d.files.syncDirectoryOnce() }
 
 // Note reads a file that Keep wrote, and false if it is missing or damaged.
 func (d *DiskStore) Note(name string) ([]byte, bool) {
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -22,7 +22,7 @@
 		for cut := range 6 {
 			d := disk.New(seed)
 			store := openSimulated(t, d)
-			must.NoError(t, store.Renew("me"))
+			must.NoError(t, store.ResetIdentity("me"))
 			must.NoError(t, store.Save(2, recordWithVote(7)))
 			d.StopAfter(cut)
 			acknowledged := store.Save(2, recordWithVote(8)) == nil
@@ -45,7 +45,7 @@
 	for seed := range uint64(20) {
 		d := disk.New(seed)
 		store := openSimulated(t, d)
-		must.NoError(t, store.Renew("me"))
+		must.NoError(t, store.ResetIdentity("me"))
 		d.StopAfter(4) // create, write, sync, rename
 		must.ErrorIs(t, store.Save(2, recordWithVote(8)), ErrStore)
 		d.Restart()
@@ -138,7 +138,7 @@
 func TestFailedSaveLeavesNoFiles(t *testing.T) {
 	d := disk.New(3)
 	store := openSimulated(t, d)
-	must.NoError(t, store.Renew("me"))
+	must.NoError(t, store.ResetIdentity("me"))
 	must.NoError(t, store.Save(0, recordWithVote(1)))
 	before, _ := d.List()
 	d.SetFull(true)
@@ -159,7 +159,7 @@
 func TestOldRecordFilesAreRemoved(t *testing.T) {
 	d := disk.New(4)
 	store := openSimulated(t, d)
-	must.NoError(t, store.Renew("me"))
+	must.NoError(t, store.ResetIdentity("me"))
 	for n := range int64(2000) {
 		must.NoError(t, store.Save(int(n)%Parts, recordWithVote(n+1)))
 		names, err := d.List()
--- a/internal/consensus/handler.go
+++ b/internal/consensus/handler.go
@@ -67,7 +67,7 @@
 	before := register.acceptor.Rec
 	response, changed := register.acceptor.Handle(request)
 	if !changed {
-		return response, r.store.Settle()
+		return response, r.store.Sync()
 	}
 	if err := r.saveRecord(request.Part, register.acceptor.Rec); err != nil {
 		register.acceptor.Rec = before
--- a/internal/consensus/memory_store.go
+++ b/internal/consensus/memory_store.go
@@ -28,8 +28,8 @@
 	return m.id == "" && len(m.records) == 0, nil
 }
 
-// Renew takes another identity and erases the votes.
-func (m *MemoryStore) Renew(id string) error {
+// ResetIdentity takes another identity and erases the votes.
+func (m *MemoryStore) ResetIdentity(id string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.id = id
@@ -58,5 +58,5 @@
 	return nil
 }
 
-// Settle has nothing to do: a loss of power ends the process too.
-func (m *MemoryStore) Settle() error { return nil }
+// Sync has nothing to do: a loss of power ends the process too.
+func (m *MemoryStore) Sync() error { return nil }
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -43,7 +43,7 @@
 	register := r.registers[part]
 	before := register.acceptor.Rec
 	if !register.acceptor.Learn(v) && register.durableVersion >= register.acceptor.Rec.Committed.Version {
-		return r.store.Settle()
+		return r.store.Sync()
 	}
 	if err := r.saveRecord(part, register.acceptor.Rec); err != nil {
 		register.acceptor.Rec = before
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -15,18 +15,18 @@
 	Identity() (id string, known bool, err error)
 	// Empty tells whether nothing was ever stored here.
 	Empty() (bool, error)
-	// Renew stores another identity and erases every vote of the earlier one: of
+	// ResetIdentity stores another identity and erases every vote of the earlier one: of
 	// readable records the committed value stays, damaged ones are removed. Wherever
 	// it is interrupted, votes of one identity are never found under another.
-	Renew(id string) error
+	ResetIdentity(id string) error
 	// Load gives the record of a register, if one was saved. The error wraps ErrDamaged
 	// if the newest one is damaged; it never falls back to an older one.
 	Load(part int) (messages.Record, bool, error)
 	// Save returns once a record is durable.
 	Save(part int, record messages.Record) error
-	// Settle makes durable what Identity and Load returned. A member gives no vote
+	// Sync makes durable what Identity and Load returned. A member gives no vote
 	// that rests on it before.
-	Settle() error
+	Sync() error
 }
 
 // Restored is the state that a member starts from.
@@ -52,7 +52,7 @@
 		return out, nil
 	}
 	out.ID = newID()
-	if err := store.Renew(out.ID); err != nil {
+	if err := store.ResetIdentity(out.ID); err != nil {
 		return out, err
 	}
 	again, err := out.loadRecords(store)
@@ -77,7 +77,7 @@
 	if id == "" || !empty {
 		id = newID()
 	}
-	return Restored{ID: id}, store.Renew(id)
+	return Restored{ID: id}, store.ResetIdentity(id)
 }
 
 // loadRecords reads the records of all registers and lists the damaged ones.
