--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -7,6 +7,7 @@
 	"runtime"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 
 	"github.com/go-logr/logr"
@@ -168,3 +169,41 @@
 	}
 	return c(ctx, addr, b)
 }
+
+// switchableStore is a store whose writes fail while failing is set.
+type switchableStore struct {
+	MemoryStore
+	failing atomic.Bool
+}
+
+// Save saves the record unless the store is failing.
+func (s *switchableStore) Save(part int, record messages.Record) error {
+	if s.failing.Load() {
+		return errors.Wrap(ErrStore, "full")
+	}
+	return s.MemoryStore.Save(part, record)
+}
+
+// A promise that could not be written was not made: after the disk has recovered, a
+// lower ballot is still granted.
+func TestFailedWriteRollsBackPromise(t *testing.T) {
+	store := &switchableStore{}
+	nodes := newTestNodes(t, "a")
+	nodes.stores["a"] = store
+	nodes.start("a", true)
+	prepare := func(n int64) (messages.ConsensusResponse, error) {
+		return nodes.at("a").handleRequest(t.Context(), messages.ConsensusRequest{
+			To: nodes.at("a").ID(), Step: messages.Prepare, Slot: 1, Ballot: messages.Ballot{N: n, Who: "proposer"},
+		})
+	}
+	store.failing.Store(true)
+	_, err := prepare(9)
+	must.ErrorIs(t, err, ErrStore)
+	store.failing.Store(false)
+	response, err := prepare(5)
+	must.NoError(t, err)
+	must.Eq(t, messages.Granted, response.Verdict)
+	response, err = prepare(4)
+	must.NoError(t, err)
+	must.Eq(t, messages.Outbid, response.Verdict)
+}
