--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -7,6 +7,7 @@
 import (
 	"context"
 	"slices"
+	"sync"
 	"time"
 
 	"beechtide.org/beechtide/internal/dissemination"
@@ -39,7 +40,7 @@
 func (c *Router) compareVersions(ctx context.Context) func() {
 	return func() {
 		overdue := c.clock()-c.heardUs.Load() > max(c.convergeTime()/overdueParts, 2*dissemination.FeedEvery).Microseconds()
-		for _, addr := range c.comparisons.Next(c.aliveDispatches(), *c.parent.Load(), overdue) {
+		for _, addr := range c.comparisons.Next(c.likelyCore(), *c.parent.Load(), overdue) {
 			go func() {
 				cctx, cancel := context.WithTimeout(ctx, c.convergeTime()/compareWaitParts)
 				defer cancel()
@@ -50,17 +51,51 @@
 	}
 }
 
-func (c *Router) aliveDispatches() []string {
+// coreMemory remembers the core that was last in view. A router that stood still for
+// a while may take all others for dead, which is no reason to ask nobody. The
+// zero value is ready for use.
+type coreMemory struct {
+	mu   sync.Mutex
+	last []string
+}
+
+// all gives the core in view, suspected members too, or the last one that was.
+func (m *coreMemory) all(controllers []messages.Peer) []string {
 	var list []string
-	for _, p := range membership.Core(c.monitor.Alive(messages.Controller)) {
+	for _, p := range membership.Core(controllers) {
+		list = append(list, p.Addr)
+	}
+	slices.Sort(list)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(list) > 0 {
+		m.last = list
+	}
+	return m.last
+}
+
+// likely gives the members of the core that are not suspected, or all where there
+// are none.
+func (m *coreMemory) likely(controllers []messages.Peer) []string {
+	var list []string
+	for _, p := range membership.Core(controllers) {
 		if p.Status == messages.Alive {
 			list = append(list, p.Addr)
 		}
 	}
+	if len(list) == 0 {
+		return m.all(controllers)
+	}
 	slices.Sort(list)
 	return list
 }
 
+// wholeCore is everybody who may know a newer configuration.
+func (c *Router) wholeCore() []string { return c.core.all(c.monitor.Alive(messages.Controller)) }
+
+// likelyCore is whom to ask where an answer is wanted soon.
+func (c *Router) likelyCore() []string { return c.core.likely(c.monitor.Alive(messages.Controller)) }
+
 // compareWith asks one controller for its versions and takes the changes since
 // this node's from it where it has something newer; all runners with anyway. It
 // tells whether this node has by now what the controller had.
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -76,7 +76,7 @@
 	station.Run(ctx)
 	self := messages.Peer{Addr: station.Addr(), Role: messages.Controller, Zone: "a", Node: "c", Counted: true}
 	go membership.NewMonitor(station, self, c.clock, func() []string { return []string{c.transport.Addr()} }).Run(ctx)
-	for len(c.aliveDispatches()) == 0 {
+	for len(c.wholeCore()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	unknown := strings.Replace(request("/pay/", "x"), "/pay/", "/nothing/", 1)
@@ -91,3 +91,17 @@
 	}
 	must.Eq(t, 404, ans.StatusCode)
 }
+
+// A router that takes the whole core for suspected or dead goes on asking it.
+func TestCoreMemoryKeepsTheLastCoreInView(t *testing.T) {
+	var m coreMemory
+	must.SliceEmpty(t, m.all(nil))
+	core := func(a, b messages.Status) []messages.Peer {
+		return []messages.Peer{{Addr: "b", Counted: true, Status: b}, {Addr: "a", Counted: true, Status: a}, {Addr: "other"}}
+	}
+	must.Eq(t, []string{"a"}, m.likely(core(messages.Alive, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, m.all(core(messages.Alive, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, m.likely(core(messages.Suspect, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, m.likely(nil))
+	must.Eq(t, []string{"a", "b"}, m.all(nil))
+}
--- a/internal/router/recheck.go
+++ b/internal/router/recheck.go
@@ -68,9 +68,9 @@
 
 // confirmCurrent tells whether no controller in reach has a newer configuration,
 // or none had a short while ago. What is newer is taken in first. A router that
-// knows of no controller has nobody to ask and goes by what it holds.
+// never knew of a controller has nobody to ask and goes by what it holds.
 func (c *Router) confirmCurrent() bool {
-	return c.currency.confirm(c.clock, func() bool { return c.askMost(c.aliveDispatches()) })
+	return c.currency.confirm(c.clock, func() bool { return c.askMost(c.wholeCore()) })
 }
 
 // askMost compares with all of these controllers at once, and tells whether more
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -61,6 +61,7 @@
 
 	currency    currencyChecks
 	comparisons *dissemination.Comparisons
+	core        coreMemory
 	heardUs     atomic.Int64 // when the parent, in reach of the core, last sent a feed
 
 	trail    compliance.Trail
@@ -135,7 +136,7 @@
 func (c *Router) parents() []string {
 	list := dissemination.Parents(c.transport.Addr(), c.set.Zone, c.monitor.Alive(messages.Controller), c.monitor.Alive(messages.Router))
 	if len(list) == 0 {
-		return c.seedAddrs()
+		return append(c.seedAddrs(), c.wholeCore()...)
 	}
 	return list
 }
