--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -146,12 +146,16 @@
 	}
 	for _, ch := range f.Registry {
 		in := statesync.HearEntries(ch)
+		believed := parent // whose beliefs are taken along with the facts
 		if parent != "" {
 			again := ch.Whole && c.runners.Epoch == ch.Epoch
 			r := c.runners.Apply(in)
 			note(r, again)
-			if r == statesync.Mismatch {
-				continue
+			if r == statesync.Mismatch || r == statesync.Known {
+				continue // what is known already may be older than what is held
+			}
+			if r == statesync.Gap {
+				believed = "" // of a parent that was left, or to come again in order
 			}
 		}
 		for _, p := range in.Puts {
@@ -163,7 +167,7 @@
 				c.news.malformed.Add(1)
 				continue
 			}
-			changed = c.takeRunner(parent, n, now) || changed
+			changed = c.takeRunner(believed, n, now) || changed
 		}
 		if len(in.Puts) > 0 && !c.informed.Swap(true) {
 			c.log.Info("runners known", "count", len(in.Puts))
--- /dev/null
+++ b/internal/router/late_answer_test.go
@@ -0,0 +1,68 @@
+package router
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/statesync"
+)
+
+// A parent takes long over an answer, so that a change made after it arrives before
+// it. What the parent believed of a runner when it began the answer must not come
+// back: nothing would correct it until the runner changes again.
+func TestLateAnswerBringsBackNoOlderBelief(t *testing.T) {
+	c, _, _ := start(t)
+	parent := statesync.NewEntries()
+	parent.Begin(9, 0)
+	put := func(lost bool) statesync.Change[string, string] {
+		n := messages.RunnerRecord{ID: "r", Service: "s", Addr: "127.0.0.1:9", Capacity: 1, Seq: 5, Lost: lost, Models: []messages.Target{}}
+		b, err := n.MarshalMsg(nil)
+		must.NoError(t, err)
+		parent.Put("r", string(b))
+		return parent.Commit(parent.Version + 1)
+	}
+	take := func(ch statesync.Change[string, string]) {
+		must.True(t, c.take("p", messages.Feed{Registry: []messages.EntryChange{statesync.SendEntries(ch)}}))
+	}
+	put(false)
+	first, _ := parent.Since(0, 0)
+	take(first)
+	put(true)
+	late, _ := parent.Since(first.Epoch, first.To)
+	lateWhole, _ := parent.Since(0, 0)
+	take(late)
+	take(put(false))
+	must.MapContainsKey(t, c.registry.Snapshot().ByID, "r")
+	take(late)
+	must.MapContainsKey(t, c.registry.Snapshot().ByID, "r")
+	take(lateWhole)
+	must.MapContainsKey(t, c.registry.Snapshot().ByID, "r")
+}
+
+// A feed of the parent that was left is still being taken in when the new parent's
+// list is there already. It may say what happened, not what its sender believes.
+func TestFeedOfAFormerParentBringsFactsOnly(t *testing.T) {
+	c, _, _ := start(t)
+	feed := func(epoch int64, whole bool, n messages.RunnerRecord) messages.Feed {
+		s := statesync.NewEntries()
+		s.Begin(epoch, 0)
+		b, err := n.MarshalMsg(nil)
+		must.NoError(t, err)
+		s.Put(n.ID, string(b))
+		ch := s.Commit(1)
+		if whole {
+			ch, _ = s.Since(0, 0)
+		}
+		return messages.Feed{Registry: []messages.EntryChange{statesync.SendEntries(ch)}}
+	}
+	n := messages.RunnerRecord{ID: "r", Service: "s", Addr: "127.0.0.1:9", Capacity: 1, Seq: 5, Models: []messages.Target{}}
+	must.True(t, c.take("new", feed(2, true, n)))
+	n.Lost = true
+	must.False(t, c.take("former", feed(1, false, n)))
+	must.MapContainsKey(t, c.registry.Snapshot().ByID, "r")
+	n.Lost, n.Draining, n.Seq = false, true, 6
+	must.False(t, c.take("former", feed(1, false, n)))
+	must.True(t, c.registry.Snapshot().ByID["r"].Draining)
+}
