--- a/internal/dissemination/newcomer_test.go
+++ b/internal/dissemination/newcomer_test.go
@@ -8,6 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/transport"
 )
 
 // joining is a subscription as a parent gets it.
@@ -70,3 +71,23 @@
 	j := <-newcomerAmong(t, time.Nanosecond, true, true)
 	must.True(t, j.hold.Anything)
 }
+
+// Bytes of a former connection may still be read when the next parent is joined.
+func TestFeedsOfAFormerParentAreLeftAside(t *testing.T) {
+	taken := []string{}
+	up := &Subscriber{
+		Hold: func() messages.Hold { return messages.Hold{} },
+		Take: func(parent string, _ messages.Feed, _ []byte) *messages.Hold {
+			taken = append(taken, parent)
+			return nil
+		},
+	}
+	former, joined := &transport.Conn{}, &transport.Conn{}
+	up.joined.Store(joined)
+	feed, err := (&messages.Feed{Versions: []int64{}}).MarshalMsg(nil)
+	must.NoError(t, err)
+	leave := make(chan struct{}, 1)
+	up.hear(former, "former", transport.KindFeed, feed, func() { t.Error("counts as a sign of life") }, leave)
+	up.hear(joined, "joined", transport.KindFeed, feed, func() {}, leave)
+	must.Eq(t, []string{"joined"}, taken)
+}
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -54,7 +54,8 @@
 	pacer  RequestPacer
 	policy ParentPolicy
 	link   atomic.Pointer[transport.Conn]
-	began  time.Time // when Listen began
+	joined atomic.Pointer[transport.Conn] // the one whose feeds are taken, from before the parent knows of it
+	began  time.Time                      // when Listen began
 }
 
 // nowUs is the subscriber's clock.
@@ -118,6 +119,7 @@
 		u.hear(l, parent, kind, body, func() { last.Store(u.nowUs()) }, leave)
 	}
 	go l.Serve(ctx)
+	u.joined.Store(l)
 	h := u.holds()
 	cctx, cancel := context.WithTimeout(ctx, subscribeWait)
 	_, err = l.Call(cctx, transport.KindSubscribe, &h)
@@ -159,6 +161,9 @@
 func (u *Subscriber) hear(l *transport.Conn, parent string, kind int, body []byte, alive func(), leave chan struct{}) {
 	switch kind {
 	case transport.KindFeed:
+		if u.joined.Load() != l {
+			return // of a parent that was left: its list of runners would replace the new one's
+		}
 		alive()
 		var f messages.Feed
 		if _, err := f.UnmarshalMsg(body); err != nil {
