--- a/internal/dissemination/comparisons.go
+++ b/internal/dissemination/comparisons.go
@@ -4,6 +4,15 @@
 
 import "sync"
 
+// Times of comparisons, as parts of convergeMs: how often one begins, how long one
+// may take, and after how long without its parent's feed a router asks several at
+// once.
+const (
+	ComparisonParts     = 5
+	ComparisonWaitParts = 2
+	OverdueParts        = 4
+)
+
 const (
 	// overdueAtOnce is how many controllers are asked at once when the parent's
 	// feed is overdue.
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -16,14 +16,6 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// Times of comparisons, as parts of convergeMs: how often one begins, how long one
-// may take, and after how long without its parent a router asks several at once.
-const (
-	compareParts     = 5
-	compareWaitParts = 2
-	overdueParts     = 4
-)
-
 // defaultConverge stands for convergeMs where the settings name none.
 const defaultConverge = 2 * time.Second
 
@@ -39,10 +31,10 @@
 // newer. A comparison that takes long does not put off the next.
 func (c *Router) compareVersions(ctx context.Context) func() {
 	return func() {
-		overdue := c.clock()-c.heardUs.Load() > max(c.convergeTime()/overdueParts, 2*dissemination.FeedEvery).Microseconds()
+		overdue := c.clock()-c.heardUs.Load() > max(c.convergeTime()/dissemination.OverdueParts, 2*dissemination.FeedEvery).Microseconds()
 		for _, addr := range c.comparisons.Next(c.likelyCore(), *c.parent.Load(), overdue) {
 			go func() {
-				cctx, cancel := context.WithTimeout(ctx, c.convergeTime()/compareWaitParts)
+				cctx, cancel := context.WithTimeout(ctx, c.convergeTime()/dissemination.ComparisonWaitParts)
 				defer cancel()
 				m, ok := c.compareWith(cctx, addr, c.comparisons.WantRunners())
 				c.comparisons.Ended(addr, ok, m.RegistrySum == c.registry.Snapshot().Sum)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -106,7 +106,7 @@
 	c.transport.Run(live)
 	go c.monitor.Run(live)
 	go c.up.Listen(live, c.transport)
-	go loop.Every(live, c.convergeTime()/compareParts, c.compareVersions(live))
+	go loop.Every(live, c.convergeTime()/dissemination.ComparisonParts, c.compareVersions(live))
 	go c.tellLoads(live)
 	go loop.Every(live, time.Second, func() { c.connPool.Sweep(func(string) bool { return true }) })
 	go loop.Every(live, forgetEvery, c.forgetUnlisted)
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -16,9 +16,9 @@
 	subscribeWaitUs   = 600 * Millisecond
 	subscriberTickUs  = 250 * Millisecond
 	anythingUs        = 2_500 * Millisecond
-	compareEveryUs    = convergeUs / 5
-	compareWaitUs     = convergeUs / 2
-	overdueUs         = convergeUs / 4
+	compareEveryUs    = convergeUs / dissemination.ComparisonParts
+	compareWaitUs     = convergeUs / dissemination.ComparisonWaitParts
+	overdueUs         = convergeUs / dissemination.OverdueParts
 	unseenUs          = 1_200 * Millisecond // until one that can't be heard is taken for dead
 	spoiledPerMille   = 2                   // changes whose digest does not come out
 	fewestBeforeRelay = 3
