--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -62,6 +62,7 @@
 
 	currency    currencyChecks
 	comparisons *dissemination.Comparisons
+	core        coreMemory
 	heardUs     atomic.Int64 // when the parent, in reach of the core, last sent a feed
 
 	trail    compliance.Trail
@@ -107,7 +108,7 @@
 	c.transport.Run(live)
 	go c.monitor.Run(live)
 	go c.up.Listen(live, c.transport)
-	go loop.Every(live, c.convergeTime()/compareParts, c.compareVersions(live))
+	go loop.Every(live, c.convergeTime()/dissemination.ComparisonParts, c.compareVersions(live))
 	go c.tellLoads(live)
 	go loop.Every(live, time.Second, func() { c.connPool.Sweep(func(string) bool { return true }) })
 	go loop.Every(live, forgetEvery, c.forgetUnlisted)
@@ -138,7 +139,7 @@
 func (c *Router) parents() []string {
 	list := dissemination.Parents(c.transport.Addr(), c.set.Zone, c.monitor.Alive(messages.Controller), c.monitor.Alive(messages.Router))
 	if len(list) == 0 {
-		return c.seedAddrs()
+		return append(c.seedAddrs(), c.wholeCore()...)
 	}
 	return list
 }
