--- a/internal/rollout/job.go
+++ b/internal/rollout/job.go
@@ -29,6 +29,11 @@
 	}
 }
 
+// cordon is what the registry is to show at this stage.
+func (j *job) cordon() Cordon {
+	return Cordon{ID: j.id, Draining: j.stage == Draining, Cordoned: j.stage == Cordoned || j.stage == Ordered}
+}
+
 // silent tells that a runner has not answered several orders.
 func (j *job) silent() bool { return j.attempts > 1 && !j.accepted }
 
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -128,7 +128,9 @@
 		p.advance(in.NowUs)
 	}
 	for _, r := range in.Runners {
-		p.align(&a, r, p.jobs[r.ID])
+		if want := p.jobs[r.ID].cordon(); want.Draining != r.Draining || want.Cordoned != r.Cordoned {
+			a.Cordons = append(a.Cordons, want)
+		}
 	}
 	for _, j := range p.sorted() {
 		if in.MayOrder && p.orderDue(j, in.NowUs) {
@@ -231,14 +233,6 @@
 	j.move(Completed, nowUs)
 }
 
-// align asks for what makes the registry show a runner's stage.
-func (p *Plan) align(a *Actions, r Runner, j *job) {
-	want := Cordon{ID: r.ID, Draining: j.stage == Draining, Cordoned: j.stage == Cordoned || j.stage == Ordered}
-	if want.Draining != r.Draining || want.Cordoned != r.Cordoned {
-		a.Cordons = append(a.Cordons, want)
-	}
-}
-
 func (p *Plan) sorted() []*job {
 	var out []*job
 	for _, j := range p.jobs {
