--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,13 +48,14 @@
 	readers map[string]context.CancelFunc
 	heardUs map[string]int64 // when a runner's events or report last came
 
-	rollouts *rolloutManager
-	calm     calm
-	repairs  repairs
-	contact  contact
-	drained  drained
-	startUs  int64
-	disk     *consensus.DiskStore // nil on machines without one
+	rollouts   *rolloutManager
+	unfinished unfinishedRounds
+	calm       calm
+	repairs    repairs
+	contact    contact
+	drained    drained
+	startUs    int64
+	disk       *consensus.DiskStore // nil on machines without one
 }
 
 // New builds the role.
@@ -139,6 +140,7 @@
 	go d.listenToOthers(live)
 	go loop.Every(live, repairPeriod, func() { d.repairGroups(live) })
 	go loop.Every(live, 500*time.Millisecond, func() { d.catchUp(live) })
+	go loop.Every(live, 500*time.Millisecond, func() { d.finishRounds(live) })
 	go loop.Every(live, 500*time.Millisecond, func() { d.sweep() })
 	go loop.Every(live, 500*time.Millisecond, func() { d.wantReaders(live) })
 	go loop.Every(live, rolloutPeriod, func() { d.rollouts.step(live) })
