--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -79,6 +79,12 @@
 // stream of out until the end, which comes as io.EOF only if it is whole.
 func (l *Conn) Head(out *protocol.Response, deadline time.Time) error {
 	_ = l.conn.SetReadDeadline(deadline)
+	if l.sending.Load() {
+		if err := awaitHead(l.in); err != nil {
+			return err
+		}
+		l.setUserTimeout(time.Until(deadline)) // it is alive, and reads on when it likes
+	}
 	if err := readHead(out, l.in); err != nil {
 		return err
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,6 +9,7 @@
 	"net"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -40,9 +41,11 @@
 type Conn struct {
 	conn    net.Conn
 	in      reader
-	idleUs  int64 // since when it is idle
-	keepUs  int64 // for how long the runner keeps it idle; 0: unknown
-	spoiled bool  // it carries bytes that belong to no request
+	idleUs  int64       // since when it is idle
+	keepUs  int64       // for how long the runner keeps it idle; 0: unknown
+	spoiled bool        // it carries bytes that belong to no request
+	sending atomic.Bool // a request's body is not all written
+	patient bool        // its user timeout has been raised
 	service string
 
 	Answers  int
@@ -99,23 +102,6 @@
 // asked on it. It is not used again.
 func (l *Conn) Spoil() { l.spoiled = true }
 
-// Send writes a whole request. sent tells, when it failed, whether a single byte
-// may have reached the runner: then it counts as sent. Nothing is written once
-// the deadline has passed, as after a freeze of this process.
-func (l *Conn) Send(head *protocol.RequestHeader, body []byte, deadline time.Time) (sent bool, err error) {
-	raw := head.AppendBytes(make([]byte, 0, 1024+len(body)))
-	raw = append(raw, body...)
-	_ = l.conn.SetDeadline(deadline)
-	if !time.Now().Before(deadline) {
-		return false, errors.Wrap(ErrLate, "before it was sent")
-	}
-	written, err := l.conn.Write(raw)
-	if err != nil {
-		return written > 0, errors.Wrap(ErrBroken, err.Error())
-	}
-	return true, nil
-}
-
 // keepAlive notes what the answer says of the conn, and whether it can be kept.
 func (l *Conn) keepAlive(h *protocol.ResponseHeader) bool {
 	if h.ConnectionClose() || !h.IsHTTP11() {
--- a/internal/upstream/conn_pool.go
+++ b/internal/upstream/conn_pool.go
@@ -107,13 +107,17 @@
 	}
 }
 
-// Put takes a conn back after a whole answer, or closes it.
+// Put takes a conn back after a whole answer, or closes it. A runner may answer before
+// it has read the whole body: nothing else may come in the place of the rest.
 func (g *ConnPool) Put(addr string, l *Conn, h *protocol.ResponseHeader) {
-	if l.spoiled || !l.keepAlive(h) || l.in.Len() > 0 {
+	if l.spoiled || l.sending.Load() || !l.keepAlive(h) || l.in.Len() > 0 {
 		l.Close()
 		return
 	}
 	_ = l.conn.SetDeadline(time.Time{})
+	if l.patient {
+		l.setUserTimeout(0)
+	}
 	l.idleUs = g.clock()
 	g.mu.Lock()
 	g.idle[addr] = append(g.idle[addr], l)
