--- /dev/null
+++ b/internal/router/runner_leaves_test.go
@@ -0,0 +1,51 @@
+package router
+
+import (
+	"bufio"
+	"io"
+	"net/http"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"beechtide.org/beechtide/internal/messages"
+)
+
+// A runner that leaves serves on for a while: what runs there ends there, nothing
+// more is sent to it, and what is heard late does not bring it back.
+func TestRunnerThatLeftEndsWhatItHasAndGetsNothingMore(t *testing.T) {
+	a, b := newRunner(t), newRunner(t)
+	finish := make(chan struct{})
+	a.stream = func(write func(string), _ <-chan struct{}) {
+		write(streamHead + chunk("id: 1\ndata: a\n\n"))
+		<-finish
+		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
+	}
+	c, front, _ := start(t, a)
+	c.takesMenu(t, unhurriedMenu)
+	conn := send(t, front, unhurried("/chat/"))
+	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	must.NoError(t, err)
+	other := messages.RunnerRecord{ID: "r1", Service: "s", Addr: b.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: 4}}}
+	left := c.registry.Snapshot().ByID["r0"]
+	left.Gone = true
+	tell := func(parent string, n ...messages.RunnerRecord) {
+		c.take(parent, messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, n...)}})
+	}
+	tell("", left, other)
+	late := left
+	late.Gone, late.Seq = false, left.Seq+9
+	tell("", late)
+	tell("p", late, other)
+	for range 6 {
+		ans, _, err := say(t, front, request("/pay/", "x"))
+		must.NoError(t, err)
+		must.Eq(t, 200, ans.StatusCode)
+	}
+	must.Eq(t, 1, a.count())
+	must.Eq(t, 6, b.count())
+	close(finish)
+	body, err := io.ReadAll(answer.Body)
+	must.NoError(t, err)
+	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", string(body))
+}
