--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -113,6 +113,10 @@
 		v.reject(400, "", 0)
 		return
 	}
+	if t == nil {
+		v.reject(503, "", againUs)
+		return
+	}
 	status := v.find(t, path)
 	if status != 0 && c.recheck() {
 		t = c.table.Load()
--- /dev/null
+++ b/internal/router/request_rules_test.go
@@ -0,0 +1,116 @@
+package router
+
+import (
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cloudwego/hertz/pkg/app"
+	"github.com/shoenig/test/must"
+)
+
+func TestOneTryUsesNoMoreRunnersThanItsRouteAllows(t *testing.T) {
+	const (
+		ok      = "Beechtide-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n"
+		failure = "HTTP/1.1 500 Internal Server Error\r\n" + ok
+		full    = "HTTP/1.1 503 Service Unavailable\r\nBeechtide-Not-Executed: 1\r\n" + ok
+		wrong   = "HTTP/1.1 421 Misdirected Request\r\n" + ok
+	)
+	for path, most := range map[string]int{"/open/": 2, "/pay/": 2, "/sort/": 2, "/chat/": 1} {
+		for _, script := range []string{"CUT", failure, full, wrong} {
+			var runners []*runner
+			for range 4 {
+				r := newRunner(t)
+				r.next = func() string { return script }
+				runners = append(runners, r)
+			}
+			refused := &runner{addr: closedAddress(t)} // nothing is sent to it, and it does not count
+			_, front, _ := start(t, append([]*runner{refused}, runners...)...)
+			_, _, err := say(t, front, request(path, "x"))
+			must.NoError(t, err)
+			sent := 0
+			for _, r := range runners {
+				for _, q := range r.requests() {
+					if q.Header.Get(hAttempt) != "" {
+						sent++
+					}
+				}
+			}
+			must.Between(t, 1, sent, most, must.Sprint(path, script))
+		}
+	}
+}
+
+func closedAddress(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	must.NoError(t, err)
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+func (r *runner) requests() []*http.Request {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]*http.Request{}, r.seen...)
+}
+
+func TestHeadersOfThePromptReachTheRunnerUnchanged(t *testing.T) {
+	for _, tc := range []struct{ model, tokens, prefix string }{
+		{"m", "20,5", "ab:15,cd:5"},
+		{"m", "20, 5", "ab:15, cd:5"},
+		{"m", "-1,x", "zz:,:4,,"},
+		{"m", "020,005", strings.Repeat("5c1e07a2:1,", 200) + "91bd3f06:1"},
+	} {
+		r := newRunner(t)
+		_, front, _ := start(t, r)
+		raw := strings.NewReplacer("20,5", tc.tokens, "ab:15,cd:5", tc.prefix, "Beechtide-Token-Count", "beechtide-token-count").Replace(request("/chat/", "x"))
+		a, _, err := say(t, front, raw)
+		must.NoError(t, err)
+		must.Eq(t, 200, a.StatusCode, must.Sprint(tc))
+		for name, value := range map[string]string{hModel: tc.model, hTokens: tc.tokens, hPrefix: tc.prefix} {
+			must.Eq(t, []string{value}, r.last().Header.Values(name), must.Sprint(tc))
+		}
+	}
+}
+
+// A busy machine, too, says at once that it is leaving.
+func TestMachineThatLeavesIsNotReadyWhileItsRequestsEnd(t *testing.T) {
+	r, reached, ended := working(t, streamHead+chunk("id: 1\ndata: a\n\n"))
+	c, front, cancel := start(t, r)
+	c.informed.Store(true)
+	c.takesMenu(t, unhurriedMenu)
+	send(t, front, unhurried("/chat/"))
+	awaited(t, reached, "the request at the runner")
+	ready := func() int {
+		a, err := http.Get("http://" + c.set.Listen.Ready + "/api/ready")
+		must.NoError(t, err)
+		a.Body.Close()
+		return a.StatusCode
+	}
+	must.Eq(t, 200, ready())
+	cancel()
+	for !c.leaving.Load() {
+		time.Sleep(time.Millisecond)
+	}
+	must.Eq(t, 503, ready())
+	must.Eq(t, 1, c.inFlight.Load())
+	select {
+	case <-ended:
+		t.Fatal("a request was ended by the beginning of the end")
+	default:
+	}
+}
+
+func TestNodeWithoutAConfigurationAnswers503(t *testing.T) {
+	c := &Router{clock: func() int64 { return 1 }}
+	rc := app.NewContext(0)
+	rc.Request.Header.SetMethod("POST")
+	rc.Request.SetRequestURI("/chat/")
+	rc.Request.Header.Set(hAttempt, "id1")
+	c.serve(t.Context(), rc)
+	must.Eq(t, 503, rc.Response.StatusCode())
+	must.NotEq(t, "", rc.Response.Header.Get(hRetryAfter))
+}
