--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -276,7 +276,7 @@
 		c.giveBack(adm, link, r, err == nil)
 		return unknown, stream
 	}
-	if status/100 == 2 && r.Header.ContentLength() < 0 {
+	if v.streams(r) {
 		end, stream = v.passStream(adm, link, r, stream)
 	} else {
 		end = v.passBody(adm, link, r, stream)
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -73,6 +73,16 @@
 	c.wake()
 }
 
+// streams tells whether an answer is passed on as it comes. One without a length that
+// is no series of events is held until it is whole: where it is reset on the way, the
+// client has seen nothing of it, and a request that may be repeated is.
+func (v *visit) streams(r *protocol.Response) bool {
+	if r.StatusCode()/100 != 2 || r.Header.ContentLength() >= 0 {
+		return false
+	}
+	return v.route.Kind == api.Streaming || !upstream.EndsWithConn(r)
+}
+
 // passStream passes on a streamed answer, event by event.
 func (v *visit) passStream(adm *admission.Admission, link *upstream.Conn, r *protocol.Response, stream *answerStream) (ending, *answerStream) {
 	c := v.c
