--- a/internal/router/request_rules_test.go
+++ b/internal/router/request_rules_test.go
@@ -122,3 +122,24 @@
 	must.Eq(t, 503, rc.Response.StatusCode())
 	must.NotEq(t, "", rc.Response.Header.Get(hRetryAfter))
 }
+
+// A runner's seal never goes out with a status that the runner did not give.
+func TestSealKeepsTheStatusOfItsRunner(t *testing.T) {
+	for line, want := range map[string]int{
+		"400 Bad Request": 400, "404 Not Found": 404, "500 Internal Server Error": 500, "504 Gateway Timeout": 504,
+		"429 Too Many Requests": 502, "503 Service Unavailable": 502, "421 Misdirected Request": 503,
+	} {
+		t.Run(line, func(t *testing.T) {
+			t.Parallel()
+			r := newRunner(t)
+			r.next = func() string {
+				return "HTTP/1.1 " + line + "\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Server-Seal: seal\r\nContent-Length: 2\r\n\r\nno"
+			}
+			_, front, _ := start(t, r)
+			a, _, err := say(t, front, request("/pay/", "x"))
+			must.NoError(t, err)
+			must.Eq(t, want, a.StatusCode)
+			must.Eq(t, strings.HasPrefix(line, a.Status[:3]), a.Header.Get("Beechtide-Server-Seal") != "")
+		})
+	}
+}
