--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -82,6 +82,12 @@
 	if l.interrupted.Load() { // after the deadline was set, which an interrupt replaces
 		return errors.Wrap(ErrLate, "interrupted")
 	}
+	if l.sending.Load() {
+		if err := awaitHead(l.in); err != nil {
+			return err
+		}
+		l.setUserTimeout(time.Until(deadline)) // it is alive, and reads on when it likes
+	}
 	if err := readHead(out, l.in); err != nil {
 		return err
 	}
