--- a/internal/admission/absent.go
+++ b/internal/admission/absent.go
@@ -7,6 +7,7 @@
 // told apart by a probe, and until then only a part of a service's runners may
 // be out at once, so that a storm of such answers empties no service.
 // What is sure is told to others as a hint.
+
 package admission
 
 import (
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -3,6 +3,7 @@
 // and in prompt tokens waiting to be read; a runner past a threshold gets no
 // new request; what cannot go now waits within caps and a time to live, or is
 // rejected at once with a time to come back.
+
 package admission
 
 import (
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -1,4 +1,5 @@
 // Places at runners: a request is admitted, its first token comes, it is done.
+
 package admission
 
 import (
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -1,5 +1,6 @@
 // Candidates: the runners that admission still counts for a request, and from
 // where each could take kept parts of its prompt.
+
 package admission
 
 import (
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -3,6 +3,7 @@
 // candidates for a while, longer each time, and comes back by few requests. The
 // outcomes are this node's own; those of the other nodes are a hint, which
 // counts half. Its registry entry stays, and it is used where no other is left.
+
 package admission
 
 import (
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -1,4 +1,5 @@
 // Loads: what runners report, and what other nodes have at each runner.
+
 package admission
 
 import (
--- a/internal/admission/pending.go
+++ b/internal/admission/pending.go
@@ -1,5 +1,6 @@
 // Queue is the bounded queue of one service: strict bands by rank, inside a
 // band the tenants in turn, and a time to live for every request.
+
 package admission
 
 import "sort"
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -1,4 +1,5 @@
 // Pools: the runners, stores and limits of a service.
+
 package admission
 
 import "beechtide.org/beechtide/internal/messages"
--- a/internal/admission/runner.go
+++ b/internal/admission/runner.go
@@ -1,6 +1,7 @@
 // Runner is what the admission control knows of one runner: what this node has there,
 // what the others say they have there, what the runner itself reported, how
 // fast it reads, and whether its links hold.
+
 package admission
 
 import (
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -3,6 +3,7 @@
 // them one after the other, over a time that the operator gives; each goes to a
 // home that all nodes work out alike, and stays there. There is no entry a
 // session anywhere.
+
 package admission
 
 import (
--- a/internal/admission/tuning.go
+++ b/internal/admission/tuning.go
@@ -1,8 +1,35 @@
-// Package admission is admission: for every generation request it says whether
-// it goes to a runner now, waits in a bounded queue, or is rejected at once. It
-// follows "Admission control for distributed LLM inference" (docs/source.md
-// says what was kept and what was changed). Everything here is pure: time and
-// input are arguments. This file holds the values that are ours to choose.
+// Package admission decides for every request whether it is admitted to a runner,
+// queued or rejected.
+//
+// It follows "Admission control for distributed LLM inference"; docs/source.md names
+// what was kept and what was changed.
+//
+// # What it is given and what it guarantees
+//
+// The Admitter is one node's admission. Its owner hands it the runners and limits of
+// each service (SetService, SetStores, SetCertified), reports of runners (Report), the
+// load of the other nodes (Others, Other), the ages of target weights versions
+// (ObserveTargets), and what became of each admitted request (FirstToken, Ended,
+// Done). Submit decides on a new request; Tick decides on queued ones as time passes.
+//
+//   - A request is admitted only to a runner that is below the load thresholds, not
+//     cordoned, certified for the tenant's regime, and whose weights are new enough
+//     (WeightsBound).
+//   - A queued request gets exactly one decision, at the first Tick after its time to
+//     live at the latest, unless it is abandoned. Queues are bounded in requests and
+//     tokens.
+//   - A rejection names its Reason and, where it helps, the time after which a retry
+//     makes sense.
+//
+// Load is counted in blocks of a runner's memory, expected output included, and in
+// prompt tokens that wait for prefill. Times are microseconds of the caller's
+// monotonic clock.
+//
+// # Who owns which state
+//
+// Everything here is pure: time and input are arguments, nothing is sent and no
+// goroutine is started. An Admitter is not safe for concurrent use; the router guards
+// its own with a mutex.
 package admission
 
 // Tuning are the free values of the design, with defaults in Defaults.
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -1,6 +1,7 @@
 // Bound on old weights: from some time before a named version has to be in use
 // everywhere, nothing is sent to runners with older weights, and what was sent
 // there and has not begun is taken back.
+
 package admission
 
 import "beechtide.org/beechtide/internal/messages"
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -1,4 +1,5 @@
 // Windows: how many requests of a tenant are admitted, by AIMD, and its rate.
+
 package admission
 
 type tenantState struct {
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -1,6 +1,7 @@
 // Unfinished rounds: a member has accepted a value and hears no more of it. The
 // round may have been won, and its proposer have acknowledged the change, before
 // the proposer ended, froze or was cut off.
+
 package consensus
 
 // Unfinished gives the slot for which this member has accepted a value that it
--- a/internal/controller/calm.go
+++ b/internal/controller/calm.go
@@ -1,6 +1,7 @@
 // Calm tells for how long the core has been as it is now, as this controller sees
 // it: who is alive, and whom it reaches itself. A cut between controllers is not
 // seen by probes that go round it through routers, so direct calls count.
+
 package controller
 
 import "sync"
--- a/internal/controller/condition.go
+++ b/internal/controller/condition.go
@@ -1,4 +1,5 @@
 // Condition is what a controller tells the doctor of itself.
+
 package controller
 
 import (
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -1,4 +1,5 @@
 // The calls of runners and of the operator (api/calls.yaml).
+
 package controller
 
 import (
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,46 @@
-// Package controller is the role that keeps the control state: it takes the
-// calls of runners and of the operator, agrees with the other controllers on
-// configuration and duties, and sends news down the tree.
+// Package controller is the role that keeps the control state: it serves the calls of
+// runners and of the operator, agrees with the other controllers on configuration,
+// target weights and leases, and distributes the state to routers.
+//
+// # What it is given and what it guarantees
+//
+// New takes the settings, a pool of goroutines, a monotonic clock in microseconds and
+// a logger. Run serves until its context ends.
+//
+//   - A configuration or target version is acknowledged after a majority has it on
+//     disk (package consensus).
+//   - Answers that depend on the state are given only while the controller has contact
+//     with a majority (package lease); without it the call gets 503.
+//   - A runner's draining or leaving is acknowledged after a majority of the
+//     controllers has it.
+//
+// # Concerns
+//
+// control.go serves the HTTP calls, feed.go distributes state to subscribers,
+// subscriptions.go receives the feeds of other controllers, readers.go reads cache
+// events and reports of runners, rollouts.go drives package rollout, repair.go drives
+// the repair of consensus groups, contact.go keeps the contact lease, drain.go
+// replicates draining, recall.go keeps a copy of the registry on disk.
+//
+// # Who owns which state
+//
+// Controller.Run starts a goroutine for each periodic task and one for each server;
+// all end with its context. Calls run on goroutines of the HTTP server, messages on
+// those of the transport.
+//
+//   - Committed values belong to consensus.Registers, the runners to
+//     registry.Registry, the live nodes to membership.Monitor. Each guards itself.
+//   - The compiled configuration is immutable and swapped by an atomic pointer, under
+//     the mutex of the feed.
+//   - The feed (streams, sums of loads, what waits to be sent) has a mutex of its own.
+//     The goroutine of flushFeed sends; any other adds to it.
+//   - One mutex guards the prefix index, the set of readers and when each last had a
+//     response.
+//   - The roll-out manager, the repair of each register, the contact lease, the view
+//     of the core, the target versions and the acknowledged drains each have a mutex
+//     beside their state.
+//
+// No lock is held while a call to another node or to a runner is made.
 package controller
 
 import (
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -2,6 +2,7 @@
 // later breaks off. So the acknowledgement waits for the other controllers, each
 // of which tells the routers below it: for a majority of the group in any case,
 // which the rest hear it from, and for all that are in reach if they are quick.
+
 package controller
 
 import (
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -2,6 +2,7 @@
 // other controllers what it is the first to know. What comes between two sendings
 // is put together. Everything goes as changes; a receiver that lacks something
 // names what it holds.
+
 package controller
 
 import (
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -2,6 +2,7 @@
 // chosen by rendezvous hashing among the live controllers of the runner's zone,
 // and tells the rest. Kept parts come as events; the list is fetched only after
 // a gap, since it holds up the runner.
+
 package controller
 
 import (
--- a/internal/controller/recall.go
+++ b/internal/controller/recall.go
@@ -3,6 +3,7 @@
 // get everybody's requests. It is a help only: what it says is corrected by the
 // beats, a runner that is gone turns stale, and one whose address is another's
 // by now answers 421.
+
 package controller
 
 import (
--- a/internal/controller/repair.go
+++ b/internal/controller/repair.go
@@ -1,6 +1,7 @@
 // Repair drives the repair coordinators: it shows them what this controller sees,
 // asks members to confirm what they hold, and carries proposals through a round.
 // It also hands the registers over when the process is told to end.
+
 package controller
 
 import (
--- a/internal/controller/rollout_calls.go
+++ b/internal/controller/rollout_calls.go
@@ -1,4 +1,5 @@
 // The calls of a roll-out to runners: orders and reports.
+
 package controller
 
 import (
--- a/internal/controller/rollout_candidates.go
+++ b/internal/controller/rollout_candidates.go
@@ -1,4 +1,5 @@
 // Who may take the lease of a roll-out over, and in which order.
+
 package controller
 
 import (
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -1,6 +1,7 @@
 // Rollouts drive the duty of bringing runners to named weights: package rollout
 // decides, and what it asks for is done here. Each model belongs to one register
 // by its name alone, so that it has one holder and one sequence of fences.
+
 package controller
 
 import (
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -1,4 +1,5 @@
 // Subscriptions: what this controller takes from the others, and passes down.
+
 package controller
 
 import (
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -3,6 +3,7 @@
 // and is durable; the moment is not, since no clock is shared between two lives of
 // a process. It is therefore told to the other controllers and to all routers,
 // and a controller that restarts learns it from any of them.
+
 package controller
 
 import (
--- a/internal/controller/unfinished.go
+++ b/internal/controller/unfinished.go
@@ -2,6 +2,7 @@
 // acknowledges a change and then ends may not have told anybody that it was
 // chosen; the others have accepted it and would learn of it with the next change
 // only.
+
 package controller
 
 import (
--- a/internal/controller/used_fences.go
+++ b/internal/controller/used_fences.go
@@ -1,4 +1,5 @@
 // What this controller remembers of the leases that it has acted under.
+
 package controller
 
 import (
--- a/internal/dissemination/comparisons.go
+++ b/internal/dissemination/comparisons.go
@@ -1,5 +1,6 @@
 // Comparisons with controllers beside the tree: whom a router asks for its versions,
 // and when.
+
 package dissemination
 
 import "sync"
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -1,8 +1,23 @@
-// Publisher is the sending side of the tree: whoever subscribes names what it holds
-// and gets what it lacks, then every feed as it comes. What waits for one
-// subscriber is bounded in bytes; past that it is dropped whole, and the
-// subscriber, which sees the gap, names again what it holds and gets the
-// changes since, merged. Subscribers tell their loads up the same link.
+// Package dissemination distributes updates from the controllers to all routers along
+// a relay tree.
+//
+// A Publisher is the sending side of a node, a Subscriber its link to a parent, and
+// Parents the order in which a router tries its parents. ParentPolicy and RequestPacer
+// are the pure decisions of a subscriber, Comparisons those of a router that asks
+// other controllers beside the tree. What is in a feed is for the caller to say, by
+// the functions of Upstream and Subscriber; package statesync has the streams.
+//
+// A subscriber names what it holds and gets what it lacks, then every feed as it is
+// published. Feeds of one subscription arrive in order. What waits for a subscriber is
+// bounded in bytes; beyond that it is dropped, and the subscriber, which sees the gap,
+// names again what it holds and gets the changes since, merged. Loads travel up the
+// same connection and are acknowledged by sequence number. A parent that is silent, or
+// that says it is cut off from the core, is left for the next one.
+//
+// A mutex in Publisher guards the set of subscribers, one in each subscriber what
+// waits for it; one goroutine for each subscriber writes to its connection, and one at
+// most makes up what it lacks. A Subscriber belongs to the goroutine of Listen; its
+// callbacks run on the goroutine that serves the connection.
 package dissemination
 
 import (
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -2,6 +2,7 @@
 // first of the wanted parents that answers, and moves when the wanted parent
 // changes, the link ends, the parent falls silent, or the parent says that the
 // core is out of its reach.
+
 package dissemination
 
 import (
--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -1,4 +1,5 @@
 // The tree: which nodes a router takes its updates from.
+
 package dissemination
 
 import (
--- a/internal/lease/contact.go
+++ b/internal/lease/contact.go
@@ -10,6 +10,7 @@
 // MayAnswer passes at t, so does Holds, and the work behind the answer began after
 // t-ContactUs: with a read or change by a majority as that work, the answer lacks
 // nothing that was committed before t-ContactUs.
+
 package lease
 
 // ContactUs is how long a majority's word counts. Round trips start every 500 ms
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,18 @@
-// Package lease is the rules of duties: who may hold one, when a holder may
-// act, and when another may take over. A claim and its fence lie in a register,
-// so two holders never share a fence; the waits here keep holders from acting
-// within the claim time of one another. It is pure: time comes in as arguments.
+// Package lease has the rules of leases on singleton roles: when a holder may act
+// (Lease), when another controller may take over (Takeover), and whether a controller
+// has contact with a majority (Contact).
+//
+// The lease itself, holder and fencing token, is a value in a consensus register, so
+// that no two holders ever share a token. The caller reads and replaces it there and
+// reports the outcomes. A holder acts for Times.ActUs after a question that a majority
+// has answered was sent; a successor waits until Times.LeaseUs and all that may still
+// be under way have passed. So the actions of two holders are at least LeaseUs apart,
+// as long as monotonic clocks run at nearly the same rate. Contact guarantees that
+// where it holds, a majority has answered a question that was sent less than ContactUs
+// ago.
+//
+// Everything here is pure: times are microseconds of the caller's monotonic clock,
+// given as arguments. No type is safe for concurrent use.
 package lease
 
 // Times of a claim, in microseconds.
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop holds the select loops that the roles share: something done
-// again and again, and a pause that ends with its context.
+// Package loop has the loops that the roles share: periodic work, and a pause that
+// ends with its context. Both run on the caller's goroutine.
 package loop
 
 import (
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -1,8 +1,16 @@
-// Package prefixindex is the index of kept prompts: which runner keeps which parts,
-// under which salt and model. It is fed by the runners' own events, by lists
-// after a gap, and by what this node saw come of its requests. It may be wrong
-// at any time, which costs time and never a rule, since salts keep tenants and
-// weight versions apart.
+// Package prefixindex is the index of cached prefixes: which runner has which blocks
+// of which prompts in its cache.
+//
+// A block is found by a key of salt, model and block id (Key). Salts keep tenants,
+// regimes and weights versions apart, so a wrong entry costs time and never breaks
+// isolation. The index is fed by the cache events of the runners and lists after a gap
+// (Shelf, Hear), and by what this node expects of its own requests (Expect, Put,
+// Forget). Since gives what another node lacks.
+//
+// The index may be wrong at any time: a runner evicts blocks before its event arrives.
+// An Index is not safe for concurrent use; the router guards its own with the mutex of
+// the admitter, the controller with a mutex beside it. The package starts no
+// goroutine.
 package prefixindex
 
 import (
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,13 +1,29 @@
-// Package registry knows the runners. It merges what is told about them, by id
-// and rising sequence, in whatever order it comes: nothing here has to be
-// agreed on, and what is lost is told again by the runners within a heartbeat.
+// Package registry keeps the list of runners. It merges their records, by id and
+// rising sequence, in whatever order they arrive: nothing here needs consensus, and
+// what is lost is sent again with the next heartbeat.
 //
-// Two kinds of knowledge are kept apart. Facts hold wherever they are heard: a
-// runner's own words, its leaving, its weights, bars by their version. Beliefs
-// (stale, lost) are conclusions of one observer from silence; they are drawn by
-// Sweep alone, never merged from another controller, and end with the next
-// heartbeat. Before them the other controllers are asked for later heartbeats.
-// Readers take an immutable snapshot.
+// # Facts and beliefs
+//
+// Facts hold wherever they are received: what a runner reports of itself, its leaving,
+// its weights, its cordon by version. Beliefs (stale, lost) are conclusions of one
+// observer from silence. Sweep alone draws them; Merge ignores those of other
+// controllers, and the next heartbeat ends them. Before a silent runner becomes stale
+// the other controllers are asked for later heartbeats (SilentRunners,
+// LaterHeartbeats, ApplyLaterHeartbeats). Mirror takes a record as it stands, facts
+// and beliefs, from the node that is followed.
+//
+// # What it guarantees
+//
+// Where all heartbeats and records get through in the end, in any order and any number
+// of times, all registries hold the same facts. A runner that left does not come back
+// under its id for as long as it is remembered. Silence counts only while the caller is in contact with the core, and
+// a step of the clock counts for a second at most.
+//
+// # Who owns which state
+//
+// A mutex guards the entries. Readers take an immutable Snapshot by an atomic pointer
+// without the lock. Times are microseconds of the caller's monotonic clock. The
+// package starts no goroutine.
 package registry
 
 import (
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,20 +1,32 @@
-// Package rollout brings the runners of a model to the weights that were named
-// for it. It is pure: time and everything that is known come in as arguments,
-// and what is to be done comes out as values.
+// Package rollout brings the runners of a model to the weights version that was named
+// for it, before the bound after which nothing may begin on older weights.
 //
-// Plan says, for one model, which runners get no more long requests (drain), none
-// at all (cordon), an order, or a question for their report (poll). Shard is the
-// duty of a lease holder for all models of one register: when to acquire the
-// lease, when to have it confirmed, and the plans under it.
+// # What it is given and what it returns
 //
-// The guarantee of a plan: if its caller may send orders, an order for the newest
-// weights has gone out to every runner before the moment from which nothing may
-// begin on its older weights. Under method hold a runner that was ordered begins
-// nothing more on its old weights, so that moment is the only one that counts;
-// how long the runs at the runner take to end, or the load, does not. The plan is
-// made backwards from it: ordinarily a third of the runners is out at once and the
-// next one waits for another to be back; a runner whose turn has come by the
-// schedule is ordered whoever is out.
+// Plan is the plan for one model. Given its runners and named versions, Plan.Step
+// returns which runners are drained of long requests, cordoned, sent an order, or
+// polled for their report. Shard is one controller's part in the singleton role for
+// all models of one register: given a View, Shard.Step returns when to acquire the
+// lease, when to have it confirmed by a majority, and the actions of the plans under
+// it. The caller carries them out and reports the outcomes (Acquired, Confirmed,
+// Answered, Reported, NotReported).
+//
+// # What it guarantees
+//
+// If its caller may send orders, an order for the newest weights has gone out to every
+// runner before the bound. Under method hold a runner that was ordered begins nothing
+// more on its old weights, so that the time of the order is the only one that counts;
+// how long its running requests or the loading of the weights take does not. The plan
+// is made backwards from the bound: ordinarily a third of the runners is out at once
+// and the next one waits until another is back; a runner whose turn has come by the
+// schedule is ordered whoever else is out. Orders carry the fencing token of the lease
+// and are returned only while the lease allows its holder to act.
+//
+// # Who owns which state
+//
+// Everything here is pure: times are microseconds of the caller's monotonic clock,
+// given as arguments. No type is safe for concurrent use; controller.rolloutManager
+// guards its shards with a mutex.
 package rollout
 
 import (
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -1,7 +1,18 @@
-// Package routeconfig is the operator's configuration: read, checked and compiled to
-// a table that the request path uses without locks. This file reads and checks;
-// struct tags say what a field must be, and what concerns several fields at
-// once is checked by hand.
+// Package routeconfig is the operator's configuration: checked, replaced by
+// compare-and-set, replicated, and compiled for the request path.
+//
+// Parse reads and checks a configuration; its errors are of type Invalid and name the
+// field. Order decides what becomes of a configuration that is sent on top of a
+// version: accepted, accepted before (ErrTakenBefore), overtaken (ErrOvertaken),
+// invalid, or undecided. It is applied inside a round of the register, so its decision
+// holds for the committed state. Entries splits a configuration into texts by route,
+// service and tenant, so that a change carries only what differs, and an Assembly puts
+// it together again. Replica is the configuration of one node; the version in force
+// never goes back. Table is the compiled configuration.
+//
+// A Table is immutable: a request uses the one that it began with, without a lock.
+// Replica and Assembly are not safe for concurrent use; router and controller guard
+// theirs with a mutex. The package does no I/O and starts no goroutine.
 package routeconfig
 
 import (
--- a/internal/routeconfig/entries.go
+++ b/internal/routeconfig/entries.go
@@ -2,6 +2,7 @@
 // which is how it travels between nodes: a change carries only what differs.
 // An Assembly puts a configuration together again, reading only the entries
 // that changed.
+
 package routeconfig
 
 import (
--- a/internal/routeconfig/replace.go
+++ b/internal/routeconfig/replace.go
@@ -2,6 +2,7 @@
 // top of a version: taken, taken before, overtaken, invalid, or not to be told
 // yet. It is pure; the registers call it inside a round, so its answer holds for
 // the committed state.
+
 package routeconfig
 
 import (
--- a/internal/routeconfig/replica.go
+++ b/internal/routeconfig/replica.go
@@ -2,6 +2,7 @@
 // configuration put together from them and the table made of that. Controllers
 // commit versions to theirs, routers apply the changes they are sent. Both pass
 // on what others lack. The version in force never goes back.
+
 package routeconfig
 
 import (
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -1,5 +1,6 @@
 // Table is a configuration compiled for the request path. It is never changed:
 // a new version makes a new table, and readers hold on to the one they took.
+
 package routeconfig
 
 import (
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -2,6 +2,7 @@
 // and what may follow when an attempt fails. A further attempt goes out only where the
 // runner said that it has not run the request, where nothing was sent, or where
 // the request may be repeated; and only within tries, budget and time.
+
 package router
 
 import (
--- a/internal/router/client_watch.go
+++ b/internal/router/client_watch.go
@@ -3,6 +3,7 @@
 // runner that works on it is closed, since runners drop a request with its
 // connection. The close is seen without reading from the client's connection, so
 // that a request which is pipelined behind this one stays where it is.
+
 package router
 
 import (
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -2,6 +2,7 @@
 // its parent for their versions, in turn. What it lacks reaches it through its
 // parent; this covers a parent that is on the wrong side of a cut, or slow, and
 // does not know it.
+
 package router
 
 import (
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -1,4 +1,5 @@
 // Condition is what a router tells the doctor of itself.
+
 package router
 
 import (
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -1,6 +1,7 @@
 // The feed: what reaches a router down the tree, taken in as changes. Whatever
 // does not fit what is held is asked for again, by naming what is held; nothing
 // is ever guessed, and no version goes back.
+
 package router
 
 import (
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -1,5 +1,6 @@
 // The front: hertz takes the clients' requests, this file checks them, cheapest
 // check first, and hands the proper ones to the attempts.
+
 package router
 
 import (
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -1,5 +1,6 @@
 // What happens to each header is a list of rules, one for heads of requests
 // and one for those of answers. Headers without a rule are passed along.
+
 package router
 
 import (
--- a/internal/router/leave.go
+++ b/internal/router/leave.go
@@ -2,6 +2,7 @@
 // the platform has noticed, let every answer end its connection. Then take no
 // more connections, close those on which no request has begun, and go when the
 // last answer has ended or the time of grace is nearly over.
+
 package router
 
 import "time"
--- a/internal/router/listener.go
+++ b/internal/router/listener.go
@@ -2,6 +2,7 @@
 // request once it has begun, and to be idle between two. hertz's standard
 // transport has no such bounds of its own. A request that comes too slowly gets
 // 408, since it has not been read.
+
 package router
 
 import (
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -1,6 +1,7 @@
 // Loads: what this node and those below it have at the runners goes up the tree
 // as changes; the sum over all nodes comes down. The parent says which of the
 // words told to it the sum holds, so that a node can take its own out exactly.
+
 package router
 
 import (
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -2,6 +2,7 @@
 // (package admission says how); its idle connections are closed, and probes look
 // whether it is there after all, so that an answer that meant something else
 // takes no runner away for good.
+
 package router
 
 import (
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -4,6 +4,7 @@
 // the old one is closed before anything is sent, so that one runner at a time
 // answers and the client sees one answer. A stream that may not be resumed ends
 // where it runs; the next request of its session goes to the new home.
+
 package router
 
 import (
--- a/internal/router/recheck.go
+++ b/internal/router/recheck.go
@@ -1,6 +1,7 @@
 // Before a proper request is rejected because its route or key is unknown, the
 // router makes sure that its configuration is the newest. A request that it can't
 // make sure about is put off instead.
+
 package router
 
 import (
--- a/internal/router/request_head.go
+++ b/internal/router/request_head.go
@@ -1,4 +1,5 @@
 // The head of an attempt, made from the client's by the rules for headers.
+
 package router
 
 import (
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -1,5 +1,6 @@
 // What comes back from a runner goes on to the client: whole where its length is
 // known, event by event where it is a stream.
+
 package router
 
 import (
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,49 @@
-// Package router is the role that carries the traffic: it takes the clients'
-// requests, asks the admission control, sends attempts to runners and streams what comes
-// back. It keeps nothing on disk; configuration and runners reach it as news.
+// Package router is the role that serves clients: it takes their requests, asks
+// package admission for a runner, sends attempts to runners and streams the responses
+// back.
+//
+// # What it is given and what it guarantees
+//
+// New takes the settings, a pool of goroutines, a monotonic clock in microseconds and
+// a logger. Configuration, runners, cached prefixes and loads arrive as feeds from a
+// parent (package dissemination). Nothing is kept on disk. Run serves until its
+// context ends and then shuts down gracefully.
+//
+//   - A request is sent to a second runner only if the first cannot have run it, or if
+//     its route is repeatable; always within the route's tries, the deadline and the
+//     retry budget.
+//   - A response that means "not executed" (408, 421, 429, 503) reaches the client
+//     only if no attempt can have run.
+//   - Nothing is sent after the request's deadline, nor to a runner whose weights are
+//     past the bound.
+//
+// # Concerns
+//
+// front.go checks a request, attempts.go makes its attempts, responses.go streams the
+// response, move.go resumes streams elsewhere, withdraw.go ends attempts,
+// client_watch.go notices clients that leave, feed.go applies feeds, loads.go reports
+// load, compare.go and recheck.go ask controllers beside the tree, missing.go probes
+// absent runners, leave.go shuts down.
+//
+// # Who owns which state
+//
+// Run starts a goroutine for each periodic task, for the subscription and for each
+// server. A request belongs to the goroutine of the HTTP server that serves its
+// connection; while it is queued that goroutine waits for its continuation in the
+// slab, which the goroutine of pump resumes.
+//
+//   - The compiled configuration is immutable and swapped by an atomic pointer; a
+//     request uses the one that it began with.
+//   - A first mutex guards what was received: the replica of the configuration, the
+//     parent's list of runners and the target versions by register.
+//   - A second one guards the admitter, with its prefix index, and the retry budgets.
+//   - A third one, inside loads, guards the loads of this node, of those below it and
+//     of all.
+//   - The registry, the connection pool, the slab, the attempts under way and the
+//     audit trail guard themselves.
+//
+// Where several of the first three are held they are taken in this order. None is held
+// while a runner or another node is called.
 package router
 
 import (
--- a/internal/router/targets.go
+++ b/internal/router/targets.go
@@ -1,5 +1,6 @@
 // Named weights: what this router hears of the versions that were named, of how
 // long ago that was, and of the controllers that say so.
+
 package router
 
 import "beechtide.org/beechtide/internal/messages"
--- a/internal/router/withdraw.go
+++ b/internal/router/withdraw.go
@@ -2,6 +2,7 @@
 // its runner, by closing the connection, when the weights there become too old
 // for it, and when the request's time is over. An attempt has begun once the head
 // of its answer is there. Whether one that was taken back ran is not known.
+
 package router
 
 import (
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -1,5 +1,6 @@
 // Checks of the registers while a history runs, and what is told to the
 // operators for the check of linearizability afterwards.
+
 package simulation
 
 import (
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,4 +1,5 @@
 // The cluster: controllers, their links and the operators who call them.
+
 package simulation
 
 import (
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -1,5 +1,6 @@
 // Coordinators: controllers as far as roll-outs are concerned. They drive the real
 // rollout.Shard as controller.rolloutManager does.
+
 package simulation
 
 import (
--- a/internal/simulation/disk/disk.go
+++ b/internal/simulation/disk/disk.go
@@ -1,11 +1,15 @@
-// Package disk is a folder in memory that loses power as the machines' disks do:
-// of a file's bytes only those before its last sync are sure; what was written
-// later is there, missing or torn; and each name that was made, renamed or
-// removed since the folder was last synced is kept or lost by itself. It can be
-// full, and it can stop after any number of further operations, as a process
-// that is killed or a machine that loses power in the middle of a write. It has
-// no clock: a slow or stalled disk is one whose operations the driver holds back
-// by OnOperation.
+// Package disk is a filesystem.FileSystem in memory that loses power as a real disk
+// does.
+//
+// Of a file's bytes only those before its last sync are sure; what was written later
+// is there, missing or torn. Each name that was created, renamed or removed since the
+// directory was last synced is kept or lost by itself. A disk can be full, and it can
+// stop after any number of further operations, as a process that is killed, or a
+// machine that loses power, in the middle of a write. What is kept and what is lost is
+// drawn from the seed given to New.
+//
+// It has no clock: a slow or stalled disk is one whose operations the caller delays by
+// OnOperation. The package starts no goroutine.
 package disk
 
 import (
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -2,6 +2,7 @@
 // every router. The real order of configurations, replica, tree, decisions of
 // subscribers and comparisons run; agreement between the controllers is taken as
 // given, as the model "registers" plays it. Any step of any process may take long.
+
 package simulation
 
 import (
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -1,4 +1,5 @@
 // The duty of rolling out weights: who holds it, and when that one acts.
+
 package simulation
 
 import (
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,5 +1,6 @@
 // Fleets: runners that beat at registrars, drain, leave, crash and come back at
 // the same address, while registrars are cut off, frozen and restarted.
+
 package simulation
 
 import (
--- a/internal/simulation/fleet_checks.go
+++ b/internal/simulation/fleet_checks.go
@@ -1,5 +1,6 @@
 // What a fleet has to hold: while registrars are cut apart, and after everything
 // has healed.
+
 package simulation
 
 // notePartition is called as links come and go.
--- a/internal/simulation/history/history.go
+++ b/internal/simulation/history/history.go
@@ -1,8 +1,13 @@
-// Package history records what operators asked of the control side and what
-// they were told, and judges it: the configuration register and the weights
-// named must look like one copy that does one thing at a time (linearizability,
-// decided by porcupine), and what was refused for good must never come into
-// force. It is pure; time is a count of events.
+// Package history records the calls of operators to the control plane with their
+// answers, and checks them.
+//
+// The register of the configuration and the named weights must be linearizable
+// (decided by porcupine), and an order that was refused for good must never come into
+// force. Time is a count of events: a call that returned before another began comes
+// before it.
+//
+// The package is pure and starts no goroutine. A History is not safe for concurrent
+// use.
 package history
 
 import (
--- a/internal/simulation/kernel.go
+++ b/internal/simulation/kernel.go
@@ -1,8 +1,16 @@
-// Package simulation plays histories of controllers, operators, runners, links,
-// disks and clocks in memory: one thread, virtual time, every choice drawn from
-// one seed. The actors drive the real state machines of the control side, so
-// that a fault of theirs shows as a broken check; the same seed plays the same
-// history again. Nothing here opens a socket, reads a clock or sleeps.
+// Package simulation plays histories of controllers, operators, runners, links, disks
+// and clocks in memory, with virtual time and every choice drawn from one seed.
+//
+// The actors drive the real state machines of the control plane (consensus, lease,
+// registry, rollout, routeconfig, dissemination), so that a fault in them shows as a
+// failed check; the same seed plays the same history again. Models lists what can be
+// played, Run plays a range of seeds, and a Result says what a history broke. What is
+// a stand-in, and so not tested here, is named in docs/design/simulation.md: the
+// transport, the drivers in package controller, and the routers' request path.
+//
+// A history has one goroutine, that of its Kernel, which runs one event after the
+// other and owns all of its state. Run plays several histories at a time, each with
+// state of its own. Nothing here opens a socket, reads a clock or sleeps.
 package simulation
 
 import (
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,5 +1,6 @@
 // The network: one link for each ordered pair, with delay, loss, doubling and
 // cuts; delays that differ reorder what is sent.
+
 package simulation
 
 // Link is the way from one address to another.
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -1,6 +1,7 @@
 // Operators: they replace the configuration on top of what they last read, at
 // times under numbers that others use too, read it back and name weights. Who
 // gets no answer repeats the same call at another controller.
+
 package simulation
 
 import (
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -1,4 +1,5 @@
 // Play runs one history from a seed and says what it broke.
+
 package simulation
 
 import (
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -1,5 +1,6 @@
 // Processes: up, down or frozen, each with a monotonic clock of its own and a
 // time of day that steps.
+
 package simulation
 
 // Process is one run of a program after another at the same place. What was
--- a/internal/simulation/proposer.go
+++ b/internal/simulation/proposer.go
@@ -1,5 +1,6 @@
 // Proposers: consensus.Attempt, Round and Reading, driven by events as
 // consensus.Registers drives them by goroutines.
+
 package simulation
 
 import (
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -1,6 +1,7 @@
 // Registrars: controllers as far as runners are concerned. Each has a registry,
 // tells the others what it is the first to know as a stream of changes, and
 // draws its own conclusions from silence.
+
 package simulation
 
 import (
--- a/internal/simulation/repairs.go
+++ b/internal/simulation/repairs.go
@@ -1,5 +1,6 @@
 // Repairs of the groups: consensus.RepairCoordinator of each register, driven as
 // the controllers drive it.
+
 package simulation
 
 import (
--- a/internal/simulation/rollout_checks.go
+++ b/internal/simulation/rollout_checks.go
@@ -1,4 +1,5 @@
 // Checks of roll-outs, as the runners and the operator see them.
+
 package simulation
 
 // rolloutChecks keeps what has been seen.
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -2,6 +2,7 @@
 // replaced, and any step of a process may be late. The real rollout.Shard,
 // lease.Contact and registry.Registry run; the register of the lease is a model of
 // one (the model "registers" plays the real ones), as are the routers.
+
 package simulation
 
 import (
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -1,4 +1,5 @@
 // Run plays many seeds, several at a time.
+
 package simulation
 
 import "sync"
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,4 +1,5 @@
 // Scenarios: which faults come when, drawn from the seed.
+
 package simulation
 
 // A history has a calm start, in which every register takes its first value,
--- a/internal/simulation/storage.go
+++ b/internal/simulation/storage.go
@@ -1,5 +1,6 @@
 // Disks: what is durable, what is only visible, stalls, full disks, loss of
 // power and loss of the whole disk.
+
 package simulation
 
 import "github.com/pkg/errors"
--- a/internal/statesync/entries.go
+++ b/internal/statesync/entries.go
@@ -1,5 +1,6 @@
 // Entries are streams of texts by key: the configuration by route, service and
 // tenant, and the runners by id.
+
 package statesync
 
 import "beechtide.org/beechtide/internal/messages"
--- a/internal/statesync/loads.go
+++ b/internal/statesync/loads.go
@@ -1,6 +1,7 @@
 // Loads are what requests have at runners, as a stream by runner. A Sum adds up
 // the streams of several tellers, so that a node up the tree can pass on one
 // stream for all below it.
+
 package statesync
 
 import "beechtide.org/beechtide/internal/messages"
--- a/internal/statesync/stream.go
+++ b/internal/statesync/stream.go
@@ -1,10 +1,20 @@
-// Package statesync is how replicated state travels between nodes: as changes,
-// not wholes. A Stream is a keyed state with an epoch, a version and a digest.
-// A change names the version it builds on and the digest of the result. A
-// receiver takes it only onto exactly that version and only if the digest comes
-// out; else it names what it holds, and gets the changes since, merged, or the
-// whole where the epoch differs or the sender's log does not reach back so far.
-// Everything here is pure.
+// Package statesync replicates keyed state between nodes as deltas.
+//
+// A Stream is a keyed state with an epoch, a version and a digest. A Change names the
+// version that it builds on and the digest of the result. Apply takes it only onto
+// exactly that version and only if the digest matches; otherwise the state stays
+// as it was, and the receiver asks again by naming what it holds (Holds). Since answers with the
+// merged changes, or with a snapshot where the epoch differs or the sender's log does
+// not reach back so far. Applying a change twice does nothing, and no version goes
+// back within an epoch.
+//
+// Entries and Loads are the streams in use, a Sum adds up the load streams of several
+// nodes. Transfer and Server carry a large encoded value in chunks, so that progress
+// counts and not the time of the whole.
+//
+// Everything here is pure: time is an argument, nothing is sent and no goroutine is
+// started. No type is safe for concurrent use; the owner of a stream guards it with a
+// mutex.
 package statesync
 
 // Result is what became of a change.
--- a/internal/statesync/transfer.go
+++ b/internal/statesync/transfer.go
@@ -4,6 +4,7 @@
 // another sender of the same version goes on from there. The sender keeps the
 // versions that are being fetched, so that a transfer which newer versions
 // overtake still ends; the receiver then takes the newest.
+
 package statesync
 
 import "hash/crc32"
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,11 +1,16 @@
-// Package targets holds, for every model, the versions of its weights that were
-// named lately and the moment at which each was acknowledged. A version may be
-// named before the last one is everywhere, and each has its own term: weights are
-// judged by the earliest acknowledged version that is newer. The moment is passed between nodes as an age, because only monotonic clocks decide and those
-// of two nodes have nothing in common; every node turns the age into a moment of
-// its own clock. An age only grows on its way, so of two ages the greater is the
-// better one, and what arrives late never puts the moment off. Pure: time is an
-// argument.
+// Package targets records, for every model, the lately named versions of its weights
+// and how long ago each was acknowledged.
+//
+// A version may be named before the one before it is in use everywhere; each has a
+// bound of its own, so weights are judged by the earliest acknowledged version that is
+// newer (Table.OutdatedUs). The moment of an acknowledgement travels between nodes as
+// an age, because monotonic clocks of two machines have nothing in common; every node
+// turns an age into a moment of its own clock. An age only grows on its way, so of two
+// ages the greater is the better one, and a late message never puts a bound off. An
+// age that nobody knows counts as past every bound.
+//
+// Everything here is pure: times are microseconds of the caller's monotonic clock,
+// given as arguments. A Table is not safe for concurrent use.
 package targets
 
 import (
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -2,6 +2,7 @@
 // spends from the requests it took itself, and from its share of the slack by
 // the number of routers it knows, with a margin for windows that slide and
 // for nodes that start anew.
+
 package upstream
 
 // Budget is not safe for concurrent use.
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -1,5 +1,6 @@
 // Small calls to runners: reports, kept parts, orders and probes. Each is sent
 // once and never again by itself.
+
 package upstream
 
 import (
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,7 +1,22 @@
-// Package upstream carries attempts to runners. This file is the Conn: one connection
-// to a runner, read through a small buffer with hertz's HTTP/1 reader, never
-// retried by itself, and looked at before it is used again, so that a conn the
-// runner has closed or sent surplus bytes on is not taken for a good one.
+// Package upstream carries requests to runners over HTTP/1.1.
+//
+// ConnPool keeps idle connections to runners. A Conn is one connection: Send writes a
+// request and says whether any byte may have reached the runner, Head and HeadFor read
+// the head of the response, HeadFor only one with the attempt id of the request.
+// Events cuts a stream into whole events. ConnPool.Ask and Probe make small calls
+// (reports, cache events, orders, probes). Budget bounds retries.
+//
+//   - Nothing is retried here: a request is written once, and the caller decides what
+//     follows from the error.
+//   - A connection is used again only after a whole response with nothing behind it,
+//     and is checked again before use, so that one that the runner has closed, or has
+//     sent surplus bytes on, is not used.
+//   - A response is accepted only if its head is well-formed and says where the body
+//     ends.
+//
+// ConnPool has a mutex and is safe for concurrent use. A Conn belongs to the goroutine
+// that got it, except for Interrupt and Close. Events and Budget are not safe for
+// concurrent use. The package starts no goroutine.
 package upstream
 
 import (
--- a/internal/upstream/conn_pool.go
+++ b/internal/upstream/conn_pool.go
@@ -1,4 +1,5 @@
 // ConnPool keeps the idle conns to runners and bounds how many there are to each.
+
 package upstream
 
 import (
