--- a/internal/admission/absent.go
+++ b/internal/admission/absent.go
@@ -1,12 +1,12 @@
-// Absent runners. An instance that answers 421 at its address is not there: it
-// has ended, and the address is another's now. It leaves the choice at the first
-// such answer, because it would look the freest of all for as long as it is
-// listed. It comes back by a newer registration (higher sequence, or another
-// address), or when a probe finds it there. A 421 may also mean that the
-// runner's weights have another version than the request expected; the two are
-// told apart by a probe, and until then only a part of a service's runners may
-// be out at once, so that a storm of such answers empties no service.
-// What is sure is told to others as a hint.
+// Absent runners. An instance that answers 421 at its address is not there: it has
+// ended, and the address belongs to another one now. It leaves the candidates at the
+// first such response, because it would look the least loaded of all for as long as it
+// is listed. It comes back by a newer registration (higher sequence, or another
+// address), or when a probe finds it there. A 421 may also mean that the runner's
+// weights have another version than the request expected; a probe tells the two apart,
+// and until then only a part of a service's runners may be out at once, so that many
+// such responses do not empty a service. A confirmed absence is reported to other
+// nodes as a hint.
 
 package admission
 
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,8 @@
-// Admitter holds all of admission's state of one node. Checks run cheapest
-// first; load is counted in blocks of runner memory, output blocks included,
-// and in prompt tokens waiting to be read; a runner past a threshold gets no
-// new request; what cannot go now waits within caps and a time to live, or is
-// rejected at once with a time to come back.
+// The Admitter and its decision on a new request. Checks run cheapest first. Load is
+// counted in blocks of runner memory, output blocks included, and in prompt tokens
+// that wait for prefill; a runner past a threshold gets no new request; what cannot be
+// admitted now is queued within caps and a time to live, or rejected at once with a
+// time after which to retry.
 
 package admission
 
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -1,4 +1,4 @@
-// Places at runners: a request is admitted, its first token comes, it is done.
+// Capacity at runners: a request is admitted, its first token comes, it is done.
 
 package admission
 
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -1,5 +1,5 @@
-// Candidates: the runners that admission still counts for a request, and from
-// where each could take kept parts of its prompt.
+// Candidates: the runners that may get a request now, and from which other runner or
+// store each could transfer cached blocks of its prompt.
 
 package admission
 
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -1,8 +1,9 @@
-// Health is what outcomes say of a runner, whatever its health answer says. A
-// runner that fails far more of its requests than the others leaves the
-// candidates for a while, longer each time, and comes back by few requests. The
-// outcomes are this node's own; those of the other nodes are a hint, which
-// counts half. Its registry entry stays, and it is used where no other is left.
+// Outlier detection: what the outcomes of requests say of a runner, whatever its
+// health endpoint says. A runner that fails far more of its requests than the others
+// is ejected from the candidates for a while, longer each time, and comes back with
+// few requests at first. The outcomes are this node's own; those of the other nodes
+// are a hint, which counts half. An ejected runner stays in the registry and is used
+// where no other is left.
 
 package admission
 
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -1,4 +1,4 @@
-// Loads: what runners report, and what other nodes have at each runner.
+// Loads: what runners report, and what other nodes have in flight at each runner.
 
 package admission
 
--- a/internal/admission/runner.go
+++ b/internal/admission/runner.go
@@ -1,6 +1,6 @@
-// Runner is what the admission control knows of one runner: what this node has there,
-// what the others say they have there, what the runner itself reported, how
-// fast it reads, and whether its links hold.
+// The state that admission keeps for one runner: what this node has in flight there,
+// what the other nodes say they have, what the runner itself reported, its prefill
+// rate, and its health.
 
 package admission
 
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -1,8 +1,8 @@
-// A session is the chain of requests of one tenant and model that share their
-// prompt parts up to the last. A zone that relinquishes its sessions is left by
-// them one after the other, over a time that the operator gives; each goes to a
-// home that all nodes work out alike, and stays there. There is no entry a
-// session anywhere.
+// A session is the chain of requests of one tenant and model that share the blocks of
+// their prompts up to the last. The sessions of a zone that is relinquished leave it
+// one after the other, over a time that the operator gives; each goes to a new home
+// zone that all nodes compute alike, and stays there. No node keeps an entry for a
+// session.
 
 package admission
 
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -1,6 +1,6 @@
 // Bound on old weights: from some time before a named version has to be in use
-// everywhere, nothing is sent to runners with older weights, and what was sent
-// there and has not begun is taken back.
+// everywhere, nothing is sent to runners with older weights, and attempts that were
+// sent there and have not begun are withdrawn.
 
 package admission
 
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -1,4 +1,5 @@
-// Windows: how many requests of a tenant are admitted, by AIMD, and its rate.
+// Windows: how many requests of a tenant are admitted at once, adjusted by AIMD, and
+// the tenant's rate limit.
 
 package admission
 
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -1,6 +1,6 @@
-// Unfinished rounds: a member has accepted a value and hears no more of it. The
-// round may have been won, and its proposer have acknowledged the change, before
-// the proposer ended, froze or was cut off.
+// Unfinished rounds: a member has accepted a value and receives nothing more about it.
+// The value may have been committed, and its proposer have acknowledged the change,
+// before the proposer ended, froze or was cut off.
 
 package consensus
 
--- a/internal/controller/calm.go
+++ b/internal/controller/calm.go
@@ -1,6 +1,6 @@
-// Calm tells for how long the core has been as it is now, as this controller sees
-// it: who is alive, and whom it reaches itself. A cut between controllers is not
-// seen by probes that go round it through routers, so direct calls count.
+// For how long the core has been stable, as this controller sees it: who is alive, and
+// whom it reaches itself. Probes go round a partition between two controllers by way
+// of routers and do not see it, so direct calls count as well.
 
 package controller
 
--- a/internal/controller/condition.go
+++ b/internal/controller/condition.go
@@ -1,4 +1,4 @@
-// Condition is what a controller tells the doctor of itself.
+// What a controller reports of itself to the doctor.
 
 package controller
 
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -1,6 +1,6 @@
-// The lease of contact with a majority of the configuration's group (package
-// lease), as this controller holds it, and where it is checked: the calls whose
-// answers others rely on pass through inContactOnly.
+// The lease of contact with a majority of the configuration's group (package lease),
+// as this controller holds it, and where it is checked: calls whose answers others
+// rely on pass through inContactOnly.
 
 package controller
 
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -1,7 +1,8 @@
-// A runner that says it is draining, or leaves, counts on it: what reaches it much
-// later breaks off. So the acknowledgement waits for the other controllers, each
-// of which tells the routers below it: for a majority of the group in any case,
-// which the rest hear it from, and for all that are in reach if they are quick.
+// Replication of draining and leaving. A runner whose draining or leaving was
+// acknowledged relies on it: requests that reach it much later fail. So the
+// acknowledgement waits for the other controllers, each of which notifies the routers
+// below it: for a majority of the group in any case, from which the rest learn it, and
+// for all that are reachable if they are quick.
 
 package controller
 
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -1,7 +1,6 @@
-// The feed is what a controller sends: to the routers all that it knows, to the
-// other controllers what it is the first to know. What comes between two sendings
-// is put together. Everything goes as changes; a receiver that lacks something
-// names what it holds.
+// The feed is what a controller sends: to the routers all that it knows, to the other
+// controllers what it is the first to know. Changes between two feeds are merged.
+// Everything is sent as deltas; a receiver that lacks something names what it holds.
 
 package controller
 
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -1,7 +1,7 @@
-// Readers follow what runners keep and report: one controller reads one runner,
-// chosen by rendezvous hashing among the live controllers of the runner's zone,
-// and tells the rest. Kept parts come as events; the list is fetched only after
-// a gap, since it holds up the runner.
+// Readers follow the cache events and reports of runners: one controller reads one
+// runner, chosen by rendezvous hashing among the live controllers of the runner's
+// zone, and sends the others what it has read. Cached blocks come as events; the full
+// list is fetched only after a gap, since it delays the runner.
 
 package controller
 
--- a/internal/controller/recall.go
+++ b/internal/controller/recall.go
@@ -1,8 +1,7 @@
-// The list of runners is kept on disk so that after a loss of power all of them
-// are known at once, and not just the first few that beat again, which would
-// get everybody's requests. It is a help only: what it says is corrected by the
-// beats, a runner that is gone turns stale, and one whose address is another's
-// by now answers 421.
+// A copy of the registry on disk, so that after a loss of power all runners are known
+// at once, and not just the first few that send heartbeats again, which would get all
+// requests. It is a hint only: heartbeats correct it, a runner that is gone becomes
+// stale, and one whose address belongs to another by now answers 421.
 
 package controller
 
--- a/internal/controller/repair.go
+++ b/internal/controller/repair.go
@@ -1,6 +1,7 @@
-// Repair drives the repair coordinators: it shows them what this controller sees,
-// asks members to confirm what they hold, and carries proposals through a round.
-// It also hands the registers over when the process is told to end.
+// The driver of the repair coordinators (consensus.RepairCoordinator): it gives them
+// what this controller sees, asks members to confirm what they have on disk, and
+// carries proposals through a round. It also hands over this member's place in the
+// groups when the process is told to end.
 
 package controller
 
--- a/internal/controller/rollout_calls.go
+++ b/internal/controller/rollout_calls.go
@@ -1,4 +1,4 @@
-// The calls of a roll-out to runners: orders and reports.
+// The calls of a roll-out to runners: orders, and requests for their reports.
 
 package controller
 
--- a/internal/controller/rollout_candidates.go
+++ b/internal/controller/rollout_candidates.go
@@ -1,4 +1,4 @@
-// Who may take the lease of a roll-out over, and in which order.
+// Which controllers may take over the lease of a roll-out, and in which order.
 
 package controller
 
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -1,6 +1,6 @@
-// Rollouts drive the duty of bringing runners to named weights: package rollout
-// decides, and what it asks for is done here. Each model belongs to one register
-// by its name alone, so that it has one holder and one sequence of fences.
+// The driver of the roll-outs: package rollout decides, and its actions are carried
+// out here. Each model belongs to one register by its name alone, so that it has one
+// lease holder and one sequence of fencing tokens.
 
 package controller
 
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -1,4 +1,5 @@
-// Subscriptions: what this controller takes from the others, and passes down.
+// Subscriptions to the other controllers: what this controller receives from them, and
+// passes down to its routers.
 
 package controller
 
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -1,8 +1,8 @@
-// Named weights: this controller's record of how long ago the newest version of
-// each model's weights was acknowledged. The register says which version that is
-// and is durable; the moment is not, since no clock is shared between two lives of
-// a process. It is therefore told to the other controllers and to all routers,
-// and a controller that restarts learns it from any of them.
+// Target weights versions: this controller's record of how long ago the versions of
+// each model's weights were acknowledged. The register has the versions and is
+// durable; the moment is not, since no monotonic clock outlives a process. It is
+// therefore sent to the other controllers and to all routers, and a controller that
+// restarts learns it from any of them.
 
 package controller
 
--- a/internal/controller/unfinished.go
+++ b/internal/controller/unfinished.go
@@ -1,7 +1,7 @@
 // Rounds that were left unfinished are brought to their end. A controller that
-// acknowledges a change and then ends may not have told anybody that it was
-// chosen; the others have accepted it and would learn of it with the next change
-// only.
+// acknowledges a change and then ends may not have told any other member that it was
+// committed; the others have accepted it and would learn of it only with the next
+// change.
 
 package controller
 
--- a/internal/controller/used_fences.go
+++ b/internal/controller/used_fences.go
@@ -1,4 +1,4 @@
-// What this controller remembers of the leases that it has acted under.
+// The fencing tokens under which this controller has sent orders.
 
 package controller
 
--- a/internal/dissemination/policy.go
+++ b/internal/dissemination/policy.go
@@ -1,5 +1,5 @@
-// The decisions of a subscriber, apart from its sockets: which parent comes first,
-// when one is left, and when something is asked for again. Times are whole
+// The decisions of a subscriber, apart from its sockets: which parent is tried first,
+// when one is left, and when missing state is requested again. Times are whole
 // microseconds of a monotonic clock that starts above 0.
 
 package dissemination
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -1,7 +1,7 @@
-// Listen is the receiving side of the tree: it keeps one subscription, to the
-// first of the wanted parents that answers, and moves when the wanted parent
-// changes, the link ends, the parent falls silent, or the parent says that the
-// core is out of its reach.
+// Subscriber is the receiving side of the tree: it keeps one subscription, to the
+// first of the wanted parents that answers, and moves when the wanted parent changes,
+// the connection ends, the parent falls silent, or the parent says that it is cut off
+// from the core.
 
 package dissemination
 
--- a/internal/routeconfig/entries.go
+++ b/internal/routeconfig/entries.go
@@ -1,7 +1,6 @@
-// Entries cut a configuration into texts by route, service, tenant and so on,
-// which is how it travels between nodes: a change carries only what differs.
-// An Assembly puts a configuration together again, reading only the entries
-// that changed.
+// Entries split a configuration into texts by route, service, tenant and so on, which
+// is how it travels between nodes: a change carries only what differs. An Assembly
+// puts a configuration together again and parses only the entries that changed.
 
 package routeconfig
 
--- a/internal/routeconfig/replace.go
+++ b/internal/routeconfig/replace.go
@@ -1,7 +1,7 @@
-// Replace decides what becomes of a configuration that the operator sends on
-// top of a version: taken, taken before, overtaken, invalid, or not to be told
-// yet. It is pure; the registers call it inside a round, so its answer holds for
-// the committed state.
+// Order decides what becomes of a configuration that the operator sends on top of a
+// version: accepted, accepted before, overtaken, invalid, or undecided. It is pure; it
+// is applied inside a round of the register, so its answer holds for the committed
+// state.
 
 package routeconfig
 
--- a/internal/routeconfig/replica.go
+++ b/internal/routeconfig/replica.go
@@ -1,7 +1,7 @@
-// Replica is the configuration as one node holds it: a stream of entries, the
-// configuration put together from them and the table made of that. Controllers
-// commit versions to theirs, routers apply the changes they are sent. Both pass
-// on what others lack. The version in force never goes back.
+// Replica is the configuration of one node: a stream of entries, the configuration
+// assembled from them, and the table compiled from that. Controllers commit versions
+// to theirs, routers apply the changes that they receive. Both send others what they
+// lack. The version in force never goes back.
 
 package routeconfig
 
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -1,5 +1,5 @@
-// Table is a configuration compiled for the request path. It is never changed:
-// a new version makes a new table, and readers hold on to the one they took.
+// Table is a configuration compiled for the request path. It is immutable: a new
+// version makes a new table, and readers keep the one that they took.
 
 package routeconfig
 
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -1,7 +1,7 @@
-// The attempts of a request: the admission control's ruling, a link, the head, the stream,
-// and what may follow when an attempt fails. A further attempt goes out only where the
-// runner said that it has not run the request, where nothing was sent, or where
-// the request may be repeated; and only within tries, budget and time.
+// The attempts of a request: the decision of admission, a connection, the head, the
+// stream, and what may follow when an attempt fails. Another attempt is made only
+// where the runner said that it has not run the request, where nothing was sent, or
+// where the route is repeatable; and only within tries, budget and time.
 
 package router
 
--- a/internal/router/client_watch.go
+++ b/internal/router/client_watch.go
@@ -1,8 +1,8 @@
-// Clients that leave. A client that closes its connection wants no answer any more:
-// its request leaves the queue, is sent to no runner, and the connection to the
-// runner that works on it is closed, since runners drop a request with its
-// connection. The close is seen without reading from the client's connection, so
-// that a request which is pipelined behind this one stays where it is.
+// Clients that leave. A client that closes its connection wants no response any more:
+// its request leaves the queue and is sent to no runner, and the connection to the
+// runner that works on it is closed, since runners drop a request with its connection.
+// The close is noticed without reading from the client's connection, so that a request
+// that is pipelined behind this one stays where it is.
 
 package router
 
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -1,7 +1,7 @@
-// Comparisons: beside its place in the tree a router asks controllers that are not
-// its parent for their versions, in turn. What it lacks reaches it through its
-// parent; this covers a parent that is on the wrong side of a cut, or slow, and
-// does not know it.
+// Comparisons: beside its place in the tree a router asks controllers that are not its
+// parent for their versions, in turn. Updates normally reach it through its parent;
+// this covers a parent that is slow, or on the wrong side of a partition without
+// knowing it.
 
 package router
 
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -1,4 +1,4 @@
-// Condition is what a router tells the doctor of itself.
+// What a router reports of itself to the doctor.
 
 package router
 
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -1,6 +1,6 @@
-// The feed: what reaches a router down the tree, taken in as changes. Whatever
-// does not fit what is held is asked for again, by naming what is held; nothing
-// is ever guessed, and no version goes back.
+// The feed: what a router receives down the tree, applied as deltas. Whatever does not
+// fit the state that is held is requested again, by naming that state; nothing is ever
+// guessed, and no version goes back.
 
 package router
 
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -1,5 +1,5 @@
-// The front: hertz takes the clients' requests, this file checks them, cheapest
-// check first, and hands the proper ones to the attempts.
+// The front: hertz reads the clients' requests, this file checks them, cheapest check
+// first, and hands the valid ones to their attempts.
 
 package router
 
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -1,5 +1,5 @@
-// What happens to each header is a list of rules, one for heads of requests
-// and one for those of answers. Headers without a rule are passed along.
+// Rules for headers, one list for requests and one for responses. Headers without a
+// rule are passed along.
 
 package router
 
--- a/internal/router/leave.go
+++ b/internal/router/leave.go
@@ -1,7 +1,7 @@
-// Leaving in order: say so on the ready address, go on taking connections until
-// the platform has noticed, let every answer end its connection. Then take no
-// more connections, close those on which no request has begun, and go when the
-// last answer has ended or the time of grace is nearly over.
+// Graceful shutdown: report not ready, accept connections until the platform has
+// noticed, and let every response end its connection. Then accept no more connections,
+// close those on which no request has begun, and end with the last response or when
+// the grace period is nearly over.
 
 package router
 
--- a/internal/router/listener.go
+++ b/internal/router/listener.go
@@ -1,7 +1,7 @@
-// The front's listener bounds how long a client may take: to send the rest of a
-// request once it has begun, and to be idle between two. hertz's standard
-// transport has no such bounds of its own. A request that comes too slowly gets
-// 408, since it has not been read.
+// The front's listener bounds how long a client may take to send the rest of a request
+// once it has begun, and to be idle between two. hertz's standard transport has no
+// such bounds of its own. A request that arrives too slowly gets 408, since it has not
+// been forwarded.
 
 package router
 
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -1,6 +1,6 @@
-// Loads: what this node and those below it have at the runners goes up the tree
-// as changes; the sum over all nodes comes down. The parent says which of the
-// words told to it the sum holds, so that a node can take its own out exactly.
+// Loads: what this node and those below it have in flight at the runners goes up the
+// tree as deltas; the sum over all nodes comes down. The parent acknowledges which of
+// the load reports the sum holds, so that a node can subtract its own exactly.
 
 package router
 
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -1,7 +1,6 @@
-// Runners that are not at their address. One that answers 421 leaves the choice
-// (package admission says how); its idle connections are closed, and probes look
-// whether it is there after all, so that an answer that meant something else
-// takes no runner away for good.
+// Absent runners. One that answers 421 leaves the candidates (package admission says
+// how); its idle connections are closed, and probes check whether it is there after
+// all, so that a response that meant something else removes no runner for good.
 
 package router
 
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -1,8 +1,8 @@
-// Moving a live stream: where its session leaves the zone of its runner, a stream
-// that may be resumed goes on at the session's new home, from its last whole
-// event on. A place and a link there are taken before the old link is closed, and
-// the old one is closed before anything is sent, so that one runner at a time
-// answers and the client sees one answer. A stream that may not be resumed ends
+// Moving a live stream: when its session leaves the zone of its runner, a stream that
+// may be resumed goes on at the session's new home, after its last whole event.
+// Capacity and a connection there are acquired before the old connection is closed,
+// and the old one is closed before anything is sent, so that one runner at a time
+// responds and the client sees one response. A stream that may not be resumed ends
 // where it runs; the next request of its session goes to the new home.
 
 package router
--- a/internal/router/recheck.go
+++ b/internal/router/recheck.go
@@ -1,6 +1,6 @@
-// Before a proper request is rejected because its route or key is unknown, the
-// router makes sure that its configuration is the newest. A request that it can't
-// make sure about is put off instead.
+// Before a valid request is rejected because its route or key is unknown, the router
+// makes sure that its configuration is the newest. Where it cannot, the request gets
+// 503 instead.
 
 package router
 
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -1,4 +1,4 @@
-// What comes back from a runner goes on to the client: whole where its length is
+// A runner's response is passed on to the client: in one piece where its length is
 // known, event by event where it is a stream.
 
 package router
--- a/internal/router/targets.go
+++ b/internal/router/targets.go
@@ -1,5 +1,5 @@
-// Named weights: what this router hears of the versions that were named, of how
-// long ago that was, and of the controllers that say so.
+// Target weights versions: what this router receives about named versions, their ages,
+// and contact with the controllers that send them.
 
 package router
 
--- a/internal/router/time_limit.go
+++ b/internal/router/time_limit.go
@@ -1,6 +1,6 @@
-// How long a request may take: until its client's deadline or its route's cutoff,
-// whichever is earlier, counted from its first byte. The configuration at its
-// beginning holds for it to its end.
+// The time limit of a request: its client's deadline or its route's cutoff, whichever
+// is earlier, counted from its first byte. The configuration at its beginning applies
+// to its end.
 
 package router
 
--- a/internal/router/withdraw.go
+++ b/internal/router/withdraw.go
@@ -1,7 +1,7 @@
-// Withdrawal of attempts: one that was sent and has not begun is taken back from
-// its runner, by closing the connection, when the weights there become too old
-// for it, and when the request's time is over. An attempt has begun once the head
-// of its answer is there. Whether one that was taken back ran is not known.
+// Withdrawal of attempts: one that was sent and has not begun is withdrawn from its
+// runner, by closing the connection, when the weights there become too old for it, and
+// when the request's time is over. An attempt has begun once the head of its response
+// is there. Whether a withdrawn one ran is not known.
 
 package router
 
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -1,5 +1,5 @@
-// Checks of the registers while a history runs, and what is told to the
-// operators for the check of linearizability afterwards.
+// Checks of the registers while a history runs, and the record of the operators' calls
+// for the check of linearizability afterwards.
 
 package simulation
 
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -1,6 +1,5 @@
-// Controllers: the members of the registers. Each one keeps its identity and
-// its records on its disk, and no response leaves before the record that it
-// rests on is durable.
+// Controllers as members of the registers. Each one keeps its identity and its records
+// on its disk, and no response leaves before the record that it rests on is durable.
 
 package simulation
 
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -1,4 +1,4 @@
-// The duty of rolling out weights: who holds it, and when that one acts.
+// The lease of rolling out weights: who holds it, and when its holder acts.
 
 package simulation
 
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -1,5 +1,5 @@
-// Engines: runners as far as roll-outs are concerned, with requests that wait in
-// their queue, streams that last long, and orders as the protocol has them.
+// Engines: runners as far as roll-outs are concerned, with requests in their queue,
+// long streams, and orders as the protocol has them.
 
 package simulation
 
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,5 +1,5 @@
-// Fleets: runners that beat at registrars, drain, leave, crash and come back at
-// the same address, while registrars are cut off, frozen and restarted.
+// Fleets: runners that send heartbeats to registrars, drain, leave, crash and come
+// back at the same address, while registrars are cut off, frozen and restarted.
 
 package simulation
 
--- a/internal/simulation/fleet_checks.go
+++ b/internal/simulation/fleet_checks.go
@@ -1,5 +1,5 @@
-// What a fleet has to hold: while registrars are cut apart, and after everything
-// has healed.
+// Checks of a fleet: while registrars are partitioned, and after everything has
+// healed.
 
 package simulation
 
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,5 +1,5 @@
-// The network: one link for each ordered pair, with delay, loss, doubling and
-// cuts; delays that differ reorder what is sent.
+// The network: one link for each ordered pair, with delay, loss, duplication and
+// partitions; varying delays reorder messages.
 
 package simulation
 
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -1,5 +1,5 @@
-// Operators: they replace the configuration on top of what they last read, at
-// times under numbers that others use too, read it back and name weights. Who
+// Operators: they replace the configuration on top of what they last read, at times
+// under numbers that others use too, read it back and name weights versions. One that
 // gets no answer repeats the same call at another controller.
 
 package simulation
--- a/internal/simulation/pings.go
+++ b/internal/simulation/pings.go
@@ -1,6 +1,6 @@
 // Pings between controllers, and what they conclude from them. They stand for
-// membership.View: what one has heard of another travels on, so that cuts are
-// gone round. An answer stands for a direct call that succeeded.
+// membership.View: what one has received from another travels on, so that partitions
+// are gone round. An answer stands for a direct call that succeeded.
 
 package simulation
 
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -1,6 +1,6 @@
-// Registrars: controllers as far as runners are concerned. Each has a registry,
-// tells the others what it is the first to know as a stream of changes, and
-// draws its own conclusions from silence.
+// Registrars: controllers as far as runners are concerned. Each has a registry, sends
+// the others what it is the first to know as a stream of deltas, and draws its own
+// conclusions from silence.
 
 package simulation
 
--- a/internal/simulation/repairs.go
+++ b/internal/simulation/repairs.go
@@ -1,4 +1,4 @@
-// Repairs of the groups: consensus.RepairCoordinator of each register, driven as
+// Repairs of the groups: a consensus.RepairCoordinator for each register, driven as
 // the controllers drive it.
 
 package simulation
--- a/internal/statesync/entries.go
+++ b/internal/statesync/entries.go
@@ -1,5 +1,5 @@
-// Entries are streams of texts by key: the configuration by route, service and
-// tenant, and the runners by id.
+// Entries are streams of texts by key: the configuration by route, service and tenant,
+// and the runners by id.
 
 package statesync
 
--- a/internal/statesync/loads.go
+++ b/internal/statesync/loads.go
@@ -1,6 +1,5 @@
-// Loads are what requests have at runners, as a stream by runner. A Sum adds up
-// the streams of several tellers, so that a node up the tree can pass on one
-// stream for all below it.
+// Loads are streams of the load at runners, by runner. A Sum adds up the streams of
+// several senders, so that a relay can send one stream for all nodes below it.
 
 package statesync
 
--- a/internal/statesync/transfer.go
+++ b/internal/statesync/transfer.go
@@ -1,9 +1,9 @@
-// Transfers bring a large state to another node piece by piece, so that what
-// counts is progress and not the time that the whole takes. The receiver names
-// version and offset; what has arrived stays when a sender falls silent, and
-// another sender of the same version goes on from there. The sender keeps the
-// versions that are being fetched, so that a transfer which newer versions
-// overtake still ends; the receiver then takes the newest.
+// Transfers carry a large value to another node in chunks, so that progress counts and
+// not the time that the whole takes. The receiver names version and offset; chunks
+// that have arrived stay when a sender falls silent, and another sender of the same
+// version goes on from there. The sender keeps the versions that are being fetched, so
+// that a transfer that newer versions overtake still ends; the receiver then fetches
+// the newest.
 
 package statesync
 
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -1,7 +1,6 @@
-// Budget bounds further attempts. The budget is one for the whole system; a node
-// spends from the requests it took itself, and from its share of the slack by
-// the number of routers it knows, with a margin for windows that slide and
-// for nodes that start anew.
+// Budget bounds retries. The budget is one for the whole system; a node spends a ratio
+// of the requests that it received itself, and its share of the slack by the number of
+// routers that it knows, with a margin for sliding windows and for nodes that restart.
 
 package upstream
 
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -1,5 +1,5 @@
-// Small calls to runners: reports, kept parts, orders and probes. Each is sent
-// once and never again by itself.
+// Small calls to runners: reports, cache events, orders and probes. Each is sent once
+// and never retried here.
 
 package upstream
 
--- a/internal/upstream/conn_pool.go
+++ b/internal/upstream/conn_pool.go
@@ -1,4 +1,4 @@
-// ConnPool keeps the idle conns to runners and bounds how many there are to each.
+// ConnPool keeps idle connections to runners and bounds how many there are to each.
 
 package upstream
 
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -1,6 +1,6 @@
-// Events cuts a stream into whole events and remembers the id of the last one
-// passed on. What is not yet whole stays back, so that a broken stream never
-// leaves half an event with the client.
+// Events cuts a stream into whole events and remembers the id of the last one passed
+// on. An incomplete event stays back, so that a broken stream never leaves a part of
+// an event with the client.
 
 package upstream
 
