--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -16,8 +16,10 @@
 //
 // A mutex in Publisher guards the set of subscribers, one in each subscriber what
 // waits for it; one goroutine for each subscriber writes to its connection, and one at
-// most makes up what it lacks. A Subscriber belongs to the goroutine of Listen; its
-// callbacks run on the goroutine that serves the connection.
+// most makes up what it lacks. A Subscriber runs on the goroutine of Listen; feeds and
+// acknowledgements (Take, Heard) are handled on the goroutine that serves its
+// connection, so callbacks must be safe for concurrent use. Any goroutine may call
+// Tell.
 package dissemination
 
 import (
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,7 +30,8 @@
 // Run starts a goroutine for each periodic task, for the subscription and for each
 // server. A request belongs to the goroutine of the HTTP server that serves its
 // connection; while it is queued that goroutine waits for its continuation in the
-// slab, which the goroutine of pump resumes.
+// slab, which is resumed by the goroutine of pump, or by that of a request of higher
+// priority that sheds it.
 //
 //   - The compiled configuration is immutable and swapped by an atomic pointer; a
 //     request uses the one that it began with.
