--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -1,4 +1,6 @@
-// Windows: how many requests of a tenant are admitted, by AIMD, and its rate.
+// Windows: how many requests of a tenant are admitted at once, adjusted by AIMD, and
+// the tenant's rate limit.
+
 package admission
 
 type tenantState struct {
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -1,4 +1,5 @@
-// Condition is what a router tells the doctor of itself.
+// What a router reports of itself to the doctor.
+
 package router
 
 import (
