--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -175,6 +175,7 @@
 // stands ready, and served on meanwhile.
 func (d *Controller) Run(ctx context.Context) error {
 	live, end := context.WithCancel(context.WithoutCancel(ctx))
+	defer d.transport.Close()
 	defer end()
 	d.transport.Run(live)
 	go d.monitor.Run(live)
@@ -252,7 +253,6 @@
 	}
 	if p != consensus.ConfigPart {
 		d.committedTargets(v)
-		d.rollouts.onCommitted(v)
 		d.tellPart(messages.PartNote{Part: p, Version: v.Version, Body: v.Body})
 	}
 }
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -40,11 +40,11 @@
 type rolloutManager struct {
 	controller *Controller
 	times      lease.Times
+	boundUs    int64 // by when, after a naming, all orders have to be out
 	cordons    atomic.Int64
 
 	mu      sync.Mutex // guards what follows
 	shards  map[int]*rollout.Shard
-	namings *rollout.Namings
 	busy    map[int]bool    // a round for the lease is under way
 	polling map[string]bool // a runner's report was asked for
 	used    map[int]int64   // the newest fence this process has acted under
@@ -56,7 +56,7 @@
 	m := &rolloutManager{
 		controller: d,
 		times:      lease.Times{LeaseUs: int64(bounds.LeaseMs) * 1000, ActUs: actUs, SpareUs: spareUs},
-		namings:    rollout.NewNamings(d.startUs, boundUs),
+		boundUs:    boundUs,
 		shards:     map[int]*rollout.Shard{}, busy: map[int]bool{}, polling: map[string]bool{}, used: map[int]int64{},
 	}
 	for part := 1; part < consensus.Parts; part++ {
@@ -73,23 +73,26 @@
 	return max(versionUs-orderMarginUs, versionUs/4)
 }
 
-// onCommitted takes the targets of a register, whichever it is: earlier versions of
-// the program chose it by the configuration they held.
-func (m *rolloutManager) onCommitted(v messages.Value) {
-	body, err := leaseBody(v)
-	if err != nil {
-		return
-	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.namings.Learn(body.Targets, m.controller.clock())
-}
-
-// newest is the newest version named of a model, over all registers.
+// newest is the newest committed version of a model's weights, over all registers:
+// earlier versions of the program chose the register by the configuration they held.
 func (m *rolloutManager) newest(model string) int64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.namings.Newest(model)
+	newest := int64(0)
+	for part := 1; part < consensus.Parts; part++ {
+		v, ok := m.controller.registers.Committed(part)
+		if !ok {
+			continue
+		}
+		body, err := leaseBody(v)
+		if err != nil {
+			continue
+		}
+		for _, t := range body.Targets {
+			if t.Model == model {
+				newest = max(newest, t.Version)
+			}
+		}
+	}
+	return newest
 }
 
 // recordInitialHolder notes a lease that came with the first naming of weights.
@@ -167,13 +170,13 @@
 
 // models are those that belong to a register, with their runners as known now.
 func (m *rolloutManager) models(part int) []rollout.Model {
-	m.mu.Lock()
-	defer m.mu.Unlock()
 	var out []rollout.Model
-	for _, name := range m.namings.Models() {
-		if consensus.PartOf(name) == part {
-			out = append(out, rollout.Model{Name: name, Namings: m.namings.Of(name), Runners: m.controller.runnersOf(name)})
+	for _, name := range m.controller.targets.models() {
+		if consensus.PartOf(name) != part {
+			continue
 		}
+		namings := m.controller.targets.namings(name, m.boundUs, m.controller.clock())
+		out = append(out, rollout.Model{Name: name, Namings: namings, Runners: m.controller.runnersOf(name)})
 	}
 	return out
 }
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -10,6 +10,7 @@
 	"sync"
 
 	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/rollout"
 	"beechtide.org/beechtide/internal/targets"
 )
 
@@ -65,6 +66,20 @@
 	return n.table.Newest(model)
 }
 
+// models names the models of which a version was named.
+func (n *namedTargets) models() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.table.Models()
+}
+
+// namings are the versions of a model for the plan of its roll-out.
+func (n *namedTargets) namings(model string, boundUs, nowUs int64) []rollout.Naming {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return rollout.NamingsOf(&n.table, model, boundUs, nowUs)
+}
+
 // committedTargets notes the versions that a register names.
 func (d *Controller) committedTargets(v messages.Value) {
 	if body, err := leaseBody(v); err == nil {
--- a/internal/rollout/known_test.go
+++ b/internal/rollout/known_test.go
@@ -6,6 +6,7 @@
 	"github.com/shoenig/test/must"
 
 	"beechtide.org/beechtide/internal/messages"
+	"beechtide.org/beechtide/internal/targets"
 )
 
 func TestRunnersOfIncludesStaleAndUnknownOnes(t *testing.T) {
@@ -24,13 +25,13 @@
 	must.Eq(t, []Runner{{ID: "a", Version: 1}, stale, fresh}, RunnersOf(records, "m", ""), must.Sprint("without a configuration"))
 }
 
-// What a process learns just after its start may have been named long ago.
-func TestNamingLearnedAtTheStartCountsAsOld(t *testing.T) {
-	n := NewNamings(10*second, boundUs)
-	n.Learn([]messages.Target{{Model: "m", Version: 2}}, 11*second)
-	n.Learn([]messages.Target{{Model: "m", Version: 3}, {Model: "o", Version: 1}}, 20*second)
-	n.Learn([]messages.Target{{Model: "m", Version: 2}}, 30*second)
-	must.Eq(t, []Naming{{2, 11*second - boundUs}, {3, 20 * second}}, n.Of("m"))
-	must.Eq(t, int64(3), n.Newest("m"))
-	must.Eq(t, []string{"m", "o"}, n.Models())
+// What a process recalls may have been named long ago; its age is learned from others.
+func TestNamingOfUnknownAgeCountsAsOld(t *testing.T) {
+	var table targets.Table
+	table.Recall("m", 2, 11*second)
+	table.Named("m", 3, 20*second)
+	must.Eq(t, []Naming{{2, 21*second - boundUs}, {3, 20 * second}}, NamingsOf(&table, "m", boundUs, 21*second))
+	must.Eq(t, []Naming{{2, 60*second - boundUs}, {3, 60*second - boundUs}}, NamingsOf(&table, "m", boundUs, 60*second), must.Sprint("no older than the bound"))
+	table.Observe([]messages.TargetAge{{Model: "m", Version: 2, AgeUs: second}}, 21*second)
+	must.Eq(t, []Naming{{2, 20 * second}, {3, 20 * second}}, NamingsOf(&table, "m", boundUs, 21*second))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -148,6 +148,7 @@
 // Run serves until ctx ends; it then leaves in order.
 func (c *Router) Run(ctx context.Context) error {
 	live, stop := context.WithCancel(context.Background())
+	defer c.transport.Close()
 	defer stop()
 	c.transport.Run(live)
 	go c.monitor.Run(live)
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -9,6 +9,7 @@
 	"beechtide.org/beechtide/internal/lease"
 	"beechtide.org/beechtide/internal/messages"
 	"beechtide.org/beechtide/internal/rollout"
+	"beechtide.org/beechtide/internal/targets"
 )
 
 // Periods and waits of a coordinator.
@@ -35,7 +36,8 @@
 
 	// What follows is gone with each life of the process.
 	shard   *rollout.Shard
-	namings *rollout.Namings
+	targets targets.Table
+	startUs int64
 	contact lease.Contact
 	reached map[string]int64
 	busy    bool
@@ -52,11 +54,11 @@
 	h := c.history
 	c.registrar.boot()
 	c.shard = rollout.NewShard(h.times(), h.bound())
-	c.namings = rollout.NewNamings(c.nowUs(), h.bound())
+	c.targets, c.startUs = targets.Table{}, c.nowUs()
 	c.contact = lease.Contact{Self: c.member()}
 	c.reached, c.polling, c.busy = map[string]int64{}, map[string]bool{}, false
 	if c.knownVersion > 0 {
-		c.namings.Learn(c.known.Targets, c.nowUs())
+		c.note(c.known.Targets)
 	}
 	h.fleet.every(c.process(), shardEveryUs, c.soon(c.step))
 	h.fleet.every(c.process(), askEveryUs, c.ping)
@@ -78,7 +80,11 @@
 			c.reached[other.addr()] = c.nowUs()
 		}
 		version, body, sentUs := c.knownVersion, c.known, c.nowUs()
-		c.ask(other, func() { other.learn(version, body) }, func() {
+		ages := c.targets.Ages(sentUs)
+		c.ask(other, func() {
+			other.learn(version, body)
+			other.targets.Observe(ages, other.nowUs())
+		}, func() {
 			c.reached[other.addr()] = c.nowUs()
 			c.contact.Answered(other.member(), sentUs)
 		})
@@ -99,7 +105,21 @@
 func (c *coordinator) learn(version int64, body messages.LeaseBody) {
 	if version > c.knownVersion {
 		c.knownVersion, c.known = version, body
-		c.namings.Learn(body.Targets, c.nowUs())
+		c.note(body.Targets)
+	}
+}
+
+// note takes the versions that a register names. What a process finds as it starts
+// was named before it began.
+func (c *coordinator) note(named []messages.Target) {
+	for _, t := range named {
+		switch {
+		case t.Version <= c.targets.Newest(t.Model).Version:
+		case c.nowUs()-c.startUs < contactUs:
+			c.targets.Recall(t.Model, t.Version, c.nowUs())
+		default:
+			c.targets.Named(t.Model, t.Version, c.nowUs())
+		}
 	}
 }
 
@@ -201,7 +221,7 @@
 	return rollout.View{
 		NowUs: c.nowUs(), Self: c.member(), Lease: c.known.Lease,
 		Models: []rollout.Model{{
-			Name: rolloutModel, Namings: c.namings.Of(rolloutModel),
+			Name: rolloutModel, Namings: rollout.NamingsOf(&c.targets, rolloutModel, c.history.bound(), c.nowUs()),
 			Runners: rollout.RunnersOf(c.registrar.runners.Snapshot().ByID, rolloutModel, rolloutService),
 		}},
 		HolderGone: c.isGone(c.known.Lease.Holder), InContact: c.contact.Holds(group, c.nowUs()), Rank: rank,
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -10,7 +10,6 @@
 
 	"beechtide.org/beechtide/internal/lease"
 	"beechtide.org/beechtide/internal/messages"
-	"beechtide.org/beechtide/internal/rollout"
 )
 
 // Bounds of a history of roll-outs.
@@ -297,7 +296,10 @@
 
 // targetOf is the version that a body names.
 func targetOf(body messages.LeaseBody) int64 {
-	namings := rollout.NewNamings(0, 0)
-	namings.Learn(body.Targets, 0)
-	return namings.Newest(rolloutModel)
+	for _, t := range body.Targets {
+		if t.Model == rolloutModel {
+			return t.Version
+		}
+	}
+	return 0
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -15,6 +15,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"math"
 	"slices"
 	"strings"
@@ -76,6 +77,12 @@
 	return list[len(list)-1]
 }
 
+// Models names the models of which a version is known, in order.
+func (t *Table) Models() []string { return slices.Sorted(maps.Keys(t.byModel)) }
+
+// Of lists the versions of a model that are remembered, oldest first.
+func (t *Table) Of(model string) []Target { return slices.Clone(t.byModel[model]) }
+
 // OutdatedUs is for how long weights of a version have not been the newest named;
 // 0 where none newer was named.
 func (t *Table) OutdatedUs(model string, version, nowUs int64) (us int64) {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -112,11 +112,17 @@
 	go t.acceptConns(ctx)
 	go func() {
 		<-ctx.Done()
-		t.listener.Close()
-		t.udp.Close()
+		t.Close()
 	}()
 }
 
+// Close gives up the addresses of this node. It has done so when it returns; the end
+// of Run's context does the same a little later.
+func (t *Transport) Close() {
+	t.listener.Close()
+	t.udp.Close()
+}
+
 func (t *Transport) acceptConns(ctx context.Context) {
 	for {
 		c, err := t.listener.Accept()
