--- a/cmd/beechtide/simulate.go
+++ b/cmd/beechtide/simulate.go
@@ -3,6 +3,9 @@
 import (
 	"flag"
 	"fmt"
+	"maps"
+	"slices"
+	"strings"
 
 	"beechtide.org/beechtide/internal/simulation"
 )
@@ -13,7 +16,7 @@
 // where a seed breaks a check.
 func runSimulate(args []string) int {
 	flags := flag.NewFlagSet("beechtide simulate", flag.ContinueOnError)
-	model := flags.String("model", "registers", "what to play: registers, runners or runners-partial")
+	model := flags.String("model", "registers", "what to play: "+strings.Join(slices.Sorted(maps.Keys(simulation.Models)), ", "))
 	seeds := flags.Uint64("seeds", defaultSeeds, "how many histories to play")
 	first := flags.Uint64("first", 0, "the first seed")
 	parallel := flags.Int("parallel", 1, "how many to play at a time")
