--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -74,14 +74,12 @@
 	c.wake()
 }
 
-// streams tells whether an answer is passed on as it comes. One without a length that
-// is no series of events is held until it is whole: where it is reset on the way, the
-// client has seen nothing of it, and a request that may be repeated is.
+// streams tells whether an answer is passed on as it comes. One that is no series of
+// events is held until it is whole, whatever its framing: where it is broken off, the
+// client has seen nothing of it, and a request that may be repeated is sent again. Of a
+// part that the client has, nothing says where another runner's answer would go on.
 func (v *visit) streams(r *protocol.Response) bool {
-	if r.StatusCode()/100 != 2 || r.Header.ContentLength() >= 0 {
-		return false
-	}
-	return v.route.Kind == api.Streaming || !upstream.EndsWithConn(r)
+	return v.route.Kind == api.Streaming && r.StatusCode()/100 == 2 && r.Header.ContentLength() < 0
 }
 
 // passStream passes on a streamed answer, event by event.
--- a/internal/router/unbounded_answer_test.go
+++ b/internal/router/unbounded_answer_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -109,3 +110,24 @@
 	must.Eq(t, "all there is", body)
 	must.Eq(t, 2, a.count()+b.count())
 }
+
+// A chunked answer that is broken off after its first chunk leaves nothing at the
+// client: the answer is that of the second runner alone.
+func TestRepeatableRequestIsSentAgainAfterBrokenChunks(t *testing.T) {
+	const chunked = "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Server-Seal: %s\r\nTransfer-Encoding: chunked\r\n\r\n"
+	for _, ending := range []string{"RESET", "CUT"} {
+		turns := make(chan string, 2)
+		turns <- fmt.Sprintf(chunked, "first") + "4\r\nsome\r\n" + ending
+		turns <- fmt.Sprintf(chunked, "second") + "4\r\nall \r\n8\r\nthere is\r\n0\r\n\r\n"
+		a, b := newRunner(t), newRunner(t)
+		next := func() string { return <-turns }
+		a.next, b.next = next, next
+		_, front, _ := start(t, a, b)
+		ans, body, err := say(t, front, request("/open/", "x"))
+		must.NoError(t, err)
+		must.Eq(t, 200, ans.StatusCode)
+		must.Eq(t, "all there is", body)
+		must.Eq(t, []string{"second"}, ans.Header.Values("Beechtide-Server-Seal"))
+		must.Eq(t, 2, a.count()+b.count())
+	}
+}
