--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,13 +1,13 @@
-// Package targets records, for every model, the lately named versions of its weights
-// and how long ago each was acknowledged.
+// Package targets records, for every model, the target versions of its weights that
+// were named recently, and how long ago each was acknowledged.
 //
-// A version may be named before the one before it is in use everywhere; each has a
-// bound of its own, so weights are judged by the earliest acknowledged version that is
-// newer (Table.OutdatedUs). The moment of an acknowledgement travels between nodes as
-// an age, because monotonic clocks of two machines have nothing in common; every node
-// turns an age into a moment of its own clock. An age only grows on its way, so of two
-// ages the greater is the better one, and a late message never puts a bound off. An
-// age that nobody knows counts as past every bound.
+// A version may be named while the previous one is still being rolled out. Each has a
+// bound of its own, so a runner's weights are judged by the earliest acknowledged
+// version that is newer than them (Table.OutdatedUs). Nodes exchange the time of an
+// acknowledgement as an age, because the monotonic clocks of two machines are
+// unrelated; the receiver converts the age to its own clock. Transit time can only make
+// a received age too small, so the greater of two ages is the more accurate one, and a
+// delayed message never postpones a bound. An unknown age counts as past every bound.
 //
 // Everything here is pure: times are microseconds of the caller's monotonic clock,
 // given as arguments. A Table is not safe for concurrent use.
@@ -23,28 +23,28 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// UnknownAgeUs stands for an age that the sender does not know.
+// UnknownAgeUs is sent in place of an age that the sender does not know.
 const UnknownAgeUs = -1
 
-// certainty is how well the moment of the acknowledgement is known. A greater
-// one replaces a smaller one.
+// certainty says how the time of an acknowledgement is known. An entry of a higher
+// certainty replaces one of a lower certainty.
 type certainty int
 
 const (
-	assumed certainty = iota // no later than when this process heard of the version
-	unknown                  // before the process that recalled it began
-	known                    // heard from the process that took it, or from one that saw it committed
+	assumed certainty = iota // the time at which this process received the version, an upper limit
+	unknown                  // some time before the process that loaded it from disk started
+	known                    // measured by the process that acknowledged it or saw it committed
 )
 
-// Target is a named version of a model's weights.
+// Target is a version that was named for a model's weights.
 type Target struct {
 	Version   int64
 	namedAtUs int64
 	certainty certainty
 }
 
-// AgeUs is how long ago the version was acknowledged. One whose age nobody knows
-// counts as having been named long ago.
+// AgeUs returns how long ago the version was acknowledged, in microseconds;
+// math.MaxInt64 where that is unknown.
 func (t Target) AgeUs(nowUs int64) int64 {
 	if t.certainty == unknown {
 		return math.MaxInt64
@@ -52,23 +52,23 @@
 	return max(nowUs-t.namedAtUs, 0)
 }
 
-// Bounds on what is remembered of a model.
+// Limits of a model's history.
 const (
-	// forgetUs is after how long a version is forgotten that a newer one follows
-	// which is as old: the newer one says as much by then.
-	forgetUs = 600_000_000
-	// mostRemembered is how many versions are remembered at most.
-	mostRemembered = 16
+	// retentionUs is the age past which a version makes all older ones redundant:
+	// weights older than it are past every bound already.
+	retentionUs = 600_000_000
+	// maxVersions is the number of versions kept for a model.
+	maxVersions = 16
 )
 
 // Table holds the targets of all models. The zero value is empty. It is not safe
 // for concurrent use.
 type Table struct {
-	byModel map[string][]Target // in rising order of versions
+	byModel map[string][]Target // sorted by version, ascending
 }
 
-// Newest gives the newest named version of a model; the zero Target where none
-// was named.
+// Newest returns the newest named version of a model; the zero Target if none was
+// named.
 func (t *Table) Newest(model string) Target {
 	list := t.byModel[model]
 	if len(list) == 0 {
@@ -77,14 +77,14 @@
 	return list[len(list)-1]
 }
 
-// Models names the models of which a version is known, in order.
+// Models returns the sorted names of the models that have a version.
 func (t *Table) Models() []string { return slices.Sorted(maps.Keys(t.byModel)) }
 
-// Of lists the versions of a model that are remembered, oldest first.
+// Of returns the versions kept for a model, oldest first.
 func (t *Table) Of(model string) []Target { return slices.Clone(t.byModel[model]) }
 
-// OutdatedUs is for how long weights of a version have not been the newest named;
-// 0 where none newer was named.
+// OutdatedUs returns for how long a newer version than the given one has been named,
+// in microseconds; 0 if none has.
 func (t *Table) OutdatedUs(model string, version, nowUs int64) (us int64) {
 	for _, target := range t.byModel[model] {
 		if target.Version > version {
@@ -94,80 +94,82 @@
 	return us
 }
 
-// Assume notes a version that came without an age, as from a node of an earlier
-// format: it counts from now until an age is heard.
+// Assume records a version that came without an age, as from a node that sends an
+// earlier format. Its age counts from nowUs until another node's age is observed.
 func (t *Table) Assume(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, namedAtUs: nowUs, certainty: assumed}, nowUs)
 }
 
-// Named notes that a version has been committed just now.
+// Named records that a version was committed at nowUs.
 func (t *Table) Named(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, namedAtUs: nowUs, certainty: known}, nowUs)
 }
 
-// Recall notes a version that was named before this process began.
+// Recall records a version that was named before this process started. Its age is
+// unknown.
 func (t *Table) Recall(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, certainty: unknown}, nowUs)
 }
 
-// Observe takes the ages that another node has sent.
+// Observe merges the ages that another node has sent.
 func (t *Table) Observe(ages []messages.TargetAge, nowUs int64) {
-	for _, a := range ages {
-		if a.AgeUs < 0 {
-			t.Recall(a.Model, a.Version, nowUs)
+	for _, age := range ages {
+		if age.AgeUs < 0 {
+			t.Recall(age.Model, age.Version, nowUs)
 		} else {
-			t.merge(a.Model, Target{Version: a.Version, namedAtUs: nowUs - a.AgeUs, certainty: known}, nowUs)
+			t.merge(age.Model, Target{Version: age.Version, namedAtUs: nowUs - age.AgeUs, certainty: known}, nowUs)
 		}
 	}
 }
 
-// merge takes a version that is not held as it is. Of one that is held it keeps
-// what is more certain, and among equals the earlier moment.
-func (t *Table) merge(model string, in Target, nowUs int64) {
+// merge inserts a target whose version is not in the table. Of two targets of one
+// version the more certain one stays, and among equals the one named earlier.
+func (t *Table) merge(model string, received Target, nowUs int64) {
 	if t.byModel == nil {
 		t.byModel = map[string][]Target{}
 	}
 	list := t.byModel[model]
-	i, held := slices.BinarySearchFunc(list, in.Version, func(target Target, version int64) int {
+	i, found := slices.BinarySearchFunc(list, received.Version, func(target Target, version int64) int {
 		return cmp.Compare(target.Version, version)
 	})
 	switch {
-	case !held:
-		t.byModel[model] = forget(slices.Insert(list, i, in), nowUs)
-	case betters(in, list[i]):
-		list[i] = in
+	case !found:
+		t.byModel[model] = prune(slices.Insert(list, i, received), nowUs)
+	case supersedes(received, list[i]):
+		list[i] = received
 	}
 }
 
-func betters(in, have Target) bool {
-	if in.certainty != have.certainty {
-		return in.certainty > have.certainty
+// supersedes reports whether a received target replaces the current one of its version.
+func supersedes(received, current Target) bool {
+	if received.certainty != current.certainty {
+		return received.certainty > current.certainty
 	}
-	return in.namedAtUs < have.namedAtUs
+	return received.namedAtUs < current.namedAtUs
 }
 
-// forget drops the oldest versions that are of no more use.
-func forget(list []Target, nowUs int64) []Target {
-	for len(list) > 1 && (len(list) > mostRemembered || list[1].certainty != unknown && list[1].AgeUs(nowUs) > forgetUs) {
+// prune drops the oldest versions that are redundant or exceed maxVersions.
+func prune(list []Target, nowUs int64) []Target {
+	for len(list) > 1 && (len(list) > maxVersions || list[1].certainty != unknown && list[1].AgeUs(nowUs) > retentionUs) {
 		list = slices.Delete(list, 0, 1)
 	}
 	return list
 }
 
-// Ages gives the ages of all that is remembered as they are now, for another
-// node. What this node only assumes is not passed on as a fact.
+// Ages returns the ages at nowUs of all versions in the table, to be sent to another
+// node, sorted by model and version. Assumed ages are left out.
 func (t *Table) Ages(nowUs int64) []messages.TargetAge {
 	var out []messages.TargetAge
 	for model, list := range t.byModel {
 		for _, target := range list {
-			a := messages.TargetAge{Model: model, Version: target.Version, AgeUs: UnknownAgeUs}
+			age := messages.TargetAge{Model: model, Version: target.Version, AgeUs: UnknownAgeUs}
 			switch target.certainty {
 			case assumed:
 				continue
 			case known:
-				a.AgeUs = target.AgeUs(nowUs)
+				age.AgeUs = target.AgeUs(nowUs)
 			}
-			out = append(out, a)
+			out = append(out, age)
 		}
 	}
 	slices.SortFunc(out, func(a, b messages.TargetAge) int {
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -13,16 +13,16 @@
 	return []messages.TargetAge{{Model: model, Version: version, AgeUs: us}}
 }
 
-func TestAgeIsCarriedBetweenClocksThatHaveNothingInCommon(t *testing.T) {
+func TestAgesTransferBetweenUnrelatedClocks(t *testing.T) {
 	var controller, relay, router Table
 	controller.Named("m", 2, 1_000_000)
 	relay.Observe(controller.Ages(1_500_000), 77)
 	must.Eq(t, 500_000, relay.Newest("m").AgeUs(77))
 	router.Observe(relay.Ages(77+300_000), 9_000_000)
-	must.Eq(t, 800_000, router.Newest("m").AgeUs(9_000_000), must.Sprint("the relay adds the time for which it held it"))
+	must.Eq(t, 800_000, router.Newest("m").AgeUs(9_000_000), must.Sprint("the relay adds the time since it received the age"))
 }
 
-func TestLateWordNeverPutsTheAcknowledgementOff(t *testing.T) {
+func TestDelayedMessageNeverLowersAge(t *testing.T) {
 	var table Table
 	table.Observe(ageOf("m", 2, 400_000), 1_000_000)
 	table.Observe(ageOf("m", 2, 100_000), 1_100_000)
@@ -32,7 +32,7 @@
 	must.Eq(t, 2_000_000, table.Newest("m").AgeUs(1_500_000))
 }
 
-func TestEachVersionHasItsOwnTerm(t *testing.T) {
+func TestOutdatedCountsFromEarliestNewerVersion(t *testing.T) {
 	var table Table
 	table.Named("m", 2, 0)
 	table.Named("m", 3, 5_000_000)
@@ -45,26 +45,26 @@
 	var router Table
 	router.Assume("m", 4, 1)
 	router.Observe(table.Ages(6_000_000), 1)
-	must.Eq(t, 6_000_000, router.OutdatedUs("m", 1, 1), must.Sprint("one that only ever saw version 4 learns of the others"))
+	must.Eq(t, 6_000_000, router.OutdatedUs("m", 1, 1), must.Sprint("a node that only knew version 4 learns the others"))
 }
 
-func TestVersionsAreForgottenOnceANewerOneSaysAsMuch(t *testing.T) {
+func TestRedundantVersionsArePruned(t *testing.T) {
 	var table Table
 	table.Named("m", 2, 0)
 	table.Named("m", 3, 1_000_000)
-	table.Named("m", 4, forgetUs)
-	must.Eq(t, forgetUs, table.OutdatedUs("m", 1, forgetUs))
-	table.Named("m", 5, 2_000_000+forgetUs)
-	ages := table.Ages(2_000_000 + forgetUs)
+	table.Named("m", 4, retentionUs)
+	must.Eq(t, retentionUs, table.OutdatedUs("m", 1, retentionUs))
+	table.Named("m", 5, 2_000_000+retentionUs)
+	ages := table.Ages(2_000_000 + retentionUs)
 	must.Len(t, 3, ages)
 	must.Eq(t, 3, ages[0].Version)
-	for version := range int64(2 * mostRemembered) {
-		table.Named("m", 6+version, 2_000_000+forgetUs)
+	for version := range int64(2 * maxVersions) {
+		table.Named("m", 6+version, 2_000_000+retentionUs)
 	}
-	must.Len(t, mostRemembered, table.Ages(2_000_000+forgetUs))
+	must.Len(t, maxVersions, table.Ages(2_000_000+retentionUs))
 }
 
-func TestRecalledTargetIsOldEnoughUntilAnotherKnowsItsAge(t *testing.T) {
+func TestRecalledTargetIsPastEveryBoundUntilAgeObserved(t *testing.T) {
 	var table Table
 	table.Recall("m", 2, 0)
 	must.Eq(t, math.MaxInt64, table.Newest("m").AgeUs(1))
@@ -74,10 +74,10 @@
 	table.Observe(ageOf("m", 2, 1_000_000), 3_000_000)
 	must.Eq(t, 1_000_000, table.Newest("m").AgeUs(3_000_000))
 	table.Observe(ageOf("m", 2, UnknownAgeUs), 3_100_000)
-	must.Eq(t, 1_100_000, table.Newest("m").AgeUs(3_100_000), must.Sprint("one who does not know takes nothing from one who does"))
+	must.Eq(t, 1_100_000, table.Newest("m").AgeUs(3_100_000), must.Sprint("an unknown age does not replace a known one"))
 }
 
-func TestAssumedAgeIsNotPassedOnAndYieldsToAnyWord(t *testing.T) {
+func TestAssumedAgeIsNotSentAndYieldsToObservedAge(t *testing.T) {
 	var table Table
 	table.Assume("m", 2, 5_000_000)
 	must.SliceEmpty(t, table.Ages(6_000_000))
