--- a/internal/lease/contact.go
+++ b/internal/lease/contact.go
@@ -1,50 +1,50 @@
-// Contact is a member's lease of contact with a majority of a group. The member
-// asks the others in round trips. It holds the lease while the questions that a
-// majority has answered were sent less than ContactUs ago. The time counts from
-// the sending: when the other one answered is not known here, only that it was
-// later. Nothing has to arrive for the lease to lapse, so a member that is cut
-// off or was frozen finds it lapsed at its next look at the clock.
+// The contact lease of a member with a majority of its group. The member sends
+// requests to the others and holds the lease while the requests that a majority has
+// answered were sent less than ContactUs ago. The time counts from the sending of a
+// request: when the other member handled it is not known here, only that it was later.
+// Nothing has to arrive for the lease to expire, so a member that is partitioned or was
+// paused finds it expired when it next reads its clock.
 //
-// The guarantee: where Holds passes at t, a majority of the group, counting the
-// member itself, has handled a question of this member since t-ContactUs. Where
-// MayAnswer passes at t, so does Holds, and the work behind the answer began after
-// t-ContactUs: with a read or change by a majority as that work, the answer lacks
-// nothing that was committed before t-ContactUs.
+// The guarantee: if Holds is true at t, a majority of the group, counting the member
+// itself, has handled a request of this member since t-ContactUs. If MayAnswer is true
+// at t, so is Holds, and the work behind the answer began after t-ContactUs: where that
+// work is a read or change by a majority, the answer includes everything that was
+// committed before t-ContactUs.
 
 package lease
 
-// ContactUs is how long a majority's word counts. Round trips start every 500 ms
-// and take 450 ms at most, so that one of them may be lost. Machines count as in
-// touch 3 s after the core was last unsettled: a member that is cut off knows it
-// by half of that, and the nodes below it have the other half to leave it.
+// ContactUs is the duration of the contact lease, in microseconds. Round trips start
+// every 500 ms and take 450 ms at most, so that one of them may be lost. Machines count
+// as connected 3 s after the core was last unstable: a partitioned member notices
+// within half of that, and the nodes below it have the other half to leave it.
 const ContactUs = int64(1_500_000)
 
-// Contact is one member's lease of contact. Times are of the member's own
-// monotonic clock; the zero time is before the start.
+// Contact is one member's contact lease. Times are microseconds of the member's own
+// monotonic clock; zero is before its start.
 type Contact struct {
 	Self string // the member's identity
 
-	sentUs    map[string]int64 // by member: when the newest answered question was sent
+	sentUs    map[string]int64 // by member: when the newest request it answered was sent
 	vouchedUs int64            // when the newest work that a majority took part in began
 }
 
-// Answered notes that a member has answered a question sent at sentUs.
+// Answered records that a member has answered a request that was sent at sentUs.
 func (c *Contact) Answered(member string, sentUs int64) {
 	if c.sentUs == nil {
 		c.sentUs = map[string]int64{}
 	}
-	for m, us := range c.sentUs {
-		if sentUs-us > ContactUs {
-			delete(c.sentUs, m)
+	for other, earlierUs := range c.sentUs {
+		if sentUs-earlierUs > ContactUs {
+			delete(c.sentUs, other)
 		}
 	}
 	c.sentUs[member] = max(c.sentUs[member], sentUs)
 }
 
-// Vouched notes that a majority took part in work that began at begunUs.
+// Vouched records that a majority took part in work that began at begunUs.
 func (c *Contact) Vouched(begunUs int64) { c.vouchedUs = max(c.vouchedUs, begunUs) }
 
-// Holds tells whether the member holds the lease at nowUs.
+// Holds reports whether the member holds the lease at nowUs.
 func (c *Contact) Holds(group []string, nowUs int64) bool {
 	if c.vouchedUs > 0 && nowUs-c.vouchedUs < ContactUs {
 		return true
@@ -58,14 +58,14 @@
 	})
 }
 
-// MayAnswer tells whether an answer may leave at nowUs when the work behind it
-// began at begunUs. A lease alone is not enough: a process that was frozen in the
-// middle may get a new one before the old work's answer leaves.
+// MayAnswer reports whether an answer may be sent at nowUs when the work behind it
+// began at begunUs. The lease alone is not enough: a process that was paused in between
+// may hold a new lease before the answer of the old work is sent.
 func (c *Contact) MayAnswer(group []string, begunUs, nowUs int64) bool {
 	return nowUs-begunUs < ContactUs && c.Holds(group, nowUs)
 }
 
-// Majority tells whether more than half of a group is counted.
+// Majority reports whether counted is true for more than half of a group.
 func Majority(group []string, counted func(member string) bool) bool {
 	votes := 0
 	for _, member := range group {
--- a/internal/lease/contact_test.go
+++ b/internal/lease/contact_test.go
@@ -11,29 +11,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// The model: members ask each other every 500 ms and commit and read versions by
-// majorities, over links that delay, lose and are cut one way, both ways or between
-// some pairs, while members freeze and thaw. Every member has a clock of its own;
-// what it was frozen through comes in first at the thaw, in any order. The time of
-// day is nowhere in it.
+// The model: members send requests to each other every 500 ms and commit and read
+// versions by majorities, over links that delay and lose messages and are partitioned
+// one way, both ways or between some pairs, while members are paused and resumed. Every
+// member has a clock of its own; what arrives during a pause is handled at its end, in
+// any order. The time of day is not used.
 //
 // Checked at every step, against what the other members really handled:
-//   - where a member's lease holds at t, a majority has handled a question of its
-//     since t-ContactUs;
-//   - an answer that leaves at t lacks no version committed before t-ContactUs;
-//   - once all trouble is over, every member has the lease again.
+//   - while a member's lease holds at t, a majority has handled a request of its since
+//     t-ContactUs;
+//   - an answer that is sent at t includes every version committed before t-ContactUs;
+//   - once all faults are over, every member has the lease again.
 const (
-	askEveryUs   = 500_000
-	askWaitUs    = 450_000
-	calmFromUs   = 30_000_000
-	modelEndUs   = calmFromUs + 4_000_000
-	standardRuns = 300
+	renewIntervalUs  = 500_000
+	requestTimeoutUs = 450_000
+	faultsEndUs      = 30_000_000
+	modelEndUs       = faultsEndUs + 4_000_000
+	standardRuns     = 300
 )
 
 type modelEvent struct {
 	atUs int64
 	seq  int
-	node int // whose step it is; -1 is the world
+	node int // whose step it is; -1 for the network and the faults
 	do   func()
 }
 
@@ -56,8 +56,8 @@
 	lease     Contact
 	offsetUs  int64 // of its clock
 	version   int
-	thawsUs   int64
-	handledUs map[int]int64 // by member: when it last handled an answered question of this node
+	resumesUs int64
+	handledUs map[int]int64 // by member: when it last handled an answered request of this node
 }
 
 type model struct {
@@ -94,16 +94,16 @@
 	m.t.Fatalf("seed %d", m.seed)
 }
 
-// send carries something to a member, unless the link loses it.
+// send delivers a message to a member, unless the link loses it.
 func (m *model) send(from, to int, do func()) {
-	if m.cut[[2]int{from, to}] || m.nowUs < calmFromUs && m.r.IntN(20) == 0 {
+	if m.cut[[2]int{from, to}] || m.nowUs < faultsEndUs && m.r.IntN(20) == 0 {
 		return
 	}
 	m.at(m.nowUs+500+m.r.Int64N(40_000), to, do)
 }
 
-// ask is a round trip; done runs at the one who asks, with when it was handled.
-func (m *model) ask(from, to int, handle func(), done func(handledUs int64)) {
+// request is a round trip; done runs at the sender, with the time of the handling.
+func (m *model) request(from, to int, handle func(), done func(handledUs int64)) {
 	m.send(from, to, func() {
 		handledUs := m.nowUs
 		handle()
@@ -123,46 +123,46 @@
 		if to == i {
 			continue
 		}
-		m.ask(i, to, func() {}, func(handledUs int64) {
-			if m.nodes[i].thawsUs <= sentAt && m.nowUs-sentAt > askWaitUs {
-				return // the call has timed out; after a freeze the answer may win over the timer
+		m.request(i, to, func() {}, func(handledUs int64) {
+			if m.nodes[i].resumesUs <= sentAt && m.nowUs-sentAt > requestTimeoutUs {
+				return // the call has timed out; after a pause the answer may be handled before the timer
 			}
 			m.handled(i, to, handledUs)
 			m.nodes[i].lease.Answered(m.group[to], sentUs)
 			m.check(i)
 		})
 	}
-	m.at(m.nowUs+askEveryUs, i, func() { m.renew(i) })
+	m.at(m.nowUs+renewIntervalUs, i, func() { m.renew(i) })
 }
 
-// check holds the lease against what the others really handled.
+// check compares the lease with what the others really handled.
 func (m *model) check(i int) {
 	n := m.nodes[i]
 	if !n.lease.Holds(m.group, m.clock(i)) {
 		return
 	}
-	heard := 1
+	handled := 1
 	for to, us := range n.handledUs {
 		if to != i && us > m.nowUs-ContactUs {
-			heard++
+			handled++
 		}
 	}
-	if heard <= len(m.nodes)/2 {
-		m.fail("member %d has the lease, and %d have handled a question of it", i, heard)
+	if handled <= len(m.nodes)/2 {
+		m.fail("member %d has the lease, and %d have handled a request of it", i, handled)
 	}
 }
 
-// commit puts the next version on a majority.
+// commit writes the next version to a majority.
 func (m *model) commit(i int) {
-	version, has := len(m.committed)+1, 1
+	version, acks := len(m.committed)+1, 1
 	m.nodes[i].version = max(m.nodes[i].version, version)
 	for to := range m.nodes {
 		if to == i {
 			continue
 		}
-		m.ask(i, to, func() { m.nodes[to].version = max(m.nodes[to].version, version) }, func(int64) {
-			has++
-			if has == len(m.nodes)/2+1 && len(m.committed)+1 == version {
+		m.request(i, to, func() { m.nodes[to].version = max(m.nodes[to].version, version) }, func(int64) {
+			acks++
+			if acks == len(m.nodes)/2+1 && len(m.committed)+1 == version {
 				m.committed = append(m.committed, m.nowUs)
 				m.note("version %d committed by %d", version, i)
 			}
@@ -170,19 +170,19 @@
 	}
 }
 
-// read reads by a majority and answers after some work, if it may.
+// read reads from a majority and answers after some work, if it may.
 func (m *model) read(i int) {
-	begunUs, newest, has, answered := m.clock(i), m.nodes[i].version, 1, false
+	begunUs, newest, replies, answered := m.clock(i), m.nodes[i].version, 1, false
 	for to := range m.nodes {
 		if to == i {
 			continue
 		}
 		seen := 0
-		m.ask(i, to, func() { seen = m.nodes[to].version }, func(handledUs int64) {
-			has++
+		m.request(i, to, func() { seen = m.nodes[to].version }, func(handledUs int64) {
+			replies++
 			newest = max(newest, seen)
 			m.handled(i, to, handledUs)
-			if has <= len(m.nodes)/2 || answered {
+			if replies <= len(m.nodes)/2 || answered {
 				return
 			}
 			answered = true
@@ -206,15 +206,15 @@
 	}
 }
 
-// trouble cuts links or freezes a member for a while.
-func (m *model) trouble() {
+// fault partitions links or pauses a member for a while.
+func (m *model) fault() {
 	a, b := m.r.IntN(len(m.nodes)), m.r.IntN(len(m.nodes))
-	endUs := min(m.nowUs+m.r.Int64N(8_000_000), calmFromUs)
+	endUs := min(m.nowUs+m.r.Int64N(8_000_000), faultsEndUs)
 	var links [][2]int
 	switch m.r.IntN(4) {
 	case 0:
-		m.note("%d frozen until %d", a, endUs)
-		m.nodes[a].thawsUs = max(m.nodes[a].thawsUs, endUs)
+		m.note("%d paused until %d", a, endUs)
+		m.nodes[a].resumesUs = max(m.nodes[a].resumesUs, endUs)
 	case 1:
 		links = append(links, [2]int{a, b}, [2]int{b, a})
 	case 2:
@@ -235,8 +235,8 @@
 			delete(m.cut, l)
 		}
 	})
-	if m.nowUs < calmFromUs-5_000_000 {
-		m.at(m.nowUs+m.r.Int64N(6_000_000), -1, m.trouble)
+	if m.nowUs < faultsEndUs-5_000_000 {
+		m.at(m.nowUs+m.r.Int64N(6_000_000), -1, m.fault)
 	}
 }
 
@@ -250,17 +250,20 @@
 	m.at(m.nowUs+m.r.Int64N(200_000), -1, m.call)
 }
 
-// run plays until the end. A frozen member's steps wait for its thaw and then come
-// shuffled: which goroutine runs first is anybody's guess.
+// run plays until the end. The steps of a paused member wait for its resumption and are
+// then shuffled, as the order in which goroutines run is not determined.
 func (m *model) run() {
 	for len(m.queue) > 0 {
-		e := heap.Pop(&m.queue).(modelEvent)
+		e, isEvent := heap.Pop(&m.queue).(modelEvent)
+		if !isEvent {
+			m.fail("the queue holds something else than an event")
+		}
 		if e.atUs > modelEndUs {
 			return
 		}
 		m.nowUs = max(m.nowUs, e.atUs)
-		if e.node >= 0 && m.nowUs < m.nodes[e.node].thawsUs {
-			m.at(m.nodes[e.node].thawsUs+m.r.Int64N(20_000), e.node, e.do)
+		if e.node >= 0 && m.nowUs < m.nodes[e.node].resumesUs {
+			m.at(m.nodes[e.node].resumesUs+m.r.Int64N(20_000), e.node, e.do)
 			continue
 		}
 		e.do()
@@ -276,11 +279,11 @@
 		m.at(m.r.Int64N(300_000), i, func() { m.renew(i) })
 	}
 	m.at(1_000_000, -1, m.call)
-	m.at(2_000_000, -1, m.trouble)
+	m.at(2_000_000, -1, m.fault)
 	for us := int64(0); us < modelEndUs; us += 50_000 {
 		m.at(us, -1, func() {
 			for i, n := range m.nodes {
-				if m.nowUs >= n.thawsUs {
+				if m.nowUs >= n.resumesUs {
 					m.check(i)
 				}
 			}
@@ -289,14 +292,15 @@
 	m.run()
 	for i := range m.nodes {
 		if !m.nodes[i].lease.Holds(m.group, m.clock(i)) {
-			m.fail("member %d has no lease though all is calm", i)
+			m.fail("member %d has no lease though all faults are over", i)
 		}
 	}
 	return m.answers, m.refusals
 }
 
-// LEASE_RUNS says how many seeds are played; a failing one prints its history.
-func TestContactHoldsUnderCutsAndFreezes(t *testing.T) {
+// The environment variable LEASE_RUNS sets the number of seeds; a failing one prints
+// its history.
+func TestContactHoldsUnderPartitionsAndPauses(t *testing.T) {
 	runs := standardRuns
 	if n, err := strconv.Atoi(os.Getenv("LEASE_RUNS")); err == nil {
 		runs = n
@@ -306,19 +310,19 @@
 		a, r := playContact(t, uint64(seed))
 		answers, refusals = answers+a, refusals+r
 	}
-	must.Greater(t, refusals, answers, must.Sprint("most answers may leave"))
-	must.Greater(t, 0, refusals, must.Sprint("some answers were caught by a freeze"))
-	t.Logf("%d answers left, %d were held back", answers, refusals)
+	must.Greater(t, refusals, answers, must.Sprint("most answers may be sent"))
+	must.Greater(t, 0, refusals, must.Sprint("some answers were delayed by a pause"))
+	t.Logf("%d answers sent, %d refused", answers, refusals)
 }
 
-func TestContactOfOneIsAlwaysHeld(t *testing.T) {
+func TestSingleMemberAlwaysHoldsContact(t *testing.T) {
 	c := Contact{Self: "a"}
 	must.True(t, c.Holds([]string{"a"}, 1))
 	must.False(t, c.Holds([]string{"b"}, 1))
 	must.False(t, c.Holds(nil, 1), must.Sprint("a member that knows no group is in contact with none"))
 }
 
-func TestContactOfAnotherIncarnationDoesNotCount(t *testing.T) {
+func TestAnswersOfEarlierIncarnationsDoNotCount(t *testing.T) {
 	c := Contact{Self: "a/0"}
 	c.Answered("b/new", 5)
 	must.False(t, c.Holds([]string{"a/0", "b/0", "c/0"}, 6))
@@ -327,9 +331,9 @@
 	must.False(t, c.Holds([]string{"a/0", "b/0", "c/0"}, 5+ContactUs))
 }
 
-// An answer that rests on no majority's work, such as a refusal of what cannot be
-// read, needs the lease all the same.
-func TestAnswerNeedsTheLeaseHoweverYoungItsWork(t *testing.T) {
+// An answer without the work of a majority, such as a rejection of a malformed request,
+// needs the lease too.
+func TestAnswerNeedsContactHoweverRecentItsWork(t *testing.T) {
 	c, group := Contact{Self: "a"}, []string{"a", "b", "c"}
 	must.False(t, c.MayAnswer(group, 5, 6))
 	c.Vouched(5)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,36 +8,46 @@
 
 var times = Times{LeaseUs: 3_000_000, ActUs: 400_000, SpareUs: 800_000}
 
-// Two holders on traces of confirmations and cuts never act within the claim
-// time of each other.
+// confirmedUntil reports whether a holder that is cut off at cutUs confirms its lease
+// at nowUs: it does so once every 100 ms.
+func confirmedUntil(cutUs, nowUs int64) bool { return nowUs < cutUs && nowUs%100_000 < 10_000 }
+
+// handOver plays a holder that is cut off at cutUs and a successor that acquires the
+// lease half a second later. It returns when the holder last acted and when the
+// successor first did; 0 where it never did.
+func handOver(cutUs int64) (lastOldUs, firstNewUs int64) {
+	holder, successor := &Lease{T: times}, &Lease{T: times}
+	holder.Acquired(1, Nobody, 1)
+	for now := int64(1); now < 12_000_000; now += 10_000 {
+		if confirmedUntil(cutUs, now) {
+			holder.Confirmed(1, now)
+		}
+		if holder.MayAct(now) {
+			lastOldUs = now
+		}
+		if now >= cutUs+500_000 && successor.Fence() == 0 {
+			successor.Acquired(2, Another, now)
+		}
+		if successor.Fence() == 2 {
+			successor.Confirmed(2, now)
+		}
+		if successor.MayAct(now) && firstNewUs == 0 {
+			firstNewUs = now
+		}
+	}
+	return lastOldUs, firstNewUs
+}
+
+// Two holders never act within LeaseUs of each other, whenever the first is cut off.
 func TestHoldersNeverActWithinLeaseTime(t *testing.T) {
 	for cutUs := int64(0); cutUs < 3_000_000; cutUs += 37_000 {
-		a, b := &Lease{T: times}, &Lease{T: times}
-		a.Acquired(1, Nobody, 1)
-		lastA, firstB := int64(0), int64(0)
-		for now := int64(1); now < 12_000_000; now += 10_000 {
-			if now < cutUs && now%100_000 < 10_000 {
-				a.Confirmed(1, now)
-			}
-			if a.MayAct(now) {
-				lastA = now
-			}
-			if now >= cutUs+500_000 && b.Fence() == 0 {
-				b.Acquired(2, Another, now)
-			}
-			if b.Fence() == 2 {
-				b.Confirmed(2, now)
-			}
-			if b.MayAct(now) && firstB == 0 {
-				firstB = now
-			}
-		}
-		must.Greater(t, 0, firstB)
-		must.GreaterEq(t, lastA+times.LeaseUs, firstB)
+		lastOldUs, firstNewUs := handOver(cutUs)
+		must.Greater(t, 0, firstNewUs)
+		must.GreaterEq(t, lastOldUs+times.LeaseUs, firstNewUs)
 	}
 }
 
-func TestAcquiredLeaseWaitsAndCountsOnlyItsOwnFence(t *testing.T) {
+func TestLeaseWaitsAfterAcquireAndIgnoresOtherFences(t *testing.T) {
 	l := &Lease{T: times}
 	l.Acquired(4, Another, 1)
 	l.Confirmed(4, 2)
@@ -45,12 +55,12 @@
 	l.Confirmed(4, 4_300_000)
 	must.True(t, l.MayAct(4_300_001))
 	l.Confirmed(9, 9_000_000)
-	must.False(t, l.MayAct(9_000_001), must.Sprint("a confirmation of another fence is none"))
+	must.False(t, l.MayAct(9_000_001), must.Sprint("a confirmation of another fence is ignored"))
 	l.Released()
 	must.False(t, l.MayAct(9_000_002))
 }
 
-func TestAcquireAfterOwnRestartWaitsForMessagesOnly(t *testing.T) {
+func TestAcquireAfterOwnRestartWaitsForInFlightMessagesOnly(t *testing.T) {
 	l := &Lease{T: times}
 	l.Acquired(5, Itself, 1)
 	must.Eq(t, times.SpareUs, l.ReadyInUs(1))
--- a/internal/lease/takeover_test.go
+++ b/internal/lease/takeover_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestTakeoverWithinASecondOfAnotherWhoseHolderIsGone(t *testing.T) {
+func TestTakeoverIsDueShortlyAfterAnEarlierTakeover(t *testing.T) {
 	var takeover Takeover
 	must.False(t, takeover.Due(goneHolder(), 1))
 	next := goneHolder()
@@ -35,7 +35,7 @@
 	must.True(t, takeover.Due(next, 500_000+GoneUs), must.Sprint("a lease that has just changed hands is no exception"))
 }
 
-func TestTakeoverOfALiveHolderIsNeverDue(t *testing.T) {
+func TestTakeoverFromLiveHolderIsNeverDue(t *testing.T) {
 	var takeover Takeover
 	view := goneHolder()
 	view.Gone = false
@@ -44,52 +44,62 @@
 	}
 }
 
-// member is one of two controllers that reach the majority, but not each other.
-type member struct {
+// candidate is one of two controllers that reach the majority, but not each other.
+type candidate struct {
+	name     string
 	lease    Lease
 	takeover Takeover
 	holds    bool
+	acts     int
+	actedUs  int64 // when it last acted; 0 before it did
 }
 
-// Two controllers that do not reach each other see each other as gone. They must
-// not act within LeaseUs of one another, and one of them must come to act.
-func TestMembersApartDoNotTakeTurnsWithinLeaseTime(t *testing.T) {
-	a, b := &member{lease: Lease{T: times}}, &member{lease: Lease{T: times}}
-	members := map[string]*member{"a": a, "b": b}
-	holder, fence := "a", int64(1)
+// register is the lease as the consensus register has it.
+type register struct {
+	holder string
+	fence  int64
+}
+
+// step lets a candidate try to acquire the lease, or confirm it and act under it. It
+// reports whether the candidate acted.
+func (c *candidate) step(r *register, nowUs int64) (acted bool) {
+	if r.holder == c.name {
+		c.lease.Confirmed(r.fence, nowUs)
+		return c.lease.MayAct(nowUs)
+	}
+	if c.holds {
+		c.holds = false
+		c.lease.Released()
+		c.takeover.Lost(nowUs)
+	}
+	view := HolderView{Holder: r.holder, Fence: r.fence, Gone: nowUs > 1_000_000, InContact: true, Needed: true}
+	if c.takeover.Due(view, nowUs) {
+		r.fence++
+		r.holder, c.holds = c.name, true
+		c.lease.Acquired(r.fence, Another, nowUs)
+	}
+	return false
+}
+
+// Two controllers that cannot reach each other see each other as gone. They must not
+// act within LeaseUs of one another, and each must come to act.
+func TestPartitionedCandidatesNeverActWithinLeaseTime(t *testing.T) {
+	a := &candidate{name: "a", lease: Lease{T: times}, holds: true}
+	b := &candidate{name: "b", lease: Lease{T: times}}
+	lease := &register{holder: "a", fence: 1}
 	a.lease.Acquired(1, Nobody, 1)
-	a.holds = true
-	lastActUs, acts := map[string]int64{}, map[string]int{}
 	for now := int64(1); now < 60_000_000; now += 50_000 {
-		for _, name := range []string{"a", "b"} {
-			m := members[name]
-			if holder != name {
-				if m.holds {
-					m.holds = false
-					m.lease.Released()
-					m.takeover.Lost(now)
-				}
-				view := HolderView{Holder: holder, Fence: fence, Gone: now > 1_000_000, InContact: true, Needed: true}
-				if m.takeover.Due(view, now) {
-					fence++
-					holder, m.holds = name, true
-					m.lease.Acquired(fence, Another, now)
-				}
-				continue
-			}
-			m.lease.Confirmed(fence, now)
-			if !m.lease.MayAct(now) {
+		for _, turn := range []struct{ self, other *candidate }{{a, b}, {b, a}} {
+			if !turn.self.step(lease, now) {
 				continue
 			}
-			acts[name]++
-			for other, atUs := range lastActUs {
-				if other != name {
-					must.GreaterEq(t, times.LeaseUs, now-atUs)
-				}
+			if turn.other.acts > 0 {
+				must.GreaterEq(t, times.LeaseUs, now-turn.other.actedUs)
 			}
-			lastActUs[name] = now
+			turn.self.acts++
+			turn.self.actedUs = now
 		}
 	}
-	must.Positive(t, acts["a"])
-	must.Greater(t, 20, acts["b"], must.Sprint("whoever takes the lease over comes to act under it"))
+	must.Positive(t, a.acts)
+	must.Greater(t, 20, b.acts, must.Sprint("whoever takes the lease over comes to act under it"))
 }
