--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -1,18 +1,18 @@
 package rollout
 
-// Answer is what became of an order.
+// Answer is the outcome of an order.
 type Answer int
 
 // Answers to an order.
 const (
-	NoAnswer     Answer = iota // it may have been taken
-	Accepted                   // it is being done
+	NoAnswer     Answer = iota // the runner may have accepted it
+	Accepted                   // the runner carries it out
 	AlreadyHolds               // the runner holds the weights
-	Conflict                   // another order is under way, or the sequence differs
-	Rejected                   // not taken
+	Conflict                   // another order is in progress, or the sequence differs
+	Rejected                   // the runner does not carry it out
 )
 
-// AnswerOf reads the status of an answer; 0 is none.
+// AnswerOf returns the answer that an HTTP status stands for; 0 means no response.
 func AnswerOf(status int) Answer {
 	switch status {
 	case 0:
@@ -27,15 +27,15 @@
 	return Rejected
 }
 
-// Report is what a runner said of itself.
+// Report is a runner's report of its own state.
 type Report struct {
-	Version  int64 // of the model's weights; 0 where it named none
-	Busy     bool  // an order is under way
-	Idle     bool  // nothing runs: a runner under order loads
-	Sequence int64 // orders taken
+	Version  int64 // of the model's weights; 0 if it reports none
+	Busy     bool  // an order is in progress
+	Idle     bool  // no request runs: if it was ordered, it loads the weights
+	Sequence int64 // number of orders accepted
 }
 
-// Answered notes what became of an order for a version.
+// Answered records the outcome of an order.
 func (p *Plan) Answered(o Order, answer Answer, nowUs int64) {
 	j := p.jobs[o.ID]
 	if j == nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Reported notes a runner's report that was asked for at askedUs.
+// Reported records a runner's report that was requested at askedUs.
 func (p *Plan) Reported(id string, r Report, askedUs, nowUs int64) {
 	j := p.jobs[id]
 	if j == nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// NotReported notes that a runner did not give its report.
+// NotReported records that a runner did not answer the request for its report.
 func (p *Plan) NotReported(id string) {
 	if j := p.jobs[id]; j != nil {
 		j.unanswered++
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -15,22 +15,22 @@
 
 var testTimes = lease.Times{LeaseUs: 3 * second, ActUs: 400 * ms, SpareUs: 800 * ms}
 
-// testRunner is a runner that takes orders as the protocol has it: it begins nothing
-// while an order is under way, lets its runs end, and loads.
+// testRunner is a runner that handles orders as the protocol defines: once ordered it
+// begins no request, lets the running ones finish, and loads the weights.
 type testRunner struct {
 	version  int64
-	holdUs   int64 // how long its runs go on after an order
+	holdUs   int64 // how long its requests run on after an order
 	loadUs   int64
-	mute     int // orders that get no answer and are not taken
-	deaf     int // orders that are taken and get no answer
+	lost     int // orders that are to be lost
+	unacked  int // orders that are to be accepted without an answer
 	target   int64
 	readyUs  int64
 	sequence int64
-	orders   []int64 // when each order came
+	orders   []int64 // when each order was accepted
 	listed   Runner
 }
 
-// fleet is the runners of a model, and what the registry knows of them.
+// fleet is the runners of a model, and their records in the registry.
 type fleet struct {
 	runners map[string]*testRunner
 	sent    int
@@ -54,7 +54,7 @@
 	return out
 }
 
-// tick ends loads.
+// tick completes the loads that are due.
 func (f *fleet) tick(nowUs int64) {
 	for _, r := range f.runners {
 		if r.target > 0 && nowUs >= r.readyUs {
@@ -63,10 +63,10 @@
 	}
 }
 
-// take is a runner's answer to an order.
-func (r *testRunner) take(o Order, nowUs int64) Answer {
-	if r.mute > 0 {
-		r.mute--
+// handle returns the runner's answer to an order.
+func (r *testRunner) handle(o Order, nowUs int64) Answer {
+	if r.lost > 0 {
+		r.lost--
 		return NoAnswer
 	}
 	answer := Accepted
@@ -80,8 +80,8 @@
 		r.sequence++
 		r.orders = append(r.orders, nowUs)
 	}
-	if r.deaf > 0 {
-		r.deaf--
+	if r.unacked > 0 {
+		r.unacked--
 		return NoAnswer
 	}
 	return answer
@@ -91,23 +91,23 @@
 	return Report{Version: r.version, Busy: r.target > 0, Idle: r.target > 0 && nowUs >= r.readyUs-r.loadUs, Sequence: r.sequence}
 }
 
-// carryOut does what a plan asks for, as a driver would.
+// carryOut carries out the actions of a plan, as the controller does.
 func (f *fleet) carryOut(p *Plan, a Actions, nowUs int64) {
 	for _, c := range a.Cordons {
 		f.runners[c.ID].listed.Cordoned, f.runners[c.ID].listed.Draining = c.Cordoned, c.Draining
 	}
 	for _, o := range a.Orders {
 		f.sent++
-		answer := f.runners[o.ID].take(o, nowUs)
+		answer := f.runners[o.ID].handle(o, nowUs)
 		p.Answered(o, answer, nowUs)
 	}
 	for _, id := range a.Poll {
 		r := f.runners[id]
-		said := r.report(nowUs)
-		if !said.Busy {
-			r.listed.Version = max(r.listed.Version, said.Version)
+		report := r.report(nowUs)
+		if !report.Busy {
+			r.listed.Version = max(r.listed.Version, report.Version)
 		}
-		p.Reported(id, said, nowUs, nowUs)
+		p.Reported(id, report, nowUs, nowUs)
 	}
 	out := 0
 	for _, r := range f.runners {
@@ -118,7 +118,7 @@
 	f.maxOut = max(f.maxOut, out)
 }
 
-// firstOrders gives when the last runner got its first order.
+// lastFirstOrder returns when the last runner got its first order; -1 if one has none.
 func (f *fleet) lastFirstOrder() int64 {
 	last := int64(0)
 	for _, r := range f.runners {
@@ -130,7 +130,7 @@
 	return last
 }
 
-// play steps a plan from startUs for forUs under a lease that may act, or to the step
+// play steps a plan for forUs from startUs under a lease that may act, or until the step
 // after the last runner holds the weights.
 func (f *fleet) play(p *Plan, namings []Naming, startUs, forUs int64) (endUs int64) {
 	for now := startUs; now < startUs+forUs; now += stepUs {
--- a/internal/rollout/job.go
+++ b/internal/rollout/job.go
@@ -1,27 +1,27 @@
 package rollout
 
-// job is one runner's way to the newest weights.
+// job is the roll-out of the newest weights to one runner.
 type job struct {
 	id        string
 	stage     Stage
 	sinceUs   int64 // when the stage began
-	version   int64 // of its weights, as far as known
-	inherited bool  // cordoned by an earlier holder: perhaps under order
+	version   int64 // of its weights; 0 if unknown
+	inherited bool  // cordoned by an earlier holder, which may have ordered it
 
-	pending    bool  // an order has not been answered yet
-	accepted   bool  // the last order is being done
+	pending    bool  // an order is in flight
+	accepted   bool  // the last order was accepted
 	orderedUs  int64 // when the last order was sent
-	answeredUs int64 // when it was answered, or given up
-	attempts   int   // orders since the last that was accepted
+	answeredUs int64 // when it was answered or timed out
+	attempts   int   // orders sent since the last accepted one
 
-	polledUs   int64 // when its report was last asked for
-	unanswered int   // reports asked for in vain since the last one
-	askedUs    int64 // when the newest report was asked for
+	polledUs   int64 // when its report was last requested
+	unanswered int   // requests for its report without an answer, since the last report
+	askedUs    int64 // when the newest report received was requested
 	report     Report
-	loadUs     int64 // when its load was seen to begin
+	loadUs     int64 // when a report first showed it loading; 0 if none did
 }
 
-// move begins a stage.
+// move enters a stage.
 func (j *job) move(s Stage, nowUs int64) {
 	j.stage, j.sinceUs = s, nowUs
 	if s == Completed || s == Serving {
@@ -29,21 +29,21 @@
 	}
 }
 
-// cordon is what the registry is to show at this stage.
+// cordon returns how the registry is to list the runner at this stage.
 func (j *job) cordon() Cordon {
 	return Cordon{ID: j.id, Draining: j.stage == Draining, Cordoned: j.stage == Cordoned || j.stage == Ordered}
 }
 
-// silent tells that a runner has not answered several orders.
+// silent reports whether the runner left several orders unanswered.
 func (j *job) silent() bool { return j.attempts > 1 && !j.accepted }
 
-// backoff is a wait that doubles with each attempt.
+// backoff returns a delay that doubles with each attempt, from firstUs up to mostUs.
 func backoff(firstUs, mostUs int64, attempts int) int64 {
 	const mostDoublings = 8
 	return min(firstUs<<min(max(attempts, 0), mostDoublings), mostUs)
 }
 
-// orderDue tells whether a runner is to be sent an order now.
+// orderDue reports whether a runner is to be sent an order now.
 func (p *Plan) orderDue(j *job, nowUs int64) bool {
 	switch {
 	case j.pending:
@@ -53,14 +53,14 @@
 	case j.stage == Cordoned:
 		return nowUs-j.sinceUs >= SettleUs || nowUs >= p.deadlineUs(j)
 	case j.stage == Ordered:
-		return p.orderAgain(j, nowUs)
+		return p.retryDue(j, nowUs)
 	}
 	return false
 }
 
-// orderAgain tells whether an order has to be sent again: it may have been lost, or
-// was for a version that is no longer the newest.
-func (p *Plan) orderAgain(j *job, nowUs int64) bool {
+// retryDue reports whether an order has to be sent again: it may have been lost, or was
+// for a version that is no longer the newest.
+func (p *Plan) retryDue(j *job, nowUs int64) bool {
 	reported := j.askedUs >= j.answeredUs+reportLagUs
 	if reported && j.report.Busy {
 		return false
@@ -72,7 +72,7 @@
 	return sinceUs >= lostOrderUs
 }
 
-// send notes that an order goes out.
+// send records that an order is sent, and returns it.
 func (p *Plan) send(j *job, nowUs int64) Order {
 	o := Order{ID: j.id, Version: p.newest()}
 	if j.askedUs > 0 && j.askedUs >= j.answeredUs+reportLagUs && !j.report.Busy {
@@ -88,8 +88,8 @@
 	return o
 }
 
-// pollDue tells whether a runner's report is to be asked for: of one that is under
-// order, perhaps under order, or of unknown version.
+// pollDue reports whether to request a runner's report: it was ordered, may have been
+// ordered by an earlier holder, or its version is unknown.
 func (p *Plan) pollDue(j *job, nowUs int64) bool {
 	if j.stage == Completed || j.pending {
 		return false
--- a/internal/rollout/known.go
+++ b/internal/rollout/known.go
@@ -7,31 +7,32 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// freshSequence is the highest heartbeat sequence of a runner that counts as new.
+// freshSequence is the highest heartbeat sequence of a runner that has just registered.
 const freshSequence = 2
 
-// RunnersOf lists the runners that carry a model, in the order of their identities:
-// by their own word, or by their service where they have not said what they carry.
-// Runners that are about to end are left out; stale ones are not, as nothing says
-// that they have ended.
+// RunnersOf returns the runners that serve a model, sorted by identity. A runner that
+// has not reported its models counts as serving it if it belongs to the service.
+// Draining runners are left out; stale ones are not, as they may still be running.
 func RunnersOf(records map[string]messages.RunnerRecord, model, service string) []Runner {
 	var out []Runner
-	for id, n := range records {
-		version, carries := versionOf(n, model)
-		unknown := len(n.Models) == 0 && service != "" && n.Service == service
-		if n.Draining || !carries && !unknown {
+	for id, record := range records {
+		version, serves := versionOf(record, model)
+		unknown := len(record.Models) == 0 && service != "" && record.Service == service
+		if record.Draining || !serves && !unknown {
 			continue
 		}
-		out = append(out, Runner{ID: id, Version: version, Cordoned: n.Barred, Draining: n.Easing, Fresh: n.Seq <= freshSequence})
+		out = append(out, Runner{ID: id, Version: version, Cordoned: record.Barred, Draining: record.Easing, Fresh: record.Seq <= freshSequence})
 	}
 	slices.SortFunc(out, func(a, b Runner) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-func versionOf(n messages.RunnerRecord, model string) (version int64, carries bool) {
-	for _, t := range n.Models {
-		if t.Model == model {
-			return t.Version, true
+// versionOf returns the version of a model's weights that a runner reports, and whether
+// it serves the model.
+func versionOf(record messages.RunnerRecord, model string) (version int64, serves bool) {
+	for _, target := range record.Models {
+		if target.Model == model {
+			return target.Version, true
 		}
 	}
 	return 0, false
--- a/internal/rollout/known_test.go
+++ b/internal/rollout/known_test.go
@@ -25,8 +25,8 @@
 	must.Eq(t, []Runner{{ID: "a", Version: 1}, stale, fresh}, RunnersOf(records, "m", ""), must.Sprint("without a configuration"))
 }
 
-// What a process recalls may have been named long ago; its age is learned from others.
-func TestNamingOfUnknownAgeCountsAsOld(t *testing.T) {
+// A version loaded from disk may have been named long ago; other nodes send its age.
+func TestNamingOfUnknownAgeCountsAsBoundAgo(t *testing.T) {
 	var table targets.Table
 	table.Recall("m", 2, 11*second)
 	table.Named("m", 3, 20*second)
--- a/internal/rollout/loads.go
+++ b/internal/rollout/loads.go
@@ -1,21 +1,22 @@
 package rollout
 
-// loadSlackUs is what a load may seem longer than it is: reports lag and are asked
-// for now and then.
+// loadSlackUs is how much longer a load may appear than it is, in microseconds: reports
+// are delayed and polled at intervals.
 const loadSlackUs = int64(700_000)
 
-// loadLimit learns how many runners may load at once: loads take longer when more
-// run than the site permits. It bounds what the plan does while there is time.
+// loadLimit estimates how many runners may load weights at once: loads take longer when
+// more of them run than the site's storage sustains. The plan keeps to the limit unless
+// a runner's turn has come by the schedule.
 type loadLimit struct {
 	running   int
 	fastestUs int64
-	most      int // 0 while nothing was seen to slow loads down
+	most      int // 0 while no load was slow
 }
 
-// begun notes that a load has begun.
+// begun records that a load has begun.
 func (l *loadLimit) begun() { l.running++ }
 
-// ended notes the end of a load that was seen to begin at begunUs.
+// ended records the end of a load that began at begunUs; 0 if its beginning was not seen.
 func (l *loadLimit) ended(begunUs, nowUs int64) {
 	if begunUs == 0 {
 		return
@@ -30,7 +31,7 @@
 	}
 }
 
-// limit is how many of n runners may be out at once by what was seen.
+// limit returns how many of n runners may load at once.
 func (l *loadLimit) limit(n int) int {
 	if l.most == 0 {
 		return n
--- a/internal/rollout/namings.go
+++ b/internal/rollout/namings.go
@@ -7,9 +7,9 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// NamingsOf lists the remembered versions of a model, oldest first, with the moment
-// of each on the clock of nowUs. A version whose age nobody knows counts as named a
-// whole bound ago: orders that go out early do no harm.
+// NamingsOf returns the versions of a model in the table, oldest first, with the time of
+// each on the clock of nowUs. A version of unknown age counts as named boundUs ago:
+// orders that are sent early do no harm.
 func NamingsOf(table *targets.Table, model string, boundUs, nowUs int64) []Naming {
 	var out []Naming
 	for _, target := range table.Of(model) {
@@ -19,9 +19,9 @@
 	return out
 }
 
-// Name records a model's newest version in the body of a register, and tells whether
-// that changed it. Where the lease was never held, holder gets it with the same
-// change, unless it is empty.
+// Name records a model's newest version in the body of a register, and reports whether
+// that changed it. If the lease was never held, the same change gives it to holder,
+// unless holder is empty.
 func Name(body *messages.LeaseBody, target messages.Target, holder string) (changed bool) {
 	i := slices.IndexFunc(body.Targets, func(t messages.Target) bool { return t.Model == target.Model })
 	switch {
@@ -38,5 +38,5 @@
 	return true
 }
 
-// InitialFence is the fence of a lease that nobody held before.
+// InitialFence is the fencing token of a lease that was never held before.
 const InitialFence = 1
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -34,86 +34,40 @@
 	"slices"
 )
 
-// Naming is a version of a model's weights, and when it was acknowledged on the
-// clock of the caller. A moment that is not known is given as one long past.
-type Naming struct {
-	Version int64
-	NamedUs int64
-}
-
-// Runner is what is known of one runner of the model.
-type Runner struct {
-	ID       string
-	Version  int64 // of its weights; 0 where it is not known
-	Cordoned bool
-	Draining bool // gets no long requests
-	Fresh    bool // has registered for the first time just now
-}
-
-// Input is what a step of a plan is given.
-type Input struct {
-	NowUs      int64
-	Namings    []Naming
-	Runners    []Runner
-	MayPrepare bool // the caller may send orders soon
-	MayOrder   bool // the caller may send orders now
-}
-
-// Order is an order to be sent to a runner.
-type Order struct {
-	ID       string
-	Version  int64
-	Expected *int64 // the sequence at the runner, where it is known
-}
-
-// Cordon is what the registry is to show of a runner; neither frees it.
-type Cordon struct {
-	ID       string
-	Draining bool // no long requests
-	Cordoned bool // none at all
-}
-
-// Actions are what a step asks for.
-type Actions struct {
-	Cordons []Cordon
-	Orders  []Order
-	Poll    []string // runners to be asked for their report
-}
-
-// Stage is how far a runner is.
+// Stage is the progress of one runner in a plan.
 type Stage int
 
 // Stages of a runner.
 const (
-	Serving   Stage = iota // on older weights, and used
+	Serving   Stage = iota // on older weights, and gets requests
 	Draining               // gets no more long requests
 	Cordoned               // gets no more requests
 	Ordered                // was sent an order
 	Completed              // holds the newest weights
 )
 
-// Waits of a plan, in microseconds.
+// Delays of a plan, in microseconds.
 const (
-	// DrainUs is how long a runner gets no long requests before it gets none.
+	// DrainUs is how long a runner gets no long requests before it is cordoned.
 	DrainUs = int64(700_000)
-	// SettleUs is how long a cordoned runner is left to begin what it was sent.
+	// SettleUs is how long a cordoned runner has to begin the requests in flight to
+	// it before it is sent an order.
 	SettleUs = int64(300_000)
-	// reportWaitUs is how long a runner that another holder has cordoned is asked
-	// whether it is under order already.
+	// reportWaitUs is how long the plan waits for the report of a runner that an
+	// earlier holder has cordoned, which says whether it was ordered already.
 	reportWaitUs = int64(500_000)
-	// reportLagUs is how old a report may be when it is given.
+	// reportLagUs is the maximum age of a report's content when it is sent.
 	reportLagUs = int64(400_000)
-	// retryUs is after how long an order that got no answer, or no clear one, is
-	// sent again; longer after each.
+	// retryUs is the initial backoff of an order that got no answer, or no clear one.
 	retryUs = int64(300_000)
-	// maxRetryUs bounds that wait.
+	// maxRetryUs is the maximum backoff of an order.
 	maxRetryUs = int64(2_500_000)
-	// lostOrderUs is after how long an accepted order of which reports show
-	// nothing is sent again.
+	// lostOrderUs is the time after which an accepted order is sent again if no
+	// report shows it.
 	lostOrderUs = int64(4_000_000)
-	// pollUs is the time between reports of a runner that is waited for.
+	// pollUs is the poll interval of a runner that was ordered.
 	pollUs = int64(200_000)
-	// maxPollUs is the same for a runner that does not answer.
+	// maxPollUs is the maximum poll interval of a runner that does not answer.
 	maxPollUs = int64(3_000_000)
 )
 
@@ -123,40 +77,41 @@
 	startUs  int64 // from when the schedule spreads the turns
 	namings  []Naming
 	jobs     map[string]*job
-	started  bool // runners have been taken in
-	prepared bool // the schedule runs
+	started  bool // the first list of runners has been merged
+	prepared bool // the schedule has begun
 	loads    loadLimit
 }
 
-// NewPlan begins a plan that has all orders sent boundUs after a naming.
+// NewPlan returns a plan that sends all orders within boundUs after a naming.
 func NewPlan(boundUs int64) *Plan { return &Plan{boundUs: boundUs, jobs: map[string]*job{}} }
 
-// Step takes what is known now and says what is to be done.
+// Step updates the plan from the current namings and runners and returns what the
+// caller has to do.
 func (p *Plan) Step(in Input) Actions {
-	p.takeNamings(in)
-	p.takeRunners(in)
-	var a Actions
+	p.updateNamings(in)
+	p.updateRunners(in)
+	var actions Actions
 	if in.MayPrepare {
 		p.advance(in.NowUs)
 	}
 	for _, r := range in.Runners {
 		if want := p.jobs[r.ID].cordon(); want.Draining != r.Draining || want.Cordoned != r.Cordoned {
-			a.Cordons = append(a.Cordons, want)
+			actions.Cordons = append(actions.Cordons, want)
 		}
 	}
 	for _, j := range p.sorted() {
 		if in.MayOrder && p.orderDue(j, in.NowUs) {
-			a.Orders = append(a.Orders, p.send(j, in.NowUs))
+			actions.Orders = append(actions.Orders, p.send(j, in.NowUs))
 		}
 		if p.pollDue(j, in.NowUs) {
 			j.polledUs = in.NowUs
-			a.Poll = append(a.Poll, j.id)
+			actions.Poll = append(actions.Poll, j.id)
 		}
 	}
-	return a
+	return actions
 }
 
-// Finished tells whether all runners hold the newest weights.
+// Finished reports whether all runners hold the newest weights.
 func (p *Plan) Finished() bool {
 	for _, j := range p.jobs {
 		if j.stage != Completed {
@@ -166,7 +121,7 @@
 	return true
 }
 
-// StageOf tells how far a runner is.
+// StageOf returns the stage of a runner; Serving if it is not in the plan.
 func (p *Plan) StageOf(id string) Stage {
 	if j := p.jobs[id]; j != nil {
 		return j.stage
@@ -174,6 +129,7 @@
 	return Serving
 }
 
+// newest returns the newest named version; 0 if there is none.
 func (p *Plan) newest() int64 {
 	if len(p.namings) == 0 {
 		return 0
@@ -181,9 +137,9 @@
 	return p.namings[len(p.namings)-1].Version
 }
 
-// takeNamings begins the schedule anew where a newer version was named. Runners
-// keep their stages: one that is out stays out and gets the newest weights next.
-func (p *Plan) takeNamings(in Input) {
+// updateNamings restarts the schedule if a newer version was named. Runners keep their
+// stages: a cordoned one stays cordoned and is ordered to the newest version next.
+func (p *Plan) updateNamings(in Input) {
 	before := p.newest()
 	p.namings = slices.Clone(in.Namings)
 	slices.SortFunc(p.namings, func(a, b Naming) int { return cmp.Compare(a.Version, b.Version) })
@@ -198,8 +154,8 @@
 	}
 }
 
-// takeRunners drops the runners that are gone and takes in those that are new.
-func (p *Plan) takeRunners(in Input) {
+// updateRunners adds the runners that are new and removes those that are gone.
+func (p *Plan) updateRunners(in Input) {
 	listed := map[string]bool{}
 	for _, r := range in.Runners {
 		listed[r.ID] = true
@@ -219,8 +175,8 @@
 	p.started = true
 }
 
-// adopt begins with a runner where another holder has left it. One that is
-// cordoned may be under order already, which its report tells.
+// adopt returns the job of a runner in the state in which an earlier holder left it. A
+// cordoned runner may have been ordered already; its report says so.
 func (p *Plan) adopt(r Runner, nowUs int64) *job {
 	j := &job{id: r.ID, sinceUs: nowUs}
 	switch {
@@ -245,6 +201,7 @@
 	j.move(Completed, nowUs)
 }
 
+// sorted returns the jobs in the order of their runners' identities.
 func (p *Plan) sorted() []*job {
 	var out []*job
 	for _, j := range p.jobs {
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -8,23 +8,23 @@
 
 var namedAtStart = []Naming{{Version: 2, NamedUs: 1}}
 
-func TestPlanKeepsMostRunnersServingWhileThereIsTime(t *testing.T) {
+func TestMostRunnersKeepServingBeforeDeadline(t *testing.T) {
 	f := newFleet(9, 1, 300*ms, 400*ms)
 	p := NewPlan(boundUs)
 	end := f.play(p, namedAtStart, 1, 60*second)
 	must.True(t, p.Finished())
 	must.LessEq(t, maxOut(9), f.maxOut)
 	must.Less(t, boundUs+second, end)
-	must.Eq(t, 9, f.sent, must.Sprint("one order a runner"))
+	must.Eq(t, 9, f.sent, must.Sprint("one order for each runner"))
 	for _, r := range f.runners {
 		must.False(t, r.listed.Cordoned)
 		must.False(t, r.listed.Draining)
 	}
 }
 
-// Three rounds of streams of 20 s do not fit. All orders go out all the same, and
-// not all at the last moment.
-func TestAllOrdersGoOutBeforeTheBoundWhateverStreamsLast(t *testing.T) {
+// Three batches of runners with streams of 20 s do not fit before the bound. All orders
+// are sent in time nevertheless, and not all at the last moment.
+func TestAllOrdersAreSentBeforeBoundDespiteLongStreams(t *testing.T) {
 	f := newFleet(9, 1, 20*second, 400*ms)
 	p := NewPlan(boundUs)
 	f.play(p, namedAtStart, 1, boundUs/2)
@@ -38,7 +38,7 @@
 	must.Eq(t, 9, f.sent)
 }
 
-func TestSlowRunnersAreNotWaitedFor(t *testing.T) {
+func TestSlowRunnersDoNotDelayOthers(t *testing.T) {
 	f := newFleet(9, 1, 200*ms, 300*ms)
 	for _, id := range []string{"i-0", "i-1", "i-2"} {
 		f.runners[id].holdUs *= 100
@@ -56,8 +56,8 @@
 	must.Eq(t, start, f.lastFirstOrder())
 }
 
-// A version is judged from its own acknowledgement: a later one puts nothing off.
-func TestLaterNamingPutsNoOrderOff(t *testing.T) {
+// Each version counts from its own acknowledgement: a later one postpones nothing.
+func TestLaterNamingDoesNotPostponeOrders(t *testing.T) {
 	f := newFleet(9, 1, 20*second, 400*ms)
 	p := NewPlan(boundUs)
 	f.play(p, namedAtStart, 1, second)
@@ -65,8 +65,8 @@
 	must.Between(t, 1, f.lastFirstOrder(), boundUs)
 }
 
-// Runners that serve on version 1 go straight to 3; one under order to 2 is not freed
-// in between.
+// Runners that serve on version 1 go straight to 3; one that was ordered to load 2 stays
+// cordoned in between.
 func TestPlanForNewerVersionInheritsStages(t *testing.T) {
 	f := newFleet(9, 1, 500*ms, 500*ms)
 	p := NewPlan(boundUs)
@@ -82,7 +82,7 @@
 		f.carryOut(p, p.Step(Input{NowUs: now, Namings: namings, Runners: f.list(), MayPrepare: true, MayOrder: true}), now)
 		for id, was := range ordered {
 			if was && f.runners[id].version < 3 {
-				must.True(t, f.runners[id].listed.Cordoned, must.Sprint(id, " was freed on version 2"))
+				must.True(t, f.runners[id].listed.Cordoned, must.Sprint(id, " was uncordoned on version 2"))
 			}
 		}
 	}
@@ -95,20 +95,20 @@
 	}
 }
 
-func TestOrdersWithoutAnswerAreSentAgainSoon(t *testing.T) {
+func TestUnansweredOrdersAreRetried(t *testing.T) {
 	f := newFleet(1, 1, 0, 400*ms)
-	f.runners["i-0"].mute = 2
+	f.runners["i-0"].lost = 2
 	p := NewPlan(boundUs)
 	end := f.play(p, namedAtStart, 1, 60*second)
 	must.Eq(t, 3, f.sent)
 	must.Less(t, 4*second, end)
 }
 
-// An order that was taken without an answer is not given a second time: the report
-// shows that it is being done.
-func TestOrderTakenWithoutAnswerIsNotTakenTwice(t *testing.T) {
+// An order that was accepted without an answer is not sent a second time: the report
+// shows that it is carried out.
+func TestOrderAcceptedWithoutAnswerIsNotSentTwice(t *testing.T) {
 	f := newFleet(1, 1, 3*second, 400*ms)
-	f.runners["i-0"].deaf = 1
+	f.runners["i-0"].unacked = 1
 	p := NewPlan(boundUs)
 	f.play(p, namedAtStart, 1, 60*second)
 	must.True(t, p.Finished())
@@ -137,9 +137,9 @@
 	must.Len(t, 1, f.runners["new"].orders)
 }
 
-// A successor finds runners cordoned by the holder before it. It asks those first,
-// and orders only the ones that are not under order.
-func TestSuccessorGoesOnWithoutOrderingTwice(t *testing.T) {
+// A successor finds runners cordoned by the previous holder. It polls those first, and
+// orders only the ones that were not ordered.
+func TestSuccessorResumesWithoutOrderingTwice(t *testing.T) {
 	for stopUs := stepUs; stopUs < 8*second; stopUs += stepUs {
 		f := newFleet(9, 1, 4*second, 500*ms)
 		f.play(NewPlan(boundUs), namedAtStart, 1, stopUs)
@@ -151,11 +151,11 @@
 			must.Eq(t, int64(2), r.version, must.Sprint(id, " when the holder was lost at ", stopUs))
 			must.Len(t, 1, r.orders, must.Sprint(id, " when the holder was lost at ", stopUs))
 		}
-		must.Eq(t, 9, f.sent, must.Sprint("no order is sent in vain; holder lost at ", stopUs))
+		must.Eq(t, 9, f.sent, must.Sprint("no order is wasted; holder lost at ", stopUs))
 	}
 }
 
-func TestGoneRunnersAreDropped(t *testing.T) {
+func TestRemovedRunnersAreDropped(t *testing.T) {
 	f := newFleet(2, 1, 20*second, 400*ms)
 	p := NewPlan(boundUs)
 	f.play(p, namedAtStart, 1, 2*second)
@@ -164,7 +164,7 @@
 	must.True(t, p.Finished())
 }
 
-func TestLoadsThatSlowOneAnotherDownBoundThePlan(t *testing.T) {
+func TestSlowConcurrentLoadsLowerTheLimit(t *testing.T) {
 	var l loadLimit
 	must.Eq(t, 9, l.limit(9))
 	for range 3 {
--- a/internal/rollout/rank.go
+++ b/internal/rollout/rank.go
@@ -9,9 +9,9 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Rank is the position of a controller among the candidates for a lease, by
-// rendezvous hashing, and whether it is one of them. The order differs with each
-// fence, so that the same controller is not always the first.
+// Rank returns the position of a controller among the candidates for a lease, by
+// rendezvous hashing, and whether it is one of them. The order differs with each fencing
+// token, so that the same controller is not always first.
 func Rank(candidates []string, self string, l messages.Lease) (rank int, found bool) {
 	key := fmt.Sprint(l.Holder, " ", l.Fence)
 	weight := func(addr string) uint64 { return statesync.HashText(addr, key) }
--- a/internal/rollout/rank_test.go
+++ b/internal/rollout/rank_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestRankOfCandidatesIsAnOrderOfAll(t *testing.T) {
+func TestRankIsAPermutationOfCandidates(t *testing.T) {
 	addrs := []string{"a", "b", "c", "d", "e"}
 	firsts := map[string]bool{}
 	for fence := range int64(40) {
@@ -23,7 +23,7 @@
 		}
 		must.MapLen(t, len(addrs), ranks)
 	}
-	must.MapLen(t, len(addrs), firsts, must.Sprint("each is the first one at times"))
+	must.MapLen(t, len(addrs), firsts, must.Sprint("each is first under some fence"))
 	_, found := Rank(addrs, "z", messages.Lease{})
 	must.False(t, found)
 }
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// maxOut is how many of n runners are out together while there is time.
+// maxOut returns how many of n runners may be unavailable at once while no deadline is
+// near.
 func maxOut(n int) int { return max(2, (n+2)/3) }
 
-// deadlineUs is when a runner must have been ordered: the bound after the first
-// naming that is newer than its weights. Each version is judged from its own
-// acknowledgement, so a later naming puts nothing off.
+// deadlineUs returns the time by which a runner must have been ordered: the bound after
+// the first naming that is newer than its weights. Each version counts from its own
+// acknowledgement, so a later naming postpones nothing.
 func (p *Plan) deadlineUs(j *job) int64 {
 	for _, n := range p.namings {
 		if n.Version > j.version {
@@ -20,17 +21,17 @@
 	return p.startUs + p.boundUs
 }
 
-// turnUs is when a runner that is k-th from the last of those still to be ordered
-// has its turn at the latest. The turns are spread evenly over the time from the
-// start of the plan to the deadline, so that few are out at once.
+// turnUs returns the time at which a runner is cordoned at the latest, given how many
+// runners have their turn after it. The turns are spread evenly between the start of
+// the plan and the deadline, so that few runners are unavailable at once.
 func (p *Plan) turnUs(j *job, fromLast int) int64 {
 	deadlineUs := p.deadlineUs(j)
 	spacingUs := max(deadlineUs-p.startUs, 0) / int64(len(p.jobs)+1)
 	return deadlineUs - SettleUs - spacingUs*int64(fromLast+1)
 }
 
-// advance moves runners towards their orders: by the schedule whoever is out, and
-// otherwise as far as enough others serve.
+// advance moves runners to their next stages: when their turn has come by the schedule,
+// and earlier as long as enough other runners serve.
 func (p *Plan) advance(nowUs int64) {
 	if !p.prepared {
 		p.prepared, p.startUs = true, nowUs
@@ -41,9 +42,9 @@
 	for i, j := range waiting {
 		turnUs := p.turnUs(j, len(waiting)-1-i)
 		due := nowUs >= turnUs
-		eased := j.stage == Draining && nowUs-j.sinceUs >= DrainUs
+		drained := j.stage == Draining && nowUs-j.sinceUs >= DrainUs
 		switch {
-		case due, eased && out < limit:
+		case due, drained && out < limit:
 			if j.stage == Draining {
 				draining--
 			}
@@ -56,8 +57,8 @@
 	}
 }
 
-// waiting lists the runners that are still to be cordoned, in the order of their
-// turns: by deadline, then those that drain, then by identity.
+// waiting returns the runners that are not yet cordoned, in the order of their turns: by
+// deadline, then draining ones first, then by identity.
 func (p *Plan) waiting() []*job {
 	var out []*job
 	for _, j := range p.sorted() {
@@ -71,8 +72,8 @@
 	return out
 }
 
-// out counts the runners that get no requests for their orders, and those that
-// drain. One that does not answer is not counted: it may be gone.
+// out counts the runners that are cordoned or ordered, and those that drain. Silent ones
+// are not counted: they may have ended.
 func (p *Plan) out() (out, draining int) {
 	for _, j := range p.jobs {
 		switch j.stage {
--- a/internal/rollout/shard.go
+++ b/internal/rollout/shard.go
@@ -5,14 +5,14 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Model is what is known of one model whose weights were named.
+// Model is a model whose weights were named, with its runners.
 type Model struct {
 	Name    string
 	Namings []Naming
 	Runners []Runner
 }
 
-// newest is the newest version that was named.
+// newest returns the newest named version; 0 if there is none.
 func (m Model) newest() int64 {
 	version := int64(0)
 	for _, n := range m.Namings {
@@ -21,8 +21,8 @@
 	return version
 }
 
-// unfinished tells whether a runner is behind, of unknown version, or still kept
-// from requests for an order that is done.
+// unfinished reports whether a runner has an older or unknown version, or is still
+// cordoned or draining.
 func (m Model) unfinished() bool {
 	for _, r := range m.Runners {
 		if r.Version < m.newest() || r.Cordoned || r.Draining {
@@ -32,39 +32,39 @@
 	return false
 }
 
-// View is what a controller knows at a step.
+// View is the input of a step: what the controller knows at NowUs.
 type View struct {
 	NowUs int64
 	Self  string // this controller's member identity
-	// Lease is the lease as it was last committed, as far as is known here.
+	// Lease is the newest committed lease that is known here.
 	Lease messages.Lease
-	// FenceFloor is the highest fence under which these models may have been
-	// ordered by the holder of another register. Earlier versions of the program
-	// kept a model's target in a register that depended on the configuration.
+	// FenceFloor is the highest fencing token under which the holder of another
+	// register may have sent orders for these models. Earlier versions of the
+	// program kept a model's target in a register that depended on the configuration.
 	FenceFloor int64
 	Models     []Model
 	HolderGone bool // the holder is dead or does not answer this controller
 	InContact  bool // this controller holds the contact lease with a majority
-	Rank       int  // how many candidates for a takeover try before this one
+	Rank       int  // how many candidates for a takeover come before this one
 }
 
-// ModelActions are what is to be done for a model.
+// ModelActions are the actions for one model.
 type ModelActions struct {
 	Model string
 	Actions
 }
 
-// Step is what a controller has to do. Acquire and Confirm are rounds of the
-// register, whose outcomes come back by Acquired and Confirmed.
+// Step is what a controller has to do. Acquire and Confirm are a change and a read of
+// the register; the caller reports their outcomes with Acquired and Confirmed.
 type Step struct {
-	Acquire bool  // put this controller in place of View.Lease
+	Acquire bool  // replace View.Lease with NextLease
 	Confirm bool  // read the register with a majority
-	Fence   int64 // of the orders
+	Fence   int64 // fencing token of the orders
 	UntilUs int64 // orders may be sent before this moment
 	Models  []ModelActions
 }
 
-// Orders tells whether a step has any.
+// Orders reports whether a step has any orders.
 func (s Step) Orders() bool {
 	for _, m := range s.Models {
 		if len(m.Orders) > 0 {
@@ -74,28 +74,28 @@
 	return false
 }
 
-// Shard is one controller's part in the duty for the models of one register. It
-// holds the lease, waits for it or watches its holder, and plans under it.
+// Shard is one controller's part in the singleton role for the models of one register.
+// It holds the lease and plans under it, or watches the lease of another holder.
 type Shard struct {
 	self     string
 	boundUs  int64
 	lease    lease.Lease
 	takeover lease.Takeover
 	plans    map[string]*Plan
-	fence    int64 // that the plans were made under
-	initial  int64 // a fence that this process won and nobody held before
+	fence    int64 // fencing token under which the plans were made
+	initial  int64 // fencing token of a never held lease that this process won; 0: none
 }
 
-// NewShard is a shard whose orders go out boundUs after a naming.
+// NewShard returns a shard that sends all orders within boundUs after a naming.
 func NewShard(times lease.Times, boundUs int64) *Shard {
 	return &Shard{boundUs: boundUs, lease: lease.Lease{T: times}, plans: map[string]*Plan{}}
 }
 
-// RecordInitialHolder notes that this process has won a lease that nobody held
+// RecordInitialHolder records that this process has won a lease that was never held
 // before, together with the first naming of weights.
 func (s *Shard) RecordInitialHolder(fence int64) { s.initial = fence }
 
-// Step takes what is known now and says what is to be done.
+// Step returns what this controller has to do, given what it knows now.
 func (s *Shard) Step(v View) Step {
 	s.self = v.Self
 	if len(v.Models) == 0 {
@@ -116,19 +116,20 @@
 		s.lease.Acquired(s.initial, lease.Nobody, v.NowUs)
 	}
 	if s.lease.Fence() != v.Lease.Fence || v.Lease.Fence <= v.FenceFloor {
-		// A lease of an earlier process of this holder, or one whose fence runners
-		// would take for an old one. A new fence puts all that was said about
-		// runners under it behind what will be said now.
+		// A lease of an earlier process of this holder, or one whose fencing token
+		// runners would reject as old. Under a new token, messages about runners
+		// supersede all those sent under the old one.
 		return Step{Acquire: v.InContact}
 	}
 	return s.work(v)
 }
 
+// holderView returns the input of the takeover.
 func (s *Shard) holderView(v View, needed bool) lease.HolderView {
 	return lease.HolderView{Holder: v.Lease.Holder, Fence: v.Lease.Fence, Gone: v.HolderGone, InContact: v.InContact, Needed: needed, Rank: v.Rank}
 }
 
-// release gives up the lease where a newer one is another's.
+// release gives up the lease if another controller holds a newer one.
 func (s *Shard) release(now messages.Lease, nowUs int64) {
 	if s.lease.Fence() > 0 && s.lease.Fence() < now.Fence {
 		s.lease.Released()
@@ -136,7 +137,7 @@
 	}
 }
 
-// work plans under the lease, and asks for its confirmation where that ran out.
+// work plans under the lease, and requests a confirmation if the last one has expired.
 func (s *Shard) work(v View) Step {
 	if s.fence != s.lease.Fence() {
 		s.fence, s.plans = s.lease.Fence(), map[string]*Plan{}
@@ -151,6 +152,7 @@
 	return step
 }
 
+// plan returns the plan of a model, a new one if there is none yet.
 func (s *Shard) plan(model string) *Plan {
 	p := s.plans[model]
 	if p == nil {
@@ -160,13 +162,14 @@
 	return p
 }
 
-// NextLease is what this controller puts in place of a lease.
+// NextLease returns the lease with which this controller replaces another. Its fencing
+// token is above the replaced one and the floor.
 func (s *Shard) NextLease(was messages.Lease, fenceFloor int64) messages.Lease {
 	return messages.Lease{Holder: s.self, Fence: max(was.Fence, fenceFloor) + 1}
 }
 
-// Acquired notes that this controller's lease was committed in place of another.
-// previousUsed says that this holder has acted under the one before.
+// Acquired records that this controller's lease was committed in place of another.
+// previousUsed says whether this holder has acted under the replaced one.
 func (s *Shard) Acquired(was, won messages.Lease, previousUsed bool, nowUs int64) {
 	predecessor := lease.PredecessorOf(was.Holder, s.self, previousUsed)
 	if won.Fence > was.Fence+1 {
@@ -175,7 +178,8 @@
 	s.lease.Acquired(won.Fence, predecessor, nowUs)
 }
 
-// Confirmed notes the lease that a majority's read gave, asked for at askedUs.
+// Confirmed records the lease that a read by a majority returned; the read was requested
+// at askedUs.
 func (s *Shard) Confirmed(now messages.Lease, askedUs, nowUs int64) {
 	if now.Holder != s.self {
 		s.release(now, nowUs)
@@ -184,21 +188,21 @@
 	s.lease.Confirmed(now.Fence, askedUs)
 }
 
-// Answered notes what became of an order.
+// Answered records the outcome of an order.
 func (s *Shard) Answered(model string, o Order, answer Answer, nowUs int64) {
 	if p := s.plans[model]; p != nil {
 		p.Answered(o, answer, nowUs)
 	}
 }
 
-// Reported notes a runner's report that was asked for at askedUs.
+// Reported records a runner's report that was requested at askedUs.
 func (s *Shard) Reported(model, id string, r Report, askedUs, nowUs int64) {
 	if p := s.plans[model]; p != nil {
 		p.Reported(id, r, askedUs, nowUs)
 	}
 }
 
-// NotReported notes that a runner did not give its report.
+// NotReported records that a runner did not answer the request for its report.
 func (s *Shard) NotReported(model, id string) {
 	if p := s.plans[model]; p != nil {
 		p.NotReported(id)
--- a/internal/rollout/shard_test.go
+++ b/internal/rollout/shard_test.go
@@ -12,8 +12,8 @@
 	return []Model{{Name: "m", Namings: namedAtStart, Runners: []Runner{{ID: "i-0", Version: 1}}}}
 }
 
-// orderedAfter steps a shard with a lease that is confirmed whenever it asks, and
-// gives how long it takes to the first order.
+// orderedAfter steps a shard with a lease that is confirmed whenever it requests it, and
+// returns how long it takes until the first order.
 func orderedAfter(t *testing.T, s *Shard, v View) int64 {
 	t.Helper()
 	from := v.NowUs
@@ -31,16 +31,15 @@
 	return 0
 }
 
-func TestInitialHolderOrdersWithoutAWait(t *testing.T) {
+func TestInitialHolderOrdersWithoutWaiting(t *testing.T) {
 	s := NewShard(testTimes, boundUs)
 	s.RecordInitialHolder(1)
 	waited := orderedAfter(t, s, View{NowUs: 1, Self: "a", Lease: messages.Lease{Holder: "a", Fence: 1}, Models: behindModel(), InContact: true})
 	must.LessEq(t, DrainUs+SettleUs+4*stepUs, waited)
 }
 
-// The wait of a successor is what the lease needs, and the runners are prepared in
-// it.
-func TestSuccessorOrdersAsSoonAsTheLeaseAllows(t *testing.T) {
+// A successor waits no longer than the lease requires, and drains the runners meanwhile.
+func TestSuccessorOrdersAsSoonAsLeaseAllows(t *testing.T) {
 	s := NewShard(testTimes, boundUs)
 	was := messages.Lease{Holder: "b", Fence: 3}
 	v := View{NowUs: 1, Self: "a", Lease: was, Models: behindModel(), HolderGone: true, InContact: true}
@@ -56,7 +55,7 @@
 	must.Between(t, full, waited, full+3*stepUs)
 }
 
-func TestLeaseOfAnEarlierProcessIsAcquiredAnew(t *testing.T) {
+func TestLeaseOfEarlierProcessIsReacquired(t *testing.T) {
 	s := NewShard(testTimes, boundUs)
 	own := messages.Lease{Holder: "a", Fence: 3}
 	v := View{NowUs: 1, Self: "a", Lease: own, Models: behindModel()}
@@ -68,8 +67,9 @@
 	must.Less(t, 2*second, orderedAfter(t, s, v))
 }
 
-// A register whose fences are below those that another one used for its model is
-// not acted under; the next fence is above, and the other's holder is waited out.
+// No orders are sent under a register whose fencing tokens are below those that another
+// register used for the model; the next token is above, and the wait covers the other
+// holder.
 func TestFenceFloorIsExceededBeforeActing(t *testing.T) {
 	s := NewShard(testTimes, boundUs)
 	s.RecordInitialHolder(1)
@@ -84,7 +84,7 @@
 	must.GreaterEq(t, testTimes.LeaseUs, orderedAfter(t, s, v))
 }
 
-func TestCommittedLeaseThatLagsIsNotTakenForALoss(t *testing.T) {
+func TestStaleViewOfLeaseDoesNotReleaseIt(t *testing.T) {
 	s := NewShard(testTimes, boundUs)
 	was := messages.Lease{Holder: "b", Fence: 3}
 	v := View{NowUs: 1, Self: "a", Lease: was, Models: behindModel(), HolderGone: true, InContact: true}
@@ -97,7 +97,7 @@
 	must.Positive(t, orderedAfter(t, s, v))
 }
 
-func TestNothingIsDoneWhereAllHoldTheWeights(t *testing.T) {
+func TestNoActionsWhenAllRunnersHoldNewestWeights(t *testing.T) {
 	s := NewShard(testTimes, boundUs)
 	models := []Model{{Name: "m", Namings: namedAtStart, Runners: []Runner{{ID: "i-0", Version: 2}}}}
 	v := View{NowUs: 1, Self: "a", Lease: messages.Lease{Holder: "a", Fence: 3}, Models: models, InContact: true}
@@ -105,5 +105,5 @@
 	v.Lease.Holder, v.HolderGone = "b", true
 	must.False(t, s.Step(v).Acquire)
 	v.NowUs += 3 * second
-	must.True(t, s.Step(v).Acquire, must.Sprint("a lost lease is taken ahead of the next work"))
+	must.True(t, s.Step(v).Acquire, must.Sprint("a lost lease is reacquired ahead of the next work"))
 }
