--- a/internal/admission/abandon.go
+++ b/internal/admission/abandon.go
@@ -1,7 +1,7 @@
 package admission
 
-// Abandon takes a waiting request out of its queue, as when its client has left.
-// It tells whether the request was still there.
+// Abandon removes a queued request, as when its client has disconnected. It reports
+// whether the request was still queued.
 func (a *Admitter) Abandon(request Request) bool {
 	p := a.pool(request.Service)
 	for _, b := range p.queue.bands {
@@ -9,7 +9,7 @@
 			continue
 		}
 		for i, w := range b.tenants[request.Tenant] {
-			if w.ask.Ref == request.Ref {
+			if w.request.Ref == request.Ref {
 				p.queue.remove(b, request.Tenant, i)
 				return true
 			}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -14,7 +14,7 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// Request is what admission knows of a client's request.
+// Request is a client's request as far as admission needs it. Times are microseconds.
 type Request struct {
 	Ref        inflight.Ref
 	Service    string
@@ -28,13 +28,13 @@
 	Regime     string // only runners certified for it are candidates
 	SetpointUs int64
 	LeftUs     int64
-	Avoid      []string // runners tried before
+	Avoid      []string // runners that were tried before
 }
 
 // Reason says which check rejected a request.
 type Reason string
 
-// Reasons of a denial.
+// Reasons of a rejection.
 const (
 	RejectRate    Reason = "tenant-rate"
 	RejectContext Reason = "context"
@@ -44,7 +44,9 @@
 	RejectTTL     Reason = "ttl"
 )
 
-// Decision is what is decided on one request: it is admitted, queued or rejected.
+// Decision is the outcome for one request: it is admitted (Admit), queued (Hold) or
+// rejected (Reject, with the HTTP status and the time in microseconds after which to
+// retry).
 type Decision struct {
 	Ref     inflight.Ref
 	Admit   *Admission
@@ -54,30 +56,30 @@
 	AgainUs int64
 }
 
-// Admitter is not safe for concurrent use.
+// Admitter is the admission of one node. It is not safe for concurrent use.
 type Admitter struct {
-	T       Tuning
-	Zone    string
-	Index   *prefixindex.Index
-	nodes   int
-	pools   map[string]*pool
-	tenants map[string]*tenantState
-	left    map[string]relinquished // by zone
-	list    []placement.Candidate   // kept from one look for candidates to the next
-	who     []*runner
-	turn    int                 // whose turn it is among equals
-	free    bool                // the last look for candidates found a runner with a place
-	toldUs  int64               // when the others' loads last came
-	fresh   []messages.KeptNote // parts that this node has sent somewhere to be read
-	absent  []string            // runners that are not at their address, for others to hear of
-	Bound   WeightsBound
-	targets targets.Table
-	// contactUs is when a controller that has the core in reach was last heard of.
+	T               Tuning
+	Zone            string
+	Index           *prefixindex.Index
+	nodes           int
+	pools           map[string]*pool
+	tenants         map[string]*tenantState
+	relinquished    map[string]relinquished // by zone
+	candidateBuffer []placement.Candidate   // reused by the next search for candidates
+	runnerBuffer    []*runner
+	transferTurn    int                 // counts equal transfer sources, which take turns
+	hasCapacity     bool                // the last search found a runner below its thresholds
+	peerLoadsUs     int64               // when the loads of the other nodes were last updated; 0: expired
+	pendingBlocks   []messages.KeptNote // prefixes that runners will cache once they have read them; for the other nodes
+	absent          []string            // runners of confirmed absence, for the other nodes
+	Bound           WeightsBound
+	targets         targets.Table
+	// contactUs is when a controller with contact to the core was last heard from.
 	contactUs int64
 	Salt      func(tenant string, isolated bool, regime string, version int64) string
 }
 
-// New makes the admitter of a node in a zone.
+// New returns the admitter of a node in a zone.
 func New(t Tuning, zone string) *Admitter {
 	return &Admitter{T: t, Zone: zone, Index: prefixindex.NewIndex(), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
 }
@@ -103,7 +105,7 @@
 	return append(b, byte('0'+n%10))
 }
 
-// SetNodes tells how many nodes share the runners.
+// SetNodes sets how many nodes share the runners.
 func (a *Admitter) SetNodes(n int) { a.nodes = max(n, 1) }
 
 // Submit decides on a new request.
@@ -116,7 +118,7 @@
 	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens {
 		return a.reject(request, p, RejectContext, 503)
 	}
-	if p.queue.count == 0 || p.queue.bands[0].rank > request.Rank || a.nothingAhead(p, request.Rank) {
+	if p.queue.count == 0 || p.queue.bands[0].rank > request.Rank || a.noneQueuedAhead(p, request.Rank) {
 		if adm := a.admit(request, p, t, nowUs); adm != nil {
 			return Decision{Ref: request.Ref, Admit: adm}
 		}
@@ -124,7 +126,7 @@
 	return a.enqueue(request, p, nowUs)
 }
 
-func (a *Admitter) nothingAhead(p *pool, rank int) bool {
+func (a *Admitter) noneQueuedAhead(p *pool, rank int) bool {
 	for _, b := range p.queue.bands {
 		if b.rank <= rank && len(b.turn) > 0 {
 			return false
@@ -140,7 +142,7 @@
 		}
 		return total
 	}
-	if float64(p.queue.count+1) > share(float64(a.places(p)+a.T.BufferRequests)) {
+	if float64(p.queue.count+1) > share(float64(a.totalCapacity(p)+a.T.BufferRequests)) {
 		return a.reject(request, p, RejectQueue, 503)
 	}
 	setpoint := max(request.SetpointUs, 100_000)
@@ -148,19 +150,19 @@
 		return a.reject(request, p, RejectTokens, 503)
 	}
 	ttl := min(int64(float64(request.LeftUs)*a.T.TTLPart), int64(float64(setpoint)*a.T.TTLSetpoints))
-	p.queue.put(&waiting{ask: request, untilUs: nowUs + max(ttl, 50_000)})
+	p.queue.put(&waiting{request: request, untilUs: nowUs + max(ttl, 50_000)})
 	return Decision{Ref: request.Ref, Hold: true}
 }
 
 // ShedFor makes room for a request of a higher band that was rejected for a full
 // queue: the newest of the lowest band goes instead.
-func (a *Admitter) ShedFor(request Request, nowUs int64) (Decision, bool) {
+func (a *Admitter) ShedFor(request Request, _ int64) (Decision, bool) {
 	p := a.pool(request.Service)
 	w := p.queue.shed(request.Rank)
 	if w == nil {
 		return Decision{}, false
 	}
-	return a.reject(w.ask, p, RejectShed, 503), true
+	return a.reject(w.request, p, RejectShed, 503), true
 }
 
 func (a *Admitter) reject(request Request, p *pool, why Reason, status int) Decision {
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -9,27 +9,27 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Admission is a request's place at a runner; it is given back with Done.
+// Admission is the capacity that a request has reserved at a runner; Done releases it.
 type Admission struct {
-	Runner   messages.RunnerRecord
-	Salt     string
-	Version  int64
-	Kept     int
-	Source   string // address of the runner or store to take kept parts from
-	Sink     string // address of the store to send parts to once they are read
-	atUs     int64
-	blocks   int
-	pins     []pin
-	prefill  int
-	ahead    int
-	reading  bool
-	tenant   string
-	service  string
-	model    string
-	tokensIn int
-	Keys     []uint64
-	Parts    []prefixindex.Part
-	coming   []uint64
+	Runner      messages.RunnerRecord
+	Salt        string
+	Version     int64
+	Kept        int
+	Source      string // address of the runner or store to transfer cached blocks from
+	Sink        string // address of the store to send blocks to after prefill
+	atUs        int64
+	blocks      int
+	pins        []pin
+	prefill     int
+	ahead       int
+	prefilling  bool
+	tenant      string
+	service     string
+	model       string
+	tokensIn    int
+	Keys        []uint64
+	Parts       []prefixindex.Part
+	pendingKeys []uint64
 }
 
 type pin struct {
@@ -38,11 +38,11 @@
 }
 
 func (a *Admitter) admit(request Request, p *pool, t *tenantState, nowUs int64) *Admission {
-	a.free = true
+	a.hasCapacity = true
 	if float64(t.admitted) >= t.window {
 		return nil
 	}
-	list, who := a.candidates(request, p, nowUs)
+	list, who := a.findCandidates(request, p, nowUs)
 	prompt := placement.Prompt{Tokens: request.TokensIn, Out: request.TokensOut}
 	if n := len(request.Parts); n > 1 {
 		prompt.Shared = prefixindex.Key("", request.Model, request.Parts[n-2].ID)
@@ -52,9 +52,9 @@
 		return nil
 	}
 	r, c := who[i], list[i]
-	version := weightsVersion(r.note, request.Model)
+	version := weightsVersion(r.record, request.Model)
 	salt := a.Salt(request.Tenant, request.Isolated, request.Regime, version)
-	adm := &Admission{Runner: r.note, Salt: salt, Version: version, Kept: c.Kept, Source: c.From, atUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), reading: true}
+	adm := &Admission{Runner: r.record, Salt: salt, Version: version, Kept: c.Kept, Source: c.From, atUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
 	bt := a.T.BlockTokens
 	inParts := 0
 	for j, k := range adm.Keys {
@@ -67,7 +67,7 @@
 	}
 	adm.blocks = (max(request.TokensIn-inParts, 0) + request.TokensOut + bt - 1) / bt
 	r.own.blocks += adm.blocks
-	if a.expect(adm, len(request.Parts)-1) && c.Moved < moveMin {
+	if a.recordPending(adm, len(request.Parts)-1) && c.Moved < minTransferTokens {
 		adm.Sink = p.sink(request, adm.Keys)
 	}
 	adm.ahead = c.Prefill
@@ -75,56 +75,55 @@
 	r.own.prefill += adm.prefill
 	r.sent(adm.prefill, nowUs)
 	r.own.count++
-	r.recent = append(r.recent, recentShot{nowUs, adm.blocks + adm.prefill/bt})
-	r.trim(nowUs)
+	r.recent = append(r.recent, recentRequest{nowUs, adm.blocks + adm.prefill/bt})
+	r.trimRecent(nowUs)
 	t.admitted++
 	t.hit += float64(c.Kept + c.Moved)
 	t.all += float64(request.TokensIn)
 	return adm
 }
 
-// sink is the store for a prompt's shared parts: by the deepest of them, so that
-// what hangs together lies in one, and all stores are used.
+// sink returns the store for a prompt's shared parts, by rendezvous hashing of the
+// deepest of them: a chain of parts lies in one store, and all stores are used.
 func (p *pool) sink(request Request, keys []uint64) string {
 	best, top := "", uint64(0)
 	for _, s := range p.stores {
-		if v := statesync.Mix(keys[max(len(keys)-2, 0)] ^ statesync.HashText(s.ID, "")); p.lets(request, s.ID) && (best == "" || v > top) {
+		if v := statesync.Mix(keys[max(len(keys)-2, 0)] ^ statesync.HashText(s.ID, "")); p.permits(request, s.ID) && (best == "" || v > top) {
 			best, top = s.Addr, v
 		}
 	}
 	return best
 }
 
-// expect notes the shared parts that a runner is about to read, here and for
-// the other nodes.
-func (a *Admitter) expect(adm *Admission, shared int) bool {
+// recordPending records the shared parts that a runner is about to cache, here and for
+// the other nodes. It reports whether there are any.
+func (a *Admitter) recordPending(adm *Admission, shared int) bool {
 	note := messages.KeptNote{ID: adm.Runner.ID, Parts: []messages.KeptPart{}}
 	for i := range max(shared, 0) {
 		k, n := adm.Keys[i], int32(adm.Parts[i].Tokens)
 		if a.Index.Kept(note.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
 			a.Index.Expect(note.ID, k, n)
-			adm.coming = append(adm.coming, k)
+			adm.pendingKeys = append(adm.pendingKeys, k)
 			note.Parts = append(note.Parts, messages.KeptPart{Key: k, Tokens: n})
 		}
 	}
 	if len(note.Parts) > 0 {
-		a.fresh = append(a.fresh, note)
+		a.pendingBlocks = append(a.pendingBlocks, note)
 	}
 	return len(note.Parts) > 0
 }
 
-// HasFresh tells whether there is something that the other nodes should hear
-// soon.
-func (a *Admitter) HasFresh() bool { return len(a.fresh) > 0 }
+// HasFresh reports whether TakeFresh has something that other nodes should get soon.
+func (a *Admitter) HasFresh() bool { return len(a.pendingBlocks) > 0 }
 
-// FirstToken notes that a runner has read a prompt, which also tells how fast
-// it reads and what it keeps now.
+// FirstToken records that a runner has finished the prefill of a prompt. It updates the
+// runner's prefill rate and cached prefixes.
 func (a *Admitter) FirstToken(adm *Admission, nowUs int64) {
 	r := a.pool(adm.service).runners[adm.Runner.ID]
-	if r == nil || !adm.reading {
+	if r == nil || !adm.prefilling {
 		return
 	}
-	adm.reading = false
+	adm.prefilling = false
 	r.own.prefill -= adm.prefill
 	if took := nowUs - adm.atUs; took > 0 && adm.prefill >= 512 && adm.ahead*4 <= adm.prefill {
 		sample := float64(adm.prefill) / float64(took)
@@ -135,12 +134,12 @@
 		}
 	}
 	for i, k := range adm.Keys {
-		a.Index.Put(r.note.ID, k, int32(adm.Parts[i].Tokens))
+		a.Index.Put(r.record.ID, k, int32(adm.Parts[i].Tokens))
 	}
 }
 
-// Done gives the place back. ok tells whether the runner behaved; a runner
-// whose links fail is passed over for a while.
+// Done releases the capacity of an admission. ok is false if the connection to the
+// runner failed; the runner is then avoided for a while, longer each time.
 func (a *Admitter) Done(adm *Admission, ok bool, nowUs int64) {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
@@ -148,11 +147,11 @@
 	if r == nil {
 		return
 	}
-	if adm.reading {
-		adm.reading = false
+	if adm.prefilling {
+		adm.prefilling = false
 		r.own.prefill -= adm.prefill
-		for _, k := range adm.coming {
-			a.Index.Forget(r.note.ID, k)
+		for _, k := range adm.pendingKeys {
+			a.Index.Forget(r.record.ID, k)
 		}
 	}
 	for _, k := range adm.pins {
@@ -171,11 +170,11 @@
 	r.avoidUntilUs = nowUs + r.pauseUs
 }
 
-// Ended notes how a request that ran at a runner ended there.
+// Ended records whether a request that ran at a runner succeeded there.
 func (a *Admitter) Ended(adm *Admission, good bool, nowUs int64) {
 	p := a.pool(adm.service)
 	if r := p.runners[adm.Runner.ID]; r != nil {
-		r.health.note(good, nowUs)
+		r.health.record(good, nowUs)
 		if !good {
 			p.eject(nowUs)
 		} else if !r.absence.out {
@@ -184,18 +183,18 @@
 	}
 }
 
-// Full notes that a runner turned a request away: for a short while it counts
-// as having no place.
+// Full records that a runner rejected a request for lack of capacity: it is avoided for
+// a short while.
 func (a *Admitter) Full(adm *Admission, nowUs int64) {
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
-		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+turnedAwayUs)
+		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+rejectionPauseUs)
 	}
 }
 
-// TakeFresh gives the parts that this node has sent to be read since the last
-// call.
+// TakeFresh returns the prefixes that runners are about to cache for requests that this
+// node has sent since the last call.
 func (a *Admitter) TakeFresh() []messages.KeptNote {
-	out := a.fresh
-	a.fresh = nil
+	out := a.pendingBlocks
+	a.pendingBlocks = nil
 	return out
 }
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -10,68 +10,118 @@
 	"beechtide.org/beechtide/internal/prefixindex"
 )
 
-// Candidates lists the runners that a request may go to now.
+// Candidates returns the runners that a request may be sent to now.
 func (a *Admitter) Candidates(request Request, nowUs int64) []placement.Candidate {
-	list, _ := a.candidates(request, a.pool(request.Service), nowUs)
+	list, _ := a.findCandidates(request, a.pool(request.Service), nowUs)
 	return slices.Clone(list)
 }
 
-// candidates gives the runners that a request may go to; the result holds until
-// the next call.
-func (a *Admitter) candidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
-	out, who := a.list[:0], a.who[:0]
-	defer func() { a.list, a.who = out, who }()
-	a.free = false
+// search is what one search for candidates goes by.
+type search struct {
+	request       Request
+	pool          *pool
+	nowUs         int64
+	peersKnown    bool // the loads of the other nodes are recent
+	linkShare     int  // requests that this node may have at one runner; 0: any number
+	preferredZone string
+	relinquishing bool // sessions that leave their zone have another one to go to
+	blocks        int  // memory that the request needs without a cached prefix
+	keysOf        func(version int64) []uint64
+}
+
+// newSearch begins a search: it expires the loads of other nodes and finds the zone to
+// prefer.
+func (a *Admitter) newSearch(request Request, p *pool, nowUs int64) search {
 	share := a.linkShare(p)
-	a.forgetOthers(nowUs)
-	told := a.told(nowUs)
-	keysOf := a.keysOf(request)
-	near, leaving := a.Zone, false
-	if len(a.left) > 0 {
-		if home := a.home(request, p); home != "" {
-			leaving = true // there is where to go
-			if a.Leaves(request, a.Zone, nowUs) {
-				near = home
-			}
+	a.expirePeerLoads(nowUs)
+	s := search{
+		request: request, pool: p, nowUs: nowUs,
+		peersKnown: a.peerLoadsCurrent(nowUs), linkShare: share,
+		preferredZone: a.Zone, keysOf: a.keysOf(request),
+		blocks: (request.TokensIn + request.TokensOut + a.T.BlockTokens - 1) / a.T.BlockTokens,
+	}
+	if len(a.relinquished) == 0 {
+		return s
+	}
+	if home := a.home(request, p); home != "" {
+		s.relinquishing = true
+		if a.Leaves(request, a.Zone, nowUs) {
+			s.preferredZone = home
 		}
 	}
-	need := (request.TokensIn + request.TokensOut + a.T.BlockTokens - 1) / a.T.BlockTokens
-	for pass := range 3 {
+	return s
+}
+
+// preferences is the number of values of preference.
+const preferences = 3
+
+// findCandidates returns the runners that a request may go to; the result is valid until
+// the next call. Runners of a lower preference are used only if there are none of a
+// higher one.
+func (a *Admitter) findCandidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
+	list, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
+	a.hasCapacity = false
+	s := a.newSearch(request, p, nowUs)
+	for pass := range preferences {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if r.absence.out || r.note.Draining || r.barred(nowUs) || !p.lets(request, id) || avoided(request.Avoid, id) || pass != a.preference(request, r, nowUs) {
-				continue
-			}
-			if !a.weightsAllowed(request.Model, r, nowUs) || leaving && a.Leaves(request, r.note.Zone, nowUs) {
+			if !a.eligible(&s, r, pass) {
 				continue
 			}
-			use := r.settle(&a.T, nowUs, a.nodes, told)
-			active := r.active(&a.T, nowUs)
-			if r.busyKV || r.busyRead || r.capacity > 0 && active >= r.capacity || share > 0 && r.own.count >= share {
-				continue
+			if candidate, fits := a.candidateAt(&s, r); fits {
+				list, runners = append(list, candidate), append(runners, r)
 			}
-			kept := a.Index.Expected(id, keysOf(weightsVersion(r.note, request.Model)), request.Parts)
-			a.free = true
-			if r.blocks > 0 && active > 0 {
-				if after := use + float64(need-kept/a.T.BlockTokens)/float64(r.blocks); after > 0.98 {
-					continue
-				}
-			}
-			out = append(out, placement.Candidate{ID: id, NearSite: r.note.Zone == near, Kept: kept, Prefill: r.prefill(), Active: active, Capacity: r.capacity, Used: use, Rate: r.readRate(&a.T), Reading: r.reading(&a.T, nowUs), DoubtUs: r.health.doubtUs(nowUs)})
-			who = append(who, r)
 		}
-		if len(out) > 0 {
+		if len(list) > 0 {
 			break
 		}
 	}
 	if p.moveUs > 0 && len(request.Parts) > 0 {
-		a.findMoves(request, p, out, who, keysOf, nowUs)
+		a.findTransfers(&s, list, runners)
 	}
-	return out, who
+	a.candidateBuffer, a.runnerBuffer = list, runners
+	return list, runners
 }
 
-// keysOf gives the keys of a request's parts under each version, each worked out
-// once.
+// eligible reports whether a request may be sent to a runner, whatever the runner's load.
+func (a *Admitter) eligible(s *search, r *runner, preference int) bool {
+	id := r.record.ID
+	if r.absence.out || r.record.Draining || r.cordoned(s.nowUs) || !s.pool.permits(s.request, id) {
+		return false
+	}
+	if slices.Contains(s.request.Avoid, id) || preference != a.preference(s.request, r, s.nowUs) {
+		return false
+	}
+	return a.runnerWeightsAllowed(s.request.Model, r, s.nowUs) && !(s.relinquishing && a.Leaves(s.request, r.record.Zone, s.nowUs))
+}
+
+// candidateAt returns the candidate that a runner is, and whether the request fits there:
+// the runner is below its thresholds and has memory for the request.
+func (a *Admitter) candidateAt(s *search, r *runner) (candidate placement.Candidate, fits bool) {
+	use := r.updateBusy(&a.T, s.nowUs, a.nodes, s.peersKnown)
+	active := r.active(&a.T, s.nowUs)
+	if r.busyKV || r.busyPrefill || r.capacity > 0 && active >= r.capacity || s.linkShare > 0 && r.own.count >= s.linkShare {
+		return placement.Candidate{}, false
+	}
+	id := r.record.ID
+	cached := a.Index.Expected(id, s.keysOf(weightsVersion(r.record, s.request.Model)), s.request.Parts)
+	a.hasCapacity = true
+	if r.blocks > 0 && active > 0 && use+float64(s.blocks-cached/a.T.BlockTokens)/float64(r.blocks) > maxUseAfter {
+		return placement.Candidate{}, false
+	}
+	return placement.Candidate{
+		ID: id, NearSite: r.record.Zone == s.preferredZone, Kept: cached, Prefill: r.prefill(),
+		Active: active, Capacity: r.capacity, Used: use, Rate: r.prefillRate(&a.T),
+		Reading: r.prefillLoad(&a.T, s.nowUs), DoubtUs: r.health.doubtUs(s.nowUs),
+	}, true
+}
+
+// maxUseAfter is the highest memory use of a runner with other requests that a new
+// request may lead to.
+const maxUseAfter = 0.98
+
+// keysOf returns a function that gives the keys of a request's parts under a version of
+// the weights; the keys of each version are computed once.
 func (a *Admitter) keysOf(request Request) func(version int64) []uint64 {
 	var versions []int64
 	var keys [][]uint64
@@ -87,119 +137,132 @@
 	}
 }
 
-// Costs of a move of kept parts: its start, and how much longer it takes
-// between zones. Fewer tokens than moveMin are not worth one.
+// Costs of a transfer of cached blocks: its start in microseconds, and how much longer
+// it takes between zones. Fewer than minTransferTokens are not transferred.
 const (
-	moveStartUs = 3_000
-	moveFar     = 2
-	moveMin     = 48
+	transferStartUs   = 3_000
+	crossZoneFactor   = 2
+	minTransferTokens = 48
 )
 
-// holder is a runner or store that keeps some of a prompt.
-type holder struct {
+// blockSource is a runner or store that has cached blocks of a prompt.
+type blockSource struct {
 	addr    string
 	zone    string
 	version int64
-	kept    int
+	kept    int // tokens of the prompt that are cached
 	moveUs  float64
-	equals  int
+	equals  int // other sources of the same value
 }
 
-// findMoves finds for every candidate the runner with the same weights that
-// keeps more of the prompt and from where it comes soonest.
-func (a *Admitter) findMoves(request Request, p *pool, out []placement.Candidate, who []*runner, keysOf func(version int64) []uint64, nowUs int64) {
-	shared := 0
-	for _, part := range request.Parts[:len(request.Parts)-1] {
-		shared += part.Tokens
-	}
-	known := map[int64]int{}
-	var holders []holder
-	// of several with the same weights, zone and speed the one with most is
-	// enough; among equals they take turns
-	add := func(h holder) {
-		if h.kept < moveMin {
-			return
-		}
-		for i := range holders {
-			o := &holders[i]
-			if o.version != h.version || o.zone != h.zone || o.moveUs != h.moveUs {
-				continue
-			}
-			switch {
-			case h.kept > o.kept:
-				*o = h
-			case h.kept == o.kept:
-				o.equals++
-				if a.turn++; a.turn%(o.equals+1) == 0 {
-					h.equals = o.equals
-					*o = h
-				}
-			}
-			return
+// blockSources are the sources for a prompt, and how much of its shared parts the
+// runners and stores with each version of the weights have or are about to have.
+type blockSources struct {
+	list   []blockSource
+	shared map[int64]int // tokens, by version
+}
+
+// sameCost reports whether a transfer from both sources costs the same, so that only the
+// one with more cached tokens is needed.
+func (s *blockSource) sameCost(other *blockSource) bool {
+	return s.version == other.version && s.zone == other.zone && s.moveUs == other.moveUs
+}
+
+// addSource adds a source. Of several with the same cost the one with most cached tokens
+// is enough; equal ones take turns.
+func (a *Admitter) addSource(sources *blockSources, added blockSource) {
+	if added.kept < minTransferTokens {
+		return
+	}
+	i := slices.IndexFunc(sources.list, func(known blockSource) bool { return known.sameCost(&added) })
+	if i < 0 {
+		sources.list = append(sources.list, added)
+		return
+	}
+	known := &sources.list[i]
+	switch {
+	case added.kept > known.kept:
+		*known = added
+	case added.kept == known.kept:
+		known.equals++
+		if a.transferTurn++; a.transferTurn%(known.equals+1) == 0 {
+			added.equals = known.equals
+			*known = added
 		}
-		holders = append(holders, h)
 	}
+}
+
+// findSources finds the runners and stores that have cached blocks of a prompt.
+func (a *Admitter) findSources(s *search) blockSources {
+	request, p := s.request, s.pool
+	sharedTokens := 0
+	for _, part := range request.Parts[:len(request.Parts)-1] {
+		sharedTokens += part.Tokens
+	}
+	sources := blockSources{shared: map[int64]int{}}
 	for _, id := range p.order {
 		r := p.runners[id]
-		if r.absence.out || r.note.Stale || r.avoidUntilUs > nowUs || !p.lets(request, id) {
+		if r.absence.out || r.record.Stale || r.avoidUntilUs > s.nowUs || !p.permits(request, id) {
 			continue
 		}
-		version := weightsVersion(r.note, request.Model)
-		kept, expected := a.Index.Both(id, keysOf(version), request.Parts)
-		add(holder{addr: r.note.Addr, zone: r.note.Zone, version: version, kept: kept, moveUs: p.moveUs})
-		known[version] = max(known[version], min(shared, expected))
+		version := weightsVersion(r.record, request.Model)
+		kept, expected := a.Index.Both(id, s.keysOf(version), request.Parts)
+		a.addSource(&sources, blockSource{addr: r.record.Addr, zone: r.record.Zone, version: version, kept: kept, moveUs: p.moveUs})
+		sources.shared[version] = max(sources.shared[version], min(sharedTokens, expected))
 	}
-	for _, s := range p.stores {
-		if !p.lets(request, s.ID) {
+	for _, store := range p.stores {
+		if !p.permits(request, store.ID) {
 			continue
 		}
-		for version := range known {
-			if kept := a.Index.Kept(s.ID, keysOf(version), request.Parts); kept >= moveMin {
-				add(holder{addr: s.Addr, zone: s.Zone, version: version, kept: kept, moveUs: s.MoveUs})
-				known[version] = max(known[version], min(shared, kept))
+		for version := range sources.shared {
+			if kept := a.Index.Kept(store.ID, s.keysOf(version), request.Parts); kept >= minTransferTokens {
+				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, kept: kept, moveUs: store.MoveUs})
+				sources.shared[version] = max(sources.shared[version], min(sharedTokens, kept))
 			}
 		}
 	}
-	for i := range out {
-		c := &out[i]
-		version := weightsVersion(who[i].note, request.Model)
-		best := 0.0
-		for _, h := range holders {
-			more := h.kept - c.Kept
-			if h.addr == who[i].note.Addr || h.version != version || more < moveMin {
-				continue
-			}
-			us := moveStartUs + float64(more)*h.moveUs
-			if h.zone != who[i].note.Zone {
-				us *= moveFar
-			}
-			if gain := float64(more)*(1/c.Rate+placement.AgainUs) - us; gain > best {
-				best = gain
-				c.Moved, c.MoveUs, c.From = more, us, h.addr
-			}
+	return sources
+}
+
+// findTransfers finds for every candidate the source with the same weights from which a
+// transfer of cached blocks gains most over prefill.
+func (a *Admitter) findTransfers(s *search, list []placement.Candidate, runners []*runner) {
+	sources := a.findSources(s)
+	for i := range list {
+		c := &list[i]
+		version := weightsVersion(runners[i].record, s.request.Model)
+		sources.chooseFor(c, runners[i], version)
+		c.Again = max(sources.shared[version]-c.Kept-c.Moved, 0)
+	}
+}
+
+// chooseFor sets the transfer of a candidate whose weights have the given version.
+func (s *blockSources) chooseFor(c *placement.Candidate, r *runner, version int64) {
+	best := 0.0
+	for _, source := range s.list {
+		more := source.kept - c.Kept
+		if source.addr == r.record.Addr || source.version != version || more < minTransferTokens {
+			continue
+		}
+		us := transferStartUs + float64(more)*source.moveUs
+		if source.zone != r.record.Zone {
+			us *= crossZoneFactor
+		}
+		if gain := float64(more)*(1/c.Rate+placement.AgainUs) - us; gain > best {
+			best = gain
+			c.Moved, c.MoveUs, c.From = more, us, source.addr
 		}
-		c.Again = max(known[version]-c.Kept-c.Moved, 0)
 	}
 }
 
-// preference sorts runners into three: those to be used, those that are about
-// to get an order and should not begin a long request, and those that are
-// silent or whose links fail.
+// preference returns the class of a runner for a request, the best first: 0 in general, 1
+// if it is draining and the request is long, 2 if it is stale, avoided or ejected.
 func (a *Admitter) preference(request Request, r *runner, nowUs int64) int {
 	switch {
-	case r.note.Stale || r.avoidUntilUs > nowUs || r.health.out(nowUs):
+	case r.record.Stale || r.avoidUntilUs > nowUs || r.health.ejected(nowUs):
 		return 2
-	case r.note.Easing && request.TokensOut > a.T.LongOut:
+	case r.record.Easing && request.TokensOut > a.T.LongOut:
 		return 1
 	}
 	return 0
 }
-
-func avoided(list []string, id string) bool {
-	for _, a := range list {
-		if a == id {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -8,112 +8,132 @@
 package admission
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
 )
 
-// Values of the ejection.
+// Parameters of the ejection. Times are in microseconds.
 const (
-	spanUs     = 4_000_000  // outcomes are counted by spans; this one and the last count
-	hintPart   = 0.5        // what the others' outcomes count
-	illShare   = 0.2        // share of failures from which a runner may be ejected
-	illTimes   = 3.0        // and how many times the share of the well ones it must be
-	illLeast   = 1.5        // failures that it takes at least
-	outPart    = 0.2        // of a service's runners, how many may be out at once
-	outUs      = 2_000_000  // how long the first time
-	outMaxUs   = 16_000_000 // and at most
-	forgiveUs  = 30_000_000 // after which the next time is a first one
-	returnUs   = 4_000_000  // over which a runner comes back
-	returnCost = 300_000.0  // what it costs in the matching at first
+	windowUs        = 4_000_000  // outcomes are counted in spans; the current and the last one count
+	peerWeight      = 0.5        // weight of the other nodes' outcomes
+	minFailureShare = 0.2        // share of failures from which a runner may be ejected
+	outlierFactor   = 3.0        // and how many times the failure share of the healthy runners it must be
+	minFailures     = 1.5        // weighted failures below which no runner is ejected
+	maxEjectedPart  = 0.2        // part of a service's runners that may be ejected at once
+	ejectionUs      = 2_000_000  // first ejection
+	maxEjectionUs   = 16_000_000 // maximum ejection; it doubles with each
+	ejectionResetUs = 30_000_000 // time after an ejection after which the next one is a first one again
+	rampUs          = 4_000_000  // slow start after an ejection
+	rampCostUs      = 300_000.0  // cost in the matching at the beginning of the slow start
 )
 
 type outcomes struct{ tried, failed int }
 
 type health struct {
-	span      int64
-	now, last outcomes
-	hint      outcomes
-	outUntil  int64
-	outFor    int64
+	span           int64
+	now, last      outcomes
+	hint           outcomes
+	ejectedUntilUs int64
+	ejectedForUs   int64
 }
 
-func (s *health) roll(nowUs int64) {
-	switch span := nowUs / spanUs; {
-	case span == s.span:
-	case span == s.span+1:
-		s.span, s.last, s.now = span, s.now, outcomes{}
+func (h *health) roll(nowUs int64) {
+	switch span := nowUs / windowUs; {
+	case span == h.span:
+	case span == h.span+1:
+		h.span, h.last, h.now = span, h.now, outcomes{}
 	default:
-		s.span, s.last, s.now = span, outcomes{}, outcomes{}
+		h.span, h.last, h.now = span, outcomes{}, outcomes{}
 	}
 }
 
-func (s *health) note(good bool, nowUs int64) {
-	s.roll(nowUs)
-	s.now.tried++
+func (h *health) record(good bool, nowUs int64) {
+	h.roll(nowUs)
+	h.now.tried++
 	if !good {
-		s.now.failed++
+		h.now.failed++
 	}
 }
 
-// own are this node's outcomes that still count.
-func (s *health) own(nowUs int64) outcomes {
-	s.roll(nowUs)
-	return outcomes{s.now.tried + s.last.tried, s.now.failed + s.last.failed}
+// own returns this node's outcomes that still count.
+func (h *health) own(nowUs int64) outcomes {
+	h.roll(nowUs)
+	return outcomes{h.now.tried + h.last.tried, h.now.failed + h.last.failed}
 }
 
-func (s *health) weighed(nowUs int64) (tried, failed float64) {
-	own := s.own(nowUs)
-	return float64(own.tried) + hintPart*float64(s.hint.tried), float64(own.failed) + hintPart*float64(s.hint.failed)
+func (h *health) weighed(nowUs int64) (tried, failed float64) {
+	own := h.own(nowUs)
+	return float64(own.tried) + peerWeight*float64(h.hint.tried), float64(own.failed) + peerWeight*float64(h.hint.failed)
 }
 
-func (s *health) out(nowUs int64) bool { return nowUs < s.outUntil }
+func (h *health) ejected(nowUs int64) bool { return nowUs < h.ejectedUntilUs }
 
-// doubtUs is what a runner that has just come back costs in the matching.
-func (s *health) doubtUs(nowUs int64) float64 {
-	if s.outUntil == 0 {
+// doubtUs returns the cost in the matching of a runner in slow start.
+func (h *health) doubtUs(nowUs int64) float64 {
+	if h.ejectedUntilUs == 0 {
 		return 0
 	}
-	return returnCost * math.Max(0, 1-float64(max(nowUs-s.outUntil, 0))/returnUs)
+	return rampCostUs * math.Max(0, 1-float64(max(nowUs-h.ejectedUntilUs, 0))/rampUs)
 }
 
-// eject works out anew which runners of a service are out. Where most of them
-// fail it is not the runners, and none is.
-func (p *pool) eject(nowUs int64) {
-	type suspect struct {
-		s     *health
-		share float64
-	}
-	var ill []suspect
-	wellTried, wellFailed, out := 0.0, 0.0, 0
+// suspect is a runner that fails many of its requests.
+type suspect struct {
+	health *health
+	share  float64 // of its requests that failed
+}
+
+// outlook is the health of a service's runners at one time.
+type outlook struct {
+	suspects                    []suspect
+	healthyTried, healthyFailed float64 // outcomes of the other runners, added up
+	ejected                     int     // runners that are ejected already
+}
+
+// outlook sorts the runners of a service into ejected, suspect and healthy ones.
+func (p *pool) outlook(nowUs int64) (o outlook) {
 	for _, id := range p.order {
-		s := &p.runners[id].health
-		if s.out(nowUs) {
-			out++
+		h := &p.runners[id].health
+		if h.ejected(nowUs) {
+			o.ejected++
 			continue
 		}
-		tried, failed := s.weighed(nowUs)
-		if share := failed / (tried + 1); failed >= illLeast && share >= illShare {
-			ill = append(ill, suspect{s, share})
+		tried, failed := h.weighed(nowUs)
+		if share := failed / (tried + 1); failed >= minFailures && share >= minFailureShare {
+			o.suspects = append(o.suspects, suspect{h, share})
 			continue
 		}
-		wellTried, wellFailed = wellTried+tried, wellFailed+failed
+		o.healthyTried, o.healthyFailed = o.healthyTried+tried, o.healthyFailed+failed
 	}
-	if len(ill) == 0 || len(p.order) < 2 || 2*len(ill) > len(p.order) && len(p.order) > 2 {
+	return o
+}
+
+// eject decides anew which runners of a service are ejected. If most of them fail the
+// cause is not the runners, and none is.
+func (p *pool) eject(nowUs int64) {
+	o := p.outlook(nowUs)
+	list, ejected := o.suspects, o.ejected
+	if len(list) == 0 || len(p.order) < 2 || 2*len(list) > len(p.order) && len(p.order) > 2 {
 		return
 	}
-	sort.SliceStable(ill, func(i, j int) bool { return ill[i].share > ill[j].share })
-	most := max(int(outPart*float64(len(p.order))), 1)
-	for _, x := range ill {
-		if out >= most || x.share < illTimes*wellFailed/math.Max(wellTried, 1) {
+	slices.SortStableFunc(list, func(a, b suspect) int { return cmp.Compare(b.share, a.share) })
+	most := max(int(maxEjectedPart*float64(len(p.order))), 1)
+	for _, s := range list {
+		if ejected >= most || s.share < outlierFactor*o.healthyFailed/math.Max(o.healthyTried, 1) {
 			return
 		}
-		if nowUs-x.s.outUntil > forgiveUs || x.s.outFor == 0 {
-			x.s.outFor = outUs
-		} else {
-			x.s.outFor = min(2*x.s.outFor, outMaxUs)
-		}
-		// what was seen has had its effect; the next time is judged anew
-		x.s.outUntil, x.s.now, x.s.last, x.s.hint = nowUs+x.s.outFor, outcomes{}, outcomes{}, outcomes{}
-		out++
+		s.health.eject(nowUs)
+		ejected++
+	}
+}
+
+// eject ejects the runner, for longer each time, and clears its outcomes: they have had
+// their effect.
+func (h *health) eject(nowUs int64) {
+	if nowUs-h.ejectedUntilUs > ejectionResetUs || h.ejectedForUs == 0 {
+		h.ejectedForUs = ejectionUs
+	} else {
+		h.ejectedForUs = min(2*h.ejectedForUs, maxEjectionUs)
 	}
+	h.ejectedUntilUs, h.now, h.last, h.hint = nowUs+h.ejectedForUs, outcomes{}, outcomes{}, outcomes{}
 }
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -14,16 +14,16 @@
 	for i := range 10 {
 		ids = append(ids, fmt.Sprint("r", i))
 	}
-	return door(ids...), ids
+	return newAdmitter(ids...), ids
 }
 
 func (a *Admitter) end(id string, good bool, nowUs int64) {
 	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, good, nowUs)
 }
 
-func offered(d *Admitter, nowUs int64) map[string]bool {
+func offered(admitter *Admitter, nowUs int64) map[string]bool {
 	out := map[string]bool{}
-	for _, c := range d.Candidates(ask(16, 1), nowUs) {
+	for _, c := range admitter.Candidates(newRequest(16, 1), nowUs) {
 		out[c.ID] = true
 	}
 	return out
@@ -31,53 +31,53 @@
 
 // A runner that fails part of its requests while it looks well is out, comes
 // back, and is out for longer if it has not changed.
-func TestAGreyRunnerIsEjectedAndComesBackSlowly(t *testing.T) {
-	d, ids := tenRunners()
+func TestFailingRunnerIsEjectedAndReturnsWithSlowStart(t *testing.T) {
+	admitter, ids := tenRunners()
 	now := int64(1_000_000)
 	for _, id := range ids {
 		for i := range 4 {
-			d.end(id, id != "r3" || i%2 == 0, now)
+			admitter.end(id, id != "r3" || i%2 == 0, now)
 		}
 	}
-	must.False(t, offered(d, now)["r3"])
-	must.MapLen(t, 9, offered(d, now))
-	back := now + outUs
-	must.True(t, offered(d, back)["r3"])
-	for _, c := range d.Candidates(ask(16, 1), back+1) {
+	must.False(t, offered(admitter, now)["r3"])
+	must.MapLen(t, 9, offered(admitter, now))
+	back := now + ejectionUs
+	must.True(t, offered(admitter, back)["r3"])
+	for _, c := range admitter.Candidates(newRequest(16, 1), back+1) {
 		must.Eq(t, c.ID == "r3", c.DoubtUs > 0)
 	}
-	now = back + spanUs
+	now = back + windowUs
 	for _, id := range ids {
 		for i := range 4 {
-			d.end(id, id != "r3" || i%2 == 0, now)
+			admitter.end(id, id != "r3" || i%2 == 0, now)
 		}
 	}
-	must.False(t, offered(d, now+outUs+1)["r3"], must.Sprint("longer the second time"))
-	must.True(t, offered(d, now+2*outUs)["r3"])
-	must.Eq(t, 0.0, d.pool("s").runners["r3"].health.doubtUs(now+2*outUs+returnUs))
+	must.False(t, offered(admitter, now+ejectionUs+1)["r3"], must.Sprint("longer the second time"))
+	must.True(t, offered(admitter, now+2*ejectionUs)["r3"])
+	must.Eq(t, 0.0, admitter.pool("s").runners["r3"].health.doubtUs(now+2*ejectionUs+rampUs))
 }
 
-func TestNotManyAreOutAtOnceAndNoneWhereAllFail(t *testing.T) {
-	d, ids := tenRunners()
+func TestEjectionsAreLimitedAndNoneWhenAllFail(t *testing.T) {
+	admitter, ids := tenRunners()
 	for i, id := range ids {
 		for range 4 {
-			d.end(id, i > 3, 1_000_000)
+			admitter.end(id, i > 3, 1_000_000)
 		}
 	}
-	must.MapLen(t, 8, offered(d, 1_000_000), must.Sprint("a fifth at most"))
-	d, ids = tenRunners()
+	must.MapLen(t, 8, offered(admitter, 1_000_000), must.Sprint("a fifth at most"))
+	admitter, ids = tenRunners()
 	for range 6 {
 		for _, id := range ids {
-			d.end(id, false, 1_000_000)
+			admitter.end(id, false, 1_000_000)
 		}
 	}
-	must.Greater(t, 7, len(offered(d, 1_000_000)))
+	must.Greater(t, 7, len(offered(admitter, 1_000_000)))
 }
 
-func TestOthersOutcomesAreAHintOnly(t *testing.T) {
-	d, _ := tenRunners()
+func TestPeerOutcomesCountHalf(t *testing.T) {
+	admitter, _ := tenRunners()
 	say := func(failed int) {
-		d.Others(func(id string) messages.RunnerLoad {
+		admitter.Others(func(id string) messages.RunnerLoad {
 			l := messages.RunnerLoad{ID: id, Tried: 10}
 			if id == "r1" {
 				l.Failed = failed
@@ -86,24 +86,24 @@
 		}, 1_000_000)
 	}
 	say(2)
-	must.MapLen(t, 10, offered(d, 1_000_001))
+	must.MapLen(t, 10, offered(admitter, 1_000_001))
 	say(6)
-	must.False(t, offered(d, 1_000_001)["r1"])
+	must.False(t, offered(admitter, 1_000_001)["r1"])
 	for range 20 {
-		d.end("r2", true, 1_000_000)
+		admitter.end("r2", true, 1_000_000)
 	}
-	d.Others(func(id string) messages.RunnerLoad { return messages.RunnerLoad{ID: id, Tried: 10, Failed: 4} }, 1_000_000)
-	must.True(t, offered(d, 1_000_001)["r2"], must.Sprint("this node has seen it well"))
+	admitter.Others(func(id string) messages.RunnerLoad { return messages.RunnerLoad{ID: id, Tried: 10, Failed: 4} }, 1_000_000)
+	must.True(t, offered(admitter, 1_000_001)["r2"], must.Sprint("this node has seen it well"))
 }
 
-func TestAnEjectedRunnerIsUsedWhereNoneIsLeft(t *testing.T) {
-	d := door("x", "y")
+func TestEjectedRunnerIsUsedAsLastResort(t *testing.T) {
+	admitter := newAdmitter("x", "y")
 	for range 4 {
-		d.end("x", false, 1)
-		d.end("y", true, 1)
+		admitter.end("x", false, 1)
+		admitter.end("y", true, 1)
 	}
-	q := ask(16, 1)
-	must.Len(t, 1, d.Candidates(q, 2))
+	q := newRequest(16, 1)
+	must.Len(t, 1, admitter.Candidates(q, 2))
 	q.Avoid = []string{"y"}
-	must.Len(t, 1, d.Candidates(q, 2))
+	must.Len(t, 1, admitter.Candidates(q, 2))
 }
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -4,16 +4,16 @@
 
 import (
 	"math"
-	"sort"
+	"slices"
 
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Report takes a runner's own word.
+// Report records a runner's report of its own load.
 func (a *Admitter) Report(n messages.ReportNote, nowUs int64) {
 	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
-			r.report = word{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
+			r.report = loadReport{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
 			r.reported, r.queued = true, n.Queued
 			if n.Total > 0 {
 				r.blocks = n.Total / a.T.BlockTokens
@@ -22,7 +22,8 @@
 	}
 }
 
-// Coming takes other nodes' word on the parts that they have sent to be read.
+// Coming records the prefixes that runners are about to cache for requests of other
+// nodes.
 func (a *Admitter) Coming(notes []messages.KeptNote) {
 	for _, n := range notes {
 		for _, part := range n.Parts {
@@ -31,54 +32,54 @@
 	}
 }
 
-// Others takes what the other nodes have at the runners, added up; a runner
-// that is not named has nothing of theirs.
+// Others records the load of all other nodes at each runner, added up.
 func (a *Admitter) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
 	for _, p := range a.pools {
 		for id, r := range p.runners {
-			r.other(loads(id))
+			r.setPeerLoad(loads(id))
 		}
 	}
 	a.Told(nowUs)
 }
 
-// Other takes it for one runner.
+// Other records the load of all other nodes at one runner.
 func (a *Admitter) Other(id string, l messages.RunnerLoad) {
 	for _, p := range a.pools {
 		if r := p.runners[id]; r != nil {
-			r.other(l)
+			r.setPeerLoad(l)
 		}
 	}
 }
 
-// Told notes that what is known of the others is of now.
+// Told records that the loads of the other nodes are up to date at nowUs.
 func (a *Admitter) Told(nowUs int64) {
-	a.toldUs = nowUs
+	a.peerLoadsUs = nowUs
 	for _, p := range a.pools {
 		p.eject(nowUs)
 	}
 }
 
-// forgetOthers lets go of what the others said once it is too old.
-func (a *Admitter) forgetOthers(nowUs int64) {
-	if a.toldUs == 0 || a.told(nowUs) {
+// expirePeerLoads clears the loads of the other nodes once they are too old.
+func (a *Admitter) expirePeerLoads(nowUs int64) {
+	if a.peerLoadsUs == 0 || a.peerLoadsCurrent(nowUs) {
 		return
 	}
-	a.toldUs = 0
+	a.peerLoadsUs = 0
 	for _, p := range a.pools {
 		for _, r := range p.runners {
-			r.others = word{}
+			r.peers = loadReport{}
 		}
 	}
 }
 
-// told tells whether the others' loads are fresh enough to go by.
-func (a *Admitter) told(nowUs int64) bool {
-	return a.toldUs > 0 && nowUs-a.toldUs < a.T.ReportFreshUs
+// peerLoadsCurrent reports whether the loads of the other nodes are recent enough.
+func (a *Admitter) peerLoadsCurrent(nowUs int64) bool {
+	return a.peerLoadsUs > 0 && nowUs-a.peerLoadsUs < a.T.ReportFreshUs
 }
 
-// Blind lists the runners whose thresholds cannot fire as they should: memory
-// that is not known, or no report within three times the time one is believed.
+// Blind returns the sorted identities of the runners whose thresholds are unreliable:
+// their memory is unknown, or their last report is older than three times
+// Tuning.ReportFreshUs.
 func (a *Admitter) Blind(nowUs int64) []string {
 	var out []string
 	for _, p := range a.pools {
@@ -89,15 +90,15 @@
 			}
 		}
 	}
-	sort.Strings(out)
+	slices.Sort(out)
 	return out
 }
 
-// flowStep is to what the flow of prompt tokens is rounded where it is told, so
-// that it is no change with every moment.
+// flowStep is the unit, in prompt tokens per second, to which the reported flow is
+// rounded, so that it does not change all the time.
 const flowStep = 250
 
-// Own is what this node has at the runners.
+// Own returns the load of this node at each runner that has any.
 func (a *Admitter) Own(nowUs int64) map[string]messages.RunnerLoad {
 	out := map[string]messages.RunnerLoad{}
 	for _, p := range a.pools {
--- a/internal/admission/pending.go
+++ b/internal/admission/pending.go
@@ -1,12 +1,12 @@
-// Queue is the bounded queue of one service: strict bands by rank, inside a
-// band the tenants in turn, and a time to live for every request.
+// The queue of one service: strict bands by rank, round robin between the tenants of a
+// band, and a time to live for every request.
 
 package admission
 
 import "sort"
 
 type waiting struct {
-	ask     Request
+	request Request
 	untilUs int64
 }
 
@@ -23,22 +23,22 @@
 }
 
 func (p *queue) put(w *waiting) {
-	i := sort.Search(len(p.bands), func(i int) bool { return p.bands[i].rank >= w.ask.Rank })
-	if i == len(p.bands) || p.bands[i].rank != w.ask.Rank {
+	i := sort.Search(len(p.bands), func(i int) bool { return p.bands[i].rank >= w.request.Rank })
+	if i == len(p.bands) || p.bands[i].rank != w.request.Rank {
 		p.bands = append(p.bands, nil)
 		copy(p.bands[i+1:], p.bands[i:])
-		p.bands[i] = &band{rank: w.ask.Rank, tenants: map[string][]*waiting{}}
+		p.bands[i] = &band{rank: w.request.Rank, tenants: map[string][]*waiting{}}
 	}
 	b := p.bands[i]
-	if len(b.tenants[w.ask.Tenant]) == 0 {
-		b.turn = append(b.turn, w.ask.Tenant)
+	if len(b.tenants[w.request.Tenant]) == 0 {
+		b.turn = append(b.turn, w.request.Tenant)
 	}
-	b.tenants[w.ask.Tenant] = append(b.tenants[w.ask.Tenant], w)
+	b.tenants[w.request.Tenant] = append(b.tenants[w.request.Tenant], w)
 	p.count++
-	p.tokens += w.ask.TokensIn
+	p.tokens += w.request.TokensIn
 }
 
-// remove takes out the i-th request of a tenant in a band.
+// remove removes the i-th request of a tenant in a band.
 func (p *queue) remove(b *band, tenant string, i int) *waiting {
 	list := b.tenants[tenant]
 	w := list[i]
@@ -53,11 +53,11 @@
 		}
 	}
 	p.count--
-	p.tokens -= w.ask.TokensIn
+	p.tokens -= w.request.TokensIn
 	return w
 }
 
-// expired takes out all whose time to live is over.
+// expired removes and returns the requests whose time to live is over.
 func (p *queue) expired(nowUs int64) []*waiting {
 	var out []*waiting
 	for _, b := range p.bands {
@@ -72,7 +72,8 @@
 	return out
 }
 
-// shed takes out the newest request of the lowest band below rank.
+// shed removes and returns the newest request of the lowest band below rank, of the
+// tenant with most requests there; nil if there is none.
 func (p *queue) shed(rank int) *waiting {
 	for i := len(p.bands) - 1; i >= 0 && p.bands[i].rank > rank; i-- {
 		b := p.bands[i]
@@ -89,9 +90,9 @@
 	return nil
 }
 
-// walk offers the requests in their order, band by band and the tenants of a
-// band in turn; what take accepts leaves the queue. A tenant whose first
-// request is not taken is passed over.
+// walk offers the requests in their order, band by band and round robin between the
+// tenants of a band; those that take accepts leave the queue. A tenant whose first
+// request is not accepted is skipped.
 func (p *queue) walk(take func(*waiting) bool) {
 	for _, b := range p.bands {
 		for tries := len(b.turn); tries > 0 && len(b.turn) > 0; tries-- {
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -9,22 +9,22 @@
 	order   []string
 	queue   queue
 	stores  []Store
-	links   int                        // connections a runner takes from all nodes together; 0: no limit
-	allowed map[string]map[string]bool // by regime, the ids of runners and stores let in
+	links   int                        // connections that a runner accepts from all nodes together; 0: no limit
+	allowed map[string]map[string]bool // by regime, the identities of the certified runners and stores
 	tokens  int                        // memory of a runner, in tokens
-	moveUs  float64                    // to move the memory of one token between runners; 0: not moved
+	moveUs  float64                    // microseconds to transfer the memory of one token between runners; 0: no transfers
 }
 
-// Store is a box that keeps parts for the runners of a service.
+// Store is a server that caches blocks for the runners of a service.
 type Store struct {
 	ID     string
 	Addr   string
 	Zone   string
-	MoveUs float64 // to move the memory of one token
+	MoveUs float64 // microseconds to transfer the memory of one token
 }
 
-// SetService tells the runners of a service, the memory of each in tokens, and
-// how long moving the memory of a token takes.
+// SetService sets the runners of a service, the memory of each in tokens, and how many
+// microseconds the transfer of one token's memory takes.
 func (a *Admitter) SetService(service string, notes []messages.RunnerRecord, tokens int, moveUs float64) {
 	p := a.pool(service)
 	p.tokens, p.moveUs = tokens, moveUs
@@ -36,8 +36,8 @@
 			r = newRunner()
 			p.runners[n.ID] = r
 		}
-		r.note, r.capacity, r.blocks = n, n.Capacity, tokens/a.T.BlockTokens
-		r.absence.hear(n)
+		r.record, r.capacity, r.blocks = n, n.Capacity, tokens/a.T.BlockTokens
+		r.absence.observe(n)
 		keep[n.ID] = true
 		p.order = append(p.order, n.ID)
 	}
@@ -49,37 +49,37 @@
 	}
 }
 
-// linkPart is the part of a runner's connections that requests may take; the
+// requestLinkPart is the part of a runner's connections that requests may take; the
 // rest is for reports, events and orders.
-const linkPart = 0.9
+const requestLinkPart = 0.9
 
-// SetLinks tells how many connections a runner of a service takes in all.
+// SetLinks sets how many connections a runner of a service accepts in all.
 func (a *Admitter) SetLinks(service string, limit int) { a.pool(service).links = limit }
 
-// linkShare is how many requests this node may have at one runner at a time,
+// linkShare returns how many requests this node may have at one runner at a time,
 // each on a connection of its own; 0 means any number.
 func (a *Admitter) linkShare(p *pool) int {
 	if p.links <= 0 {
 		return 0
 	}
-	return max(int(linkPart*float64(p.links))/a.nodes, 1)
+	return max(int(requestLinkPart*float64(p.links))/a.nodes, 1)
 }
 
-// SetCertified tells which runners and stores of a service each regime lets in.
+// SetCertified sets which runners and stores of a service are certified for each regime.
 func (a *Admitter) SetCertified(service string, allowed map[string]map[string]bool) {
 	a.pool(service).allowed = allowed
 }
 
-// lets tells whether a request may have to do with a runner or store. Without
-// sure knowledge the answer is no.
-func (p *pool) lets(request Request, id string) bool {
+// permits reports whether a request may use a runner or store: it has no regime, or the
+// runner or store is known to be certified for it.
+func (p *pool) permits(request Request, id string) bool {
 	return request.Regime == "" || p.allowed[request.Regime][id]
 }
 
-// SetStores tells the stores that runners of a service may use.
+// SetStores sets the stores that runners of a service may use.
 func (a *Admitter) SetStores(service string, stores []Store) { a.pool(service).stores = stores }
 
-// Services lists those with requests waiting.
+// Services returns the names of all services, in no particular order.
 func (a *Admitter) Services() []string {
 	var out []string
 	for name := range a.pools {
@@ -97,7 +97,7 @@
 	return p
 }
 
-func (a *Admitter) places(p *pool) int {
+func (a *Admitter) totalCapacity(p *pool) int {
 	n := 0
 	for _, id := range p.order {
 		n += p.runners[id].capacity
@@ -108,7 +108,7 @@
 func (a *Admitter) rate(p *pool) float64 {
 	sum := 0.0
 	for _, id := range p.order {
-		sum += p.runners[id].readRate(&a.T)
+		sum += p.runners[id].prefillRate(&a.T)
 	}
 	return max(sum, a.T.RateFloor)
 }
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -14,19 +14,19 @@
 	sinceUs, overUs int64
 }
 
-// SetRelinquished tells which zones give up their sessions, and over how long
-// each. What has been left stays left for as long as the zone is named.
+// SetRelinquished sets the zones that give up their sessions, and over how many
+// microseconds. A session does not return while its zone is named.
 func (a *Admitter) SetRelinquished(zones map[string]int64, nowUs int64) {
 	next := map[string]relinquished{}
 	for zone, overUs := range zones {
-		x, known := a.left[zone]
+		x, known := a.relinquished[zone]
 		if !known {
 			x.sinceUs = nowUs
 		}
 		x.overUs = overUs
 		next[zone] = x
 	}
-	a.left = next
+	a.relinquished = next
 }
 
 // Session names the session that a request belongs to.
@@ -38,27 +38,26 @@
 	return h
 }
 
-// Leaves tells whether a request's session has left a zone, or is to leave it
-// now.
+// Leaves reports whether a request's session has left a zone, or is to leave it now.
 func (a *Admitter) Leaves(request Request, zone string, nowUs int64) bool {
-	x, ok := a.left[zone]
+	x, ok := a.relinquished[zone]
 	if !ok {
 		return false
 	}
 	if x.overUs <= 0 {
 		return true
 	}
-	// its turn comes by its hash, at the same time at every node
+	// the hash of a session sets when it leaves, at the same time at every node
 	return float64(Session(request)>>11)/(1<<53) < float64(nowUs-x.sinceUs)/float64(x.overUs)
 }
 
-// home is the zone that a session goes to: the same for all nodes, and the same
-// again whatever becomes of the other zones.
+// home returns the zone that a session moves to, by rendezvous hashing: the same at all
+// nodes, and not affected by changes of other zones.
 func (a *Admitter) home(request Request, p *pool) string {
 	session, best, top := Session(request), "", uint64(0)
 	for _, id := range p.order {
-		n := &p.runners[id].note
-		if _, left := a.left[n.Zone]; left || n.Draining || n.Stale {
+		n := &p.runners[id].record
+		if _, left := a.relinquished[n.Zone]; left || n.Draining || n.Stale {
 			continue
 		}
 		if v := statesync.Mix(session ^ statesync.HashText(n.Zone, "")); best == "" || v > top {
@@ -68,11 +67,11 @@
 	return best
 }
 
-// TryNow admits a request if there is a place for it at this moment, and does
-// not let it wait.
+// TryNow admits a request if there is capacity for it now; otherwise it returns nil and
+// does not queue it.
 func (a *Admitter) TryNow(request Request, nowUs int64) *Admission {
 	p := a.pool(request.Service)
-	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens || !a.nothingAhead(p, request.Rank) {
+	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens || !a.noneQueuedAhead(p, request.Rank) {
 		return nil
 	}
 	return a.admit(request, p, a.tenant(request.Tenant, nowUs), nowUs)
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -13,7 +13,7 @@
 func sited(zones ...string) []messages.RunnerRecord {
 	var out []messages.RunnerRecord
 	for i, s := range zones {
-		n := note(fmt.Sprint("r", i))
+		n := runnerRecord(fmt.Sprint("r", i))
 		n.Zone, n.Capacity = s, 1000
 		out = append(out, n)
 	}
@@ -21,42 +21,42 @@
 }
 
 func sessionAsk(i int) Request {
-	a := ask(116, 1)
+	a := newRequest(116, 1)
 	a.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("session", i), Tokens: 50}, {ID: "own", Tokens: 16}}
 	return a
 }
 
-func goes(t *testing.T, d *Admitter, i int, nowUs int64) string {
+func goes(t *testing.T, admitter *Admitter, i int, nowUs int64) string {
 	t.Helper()
 	a := sessionAsk(i)
 	a.Tenant = fmt.Sprint("t", i) // so that no tenant's rate is in the way
-	r := d.Submit(a, nowUs)
+	r := admitter.Submit(a, nowUs)
 	must.NotNil(t, r.Admit, must.Sprint(r.Reject))
-	d.FirstToken(r.Admit, nowUs)
-	d.Done(r.Admit, true, nowUs)
+	admitter.FirstToken(r.Admit, nowUs)
+	admitter.Done(r.Admit, true, nowUs)
 	return r.Admit.Runner.Zone
 }
 
 const some = 400
 
 func moveDoor() *Admitter {
-	d := New(Defaults, "a")
-	d.SetService("s", sited("a", "b", "c", "a", "b", "c"), memory, 0.01)
-	return d
+	admitter := New(Defaults, "a")
+	admitter.SetService("s", sited("a", "b", "c", "a", "b", "c"), memory, 0.01)
+	return admitter
 }
 
 // Sessions leave one after the other over the time given, and what has left
 // does not come back while the declaration stands.
-func TestSessionsLeaveASiteByAndBy(t *testing.T) {
-	d := moveDoor()
-	d.SetRelinquished(map[string]int64{"a": 10_000_000}, 1_000_000)
+func TestSessionsLeaveZoneGradually(t *testing.T) {
+	admitter := moveDoor()
+	admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, 1_000_000)
 	left := map[int]bool{}
 	for _, at := range []int64{1_000_000, 3_500_000, 6_000_000, 8_500_000, 11_000_000} {
 		for i := range some {
-			leaves := d.Leaves(sessionAsk(i), "a", at)
+			leaves := admitter.Leaves(sessionAsk(i), "a", at)
 			must.False(t, left[i] && !leaves, must.Sprint("back again: ", i))
 			left[i] = left[i] || leaves
-			must.False(t, d.Leaves(sessionAsk(i), "b", at))
+			must.False(t, admitter.Leaves(sessionAsk(i), "b", at))
 		}
 		n := 0
 		for _, l := range left {
@@ -66,22 +66,22 @@
 		}
 		want := int(float64(some) * float64(at-1_000_000) / 10_000_000)
 		must.Between(t, want-40, n, want+40, must.Sprint("at ", at))
-		d.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next version of the configuration says so again
+		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next version of the configuration says so again
 	}
 	for i := range 40 {
-		must.NotEq(t, "a", goes(t, d, i, 12_000_000))
+		must.NotEq(t, "a", goes(t, admitter, i, 12_000_000))
 	}
-	d.SetRelinquished(nil, 13_000_000)
-	must.False(t, d.Leaves(sessionAsk(1), "a", 14_000_000), must.Sprint("the declaration is gone"))
+	admitter.SetRelinquished(nil, 13_000_000)
+	must.False(t, admitter.Leaves(sessionAsk(1), "a", 14_000_000), must.Sprint("the declaration is gone"))
 }
 
 // All nodes send a session to the same home, and a second declaration moves only
 // the sessions of the zone that it names.
-func TestASecondMoveTakesOnlyItsOwn(t *testing.T) {
+func TestSecondZoneMovesOnlyItsOwnSessions(t *testing.T) {
 	one, two := moveDoor(), moveDoor()
 	two.Zone = "c"
-	for _, d := range []*Admitter{one, two} {
-		d.SetRelinquished(map[string]int64{"a": 0}, 1)
+	for _, admitter := range []*Admitter{one, two} {
+		admitter.SetRelinquished(map[string]int64{"a": 0}, 1)
 	}
 	first := map[int]string{}
 	seen := map[string]int{}
@@ -108,51 +108,51 @@
 	}
 }
 
-func TestAMoveBesideDrainingWeightsAndCertificates(t *testing.T) {
-	d := moveDoor()
-	d.SetRelinquished(map[string]int64{"a": 0}, 1)
+func TestRelinquishRespectsDrainingWeightsAndCertification(t *testing.T) {
+	admitter := moveDoor()
+	admitter.SetRelinquished(map[string]int64{"a": 0}, 1)
 	notes := sited("a", "b", "c", "a", "b", "c")
 	notes[1].Draining, notes[4].Draining = true, true
-	d.SetService("s", notes, memory, 0.01)
-	must.Eq(t, "c", goes(t, d, 1, 10), must.Sprint("zone b drains"))
+	admitter.SetService("s", notes, memory, 0.01)
+	must.Eq(t, "c", goes(t, admitter, 1, 10), must.Sprint("zone b drains"))
 
 	notes = sited("a", "b", "c", "a", "b", "c")
 	notes[2].Barred, notes[5].Barred = true, true
-	d.SetService("s", notes, memory, 0.01)
-	must.Eq(t, "b", goes(t, d, 1, 20), must.Sprint("zone c gets new weights"))
+	admitter.SetService("s", notes, memory, 0.01)
+	must.Eq(t, "b", goes(t, admitter, 1, 20), must.Sprint("zone c gets new weights"))
 
-	// kept under the old weights is not taken along to the new ones
+	// what is cached under the old weights is not transferred to the new ones
 	notes = sited("a", "b")
 	notes[1].Models = []messages.Target{{Model: "m", Version: 2}}
-	d.SetService("s", notes, memory, 0.01)
+	admitter.SetService("s", notes, memory, 0.01)
 	a := sessionAsk(7)
-	for i, k := range prefixindex.Keys(d.Salt(a.Tenant, false, "", 1), "m", a.Parts) {
-		d.Index.Put("r0", k, int32(a.Parts[i].Tokens))
+	for i, k := range prefixindex.Keys(admitter.Salt(a.Tenant, false, "", 1), "m", a.Parts) {
+		admitter.Index.Put("r0", k, int32(a.Parts[i].Tokens))
 	}
-	adm := d.Submit(a, 30).Admit
+	adm := admitter.Submit(a, 30).Admit
 	must.Eq(t, "r1", adm.Runner.ID)
 	must.Eq(t, "", adm.Source)
-	d.Done(adm, true, 31)
+	admitter.Done(adm, true, 31)
 
-	d.SetService("s", sited("a", "b", "c"), memory, 0.01)
-	d.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true, "r2": true}})
+	admitter.SetService("s", sited("a", "b", "c"), memory, 0.01)
+	admitter.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true, "r2": true}})
 	a.Regime = "allergen"
-	must.Eq(t, "r2", d.Submit(a, 40).Admit.Runner.ID)
-	d.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true}})
-	must.True(t, d.Submit(a, 50).Hold, must.Sprint("the regime goes before the move, and the zone is left"))
+	must.Eq(t, "r2", admitter.Submit(a, 40).Admit.Runner.ID)
+	admitter.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true}})
+	must.True(t, admitter.Submit(a, 50).Hold, must.Sprint("the regime goes before the move, and the zone is left"))
 
-	d.pool("s").queue = queue{}
-	d.SetService("s", sited("a", "a"), memory, 0.01)
-	must.Eq(t, "a", goes(t, d, 3, 60), must.Sprint("nowhere else to go"))
+	admitter.pool("s").queue = queue{}
+	admitter.SetService("s", sited("a", "a"), memory, 0.01)
+	must.Eq(t, "a", goes(t, admitter, 3, 60), must.Sprint("nowhere else to go"))
 }
 
-func TestTryNowDoesNotWait(t *testing.T) {
-	d := moveDoor()
+func TestTryNowDoesNotQueue(t *testing.T) {
+	admitter := moveDoor()
 	a := sessionAsk(1)
-	must.NotNil(t, d.TryNow(a, 1))
+	must.NotNil(t, admitter.TryNow(a, 1))
 	a.Avoid = []string{"r0", "r1", "r2", "r3", "r4", "r5"}
-	must.Nil(t, d.TryNow(a, 2))
-	must.Eq(t, 0, d.pool("s").queue.count)
+	must.Nil(t, admitter.TryNow(a, 2))
+	must.Eq(t, 0, admitter.pool("s").queue.count)
 	a.TokensIn = 10 * memory
-	must.Nil(t, d.TryNow(a, 3))
+	must.Nil(t, admitter.TryNow(a, 3))
 }
--- a/internal/admission/tuning.go
+++ b/internal/admission/tuning.go
@@ -32,16 +32,17 @@
 // its own with a mutex.
 package admission
 
-// Tuning are the free values of the design, with defaults in Defaults.
+// Tuning are the parameters of admission; Defaults has their defaults. Times are
+// microseconds.
 type Tuning struct {
 	BlockTokens     int     // tokens in a block of a runner's memory
 	BusyAt, FreeAt  float64 // memory use at which a runner leaves the candidates, and comes back
-	PrefillUs       int64   // a runner is busy once reading what waits there takes this long
-	PrefillFree     float64 // it is free again below this part of that
+	PrefillUs       int64   // a runner is busy once the prefill of what waits there takes this long
+	PrefillFree     float64 // part of PrefillUs below which it is free again
 	BufferRequests  int     // requests that may wait beyond runners x capacity
-	RateFloor       float64 // tokens a microsecond, the least rate believed
+	RateFloor       float64 // minimum prefill rate, tokens per microsecond
 	RateStart       float64
-	ReportFreshUs   int64 // a report or another node's word is believed for this long
+	ReportFreshUs   int64 // how long a report of a runner or node is valid
 	WindowStart     float64
 	WindowMin       float64
 	WindowMax       float64
@@ -54,11 +55,11 @@
 	TTLPart         float64 // part of the time left that a request may wait
 	TTLSetpoints    float64 // and how many times its setpoint
 	LongOut         int     // a request that may bring more tokens than this is long
-	UnsoundUs       int64   // first pause for a runner whose links fail
+	UnsoundUs       int64   // first backoff for a runner whose connections fail
 	UnsoundMaxUs    int64
 }
 
-// Defaults are the starting values.
+// Defaults are the default parameters.
 var Defaults = Tuning{
 	BlockTokens: 16, BusyAt: 0.85, FreeAt: 0.8,
 	PrefillUs: 600_000, PrefillFree: 0.7, BufferRequests: 16,
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -26,34 +26,34 @@
 	// VersionUs is how long after the acknowledgement of a version requests may
 	// still begin on older ones.
 	VersionUs int64
-	// ContactLossUs is after how long without word from a controller that has the
-	// core in reach the bound is suspended; 0: never.
+	// ContactLossUs is the time without a message from a controller with contact to
+	// the core after which the bound is suspended; 0: never.
 	ContactLossUs int64
 }
 
-// AssumeTarget notes a named version that came without its age.
+// AssumeTarget records a named version that came without its age.
 func (a *Admitter) AssumeTarget(model string, version, nowUs int64) {
 	a.targets.Assume(model, version, nowUs)
 }
 
-// ObserveTargets takes the ages of named versions that another node has sent.
+// ObserveTargets merges the ages of named versions that another node has sent.
 func (a *Admitter) ObserveTargets(ages []messages.TargetAge, nowUs int64) {
 	a.targets.Observe(ages, nowUs)
 }
 
-// TargetAges gives the ages of the named versions, for other nodes.
+// TargetAges returns the ages of the named versions, for other nodes.
 func (a *Admitter) TargetAges(nowUs int64) []messages.TargetAge { return a.targets.Ages(nowUs) }
 
-// Contact notes that a controller that has the core in reach was heard of.
+// Contact records a message from a controller with contact to the core.
 func (a *Admitter) Contact(nowUs int64) { a.contactUs = max(a.contactUs, nowUs) }
 
-// outOfContact tells whether the bound is suspended. Only this node's own loss of
+// outOfContact reports whether the bound is suspended. Only this node's own loss of
 // contact does that; how the core looks to its members does not.
 func (a *Admitter) outOfContact(nowUs int64) bool {
 	return a.Bound.ContactLossUs > 0 && nowUs-a.contactUs >= a.Bound.ContactLossUs
 }
 
-// pastBound tells whether a version of a model's weights is too old for requests
+// pastBound reports whether a version of a model's weights is too old for requests
 // that begin marginUs from now. A version that is not known, 0, counts as older
 // than any that was named.
 func (a *Admitter) pastBound(model string, version, marginUs, nowUs int64) bool {
@@ -63,23 +63,23 @@
 	return a.targets.OutdatedUs(model, version, nowUs) >= a.Bound.VersionUs-marginUs
 }
 
-// weightsAllowed tells whether a request for a model may be sent to a runner. A
+// runnerWeightsAllowed reports whether a request for a model may be sent to a runner. A
 // runner whose version is not known counts as one with older weights.
-func (a *Admitter) weightsAllowed(model string, r *runner, nowUs int64) bool {
-	return !a.pastBound(model, weightsVersion(r.note, model), leastSendMarginUs+r.expectedWaitUs(&a.T, nowUs), nowUs)
+func (a *Admitter) runnerWeightsAllowed(model string, r *runner, nowUs int64) bool {
+	return !a.pastBound(model, weightsVersion(r.record, model), leastSendMarginUs+r.expectedWaitUs(&a.T, nowUs), nowUs)
 }
 
 // expectedWaitUs estimates for how long a request sent now waits at the runner
 // before it begins.
 func (r *runner) expectedWaitUs(t *Tuning, nowUs int64) int64 {
-	wait := float64(r.prefill()) / r.readRate(t)
+	wait := float64(r.prefill()) / r.prefillRate(t)
 	if r.reported && nowUs-r.report.atUs < t.ReportFreshUs {
 		wait += float64(r.queued) * queuedWaitUs
 	}
 	return int64(min(max(wait, 0), mostExpectedWaitUs))
 }
 
-// WeightsAllowed tells whether an admitted request may still be sent to its
+// WeightsAllowed reports whether an admitted request may still be sent to its
 // runner. It goes by the version at admission, which the salt was made for and
 // which the request asks the runner for: past the bound that is never one that is
 // too old.
@@ -87,17 +87,17 @@
 	return !a.pastBound(adm.model, adm.Version, leastSendMarginUs, nowUs)
 }
 
-// MustWithdraw tells whether a request that was sent and has not begun is to be
+// MustWithdraw reports whether a request that was sent and has not begun is to be
 // taken back, because it would begin on weights that are too old by then.
 func (a *Admitter) MustWithdraw(adm *Admission, nowUs int64) bool {
 	version := adm.Version
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
-		version = max(version, weightsVersion(r.note, adm.model))
+		version = max(version, weightsVersion(r.record, adm.model))
 	}
 	return a.pastBound(adm.model, version, withdrawMarginUs, nowUs)
 }
 
-// weightsVersion is the version of a model's weights that a runner is known to
+// weightsVersion returns the version of a model's weights that a runner is known to
 // have; 0 where none is known.
 func weightsVersion(n messages.RunnerRecord, model string) int64 {
 	for _, m := range n.Models {
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -22,7 +22,7 @@
 }
 
 func (a *Admitter) allowRate(t *tenantState, p *pool, nowUs int64) bool {
-	most := max(a.T.TenantBurst*float64(a.places(p)), 64)
+	most := max(a.T.TenantBurst*float64(a.totalCapacity(p)), 64)
 	if t.bucket < 0 {
 		t.bucket = most
 	}
@@ -35,8 +35,8 @@
 	return true
 }
 
-// Tick lets time pass: requests whose wait is over are rejected, others that
-// find room are admitted, and the tenants' windows move.
+// Tick advances the time: queued requests whose time to live is over are rejected, others
+// that fit are admitted, and the tenants' windows are adjusted.
 func (a *Admitter) Tick(nowUs int64) []Decision {
 	var out []Decision
 	for _, p := range a.pools {
@@ -44,20 +44,20 @@
 			continue
 		}
 		for _, w := range p.queue.expired(nowUs) {
-			out = append(out, a.reject(w.ask, p, RejectTTL, 503))
+			out = append(out, a.reject(w.request, p, RejectTTL, 503))
 		}
 		full := false
 		p.queue.walk(func(w *waiting) bool {
 			if full {
 				return false
 			}
-			adm := a.admit(w.ask, p, a.tenant(w.ask.Tenant, nowUs), nowUs)
+			adm := a.admit(w.request, p, a.tenant(w.request.Tenant, nowUs), nowUs)
 			if adm == nil {
-				// no place anywhere for this one means none for the next
-				full = !a.free && w.ask.Regime == "" && len(w.ask.Avoid) == 0
+				// if no runner has capacity for this one, none has for the next
+				full = !a.hasCapacity && w.request.Regime == "" && len(w.request.Avoid) == 0
 				return false
 			}
-			out = append(out, Decision{Ref: w.ask.Ref, Admit: adm})
+			out = append(out, Decision{Ref: w.request.Ref, Admit: adm})
 			return true
 		})
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// Window is the AIMD step of a tenant's window.
+// Window returns a tenant's window after one AIMD step.
 func Window(t *Tuning, w, use, hits float64) float64 {
 	switch {
 	case use < t.LowUse:
@@ -103,7 +103,7 @@
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			if r := p.runners[id]; r.blocks > 0 {
-				sum += r.settle(&a.T, nowUs, a.nodes, a.told(nowUs))
+				sum += r.updateBusy(&a.T, nowUs, a.nodes, a.peerLoadsCurrent(nowUs))
 				n++
 			}
 		}
