--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -19,7 +19,7 @@
 	return a.Who < b.Who
 }
 
-// Learn takes in a committed value and tells whether it is newer than the known
+// Learn merges a committed value and reports whether it is newer than the known
 // one. The promise and the accepted value of the older version are dropped.
 func (a *Acceptor) Learn(v messages.Value) bool {
 	known := len(a.Rec.Committed.Group) > 0
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Handle answers a read, prepare or accept request. changed tells that the record
+// Handle answers a read, prepare or accept request. changed says that the record
 // has changed and must be on disk before the response is sent.
 func (a *Acceptor) Handle(request messages.ConsensusRequest) (response messages.ConsensusResponse, changed bool) {
 	if request.Step == messages.Read {
--- a/internal/consensus/atomic_files.go
+++ b/internal/consensus/atomic_files.go
@@ -57,7 +57,7 @@
 	a.closeLock.Unlock()
 }
 
-// list gives the names of all files, temporary ones included.
+// list returns the names of all files, temporary ones included.
 func (a *atomicFiles) list() ([]string, error) {
 	names, err := a.files.List()
 	if err != nil {
@@ -66,7 +66,7 @@
 	return names, nil
 }
 
-// read gives the content of a file. The error wraps ErrDamaged if the file is not
+// read returns the content of a file. The error wraps ErrDamaged if the file is not
 // what was written, fs.ErrNotExist if there is none, and ErrStore otherwise.
 func (a *atomicFiles) read(name string) ([]byte, error) {
 	b, err := a.files.Read(name)
--- a/internal/consensus/attempt.go
+++ b/internal/consensus/attempt.go
@@ -33,7 +33,7 @@
 	return NewRound(a.part, base, ballot, a.stamp, a.change)
 }
 
-// Progress says how an attempt goes on after a round.
+// Progress is how an attempt proceeds after a round.
 type Progress int
 
 // What to do after a round.
@@ -56,7 +56,7 @@
 	return "unknown"
 }
 
-// Finish takes a round that has ended or was given up, and tells how to go on.
+// Finish records a round that has ended or was abandoned, and returns how to proceed.
 func (a *Attempt) Finish(round *Round) Progress {
 	switch round.End {
 	case Rejected:
--- a/internal/consensus/catchup.go
+++ b/internal/consensus/catchup.go
@@ -23,7 +23,7 @@
 	transferTimePerByte = 4 * time.Microsecond
 )
 
-// isLarge tells whether a value is sent in chunks to nodes that lack it.
+// isLarge reports whether a value is sent in chunks to nodes that lack it.
 func isLarge(v messages.Value) bool { return len(v.Body) > statesync.PieceBytes }
 
 // transferAllowance is what a round trip with a large value may take longer.
@@ -43,10 +43,10 @@
 	return messages.Value{Version: v.Version, Body: digest[:], Stamp: v.Stamp}
 }
 
-// isReference tells whether a value was made by referenceTo.
+// isReference reports whether a value was made by referenceTo.
 func isReference(v messages.Value) bool { return len(v.Group) == 0 && len(v.Body) > 0 }
 
-// refersTo tells whether a reference is to a value.
+// refersTo reports whether a reference is to a value.
 func refersTo(reference, v messages.Value) bool {
 	return v.Version == reference.Version && v.Stamp == reference.Stamp && bytes.Equal(referenceTo(v).Body, reference.Body)
 }
@@ -94,7 +94,7 @@
 	return r.receiveChunks(ctx, addr, part, response)
 }
 
-// receiveChunks takes in the first chunk of a large value and fetches the others.
+// receiveChunks stores the first chunk of a large value and fetches the others.
 func (r *Registers) receiveChunks(ctx context.Context, addr string, part int, response messages.ConsensusResponse) error {
 	transfers := r.registers[part].transfers
 	for useless := 0; ; {
--- a/internal/consensus/catchup_test.go
+++ b/internal/consensus/catchup_test.go
@@ -15,13 +15,13 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// valueOfSize gives a committed value with a body of size bytes.
+// valueOfSize returns a committed value with a body of size bytes.
 func valueOfSize(version int64, size int) messages.Value {
 	group := []messages.Member{{ID: "a/0", Addr: "a"}}
 	return messages.Value{Version: version, Group: group, Body: bytes.Repeat([]byte{byte(version)}, size), Stamp: "s"}
 }
 
-// openBehind gives a node without any value that catches up from a, over a link
+// openBehind returns a node without any value that catches up from a, over a link
 // that loses the responses for which lose returns true, with the bytes that it
 // received in all and in the largest response.
 func openBehind(t *testing.T, a *Registers, lose func() bool) (registers *Registers, carried, largest *atomic.Int64) {
@@ -41,7 +41,7 @@
 	return registers, carried, largest
 }
 
-// openRegisters gives a node that has no peers.
+// openRegisters returns a node that has no peers.
 func openRegisters(t *testing.T, addr string) *Registers {
 	t.Helper()
 	registers, err := Open(addr, 1, false, nil, nil, &MemoryStore{}, logr.Discard(), nil)
--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -40,7 +40,7 @@
 	node.acceptors = [2]Acceptor{{ID: id}, {ID: id}}
 }
 
-// fullyReplicated tells whether every member of both groups has the newest value on
+// fullyReplicated reports whether every member of both groups has the newest value on
 // disk: only then may another disk be lost.
 func (c *cluster) fullyReplicated() bool {
 	for part, v := range c.newest {
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// anyNode gives a random node that is up and knows both groups, or nil.
+// anyNode returns a random node that is up and knows both groups, or nil.
 func (c *cluster) anyNode() *clusterNode {
 	var up []*clusterNode
 	for _, node := range c.nodes {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -217,7 +217,7 @@
 	}
 }
 
-// isOpen tells whether an operation has not been answered or lost.
+// isOpen reports whether an operation has not been answered or lost.
 func (c *cluster) isOpen(op *operation) bool { return slices.Contains(c.operations, op) }
 
 // finishRound goes on after a round, as Registers.Change does.
@@ -236,7 +236,7 @@
 	c.nextRound(op)
 }
 
-// recordChosen notes a chosen value and sends the commits.
+// recordChosen records a chosen value and sends the commits.
 func (c *cluster) recordChosen(op *operation) {
 	v := op.round.Value
 	if v.Version > c.newest[op.part].Version {
--- a/internal/consensus/confirm_test.go
+++ b/internal/consensus/confirm_test.go
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// openAlone gives a node whose peers do not answer.
+// openAlone returns a node whose peers do not answer.
 func openAlone(t *testing.T, store Store) *Registers {
 	t.Helper()
 	nobody := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
@@ -21,7 +21,7 @@
 	return registers
 }
 
-// committedValue gives a value of the group a, b, c.
+// committedValue returns a value of the group a, b, c.
 func committedValue(version int64) messages.Value {
 	v := Genesis([]string{"a", "b", "c"})
 	v.Version, v.Body, v.Stamp = version, []byte("x"), "s"
--- a/internal/consensus/disk_model_test.go
+++ b/internal/consensus/disk_model_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// step gives a vote, repeats one without a write, or injects a fault.
+// step casts a vote, repeats one without a write, or injects a fault.
 func (d *diskModel) step() {
 	part := d.rnd.IntN(Parts)
 	switch k := d.rnd.IntN(40); {
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -63,7 +63,7 @@
 	return string(content), true, nil
 }
 
-// Empty tells whether there is no file, temporary ones aside.
+// Empty reports whether there is no file, temporary ones aside.
 func (d *DiskStore) Empty() (bool, error) {
 	names, err := d.files.list()
 	if err != nil {
@@ -167,7 +167,7 @@
 	return out, nil
 }
 
-// Load gives the newest record of a register. If its file is damaged, the file before
+// Load returns the newest record of a register. If its file is damaged, the file before
 // it does not count: that would be a member that has forgotten a vote.
 func (d *DiskStore) Load(part int) (messages.Record, bool, error) {
 	d.mu.Lock()
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -172,7 +172,7 @@
 }
 
 // The runner list and fencing tokens may be written by several goroutines at once.
-func TestConcurrentKeepOfSameFile(t *testing.T) {
+func TestConcurrentWritesOfSameFile(t *testing.T) {
 	d, err := NewDiskStore(t.TempDir())
 	must.NoError(t, err)
 	var group sync.WaitGroup
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -2,11 +2,11 @@
 // registers (the configuration, and the registers that services are hashed to),
 // each agreed on by single-register Paxos among a small group of controllers.
 //
-// # What it is given and what it guarantees
+// # Inputs and guarantees
 //
 // Open is given a Caller (the transport), a Store (the disk or memory of this
 // member) and a callback for committed values. Change replaces the value of a
-// register by compare-and-set, Read gives a linearizable read, Committed gives the
+// register by compare-and-set, Read is a linearizable read, Committed returns the
 // newest committed value that this node knows, which may be stale. At most one
 // value is ever committed for a version of a register, and a change that was
 // acknowledged is not lost as long as a majority of the group keeps its disks.
@@ -40,7 +40,7 @@
 //     damaged comes back under a new identity (Restore) and is no acceptor until a
 //     committed group names that identity, which the repair coordinator proposes
 //     only after the member has confirmed that it holds the committed value on disk.
-//   - A changed record is on disk before the response that rests on it is sent. Where
+//   - A changed record is on disk before the response that rests on it is sent. If
 //     the write fails, the record in memory is rolled back and no response is sent.
 //
 // # Words of the wire
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -10,7 +10,7 @@
 // maxGroupSize bounds the members of one register.
 const maxGroupSize = 9
 
-// Status is what a controller sees of the other controllers.
+// Status is a controller's view of the other controllers.
 type Status struct {
 	Ready   []messages.Member            // alive and eligible, with their current identities
 	GoneFor func(addr string) (us int64) // how long a controller has not answered, 0 if it is alive
@@ -44,7 +44,7 @@
 	return status
 }
 
-// RepairGroup gives the next group of a register, and false if it should stay as it
+// RepairGroup returns the next group of a register, and false if it should stay as it
 // is. It makes one change: a wiped member is replaced by its new identity, else a
 // member that is gone by a candidate or, in a group of even size, removed, else the
 // group grows, unless it would stay at an even size for lack of a second candidate.
@@ -77,7 +77,7 @@
 	return nil, false
 }
 
-// firstGone gives the index of the first member that is gone.
+// firstGone returns the index of the first member that is gone.
 func firstGone(group []messages.Member, s Status) (int, bool) {
 	for i, m := range group {
 		if s.GoneFor(m.Addr) >= s.GoneUs {
@@ -87,7 +87,7 @@
 	return 0, false
 }
 
-// canGrow tells whether a candidate may be added: an odd group grows only if a second
+// canGrow reports whether a candidate may be added: an odd group grows only if a second
 // candidate can follow.
 func canGrow(group, candidates []messages.Member) bool {
 	if len(candidates) == 0 || len(group) >= maxGroupSize {
@@ -96,7 +96,7 @@
 	return len(group)%2 == 0 || len(candidates) > 1
 }
 
-// HandOver gives the group in which a member that shuts down is replaced by a candidate,
+// HandOver returns the group in which a member that shuts down is replaced by a candidate,
 // and false if there is none. A candidate at the address of a member is that member
 // after a loss of its disk: it is for RepairGroup to take it in.
 func HandOver(group []messages.Member, self string, s Status) ([]messages.Member, bool) {
@@ -113,7 +113,8 @@
 	return nil, false
 }
 
-// Newcomers lists the candidates: who is ready and no member, ordered by identity.
+// Newcomers returns the candidates, the ready controllers that are not members, sorted by
+// identity.
 func Newcomers(group []messages.Member, s Status) []messages.Member {
 	var out []messages.Member
 	for _, m := range s.Ready {
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -2,7 +2,7 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// isMajority tells whether the members with these identities are more than half of
+// isMajority reports whether the members with these identities are more than half of
 // a group.
 func isMajority(group []messages.Member, ids map[string]bool) bool {
 	n := 0
@@ -36,7 +36,7 @@
 	return out
 }
 
-// containsMember tells whether a group has a member with an identity.
+// containsMember reports whether a group has a member with an identity.
 func containsMember(group []messages.Member, id string) bool {
 	for _, m := range group {
 		if m.ID == id {
@@ -46,12 +46,12 @@
 	return false
 }
 
-// sameGroup tells whether two groups have the same members, in any order.
+// sameGroup reports whether two groups have the same members, in any order.
 func sameGroup(a, b []messages.Member) bool {
 	return len(a) == len(b) && len(addedMembers(a, b)) == 0
 }
 
-// memberAt gives the member at an address, or the zero Member.
+// memberAt returns the member at an address, or the zero Member.
 func memberAt(list []messages.Member, addr string) messages.Member {
 	for _, m := range list {
 		if m.Addr == addr {
@@ -61,7 +61,7 @@
 	return messages.Member{}
 }
 
-// replaceMember gives a group without its member at index i, and with by in that
+// replaceMember returns a group without its member at index i, and with by in that
 // place unless it is nil.
 func replaceMember(group []messages.Member, i int, by *messages.Member) []messages.Member {
 	out := append([]messages.Member{}, group[:i]...)
--- a/internal/consensus/memory_store.go
+++ b/internal/consensus/memory_store.go
@@ -14,21 +14,21 @@
 	id      string
 }
 
-// Identity gives the identity of this process, if it has one yet.
+// Identity returns the identity of this process, if it has one yet.
 func (m *MemoryStore) Identity() (string, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.id, m.id != "", nil
 }
 
-// Empty tells whether nothing was stored.
+// Empty reports whether nothing was stored.
 func (m *MemoryStore) Empty() (bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.id == "" && len(m.records) == 0, nil
 }
 
-// ResetIdentity takes another identity and erases the votes.
+// ResetIdentity adopts another identity and erases the votes.
 func (m *MemoryStore) ResetIdentity(id string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// Load gives the record that was saved last.
+// Load returns the record that was saved last.
 func (m *MemoryStore) Load(part int) (messages.Record, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,7 +47,7 @@
 	return r, ok, nil
 }
 
-// Save keeps the record.
+// Save stores the record in memory.
 func (m *MemoryStore) Save(part int, record messages.Record) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,5 +58,5 @@
 	return nil
 }
 
-// Sync has nothing to do: a loss of power ends the process too.
+// Sync does nothing: a power loss ends the process too.
 func (m *MemoryStore) Sync() error { return nil }
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -176,7 +176,7 @@
 	return func(messages.Value) ([]messages.Member, []byte, error) { return nil, []byte(s), nil }
 }
 
-// pickLive gives a random node that is up and knows its group, or nil.
+// pickLive returns a random node that is up and knows its group, or nil.
 func (p *paxosModel) pickLive() *node {
 	var list []*node
 	for i := range len(p.nodes) {
@@ -216,7 +216,7 @@
 	return newest
 }
 
-// newestKnown gives the newest committed value that a node knows.
+// newestKnown returns the newest committed value that a node knows.
 func (p *paxosModel) newestKnown() messages.Value {
 	newest := messages.Value{}
 	for _, n := range p.nodes {
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// LastSave tells how many microseconds the last write to the store took, and its
+// LastSave returns how many microseconds the last write to the store took, and its
 // error, which is empty where it succeeded.
 func (r *Registers) LastSave() (us int64, fault string) {
 	if f := r.lastSaveFault.Load(); f != nil {
--- a/internal/consensus/reading.go
+++ b/internal/consensus/reading.go
@@ -45,7 +45,7 @@
 	return "unknown"
 }
 
-// Receive takes a member's response; a repeated one counts once.
+// Receive records a member's response; a repeated one counts once.
 func (r *Reading) Receive(from messages.Member, response messages.ConsensusResponse) {
 	if response.Verdict != messages.Granted || r.responded[from.ID] {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// Result gives the result as far as responses have come in.
+// Result returns the result as far as responses have come in.
 func (r *Reading) Result() Finding {
 	half := len(r.Base.Group) / 2
 	switch {
--- a/internal/consensus/registers.go
+++ b/internal/consensus/registers.go
@@ -85,7 +85,7 @@
 	retired       atomic.Bool
 }
 
-// PartOf gives the register that a service belongs to: FNV-1a over its name.
+// PartOf returns the register that a service belongs to: FNV-1a over its name.
 func PartOf(service string) int {
 	const offsetBasis, prime = 2166136261, 16777619
 	hash := uint32(offsetBasis)
@@ -101,7 +101,7 @@
 // randomBytes is the length of what Random encodes.
 const randomBytes = 6
 
-// Random gives a short random text in hexadecimal digits.
+// Random returns a short random text in hexadecimal digits.
 func Random() string {
 	b := make([]byte, randomBytes)
 	_, _ = rand.Read(b)
@@ -166,10 +166,10 @@
 	}
 }
 
-// ID is this member's identity.
+// ID returns this member's identity.
 func (r *Registers) ID() string { return r.id }
 
-// Committed gives the newest committed value that this node knows, and false where it
+// Committed returns the newest committed value that this node knows, and false where it
 // knows none. It takes no lock and may be stale.
 func (r *Registers) Committed(part int) (messages.Value, bool) {
 	v := r.registers[part].committed.Load()
@@ -179,7 +179,7 @@
 	return *v, true
 }
 
-// Learn takes in a committed value and has it written to disk in the background. Values
+// Learn merges a committed value and has it written to disk in the background. Values
 // that are not newer than the known one are ignored.
 func (r *Registers) Learn(part int, v messages.Value) {
 	if part < 0 || part >= Parts || len(v.Group) == 0 {
--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -54,7 +54,7 @@
 	delete(n.nodes, addr)
 }
 
-// at gives the node at an address, or nil.
+// at returns the node at an address, or nil.
 func (n *testNodes) at(addr string) *Registers {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -14,7 +14,7 @@
 	MaxStepGapUs = 3_000_000
 )
 
-// RepairView is what a controller sees of one register.
+// RepairView is a controller's view of one register.
 type RepairView struct {
 	Self      string         // own address
 	Base      messages.Value // the newest committed value known
@@ -57,7 +57,7 @@
 	waitingSinceUs map[string]int64 // by identity: since when a confirmation is outstanding
 }
 
-// Kept notes that a member has confirmed that it has a version on disk.
+// Kept records that a member has confirmed that it has a version on disk.
 func (c *RepairCoordinator) Kept(id string, version int64) {
 	if version == c.version && c.confirmed != nil {
 		c.confirmed[id] = true
@@ -65,14 +65,15 @@
 	}
 }
 
-// Complete tells whether the change that led to this group is complete: if it was
+// Complete reports whether the change that led to this group is complete: if it was
 // proposed here, the members that joined have confirmed that they have its outcome
 // on disk.
 func (c *RepairCoordinator) Complete(group []messages.Member) bool {
 	return sameGroup(c.group, group) && (!c.proposedHere || len(c.withoutConfirmed(c.joining)) == 0)
 }
 
-// Awaited lists the identities whose confirmation is outstanding, in no order.
+// Awaited returns the identities whose confirmation is outstanding, in no particular
+// order.
 func (c *RepairCoordinator) Awaited() []string {
 	var out []string
 	for id := range c.waitingSinceUs {
@@ -92,7 +93,7 @@
 	return out
 }
 
-// Step gives what to do now, and false if there is nothing to do.
+// Step returns what to do now, and false if there is nothing to do.
 func (c *RepairCoordinator) Step(nowUs int64, v RepairView) (RepairStep, bool) {
 	suspended := c.lastStepUs > 0 && nowUs-c.lastStepUs > MaxStepGapUs
 	c.lastStepUs = nowUs
@@ -120,7 +121,7 @@
 	return RepairStep{Propose: target, Version: c.version}, true
 }
 
-// observe takes in a newer base. Confirmations of an older one no longer count, and
+// observe adopts a newer base. Confirmations of an older one no longer count, and
 // a change of the group restarts the delay by rank.
 func (c *RepairCoordinator) observe(v RepairView) {
 	if c.confirmed == nil || c.version != v.Base.Version {
@@ -201,7 +202,7 @@
 	return c.neededSinceUs + int64(rank)*RankDelayUs, eligible
 }
 
-// missingConfirmations lists the members that are still to be asked, and tells whether
+// missingConfirmations returns the members that are still to be asked, and reports whether
 // the change may be proposed: each member that joins and a majority of both groups
 // have confirmed, and so have those that joined by the last change, unless they are
 // gone or timedOut is set.
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -58,7 +58,7 @@
 	return model
 }
 
-// sortedMachines gives the machines by address, so that a seed plays the same each
+// sortedMachines returns the machines by address, so that a seed plays the same each
 // time.
 func (r *repairModel) sortedMachines() []*machine {
 	var out []*machine
@@ -204,7 +204,7 @@
 	})
 }
 
-// inRound tells whether a machine has a round that may still end.
+// inRound reports whether a machine has a round that may still end.
 func (r *repairModel) inRound(m *machine) bool {
 	round := r.busy[m.addr]
 	return round != nil && round.End == InProgress && r.nowUs-m.roundBeganUs < roundUs
@@ -221,7 +221,7 @@
 	}
 }
 
-// confirm sends a member the base and tells whether it has that on disk.
+// confirm sends a member the base and reports whether it has that on disk.
 func (r *repairModel) confirm(m *machine, to messages.Member) bool {
 	other := r.machines[to.Addr]
 	if !r.reaches(m, to.Addr) || other.acceptor.ID != to.ID {
@@ -346,7 +346,7 @@
 	return v
 }
 
-// isRepaired tells whether the group has the wanted size, all of it is alive under
+// isRepaired reports whether the group has the wanted size, all of it is alive under
 // its identities, and the last change is complete for all who know of it.
 func (r *repairModel) isRepaired() bool {
 	v := r.newest()
@@ -375,7 +375,7 @@
 	}
 }
 
-// describe gives the state of each machine, for a failure message.
+// describe returns the state of each machine, for a failure message.
 func (r *repairModel) describe() string {
 	out := fmt.Sprintf("group %v\n", r.newest().Group)
 	for _, m := range r.sortedMachines() {
@@ -618,7 +618,7 @@
 	}
 }
 
-// handedOver tells whether a leaving machine has nothing left to hand over.
+// handedOver reports whether a leaving machine has nothing left to hand over.
 func (r *repairModel) handedOver(leaver *machine) bool {
 	_, may := HandOver(leaver.known.Group, leaver.addr, r.status())
 	return !may && leaver.coordinator.Complete(leaver.known.Group)
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Requests gives the requests of the current phase, one a member.
+// Requests returns the requests of the current phase, one a member.
 func (r *Round) Requests() []Request {
 	var out []Request
 	for _, m := range r.group() {
@@ -108,7 +108,7 @@
 	return request
 }
 
-// Receive takes a member's response to a request of the given step. It returns
+// Receive records a member's response to a request of the given step. It returns
 // further requests: those of the next phase, or the committed base for a member that
 // is behind. Responses to the other phase are ignored.
 func (r *Round) Receive(from messages.Member, step messages.Step, response messages.ConsensusResponse) []Request {
@@ -143,7 +143,7 @@
 	return []Request{{To: m, Body: commit}, {To: m, Body: r.requestFor(m)}}
 }
 
-// preempt notes a member that has promised a higher ballot, and ends the round once
+// preempt records a member that has promised a higher ballot, and ends the round once
 // the others are no majority of the base's group.
 func (r *Round) preempt(from messages.Member, promised messages.Ballot) {
 	if Less(r.HighestBallot, promised) {
@@ -213,10 +213,10 @@
 	return r.Requests()
 }
 
-// hasQuorum tells whether a majority of a group has granted the current phase.
+// hasQuorum reports whether a majority of a group has granted the current phase.
 func (r *Round) hasQuorum(group []messages.Member) bool { return isMajority(group, r.granted) }
 
-// SealPending tells that a sealed rejection waits for the members that have not
+// SealPending reports whether a sealed rejection waits for the members that have not
 // promised yet: one of them may have accepted an earlier attempt.
 func (r *Round) SealPending() bool { return r.End == InProgress && r.sealPending }
 
@@ -246,10 +246,10 @@
 // sealedRefusal marks a rejection that needs its version closed.
 type sealedRefusal struct{ cause error }
 
-// Error gives the text of the cause.
+// Error returns the text of the cause.
 func (s *sealedRefusal) Error() string { return s.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (s *sealedRefusal) Unwrap() error { return s.cause }
 
 // SealRefusal marks a rejection that an earlier attempt of the same order may not
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -11,15 +11,15 @@
 // one (Restore) and never votes under the earlier one again. A Store is safe for
 // concurrent use.
 type Store interface {
-	// Identity gives the stored identity, if there is one and it is readable.
+	// Identity returns the stored identity, if there is one and it is readable.
 	Identity() (id string, known bool, err error)
-	// Empty tells whether nothing was ever stored here.
+	// Empty reports whether nothing was ever stored here.
 	Empty() (bool, error)
 	// ResetIdentity stores another identity and erases every vote of the earlier one: of
 	// readable records the committed value stays, damaged ones are removed. Wherever
 	// it is interrupted, votes of one identity are never found under another.
 	ResetIdentity(id string) error
-	// Load gives the record of a register, if one was saved. The error wraps ErrDamaged
+	// Load returns the record of a register, if one was saved. The error wraps ErrDamaged
 	// if the newest one is damaged; it never falls back to an older one.
 	Load(part int) (messages.Record, bool, error)
 	// Save returns once a record is durable.
@@ -62,7 +62,7 @@
 	return out, err
 }
 
-// loadIdentity gives the stored identity, else the bootstrap identity if the store
+// loadIdentity returns the stored identity, else the bootstrap identity if the store
 // is empty, else a fresh one.
 func loadIdentity(store Store, bootstrapID string, newID func() string) (Restored, error) {
 	id, known, err := store.Identity()
@@ -96,7 +96,7 @@
 	return damaged, nil
 }
 
-// withoutVotes is what remains of a record under another identity.
+// withoutVotes returns what remains of a record under another identity.
 func withoutVotes(record messages.Record) messages.Record {
 	return messages.Record{Committed: record.Committed}
 }
--- a/internal/consensus/transfers.go
+++ b/internal/consensus/transfers.go
@@ -54,7 +54,7 @@
 	t.transferring = false
 }
 
-// nextChunk gives the version being received, zero for none, and the offset in bytes
+// nextChunk returns the version being received, zero for none, and the offset in bytes
 // from which it is wanted.
 func (t *transfers) nextChunk() (version, offset int64) {
 	t.mu.Lock()
@@ -75,7 +75,7 @@
 	})
 }
 
-// serve gives the chunk of a value that a request asks for. nowUs is the time since
+// serve returns the chunk of a value that a request asks for. nowUs is the time since
 // the start of the process, by which encoded values are forgotten.
 func (t *transfers) serve(request messages.ConsensusRequest, v *messages.Value, nowUs int64) (statesync.Piece, error) {
 	t.mu.Lock()
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -4,7 +4,7 @@
 
 package consensus
 
-// Unfinished gives the slot for which this member has accepted a value that it
+// Unfinished returns the slot for which this member has accepted a value that it
 // does not know to be committed; false where there is none, or while the record is
 // in use. A Read brings such a round to its end.
 func (r *Registers) Unfinished(part int) (slot int64, unfinished bool) {
