--- a/internal/admission/absent_test.go
+++ b/internal/admission/absent_test.go
@@ -48,10 +48,11 @@
 	admitter := newAdmitter("x", "y", "z", "w", "v", "u")
 	admitter.Index.Put("x", 7, 100)
 	must.Eq(t, 1, submitAgainstGone(t, admitter, "x"))
-	must.Eq(t, 0, admitter.Index.Shelf("x").Len(), must.Sprint("what it was thought to keep is forgotten"))
+	must.Eq(t, 0, admitter.Index.Shelf("x").Len(), must.Sprint("its cached prefixes are cleared"))
 }
 
-// misdirect sends requests until one goes to a runner, and answers that one 421.
+// misdirect records a 421 of a runner, and reports whether the runner has left the
+// candidates.
 func misdirect(t *testing.T, admitter *Admitter, id string, expected bool, nowUs int64) bool {
 	t.Helper()
 	r := admitter.pool("s").runners[id]
@@ -59,7 +60,7 @@
 	return admitter.WrongInstance(adm, expected, nowUs)
 }
 
-func chosen(admitter *Admitter, nowUs int64) map[string]bool {
+func candidateSet(admitter *Admitter, nowUs int64) map[string]bool {
 	out := map[string]bool{}
 	for _, c := range admitter.Candidates(newRequest(100, 10), nowUs) {
 		out[c.ID] = true
@@ -70,19 +71,19 @@
 func TestAbsentRunnerReturnsOnlyWithNewerRegistration(t *testing.T) {
 	admitter := newAdmitter("x", "y")
 	must.True(t, misdirect(t, admitter, "x", false, 1))
-	must.Eq(t, map[string]bool{"y": true}, chosen(admitter, 60_000_000))
+	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000))
 	admitter.SetService("s", []messages.RunnerRecord{runnerRecord("x"), runnerRecord("y")}, memory, 2)
-	must.Eq(t, map[string]bool{"y": true}, chosen(admitter, 60_000_000), must.Sprint("the same sequence again is no news"))
+	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("the same sequence does not end the absence"))
 	x := runnerRecord("x")
 	x.Seq, x.Stale = 1, true
 	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
-	must.Eq(t, map[string]bool{"y": true}, chosen(admitter, 60_000_000), must.Sprint("that it is silent is no loadReport of the runner"))
+	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("a record that marks it as stale does not end the absence"))
 	x.Stale = false
 	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
-	must.Eq(t, map[string]bool{"y": true}, chosen(admitter, 60_000_000))
+	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000))
 	x.Seq = 2
 	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
-	must.Eq(t, map[string]bool{"x": true, "y": true}, chosen(admitter, 60_000_000))
+	must.Eq(t, map[string]bool{"x": true, "y": true}, candidateSet(admitter, 60_000_000))
 }
 
 func TestOnlyConfirmedAbsenceIsReported(t *testing.T) {
@@ -102,7 +103,7 @@
 	x.Seq = 1
 	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
 	must.False(t, admitter.WrongInstance(adm, false, 1))
-	must.True(t, chosen(admitter, 1)["x"])
+	must.True(t, candidateSet(admitter, 1)["x"])
 }
 
 func TestProbeRestoresRunnerThatIsPresent(t *testing.T) {
@@ -112,8 +113,8 @@
 	must.True(t, anyAbsent)
 	must.Len(t, 1, due)
 	admitter.Found(due[0], Here, 2)
-	must.True(t, chosen(admitter, 1_000_000)["x"])
-	must.False(t, misdirect(t, admitter, "x", true, 1_000_000), must.Sprint("a probe has just vouched for it: this is about the weights"))
+	must.True(t, candidateSet(admitter, 1_000_000)["x"])
+	must.False(t, misdirect(t, admitter, "x", true, 1_000_000), must.Sprint("a probe has just found it: the 421 is about the weights"))
 }
 
 func TestProbesOfAbsentRunnerBackOff(t *testing.T) {
@@ -128,14 +129,14 @@
 		}
 	}
 	must.Between(t, 8, probes, 12)
-	must.False(t, chosen(admitter, 60_000_000)["x"])
+	must.False(t, candidateSet(admitter, 60_000_000)["x"])
 }
 
 func TestUnprobedRunnerIsRetriedWithBackoff(t *testing.T) {
 	admitter := newAdmitter("x", "y")
 	tried := 0
 	for nowUs := int64(1); nowUs < 60_000_000; nowUs += 50_000 {
-		if chosen(admitter, nowUs)["x"] {
+		if candidateSet(admitter, nowUs)["x"] {
 			tried++
 			must.True(t, misdirect(t, admitter, "x", false, nowUs))
 		}
@@ -157,11 +158,11 @@
 		for _, id := range ids {
 			misdirect(t, admitter, id, true, nowUs)
 		}
-		must.GreaterEq(t, 3, len(chosen(admitter, nowUs)))
+		must.GreaterEq(t, 3, len(candidateSet(admitter, nowUs)))
 	}
 	due, _ := admitter.DueProbes(10_000_000)
 	for _, n := range due {
 		admitter.Found(n, Here, 10_000_000)
 	}
-	must.Eq(t, 6, len(chosen(admitter, 10_200_000)))
+	must.Eq(t, 6, len(candidateSet(admitter, 10_200_000)))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -101,25 +101,25 @@
 	admitter := newAdmitter("x")
 	admitter.SetNodes(4)
 	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), 1).Admit)
-	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold, must.Sprint("no loadReport from others: this node keeps to its share"))
+	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold, must.Sprint("no loads of other nodes: this node keeps to its share"))
 }
 
 func TestThresholdsFireWithLateReportsAndGaps(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(2)
 	admitter.Report(messages.ReportNote{ID: "x", Used: 0, Total: memory}, 1)
-	now := int64(1 + admitter.T.ReportFreshUs) // the report is too old to be believed
+	now := int64(1 + admitter.T.ReportFreshUs) // the report has expired
 	admitter.Others(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: 870, Count: 2} }, now)
-	must.True(t, admitter.Submit(newRequest(16, 1), now+1).Hold, must.Sprint("others' loadReport counts"))
+	must.True(t, admitter.Submit(newRequest(16, 1), now+1).Hold, must.Sprint("the loads of other nodes count"))
 	must.Len(t, 1, admitter.Tick(now+1_000_000), must.Sprint("a queued request does not wait forever"))
 	late := now + admitter.T.ReportFreshUs + 1
 	admitter.SetNodes(4)
-	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), late).Admit, must.Sprint("an old loadReport is let go"))
+	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), late).Admit, must.Sprint("old loads of other nodes expire"))
 	must.True(t, admitter.Submit(newRequest(16, 1), late+1).Hold, must.Sprint("and the node keeps to its share"))
 }
 
-// Sums that are short, because a part of the tree is missing from them, must
-// not take away a threshold that the node's own requests reach.
+// Sums that lack the loads of some nodes must not hide a threshold that the node's own
+// requests reach.
 func TestThresholdsFireWithIncompletePeerLoads(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(3)
@@ -251,7 +251,7 @@
 	low := newRequest(16, 1)
 	low.Rank = 1
 	_, ok = admitter.ShedFor(low, 53)
-	must.False(t, ok, must.Sprint("nobody below it"))
+	must.False(t, ok, must.Sprint("no lower band"))
 }
 
 func TestWindowFollowsUseAndHits(t *testing.T) {
@@ -349,7 +349,7 @@
 	}
 	only := newRequest(16, 1)
 	only.Avoid = []string{"y"}
-	must.Len(t, 1, admitter.Candidates(only, 6_000_010), must.Sprint("better a doubtful one than none"))
+	must.Len(t, 1, admitter.Candidates(only, 6_000_010), must.Sprint("an avoided runner is better than none"))
 }
 
 func TestTransfersComeFromSameWeightsOnly(t *testing.T) {
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -56,8 +56,8 @@
 const preferences = 3
 
 // findCandidates returns the runners that a request may go to; the result is valid until
-// the next call. Runners of a lower preference are used only if there are none of a
-// higher one.
+// the next call. Runners of a later preference are used only if there is none of an
+// earlier one.
 func (a *Admitter) findCandidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
 	list, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
 	a.hasCapacity = false
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -21,7 +21,7 @@
 	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, good, nowUs)
 }
 
-func offered(admitter *Admitter, nowUs int64) map[string]bool {
+func candidateIDs(admitter *Admitter, nowUs int64) map[string]bool {
 	out := map[string]bool{}
 	for _, c := range admitter.Candidates(newRequest(16, 1), nowUs) {
 		out[c.ID] = true
@@ -29,8 +29,8 @@
 	return out
 }
 
-// A runner that fails part of its requests while it looks well is out, comes
-// back, and is out for longer if it has not changed.
+// A runner that fails part of its requests is ejected although its health check passes,
+// returns, and is ejected for longer if it still fails.
 func TestFailingRunnerIsEjectedAndReturnsWithSlowStart(t *testing.T) {
 	admitter, ids := tenRunners()
 	now := int64(1_000_000)
@@ -39,10 +39,10 @@
 			admitter.end(id, id != "r3" || i%2 == 0, now)
 		}
 	}
-	must.False(t, offered(admitter, now)["r3"])
-	must.MapLen(t, 9, offered(admitter, now))
+	must.False(t, candidateIDs(admitter, now)["r3"])
+	must.MapLen(t, 9, candidateIDs(admitter, now))
 	back := now + ejectionUs
-	must.True(t, offered(admitter, back)["r3"])
+	must.True(t, candidateIDs(admitter, back)["r3"])
 	for _, c := range admitter.Candidates(newRequest(16, 1), back+1) {
 		must.Eq(t, c.ID == "r3", c.DoubtUs > 0)
 	}
@@ -52,8 +52,8 @@
 			admitter.end(id, id != "r3" || i%2 == 0, now)
 		}
 	}
-	must.False(t, offered(admitter, now+ejectionUs+1)["r3"], must.Sprint("longer the second time"))
-	must.True(t, offered(admitter, now+2*ejectionUs)["r3"])
+	must.False(t, candidateIDs(admitter, now+ejectionUs+1)["r3"], must.Sprint("longer the second time"))
+	must.True(t, candidateIDs(admitter, now+2*ejectionUs)["r3"])
 	must.Eq(t, 0.0, admitter.pool("s").runners["r3"].health.doubtUs(now+2*ejectionUs+rampUs))
 }
 
@@ -64,19 +64,19 @@
 			admitter.end(id, i > 3, 1_000_000)
 		}
 	}
-	must.MapLen(t, 8, offered(admitter, 1_000_000), must.Sprint("a fifth at most"))
+	must.MapLen(t, 8, candidateIDs(admitter, 1_000_000), must.Sprint("a fifth at most"))
 	admitter, ids = tenRunners()
 	for range 6 {
 		for _, id := range ids {
 			admitter.end(id, false, 1_000_000)
 		}
 	}
-	must.Greater(t, 7, len(offered(admitter, 1_000_000)))
+	must.Greater(t, 7, len(candidateIDs(admitter, 1_000_000)))
 }
 
 func TestPeerOutcomesCountHalf(t *testing.T) {
 	admitter, _ := tenRunners()
-	say := func(failed int) {
+	reportFailures := func(failed int) {
 		admitter.Others(func(id string) messages.RunnerLoad {
 			l := messages.RunnerLoad{ID: id, Tried: 10}
 			if id == "r1" {
@@ -85,15 +85,15 @@
 			return l
 		}, 1_000_000)
 	}
-	say(2)
-	must.MapLen(t, 10, offered(admitter, 1_000_001))
-	say(6)
-	must.False(t, offered(admitter, 1_000_001)["r1"])
+	reportFailures(2)
+	must.MapLen(t, 10, candidateIDs(admitter, 1_000_001))
+	reportFailures(6)
+	must.False(t, candidateIDs(admitter, 1_000_001)["r1"])
 	for range 20 {
 		admitter.end("r2", true, 1_000_000)
 	}
 	admitter.Others(func(id string) messages.RunnerLoad { return messages.RunnerLoad{ID: id, Tried: 10, Failed: 4} }, 1_000_000)
-	must.True(t, offered(admitter, 1_000_001)["r2"], must.Sprint("this node has seen it well"))
+	must.True(t, candidateIDs(admitter, 1_000_001)["r2"], must.Sprint("its requests from this node succeeded"))
 }
 
 func TestEjectedRunnerIsUsedAsLastResort(t *testing.T) {
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -10,7 +10,7 @@
 	"beechtide.org/beechtide/internal/prefixindex"
 )
 
-func sited(zones ...string) []messages.RunnerRecord {
+func runnersInZones(zones ...string) []messages.RunnerRecord {
 	var out []messages.RunnerRecord
 	for i, s := range zones {
 		n := runnerRecord(fmt.Sprint("r", i))
@@ -20,16 +20,16 @@
 	return out
 }
 
-func sessionAsk(i int) Request {
+func sessionRequest(i int) Request {
 	a := newRequest(116, 1)
 	a.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("session", i), Tokens: 50}, {ID: "own", Tokens: 16}}
 	return a
 }
 
-func goes(t *testing.T, admitter *Admitter, i int, nowUs int64) string {
+func zoneOf(t *testing.T, admitter *Admitter, i int, nowUs int64) string {
 	t.Helper()
-	a := sessionAsk(i)
-	a.Tenant = fmt.Sprint("t", i) // so that no tenant's rate is in the way
+	a := sessionRequest(i)
+	a.Tenant = fmt.Sprint("t", i) // so that no tenant reaches its rate limit
 	r := admitter.Submit(a, nowUs)
 	must.NotNil(t, r.Admit, must.Sprint(r.Reject))
 	admitter.FirstToken(r.Admit, nowUs)
@@ -37,26 +37,26 @@
 	return r.Admit.Runner.Zone
 }
 
-const some = 400
+const sessionCount = 400
 
-func moveDoor() *Admitter {
+func zonedAdmitter() *Admitter {
 	admitter := New(Defaults, "a")
-	admitter.SetService("s", sited("a", "b", "c", "a", "b", "c"), memory, 0.01)
+	admitter.SetService("s", runnersInZones("a", "b", "c", "a", "b", "c"), memory, 0.01)
 	return admitter
 }
 
-// Sessions leave one after the other over the time given, and what has left
-// does not come back while the declaration stands.
+// Sessions leave one after the other over the given time, and do not return while the
+// zone is relinquished.
 func TestSessionsLeaveZoneGradually(t *testing.T) {
-	admitter := moveDoor()
+	admitter := zonedAdmitter()
 	admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, 1_000_000)
 	left := map[int]bool{}
 	for _, at := range []int64{1_000_000, 3_500_000, 6_000_000, 8_500_000, 11_000_000} {
-		for i := range some {
-			leaves := admitter.Leaves(sessionAsk(i), "a", at)
+		for i := range sessionCount {
+			leaves := admitter.Leaves(sessionRequest(i), "a", at)
 			must.False(t, left[i] && !leaves, must.Sprint("back again: ", i))
 			left[i] = left[i] || leaves
-			must.False(t, admitter.Leaves(sessionAsk(i), "b", at))
+			must.False(t, admitter.Leaves(sessionRequest(i), "b", at))
 		}
 		n := 0
 		for _, l := range left {
@@ -64,68 +64,68 @@
 				n++
 			}
 		}
-		want := int(float64(some) * float64(at-1_000_000) / 10_000_000)
+		want := int(float64(sessionCount) * float64(at-1_000_000) / 10_000_000)
 		must.Between(t, want-40, n, want+40, must.Sprint("at ", at))
-		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next version of the configuration says so again
+		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next version of the configuration repeats it
 	}
 	for i := range 40 {
-		must.NotEq(t, "a", goes(t, admitter, i, 12_000_000))
+		must.NotEq(t, "a", zoneOf(t, admitter, i, 12_000_000))
 	}
 	admitter.SetRelinquished(nil, 13_000_000)
-	must.False(t, admitter.Leaves(sessionAsk(1), "a", 14_000_000), must.Sprint("the declaration is gone"))
+	must.False(t, admitter.Leaves(sessionRequest(1), "a", 14_000_000), must.Sprint("the zone is no longer relinquished"))
 }
 
-// All nodes send a session to the same home, and a second declaration moves only
-// the sessions of the zone that it names.
+// All nodes send a session to the same home, and a second relinquished zone moves only
+// its own sessions.
 func TestSecondZoneMovesOnlyItsOwnSessions(t *testing.T) {
-	one, two := moveDoor(), moveDoor()
+	one, two := zonedAdmitter(), zonedAdmitter()
 	two.Zone = "c"
 	for _, admitter := range []*Admitter{one, two} {
 		admitter.SetRelinquished(map[string]int64{"a": 0}, 1)
 	}
 	first := map[int]string{}
 	seen := map[string]int{}
-	for i := range some {
-		first[i] = one.home(sessionAsk(i), one.pool("s"))
-		must.Eq(t, first[i], two.home(sessionAsk(i), two.pool("s")))
+	for i := range sessionCount {
+		first[i] = one.home(sessionRequest(i), one.pool("s"))
+		must.Eq(t, first[i], two.home(sessionRequest(i), two.pool("s")))
 		seen[first[i]]++
 	}
 	must.MapLen(t, 2, seen)
-	must.Greater(t, some/3, seen["b"])
-	must.Greater(t, some/3, seen["c"])
-	one.SetService("s", sited("a", "b", "c", "d", "b", "c"), memory, 0.01)
+	must.Greater(t, sessionCount/3, seen["b"])
+	must.Greater(t, sessionCount/3, seen["c"])
+	one.SetService("s", runnersInZones("a", "b", "c", "d", "b", "c"), memory, 0.01)
 	one.SetRelinquished(map[string]int64{"a": 0, "b": 0}, 2)
-	for i := range some {
-		home := one.home(sessionAsk(i), one.pool("s"))
+	for i := range sessionCount {
+		home := one.home(sessionRequest(i), one.pool("s"))
 		must.NotEq(t, "b", home)
 		if first[i] == "c" {
 			must.True(t, home == "c" || home == "d", must.Sprint("a new zone may draw some"))
 		}
 	}
-	one.SetService("s", sited("a", "b", "c", "c", "b", "c"), memory, 0.01)
-	for i := range some {
-		must.Eq(t, "c", goes(t, one, i, int64(1_000_000+i)))
+	one.SetService("s", runnersInZones("a", "b", "c", "c", "b", "c"), memory, 0.01)
+	for i := range sessionCount {
+		must.Eq(t, "c", zoneOf(t, one, i, int64(1_000_000+i)))
 	}
 }
 
 func TestRelinquishRespectsDrainingWeightsAndCertification(t *testing.T) {
-	admitter := moveDoor()
+	admitter := zonedAdmitter()
 	admitter.SetRelinquished(map[string]int64{"a": 0}, 1)
-	notes := sited("a", "b", "c", "a", "b", "c")
+	notes := runnersInZones("a", "b", "c", "a", "b", "c")
 	notes[1].Draining, notes[4].Draining = true, true
 	admitter.SetService("s", notes, memory, 0.01)
-	must.Eq(t, "c", goes(t, admitter, 1, 10), must.Sprint("zone b drains"))
+	must.Eq(t, "c", zoneOf(t, admitter, 1, 10), must.Sprint("zone b drains"))
 
-	notes = sited("a", "b", "c", "a", "b", "c")
+	notes = runnersInZones("a", "b", "c", "a", "b", "c")
 	notes[2].Barred, notes[5].Barred = true, true
 	admitter.SetService("s", notes, memory, 0.01)
-	must.Eq(t, "b", goes(t, admitter, 1, 20), must.Sprint("zone c gets new weights"))
+	must.Eq(t, "b", zoneOf(t, admitter, 1, 20), must.Sprint("zone c gets new weights"))
 
 	// what is cached under the old weights is not transferred to the new ones
-	notes = sited("a", "b")
+	notes = runnersInZones("a", "b")
 	notes[1].Models = []messages.Target{{Model: "m", Version: 2}}
 	admitter.SetService("s", notes, memory, 0.01)
-	a := sessionAsk(7)
+	a := sessionRequest(7)
 	for i, k := range prefixindex.Keys(admitter.Salt(a.Tenant, false, "", 1), "m", a.Parts) {
 		admitter.Index.Put("r0", k, int32(a.Parts[i].Tokens))
 	}
@@ -134,7 +134,7 @@
 	must.Eq(t, "", adm.Source)
 	admitter.Done(adm, true, 31)
 
-	admitter.SetService("s", sited("a", "b", "c"), memory, 0.01)
+	admitter.SetService("s", runnersInZones("a", "b", "c"), memory, 0.01)
 	admitter.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true, "r2": true}})
 	a.Regime = "allergen"
 	must.Eq(t, "r2", admitter.Submit(a, 40).Admit.Runner.ID)
@@ -142,13 +142,13 @@
 	must.True(t, admitter.Submit(a, 50).Hold, must.Sprint("the regime goes before the move, and the zone is left"))
 
 	admitter.pool("s").queue = queue{}
-	admitter.SetService("s", sited("a", "a"), memory, 0.01)
-	must.Eq(t, "a", goes(t, admitter, 3, 60), must.Sprint("nowhere else to go"))
+	admitter.SetService("s", runnersInZones("a", "a"), memory, 0.01)
+	must.Eq(t, "a", zoneOf(t, admitter, 3, 60), must.Sprint("nowhere else to go"))
 }
 
 func TestTryNowDoesNotQueue(t *testing.T) {
-	admitter := moveDoor()
-	a := sessionAsk(1)
+	admitter := zonedAdmitter()
+	a := sessionRequest(1)
 	must.NotNil(t, admitter.TryNow(a, 1))
 	a.Avoid = []string{"r0", "r1", "r2", "r3", "r4", "r5"}
 	must.Nil(t, admitter.TryNow(a, 2))
--- a/internal/admission/weights_test.go
+++ b/internal/admission/weights_test.go
@@ -14,8 +14,8 @@
 	return []messages.TargetAge{{Model: "m", Version: version, AgeUs: us}}
 }
 
-// boundDoor has runners with weights 1, and version 2 was acknowledged at 0.
-func boundDoor(ids ...string) *Admitter {
+// boundAdmitter has runners with weights 1, and version 2 was acknowledged at 0.
+func boundAdmitter(ids ...string) *Admitter {
 	admitter := newAdmitter(ids...)
 	admitter.Bound = WeightsBound{VersionUs: versionUs, ContactLossUs: 3_000_000}
 	admitter.Contact(1)
@@ -23,8 +23,8 @@
 	return admitter
 }
 
-// withVersion replaces the runner x by one with a version of the weights, 0 for
-// one of which nothing is known.
+// withVersion replaces the runner x by one with a version of the weights; 0 means an
+// unknown one.
 func withVersion(admitter *Admitter, version int64) {
 	n := runnerRecord("x")
 	n.Models = nil
@@ -35,7 +35,7 @@
 }
 
 func TestOldWeightsBoundIgnoresCoreChanges(t *testing.T) {
-	admitter := boundDoor("x")
+	admitter := boundAdmitter("x")
 	const bound = versionUs - leastSendMarginUs
 	for us := int64(250_000); us < bound; us += 250_000 {
 		admitter.Contact(us) // messages come from one controller after another, each new to this node
@@ -52,7 +52,7 @@
 }
 
 func TestBoundSurvivesRouterRestart(t *testing.T) {
-	before := boundDoor("x")
+	before := boundAdmitter("x")
 	const restart = 3_000_000
 	after := newAdmitter("x")
 	after.Bound = before.Bound
@@ -71,7 +71,7 @@
 }
 
 func TestUnknownVersionNotAllowedPastBound(t *testing.T) {
-	admitter := boundDoor("x")
+	admitter := boundAdmitter("x")
 	withVersion(admitter, 0)
 	const bound = versionUs - leastSendMarginUs
 	admitter.Contact(bound)
@@ -83,7 +83,7 @@
 }
 
 func TestLossOfContactSuspendsBoundUntilContactReturns(t *testing.T) {
-	admitter := boundDoor("x")
+	admitter := boundAdmitter("x")
 	admitter.Contact(versionUs)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), versionUs+2_999_999))
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), versionUs+3_000_000))
@@ -92,7 +92,7 @@
 }
 
 func TestExpectedWaitAtRunnerAdvancesBound(t *testing.T) {
-	admitter := boundDoor("x", "y")
+	admitter := boundAdmitter("x", "y")
 	const shortly = versionUs - leastSendMarginUs - 500_000
 	admitter.Contact(shortly)
 	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), shortly))
@@ -104,7 +104,7 @@
 }
 
 func TestAdmittedRequestIsRecheckedWhenSent(t *testing.T) {
-	admitter := boundDoor("x")
+	admitter := boundAdmitter("x")
 	const bound = versionUs - leastSendMarginUs
 	admitter.Contact(bound)
 	adm := admitter.Submit(newRequest(16, 1), bound-1).Admit
@@ -112,12 +112,12 @@
 	must.True(t, admitter.WeightsAllowed(adm, bound-1_000_000))
 	must.False(t, admitter.WeightsAllowed(adm, bound))
 	withVersion(admitter, 2)
-	must.False(t, admitter.WeightsAllowed(adm, bound), must.Sprint("its salt is that of the old weights"))
+	must.False(t, admitter.WeightsAllowed(adm, bound), must.Sprint("its salt is for the old weights"))
 	must.True(t, admitter.WeightsAllowed(admitter.Submit(newRequest(16, 1), bound).Admit, bound))
 }
 
 func TestUnstartedRequestIsWithdrawnBeforeBound(t *testing.T) {
-	admitter := boundDoor("x")
+	admitter := boundAdmitter("x")
 	adm := admitter.Submit(newRequest(16, 1), 1_000_000).Admit
 	must.NotNil(t, adm)
 	const withdraw = versionUs - withdrawMarginUs
@@ -130,12 +130,12 @@
 }
 
 func TestLaterNamingDoesNotExtendBoundOfOlderWeights(t *testing.T) {
-	admitter := boundDoor("x")
+	admitter := boundAdmitter("x")
 	const bound = versionUs - leastSendMarginUs
 	admitter.Contact(bound)
 	admitter.ObserveTargets(age(3, 1_000_000), bound)
 	admitter.ObserveTargets(age(4, 0), bound)
-	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound), must.Sprint("version 1, of which 2 is past its term"))
+	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound), must.Sprint("version 2 has been named for longer than the bound"))
 	withVersion(admitter, 2)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), bound))
 	admitter.Contact(2 * bound)
