--- a/internal/admission/pending.go
+++ b/internal/admission/queue.go
@@ -22,24 +22,24 @@
 	tokens int
 }
 
-func (p *queue) put(w *waiting) {
-	i := sort.Search(len(p.bands), func(i int) bool { return p.bands[i].rank >= w.request.Rank })
-	if i == len(p.bands) || p.bands[i].rank != w.request.Rank {
-		p.bands = append(p.bands, nil)
-		copy(p.bands[i+1:], p.bands[i:])
-		p.bands[i] = &band{rank: w.request.Rank, tenants: map[string][]*waiting{}}
+func (q *queue) put(w *waiting) {
+	i := sort.Search(len(q.bands), func(i int) bool { return q.bands[i].rank >= w.request.Rank })
+	if i == len(q.bands) || q.bands[i].rank != w.request.Rank {
+		q.bands = append(q.bands, nil)
+		copy(q.bands[i+1:], q.bands[i:])
+		q.bands[i] = &band{rank: w.request.Rank, tenants: map[string][]*waiting{}}
 	}
-	b := p.bands[i]
+	b := q.bands[i]
 	if len(b.tenants[w.request.Tenant]) == 0 {
 		b.turn = append(b.turn, w.request.Tenant)
 	}
 	b.tenants[w.request.Tenant] = append(b.tenants[w.request.Tenant], w)
-	p.count++
-	p.tokens += w.request.TokensIn
+	q.count++
+	q.tokens += w.request.TokensIn
 }
 
 // remove removes the i-th request of a tenant in a band.
-func (p *queue) remove(b *band, tenant string, i int) *waiting {
+func (q *queue) remove(b *band, tenant string, i int) *waiting {
 	list := b.tenants[tenant]
 	w := list[i]
 	b.tenants[tenant] = append(list[:i:i], list[i+1:]...)
@@ -52,19 +52,19 @@
 			}
 		}
 	}
-	p.count--
-	p.tokens -= w.request.TokensIn
+	q.count--
+	q.tokens -= w.request.TokensIn
 	return w
 }
 
 // expired removes and returns the requests whose time to live is over.
-func (p *queue) expired(nowUs int64) []*waiting {
+func (q *queue) expired(nowUs int64) []*waiting {
 	var out []*waiting
-	for _, b := range p.bands {
+	for _, b := range q.bands {
 		for _, tenant := range append([]string{}, b.turn...) {
 			for i := len(b.tenants[tenant]) - 1; i >= 0; i-- {
 				if b.tenants[tenant][i].untilUs <= nowUs {
-					out = append(out, p.remove(b, tenant, i))
+					out = append(out, q.remove(b, tenant, i))
 				}
 			}
 		}
@@ -74,9 +74,9 @@
 
 // shed removes and returns the newest request of the lowest band below rank, of the
 // tenant with most requests there; nil if there is none.
-func (p *queue) shed(rank int) *waiting {
-	for i := len(p.bands) - 1; i >= 0 && p.bands[i].rank > rank; i-- {
-		b := p.bands[i]
+func (q *queue) shed(rank int) *waiting {
+	for i := len(q.bands) - 1; i >= 0 && q.bands[i].rank > rank; i-- {
+		b := q.bands[i]
 		worst, at := "", -1
 		for tenant, list := range b.tenants {
 			if at < 0 || len(list) > len(b.tenants[worst]) || len(list) == len(b.tenants[worst]) && tenant < worst {
@@ -84,7 +84,7 @@
 			}
 		}
 		if at >= 0 {
-			return p.remove(b, worst, at)
+			return q.remove(b, worst, at)
 		}
 	}
 	return nil
@@ -93,13 +93,13 @@
 // walk offers the requests in their order, band by band and round robin between the
 // tenants of a band; those that take accepts leave the queue. A tenant whose first
 // request is not accepted is skipped.
-func (p *queue) walk(take func(*waiting) bool) {
-	for _, b := range p.bands {
+func (q *queue) walk(take func(*waiting) bool) {
+	for _, b := range q.bands {
 		for tries := len(b.turn); tries > 0 && len(b.turn) > 0; tries-- {
 			tenant := b.turn[0]
 			b.turn = append(b.turn[1:], tenant)
 			if take(b.tenants[tenant][0]) {
-				p.remove(b, tenant, 0)
+				q.remove(b, tenant, 0)
 				tries = len(b.turn) + 1
 			}
 		}
