--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -101,7 +101,7 @@
 	note := messages.KeptNote{ID: adm.Runner.ID, Parts: []messages.KeptPart{}}
 	for i := range max(shared, 0) {
 		k, n := adm.Keys[i], int32(adm.Parts[i].Tokens)
-		if a.Index.Kept(note.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
+		if a.Index.Cached(note.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
 			a.Index.Expect(note.ID, k, n)
 			adm.coming = append(adm.coming, k)
 			note.Parts = append(note.Parts, messages.KeptPart{Key: k, Tokens: n})
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		version := weightsVersion(r.note, request.Model)
-		kept, expected := a.Index.Both(id, keysOf(version), request.Parts)
+		kept, expected := a.Index.CachedAndExpected(id, keysOf(version), request.Parts)
 		add(holder{addr: r.note.Addr, zone: r.note.Zone, version: version, kept: kept, moveUs: p.moveUs})
 		known[version] = max(known[version], min(shared, expected))
 	}
@@ -154,7 +154,7 @@
 			continue
 		}
 		for version := range known {
-			if kept := a.Index.Kept(s.ID, keysOf(version), request.Parts); kept >= moveMin {
+			if kept := a.Index.Cached(s.ID, keysOf(version), request.Parts); kept >= moveMin {
 				add(holder{addr: s.Addr, zone: s.Zone, version: version, kept: kept, moveUs: s.MoveUs})
 				known[version] = max(known[version], min(shared, kept))
 			}
--- a/internal/consensus/catchup.go
+++ b/internal/consensus/catchup.go
@@ -24,7 +24,7 @@
 )
 
 // isLarge tells whether a value is sent in chunks to nodes that lack it.
-func isLarge(v messages.Value) bool { return len(v.Body) > statesync.PieceBytes }
+func isLarge(v messages.Value) bool { return len(v.Body) > statesync.ChunkBytes }
 
 // transferAllowance is what a round trip with a large value may take longer.
 func transferAllowance(v messages.Value) time.Duration {
@@ -100,9 +100,9 @@
 	for useless := 0; ; {
 		encoded, taken := transfers.receive(response)
 		switch taken {
-		case statesync.Whole:
+		case statesync.Complete:
 			return r.learnEncoded(part, encoded)
-		case statesync.Ignored, statesync.Spoiled:
+		case statesync.Ignored, statesync.Corrupt:
 			useless++
 		default:
 			useless = 0
--- a/internal/consensus/transfers.go
+++ b/internal/consensus/transfers.go
@@ -63,10 +63,10 @@
 }
 
 // receive takes in a chunk. It returns the encoded value once all of it is there.
-func (t *transfers) receive(response messages.ConsensusResponse) ([]byte, statesync.Taken) {
+func (t *transfers) receive(response messages.ConsensusResponse) ([]byte, statesync.AddResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.incoming.Take(statesync.Piece{
+	return t.incoming.Add(statesync.Chunk{
 		Version: response.Version,
 		Offset:  response.Offset,
 		Total:   response.Total,
@@ -77,11 +77,11 @@
 
 // serve gives the chunk of a value that a request asks for. nowUs is the time since
 // the start of the process, by which encoded values are forgotten.
-func (t *transfers) serve(request messages.ConsensusRequest, v *messages.Value, nowUs int64) (statesync.Piece, error) {
+func (t *transfers) serve(request messages.ConsensusRequest, v *messages.Value, nowUs int64) (statesync.Chunk, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	encode := func() ([]byte, error) { return v.MarshalMsg(nil) }
-	return t.server.Give(request.Slot, request.Offset, nowUs, v.Version, encode)
+	return t.server.ReadChunk(request.Slot, request.Offset, nowUs, v.Version, encode)
 }
 
 // expire forgets encoded values that nobody fetches any more.
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -88,7 +88,7 @@
 	for _, m := range b.Models {
 		n.Models = append(n.Models, messages.Target{Model: m.Name, Version: m.Version})
 	}
-	changed := d.registry.Hear(n, d.clock())
+	changed := d.registry.ApplyHeartbeat(n, d.clock())
 	if n.Draining && d.takeLeaving(n) || changed {
 		d.tellRunners(n.ID)
 	}
@@ -194,9 +194,9 @@
 	})
 	var bad *routeconfig.Invalid
 	switch {
-	case err == nil, errors.Is(err, routeconfig.ErrTakenBefore):
+	case err == nil, errors.Is(err, routeconfig.ErrAlreadyAccepted):
 		c.JSON(200, map[string]int64{"version": order.Version})
-	case errors.Is(err, routeconfig.ErrOvertaken):
+	case errors.Is(err, routeconfig.ErrVersionConflict):
 		reject(c, 412, "Beechtide-Base-Version", "another version is in place")
 	case errors.As(err, &bad):
 		invalid(c, err)
@@ -206,8 +206,8 @@
 	}
 }
 
-func readOrder(c *app.RequestContext) routeconfig.Order {
-	order := routeconfig.ReadOrder(append([]byte{}, c.Request.Body()...))
+func readOrder(c *app.RequestContext) routeconfig.Submission {
+	order := routeconfig.ParseSubmission(append([]byte{}, c.Request.Body()...))
 	base, err := strconv.ParseInt(string(c.GetHeader("Beechtide-Base-Version")), 10, 64)
 	order.Base = base
 	if err == nil {
@@ -229,12 +229,12 @@
 	if err != nil {
 		return 0, false
 	}
-	return routeconfig.TakenAs(body, raw)
+	return routeconfig.AcceptedVersion(body, raw)
 }
 
 // applyOrder is the change that an order asks for. A refusal by checks that
 // another version of the program may not have is sealed.
-func applyOrder(cur messages.Value, order routeconfig.Order) ([]messages.Member, []byte, error) {
+func applyOrder(cur messages.Value, order routeconfig.Submission) ([]messages.Member, []byte, error) {
 	body, err := configBody(cur)
 	if err != nil {
 		return nil, nil, err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -117,7 +117,7 @@
 	d.feed.init(clock())
 	d.rollouts = newRolloutManager(d)
 	d.syncRunners()
-	d.publisher = dissemination.NewPublisher(trans, dissemination.Upstream{Since: d.since, Told: d.toldBelow, Gone: d.goneBelow})
+	d.publisher = dissemination.NewPublisher(trans, dissemination.Upstream{DeltaSince: d.since, ApplyReport: d.toldBelow, Unsubscribed: d.goneBelow})
 	d.registers, err = consensus.Open(set.ControllerAddr(), transport.KindConsensus, set.Bootstrap, set.SeedAddrs(), contactCaller{trans, &d.contact, clock}, store, log, d.learned)
 	if err != nil {
 		return nil, err
@@ -246,7 +246,7 @@
 	if p == consensus.ConfigPart {
 		var body messages.ConfigBody
 		if _, err := body.UnmarshalMsg(v.Body); err == nil && body.Version > 0 {
-			if m, err := routeconfig.ReadTaken(body.Raw); err == nil {
+			if m, err := routeconfig.ParseAccepted(body.Raw); err == nil {
 				d.publishConfig(v.Version, m)
 			}
 		}
@@ -270,7 +270,7 @@
 
 func (d *Controller) heardRunner(_ string, body []byte) {
 	var n messages.RunnerRecord
-	if _, err := n.UnmarshalMsg(body); err == nil && d.registry.Hear(n, d.clock()) {
+	if _, err := n.UnmarshalMsg(body); err == nil && d.registry.ApplyHeartbeat(n, d.clock()) {
 		d.tellRunners(n.ID)
 	}
 }
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -178,9 +178,9 @@
 }
 
 // shelve changes what a runner keeps, as its reader, and sends the change.
-func (d *Controller) shelve(id string, change func(s *prefixindex.Shelf) messages.KeptChange) {
+func (d *Controller) shelve(id string, change func(s *prefixindex.CachedPrefixes) messages.KeptChange) {
 	d.kmu.Lock()
-	c := change(d.kept.Shelf(id))
+	c := change(d.kept.CachedPrefixes(id))
 	d.kmu.Unlock()
 	f := &d.feed
 	f.mu.Lock()
@@ -215,16 +215,16 @@
 	f.own.take(&up)
 	f.down.take(&down)
 	if f.registry.Dirty() {
-		c := statesync.SendEntries(f.registry.Commit(f.registry.Version + 1))
+		c := statesync.EncodeEntries(f.registry.Commit(f.registry.Version + 1))
 		up.Registry, down.Registry = append(up.Registry, c), append(down.Registry, c)
 	}
 	if f.below.Total.Dirty() {
-		c := statesync.SendLoads(f.below.Total.Commit(f.below.Total.Version + 1))
+		c := statesync.EncodeLoads(f.below.Total.Commit(f.below.Total.Version + 1))
 		up.Loads = append(up.Loads, c)
 		f.all.Follow(below, f.below.Total)
 	}
 	if f.all.Total.Dirty() {
-		down.Loads = append(down.Loads, statesync.SendLoads(f.all.Total.Commit(f.all.Total.Version+1)))
+		down.Loads = append(down.Loads, statesync.EncodeLoads(f.all.Total.Commit(f.all.Total.Version+1)))
 	}
 	rest := d.clock()-f.sentUs > restUs
 	if rest || len(down.Parts) > 0 {
@@ -243,7 +243,7 @@
 }
 
 // restUs is how often a feed goes out though it has nothing to tell.
-const restUs = int64(dissemination.FeedEvery/time.Microsecond) - 50_000
+const restUs = int64(dissemination.UpdateInterval/time.Microsecond) - 50_000
 
 func something(f *messages.Feed) bool {
 	return len(f.Configuration)+len(f.Parts)+len(f.Registry)+len(f.Kept)+len(f.Reports)+len(f.Loads)+len(f.Coming) > 0
@@ -266,7 +266,7 @@
 	f := &d.feed
 	f.mu.Lock()
 	out.Versions = f.versions()
-	if c, lacks := f.configuration.Since(h.Configuration); lacks && !withheld {
+	if c, lacks := f.configuration.DeltaSince(h.Configuration); lacks && !withheld {
 		out.Configuration = append(out.Configuration, c)
 	}
 	for p, n := range f.parts {
@@ -274,22 +274,22 @@
 			out.Parts = append(out.Parts, n)
 		}
 	}
-	if c, lacks := f.registry.Since(h.Registry.Epoch, h.Registry.Version); lacks && h.Registry.Epoch != -1 {
-		out.Registry = append(out.Registry, statesync.SendEntries(c))
+	if c, lacks := f.registry.DeltaSince(h.Registry.Epoch, h.Registry.Version); lacks && h.Registry.Epoch != -1 {
+		out.Registry = append(out.Registry, statesync.EncodeEntries(c))
 	}
 	if !h.ConfigOnly {
 		sum := f.all.Total
 		if h.Controller {
 			sum = f.below.Total
 		}
-		if c, lacks := sum.Since(h.Loads.Epoch, h.Loads.Version); lacks {
-			out.Loads = append(out.Loads, statesync.SendLoads(c))
+		if c, lacks := sum.DeltaSince(h.Loads.Epoch, h.Loads.Version); lacks {
+			out.Loads = append(out.Loads, statesync.EncodeLoads(c))
 		}
 	}
 	f.mu.Unlock()
 	if !h.ConfigOnly {
 		d.kmu.Lock()
-		out.Kept = d.kept.Since(h.Kept, func(id string) bool { return !h.Controller || d.readers[id] != nil })
+		out.Kept = d.kept.DeltasSince(h.Kept, func(id string) bool { return !h.Controller || d.readers[id] != nil })
 		d.kmu.Unlock()
 	}
 	return out
@@ -308,7 +308,7 @@
 	defer f.mu.Unlock()
 	ok := true
 	for _, c := range t.Loads {
-		r := f.below.Tell(from, c)
+		r := f.below.Apply(from, c)
 		ok = ok && (r == statesync.Applied || r == statesync.Known)
 	}
 	f.own.coming, f.down.coming = append(f.own.coming, t.Coming...), append(f.down.coming, t.Coming...)
@@ -320,6 +320,6 @@
 
 func (d *Controller) goneBelow(from string) {
 	d.feed.mu.Lock()
-	d.feed.below.Drop(from)
+	d.feed.below.Remove(from)
 	d.feed.mu.Unlock()
 }
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -102,7 +102,7 @@
 func (d *Controller) readKept(ctx context.Context, n messages.RunnerRecord) {
 	for ctx.Err() == nil {
 		d.kmu.Lock()
-		shelf := d.kept.Shelf(n.ID)
+		shelf := d.kept.CachedPrefixes(n.ID)
 		since, epoch := shelf.Version, shelf.Epoch
 		d.kmu.Unlock()
 		cctx, cancel := context.WithTimeout(ctx, callWait)
@@ -117,7 +117,7 @@
 		if ev.Lost || epoch != 0 && ev.Epoch != epoch {
 			d.readList(ctx, n)
 		} else if ev.NextPage > since || epoch == 0 {
-			d.shelve(n.ID, func(s *prefixindex.Shelf) messages.KeptChange {
+			d.shelve(n.ID, func(s *prefixindex.CachedPrefixes) messages.KeptChange {
 				if epoch == 0 {
 					s.Begin(ev.Epoch, since)
 				}
@@ -128,16 +128,16 @@
 				}
 				c := s.Commit(ev.NextPage)
 				if epoch == 0 {
-					c, _ = s.Since(0, 0)
+					c, _ = s.DeltaSince(0, 0)
 				}
-				return prefixindex.Send(n.ID, c)
+				return prefixindex.Encode(n.ID, c)
 			})
 		}
 		loop.Pause(ctx, eventsEvery)
 	}
 }
 
-func put(s *prefixindex.Shelf, key uint64, tokens int32) {
+func put(s *prefixindex.CachedPrefixes, key uint64, tokens int32) {
 	if tokens <= 0 {
 		s.Drop(key)
 		return
@@ -154,7 +154,7 @@
 	if err != nil || status != 200 || json.Unmarshal(body, &list) != nil {
 		return
 	}
-	d.shelve(n.ID, func(s *prefixindex.Shelf) messages.KeptChange {
+	d.shelve(n.ID, func(s *prefixindex.CachedPrefixes) messages.KeptChange {
 		if s.Epoch != list.Epoch {
 			s.Begin(list.Epoch, 0)
 		}
@@ -168,8 +168,8 @@
 		}
 		s.Replace(all)
 		s.Commit(list.NextPage)
-		c, _ := s.Since(0, 0)
-		return prefixindex.Send(n.ID, c)
+		c, _ := s.DeltaSince(0, 0)
+		return prefixindex.Encode(n.ID, c)
 	})
 }
 
--- a/internal/controller/rollout_calls.go
+++ b/internal/controller/rollout_calls.go
@@ -86,7 +86,7 @@
 
 // recordWeights notes the version of a model at a runner, and passes it on.
 func (d *Controller) recordWeights(id, model string, version int64) {
-	if n, changed := d.registry.Weights(id, model, version); changed {
+	if n, changed := d.registry.SetWeights(id, model, version); changed {
 		d.log.Info("weights in place", "runner", id, "version", version)
 		d.tellRunners(n.ID)
 	}
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -78,18 +78,18 @@
 	u := dissemination.Subscriber{
 		Controller: true,
 		Parents:    func() []string { return []string{addr} },
-		Hold:       func() messages.Hold { return d.holdOf(addr, runners) },
-		Take: func(_ string, f messages.Feed, _ []byte) *messages.Hold {
+		SyncState:  func() messages.Hold { return d.holdOf(addr, runners) },
+		ApplyUpdate: func(_ string, f messages.Feed, _ []byte) *messages.Hold {
 			if d.takeFeed(addr, f, runners) {
 				return nil
 			}
 			h := d.holdOf(addr, runners)
 			return &h
 		},
-		Heard: func(int64) {}, TellAgain: func() {},
-		Ended: func(string) {
+		Acked: func(int64) {}, ResendAll: func() {},
+		Unsubscribed: func(string) {
 			d.feed.mu.Lock()
-			d.feed.all.Drop(addr)
+			d.feed.all.Remove(addr)
 			d.feed.mu.Unlock()
 		},
 	}
@@ -103,16 +103,16 @@
 	f := &d.feed
 	f.mu.Lock()
 	h := messages.Hold{Configuration: messages.StreamHold{Epoch: routeconfig.Epoch, Version: never}}
-	h.Registry.Epoch, h.Registry.Version = runners.Holds()
-	if l := f.all.Teller(addr); l != nil {
-		h.Loads.Epoch, h.Loads.Version = l.Holds()
+	h.Registry.Epoch, h.Registry.Version = runners.Cursor()
+	if l := f.all.Sender(addr); l != nil {
+		h.Loads.Epoch, h.Loads.Version = l.Cursor()
 	}
 	f.mu.Unlock()
 	for range consensus.Parts {
 		h.Parts = append(h.Parts, never)
 	}
 	d.kmu.Lock()
-	h.Kept = d.kept.Holds()
+	h.Kept = d.kept.Cursors()
 	d.kmu.Unlock()
 	return h
 }
@@ -140,7 +140,7 @@
 	d.targets.observe(in.TargetAges, now)
 	var changed []string
 	for _, c := range in.Registry {
-		ch := statesync.HearEntries(c)
+		ch := statesync.DecodeEntries(c)
 		f.mu.Lock()
 		again := c.Whole && runners.Epoch == c.Epoch
 		r := runners.Apply(ch)
@@ -160,8 +160,8 @@
 		if d.readers[c.ID] != nil {
 			continue
 		}
-		again := c.Whole && d.kept.Shelf(c.ID).Epoch == c.Epoch
-		r := d.kept.Hear(c)
+		again := c.Whole && d.kept.CachedPrefixes(c.ID).Epoch == c.Epoch
+		r := d.kept.Apply(c)
 		fits = f.count(r, again) && fits
 		if r == statesync.Applied {
 			kept = append(kept, c)
@@ -171,9 +171,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range in.Loads {
-		held := f.all.Teller(addr)
+		held := f.all.Sender(addr)
 		again := c.Whole && held != nil && held.Epoch == c.Epoch
-		fits = f.count(f.all.Tell(addr, c), again) && fits
+		fits = f.count(f.all.Apply(addr, c), again) && fits
 	}
 	f.down.kept = append(f.down.kept, kept...)
 	f.down.reports = append(f.down.reports, in.Reports...)
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -36,9 +36,9 @@
 
 // Upstream is what a relay does with what comes from below.
 type Upstream struct {
-	Since func(h messages.Hold) messages.Feed     // what a receiver lacks
-	Told  func(from string, t messages.Told) bool // loads from below; false: they do not fit what came before
-	Gone  func(from string)                       // a subscriber has ended
+	DeltaSince   func(h messages.Hold) messages.Feed     // what a receiver lacks
+	ApplyReport  func(from string, t messages.Told) bool // loads from below; false: they do not fit what came before
+	Unsubscribed func(from string)                       // a subscriber has ended
 }
 
 // Audience picks subscribers.
@@ -108,7 +108,7 @@
 		if s == nil {
 			return
 		}
-		if !y.up.Told(from.Remote(), t) {
+		if !y.up.ApplyReport(from.Remote(), t) {
 			y.put(s, transport.KindTellAgain, nil)
 			return
 		}
@@ -128,7 +128,7 @@
 func (y *Publisher) since(h messages.Hold) ([]byte, error) {
 	y.wholes <- struct{}{}
 	defer func() { <-y.wholes }()
-	f := y.up.Since(h)
+	f := y.up.DeltaSince(h)
 	return f.MarshalMsg(nil)
 }
 
@@ -171,7 +171,7 @@
 			delete(y.subs, l)
 			y.mu.Unlock()
 			l.Close()
-			y.up.Gone(l.Remote())
+			y.up.Unsubscribed(l.Remote())
 		}()
 		y.bring(s, h)
 		for {
@@ -213,8 +213,8 @@
 	}
 }
 
-// Wanted tells whether anybody of an audience listens.
-func (y *Publisher) Wanted(to Audience) bool {
+// HasSubscribers tells whether anybody of an audience listens.
+func (y *Publisher) HasSubscribers(to Audience) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for _, s := range y.subs {
@@ -227,16 +227,16 @@
 
 // Publish sends a feed to an audience.
 func (y *Publisher) Publish(to Audience, f messages.Feed) {
-	if !y.Wanted(to) {
+	if !y.HasSubscribers(to) {
 		return
 	}
 	if b, err := f.MarshalMsg(nil); err == nil {
-		y.Pass(to, b)
+		y.Forward(to, b)
 	}
 }
 
-// Pass sends a feed on as it came.
-func (y *Publisher) Pass(to Audience, body []byte) {
+// Forward sends a feed on as it came.
+func (y *Publisher) Forward(to Audience, body []byte) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for _, s := range y.subs {
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -19,8 +19,8 @@
 
 // Times of a subscription.
 const (
-	// FeedEvery is how often a feed goes out at least, be it empty.
-	FeedEvery = 250 * time.Millisecond
+	// UpdateInterval is how often a feed goes out at least, be it empty.
+	UpdateInterval = 250 * time.Millisecond
 	// silentFor is after how long without one a parent is left.
 	silentFor = 900 * time.Millisecond
 	// dialWait and subscribeWait are how long a parent may take to be joined.
@@ -41,14 +41,14 @@
 
 // Subscriber is a node's link to its parent.
 type Subscriber struct {
-	Controller bool // this node is a controller
-	Hold       func() messages.Hold
-	Parents    func() []string
-	Take       func(parent string, f messages.Feed, raw []byte) (want *messages.Hold)
-	Heard      func(seq int64)   // the parent has taken what was told under seq
-	TellAgain  func()            // the parent lacks what came before: all is to be told
-	Ended      func(addr string) // the subscription there has ended
-	Patience   time.Duration     // instead of anythingAfter
+	Controller   bool // this node is a controller
+	SyncState    func() messages.Hold
+	Parents      func() []string
+	ApplyUpdate  func(parent string, f messages.Feed, raw []byte) (want *messages.Hold)
+	Acked        func(seq int64)   // the parent has taken what was told under seq
+	ResendAll    func()            // the parent lacks what came before: all is to be told
+	Unsubscribed func(addr string) // the subscription there has ended
+	Patience     time.Duration     // instead of anythingAfter
 
 	Malformed atomic.Int64
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// Tell sends something up; false where there is no parent now.
-func (u *Subscriber) Tell(kind int, body msgp.Marshaler) bool {
+// Send sends something up; false where there is no parent now.
+func (u *Subscriber) Send(kind int, body msgp.Marshaler) bool {
 	l := u.link.Load()
 	if l == nil {
 		return false
@@ -90,7 +90,7 @@
 
 // holds names what this node holds and who asks.
 func (u *Subscriber) holds() messages.Hold {
-	h := u.Hold()
+	h := u.SyncState()
 	u.complete(&h)
 	return h
 }
@@ -129,13 +129,13 @@
 		return false
 	}
 	u.link.Store(l)
-	u.TellAgain()
+	u.ResendAll()
 	defer func() {
 		u.link.CompareAndSwap(l, nil)
-		u.Ended(parent)
+		u.Unsubscribed(parent)
 	}()
 	last.Store(u.nowUs())
-	t := time.NewTicker(FeedEvery)
+	t := time.NewTicker(UpdateInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -172,7 +172,7 @@
 			u.want(l, nil, true)
 			return
 		}
-		want := u.Take(parent, f, body)
+		want := u.ApplyUpdate(parent, f, body)
 		u.want(l, want, want != nil)
 		if f.CutOff && !u.Controller {
 			select {
@@ -183,10 +183,10 @@
 	case transport.KindHeard:
 		var t messages.Told
 		if _, err := t.UnmarshalMsg(body); err == nil {
-			u.Heard(t.Seq)
+			u.Acked(t.Seq)
 		}
 	case transport.KindTellAgain:
-		u.TellAgain()
+		u.ResendAll()
 	default:
 		u.Malformed.Add(1)
 	}
@@ -198,7 +198,7 @@
 		return
 	}
 	if h == nil {
-		held := u.Hold()
+		held := u.SyncState()
 		h = &held
 	}
 	u.complete(h)
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -68,10 +68,10 @@
 	return out
 }
 
-// Shelf is what a runner keeps by its own word, as a stream: its epoch and its
+// CachedPrefixes is what a runner keeps by its own word, as a stream: its epoch and its
 // versions are those of the runner's events, so that whoever reads the runner
 // next goes on where the one before stopped.
-type Shelf = statesync.Stream[uint64, int32]
+type CachedPrefixes = statesync.Stream[uint64, int32]
 
 func hashPart(k uint64, tokens int32) uint64 {
 	return statesync.Mix(k ^ statesync.Mix(uint64(tokens)+1))
@@ -86,17 +86,17 @@
 
 // Index is not safe for concurrent use.
 type Index struct {
-	shelves map[string]*Shelf
+	shelves map[string]*CachedPrefixes
 	seen    map[string]map[uint64]seen
 }
 
 // NewIndex makes an empty one.
 func NewIndex() *Index {
-	return &Index{shelves: map[string]*Shelf{}, seen: map[string]map[uint64]seen{}}
+	return &Index{shelves: map[string]*CachedPrefixes{}, seen: map[string]map[uint64]seen{}}
 }
 
-// Shelf gives the stream of a runner.
-func (x *Index) Shelf(runner string) *Shelf {
+// CachedPrefixes gives the stream of a runner.
+func (x *Index) CachedPrefixes(runner string) *CachedPrefixes {
 	s := x.shelves[runner]
 	if s == nil {
 		s = statesync.New(hashPart)
@@ -105,12 +105,12 @@
 	return s
 }
 
-// Send is a change of a runner's shelf as it goes over the wire.
-func Send(runner string, c statesync.Change[uint64, int32]) messages.KeptChange {
-	out := messages.KeptChange{ID: runner, Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Whole, Digest: c.Digest, Parts: make([]messages.KeptPart, 0, len(c.Puts))}
+// Encode is a change of a runner's shelf as it goes over the wire.
+func Encode(runner string, c statesync.Change[uint64, int32]) messages.KeptChange {
+	out := messages.KeptChange{ID: runner, Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Snapshot, Digest: c.Digest, Parts: make([]messages.KeptPart, 0, len(c.Puts))}
 	for _, p := range c.Puts {
 		n := p.Value
-		if p.Gone {
+		if p.Deleted {
 			n = 0
 		}
 		out.Parts = append(out.Parts, messages.KeptPart{Key: p.Key, Tokens: n})
@@ -118,13 +118,13 @@
 	return out
 }
 
-// Hear takes a change of a runner's shelf.
-func (x *Index) Hear(c messages.KeptChange) statesync.Result {
-	in := statesync.Change[uint64, int32]{Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Whole, Digest: c.Digest}
+// Apply takes a change of a runner's shelf.
+func (x *Index) Apply(c messages.KeptChange) statesync.Result {
+	in := statesync.Change[uint64, int32]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Whole, Digest: c.Digest}
 	for _, p := range c.Parts {
-		in.Puts = append(in.Puts, statesync.Put[uint64, int32]{Key: p.Key, Value: p.Tokens, Gone: p.Tokens <= 0})
+		in.Puts = append(in.Puts, statesync.Put[uint64, int32]{Key: p.Key, Value: p.Tokens, Deleted: p.Tokens <= 0})
 	}
-	r := x.Shelf(c.ID).Apply(in)
+	r := x.CachedPrefixes(c.ID).Apply(in)
 	if r == statesync.Applied {
 		m := x.seen[c.ID]
 		for _, p := range c.Parts {
@@ -134,20 +134,20 @@
 	return r
 }
 
-// Holds tells how much of every shelf is here.
-func (x *Index) Holds() []messages.StreamHold {
+// Cursors tells how much of every shelf is here.
+func (x *Index) Cursors() []messages.StreamHold {
 	out := make([]messages.StreamHold, 0, len(x.shelves))
 	for id, s := range x.shelves {
-		if epoch, version := s.Holds(); epoch != 0 {
+		if epoch, version := s.Cursor(); epoch != 0 {
 			out = append(out, messages.StreamHold{ID: id, Epoch: epoch, Version: version})
 		}
 	}
 	return out
 }
 
-// Since gives what a receiver with these holds lacks, for the runners that
+// DeltasSince gives what a receiver with these holds lacks, for the runners that
 // pick says yes to.
-func (x *Index) Since(holds []messages.StreamHold, pick func(runner string) bool) []messages.KeptChange {
+func (x *Index) DeltasSince(holds []messages.StreamHold, pick func(runner string) bool) []messages.KeptChange {
 	have := make(map[string]messages.StreamHold, len(holds))
 	for _, h := range holds {
 		have[h.ID] = h
@@ -161,8 +161,8 @@
 		if h.Epoch == s.Epoch && h.Version > s.Version {
 			continue
 		}
-		if c, lacks := s.Since(h.Epoch, h.Version); lacks {
-			out = append(out, Send(id, c))
+		if c, lacks := s.DeltaSince(h.Epoch, h.Version); lacks {
+			out = append(out, Encode(id, c))
 		}
 	}
 	return out
@@ -216,21 +216,21 @@
 	x.note(runner, key, seen{tokens, true})
 }
 
-// Kept counts the tokens of a prompt that a runner need not read again: whole
+// Cached counts the tokens of a prompt that a runner need not read again: whole
 // parts from the first on, and the kept beginning of the next.
-func (x *Index) Kept(runner string, keys []uint64, parts []Part) int {
-	kept, _ := x.Both(runner, keys, parts)
+func (x *Index) Cached(runner string, keys []uint64, parts []Part) int {
+	kept, _ := x.CachedAndExpected(runner, keys, parts)
 	return kept
 }
 
 // Expected counts like Kept, with the parts that are coming.
 func (x *Index) Expected(runner string, keys []uint64, parts []Part) int {
-	_, expected := x.Both(runner, keys, parts)
+	_, expected := x.CachedAndExpected(runner, keys, parts)
 	return expected
 }
 
-// Both gives Kept and Expected in one pass.
-func (x *Index) Both(runner string, keys []uint64, parts []Part) (kept, expected int) {
+// CachedAndExpected gives Kept and Expected in one pass.
+func (x *Index) CachedAndExpected(runner string, keys []uint64, parts []Part) (kept, expected int) {
 	s, m := x.shelves[runner], x.seen[runner]
 	if s == nil && len(m) == 0 {
 		return 0, 0
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -81,11 +81,11 @@
 // Snapshot is what readers use.
 func (r *Registry) Snapshot() *Snapshot { return r.snapshot.Load() }
 
-// Hear takes a heartbeat that came straight from a runner, or was passed on at
+// ApplyHeartbeat takes a heartbeat that came straight from a runner, or was passed on at
 // once by the controller that got it. A higher sequence overrides every belief;
 // only the runner's own leaving stands against it. It tells whether anything
 // but the sequence changed.
-func (r *Registry) Hear(n messages.RunnerRecord, nowUs int64) bool {
+func (r *Registry) ApplyHeartbeat(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	heardUs := r.observed.advance(nowUs)
@@ -150,7 +150,7 @@
 			n.Stale, n.Lost = false, false
 		}
 	}
-	return r.merge(n, nowUs)
+	return r.mergeLocked(n, nowUs)
 }
 
 // Mirror takes a record of the node that this one follows, with its beliefs:
@@ -158,10 +158,10 @@
 func (r *Registry) Mirror(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.merge(n, nowUs)
+	return r.mergeLocked(n, nowUs)
 }
 
-func (r *Registry) merge(n messages.RunnerRecord, nowUs int64) bool {
+func (r *Registry) mergeLocked(n messages.RunnerRecord, nowUs int64) bool {
 	heardUs := r.observed.advance(nowUs)
 	e := r.entries[n.ID]
 	if e == nil {
@@ -217,9 +217,9 @@
 	return e.record, changed
 }
 
-// Bar marks a runner as soon to be ordered (easing: no more long requests), as
+// SetCordon marks a runner as soon to be ordered (easing: no more long requests), as
 // under order (barred: none at all), or frees it.
-func (r *Registry) Bar(id string, easing, barred bool, version int64) (messages.RunnerRecord, bool) {
+func (r *Registry) SetCordon(id string, easing, barred bool, version int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -231,8 +231,8 @@
 	return e.record, r.publishIfChanged(e, old)
 }
 
-// Weights notes the version of a model at a runner, as a report told it.
-func (r *Registry) Weights(id, model string, version int64) (messages.RunnerRecord, bool) {
+// SetWeights notes the version of a model at a runner, as a report told it.
+func (r *Registry) SetWeights(id, model string, version int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
--- a/internal/registry/stream.go
+++ b/internal/registry/stream.go
@@ -65,7 +65,7 @@
 	puts := slices.Clone(change.Puts)
 	slices.SortFunc(puts, func(a, b statesync.Put[string, string]) int { return cmp.Compare(a.Key, b.Key) })
 	for _, p := range puts {
-		if p.Gone {
+		if p.Deleted {
 			continue
 		}
 		var n messages.RunnerRecord
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -2,8 +2,8 @@
 // compare-and-set, replicated, and compiled for the request path.
 //
 // Parse reads and checks a configuration; its errors are of type Invalid and name the
-// field. Order decides what becomes of a configuration that is sent on top of a
-// version: accepted, accepted before (ErrTakenBefore), overtaken (ErrOvertaken),
+// field. Submission decides what becomes of a configuration that is sent on top of a
+// version: accepted, accepted before (ErrAlreadyAccepted), overtaken (ErrVersionConflict),
 // invalid, or undecided. It is applied inside a round of the register, so its decision
 // holds for the committed state. Entries splits a configuration into texts by route,
 // service and tenant, so that a change carries only what differs, and an Assembly puts
@@ -53,56 +53,94 @@
 	return m, crossCheck(m)
 }
 
-// ReadTaken reads a configuration that was taken. It is not checked again: what
-// is in force stays so, whatever a later version of the program would refuse.
-func ReadTaken(raw []byte) (api.Configuration, error) {
+// ParseAccepted reads a configuration that was accepted. It is not checked again: what is
+// in force stays so, whatever a later release would reject.
+func ParseAccepted(raw []byte) (api.Configuration, error) {
 	var m api.Configuration
 	err := json.Unmarshal(raw, &m)
 	return m, errors.Wrap(err, "routeconfig: taken before, and not to be read")
 }
 
+// crossCheck checks what the fields of a configuration say of each other: names
+// that refer to services, and names that have to be unique.
 func crossCheck(m api.Configuration) error {
+	if err := checkRoutes(m); err != nil {
+		return err
+	}
+	if err := checkRelinquish(m.Relinquish); err != nil {
+		return err
+	}
+	if err := checkTenantKeys(m.Tenants); err != nil {
+		return err
+	}
+	_, err := compliance.Compile(m)
+	var fault *compliance.ConfigError
+	if errors.As(err, &fault) {
+		return &Invalid{fault.Field, fault.Reason}
+	}
+	return err
+}
+
+func checkRoutes(m api.Configuration) error {
 	services := map[string]bool{}
 	for _, s := range m.Services {
 		services[s.Name] = true
 	}
-	places := map[string]string{}
+	routeAt := map[string]string{} // names of routes by host and prefix
 	for i, r := range m.Routes {
-		at := fmt.Sprintf("routes[%d]", i)
+		field := fmt.Sprintf("routes[%d]", i)
 		if !r.Kind.Valid() {
-			return &Invalid{at + ".kind", fmt.Sprintf("%q is no kind of route", r.Kind)}
+			return &Invalid{field + ".kind", fmt.Sprintf("%q is no kind of route", r.Kind)}
 		}
-		place := r.Host + r.Prefix
-		if other, ok := places[place]; ok {
-			return &Invalid{at + ".prefix", "same host and prefix as route " + other}
+		hostAndPrefix := r.Host + r.Prefix
+		if other, ok := routeAt[hostAndPrefix]; ok {
+			return &Invalid{field + ".prefix", "same host and prefix as route " + other}
 		}
-		places[place] = r.Name
-		if len(r.Shares) == 0 {
-			if !services[r.Service] {
-				return &Invalid{at + ".service", fmt.Sprintf("unknown service %q", r.Service)}
-			}
-			continue
+		routeAt[hostAndPrefix] = r.Name
+		if err := checkRouteServices(r, field, services); err != nil {
+			return err
 		}
-		var sum float32
-		for j, s := range r.Shares {
-			if !services[s.Service] {
-				return &Invalid{fmt.Sprintf("%s.shares[%d].service", at, j), fmt.Sprintf("unknown service %q", s.Service)}
-			}
-			sum += s.Gain
+	}
+	return nil
+}
+
+// checkRouteServices checks that the services of a route exist, and that its shares,
+// if it has any, sum to more than 0. field is the path of the route in the
+// configuration.
+func checkRouteServices(r api.Route, field string, services map[string]bool) error {
+	if len(r.Shares) == 0 {
+		if !services[r.Service] {
+			return &Invalid{field + ".service", fmt.Sprintf("unknown service %q", r.Service)}
 		}
-		if sum <= 0 {
-			return &Invalid{at + ".shares", "gains sum to 0"}
+		return nil
+	}
+	var sum float32
+	for i, s := range r.Shares {
+		if !services[s.Service] {
+			return &Invalid{fmt.Sprintf("%s.shares[%d].service", field, i), fmt.Sprintf("unknown service %q", s.Service)}
 		}
+		sum += s.Gain
+	}
+	if sum <= 0 {
+		return &Invalid{field + ".shares", "gains sum to 0"}
 	}
-	left := map[string]bool{}
-	for i, x := range m.Relinquish {
-		if left[x.Zone] {
+	return nil
+}
+
+func checkRelinquish(relinquish []api.Relinquish) error {
+	zones := map[string]bool{}
+	for i, x := range relinquish {
+		if zones[x.Zone] {
 			return &Invalid{fmt.Sprintf("relinquish[%d].zone", i), "named twice"}
 		}
-		left[x.Zone] = true
+		zones[x.Zone] = true
 	}
+	return nil
+}
+
+func checkTenantKeys(tenants []api.Tenant) error {
 	owner := map[string]string{}
-	for i, t := range m.Tenants {
+	for i, t := range tenants {
 		for _, k := range t.Keys {
 			if o, ok := owner[k]; ok && o != t.Name {
 				return &Invalid{fmt.Sprintf("tenants[%d].apiKeys", i), "a key is shared with tenant " + o}
@@ -110,10 +148,5 @@
 			owner[k] = t.Name
 		}
 	}
-	_, err := compliance.Compile(m)
-	var fault *compliance.ConfigError
-	if errors.As(err, &fault) {
-		return &Invalid{fault.Field, fault.Reason}
-	}
-	return err
+	return nil
 }
--- a/internal/routeconfig/entries.go
+++ b/internal/routeconfig/entries.go
@@ -7,7 +7,7 @@
 import (
 	"encoding/json"
 	"fmt"
-	"sort"
+	"slices"
 	"strings"
 
 	"github.com/pkg/errors"
@@ -28,77 +28,84 @@
 	restEntry        = "rest"
 )
 
-// Entries cuts a configuration.
-func Entries(m api.Configuration) (map[string]string, error) {
-	out := map[string]string{}
-	put := func(kind, name string, v any) error {
-		b, err := json.Marshal(v)
-		if err != nil {
-			return errors.Wrap(ErrEntry, err.Error())
-		}
-		for n := 0; ; n++ {
-			key := fmt.Sprintf("%s/%03d/%s", kind, n, name)
-			if _, taken := out[key]; !taken {
-				out[key] = string(b)
-				return nil
-			}
-		}
+// entrySet collects the entries of a configuration by key.
+type entrySet map[string]string
+
+// add encodes a value under its kind and name. The first free number keeps entries of
+// one name apart.
+func (e entrySet) add(kind, name string, value any) error {
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		return errors.Wrap(ErrEntry, err.Error())
 	}
-	for _, r := range m.Routes {
-		if err := put(routeEntry, r.Host+r.Prefix, r); err != nil {
-			return nil, err
+	for n := 0; ; n++ {
+		key := fmt.Sprintf("%s/%03d/%s", kind, n, name)
+		if _, exists := e[key]; !exists {
+			e[key] = string(encoded)
+			return nil
 		}
 	}
-	for _, s := range m.Services {
-		if err := put(serviceEntry, s.Name, s); err != nil {
-			return nil, err
+}
+
+// addAll adds the items of a list, each under the name that nameOf gives it.
+func addAll[T any](e entrySet, kind string, items []T, nameOf func(i int, item T) string) error {
+	for i, item := range items {
+		if err := e.add(kind, nameOf(i, item), item); err != nil {
+			return err
 		}
 	}
-	for _, t := range m.Tenants {
-		if err := put(tenantEntry, t.Name, t); err != nil {
-			return nil, err
-		}
+	return nil
+}
+
+// Entries splits a configuration into JSON texts by key. The error is ErrEntry.
+func Entries(m api.Configuration) (map[string]string, error) {
+	out := entrySet{}
+	if err := addAll(out, routeEntry, m.Routes, func(_ int, r api.Route) string { return r.Host + r.Prefix }); err != nil {
+		return nil, err
 	}
-	for i, c := range m.Certificates {
-		if err := put(certificateEntry, fmt.Sprintf("%04d", i), c); err != nil {
-			return nil, err
-		}
+	if err := addAll(out, serviceEntry, m.Services, func(_ int, s api.Service) string { return s.Name }); err != nil {
+		return nil, err
 	}
-	for _, r := range m.Regimes {
-		if err := put(regimeEntry, r.Name, r); err != nil {
-			return nil, err
-		}
+	if err := addAll(out, tenantEntry, m.Tenants, func(_ int, t api.Tenant) string { return t.Name }); err != nil {
+		return nil, err
+	}
+	if err := addAll(out, certificateEntry, m.Certificates, func(i int, _ api.Certificate) string { return fmt.Sprintf("%04d", i) }); err != nil {
+		return nil, err
+	}
+	if err := addAll(out, regimeEntry, m.Regimes, func(_ int, r api.Regime) string { return r.Name }); err != nil {
+		return nil, err
 	}
 	rest := api.Configuration{Version: m.Version, Limits: m.Limits, Relinquish: m.Relinquish, Routes: []api.Route{}, Services: []api.Service{}}
-	return out, put(restEntry, "", rest)
+	return out, out.add(restEntry, "", rest)
 }
 
-// Assembly is a configuration being kept up by its entries.
+// Assembly is a configuration that is kept up to date by its entries. The zero
+// Assembly is empty.
 type Assembly struct {
 	parsed map[string]any
 }
 
-// Take takes entries in; an empty text means that one is gone. With whole set
-// there is nothing but these. On an error nothing has changed.
-func (a *Assembly) Take(entries map[string]string, whole bool) error {
-	fresh := map[string]any{}
-	if !whole {
+// Apply applies entries; an empty text deletes one. With snapshot set the entries replace
+// all that there were. After an error nothing has changed.
+func (a *Assembly) Apply(entries map[string]string, snapshot bool) error {
+	parsed := map[string]any{}
+	if !snapshot {
 		for k, v := range a.parsed {
-			fresh[k] = v
+			parsed[k] = v
 		}
 	}
 	for k, text := range entries {
 		if text == "" {
-			delete(fresh, k)
+			delete(parsed, k)
 			continue
 		}
 		v, err := parseEntry(k, text)
 		if err != nil {
 			return err
 		}
-		fresh[k] = v
+		parsed[k] = v
 	}
-	a.parsed = fresh
+	a.parsed = parsed
 	return nil
 }
 
@@ -127,13 +134,13 @@
 	return v, nil
 }
 
-// Configuration is the configuration as it is now.
+// Configuration returns the configuration that the entries make up now.
 func (a *Assembly) Configuration() api.Configuration {
 	keys := make([]string, 0, len(a.parsed))
 	for k := range a.parsed {
 		keys = append(keys, k)
 	}
-	sort.Strings(keys)
+	slices.Sort(keys)
 	var m api.Configuration
 	for _, k := range keys {
 		switch v := a.parsed[k].(type) {
--- a/internal/routeconfig/replace.go
+++ b/internal/routeconfig/replace.go
@@ -1,4 +1,4 @@
-// Order decides what becomes of a configuration that the operator sends on top of a
+// Submission decides what becomes of a configuration that the operator sends on top of a
 // version: accepted, accepted before, overtaken, invalid, or undecided. It is pure; it
 // is applied inside a round of the register, so its answer holds for the committed
 // state.
@@ -15,36 +15,36 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// What Apply may answer besides an Invalid. The last two are no refusals: the
-// caller is to repeat the order.
+// Errors of Apply besides Invalid. The last two are no rejections: the caller has to repeat
+// the submission.
 var (
-	ErrTakenBefore = errors.New("routeconfig: taken before")
-	ErrOvertaken   = errors.New("routeconfig: another version is in place")
-	ErrBaseUnknown = errors.New("routeconfig: the version that this builds on is not in place yet")
-	ErrForgotten   = errors.New("routeconfig: too old to tell whether it was taken")
+	ErrAlreadyAccepted = errors.New("routeconfig: taken before")
+	ErrVersionConflict = errors.New("routeconfig: another version is in place")
+	ErrBaseNotReached  = errors.New("routeconfig: the version that this builds on is not in place yet")
+	ErrDigestExpired   = errors.New("routeconfig: too old to tell whether it was taken")
 )
 
-// keepTaken bounds how many accepted versions are remembered for repeats.
-const keepTaken = 2048
+// maxDigests bounds how many accepted versions are remembered, to know repeated submissions.
+const maxDigests = 2048
 
 // digestBytes is how much of a SHA-256 sum tells configurations apart.
 const digestBytes = 16
 
-// Order is a configuration as the operator sent it. Fault says why it can't be
-// taken; it is kept apart from the order, as one that was taken before stays
-// taken, whatever is checked today.
-type Order struct {
+// Submission is a configuration as the operator sent it. Fault says why it is invalid; it is
+// kept apart from the bytes, as a configuration that was accepted before stays accepted,
+// whatever is checked today.
+type Submission struct {
 	Raw     []byte
 	Version int64 // 0 where the bytes name none
 	Base    int64
 	Fault   error
 }
 
-// ReadOrder reads and checks a configuration. It always returns an order: one
-// with a fault can still be looked up among those that were taken.
-func ReadOrder(raw []byte) Order {
+// ParseSubmission reads and checks a configuration. It always returns a submission: one
+// with a fault can still be looked up among those that were accepted.
+func ParseSubmission(raw []byte) Submission {
 	config, err := Parse(raw)
-	o := Order{Raw: raw, Version: config.Version, Fault: err}
+	o := Submission{Raw: raw, Version: config.Version, Fault: err}
 	if err != nil {
 		o.Version = versionOf(raw)
 	}
@@ -63,17 +63,17 @@
 	return only.Version
 }
 
-// TakenIn tells whether these very bytes were taken, now or in an earlier
-// version. What was taken stays taken, so a yes holds for any committed state,
-// be it old; a no is for Apply to say, inside a round.
-func (o Order) TakenIn(cur messages.ConfigBody) bool {
-	_, taken := TakenAs(cur, o.Raw)
-	return taken
+// AcceptedIn reports whether these very bytes were accepted, now or in an earlier version.
+// What was accepted stays accepted, so true holds for any committed state, be it old;
+// false is for Apply to say, inside a round.
+func (o Submission) AcceptedIn(cur messages.ConfigBody) bool {
+	_, accepted := AcceptedVersion(cur, o.Raw)
+	return accepted
 }
 
-// TakenAs gives the version under which these very bytes were taken. It needs
-// nothing but the bytes, so a repeat costs no reading and no checks.
-func TakenAs(cur messages.ConfigBody, raw []byte) (version int64, taken bool) {
+// AcceptedVersion returns the version under which these very bytes were accepted. It needs
+// nothing but the bytes, so a repeated submission is neither parsed nor checked.
+func AcceptedVersion(cur messages.ConfigBody, raw []byte) (version int64, accepted bool) {
 	digest := digestOf(raw)
 	for _, t := range cur.AcceptedDigest {
 		if bytes.Equal(t.Digest, digest) {
@@ -88,57 +88,57 @@
 	return sum[:digestBytes]
 }
 
-// Apply makes the next body from the current one. The look for a repeat comes
-// before anything that may refuse. Every refusal after it stays right for all
+// Apply makes the next body from the current one. A repeated submission is
+// looked for before any check. Every rejection after it stays right for all
 // later states: versions only rise, so a base below the current version never
 // comes back, and a version at or below its own base is never above the
 // current one. A base above the current version may still come into force, and
-// an earlier try of this order with it; that is no refusal.
-func (o Order) Apply(cur messages.ConfigBody) (messages.ConfigBody, error) {
+// an earlier attempt of this submission with it; that is no rejection.
+func (o Submission) Apply(cur messages.ConfigBody) (messages.ConfigBody, error) {
 	switch {
-	case o.TakenIn(cur):
-		return cur, ErrTakenBefore
-	case o.forgottenIn(cur):
-		return cur, ErrForgotten
+	case o.AcceptedIn(cur):
+		return cur, ErrAlreadyAccepted
+	case o.digestExpired(cur):
+		return cur, ErrDigestExpired
 	case o.Version <= o.Base:
-		return cur, o.refusal(&Invalid{"version", "not above the one that it builds on"})
+		return cur, o.rejection(&Invalid{"version", "not above the one that it builds on"})
 	case o.Base < cur.Version:
-		return cur, o.refusal(ErrOvertaken)
+		return cur, o.rejection(ErrVersionConflict)
 	case o.Base > cur.Version:
-		return cur, ErrBaseUnknown
+		return cur, ErrBaseNotReached
 	case o.Fault != nil:
 		return cur, o.Fault
 	}
-	return messages.ConfigBody{Version: o.Version, Raw: o.Raw, AcceptedDigest: remember(cur.AcceptedDigest, o)}, nil
+	return messages.ConfigBody{Version: o.Version, Raw: o.Raw, AcceptedDigest: appendDigest(cur.AcceptedDigest, o)}, nil
 }
 
-// Contested tells whether a program with other checks could take the order on
-// this state, so that a try of it may stand at some member: only then does a
-// refusal need more than the state that it was decided on.
-func (o Order) Contested(cur messages.ConfigBody) bool {
+// Contested reports whether a release with other checks could accept the submission on
+// this state, so that an attempt of it may stand at some member: only then does a
+// rejection need more than the state that it was decided on.
+func (o Submission) Contested(cur messages.ConfigBody) bool {
 	return o.Fault != nil && o.Base == cur.Version && o.Version > cur.Version
 }
 
-// refusal names the fault where there is one, as it says more.
-func (o Order) refusal(err error) error {
+// rejection returns the fault where there is one, as it says more.
+func (o Submission) rejection(err error) error {
 	if o.Fault != nil {
 		return o.Fault
 	}
 	return err
 }
 
-func remember(before []messages.AcceptedDigest, o Order) []messages.AcceptedDigest {
-	taken := append(append([]messages.AcceptedDigest{}, before...), messages.AcceptedDigest{Version: o.Version, Digest: digestOf(o.Raw)})
-	if len(taken) > keepTaken {
-		taken = taken[len(taken)-keepTaken:]
+func appendDigest(before []messages.AcceptedDigest, o Submission) []messages.AcceptedDigest {
+	digests := append(append([]messages.AcceptedDigest{}, before...), messages.AcceptedDigest{Version: o.Version, Digest: digestOf(o.Raw)})
+	if len(digests) > maxDigests {
+		digests = digests[len(digests)-maxDigests:]
 	}
-	return taken
+	return digests
 }
 
-// forgottenIn tells whether the order may have been taken so long ago that its
+// digestExpired reports whether the submission may have been accepted so long ago that its
 // digest is no longer kept. Digests go in order of their versions, so only
 // versions below the oldest that is kept are in doubt.
-func (o Order) forgottenIn(cur messages.ConfigBody) bool {
-	full := len(cur.AcceptedDigest) >= keepTaken
+func (o Submission) digestExpired(cur messages.ConfigBody) bool {
+	full := len(cur.AcceptedDigest) >= maxDigests
 	return full && o.Version > o.Base && o.Version < cur.AcceptedDigest[0].Version
 }
--- a/internal/routeconfig/replica.go
+++ b/internal/routeconfig/replica.go
@@ -35,37 +35,38 @@
 // Table is that of the version in force, nil before the first.
 func (r *Replica) Table() *Table { return r.table }
 
-// Holds is what this node names as held when it asks for changes.
-func (r *Replica) Holds() messages.StreamHold {
-	epoch, version := r.stream.Holds()
+// Cursor returns the epoch and version from which this node requests changes.
+func (r *Replica) Cursor() messages.StreamHold {
+	epoch, version := r.stream.Cursor()
 	return messages.StreamHold{Epoch: epoch, Version: version}
 }
 
-// Since gives what a receiver lacks; false where it is as new as this node.
-func (r *Replica) Since(held messages.StreamHold) (messages.EntryChange, bool) {
-	change, lacks := r.stream.Since(held.Epoch, held.Version)
-	if !lacks || r.stream.Version <= held.Version {
+// DeltaSince returns the change that a receiver needs; false where it is as new as this
+// node.
+func (r *Replica) DeltaSince(held messages.StreamHold) (messages.EntryChange, bool) {
+	change, behind := r.stream.DeltaSince(held.Epoch, held.Version)
+	if !behind || r.stream.Version <= held.Version {
 		return messages.EntryChange{}, false
 	}
-	return statesync.SendEntries(change), true
+	return statesync.EncodeEntries(change), true
 }
 
-// Apply takes a change in. It tells what became of it and whether there is a new
-// table. An error says why an unreadable one was left aside.
+// Apply applies a change. It returns the outcome, and whether there is a new table. The
+// error is ErrUnreadable and says why a change was not applied.
 func (r *Replica) Apply(change messages.EntryChange) (result statesync.Result, renewed bool, err error) {
 	if change.Whole && !r.mayReplace(change.To) {
 		return statesync.Known, false, nil
 	}
-	in := statesync.HearEntries(change)
+	in := statesync.DecodeEntries(change)
 	entries := make(map[string]string, len(in.Puts))
 	for _, put := range in.Puts {
 		entries[put.Key] = ""
-		if !put.Gone {
+		if !put.Deleted {
 			entries[put.Key] = put.Value
 		}
 	}
 	before := r.assembly
-	if err := r.assembly.Take(entries, change.Whole); err != nil {
+	if err := r.assembly.Apply(entries, change.Whole); err != nil {
 		return statesync.Mismatch, false, errors.Wrap(ErrUnreadable, err.Error())
 	}
 	if result = r.stream.Apply(in); result != statesync.Applied {
@@ -82,17 +83,17 @@
 // mayReplace tells whether a snapshot of a version may take the place of what is
 // held: a newer one, or the same where what is held is in doubt.
 func (r *Replica) mayReplace(version int64) bool {
-	return version > r.stream.Version || version == r.stream.Version && r.stream.InDoubt()
+	return version > r.stream.Version || version == r.stream.Version && r.stream.NeedsSnapshot()
 }
 
-// Commit takes in a version of the register. It gives the change to send on, or
-// false for a version that is not newer.
+// Commit replaces the configuration by a version of the register. It returns the change to
+// send to others, or false for a version that is not newer.
 func (r *Replica) Commit(version int64, entries map[string]string) (messages.EntryChange, bool) {
 	if version <= r.stream.Version {
 		return messages.EntryChange{}, false
 	}
 	r.stream.Replace(entries)
-	return statesync.SendEntries(r.stream.Commit(version)), true
+	return statesync.EncodeEntries(r.stream.Commit(version)), true
 }
 
 // NewSource makes the replica of a node that commits: it holds version 0 of the
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -4,7 +4,7 @@
 package routeconfig
 
 import (
-	"sort"
+	"slices"
 	"strings"
 
 	"beechtide.org/beechtide/internal/api"
@@ -19,47 +19,67 @@
 	gains      float32
 }
 
-// Table answers which route, service and tenant a request belongs to.
+// Table answers which route, service and tenant a request belongs to. It is safe for
+// concurrent use, as nothing changes it after Compile.
 type Table struct {
 	Version  int64
 	Limits   api.Limits
-	hosts    map[string][]*Route
+	hosts    map[string][]*Route // by host in lower case, longest prefix first
 	services map[string]*api.Service
-	keys     map[string]*api.Tenant
-	Tenants  int
-	Stores   []*api.Service
-	Policies *compliance.Policies
-	regimes  map[string]string // by tenant
-	// Relinquished are the zones that give up their sessions, and over how long.
+	keys     map[string]*api.Tenant // by API key
+	Tenants  int                    // how many there are
+	Stores   []*api.Service         // the services that have a cache store
+	Policies *compliance.Policies   // nil without regimes
+	regimes  map[string]string      // by tenant
+	// Relinquished are the zones that give up their sessions, and over how many
+	// microseconds.
 	Relinquished map[string]int64
 }
 
 // Compile makes a table from a checked configuration.
 func Compile(m api.Configuration) *Table {
-	t := &Table{Version: m.Version, Limits: m.Limits, hosts: map[string][]*Route{}, services: map[string]*api.Service{}, keys: map[string]*api.Tenant{}, Tenants: len(m.Tenants)}
+	t := &Table{
+		Version:  m.Version,
+		Limits:   m.Limits,
+		hosts:    map[string][]*Route{},
+		services: map[string]*api.Service{},
+		keys:     map[string]*api.Tenant{},
+		Tenants:  len(m.Tenants),
+		regimes:  map[string]string{},
+	}
 	if p, err := compliance.Compile(m); err == nil && len(m.Regimes) > 0 {
 		t.Policies = p
 	}
-	for _, x := range m.Relinquish {
+	t.addRelinquished(m.Relinquish)
+	t.addServices(m.Services)
+	t.addRoutes(m.Routes)
+	t.addTenants(m.Tenants)
+	return t
+}
+
+func (t *Table) addRelinquished(relinquish []api.Relinquish) {
+	for _, x := range relinquish {
 		if t.Relinquished == nil {
 			t.Relinquished = map[string]int64{}
 		}
 		t.Relinquished[x.Zone] = int64(x.OverMs * 1000)
 	}
-	t.regimes = map[string]string{}
-	for _, tenant := range m.Tenants {
-		if tenant.Regime != "" {
-			t.regimes[tenant.Name] = tenant.Regime
-		}
-	}
-	for i := range m.Services {
-		t.services[m.Services[i].Name] = &m.Services[i]
-		if m.Services[i].CacheStore != "" {
-			t.Stores = append(t.Stores, &m.Services[i])
+}
+
+func (t *Table) addServices(services []api.Service) {
+	for i := range services {
+		t.services[services[i].Name] = &services[i]
+		if services[i].CacheStore != "" {
+			t.Stores = append(t.Stores, &services[i])
 		}
 	}
-	for i := range m.Routes {
-		r := &Route{Route: m.Routes[i], CutoffUs: int64(m.Routes[i].CutoffMs * 1000), SetpointUs: int64(m.Routes[i].SetpointMs * 1000)}
+}
+
+// addRoutes sorts the routes of each host by the length of their prefixes, the
+// longest first, so that Match takes the first that fits.
+func (t *Table) addRoutes(routes []api.Route) {
+	for i := range routes {
+		r := &Route{Route: routes[i], CutoffUs: int64(routes[i].CutoffMs * 1000), SetpointUs: int64(routes[i].SetpointMs * 1000)}
 		if len(r.Shares) == 0 {
 			r.Shares = []api.Share{{Service: r.Service, Gain: 1}}
 		}
@@ -70,14 +90,19 @@
 		t.hosts[host] = append(t.hosts[host], r)
 	}
 	for _, list := range t.hosts {
-		sort.Slice(list, func(i, j int) bool { return len(list[i].Prefix) > len(list[j].Prefix) })
+		slices.SortFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	for i := range m.Tenants {
-		for _, k := range m.Tenants[i].Keys {
-			t.keys[k] = &m.Tenants[i]
+}
+
+func (t *Table) addTenants(tenants []api.Tenant) {
+	for i := range tenants {
+		if tenants[i].Regime != "" {
+			t.regimes[tenants[i].Name] = tenants[i].Regime
+		}
+		for _, k := range tenants[i].Keys {
+			t.keys[k] = &tenants[i]
 		}
 	}
-	return t
 }
 
 // Match finds the route with the longest prefix for a host and path.
@@ -97,10 +122,10 @@
 	return nil
 }
 
-// Tenant finds the holder of a key.
+// Tenant returns the tenant that an API key belongs to, nil for an unknown key.
 func (t *Table) Tenant(key string) *api.Tenant { return t.keys[key] }
 
-// RegimeOf is the regime of a tenant, or none.
+// RegimeOf returns the name of the regime of a tenant, "" for none.
 func (t *Table) RegimeOf(tenant string) string { return t.regimes[tenant] }
 
 // Allows tells whether a tenant's requests may go to a runner now, and by which
@@ -117,10 +142,11 @@
 	return name, certificate, ok
 }
 
-// Service finds a service by name.
+// Service returns a service by name, nil for an unknown one.
 func (t *Table) Service(name string) *api.Service { return t.services[name] }
 
-// ServiceOfModel finds the service whose engine runs a model.
+// ServiceOfModel returns the name of the service whose engine runs a model, the first
+// by name where several do, and "" where none does.
 func (t *Table) ServiceOfModel(model string) string {
 	names := []string{}
 	for name, s := range t.services {
@@ -130,7 +156,7 @@
 			}
 		}
 	}
-	sort.Strings(names)
+	slices.Sort(names)
 	if len(names) == 0 {
 		return ""
 	}
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -32,7 +32,7 @@
 // newer. A comparison that takes long does not put off the next.
 func (c *Router) compareVersions(ctx context.Context) func() {
 	return func() {
-		overdue := c.clock()-c.heardUs.Load() > max(c.convergeTime()/dissemination.OverdueParts, 2*dissemination.FeedEvery).Microseconds()
+		overdue := c.clock()-c.heardUs.Load() > max(c.convergeTime()/dissemination.OverdueParts, 2*dissemination.UpdateInterval).Microseconds()
 		for _, addr := range c.comparisons.Next(c.likelyCore(), *c.parent.Load(), overdue) {
 			go func() {
 				cctx, cancel := context.WithTimeout(ctx, c.convergeTime()/dissemination.ComparisonWaitParts)
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -37,12 +37,12 @@
 		}
 		h.Parts[p] = n.Version
 	}
-	h.Configuration = c.configuration.Holds()
-	h.Registry.Epoch, h.Registry.Version = c.runners.Holds()
+	h.Configuration = c.configuration.Cursor()
+	h.Registry.Epoch, h.Registry.Version = c.runners.Cursor()
 	c.nmu.Unlock()
 	h.Loads = c.loads.hold()
 	c.dmu.Lock()
-	h.Kept = c.admission.Index.Holds()
+	h.Kept = c.admission.Index.Cursors()
 	h.TargetAges = c.admission.TargetAges(c.clock())
 	c.dmu.Unlock()
 	return h
@@ -62,11 +62,11 @@
 			f.Parts = append(f.Parts, n)
 		}
 	}
-	if ch, lacks := c.configuration.Since(h.Configuration); lacks {
+	if ch, lacks := c.configuration.DeltaSince(h.Configuration); lacks {
 		f.Configuration = append(f.Configuration, ch)
 	}
-	if ch, lacks := c.runners.Since(h.Registry.Epoch, h.Registry.Version); lacks {
-		f.Registry = append(f.Registry, statesync.SendEntries(ch))
+	if ch, lacks := c.runners.DeltaSince(h.Registry.Epoch, h.Registry.Version); lacks {
+		f.Registry = append(f.Registry, statesync.EncodeEntries(ch))
 	}
 	c.nmu.Unlock()
 	if h.ConfigOnly {
@@ -76,7 +76,7 @@
 		f.Loads = append(f.Loads, ch)
 	}
 	c.dmu.Lock()
-	f.Kept = c.admission.Index.Since(h.Kept, func(string) bool { return true })
+	f.Kept = c.admission.Index.DeltasSince(h.Kept, func(string) bool { return true })
 	c.dmu.Unlock()
 	return f
 }
@@ -112,7 +112,7 @@
 	if !f.CutOff {
 		c.heardUs.Store(c.clock())
 	}
-	c.publisher.Pass(dissemination.ToRouters, raw)
+	c.publisher.Forward(dissemination.ToRouters, raw)
 	if !c.take(parent, f) || c.behind(f.Versions) {
 		h := c.hold()
 		return &h
@@ -133,7 +133,7 @@
 	changed := false
 	c.nmu.Lock()
 	for _, ch := range f.Configuration {
-		again := ch.Whole && c.configuration.Holds().Epoch == ch.Epoch
+		again := ch.Whole && c.configuration.Cursor().Epoch == ch.Epoch
 		r, renewed := c.applyConfig(ch)
 		note(r, again)
 		changed = changed || renewed
@@ -142,7 +142,7 @@
 		c.takePart(p, now)
 	}
 	for _, ch := range f.Registry {
-		in := statesync.HearEntries(ch)
+		in := statesync.DecodeEntries(ch)
 		believed := parent // whose beliefs are taken along with the facts
 		if parent != "" {
 			again := ch.Whole && c.runners.Epoch == ch.Epoch
@@ -157,7 +157,7 @@
 		}
 		for _, p := range in.Puts {
 			var n messages.RunnerRecord
-			if p.Gone {
+			if p.Deleted {
 				continue
 			}
 			if _, err := n.UnmarshalMsg([]byte(p.Value)); err != nil {
@@ -180,8 +180,8 @@
 	}
 	c.dmu.Lock()
 	for _, k := range f.Kept {
-		again := k.Whole && c.admission.Index.Shelf(k.ID).Epoch == k.Epoch
-		note(c.admission.Index.Hear(k), again)
+		again := k.Whole && c.admission.Index.CachedPrefixes(k.ID).Epoch == k.Epoch
+		note(c.admission.Index.Apply(k), again)
 	}
 	c.admission.Coming(f.Coming)
 	for _, r := range f.Reports {
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -63,21 +63,21 @@
 func (l *loads) hold() messages.StreamHold {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	epoch, version := l.total.Holds()
+	epoch, version := l.total.Cursor()
 	return messages.StreamHold{Epoch: epoch, Version: version}
 }
 
 func (l *loads) since(h messages.StreamHold) (messages.LoadChange, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, lacks := l.total.Since(h.Epoch, h.Version)
-	return statesync.SendLoads(c), lacks
+	c, lacks := l.total.DeltaSince(h.Epoch, h.Version)
+	return statesync.EncodeLoads(c), lacks
 }
 
 func (l *loads) take(c messages.LoadChange) statesync.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.total.Apply(statesync.HearLoads(c))
+	r := l.total.Apply(statesync.DecodeLoads(c))
 	if r == statesync.Applied {
 		l.all = l.all || c.Whole
 		for i := range c.Loads {
@@ -160,9 +160,9 @@
 	w.Seq = l.seq
 	ch := total.Commit(total.Version + 1)
 	if l.whole {
-		ch, _ = total.Since(0, 0)
+		ch, _ = total.DeltaSince(0, 0)
 	}
-	w.Loads = append(w.Loads, statesync.SendLoads(ch))
+	w.Loads = append(w.Loads, statesync.EncodeLoads(ch))
 	l.whole = false
 	if len(l.told) >= mostTold {
 		l.told = l.told[1:]
@@ -186,7 +186,7 @@
 	l.mu.Lock()
 	ok := true
 	for _, ch := range t.Loads {
-		r := l.below.Tell(from, ch)
+		r := l.below.Apply(from, ch)
 		ok = ok && (r == statesync.Applied || r == statesync.Known)
 	}
 	l.coming, l.absent = append(l.coming, t.Coming...), append(l.absent, t.Absent...)
@@ -203,7 +203,7 @@
 
 func (c *Router) goneBelow(from string) {
 	c.loads.mu.Lock()
-	c.loads.below.Drop(from)
+	c.loads.below.Remove(from)
 	c.loads.mu.Unlock()
 }
 
@@ -215,7 +215,7 @@
 	c.admission.SetNodes(int(c.nodes.Load()))
 	own, coming, absent := c.admission.Own(c.clock()), c.admission.TakeFresh(), c.admission.TakeAbsent()
 	c.dmu.Unlock()
-	if w, some := c.loads.next(own, coming, absent); some && !c.up.Tell(transport.KindTold, &w) {
+	if w, some := c.loads.next(own, coming, absent); some && !c.up.Send(transport.KindTold, &w) {
 		c.tellAgain()
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -133,9 +133,9 @@
 	c.admission.Bound = admission.WeightsBound{VersionUs: int64(set.Bounds.VersionMs) * 1000, ContactLossUs: int64(set.Bounds.ContactMs) * 1000}
 	c.admission.Contact(clock())
 	c.nodes.Store(1)
-	c.publisher = dissemination.NewPublisher(trans, dissemination.Upstream{Since: c.since, Told: c.toldBelow, Gone: c.goneBelow})
-	c.up.Hold, c.up.Parents, c.up.Take = c.hold, c.parents, c.takeFeed
-	c.up.Heard, c.up.TellAgain, c.up.Ended = c.loads.heardUp, c.tellAgain, func(string) {}
+	c.publisher = dissemination.NewPublisher(trans, dissemination.Upstream{DeltaSince: c.since, ApplyReport: c.toldBelow, Unsubscribed: c.goneBelow})
+	c.up.SyncState, c.up.Parents, c.up.ApplyUpdate = c.hold, c.parents, c.takeFeed
+	c.up.Acked, c.up.ResendAll, c.up.Unsubscribed = c.loads.heardUp, c.tellAgain, func(string) {}
 	c.seeds.Store(&set.Seeds)
 	c.monitor = membership.NewMonitor(trans, messages.Peer{Addr: set.RouterAddr(), Role: messages.Router, Zone: set.Zone, Node: set.Node}, clock, c.seedAddrs)
 	trans.OnCall(transport.KindCondition, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -27,7 +27,7 @@
 // release is a version of the register.
 type release struct {
 	version int64
-	order   routeconfig.Order
+	order   routeconfig.Submission
 	entries map[string]string
 	ackedUs int64 // 0 while nobody has acknowledged it
 }
@@ -148,7 +148,7 @@
 	case d.kernel.Chance(100) && base > 1:
 		base--
 	}
-	order := routeconfig.ReadOrder(raw)
+	order := routeconfig.ParseSubmission(raw)
 	order.Base = base
 	next, err := order.Apply(d.chosen)
 	if err != nil {
@@ -185,8 +185,8 @@
 
 // accept is a won round: most members have accepted the value, and the proposer
 // learns it, acknowledges it and tells the others.
-func (d *distribution) accept(at *source, next messages.ConfigBody, order routeconfig.Order) {
-	config, err := routeconfig.ReadTaken(order.Raw)
+func (d *distribution) accept(at *source, next messages.ConfigBody, order routeconfig.Submission) {
+	config, err := routeconfig.ParseAccepted(order.Raw)
 	if err != nil {
 		d.kernel.Fail("a configuration that was taken can't be read: %v", err)
 		return
--- a/internal/statesync/entries.go
+++ b/internal/statesync/entries.go
@@ -1,22 +1,22 @@
-// Entries are streams of texts by key: the configuration by route, service and tenant,
-// and the runners by id.
+// Entries are streams of encoded values by key: the configuration by route, service and
+// tenant, and the runners by id.
 
 package statesync
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Entries is a stream of them.
+// Entries is a stream of encoded values by key.
 type Entries = Stream[string, string]
 
-// NewEntries makes an empty one.
+// NewEntries makes an empty stream of entries.
 func NewEntries() *Entries { return New(HashText) }
 
-// SendEntries is a change as it goes over the wire.
-func SendEntries(c Change[string, string]) messages.EntryChange {
-	out := messages.EntryChange{Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Whole, Digest: c.Digest, Entries: make([]messages.Entry, 0, len(c.Puts))}
+// EncodeEntries converts a change to its message. An empty body deletes the key.
+func EncodeEntries(c Change[string, string]) messages.EntryChange {
+	out := messages.EntryChange{Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Snapshot, Digest: c.Digest, Entries: make([]messages.Entry, 0, len(c.Puts))}
 	for _, p := range c.Puts {
 		e := messages.Entry{Key: p.Key, Body: []byte{}}
-		if !p.Gone {
+		if !p.Deleted {
 			e.Body = []byte(p.Value)
 		}
 		out.Entries = append(out.Entries, e)
@@ -24,11 +24,11 @@
 	return out
 }
 
-// HearEntries reads one from the wire.
-func HearEntries(c messages.EntryChange) Change[string, string] {
-	out := Change[string, string]{Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Whole, Digest: c.Digest}
+// DecodeEntries converts a message to the change that it carries.
+func DecodeEntries(c messages.EntryChange) Change[string, string] {
+	out := Change[string, string]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Whole, Digest: c.Digest}
 	for _, e := range c.Entries {
-		out.Puts = append(out.Puts, Put[string, string]{Key: e.Key, Value: string(e.Body), Gone: len(e.Body) == 0})
+		out.Puts = append(out.Puts, Put[string, string]{Key: e.Key, Value: string(e.Body), Deleted: len(e.Body) == 0})
 	}
 	return out
 }
--- a/internal/statesync/transfer.go
+++ b/internal/statesync/transfer.go
@@ -1,7 +1,7 @@
 // Transfers carry a large value to another node in chunks, so that progress counts and
-// not the time that the whole takes. The receiver names version and offset; chunks
-// that have arrived stay when a sender falls silent, and another sender of the same
-// version goes on from there. The sender keeps the versions that are being fetched, so
+// not the time that all of it takes. The receiver names version and offset; chunks
+// that have arrived stay when a sender stops answering, and another sender of the same
+// version resumes from there. The sender keeps the versions that are being fetched, so
 // that a transfer that newer versions overtake still ends; the receiver then fetches
 // the newest.
 
@@ -9,42 +9,41 @@
 
 import "hash/crc32"
 
-// PieceBytes is the most that one piece carries; states up to this size go whole.
-const PieceBytes = 64 << 10
+// ChunkBytes is the most that one chunk carries; states up to this size take one chunk.
+const ChunkBytes = 64 << 10
 
-// Piece is a part of one version of an encoded state.
-type Piece struct {
+// Chunk is a part of one version of an encoded state.
+type Chunk struct {
 	Version, Offset, Total int64
-	Sum                    uint32 // of the whole
+	Sum                    uint32 // CRC-32 (IEEE) of all bytes of the version
 	Bytes                  []byte
 }
 
-// Transfer is the receiver's end. The zero Transfer has nothing yet.
+// Transfer is the receiver's end. The zero Transfer has received nothing yet.
 type Transfer struct {
 	version, total int64
 	sum            uint32
 	bytes          []byte
 }
 
-// Next names what is wanted: the version, 0 where nothing has begun, and from
-// where on.
+// Next returns what to request: the version, 0 where nothing has begun, and the offset.
 func (t *Transfer) Next() (version, offset int64) { return t.version, int64(len(t.bytes)) }
 
-// Taken says what became of a piece.
-type Taken int
+// AddResult is the outcome of Add.
+type AddResult int
 
-// What may become of a piece.
+// Results of Add.
 const (
-	Stored  Taken = iota // ask for the next one
-	Begun                // the sender has another version: the transfer began anew with it
-	Ignored              // it does not fit what was asked for
-	Spoiled              // all is there and the checksum differs: the transfer is empty again
-	Whole                // all is there
+	Stored    AddResult = iota // ask for the next one
+	Restarted                  // the sender has another version: the transfer restarted with it
+	Ignored                    // it does not fit what was requested
+	Corrupt                    // all is there and the checksum differs: the transfer is empty again
+	Complete                   // all is there
 )
 
-// Take takes a piece in. The bytes are those of the whole state once it is there;
-// the transfer is empty then.
-func (t *Transfer) Take(p Piece) ([]byte, Taken) {
+// Add adds a chunk. With the result Complete it returns the bytes of the state, and the
+// transfer is empty.
+func (t *Transfer) Add(p Chunk) ([]byte, AddResult) {
 	if p.Total <= 0 || len(p.Bytes) == 0 || p.Offset+int64(len(p.Bytes)) > p.Total {
 		return nil, Ignored
 	}
@@ -54,7 +53,7 @@
 			return nil, Ignored
 		}
 		*t = Transfer{version: p.Version, total: p.Total, sum: p.Sum}
-		result = Begun
+		result = Restarted
 	}
 	if p.Offset != int64(len(t.bytes)) {
 		return nil, Ignored
@@ -63,17 +62,17 @@
 	if int64(len(t.bytes)) < t.total {
 		return nil, result
 	}
-	whole, sum := t.bytes, t.sum
+	value, sum := t.bytes, t.sum
 	*t = Transfer{}
-	if crc32.ChecksumIEEE(whole) != sum {
-		return nil, Spoiled
+	if crc32.ChecksumIEEE(value) != sum {
+		return nil, Corrupt
 	}
-	return whole, Whole
+	return value, Complete
 }
 
 const (
-	mostServed  = 2         // versions of one state that are kept for transfers
-	servedForUs = 5_000_000 // how long one is kept that nobody asks for
+	maxServed    = 2         // versions of one state that are kept for transfers
+	servedIdleUs = 5_000_000 // how long one is kept that nobody requests
 )
 
 type served struct {
@@ -81,17 +80,17 @@
 	sum     uint32
 	bytes   []byte
 	usedUs  int64
-	ended   bool // the last piece was the latest that anybody took
+	ended   bool // the last chunk was the latest that anybody requested
 }
 
 // Server is the sender's end. It is not safe for concurrent use.
-type Server struct{ held []*served }
+type Server struct{ versions []*served }
 
-// Give answers with a piece of the version asked for, if it is still kept, and
-// else with the first piece of the newest; or of a newer one kept, where as many
-// as may be are being fetched. A receiver that has begun nothing asks for the
-// version after its own, at offset 0. encode makes the bytes of the newest version.
-func (s *Server) Give(version, offset, nowUs, newest int64, encode func() ([]byte, error)) (Piece, error) {
+// ReadChunk returns a chunk of the version requested, if it is still kept, and else the
+// first chunk of the newest; or of a newer one kept, where maxServed versions are being
+// fetched. A receiver that has begun nothing requests the version after its own, at
+// offset 0. encode returns the bytes of the newest version.
+func (s *Server) ReadChunk(version, offset, nowUs, newest int64, encode func() ([]byte, error)) (Chunk, error) {
 	s.Forget(nowUs)
 	from := s.find(version)
 	if from == nil {
@@ -100,50 +99,50 @@
 		}
 		from = s.find(newest)
 	}
-	if from == nil && len(s.held) >= mostServed {
-		from, offset = s.makeRoom(version), 0
+	if from == nil && len(s.versions) >= maxServed {
+		from, offset = s.evictOne(version), 0
 	}
 	if from == nil {
 		b, err := encode()
 		if err != nil {
-			return Piece{}, err
+			return Chunk{}, err
 		}
 		from = &served{version: newest, sum: crc32.ChecksumIEEE(b), bytes: b}
-		s.held = append(s.held, from)
+		s.versions = append(s.versions, from)
 	}
 	from.usedUs = nowUs
 	total := int64(len(from.bytes))
 	offset = min(max(offset, 0), total)
-	end := min(offset+PieceBytes, total)
+	end := min(offset+ChunkBytes, total)
 	from.ended = end == total
-	return Piece{Version: from.version, Offset: offset, Total: total, Sum: from.sum, Bytes: from.bytes[offset:end]}, nil
+	return Chunk{Version: from.version, Offset: offset, Total: total, Sum: from.sum, Bytes: from.bytes[offset:end]}, nil
 }
 
-// makeRoom drops a version whose transfer has ended. Where all go on, it gives one
-// that helps who lacks the version, and drops the one asked for longest ago where
-// none does.
-func (s *Server) makeRoom(version int64) *served {
+// evictOne drops a version whose transfer has ended. Where none has, it returns a kept
+// version that is not older than the one requested, and where there is none of that
+// either, it drops the one requested longest ago.
+func (s *Server) evictOne(version int64) *served {
 	oldest := 0
-	for i, h := range s.held {
+	for i, h := range s.versions {
 		if h.ended {
-			s.held = append(s.held[:i], s.held[i+1:]...)
+			s.versions = append(s.versions[:i], s.versions[i+1:]...)
 			return nil
 		}
-		if h.usedUs < s.held[oldest].usedUs {
+		if h.usedUs < s.versions[oldest].usedUs {
 			oldest = i
 		}
 	}
-	for _, h := range s.held {
+	for _, h := range s.versions {
 		if h.version >= version {
 			return h
 		}
 	}
-	s.held = append(s.held[:oldest], s.held[oldest+1:]...)
+	s.versions = append(s.versions[:oldest], s.versions[oldest+1:]...)
 	return nil
 }
 
 func (s *Server) find(version int64) *served {
-	for _, h := range s.held {
+	for _, h := range s.versions {
 		if h.version == version {
 			return h
 		}
@@ -151,17 +150,17 @@
 	return nil
 }
 
-// Forget drops versions that nobody has asked for lately.
+// Forget drops versions that nobody has requested for servedIdleUs.
 func (s *Server) Forget(nowUs int64) {
-	kept := s.held[:0]
-	for _, h := range s.held {
-		if nowUs-h.usedUs < servedForUs {
+	kept := s.versions[:0]
+	for _, h := range s.versions {
+		if nowUs-h.usedUs < servedIdleUs {
 			kept = append(kept, h)
 		}
 	}
-	clear(s.held[len(kept):])
-	s.held = kept
+	clear(s.versions[len(kept):])
+	s.versions = kept
 }
 
-// Len is how many versions are kept.
-func (s *Server) Len() int { return len(s.held) }
+// Versions returns the number of versions kept.
+func (s *Server) Versions() int { return len(s.versions) }
