--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -4,8 +4,8 @@
 // A block is found by a key of salt, model and block id (Key). Salts keep tenants,
 // regimes and weights versions apart, so a wrong entry costs time and never breaks
 // isolation. The index is fed by the cache events of the runners and lists after a gap
-// (Shelf, Hear), and by what this node expects of its own requests (Expect, Put,
-// Forget). Since gives what another node lacks.
+// (CachedPrefixes, Apply), and by what this node expects of its own requests (Expect,
+// Put, Forget). DeltasSince returns the changes that another node needs.
 //
 // The index may be wrong at any time: a runner evicts blocks before its event arrives.
 // An Index is not safe for concurrent use; the router guards its own with the mutex of
@@ -21,16 +21,17 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// maxParts bounds what is held for one runner.
+// maxParts bounds the parts that are recorded of one runner from own requests.
 const maxParts = 16384
 
-// Part is a part of a prompt.
+// Part is a part of a prompt: the id of a block and its length in tokens.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// ParseParts reads the header that names the parts of a prompt.
+// ParseParts reads the header that names the parts of a prompt, as "id:tokens" separated
+// by commas. The list ends before the first item that is malformed.
 func ParseParts(s string) []Part {
 	if s == "" {
 		return nil
@@ -47,7 +48,7 @@
 	return out
 }
 
-// Key hashes a part under its salt and model.
+// Key hashes the id of a part together with its salt and model.
 func Key(salt, model, id string) uint64 {
 	h := uint64(14695981039346656037)
 	for _, s := range [3]string{salt, model, id} {
@@ -59,7 +60,7 @@
 	return h
 }
 
-// Keys hashes all parts of a prompt.
+// Keys returns the keys of all parts of a prompt.
 func Keys(salt, model string, parts []Part) []uint64 {
 	out := make([]uint64, len(parts))
 	for i, p := range parts {
@@ -68,44 +69,45 @@
 	return out
 }
 
-// CachedPrefixes is what a runner keeps by its own word, as a stream: its epoch and its
-// versions are those of the runner's events, so that whoever reads the runner
-// next goes on where the one before stopped.
+// CachedPrefixes is the stream of the parts that a runner reports as cached, with their
+// tokens by key. Epoch and versions are those of the runner's events, so that whichever
+// node reads the runner next continues where the last one stopped.
 type CachedPrefixes = statesync.Stream[uint64, int32]
 
 func hashPart(k uint64, tokens int32) uint64 {
 	return statesync.Mix(k ^ statesync.Mix(uint64(tokens)+1))
 }
 
-// seen is what this node makes of its own requests until the runner's word on
-// the part comes: it has been read there, or it is coming.
-type seen struct {
+// observation is what this node concludes from its own requests until the runner reports
+// the part: it has been read there (read), or it is about to be.
+type observation struct {
 	tokens int32
 	read   bool
 }
 
-// Index is not safe for concurrent use.
+// Index is the index of cached prefixes by runner. It is not safe for concurrent use.
 type Index struct {
-	shelves map[string]*CachedPrefixes
-	seen    map[string]map[uint64]seen
+	cached   map[string]*CachedPrefixes
+	observed map[string]map[uint64]observation
 }
 
-// NewIndex makes an empty one.
+// NewIndex makes an empty index.
 func NewIndex() *Index {
-	return &Index{shelves: map[string]*CachedPrefixes{}, seen: map[string]map[uint64]seen{}}
+	return &Index{cached: map[string]*CachedPrefixes{}, observed: map[string]map[uint64]observation{}}
 }
 
-// CachedPrefixes gives the stream of a runner.
+// CachedPrefixes returns the stream of a runner; an unknown runner gets an empty one.
 func (x *Index) CachedPrefixes(runner string) *CachedPrefixes {
-	s := x.shelves[runner]
+	s := x.cached[runner]
 	if s == nil {
 		s = statesync.New(hashPart)
-		x.shelves[runner] = s
+		x.cached[runner] = s
 	}
 	return s
 }
 
-// Encode is a change of a runner's shelf as it goes over the wire.
+// Encode converts a change of a runner's cached prefixes to its message. A part of 0
+// tokens is deleted.
 func Encode(runner string, c statesync.Change[uint64, int32]) messages.KeptChange {
 	out := messages.KeptChange{ID: runner, Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Snapshot, Digest: c.Digest, Parts: make([]messages.KeptPart, 0, len(c.Puts))}
 	for _, p := range c.Puts {
@@ -118,7 +120,8 @@
 	return out
 }
 
-// Apply takes a change of a runner's shelf.
+// Apply applies a change of a runner's cached prefixes. Its parts replace what this node
+// concluded from its own requests.
 func (x *Index) Apply(c messages.KeptChange) statesync.Result {
 	in := statesync.Change[uint64, int32]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Whole, Digest: c.Digest}
 	for _, p := range c.Parts {
@@ -126,7 +129,7 @@
 	}
 	r := x.CachedPrefixes(c.ID).Apply(in)
 	if r == statesync.Applied {
-		m := x.seen[c.ID]
+		m := x.observed[c.ID]
 		for _, p := range c.Parts {
 			delete(m, p.Key)
 		}
@@ -134,10 +137,10 @@
 	return r
 }
 
-// Cursors tells how much of every shelf is here.
+// Cursors returns the epoch and version of every runner's stream.
 func (x *Index) Cursors() []messages.StreamHold {
-	out := make([]messages.StreamHold, 0, len(x.shelves))
-	for id, s := range x.shelves {
+	out := make([]messages.StreamHold, 0, len(x.cached))
+	for id, s := range x.cached {
 		if epoch, version := s.Cursor(); epoch != 0 {
 			out = append(out, messages.StreamHold{ID: id, Epoch: epoch, Version: version})
 		}
@@ -145,130 +148,130 @@
 	return out
 }
 
-// DeltasSince gives what a receiver with these holds lacks, for the runners that
-// pick says yes to.
-func (x *Index) DeltasSince(holds []messages.StreamHold, pick func(runner string) bool) []messages.KeptChange {
-	have := make(map[string]messages.StreamHold, len(holds))
-	for _, h := range holds {
-		have[h.ID] = h
+// DeltasSince returns the changes that a receiver with these cursors needs, of the runners
+// for which pick is true.
+func (x *Index) DeltasSince(cursors []messages.StreamHold, pick func(runner string) bool) []messages.KeptChange {
+	known := make(map[string]messages.StreamHold, len(cursors))
+	for _, h := range cursors {
+		known[h.ID] = h
 	}
 	var out []messages.KeptChange
-	for id, s := range x.shelves {
+	for id, s := range x.cached {
 		if s.Epoch == 0 || !pick(id) {
 			continue
 		}
-		h := have[id]
+		h := known[id]
 		if h.Epoch == s.Epoch && h.Version > s.Version {
 			continue
 		}
-		if c, lacks := s.DeltaSince(h.Epoch, h.Version); lacks {
+		if c, behind := s.DeltaSince(h.Epoch, h.Version); behind {
 			out = append(out, Encode(id, c))
 		}
 	}
 	return out
 }
 
-// Reset forgets all about a runner.
+// Reset deletes all entries of a runner.
 func (x *Index) Reset(runner string) {
-	delete(x.shelves, runner)
-	delete(x.seen, runner)
+	delete(x.cached, runner)
+	delete(x.observed, runner)
 }
 
-func (x *Index) note(runner string, key uint64, n seen) {
-	m := x.seen[runner]
+func (x *Index) record(runner string, key uint64, o observation) {
+	m := x.observed[runner]
 	if m == nil {
-		m = map[uint64]seen{}
-		x.seen[runner] = m
+		m = map[uint64]observation{}
+		x.observed[runner] = m
 	}
 	if len(m) >= maxParts {
 		clear(m)
 	}
-	m[key] = n
+	m[key] = o
 }
 
-// Expect notes a part that a runner will keep once it has read it.
+// Expect records a part that a runner will have cached once it has read it.
 func (x *Index) Expect(runner string, key uint64, tokens int32) {
-	if old := x.seen[runner][key]; !old.read {
-		x.note(runner, key, seen{tokens, false})
+	if old := x.observed[runner][key]; !old.read {
+		x.record(runner, key, observation{tokens, false})
 	}
 }
 
-// Forget takes back what Expect noted.
+// Forget takes back what Expect recorded.
 func (x *Index) Forget(runner string, key uint64) {
-	if m := x.seen[runner]; !m[key].read {
+	if m := x.observed[runner]; !m[key].read {
 		delete(m, key)
 	}
 }
 
-// Put notes that a runner has read a part, as this node saw it; the runner's
-// own word on the part goes before it.
+// Put records that a runner has read a part, as this node saw it; 0 tokens delete that. A
+// report of the runner itself that has as many tokens takes precedence.
 func (x *Index) Put(runner string, key uint64, tokens int32) {
 	if tokens <= 0 {
-		delete(x.seen[runner], key)
+		delete(x.observed[runner], key)
 		return
 	}
-	if s := x.shelves[runner]; s != nil {
+	if s := x.cached[runner]; s != nil {
 		if have, ok := s.Get(key); ok && have >= tokens {
-			delete(x.seen[runner], key)
+			delete(x.observed[runner], key)
 			return
 		}
 	}
-	x.note(runner, key, seen{tokens, true})
+	x.record(runner, key, observation{tokens, true})
 }
 
-// Cached counts the tokens of a prompt that a runner need not read again: whole
-// parts from the first on, and the kept beginning of the next.
+// Cached counts the tokens of a prompt that a runner need not read again: complete parts
+// from the first on, and the cached beginning of the next.
 func (x *Index) Cached(runner string, keys []uint64, parts []Part) int {
-	kept, _ := x.CachedAndExpected(runner, keys, parts)
-	return kept
+	cached, _ := x.CachedAndExpected(runner, keys, parts)
+	return cached
 }
 
-// Expected counts like Kept, with the parts that are coming.
+// Expected counts like Cached, with the parts that Expect recorded.
 func (x *Index) Expected(runner string, keys []uint64, parts []Part) int {
 	_, expected := x.CachedAndExpected(runner, keys, parts)
 	return expected
 }
 
-// CachedAndExpected gives Kept and Expected in one pass.
-func (x *Index) CachedAndExpected(runner string, keys []uint64, parts []Part) (kept, expected int) {
-	s, m := x.shelves[runner], x.seen[runner]
+// CachedAndExpected returns Cached and Expected in one pass.
+func (x *Index) CachedAndExpected(runner string, keys []uint64, parts []Part) (cached, expected int) {
+	s, m := x.cached[runner], x.observed[runner]
 	if s == nil && len(m) == 0 {
 		return 0, 0
 	}
-	still := true
+	contiguous := true
 	for i, k := range keys {
 		have := int32(0)
 		if s != nil {
 			have, _ = s.Get(k)
 		}
-		sure := have
+		certain := have
 		if n, ok := m[k]; ok {
 			have = max(have, n.tokens)
 			if n.read {
-				sure = have
+				certain = have
 			}
 		}
 		want := parts[i].Tokens
-		if still {
-			kept += min(int(sure), want)
-			still = int(sure) >= want
+		if contiguous {
+			cached += min(int(certain), want)
+			contiguous = int(certain) >= want
 		}
 		expected += min(int(have), want)
 		if int(have) < want {
 			break
 		}
 	}
-	return kept, expected
+	return cached, expected
 }
 
-// Retain forgets runners for which keep says no.
+// Retain deletes the entries of runners for which keep is false.
 func (x *Index) Retain(keep func(runner string) bool) {
-	for r := range x.shelves {
+	for r := range x.cached {
 		if !keep(r) {
 			x.Reset(r)
 		}
 	}
-	for r := range x.seen {
+	for r := range x.observed {
 		if !keep(r) {
 			x.Reset(r)
 		}
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestOnlyTheContiguousBeginningCounts(t *testing.T) {
+func TestCachedCountsContiguousPrefix(t *testing.T) {
 	parts := ParseParts("a:100, b:50,c:10")
 	must.Len(t, 3, parts)
 	keys := Keys("w1", "m", parts)
@@ -24,7 +24,7 @@
 	must.Eq(t, 0, x.Cached("r", keys, parts))
 }
 
-func TestSaltsKeepApart(t *testing.T) {
+func TestKeysDifferBySaltAndModel(t *testing.T) {
 	parts := ParseParts("a:100")
 	x := NewIndex()
 	x.Put("r", Key("w1", "m", "a"), 100)
@@ -34,7 +34,7 @@
 	must.Eq(t, 0, x.Cached("r", Keys("w1", "n", parts), parts))
 }
 
-func TestExpectedPartsGiveWayToEvents(t *testing.T) {
+func TestPutAndForgetReplaceExpectedParts(t *testing.T) {
 	parts := ParseParts("a:100")
 	keys := Keys("s", "m", parts)
 	x := NewIndex()
@@ -48,7 +48,7 @@
 	must.Eq(t, 0, x.Expected("r", keys, parts))
 }
 
-func TestBadPartsEndTheList(t *testing.T) {
+func TestParsePartsStopsAtMalformedItem(t *testing.T) {
 	must.Len(t, 0, ParseParts(""))
 	must.Len(t, 1, ParseParts("a:1,b"))
 	must.Len(t, 0, ParseParts("a:x"))
--- a/internal/registry/doubt_test.go
+++ b/internal/registry/doubt_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestADoubtedRunnerIsStaleUntilItsNextHeartbeat(t *testing.T) {
+func TestDoubtMakesRunnerStaleUntilNextHeartbeat(t *testing.T) {
 	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
 	r.ApplyHeartbeat(at("x", "1:1", 1), 100)
 	r.ApplyHeartbeat(at("y", "2:1", 1), 100)
@@ -19,7 +19,7 @@
 	must.False(t, r.Snapshot().ByID["x"].Stale)
 }
 
-func TestHintsAloneNeverLoseARunner(t *testing.T) {
+func TestDoubtAloneNeverMakesRunnerLost(t *testing.T) {
 	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
 	r.ApplyHeartbeat(at("x", "1:1", 1), 100)
 	for range 100 {
--- a/internal/registry/facts.go
+++ b/internal/registry/facts.go
@@ -7,7 +7,7 @@
 )
 
 // withFacts adds to a record what another record of the same runner knows and
-// that is not taken back: that it drains, its newest weights, and the newest bar.
+// that is not taken back: that it drains, its newest weights, and the newest cordon.
 func withFacts(n, other messages.RunnerRecord) messages.RunnerRecord {
 	n.Draining = n.Draining || other.Draining
 	n.Models = newestOf(n.Models, other.Models)
@@ -31,8 +31,7 @@
 	return out
 }
 
-// sameButSequence tells whether two records of a runner say the same to those
-// who use it.
+// sameButSequence reports whether two records of a runner differ in their sequence at most.
 func sameButSequence(a, b messages.RunnerRecord) bool {
 	return slices.Equal(a.Models, b.Models) && a.Addr == b.Addr && a.Service == b.Service && a.Capacity == b.Capacity &&
 		a.Draining == b.Draining && a.Gone == b.Gone && a.Stale == b.Stale && a.Lost == b.Lost &&
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -19,7 +19,7 @@
 // and it is lost as soon as without the exchange.
 
 // maxSilentRunners bounds one question. Where more runners are silent, those
-// asked about least recently go first.
+// asked about least recently come first.
 const maxSilentRunners = 1024
 
 // SilentRunners lists the usable runners that have been silent here for long
@@ -51,39 +51,39 @@
 func (r *Registry) LaterHeartbeats(question []messages.LastHeartbeat, nowUs int64) []messages.LastHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var heard []messages.LastHeartbeat
+	var later []messages.LastHeartbeat
 	for _, asked := range question {
 		e := r.entries[asked.ID]
 		if e != nil && e.usable() && e.lastSeq > asked.Seq {
-			heard = append(heard, e.lastHeartbeat(nowUs))
+			later = append(later, e.lastHeartbeat(nowUs))
 		}
 	}
-	return heard
+	return later
 }
 
 // ApplyLaterHeartbeats takes the answer to a question that was sent at sentUs. A
-// later heartbeat ends staleness as one that came straight does; what a runner's record
-// says comes with the records. It returns the ids of runners whose staleness
+// later heartbeat ends staleness as one that came directly does; the runner's record is
+// replicated separately. It returns the ids of runners whose staleness
 // ended.
 func (r *Registry) ApplyLaterHeartbeats(answer []messages.LastHeartbeat, sentUs, nowUs int64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	observedUs := r.observed.advance(nowUs)
 	var changed []string
-	for _, heard := range answer {
-		e := r.entries[heard.ID]
-		if e == nil || !e.usable() || heard.Seq <= e.lastSeq {
+	for _, heartbeat := range answer {
+		e := r.entries[heartbeat.ID]
+		if e == nil || !e.usable() || heartbeat.Seq <= e.lastSeq {
 			continue
 		}
-		heardAtUs := sentUs - max(heard.AgeUs, 0)
-		e.lastSeq = heard.Seq
-		e.lastHeartbeatUs = max(e.lastHeartbeatUs, heardAtUs)
+		sentAtUs := sentUs - max(heartbeat.AgeUs, 0)
+		e.lastSeq = heartbeat.Seq
+		e.lastHeartbeatUs = max(e.lastHeartbeatUs, sentAtUs)
 		// Observed time runs no faster than the clock, so this is not too late either.
-		e.lastObservedUs = max(e.lastObservedUs, observedUs-(nowUs-heardAtUs))
+		e.lastObservedUs = max(e.lastObservedUs, observedUs-(nowUs-sentAtUs))
 		r.newestObservedUs = max(r.newestObservedUs, e.lastObservedUs)
 		if e.record.Stale {
 			e.record.Stale = false
-			changed = append(changed, heard.ID)
+			changed = append(changed, heartbeat.ID)
 		}
 	}
 	if len(changed) > 0 {
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestSilenceIsNotCountedWhileAnotherObserverHearsTheRunner(t *testing.T) {
+func TestRunnerStaysFreshWhileAnotherObserverGetsHeartbeats(t *testing.T) {
 	for length := 3; length <= 5; length++ {
 		c := newChain(length)
 		for range 40 {
@@ -76,7 +76,7 @@
 
 // The last observer hears nobody any more, so the newest word that it compares
 // with is as old as its questions allow.
-func TestEndedRunnerIsLostOverAChainOfObserversInBoundedTime(t *testing.T) {
+func TestEndedRunnerIsLostAcrossObserverChainInBoundedTime(t *testing.T) {
 	for length := 3; length <= 5; length++ {
 		c := newChain(length)
 		c.play(20*secondUs, true)
@@ -95,7 +95,7 @@
 
 // An answer tells how old a heartbeat is; counted from the question it is never
 // taken for later than it was, however long the answer took.
-func TestAnswersDoNotMakeHeartbeatsLater(t *testing.T) {
+func TestLaterHeartbeatsNeverOverstateFreshness(t *testing.T) {
 	asks, hears := New(), New()
 	asks.ApplyHeartbeat(at("x", "1:1", 1), 1)
 	hears.ApplyHeartbeat(at("x", "1:1", 2), 1*secondUs)
@@ -108,7 +108,7 @@
 	must.SliceEmpty(t, asks.LaterHeartbeats(answer, 6*secondUs), must.Sprint("nothing later is known"))
 }
 
-func TestAnswersEndDoubtsByLaterHeartbeatsOnly(t *testing.T) {
+func TestLaterHeartbeatsEndDoubtOnlyWhenNewer(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(at("x", "1:1", 5), 1)
 	r.ApplyHeartbeat(at("y", "2:1", 5), 1)
@@ -124,7 +124,7 @@
 
 // A heartbeat that another observer told of carries no record: what the runner
 // says in it is taken when it comes.
-func TestRecordsAreTakenAfterTheirHeartbeatWasToldOf(t *testing.T) {
+func TestRecordIsAppliedAfterItsHeartbeatWasReported(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(at("x", "1:1", 1), 1)
 	r.ApplyLaterHeartbeats([]messages.LastHeartbeat{{ID: "x", Seq: 9}}, 2, 2)
@@ -134,7 +134,7 @@
 	must.Eq(t, 3, r.Snapshot().ByID["x"].Capacity)
 }
 
-func TestAnsweredRunnersThatEndedStayUnlisted(t *testing.T) {
+func TestLaterHeartbeatsDoNotReviveEndedRunners(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(at("left", "1:1", 1), 1)
 	r.Leave("left", 2)
@@ -148,7 +148,7 @@
 
 // One question is bounded; all silent runners have their turn, and nobody is
 // asked about while heartbeats arrive.
-func TestQuestionsAreBoundedAndTakeTurns(t *testing.T) {
+func TestSilentRunnersAreBoundedAndRotate(t *testing.T) {
 	r := New()
 	const runners = 1900
 	for i := range runners {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -9,8 +9,8 @@
 // observer from silence. Sweep alone draws them; Merge ignores those of other
 // controllers, and the next heartbeat ends them. Before a silent runner becomes stale
 // the other controllers are asked for later heartbeats (SilentRunners,
-// LaterHeartbeats, ApplyLaterHeartbeats). Mirror takes a record as it stands, facts
-// and beliefs, from the node that is followed.
+// LaterHeartbeats, ApplyLaterHeartbeats). Mirror applies a record of the node that is followed, facts
+// and beliefs.
 //
 // # What it guarantees
 //
@@ -33,13 +33,13 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// keepGoneUs is how long the entry of a runner that has left or was lost is
-// remembered, so that late words do not bring it back. It bounds the memory.
+// keepGoneUs is how long the entry of a runner that has left or was lost is kept, so that
+// late messages do not bring it back. It bounds the memory.
 const keepGoneUs = 120_000_000
 
 type entry struct {
 	record          messages.RunnerRecord
-	lastSeq         int64 // of the newest heartbeat known, be it heard here or elsewhere
+	lastSeq         int64 // of the newest heartbeat known, received here or elsewhere
 	lastObservedUs  int64 // observed time of that heartbeat
 	lastHeartbeatUs int64 // the same on the node's monotonic clock
 	lastAskedUs     int64 // when other controllers were last asked for a later one
@@ -60,11 +60,11 @@
 	return &entry{record: n, lastSeq: n.Seq, lastObservedUs: observedUs, lastHeartbeatUs: nowUs}
 }
 
-// Registry is the mutable side.
+// Registry is the records of all runners that a node knows. It is safe for concurrent use.
 type Registry struct {
 	mu               sync.Mutex
 	entries          map[string]*entry
-	byAddress        map[string]string // the id of the runner last heard at an address
+	byAddress        map[string]string // the id of the runner last seen at an address
 	pending          map[string]bool   // beliefs that changed outside of Sweep
 	observed         observedClock
 	newestObservedUs int64 // observed time of the newest heartbeat of any runner
@@ -78,37 +78,36 @@
 	return r
 }
 
-// Snapshot is what readers use.
+// Snapshot returns the usable runners. It takes no lock.
 func (r *Registry) Snapshot() *Snapshot { return r.snapshot.Load() }
 
-// ApplyHeartbeat takes a heartbeat that came straight from a runner, or was passed on at
-// once by the controller that got it. A higher sequence overrides every belief;
-// only the runner's own leaving stands against it. It tells whether anything
-// but the sequence changed.
+// ApplyHeartbeat applies a heartbeat that came directly from a runner, or was forwarded at
+// once by the controller that received it. A higher sequence overrides every belief; only
+// a runner that has left stays so. It reports whether anything but the sequence changed.
 func (r *Registry) ApplyHeartbeat(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heardUs := r.observed.advance(nowUs)
+	receivedUs := r.observed.advance(nowUs)
 	e := r.entries[n.ID]
 	if e != nil && (e.record.Gone || n.Seq <= e.record.Seq) {
 		return r.applyLateHeartbeat(e, n)
 	}
-	r.newestObservedUs = heardUs
+	r.newestObservedUs = receivedUs
 	r.evictAddress(n, nowUs)
 	if e == nil {
-		r.entries[n.ID] = newEntry(n, heardUs, nowUs)
+		r.entries[n.ID] = newEntry(n, receivedUs, nowUs)
 		r.updateSnapshot()
 		return true
 	}
 	old := e.record
-	e.recordHeartbeat(n.Seq, heardUs, nowUs)
+	e.recordHeartbeat(n.Seq, receivedUs, nowUs)
 	e.record = n
 	e.record = withFacts(e.record, old)
 	return r.publishIfChanged(e, old)
 }
 
-// applyLateHeartbeat takes a heartbeat that is not newer than what is known.
-// Draining is never taken back, so it holds however late it comes.
+// applyLateHeartbeat applies a heartbeat that is not newer than the record. Draining is
+// never taken back, so it holds however late it comes.
 func (r *Registry) applyLateHeartbeat(e *entry, n messages.RunnerRecord) bool {
 	if e.record.Gone || e.record.Draining || !n.Draining {
 		return false
@@ -118,9 +117,9 @@
 	return true
 }
 
-// evictAddress takes the address from the runner that was last heard there: an
-// address belongs to one runner at a time. That is a belief like silence, since
-// the word may have come late.
+// evictAddress takes the address from the runner that was last seen there: an address
+// belongs to one runner at a time. That is a belief like silence, since the heartbeat may
+// have come late.
 func (r *Registry) evictAddress(n messages.RunnerRecord, nowUs int64) {
 	former := r.byAddress[n.Addr]
 	r.byAddress[n.Addr] = n.ID
@@ -134,8 +133,8 @@
 	}
 }
 
-// Merge takes the facts of another controller's record and leaves its beliefs
-// aside: what it has not heard may have been told here.
+// Merge applies the facts of another controller's record and ignores its beliefs: a
+// heartbeat that did not reach that controller may have reached this one.
 func (r *Registry) Merge(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,8 +152,8 @@
 	return r.mergeLocked(n, nowUs)
 }
 
-// Mirror takes a record of the node that this one follows, with its beliefs:
-// a router hears no heartbeats itself.
+// Mirror applies a record of the node that this one follows, with its beliefs: a router
+// receives no heartbeats itself.
 func (r *Registry) Mirror(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,13 +161,13 @@
 }
 
 func (r *Registry) mergeLocked(n messages.RunnerRecord, nowUs int64) bool {
-	heardUs := r.observed.advance(nowUs)
+	receivedUs := r.observed.advance(nowUs)
 	e := r.entries[n.ID]
 	if e == nil {
 		if n.Gone || n.Lost {
-			return false // nodes would remind each other of it for good
+			return false // nodes would send it to each other for ever
 		}
-		r.entries[n.ID] = newEntry(n, heardUs, nowUs)
+		r.entries[n.ID] = newEntry(n, receivedUs, nowUs)
 		if r.byAddress[n.Addr] == "" {
 			r.byAddress[n.Addr] = n.ID
 		}
@@ -179,7 +178,7 @@
 	if old.Gone {
 		return false
 	}
-	e.recordHeartbeat(n.Seq, heardUs, nowUs)
+	e.recordHeartbeat(n.Seq, receivedUs, nowUs)
 	if n.Seq >= old.Seq {
 		e.record = n
 	}
@@ -200,7 +199,7 @@
 	return true
 }
 
-// Leave notes that a runner has left by its own word.
+// Leave records that a runner has left. It returns the record, and whether it changed.
 func (r *Registry) Leave(id string, nowUs int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -217,8 +216,8 @@
 	return e.record, changed
 }
 
-// SetCordon marks a runner as soon to be ordered (easing: no more long requests), as
-// under order (barred: none at all), or frees it.
+// SetCordon sets the cordon of a runner: easing for no more long requests, barred for no
+// requests at all, neither to lift it. An older version than the last is ignored.
 func (r *Registry) SetCordon(id string, easing, barred bool, version int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,7 +230,7 @@
 	return e.record, r.publishIfChanged(e, old)
 }
 
-// SetWeights notes the version of a model at a runner, as a report told it.
+// SetWeights records the version of a model at a runner, as a report named it.
 func (r *Registry) SetWeights(id, model string, version int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -272,8 +271,8 @@
 	return changed
 }
 
-// evaluate compares a runner's silence with the newest word of any runner: an
-// observer that hears nobody learns nothing about one of them.
+// evaluate compares a runner's silence with the newest heartbeat of any runner: an observer
+// that receives no heartbeats learns nothing about one runner.
 func (r *Registry) evaluate(e *entry, after Silence, nowUs int64) bool {
 	silentUs := r.newestObservedUs - e.lastObservedUs
 	if silentUs > after.LostUs {
@@ -300,12 +299,12 @@
 // list. That node may have just started and not have heard all runners yet.
 const unlistedLimitUs = 30_000_000
 
-// Retain forgets what the mirrored node has not listed for long. It tells
-// whether a usable runner went.
+// Retain deletes the runners that the mirrored node has not listed for unlistedLimitUs. It
+// reports whether a usable runner was deleted.
 func (r *Registry) Retain(listed func(id string) bool, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	went := false
+	deleted := false
 	for id, e := range r.entries {
 		switch {
 		case listed(id):
@@ -313,18 +312,18 @@
 		case e.unlistedUs == 0:
 			e.unlistedUs = nowUs
 		case nowUs-e.unlistedUs > unlistedLimitUs:
-			went = went || e.usable()
+			deleted = deleted || e.usable()
 			e.removedAtUs = min(e.removedAtUs, nowUs-keepGoneUs-1)
 			r.forgetOld(id, e, nowUs)
 		}
 	}
-	if went {
+	if deleted {
 		r.updateSnapshot()
 	}
-	return went
+	return deleted
 }
 
-// Record gives what is known of one runner, also of one that is gone.
+// Record returns the record of one runner, also of one that has left or is lost.
 func (r *Registry) Record(id string) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -335,7 +334,7 @@
 	return e.record, true
 }
 
-// All lists every record, those of ended runners included.
+// All returns every record, those of runners that have left or are lost included.
 func (r *Registry) All() []messages.RunnerRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -13,7 +13,7 @@
 	return messages.RunnerRecord{ID: id, Service: "s", Addr: "1.2.3.4:1", Zone: "a", Capacity: 8, Seq: seq, Models: []messages.Target{{Model: "m", Version: 1}}}
 }
 
-func TestLateBeatsDoNotGoBack(t *testing.T) {
+func TestLateHeartbeatsAreIgnored(t *testing.T) {
 	r := New()
 	must.True(t, r.ApplyHeartbeat(beat("x", 5), 1))
 	d := beat("x", 6)
@@ -25,7 +25,7 @@
 	must.True(t, r.Snapshot().ByID["x"].Draining)
 }
 
-func TestDrainingHoldsHoweverLateItComes(t *testing.T) {
+func TestLateDrainingIsApplied(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(beat("x", 5), 1)
 	late := beat("x", 4)
@@ -47,7 +47,7 @@
 	must.False(t, changed)
 }
 
-func TestMergeInAnyOrderComesToTheSame(t *testing.T) {
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	notes := []messages.RunnerRecord{beat("x", 1), beat("x", 2), beat("y", 1), beat("y", 3)}
 	notes[1].Models = []messages.Target{{Model: "m", Version: 2}}
 	notes[3].Draining = true
@@ -78,7 +78,7 @@
 }
 
 // What silence means is compared with the newest word of any runner.
-func TestSweepMarksThenLosesTheSilent(t *testing.T) {
+func TestSweepMarksSilentRunnersStaleThenLost(t *testing.T) {
 	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
 	r.ApplyHeartbeat(at("x", "1:1", 1), 0)
 	r.ApplyHeartbeat(at("y", "2:1", 1), 9)
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -1,7 +1,7 @@
 package registry
 
 // Silence is after how long without a heartbeat a runner is asked about, and
-// after how long without one, while other runners are heard, it counts as stale
+// after how long without one, while those of other runners arrive, it counts as stale
 // and as lost.
 type Silence struct {
 	AskUs   int64
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -27,7 +27,7 @@
 // A controller is cut off for 20 s. Its runners beat elsewhere, those that beat
 // at it are not heard by the others, and on healing each tells the other all
 // that it has.
-func TestSilenceAtOneObserverIsNoFact(t *testing.T) {
+func TestMergeIgnoresBeliefsOfPartitionedObserver(t *testing.T) {
 	cut, core := New(), New()
 	for _, r := range []*Registry{cut, core} {
 		r.ApplyHeartbeat(at("here", "1:1", 1), 1)
@@ -57,7 +57,7 @@
 	must.SliceEmpty(t, cut.Sweep(now, silence, true))
 }
 
-func TestAFrozenObserverConcludesNothing(t *testing.T) {
+func TestFrozenObserverMarksNoRunner(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(at("x", "1:1", 1), 1)
 	r.ApplyHeartbeat(at("y", "2:1", 1), 1)
@@ -70,7 +70,7 @@
 
 // Contact is found lost only a while after the last word of the others. What was
 // silent in that while was not observed.
-func TestTimeBeforeALossOfContactIsFoundCountsForNoSilence(t *testing.T) {
+func TestTimeBeforeDetectedContactLossIsNotSilence(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(at("there", "2:1", 1), 1)
 	now := int64(1)
@@ -92,7 +92,7 @@
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "there", must.Sprint("what was counted before a contact stays counted"))
 }
 
-func TestALostRunnerComesBackByItsNextHeartbeatOnly(t *testing.T) {
+func TestLostRunnerReturnsByNextHeartbeatOnly(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(at("x", "1:1", 7), 1)
 	for now := int64(sweepUs); now < 30*secondUs; now += sweepUs {
@@ -109,7 +109,7 @@
 
 // An address belongs to the runner that was heard there last; a word that came
 // late is put right by the next heartbeat.
-func TestANewerRunnerTakesTheAddress(t *testing.T) {
+func TestNewerRunnerTakesOverAddress(t *testing.T) {
 	r := New()
 	r.ApplyHeartbeat(at("old", "1:1", 5), 1)
 	must.True(t, r.ApplyHeartbeat(at("new", "1:1", 1), 2))
@@ -123,7 +123,7 @@
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "old")
 }
 
-func TestAMirrorFollowsBeliefsAndForgetsTheUnlisted(t *testing.T) {
+func TestMirrorAppliesBeliefsAndRetainDropsUnlisted(t *testing.T) {
 	r := New()
 	r.Mirror(at("x", "1:1", 9), 1)
 	lost := at("x", "1:1", 4)
@@ -170,10 +170,10 @@
 
 // step plays half a second: each runner beats at one observer that runs, which
 // passes it on to those that it reaches.
-func (w *world) step(calm bool) {
+func (w *world) step(healthy bool) {
 	w.nowUs += sweepUs
-	if !calm {
-		w.trouble()
+	if !healthy {
+		w.injectFault()
 	}
 	for id, n := range w.live {
 		n.Seq++
@@ -191,12 +191,12 @@
 			o.Sweep(w.nowUs, silence, !w.cutOff(i))
 		}
 	}
-	w.tellEachOther()
+	w.exchangeRecords()
 }
 
 func (w *world) cutOff(i int) bool { return w.nowUs < w.cutUntil[i] }
 
-func (w *world) tellEachOther() {
+func (w *world) exchangeRecords() {
 	for i, from := range w.observers {
 		for j, to := range w.observers {
 			if i == j || w.cutOff(i) || w.cutOff(j) || w.nowUs < max(w.frozen[i], w.frozen[j]) {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (w *world) trouble() {
+func (w *world) injectFault() {
 	victim := w.rnd.IntN(3)
 	switch w.rnd.IntN(30) {
 	case 0:
@@ -235,33 +235,40 @@
 	}
 }
 
-func TestAfterTheLastHealAllAgreeOnTheLiveRunners(t *testing.T) {
+// requireListsLive checks that every observer lists all live runners, none as stale.
+func (w *world) requireListsLive(t *testing.T, seed uint64) {
+	t.Helper()
+	for i, o := range w.observers {
+		for id := range w.live {
+			n, ok := o.Snapshot().ByID[id]
+			must.True(t, ok && !n.Stale, must.Sprintf("seed %d: observer %d does not list live %s", seed, i, id))
+		}
+	}
+}
+
+// run plays as many steps without faults as fit in a time.
+func (w *world) run(forUs int64) {
+	for range forUs / sweepUs {
+		w.step(true)
+	}
+}
+
+func TestObserversAgreeOnLiveRunnersAfterHeal(t *testing.T) {
 	for seed := range uint64(50) {
 		w := newWorld(seed)
 		for range 240 {
 			w.step(false)
 		}
 		w.cutUntil, w.frozen = make([]int64, 3), make([]int64, 3)
-		for range 2 + 2*heartbeatUs/sweepUs {
-			w.step(true)
-		}
-		for i, o := range w.observers {
-			for id := range w.live {
-				n, ok := o.Snapshot().ByID[id]
-				must.True(t, ok && !n.Stale, must.Sprintf("seed %d: observer %d does not list live %s", seed, i, id))
-			}
-		}
-		for range 2 * 12 * heartbeatUs / sweepUs {
-			w.step(true)
-		}
+		w.run(2*sweepUs + 2*heartbeatUs)
+		w.requireListsLive(t, seed)
+		w.run(2 * 12 * heartbeatUs)
 		for i, o := range w.observers {
 			must.MapLen(t, len(w.live), o.Snapshot().ByID, must.Sprintf("seed %d: observer %d lists ended runners", seed, i))
 		}
-		for range 2 * keepGoneUs / sweepUs {
-			w.step(true)
-		}
+		w.run(2 * keepGoneUs)
 		for _, o := range w.observers {
-			must.Len(t, len(w.live), o.All(), must.Sprintf("seed %d: ended runners are remembered for good", seed))
+			must.Len(t, len(w.live), o.All(), must.Sprintf("seed %d: ended runners are kept for ever", seed))
 		}
 	}
 }
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -2,12 +2,12 @@
 
 import (
 	"hash/fnv"
-	"sort"
+	"slices"
 
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Snapshot is the usable runners at one moment.
+// Snapshot is the usable runners at one moment. It is immutable.
 type Snapshot struct {
 	ByService map[string][]messages.RunnerRecord
 	ByID      map[string]messages.RunnerRecord
@@ -17,8 +17,8 @@
 // Flags of a runner in the sum of a snapshot.
 const (
 	flagDraining = 1 << iota
-	flagBarred
-	flagEasing
+	flagCordoned
+	flagDrainingLong
 )
 
 func newSnapshot(entries map[string]*entry) *Snapshot {
@@ -29,7 +29,7 @@
 			ids = append(ids, id)
 		}
 	}
-	sort.Strings(ids)
+	slices.Sort(ids)
 	sum := fnv.New64a()
 	for _, id := range ids {
 		n := entries[id].record
@@ -51,10 +51,10 @@
 		flags |= flagDraining
 	}
 	if n.Barred {
-		flags |= flagBarred
+		flags |= flagCordoned
 	}
 	if n.Easing {
-		flags |= flagEasing
+		flags |= flagDrainingLong
 	}
 	return flags
 }
--- a/internal/registry/stream.go
+++ b/internal/registry/stream.go
@@ -8,8 +8,8 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Controllers tell each other and the routers their records as a stream of
-// changes, keyed by the runner's id. The stream is the caller's, who guards it.
+// Controllers send each other and the routers their records as a stream of changes,
+// keyed by the runner's id. The stream belongs to the caller, who guards it.
 
 // Publish puts the records of the given runners into a stream as they are now.
 func (r *Registry) Publish(stream *statesync.Entries, ids ...string) error {
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// Sync brings a stream to what is held here: records that it lacks go in, those
-// of runners that are forgotten go out.
+// Sync brings a stream up to date with the registry: records that it does not have are
+// added, those of runners that are no longer kept are dropped.
 func (r *Registry) Sync(stream *statesync.Entries) error {
 	known := map[string]bool{}
 	for _, n := range r.All() {
--- a/internal/registry/stream_test.go
+++ b/internal/registry/stream_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-func TestStreamFollowsTheRegistry(t *testing.T) {
+func TestSyncMatchesStreamToRegistry(t *testing.T) {
 	r, stream := New(), statesync.NewEntries()
 	stream.Begin(1, 0)
 	r.ApplyHeartbeat(at("x", "1:1", 1), 1)
@@ -36,7 +36,7 @@
 	must.Len(t, 2, receiver.All())
 }
 
-func TestUnreadableRecordsAreCountedAndPassedOver(t *testing.T) {
+func TestMergeChangeCountsMalformedRecords(t *testing.T) {
 	stream, r := statesync.NewEntries(), New()
 	stream.Begin(1, 0)
 	must.NoError(t, putRecord(stream, at("x", "1:1", 1)))
