--- a/internal/dissemination/bring_test.go
+++ b/internal/dissemination/catchup_test.go
@@ -14,7 +14,7 @@
 
 // A parent that is long about what a new child lacks sends it feeds meanwhile, so that
 // it is not taken for silent, and makes one answer for all that the child asks for.
-func TestFeedsGoOutWhileTheFirstAnswerIsMade(t *testing.T) {
+func TestUpdatesAreSentWhileSnapshotIsPrepared(t *testing.T) {
 	parent, child := station(t), station(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/dissemination/comparisons.go
+++ b/internal/dissemination/comparisons.go
@@ -6,8 +6,8 @@
 import "sync"
 
 // Times of comparisons, as parts of convergeMs: how often one begins, how long one
-// may take, and after how long without its parent's feed a router asks several at
-// once.
+// may take, and after how long without its parent's update a router queries several
+// at once.
 const (
 	ComparisonParts     = 5
 	ComparisonWaitParts = 2
@@ -16,7 +16,7 @@
 
 const (
 	// overdueAtOnce is how many controllers are asked at once when the parent's
-	// feed is overdue.
+	// update is overdue.
 	overdueAtOnce = 3
 	// mostComparisons bounds how many go on at a time.
 	mostComparisons = 6
@@ -25,12 +25,12 @@
 	takeRunnersAfter, takeRunnersEvery = 2, 4
 )
 
-// NewComparisons begins with a turn of the caller's choice, so that not all nodes
-// ask the same controller first.
+// NewComparisons starts at a turn of the caller's choice, so that not all nodes query the
+// same controller first.
 func NewComparisons(turn int) *Comparisons { return &Comparisons{turn: turn} }
 
-// Comparisons are those under way, and whose turn is next. The zero value is ready
-// for use.
+// Comparisons are those under way, and whose turn is next. The zero value is ready for use,
+// and safe for concurrent use.
 type Comparisons struct {
 	mu      sync.Mutex
 	turn    int
@@ -38,8 +38,8 @@
 	differs int             // answers in a row with other runners than here
 }
 
-// Next picks whom to ask now: one controller, or several where the parent's feed is
-// overdue. The parent is passed over where there are others, and so is who has
+// Next returns whom to query now: one controller, or several where the parent's update is
+// overdue. The parent is skipped where there are others, and so is a controller that has
 // not answered yet.
 func (p *Comparisons) Next(controllers []string, parent string, overdue bool) []string {
 	p.mu.Lock()
@@ -68,7 +68,7 @@
 	return out
 }
 
-// Ended notes an answer, or that there is none.
+// Ended records an answer, or that there is none.
 func (p *Comparisons) Ended(addr string, answered, sameRunners bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// WantRunners tells whether the next comparison fetches all runners.
+// WantRunners reports whether the next comparison fetches all runners.
 func (p *Comparisons) WantRunners() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dissemination/comparisons_test.go
+++ b/internal/dissemination/comparisons_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestComparisonsGoRoundAndPassBySilentControllers(t *testing.T) {
+func TestComparisonsRotateAndSkipSilentControllers(t *testing.T) {
 	var p Comparisons
 	all := []string{"a", "b", "c", "d", "parent"}
 	asked := map[string]int{}
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestComparisonsAskSeveralWhenTheParentIsOverdue(t *testing.T) {
+func TestComparisonsQuerySeveralWhenParentIsOverdue(t *testing.T) {
 	var p Comparisons
 	all := []string{"a", "b", "c", "d", "e", "f", "g", "parent"}
 	must.Len(t, overdueAtOnce, p.Next(all, "parent", true))
@@ -36,7 +36,7 @@
 	must.Eq(t, []string{"parent"}, (&Comparisons{}).Next([]string{"parent"}, "parent", false))
 }
 
-func TestRunnersAreFetchedWhenTwoAnswersDiffer(t *testing.T) {
+func TestRunnersAreFetchedAfterTwoDifferences(t *testing.T) {
 	var p Comparisons
 	for _, same := range []bool{false, false} {
 		must.False(t, p.WantRunners())
--- a/internal/dissemination/policy.go
+++ b/internal/dissemination/policy.go
@@ -26,7 +26,7 @@
 	return parent == p.shunned && nowUs < p.shunUntilUs
 }
 
-// LeaveSilent tells whether a parent is left that has been silent for so long.
+// LeaveSilent reports whether a parent is left that has been silent for so long.
 func (p *ParentPolicy) LeaveSilent(parent string, silentUs, nowUs int64) bool {
 	if silentUs <= silentFor.Microseconds() {
 		return false
@@ -35,7 +35,7 @@
 	return true
 }
 
-// LeaveCutOff tells whether a parent is left that says that the core is out of its
+// LeaveCutOff reports whether a parent is left that says that the core is out of its
 // reach.
 func (p *ParentPolicy) LeaveCutOff(parent string, nowUs int64) bool {
 	if p.leftCutUs != 0 && nowUs-p.leftCutUs <= shunCut.Microseconds() {
@@ -46,29 +46,28 @@
 	return true
 }
 
-// Moves tells whether another parent is wanted now.
+// Moves reports whether another parent is wanted now.
 func (p *ParentPolicy) Moves(wanted []string, parent string, nowUs int64) bool {
 	return len(wanted) > 0 && wanted[0] != parent && !p.shuns(wanted[0], nowUs)
 }
 
-// askAgain is how long an answer may take before what is lacking is asked for
-// again.
-const askAgain = 200 * time.Millisecond
+// retryRequestAfter is how long an answer may take before missing state is requested again.
+const retryRequestAfter = 200 * time.Millisecond
 
-// RequestPacer keeps a node from asking again before an answer can be there. The
+// RequestPacer keeps a node from repeating a request before an answer can be there. The
 // zero value is ready for use.
 type RequestPacer struct {
-	lacking bool // something did not fit and has not been asked for
-	askedUs int64
+	behind      bool // state is missing and has not been requested
+	requestedUs int64
 }
 
-// Due tells whether to ask now. lacks says that something does not fit; it is
-// remembered where it is too early to ask.
-func (p *RequestPacer) Due(lacks bool, nowUs int64) bool {
-	p.lacking = p.lacking || lacks
-	if !p.lacking || p.askedUs != 0 && nowUs-p.askedUs < askAgain.Microseconds() {
+// Due reports whether to request now. behind says that state is missing; it is remembered
+// where it is too early for a request.
+func (p *RequestPacer) Due(behind bool, nowUs int64) bool {
+	p.behind = p.behind || behind
+	if !p.behind || p.requestedUs != 0 && nowUs-p.requestedUs < retryRequestAfter.Microseconds() {
 		return false
 	}
-	p.lacking, p.askedUs = false, nowUs
+	p.behind, p.requestedUs = false, nowUs
 	return true
 }
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -4,22 +4,22 @@
 // A Publisher is the sending side of a node, a Subscriber its link to a parent, and
 // Parents the order in which a router tries its parents. ParentPolicy and RequestPacer
 // are the pure decisions of a subscriber, Comparisons those of a router that asks
-// other controllers beside the tree. What is in a feed is for the caller to say, by
+// other controllers beside the tree. What is in an update is for the caller to say, by
 // the functions of Upstream and Subscriber; package statesync has the streams.
 //
-// A subscriber names what it holds and gets what it lacks, then every feed as it is
-// published. Feeds of one subscription arrive in order. What waits for a subscriber is
+// A subscriber names what it has and gets what it needs, then every update as it
+// is published. Updates of one subscription arrive in order. What waits for a subscriber is
 // bounded in bytes; beyond that it is dropped, and the subscriber, which sees the gap,
-// names again what it holds and gets the changes since, merged. Loads travel up the
-// same connection and are acknowledged by sequence number. A parent that is silent, or
+// names again what it has and gets the changes since, merged. Loads travel up the
+// same connection and are acknowledged by sequence number. A parent that stops sending, or
 // that says it is cut off from the core, is left for the next one.
 //
 // A mutex in Publisher guards the set of subscribers, one in each subscriber what
 // waits for it; one goroutine for each subscriber writes to its connection, and one at
-// most makes up what it lacks. A Subscriber runs on the goroutine of Listen; feeds and
-// acknowledgements (Take, Heard) are handled on the goroutine that serves its
+// most makes up its snapshot or delta. A Subscriber runs on the goroutine of Listen; updates
+// and acknowledgements (ApplyUpdate, Acked) are handled on the goroutine that serves its
 // connection, so callbacks must be safe for concurrent use. Any goroutine may call
-// Tell.
+// Send.
 package dissemination
 
 import (
@@ -31,56 +31,57 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// mostWaiting bounds the bytes that wait for one subscriber.
-const mostWaiting = 4 << 20
+// maxQueuedBytes bounds the backlog of one subscriber.
+const maxQueuedBytes = 4 << 20
 
-// Upstream is what a relay does with what comes from below.
+// Upstream is what a publisher calls for its subscribers.
 type Upstream struct {
-	DeltaSince   func(h messages.Hold) messages.Feed     // what a receiver lacks
-	ApplyReport  func(from string, t messages.Told) bool // loads from below; false: they do not fit what came before
+	DeltaSince   func(h messages.Hold) messages.Feed     // what a receiver needs
+	ApplyReport  func(from string, t messages.Told) bool // loads of a subtree; false: all of them are to be sent again
 	Unsubscribed func(from string)                       // a subscriber has ended
 }
 
-// Audience picks subscribers.
+// Audience selects subscribers.
 type Audience int
 
-// Audiences of a feed.
+// Audiences of an update.
 const (
 	ToRouters Audience = iota
 	ToControllers
 )
 
-// Publisher is one node's place in the tree.
+// Publisher is the sending side of a node. It is safe for concurrent use.
 type Publisher struct {
-	mu      sync.Mutex
-	subs    map[*transport.Conn]*sub
-	up      Upstream
-	wholes  chan struct{} // bounds how many receivers are brought up at a time
-	Dropped atomic.Int64
+	mu        sync.Mutex
+	queues    map[*transport.Conn]*subscriberQueue
+	up        Upstream
+	snapshots chan struct{} // bounds how many receivers are caught up at a time
+	Dropped   atomic.Int64
 }
 
-type sub struct {
+// subscriberQueue is what waits for one subscriber.
+type subscriberQueue struct {
 	mu         sync.Mutex
-	waiting    []byte
-	kick       chan struct{}
+	queued     []byte
+	wake       chan struct{}
 	controller bool
-	heard      int64
-	wanted     *messages.Hold // what the receiver held when it last asked
-	bringing   bool           // an answer to it is being made
+	acked      int64
+	requested  *messages.Hold // what the receiver had when it last requested
+	answering  bool           // an answer to it is being made
 }
 
-// atOnce bounds how many subscribers are brought up to date at one time.
-const atOnce = 2
+// maxConcurrentSnapshots bounds how many subscribers are caught up at a time.
+const maxConcurrentSnapshots = 2
 
-// NewPublisher hangs the subscription into the transport.
+// NewPublisher makes a publisher and registers its handlers at the transport.
 func NewPublisher(r *transport.Transport, up Upstream) *Publisher {
-	y := &Publisher{subs: map[*transport.Conn]*sub{}, up: up, wholes: make(chan struct{}, atOnce)}
+	p := &Publisher{queues: map[*transport.Conn]*subscriberQueue{}, up: up, snapshots: make(chan struct{}, maxConcurrentSnapshots)}
 	r.OnCall(transport.KindSubscribe, func(_ context.Context, from *transport.Conn, body []byte) ([]byte, error) {
 		var h messages.Hold
 		if _, err := h.UnmarshalMsg(body); err != nil {
 			return nil, err
 		}
-		y.add(from, h)
+		p.add(from, h)
 		return nil, nil
 	})
 	r.OnCall(transport.KindSince, func(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
@@ -88,15 +89,15 @@
 		if _, err := h.UnmarshalMsg(body); err != nil {
 			return nil, err
 		}
-		return y.since(h)
+		return p.deltaSince(h)
 	})
 	r.OnPush(transport.KindWant, func(from *transport.Conn, body []byte) {
 		var h messages.Hold
 		if _, err := h.UnmarshalMsg(body); err != nil {
 			return
 		}
-		if s := y.sub(from); s != nil {
-			y.bring(s, h)
+		if s := p.queueOf(from); s != nil {
+			p.catchUp(s, h)
 		}
 	})
 	r.OnPush(transport.KindTold, func(from *transport.Conn, body []byte) {
@@ -104,85 +105,85 @@
 		if _, err := t.UnmarshalMsg(body); err != nil {
 			return
 		}
-		s := y.sub(from)
+		s := p.queueOf(from)
 		if s == nil {
 			return
 		}
-		if !y.up.ApplyReport(from.Remote(), t) {
-			y.put(s, transport.KindTellAgain, nil)
+		if !p.up.ApplyReport(from.Remote(), t) {
+			p.enqueue(s, transport.KindTellAgain, nil)
 			return
 		}
 		s.mu.Lock()
-		s.heard = t.Seq
+		s.acked = t.Seq
 		s.mu.Unlock()
 	})
-	return y
+	return p
 }
 
-func (y *Publisher) sub(l *transport.Conn) *sub {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.subs[l]
+func (p *Publisher) queueOf(l *transport.Conn) *subscriberQueue {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.queues[l]
 }
 
-func (y *Publisher) since(h messages.Hold) ([]byte, error) {
-	y.wholes <- struct{}{}
-	defer func() { <-y.wholes }()
-	f := y.up.DeltaSince(h)
+func (p *Publisher) deltaSince(h messages.Hold) ([]byte, error) {
+	p.snapshots <- struct{}{}
+	defer func() { <-p.snapshots }()
+	f := p.up.DeltaSince(h)
 	return f.MarshalMsg(nil)
 }
 
-// bring sends a receiver what it lacks. One answer for it is made at a time; of what
-// it asks meanwhile the last counts.
-func (y *Publisher) bring(s *sub, h messages.Hold) {
+// catchUp sends a subscriber what it does not have. One answer is made at a time; of the
+// requests that arrive meanwhile the last counts.
+func (p *Publisher) catchUp(s *subscriberQueue, h messages.Hold) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanted = &h
-	if s.bringing {
+	s.requested = &h
+	if s.answering {
 		return
 	}
-	s.bringing = true
+	s.answering = true
 	go func() {
-		for h := s.nextWanted(); h != nil; h = s.nextWanted() {
-			if b, err := y.since(*h); err == nil {
-				y.put(s, transport.KindFeed, b)
+		for h := s.nextRequested(); h != nil; h = s.nextRequested() {
+			if b, err := p.deltaSince(*h); err == nil {
+				p.enqueue(s, transport.KindFeed, b)
 			}
 		}
 	}()
 }
 
-// nextWanted gives what is to be answered next; nil ends the answering.
-func (s *sub) nextWanted() *messages.Hold {
+// nextRequested returns what is to be answered next; nil ends the answering.
+func (s *subscriberQueue) nextRequested() *messages.Hold {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.wanted
-	s.wanted, s.bringing = nil, h != nil
+	h := s.requested
+	s.requested, s.answering = nil, h != nil
 	return h
 }
 
-func (y *Publisher) add(l *transport.Conn, h messages.Hold) {
-	s := &sub{kick: make(chan struct{}, 1), controller: h.Controller}
-	y.mu.Lock()
-	y.subs[l] = s
-	y.mu.Unlock()
+func (p *Publisher) add(l *transport.Conn, h messages.Hold) {
+	s := &subscriberQueue{wake: make(chan struct{}, 1), controller: h.Controller}
+	p.mu.Lock()
+	p.queues[l] = s
+	p.mu.Unlock()
 	go func() {
 		defer func() {
-			y.mu.Lock()
-			delete(y.subs, l)
-			y.mu.Unlock()
+			p.mu.Lock()
+			delete(p.queues, l)
+			p.mu.Unlock()
 			l.Close()
-			y.up.Unsubscribed(l.Remote())
+			p.up.Unsubscribed(l.Remote())
 		}()
-		y.bring(s, h)
+		p.catchUp(s, h)
 		for {
 			select {
-			case <-s.kick:
+			case <-s.wake:
 			case <-l.Done():
 				return
 			}
 			s.mu.Lock()
-			b := s.waiting
-			s.waiting = nil
+			b := s.queued
+			s.queued = nil
 			s.mu.Unlock()
 			if len(b) > 0 && l.SendRaw(b) != nil {
 				return
@@ -191,33 +192,33 @@
 	}()
 }
 
-func (y *Publisher) put(s *sub, kind int, body []byte) {
+func (p *Publisher) enqueue(s *subscriberQueue, kind int, body []byte) {
 	f := messages.Frame{Kind: kind, Body: body}
 	s.mu.Lock()
-	if len(s.waiting)+len(body) > mostWaiting {
-		s.waiting = nil
-		y.Dropped.Add(1)
+	if len(s.queued)+len(body) > maxQueuedBytes {
+		s.queued = nil
+		p.Dropped.Add(1)
 	}
-	if kind == transport.KindFeed && s.heard > 0 {
-		t := messages.Told{Seq: s.heard}
+	if kind == transport.KindFeed && s.acked > 0 {
+		t := messages.Told{Seq: s.acked}
 		if b, err := t.MarshalMsg(nil); err == nil {
 			h := messages.Frame{Kind: transport.KindHeard, Body: b}
-			s.waiting, _ = h.MarshalMsg(s.waiting)
+			s.queued, _ = h.MarshalMsg(s.queued)
 		}
 	}
-	s.waiting, _ = f.MarshalMsg(s.waiting)
+	s.queued, _ = f.MarshalMsg(s.queued)
 	s.mu.Unlock()
 	select {
-	case s.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// HasSubscribers tells whether anybody of an audience listens.
-func (y *Publisher) HasSubscribers(to Audience) bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	for _, s := range y.subs {
+// HasSubscribers reports whether anybody of an audience is subscribed.
+func (p *Publisher) HasSubscribers(to Audience) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, s := range p.queues {
 		if s.controller == (to == ToControllers) {
 			return true
 		}
@@ -225,23 +226,23 @@
 	return false
 }
 
-// Publish sends a feed to an audience.
-func (y *Publisher) Publish(to Audience, f messages.Feed) {
-	if !y.HasSubscribers(to) {
+// Publish sends an update to an audience.
+func (p *Publisher) Publish(to Audience, f messages.Feed) {
+	if !p.HasSubscribers(to) {
 		return
 	}
 	if b, err := f.MarshalMsg(nil); err == nil {
-		y.Forward(to, b)
+		p.Forward(to, b)
 	}
 }
 
-// Forward sends a feed on as it came.
-func (y *Publisher) Forward(to Audience, body []byte) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	for _, s := range y.subs {
+// Forward sends an encoded update to an audience as it was received.
+func (p *Publisher) Forward(to Audience, body []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, s := range p.queues {
 		if s.controller == (to == ToControllers) {
-			y.put(s, transport.KindFeed, body)
+			p.enqueue(s, transport.KindFeed, body)
 		}
 	}
 }
--- a/internal/dissemination/publisher_test.go
+++ b/internal/dissemination/publisher_test.go
@@ -29,138 +29,197 @@
 	return r
 }
 
-// A tree of one parent and one child: the child follows changes, asks for what
-// it lacks when one was lost or is damaged, and its loads go up. What the
-// parent sends is a script; nothing here waits for time to pass, only for what
-// is to come.
-func TestAChildFollowsAndRepairsGaps(t *testing.T) {
-	parent, child := station(t), station(t)
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	var mu sync.Mutex
-	state := statesync.NewEntries()
-	state.Begin(1, 0)
-	asked, told, refuse := 0, make(chan messages.Told, 8), false
-	relay := NewPublisher(parent, Upstream{
-		DeltaSince: func(h messages.Hold) messages.Feed {
-			mu.Lock()
-			defer mu.Unlock()
-			asked++
-			f := messages.Feed{Versions: []int64{}}
-			if c, lacks := state.DeltaSince(h.Registry.Epoch, h.Registry.Version); lacks {
-				f.Registry = []messages.EntryChange{statesync.EncodeEntries(c)}
-			}
-			return f
-		},
-		ApplyReport: func(_ string, w messages.Told) bool {
-			told <- w
-			mu.Lock()
-			defer mu.Unlock()
-			return !refuse
-		},
-		Unsubscribed: func(string) {},
-	})
-	parent.Run(ctx)
-	child.Run(ctx)
-	var cmu sync.Mutex
-	replica := statesync.NewEntries()
-	hold := func() messages.Hold {
-		cmu.Lock()
-		defer cmu.Unlock()
-		return messages.Hold{Registry: messages.StreamHold{Epoch: replica.Epoch, Version: replica.Version}}
+// parentNode is the parent of a tree: a stream of entries and what it received.
+type parentNode struct {
+	publisher *Publisher
+	reports   chan messages.Told
+
+	mu     sync.Mutex // guards what follows
+	stream *statesync.Entries
+	refuse bool // reports are not applied
+}
+
+func newParentNode(r *transport.Transport) *parentNode {
+	p := &parentNode{stream: statesync.NewEntries(), reports: make(chan messages.Told, 8)}
+	p.stream.Begin(1, 0)
+	p.publisher = NewPublisher(r, Upstream{DeltaSince: p.deltaSince, ApplyReport: p.applyReport, Unsubscribed: func(string) {}})
+	return p
+}
+
+func (p *parentNode) deltaSince(state messages.Hold) messages.Feed {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	update := messages.Feed{Versions: []int64{}}
+	if c, behind := p.stream.DeltaSince(state.Registry.Epoch, state.Registry.Version); behind {
+		update.Registry = []messages.EntryChange{statesync.EncodeEntries(c)}
 	}
-	arrived, again, heard := make(chan statesync.Result, 64), make(chan bool, 8), make(chan int64, 8)
-	up := &Subscriber{
-		SyncState: hold, Parents: func() []string { return []string{parent.Addr()} },
-		ApplyUpdate: func(_ string, f messages.Feed, _ []byte) (want *messages.Hold) {
-			for _, c := range f.Registry {
-				cmu.Lock()
-				r := replica.Apply(statesync.DecodeEntries(c))
-				cmu.Unlock()
-				if r == statesync.Gap || r == statesync.Mismatch {
-					h := hold()
-					want = &h
-				}
-				arrived <- r
-			}
-			return want
-		},
-		Acked: func(seq int64) { heard <- seq }, ResendAll: func() { again <- true }, Unsubscribed: func(string) {},
+	return update
+}
+
+func (p *parentNode) applyReport(_ string, report messages.Told) bool {
+	p.reports <- report
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.refuse
+}
+
+func (p *parentNode) refuseReports() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.refuse = true
+}
+
+// change commits a value and returns the change, which is not published.
+func (p *parentNode) change(k, v string) messages.EntryChange {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.stream.Put(k, v)
+	return statesync.EncodeEntries(p.stream.Commit(p.stream.Version + 1))
+}
+
+// publish sends an update with the given changes, be it empty.
+func (p *parentNode) publish(changes ...messages.EntryChange) {
+	p.publisher.Publish(ToRouters, messages.Feed{Versions: []int64{}, Registry: changes})
+}
+
+// childNode is the child of a tree: a copy of the parent's stream.
+type childNode struct {
+	subscriber *Subscriber
+	results    chan statesync.Result // of the changes received
+	resends    chan bool             // requests to send all reports again
+	acks       chan int64            // sequence numbers of reports that the parent applied
+
+	mu     sync.Mutex // guards the stream
+	stream *statesync.Entries
+}
+
+func newChildNode(parent string) *childNode {
+	c := &childNode{
+		stream:  statesync.NewEntries(),
+		results: make(chan statesync.Result, 64), resends: make(chan bool, 8), acks: make(chan int64, 8),
 	}
-	go up.Listen(ctx, child)
-	must.True(t, <-again)
-	change := func(k, v string) messages.EntryChange {
-		mu.Lock()
-		defer mu.Unlock()
-		state.Put(k, v)
-		return statesync.EncodeEntries(state.Commit(state.Version + 1))
+	c.subscriber = &Subscriber{
+		SyncState: c.syncState, ApplyUpdate: c.applyUpdate,
+		Parents:   func() []string { return []string{parent} },
+		Acked:     func(seq int64) { c.acks <- seq },
+		ResendAll: func() { c.resends <- true }, Unsubscribed: func(string) {},
 	}
-	change("a", "1")
-	relay.Publish(ToRouters, messages.Feed{Versions: []int64{}, Registry: []messages.EntryChange{change("b", "1")}}) // the one before is lost
-	until := func(want string) {
-		t.Helper()
-		for range 1000 {
-			cmu.Lock()
-			same := replica.Digest() == state.Digest() && replica.Version == state.Version
-			cmu.Unlock()
-			if same {
-				return
-			}
-			select {
-			case <-arrived:
-			case <-time.After(20 * time.Millisecond): // as a parent does: an empty feed now and then
-				relay.Publish(ToRouters, messages.Feed{Versions: []int64{}})
-			}
+	return c
+}
+
+func (c *childNode) syncState() messages.Hold {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return messages.Hold{Registry: messages.StreamHold{Epoch: c.stream.Epoch, Version: c.stream.Version}}
+}
+
+func (c *childNode) applyUpdate(_ string, update messages.Feed, _ []byte) (missing *messages.Hold) {
+	for _, change := range update.Registry {
+		c.mu.Lock()
+		r := c.stream.Apply(statesync.DecodeEntries(change))
+		c.mu.Unlock()
+		if r == statesync.Gap || r == statesync.Mismatch {
+			state := c.syncState()
+			missing = &state
 		}
-		t.Fatal("never came to the state of the parent: " + want)
+		c.results <- r
 	}
-	until("after a lost change")
-	bad := change("c", "1")
-	bad.Digest++
-	relay.Publish(ToRouters, messages.Feed{Versions: []int64{}, Registry: []messages.EntryChange{bad}})
-	for r := range arrived {
-		if r == statesync.Mismatch {
-			break
+	return missing
+}
+
+func (c *childNode) equals(p *parentNode) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return c.stream.Digest() == p.stream.Digest() && c.stream.Version == p.stream.Version
+}
+
+// waitUntilEqual publishes empty updates now and then, as a parent does, until the child
+// has the state of the parent.
+func (c *childNode) waitUntilEqual(t *testing.T, p *parentNode, after string) {
+	t.Helper()
+	for range 1000 {
+		if c.equals(p) {
+			return
+		}
+		select {
+		case <-c.results:
+		case <-time.After(20 * time.Millisecond):
+			p.publish()
 		}
 	}
-	relay.Publish(ToRouters, messages.Feed{Versions: []int64{}}) // what is lacking is asked for with the next feed
-	until("after a damaged change")
-	relay.Forward(ToRouters, []byte("no feed"))
-	relay.Publish(ToRouters, messages.Feed{Versions: []int64{}, Registry: []messages.EntryChange{change("d", "1")}})
-	until("after bytes that are no feed")
-	must.Eq(t, int64(1), up.Malformed.Load())
-
-	must.True(t, up.Send(transport.KindTold, &messages.Told{Seq: 7}))
-	must.Eq(t, int64(7), (<-told).Seq)
-	for seq := int64(0); seq != 7; {
-		relay.Publish(ToRouters, messages.Feed{Versions: []int64{}})
+	t.Fatal("never reached the state of the parent: after " + after)
+}
+
+// waitUntilAcked publishes empty updates until the child gets an acknowledgement of seq.
+func (c *childNode) waitUntilAcked(p *parentNode, seq int64) {
+	for acked := int64(0); acked != seq; {
+		p.publish()
 		select {
-		case seq = <-heard:
+		case acked = <-c.acks:
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	mu.Lock()
-	refuse = true
-	mu.Unlock()
-	must.True(t, up.Send(transport.KindTold, &messages.Told{Seq: 8}))
-	must.True(t, <-again, must.Sprint("a word that does not fit is asked for whole"))
-}
-
-// What waits for a subscriber that does not read is dropped past its bound, not
-// kept and not waited for.
-func TestWhatWaitsForASlowReceiverIsBounded(t *testing.T) {
-	y := &Publisher{subs: map[*transport.Conn]*sub{}}
-	s := &sub{kick: make(chan struct{}, 1)}
+}
+
+// A tree of one parent and one child: the child follows changes, requests what it does
+// not have when one was lost or is damaged, and its reports go up. What the parent sends
+// is a script; nothing here waits for time to pass, only for what is to come.
+func TestSubscriberFollowsAndRepairsGaps(t *testing.T) {
+	parentTransport, childTransport := station(t), station(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	parent := newParentNode(parentTransport)
+	parentTransport.Run(ctx)
+	childTransport.Run(ctx)
+	child := newChildNode(parentTransport.Addr())
+	go child.subscriber.Listen(ctx, childTransport)
+	must.True(t, <-child.resends)
+
+	parent.change("a", "1") // this one is lost
+	parent.publish(parent.change("b", "1"))
+	child.waitUntilEqual(t, parent, "a lost change")
+
+	damaged := parent.change("c", "1")
+	damaged.Digest++
+	parent.publish(damaged)
+	for r := range child.results {
+		if r == statesync.Mismatch {
+			break
+		}
+	}
+	parent.publish() // what is missing is requested with the next update
+	child.waitUntilEqual(t, parent, "a damaged change")
+
+	parent.publisher.Forward(ToRouters, []byte("no feed"))
+	parent.publish(parent.change("d", "1"))
+	child.waitUntilEqual(t, parent, "bytes that are no update")
+	must.Eq(t, int64(1), child.subscriber.Malformed.Load())
+
+	must.True(t, child.subscriber.Send(transport.KindTold, &messages.Told{Seq: 7}))
+	must.Eq(t, int64(7), (<-parent.reports).Seq)
+	child.waitUntilAcked(parent, 7)
+	parent.refuseReports()
+	must.True(t, child.subscriber.Send(transport.KindTold, &messages.Told{Seq: 8}))
+	must.True(t, <-child.resends, must.Sprint("after a report that is not applied all of it is requested"))
+}
+
+// The backlog of a subscriber that does not read is dropped past its bound, not kept and
+// not waited for.
+func TestBacklogOfSlowSubscriberIsBounded(t *testing.T) {
+	p := &Publisher{queues: map[*transport.Conn]*subscriberQueue{}}
+	s := &subscriberQueue{wake: make(chan struct{}, 1)}
 	for range 3 {
-		y.put(s, transport.KindFeed, make([]byte, mostWaiting/2-100))
+		p.enqueue(s, transport.KindFeed, make([]byte, maxQueuedBytes/2-100))
 	}
-	must.Eq(t, int64(1), y.Dropped.Load())
-	must.LessEq(t, mostWaiting, len(s.waiting))
+	must.Eq(t, int64(1), p.Dropped.Load())
+	must.LessEq(t, maxQueuedBytes, len(s.queued))
 }
 
 // A parent that the core is out of reach of is left, but where it is so with all
 // of them a node does not go round in circles.
-func TestACutOffParentIsLeftOnce(t *testing.T) {
+func TestCutOffParentIsLeftOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	child := station(t)
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -19,14 +19,14 @@
 
 // Times of a subscription.
 const (
-	// UpdateInterval is how often a feed goes out at least, be it empty.
+	// UpdateInterval is the longest time between two updates, be they empty.
 	UpdateInterval = 250 * time.Millisecond
 	// silentFor is after how long without one a parent is left.
 	silentFor = 900 * time.Millisecond
 	// dialWait and subscribeWait are how long a parent may take to be joined.
 	dialWait      = 250 * time.Millisecond
 	subscribeWait = 600 * time.Millisecond
-	// shunFor is how long a parent that fell silent is not the first choice.
+	// shunFor is how long a parent that stopped sending is not the first choice.
 	shunFor = 2 * time.Second
 	// shunCut is the same for one that the core is out of reach of. It also
 	// bounds how often a node moves for that: if it is so with all parents,
@@ -39,14 +39,14 @@
 	anythingAfter = 2500 * time.Millisecond
 )
 
-// Subscriber is a node's link to its parent.
+// Subscriber is a node's link to its parent. The functions are set before Listen.
 type Subscriber struct {
 	Controller   bool // this node is a controller
 	SyncState    func() messages.Hold
 	Parents      func() []string
 	ApplyUpdate  func(parent string, f messages.Feed, raw []byte) (want *messages.Hold)
-	Acked        func(seq int64)   // the parent has taken what was told under seq
-	ResendAll    func()            // the parent lacks what came before: all is to be told
+	Acked        func(seq int64)   // the parent has applied the report with this seq
+	ResendAll    func()            // the parent needs all reports again
 	Unsubscribed func(addr string) // the subscription there has ended
 	Patience     time.Duration     // instead of anythingAfter
 
@@ -70,7 +70,7 @@
 	}
 	for ctx.Err() == nil {
 		for _, p := range u.policy.Order(u.Parents(), u.nowUs()) {
-			if u.once(ctx, r, p) {
+			if u.subscribe(ctx, r, p) {
 				break
 			}
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-// Send sends something up; false where there is no parent now.
+// Send pushes a message to the parent; false where there is none now.
 func (u *Subscriber) Send(kind int, body msgp.Marshaler) bool {
 	l := u.link.Load()
 	if l == nil {
@@ -88,8 +88,8 @@
 	return err == nil && l.Push(kind, b) == nil
 }
 
-// holds names what this node holds and who asks.
-func (u *Subscriber) holds() messages.Hold {
+// syncState returns what this node has, and who requests.
+func (u *Subscriber) syncState() messages.Hold {
 	h := u.SyncState()
 	u.complete(&h)
 	return h
@@ -97,89 +97,95 @@
 
 func (u *Subscriber) complete(h *messages.Hold) {
 	h.Controller = u.Controller
-	h.Anything = newcomer(*h) && time.Since(u.began) > u.Patience
+	h.Anything = unsynced(*h) && time.Since(u.began) > u.Patience
 }
 
-// newcomer tells a node that has no configuration yet.
-func newcomer(h messages.Hold) bool { return !h.Controller && h.Configuration.Version == 0 }
+// unsynced reports whether a node has no configuration yet.
+func unsynced(h messages.Hold) bool { return !h.Controller && h.Configuration.Version == 0 }
 
-func (u *Subscriber) once(ctx context.Context, r *transport.Transport, parent string) bool {
+// subscription is a connection to a parent while it lasts.
+type subscription struct {
+	conn         *transport.Conn
+	parent       string
+	lastUpdateUs atomic.Int64  // when the parent last sent an update
+	cutOff       chan struct{} // the parent says that the core is out of its reach
+}
+
+// subscribe joins a parent and stays until the subscription ends. It returns false where
+// the parent was not joined, or has nothing for a node that has no configuration yet.
+func (u *Subscriber) subscribe(ctx context.Context, r *transport.Transport, parent string) bool {
 	if parent == r.Addr() {
 		return false
 	}
-	dctx, dcancel := context.WithTimeout(ctx, dialWait)
-	l, err := r.DialFresh(dctx, parent)
-	dcancel()
+	conn, err := dial(ctx, r, parent)
 	if err != nil {
 		return false
 	}
-	defer l.Close()
-	var last atomic.Int64
-	leave := make(chan struct{}, 1)
-	l.OnPush = func(kind int, body []byte) {
-		u.hear(l, parent, kind, body, func() { last.Store(u.nowUs()) }, leave)
-	}
-	go l.Serve(ctx)
-	u.joined.Store(l)
-	h := u.holds()
-	cctx, cancel := context.WithTimeout(ctx, subscribeWait)
-	_, err = l.Call(cctx, transport.KindSubscribe, &h)
-	cancel()
-	if err != nil {
+	defer conn.Close()
+	s := &subscription{conn: conn, parent: parent, cutOff: make(chan struct{}, 1)}
+	conn.OnPush = func(kind int, body []byte) { u.receive(s, kind, body) }
+	go conn.Serve(ctx)
+	u.joined.Store(conn)
+	if u.requestSubscription(ctx, conn) != nil {
 		return false
 	}
-	u.link.Store(l)
+	u.link.Store(conn)
 	u.ResendAll()
 	defer func() {
-		u.link.CompareAndSwap(l, nil)
+		u.link.CompareAndSwap(conn, nil)
 		u.Unsubscribed(parent)
 	}()
-	last.Store(u.nowUs())
+	s.lastUpdateUs.Store(u.nowUs())
+	return u.follow(ctx, s)
+}
+
+func dial(ctx context.Context, r *transport.Transport, parent string) (*transport.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialWait)
+	defer cancel()
+	return r.DialFresh(ctx, parent)
+}
+
+// requestSubscription names what this node has and waits for the response.
+func (u *Subscriber) requestSubscription(ctx context.Context, conn *transport.Conn) error {
+	state := u.syncState()
+	ctx, cancel := context.WithTimeout(ctx, subscribeWait)
+	defer cancel()
+	_, err := conn.Call(ctx, transport.KindSubscribe, &state)
+	return err
+}
+
+// follow waits until the subscription ends or the parent is left. It returns what
+// subscribe does.
+func (u *Subscriber) follow(ctx context.Context, s *subscription) bool {
 	t := time.NewTicker(UpdateInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-l.Done():
+		case <-s.conn.Done():
 			return true
 		case <-ctx.Done():
 			return true
-		case <-leave:
-			if h := u.holds(); newcomer(h) && !h.Anything {
+		case <-s.cutOff:
+			if state := u.syncState(); unsynced(state) && !state.Anything {
 				return false
 			}
-			if u.policy.LeaveCutOff(parent, u.nowUs()) {
+			if u.policy.LeaveCutOff(s.parent, u.nowUs()) {
 				return true
 			}
 		case <-t.C:
 			nowUs := u.nowUs()
-			if u.policy.LeaveSilent(parent, nowUs-last.Load(), nowUs) || u.policy.Moves(u.Parents(), parent, nowUs) {
+			if u.policy.LeaveSilent(s.parent, nowUs-s.lastUpdateUs.Load(), nowUs) || u.policy.Moves(u.Parents(), s.parent, nowUs) {
 				return true
 			}
 		}
 	}
 }
 
-func (u *Subscriber) hear(l *transport.Conn, parent string, kind int, body []byte, alive func(), leave chan struct{}) {
+// receive handles a push of the parent.
+func (u *Subscriber) receive(s *subscription, kind int, body []byte) {
 	switch kind {
 	case transport.KindFeed:
-		if u.joined.Load() != l {
-			return // of a parent that was left: its list of runners would replace the new one's
-		}
-		alive()
-		var f messages.Feed
-		if _, err := f.UnmarshalMsg(body); err != nil {
-			u.Malformed.Add(1)
-			u.want(l, nil, true)
-			return
-		}
-		want := u.ApplyUpdate(parent, f, body)
-		u.want(l, want, want != nil)
-		if f.CutOff && !u.Controller {
-			select {
-			case leave <- struct{}{}:
-			default:
-			}
-		}
+		u.receiveUpdate(s, body)
 	case transport.KindHeard:
 		var t messages.Told
 		if _, err := t.UnmarshalMsg(body); err == nil {
@@ -192,17 +198,39 @@
 	}
 }
 
-// want asks the parent for what is lacking, if anything is and it is time.
-func (u *Subscriber) want(l *transport.Conn, h *messages.Hold, lacks bool) {
-	if !u.pacer.Due(lacks, u.nowUs()) {
+func (u *Subscriber) receiveUpdate(s *subscription, body []byte) {
+	if u.joined.Load() != s.conn {
+		return // of a parent that was left: its list of runners would replace the new one's
+	}
+	s.lastUpdateUs.Store(u.nowUs())
+	var f messages.Feed
+	if _, err := f.UnmarshalMsg(body); err != nil {
+		u.Malformed.Add(1)
+		u.requestMissing(s.conn, nil, true)
+		return
+	}
+	missing := u.ApplyUpdate(s.parent, f, body)
+	u.requestMissing(s.conn, missing, missing != nil)
+	if f.CutOff && !u.Controller {
+		select {
+		case s.cutOff <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// requestMissing requests what this node does not have, if it is behind and the pacer
+// allows it. A nil state stands for SyncState.
+func (u *Subscriber) requestMissing(conn *transport.Conn, state *messages.Hold, behind bool) {
+	if !u.pacer.Due(behind, u.nowUs()) {
 		return
 	}
-	if h == nil {
-		held := u.SyncState()
-		h = &held
+	if state == nil {
+		current := u.SyncState()
+		state = &current
 	}
-	u.complete(h)
-	if b, err := h.MarshalMsg(nil); err == nil {
-		_ = l.Push(transport.KindWant, b)
+	u.complete(state)
+	if b, err := state.MarshalMsg(nil); err == nil {
+		_ = conn.Push(transport.KindWant, b)
 	}
 }
--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -3,7 +3,8 @@
 package dissemination
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"beechtide.org/beechtide/internal/membership"
 	"beechtide.org/beechtide/internal/messages"
@@ -43,8 +44,8 @@
 
 // shuffled is an order of its own for every node.
 func shuffled(self string, list []string) []string {
-	sort.Slice(list, func(i, j int) bool {
-		return statesync.HashText(self, list[i]) > statesync.HashText(self, list[j])
+	slices.SortFunc(list, func(a, b string) int {
+		return cmp.Compare(statesync.HashText(self, b), statesync.HashText(self, a))
 	})
 	return list
 }
--- a/internal/dissemination/tree_test.go
+++ b/internal/dissemination/tree_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestParentsKeepZonesTogether(t *testing.T) {
+func TestParentsPreferOwnZone(t *testing.T) {
 	var routers []messages.Peer
 	for i := range 40 {
 		routers = append(routers, messages.Peer{Addr: fmt.Sprintf("c%02d", i), Zone: "a"})
@@ -22,7 +22,7 @@
 	must.Eq(t, []string{"da", "db"}, Parents("x", "c", controllers, routers))
 }
 
-func TestRoutersSpreadOverTheCountedControllers(t *testing.T) {
+func TestParentsSpreadRoutersOverCountedControllers(t *testing.T) {
 	var routers []messages.Peer
 	for i := range 34 {
 		routers = append(routers, messages.Peer{Addr: fmt.Sprintf("c%02d", i), Zone: "a"})
--- a/internal/dissemination/newcomer_test.go
+++ b/internal/dissemination/unsynced_test.go
@@ -17,9 +17,9 @@
 	hold   messages.Hold
 }
 
-// newcomerAmong starts a node that holds nothing below parents of which some are
+// unsyncedNodeBelow starts a node that holds nothing below parents of which some are
 // cut off, and tells whom it joins.
-func newcomerAmong(t *testing.T, patience time.Duration, cutOff ...bool) <-chan joining {
+func unsyncedNodeBelow(t *testing.T, patience time.Duration, cutOff ...bool) <-chan joining {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -52,8 +52,8 @@
 
 // A node that holds nothing passes by parents that are cut off until it comes to
 // one that is not: their configuration may be old.
-func TestANewcomerPassesByParentsThatAreCutOff(t *testing.T) {
-	joined := newcomerAmong(t, time.Hour, true, true, false)
+func TestUnsyncedNodeSkipsCutOffParents(t *testing.T) {
+	joined := unsyncedNodeBelow(t, time.Hour, true, true, false)
 	for parent := range 3 {
 		j := <-joined
 		must.Eq(t, parent, j.parent)
@@ -63,17 +63,17 @@
 
 // Where all are cut off it goes round, and once its patience is over takes what
 // there is.
-func TestANewcomerEndsUpWithSomething(t *testing.T) {
-	joined := newcomerAmong(t, time.Hour, true, true)
+func TestUnsyncedNodeAcceptsCutOffParentAfterPatience(t *testing.T) {
+	joined := unsyncedNodeBelow(t, time.Hour, true, true)
 	for i := range 6 {
 		must.Eq(t, i%2, (<-joined).parent)
 	}
-	j := <-newcomerAmong(t, time.Nanosecond, true, true)
+	j := <-unsyncedNodeBelow(t, time.Nanosecond, true, true)
 	must.True(t, j.hold.Anything)
 }
 
 // Bytes of a former connection may still be read when the next parent is joined.
-func TestFeedsOfAFormerParentAreLeftAside(t *testing.T) {
+func TestUpdatesOfFormerParentAreIgnored(t *testing.T) {
 	taken := []string{}
 	up := &Subscriber{
 		SyncState: func() messages.Hold { return messages.Hold{} },
@@ -86,8 +86,11 @@
 	up.joined.Store(joined)
 	feed, err := (&messages.Feed{Versions: []int64{}}).MarshalMsg(nil)
 	must.NoError(t, err)
-	leave := make(chan struct{}, 1)
-	up.hear(former, "former", transport.KindFeed, feed, func() { t.Error("counts as a sign of life") }, leave)
-	up.hear(joined, "joined", transport.KindFeed, feed, func() {}, leave)
+	formerLink := &subscription{conn: former, parent: "former", cutOff: make(chan struct{}, 1)}
+	joinedLink := &subscription{conn: joined, parent: "joined", cutOff: make(chan struct{}, 1)}
+	up.receive(formerLink, transport.KindFeed, feed)
+	must.Zero(t, formerLink.lastUpdateUs.Load(), must.Sprint("counts as a sign of life"))
+	up.receive(joinedLink, transport.KindFeed, feed)
+	must.Positive(t, joinedLink.lastUpdateUs.Load())
 	must.Eq(t, []string{"joined"}, taken)
 }
