--- a/internal/dissemination/catchup_test.go
+++ b/internal/dissemination/catchup_test.go
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// A parent that is long about what a new child lacks sends it feeds meanwhile, so that
+// A parent that takes long to prepare a snapshot sends the child updates meanwhile, so that
 // it is not taken for silent, and makes one answer for all that the child asks for.
 func TestUpdatesAreSentWhileSnapshotIsPrepared(t *testing.T) {
 	parent, child := station(t), station(t)
@@ -42,24 +42,24 @@
 		fed <- true
 	}
 	go conn.Serve(ctx)
-	hold := messages.Hold{}
-	_, err = conn.Call(ctx, transport.KindSubscribe, &hold)
+	state := messages.Hold{}
+	_, err = conn.Call(ctx, transport.KindSubscribe, &state)
 	must.NoError(t, err)
 	<-begun
 	relay.Publish(ToRouters, messages.Feed{Versions: []int64{}})
 	select {
 	case <-fed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("no feed comes while the answer is made")
+		t.Fatal("no update comes while the answer is prepared")
 	}
-	b, err := hold.MarshalMsg(nil)
+	b, err := state.MarshalMsg(nil)
 	must.NoError(t, err)
 	const asked = 5
 	for range asked {
 		must.NoError(t, conn.Push(transport.KindWant, b))
 	}
 	must.NoError(t, conn.Push(transport.KindTold, nil)) // pushes are taken in order
-	_, err = conn.Call(ctx, transport.KindIdentity, &hold)
+	_, err = conn.Call(ctx, transport.KindIdentity, &state)
 	must.Error(t, err, must.Sprint("nobody answers this; the pushes before it have been taken"))
 	close(release)
 	<-answered
--- a/internal/dissemination/unsynced_test.go
+++ b/internal/dissemination/unsynced_test.go
@@ -14,7 +14,7 @@
 // joining is a subscription as a parent gets it.
 type joining struct {
 	parent int
-	hold   messages.Hold
+	state  messages.Hold
 }
 
 // unsyncedNodeBelow starts a node that holds nothing below parents of which some are
@@ -57,7 +57,7 @@
 	for parent := range 3 {
 		j := <-joined
 		must.Eq(t, parent, j.parent)
-		must.False(t, j.hold.Anything)
+		must.False(t, j.state.Anything)
 	}
 }
 
@@ -69,7 +69,7 @@
 		must.Eq(t, i%2, (<-joined).parent)
 	}
 	j := <-unsyncedNodeBelow(t, time.Nanosecond, true, true)
-	must.True(t, j.hold.Anything)
+	must.True(t, j.state.Anything)
 }
 
 // Bytes of a former connection may still be read when the next parent is joined.
--- a/internal/registry/clock.go
+++ b/internal/registry/clock.go
@@ -6,11 +6,11 @@
 // was frozen has observed nothing meanwhile.
 const longestStepUs = 1_000_000
 
-// contactLapseUs is how long after the last word of a majority contact counts as
+// contactLapseUs is how long after the last message of a majority contact counts as
 // lost (lease.ContactUs): the time up to then was not observed either.
 const contactLapseUs = lease.ContactUs
 
-// observedClock counts the time in which this node could have heard a runner:
+// observedClock counts the time in which this node could have received heartbeats:
 // it stands still while the node is out of contact and while it is frozen.
 type observedClock struct {
 	running bool
@@ -37,7 +37,7 @@
 }
 
 // setContact says whether the node is in contact from now on. Where contact is
-// found lost, the clock goes back by what was counted since the last word.
+// found lost, the clock goes back by what was counted since the last message.
 func (c *observedClock) setContact(inContact bool) {
 	switch {
 	case inContact && !c.running:
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -12,8 +12,8 @@
 // ask has one observer ask another, as controllers do with every comparison of
 // versions.
 func ask(from, to *Registry, nowUs int64) {
-	heard := to.LaterHeartbeats(from.SilentRunners(nowUs, silence), nowUs)
-	from.ApplyLaterHeartbeats(heard, nowUs, nowUs)
+	later := to.LaterHeartbeats(from.SilentRunners(nowUs, silence), nowUs)
+	from.ApplyLaterHeartbeats(later, nowUs, nowUs)
 }
 
 // chain is observers of which each reaches only those beside it, and one runner
@@ -74,7 +74,7 @@
 	}
 }
 
-// The last observer hears nobody any more, so the newest word that it compares
+// The last observer receives no heartbeats any more, so the newest one that it compares
 // with is as old as its questions allow.
 func TestEndedRunnerIsLostAcrossObserverChainInBoundedTime(t *testing.T) {
 	for length := 3; length <= 5; length++ {
@@ -122,7 +122,7 @@
 	must.SliceEmpty(t, r.Sweep(5, silence, true))
 }
 
-// A heartbeat that another observer told of carries no record: what the runner
+// A heartbeat that another observer reported carries no record: what the runner
 // says in it is taken when it comes.
 func TestRecordIsAppliedAfterItsHeartbeatWasReported(t *testing.T) {
 	r := New()
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -296,7 +296,7 @@
 }
 
 // unlistedLimitUs is how long a runner stays that the mirrored node does not
-// list. That node may have just started and not have heard all runners yet.
+// list. That node may have just started and not know all runners yet.
 const unlistedLimitUs = 30_000_000
 
 // Retain deletes the runners that the mirrored node has not listed for unlistedLimitUs. It
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// What silence means is compared with the newest word of any runner.
+// Silence is measured against the newest heartbeat of any runner.
 func TestSweepMarksSilentRunnersStaleThenLost(t *testing.T) {
 	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
 	r.ApplyHeartbeat(at("x", "1:1", 1), 0)
@@ -86,7 +86,7 @@
 	must.True(t, r.Snapshot().ByID["x"].Stale)
 	must.True(t, r.ApplyHeartbeat(at("x", "1:1", 2), 11))
 	must.False(t, r.Snapshot().ByID["x"].Stale)
-	must.SliceEmpty(t, r.Sweep(100, after, true), must.Sprint("nobody has been heard since"))
+	must.SliceEmpty(t, r.Sweep(100, after, true), must.Sprint("no heartbeat has arrived since"))
 	r.ApplyHeartbeat(at("z", "3:1", 1), 100)
 	must.Len(t, 2, r.Sweep(100, after, true))
 	must.MapLen(t, 1, r.Snapshot().ByID)
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -25,7 +25,7 @@
 }
 
 // A controller is cut off for 20 s. Its runners beat elsewhere, those that beat
-// at it are not heard by the others, and on healing each tells the other all
+// at it do not reach the others, and on healing each sends the other all
 // that it has.
 func TestMergeIgnoresBeliefsOfPartitionedObserver(t *testing.T) {
 	cut, core := New(), New()
@@ -45,7 +45,7 @@
 	must.MapLen(t, 2, cut.Snapshot().ByID)
 	must.False(t, cut.Snapshot().ByID["there"].Stale)
 	must.MapNotContainsKey(t, core.Snapshot().ByID, "here", must.Sprint("lost to those in contact"))
-	must.SliceEmpty(t, cut.Sweep(now, silence, true), must.Sprint("healed, and not told anything yet"))
+	must.SliceEmpty(t, cut.Sweep(now, silence, true), must.Sprint("healed, and no record received yet"))
 	for _, n := range core.All() {
 		cut.Merge(n, now)
 	}
@@ -68,7 +68,7 @@
 	must.MapLen(t, 2, r.Snapshot().ByID)
 }
 
-// Contact is found lost only a while after the last word of the others. What was
+// Contact is found lost only a while after the last message of the others. What was
 // silent in that while was not observed.
 func TestTimeBeforeDetectedContactLossIsNotSilence(t *testing.T) {
 	r := New()
@@ -107,7 +107,7 @@
 	must.False(t, r.Snapshot().ByID["x"].Stale)
 }
 
-// An address belongs to the runner that was heard there last; a word that came
+// An address belongs to the runner that was seen there last; a heartbeat that came
 // late is put right by the next heartbeat.
 func TestNewerRunnerTakesOverAddress(t *testing.T) {
 	r := New()
@@ -221,7 +221,7 @@
 	}
 }
 
-// end takes a runner away, with or without its own word, and gives its address
+// end takes a runner away, with or without a notice, and gives its address
 // to a new one.
 func (w *world) end(leaves bool) {
 	for id, n := range w.live {
--- a/internal/routeconfig/change_test.go
+++ b/internal/routeconfig/change_test.go
@@ -48,11 +48,11 @@
 		m := large(n, n/5)
 		s := statesync.NewEntries()
 		s.Begin(1, 0)
-		whole := len(changeOf(t, s, m))
+		snapshot := len(changeOf(t, s, m))
 		change := len(changeOf(t, s, turn(m, 2)))
-		must.Less(t, whole/20, change)
+		must.Less(t, snapshot/20, change)
 		sizes = append(sizes, change)
-		t.Logf("%d tenants: whole %d bytes, change %d", n, whole, change)
+		t.Logf("%d tenants: snapshot %d bytes, change %d", n, snapshot, change)
 	}
 	must.Between(t, sizes[0]-8, sizes[1], sizes[0]+8)
 }
--- a/internal/routeconfig/entries_test.go
+++ b/internal/routeconfig/entries_test.go
@@ -9,7 +9,7 @@
 )
 
 // The entries of a configuration and the changes between two give the table
-// that reading the whole would have given.
+// that parsing all of it would have given.
 func TestAssemblyMatchesParsedConfiguration(t *testing.T) {
 	one, err := Parse([]byte(good))
 	must.NoError(t, err)
--- a/internal/routeconfig/replica_test.go
+++ b/internal/routeconfig/replica_test.go
@@ -23,8 +23,8 @@
 
 func snapshotOf(t *testing.T, source *Replica) messages.EntryChange {
 	t.Helper()
-	change, lacks := source.DeltaSince(messages.StreamHold{})
-	must.True(t, lacks)
+	change, behind := source.DeltaSince(messages.StreamHold{})
+	must.True(t, behind)
 	return change
 }
 
@@ -55,10 +55,10 @@
 		must.Eq(t, c.result, result)
 		must.Eq(t, c.config, r.Table().Version)
 	}
-	_, lacks := r.DeltaSince(messages.StreamHold{Epoch: Epoch, Version: 2})
-	must.False(t, lacks)
-	_, lacks = r.DeltaSince(messages.StreamHold{Epoch: Epoch, Version: 7})
-	must.False(t, lacks, must.Sprint("one that is further gets nothing from here"))
+	_, behind := r.DeltaSince(messages.StreamHold{Epoch: Epoch, Version: 2})
+	must.False(t, behind)
+	_, behind = r.DeltaSince(messages.StreamHold{Epoch: Epoch, Version: 7})
+	must.False(t, behind, must.Sprint("a receiver of a later version gets nothing"))
 }
 
 // A replica whose change did not come out names nothing as held until it is sure
