--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -142,7 +142,7 @@
 	for _, c := range in.Registry {
 		ch := statesync.DecodeEntries(c)
 		f.mu.Lock()
-		again := c.Whole && runners.Epoch == c.Epoch
+		again := c.Snapshot && runners.Epoch == c.Epoch
 		r := runners.Apply(ch)
 		fits = f.count(r, again) && fits
 		f.mu.Unlock()
@@ -160,7 +160,7 @@
 		if d.readers[c.ID] != nil {
 			continue
 		}
-		again := c.Whole && d.kept.CachedPrefixes(c.ID).Epoch == c.Epoch
+		again := c.Snapshot && d.kept.CachedPrefixes(c.ID).Epoch == c.Epoch
 		r := d.kept.Apply(c)
 		fits = f.count(r, again) && fits
 		if r == statesync.Applied {
@@ -172,7 +172,7 @@
 	defer f.mu.Unlock()
 	for _, c := range in.Loads {
 		held := f.all.Sender(addr)
-		again := c.Whole && held != nil && held.Epoch == c.Epoch
+		again := c.Snapshot && held != nil && held.Epoch == c.Epoch
 		fits = f.count(f.all.Apply(addr, c), again) && fits
 	}
 	f.down.kept = append(f.down.kept, kept...)
--- a/internal/messages/msgp.gen.go
+++ b/internal/messages/msgp.gen.go
@@ -1152,7 +1152,7 @@
 	o = msgp.AppendInt64(o, z.To)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Snapshot)
 	return
 }
 
@@ -1247,9 +1247,9 @@
 				return
 			}
 		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			z.Snapshot, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Snapshot")
 				return
 			}
 		default:
@@ -2224,7 +2224,7 @@
 	o = msgp.AppendInt64(o, z.To)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Snapshot)
 	return
 }
 
@@ -2325,9 +2325,9 @@
 				return
 			}
 		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			z.Snapshot, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Snapshot")
 				return
 			}
 		default:
@@ -2839,7 +2839,7 @@
 	o = msgp.AppendInt64(o, z.To)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Snapshot)
 	return
 }
 
@@ -2905,9 +2905,9 @@
 				return
 			}
 		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			z.Snapshot, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Snapshot")
 				return
 			}
 		default:
--- a/internal/messages/types.gen.go
+++ b/internal/messages/types.gen.go
@@ -190,12 +190,12 @@
 
 // EntryChange defines model for EntryChange.
 type EntryChange struct {
-	Digest  uint64  `msg:"d"`
-	Epoch   int64   `msg:"e"`
-	From    int64   `msg:"f"`
-	Entries []Entry `msg:"p"`
-	To      int64   `msg:"t"`
-	Whole   bool    `msg:"w"`
+	Digest   uint64  `msg:"d"`
+	Epoch    int64   `msg:"e"`
+	From     int64   `msg:"f"`
+	Entries  []Entry `msg:"p"`
+	To       int64   `msg:"t"`
+	Snapshot bool    `msg:"w"`
 }
 
 // Feed what a node sends down the tree; versions of parts go along with every one
@@ -248,13 +248,13 @@
 
 // KeptChange parts that a runner keeps now; 0 tokens mean that it keeps one no longer
 type KeptChange struct {
-	Digest uint64     `msg:"d"`
-	Epoch  int64      `msg:"e"`
-	From   int64      `msg:"f"`
-	ID     string     `msg:"i"`
-	Parts  []KeptPart `msg:"p"`
-	To     int64      `msg:"t"`
-	Whole  bool       `msg:"w"`
+	Digest   uint64     `msg:"d"`
+	Epoch    int64      `msg:"e"`
+	From     int64      `msg:"f"`
+	ID       string     `msg:"i"`
+	Parts    []KeptPart `msg:"p"`
+	To       int64      `msg:"t"`
+	Snapshot bool       `msg:"w"`
 }
 
 // KeptNote defines model for KeptNote.
@@ -292,12 +292,12 @@
 
 // LoadChange defines model for LoadChange.
 type LoadChange struct {
-	Digest uint64       `msg:"d"`
-	Epoch  int64        `msg:"e"`
-	From   int64        `msg:"f"`
-	Loads  []RunnerLoad `msg:"l"`
-	To     int64        `msg:"t"`
-	Whole  bool         `msg:"w"`
+	Digest   uint64       `msg:"d"`
+	Epoch    int64        `msg:"e"`
+	From     int64        `msg:"f"`
+	Loads    []RunnerLoad `msg:"l"`
+	To       int64        `msg:"t"`
+	Snapshot bool         `msg:"w"`
 }
 
 // Member defines model for Member.
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -109,7 +109,7 @@
 // Encode converts a change of a runner's cached prefixes to its message. A part of 0
 // tokens is deleted.
 func Encode(runner string, c statesync.Change[uint64, int32]) messages.KeptChange {
-	out := messages.KeptChange{ID: runner, Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Snapshot, Digest: c.Digest, Parts: make([]messages.KeptPart, 0, len(c.Puts))}
+	out := messages.KeptChange{ID: runner, Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest, Parts: make([]messages.KeptPart, 0, len(c.Puts))}
 	for _, p := range c.Puts {
 		n := p.Value
 		if p.Deleted {
@@ -123,7 +123,7 @@
 // Apply applies a change of a runner's cached prefixes. Its parts replace what this node
 // concluded from its own requests.
 func (x *Index) Apply(c messages.KeptChange) statesync.Result {
-	in := statesync.Change[uint64, int32]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Whole, Digest: c.Digest}
+	in := statesync.Change[uint64, int32]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest}
 	for _, p := range c.Parts {
 		in.Puts = append(in.Puts, statesync.Put[uint64, int32]{Key: p.Key, Value: p.Tokens, Deleted: p.Tokens <= 0})
 	}
--- a/internal/routeconfig/replica.go
+++ b/internal/routeconfig/replica.go
@@ -54,7 +54,7 @@
 // Apply applies a change. It returns the outcome, and whether there is a new table. The
 // error is ErrUnreadable and says why a change was not applied.
 func (r *Replica) Apply(change messages.EntryChange) (result statesync.Result, renewed bool, err error) {
-	if change.Whole && !r.mayReplace(change.To) {
+	if change.Snapshot && !r.mayReplace(change.To) {
 		return statesync.Known, false, nil
 	}
 	in := statesync.DecodeEntries(change)
@@ -66,7 +66,7 @@
 		}
 	}
 	before := r.assembly
-	if err := r.assembly.Apply(entries, change.Whole); err != nil {
+	if err := r.assembly.Apply(entries, change.Snapshot); err != nil {
 		return statesync.Mismatch, false, errors.Wrap(ErrUnreadable, err.Error())
 	}
 	if result = r.stream.Apply(in); result != statesync.Applied {
--- a/internal/routeconfig/replica_test.go
+++ b/internal/routeconfig/replica_test.go
@@ -48,7 +48,7 @@
 		{second, statesync.Applied, 5},
 		{first, statesync.Known, 5},
 		{second, statesync.Known, 5},
-		{messages.EntryChange{Epoch: Epoch + 1, Whole: true, To: 1}, statesync.Known, 5},
+		{messages.EntryChange{Epoch: Epoch + 1, Snapshot: true, To: 1}, statesync.Known, 5},
 	} {
 		result, _, err := r.Apply(c.change)
 		must.NoError(t, err)
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -133,7 +133,7 @@
 	changed := false
 	c.nmu.Lock()
 	for _, ch := range f.Configuration {
-		again := ch.Whole && c.configuration.Cursor().Epoch == ch.Epoch
+		again := ch.Snapshot && c.configuration.Cursor().Epoch == ch.Epoch
 		r, renewed := c.applyConfig(ch)
 		note(r, again)
 		changed = changed || renewed
@@ -145,7 +145,7 @@
 		in := statesync.DecodeEntries(ch)
 		believed := parent // whose beliefs are taken along with the facts
 		if parent != "" {
-			again := ch.Whole && c.runners.Epoch == ch.Epoch
+			again := ch.Snapshot && c.runners.Epoch == ch.Epoch
 			r := c.runners.Apply(in)
 			note(r, again)
 			if r == statesync.Mismatch || r == statesync.Known {
@@ -175,12 +175,12 @@
 		c.syncAdmission()
 	}
 	for _, ch := range f.Loads {
-		again := ch.Whole && c.loads.hold().Epoch == ch.Epoch
+		again := ch.Snapshot && c.loads.hold().Epoch == ch.Epoch
 		note(c.loads.take(ch), again)
 	}
 	c.dmu.Lock()
 	for _, k := range f.Kept {
-		again := k.Whole && c.admission.Index.CachedPrefixes(k.ID).Epoch == k.Epoch
+		again := k.Snapshot && c.admission.Index.CachedPrefixes(k.ID).Epoch == k.Epoch
 		note(c.admission.Index.Apply(k), again)
 	}
 	c.admission.Coming(f.Coming)
@@ -230,7 +230,7 @@
 	if renewed {
 		t := c.configuration.Table()
 		c.table.Store(t)
-		c.log.Info("configuration in place", "version", t.Version, "entries", len(ch.Entries), "whole", ch.Whole)
+		c.log.Info("configuration in place", "version", t.Version, "entries", len(ch.Entries), "whole", ch.Snapshot)
 	}
 	return r, renewed
 }
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -79,7 +79,7 @@
 	defer l.mu.Unlock()
 	r := l.total.Apply(statesync.DecodeLoads(c))
 	if r == statesync.Applied {
-		l.all = l.all || c.Whole
+		l.all = l.all || c.Snapshot
 		for i := range c.Loads {
 			l.touched[c.Loads[i].ID] = true
 		}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -201,7 +201,7 @@
 
 func runnerEntries(t *testing.T, notes ...messages.RunnerRecord) messages.EntryChange {
 	t.Helper()
-	out := messages.EntryChange{Epoch: 9, Whole: true}
+	out := messages.EntryChange{Epoch: 9, Snapshot: true}
 	for _, n := range notes {
 		b, err := n.MarshalMsg(nil)
 		must.NoError(t, err)
@@ -565,7 +565,7 @@
 		must.False(t, c.take("p", messages.Feed{Configuration: []messages.EntryChange{bad}}), must.Sprint(name))
 		must.Eq(t, int64(3), c.table.Load().Version, must.Sprint(name))
 	}
-	must.False(t, c.take("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 1, Whole: true, Digest: 1, Entries: []messages.Entry{{Key: "x", Body: []byte("junk")}}}}}))
+	must.False(t, c.take("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 1, Snapshot: true, Digest: 1, Entries: []messages.Entry{{Key: "x", Body: []byte("junk")}}}}}))
 	must.True(t, c.take("p", messages.Feed{Configuration: []messages.EntryChange{good}}))
 	must.Eq(t, int64(4), c.table.Load().Version)
 	must.Eq(t, "t1", c.table.Load().Tenant("k9").Name)
@@ -577,7 +577,7 @@
 // ready.
 func TestReadyNeedsAConfigurationAndARunner(t *testing.T) {
 	c, _, _ := start(t)
-	must.True(t, c.take("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 4, Whole: true, Entries: []messages.Entry{}}}}))
+	must.True(t, c.take("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 4, Snapshot: true, Entries: []messages.Entry{}}}}))
 	must.False(t, c.ready())
 	must.True(t, c.take("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r", Service: "s", Models: []messages.Target{}})}}))
 	must.True(t, c.ready())
--- a/internal/statesync/entries.go
+++ b/internal/statesync/entries.go
@@ -13,7 +13,7 @@
 
 // EncodeEntries converts a change to its message. An empty body deletes the key.
 func EncodeEntries(c Change[string, string]) messages.EntryChange {
-	out := messages.EntryChange{Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Snapshot, Digest: c.Digest, Entries: make([]messages.Entry, 0, len(c.Puts))}
+	out := messages.EntryChange{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest, Entries: make([]messages.Entry, 0, len(c.Puts))}
 	for _, p := range c.Puts {
 		e := messages.Entry{Key: p.Key, Body: []byte{}}
 		if !p.Deleted {
@@ -26,7 +26,7 @@
 
 // DecodeEntries converts a message to the change that it carries.
 func DecodeEntries(c messages.EntryChange) Change[string, string] {
-	out := Change[string, string]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Whole, Digest: c.Digest}
+	out := Change[string, string]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest}
 	for _, e := range c.Entries {
 		out.Puts = append(out.Puts, Put[string, string]{Key: e.Key, Value: string(e.Body), Deleted: len(e.Body) == 0})
 	}
--- a/internal/statesync/loads.go
+++ b/internal/statesync/loads.go
@@ -21,7 +21,7 @@
 
 // EncodeLoads converts a change to its message. A load of zeros deletes the runner.
 func EncodeLoads(c Change[string, messages.RunnerLoad]) messages.LoadChange {
-	out := messages.LoadChange{Epoch: c.Epoch, From: c.From, To: c.To, Whole: c.Snapshot, Digest: c.Digest, Loads: make([]messages.RunnerLoad, 0, len(c.Puts))}
+	out := messages.LoadChange{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest, Loads: make([]messages.RunnerLoad, 0, len(c.Puts))}
 	for _, p := range c.Puts {
 		l := p.Value
 		if p.Deleted {
@@ -35,7 +35,7 @@
 
 // DecodeLoads converts a message to the change that it carries.
 func DecodeLoads(c messages.LoadChange) Change[string, messages.RunnerLoad] {
-	out := Change[string, messages.RunnerLoad]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Whole, Digest: c.Digest}
+	out := Change[string, messages.RunnerLoad]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest}
 	for _, l := range c.Loads {
 		out.Puts = append(out.Puts, Put[string, messages.RunnerLoad]{Key: l.ID, Value: l, Deleted: isZero(l)})
 	}
@@ -68,7 +68,7 @@
 		s.senders[sender] = in
 	}
 	before := map[string]messages.RunnerLoad{}
-	if c.Whole {
+	if c.Snapshot {
 		in.Each(func(id string, l messages.RunnerLoad) { before[id] = l })
 	}
 	for _, l := range c.Loads {
