--- a/internal/admission/absent_test.go
+++ b/internal/admission/absent_test.go
@@ -48,7 +48,7 @@
 	admitter := newAdmitter("x", "y", "z", "w", "v", "u")
 	admitter.Index.Put("x", 7, 100)
 	must.Eq(t, 1, submitAgainstGone(t, admitter, "x"))
-	must.Eq(t, 0, admitter.Index.Shelf("x").Len(), must.Sprint("its cached prefixes are cleared"))
+	must.Eq(t, 0, admitter.Index.CachedPrefixes("x").Len(), must.Sprint("its cached prefixes are cleared"))
 }
 
 // misdirect records a 421 of a runner, and reports whether the runner has left the
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -206,7 +206,7 @@
 			continue
 		}
 		version := weightsVersion(r.record, request.Model)
-		kept, expected := a.Index.Both(id, s.keysOf(version), request.Parts)
+		kept, expected := a.Index.CachedAndExpected(id, s.keysOf(version), request.Parts)
 		a.addSource(&sources, blockSource{addr: r.record.Addr, zone: r.record.Zone, version: version, kept: kept, moveUs: p.moveUs})
 		sources.shared[version] = max(sources.shared[version], min(sharedTokens, expected))
 	}
@@ -215,7 +215,7 @@
 			continue
 		}
 		for version := range sources.shared {
-			if kept := a.Index.Kept(store.ID, s.keysOf(version), request.Parts); kept >= minTransferTokens {
+			if kept := a.Index.Cached(store.ID, s.keysOf(version), request.Parts); kept >= minTransferTokens {
 				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, kept: kept, moveUs: store.MoveUs})
 				sources.shared[version] = max(sources.shared[version], min(sharedTokens, kept))
 			}
--- a/internal/dissemination/bring_test.go
+++ b/internal/dissemination/catchup_test.go
@@ -12,21 +12,21 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// A parent that is long about what a new child lacks sends it feeds meanwhile, so that
+// A parent that takes long to prepare a snapshot sends the child updates meanwhile, so that
 // it is not taken for silent, and makes one answer for all that the child asks for.
-func TestFeedsGoOutWhileTheFirstAnswerIsMade(t *testing.T) {
+func TestUpdatesAreSentWhileSnapshotIsPrepared(t *testing.T) {
 	parent, child := station(t), station(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	begun, release, answers := make(chan bool, 64), make(chan bool), atomic.Int64{}
 	relay := NewPublisher(parent, Upstream{
-		Since: func(messages.Hold) messages.Feed {
+		DeltaSince: func(messages.Hold) messages.Feed {
 			begun <- true
 			<-release
 			answers.Add(1)
 			return messages.Feed{Versions: []int64{1}}
 		},
-		Told: func(string, messages.Told) bool { return true }, Gone: func(string) {},
+		ApplyReport: func(string, messages.Told) bool { return true }, Unsubscribed: func(string) {},
 	})
 	parent.Run(ctx)
 	child.Run(ctx)
@@ -42,24 +42,24 @@
 		fed <- true
 	}
 	go conn.Serve(ctx)
-	hold := messages.Hold{}
-	_, err = conn.Call(ctx, transport.KindSubscribe, &hold)
+	state := messages.Hold{}
+	_, err = conn.Call(ctx, transport.KindSubscribe, &state)
 	must.NoError(t, err)
 	<-begun
 	relay.Publish(ToRouters, messages.Feed{Versions: []int64{}})
 	select {
 	case <-fed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("no feed comes while the answer is made")
+		t.Fatal("no update comes while the answer is prepared")
 	}
-	b, err := hold.MarshalMsg(nil)
+	b, err := state.MarshalMsg(nil)
 	must.NoError(t, err)
 	const asked = 5
 	for range asked {
 		must.NoError(t, conn.Push(transport.KindWant, b))
 	}
 	must.NoError(t, conn.Push(transport.KindTold, nil)) // pushes are taken in order
-	_, err = conn.Call(ctx, transport.KindIdentity, &hold)
+	_, err = conn.Call(ctx, transport.KindIdentity, &state)
 	must.Error(t, err, must.Sprint("nobody answers this; the pushes before it have been taken"))
 	close(release)
 	<-answered
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -12,8 +12,8 @@
 // ask has one observer ask another, as controllers do with every comparison of
 // versions.
 func ask(from, to *Registry, nowUs int64) {
-	heard := to.LaterHeartbeats(from.SilentRunners(nowUs, silence), nowUs)
-	from.ApplyLaterHeartbeats(heard, nowUs, nowUs)
+	later := to.LaterHeartbeats(from.SilentRunners(nowUs, silence), nowUs)
+	from.ApplyLaterHeartbeats(later, nowUs, nowUs)
 }
 
 // chain is observers of which each reaches only those beside it, and one runner
@@ -28,8 +28,8 @@
 	c := &chain{first: at("first", "1:1", 1), last: at("last", "2:1", 1), nowUs: 1}
 	for range length {
 		o := New()
-		o.Hear(c.first, c.nowUs)
-		o.Hear(c.last, c.nowUs)
+		o.ApplyHeartbeat(c.first, c.nowUs)
+		o.ApplyHeartbeat(c.last, c.nowUs)
 		c.observers = append(c.observers, o)
 	}
 	return c
@@ -42,12 +42,12 @@
 	for endUs := c.nowUs + forUs; c.nowUs < endUs; {
 		c.nowUs += sweepUs
 		c.first.Seq++
-		c.observers[0].Hear(c.first, c.nowUs)
-		c.observers[1].Hear(c.first, c.nowUs)
+		c.observers[0].ApplyHeartbeat(c.first, c.nowUs)
+		c.observers[1].ApplyHeartbeat(c.first, c.nowUs)
 		if lastBeats {
 			c.last.Seq++
-			c.observers[n-1].Hear(c.last, c.nowUs)
-			c.observers[n-2].Hear(c.last, c.nowUs)
+			c.observers[n-1].ApplyHeartbeat(c.last, c.nowUs)
+			c.observers[n-2].ApplyHeartbeat(c.last, c.nowUs)
 		}
 		for i := range n - 1 {
 			ask(c.observers[i], c.observers[i+1], c.nowUs)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestSilenceIsNotCountedWhileAnotherObserverHearsTheRunner(t *testing.T) {
+func TestRunnerStaysFreshWhileAnotherObserverGetsHeartbeats(t *testing.T) {
 	for length := 3; length <= 5; length++ {
 		c := newChain(length)
 		for range 40 {
@@ -74,9 +74,9 @@
 	}
 }
 
-// The last observer hears nobody any more, so the newest word that it compares
+// The last observer receives no heartbeats any more, so the newest one that it compares
 // with is as old as its questions allow.
-func TestEndedRunnerIsLostOverAChainOfObserversInBoundedTime(t *testing.T) {
+func TestEndedRunnerIsLostAcrossObserverChainInBoundedTime(t *testing.T) {
 	for length := 3; length <= 5; length++ {
 		c := newChain(length)
 		c.play(20*secondUs, true)
@@ -95,10 +95,10 @@
 
 // An answer tells how old a heartbeat is; counted from the question it is never
 // taken for later than it was, however long the answer took.
-func TestAnswersDoNotMakeHeartbeatsLater(t *testing.T) {
+func TestLaterHeartbeatsNeverOverstateFreshness(t *testing.T) {
 	asks, hears := New(), New()
-	asks.Hear(at("x", "1:1", 1), 1)
-	hears.Hear(at("x", "1:1", 2), 1*secondUs)
+	asks.ApplyHeartbeat(at("x", "1:1", 1), 1)
+	hears.ApplyHeartbeat(at("x", "1:1", 2), 1*secondUs)
 	question := asks.SilentRunners(4*secondUs, silence)
 	must.Eq(t, []messages.LastHeartbeat{{ID: "x", Seq: 1, AgeUs: 4*secondUs - 1}}, question)
 	answer := hears.LaterHeartbeats(question, 4*secondUs)
@@ -108,10 +108,10 @@
 	must.SliceEmpty(t, asks.LaterHeartbeats(answer, 6*secondUs), must.Sprint("nothing later is known"))
 }
 
-func TestAnswersEndDoubtsByLaterHeartbeatsOnly(t *testing.T) {
+func TestLaterHeartbeatsEndDoubtOnlyWhenNewer(t *testing.T) {
 	r := New()
-	r.Hear(at("x", "1:1", 5), 1)
-	r.Hear(at("y", "2:1", 5), 1)
+	r.ApplyHeartbeat(at("x", "1:1", 5), 1)
+	r.ApplyHeartbeat(at("y", "2:1", 5), 1)
 	r.Doubt("x", silence)
 	must.Len(t, 1, r.Sweep(2, silence, true))
 	must.Len(t, 1, r.SilentRunners(2, silence), must.Sprint("a stale runner is asked about at once"))
@@ -122,11 +122,11 @@
 	must.SliceEmpty(t, r.Sweep(5, silence, true))
 }
 
-// A heartbeat that another observer told of carries no record: what the runner
+// A heartbeat that another observer reported carries no record: what the runner
 // says in it is taken when it comes.
-func TestRecordsAreTakenAfterTheirHeartbeatWasToldOf(t *testing.T) {
+func TestRecordIsAppliedAfterItsHeartbeatWasReported(t *testing.T) {
 	r := New()
-	r.Hear(at("x", "1:1", 1), 1)
+	r.ApplyHeartbeat(at("x", "1:1", 1), 1)
 	r.ApplyLaterHeartbeats([]messages.LastHeartbeat{{ID: "x", Seq: 9}}, 2, 2)
 	changed := at("x", "1:1", 7)
 	changed.Capacity = 3
@@ -134,12 +134,12 @@
 	must.Eq(t, 3, r.Snapshot().ByID["x"].Capacity)
 }
 
-func TestAnsweredRunnersThatEndedStayUnlisted(t *testing.T) {
+func TestLaterHeartbeatsDoNotReviveEndedRunners(t *testing.T) {
 	r := New()
-	r.Hear(at("left", "1:1", 1), 1)
+	r.ApplyHeartbeat(at("left", "1:1", 1), 1)
 	r.Leave("left", 2)
-	r.Hear(at("evicted", "2:1", 1), 1)
-	r.Hear(at("successor", "2:1", 1), 2)
+	r.ApplyHeartbeat(at("evicted", "2:1", 1), 1)
+	r.ApplyHeartbeat(at("successor", "2:1", 1), 2)
 	later := []messages.LastHeartbeat{{ID: "left", Seq: 9}, {ID: "evicted", Seq: 9}}
 	must.SliceEmpty(t, r.ApplyLaterHeartbeats(later, 3, 3))
 	must.MapLen(t, 1, r.Snapshot().ByID)
@@ -148,7 +148,7 @@
 
 // One question is bounded; all silent runners have their turn, and nobody is
 // asked about while heartbeats arrive.
-func TestQuestionsAreBoundedAndTakeTurns(t *testing.T) {
+func TestSilentRunnersAreBoundedAndRotate(t *testing.T) {
 	r := New()
 	const runners = 1900
 	for i := range runners {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -13,41 +13,41 @@
 	return messages.RunnerRecord{ID: id, Service: "s", Addr: "1.2.3.4:1", Zone: "a", Capacity: 8, Seq: seq, Models: []messages.Target{{Model: "m", Version: 1}}}
 }
 
-func TestLateBeatsDoNotGoBack(t *testing.T) {
+func TestLateHeartbeatsAreIgnored(t *testing.T) {
 	r := New()
-	must.True(t, r.Hear(beat("x", 5), 1))
+	must.True(t, r.ApplyHeartbeat(beat("x", 5), 1))
 	d := beat("x", 6)
 	d.Draining = true
-	must.True(t, r.Hear(d, 2))
-	must.False(t, r.Hear(beat("x", 5), 3), must.Sprint("late beat"))
+	must.True(t, r.ApplyHeartbeat(d, 2))
+	must.False(t, r.ApplyHeartbeat(beat("x", 5), 3), must.Sprint("late beat"))
 	must.True(t, r.Snapshot().ByID["x"].Draining)
-	must.False(t, r.Hear(beat("x", 7), 4), must.Sprint("draining is not taken back"))
+	must.False(t, r.ApplyHeartbeat(beat("x", 7), 4), must.Sprint("draining is not taken back"))
 	must.True(t, r.Snapshot().ByID["x"].Draining)
 }
 
-func TestDrainingHoldsHoweverLateItComes(t *testing.T) {
+func TestLateDrainingIsApplied(t *testing.T) {
 	r := New()
-	r.Hear(beat("x", 5), 1)
+	r.ApplyHeartbeat(beat("x", 5), 1)
 	late := beat("x", 4)
 	late.Draining = true
-	must.True(t, r.Hear(late, 2))
+	must.True(t, r.ApplyHeartbeat(late, 2))
 	must.True(t, r.Snapshot().ByID["x"].Draining)
 	r.Leave("x", 3)
-	must.False(t, r.Hear(late, 4))
+	must.False(t, r.ApplyHeartbeat(late, 4))
 }
 
 func TestLeaveIsFinal(t *testing.T) {
 	r := New()
-	r.Hear(beat("x", 1), 1)
+	r.ApplyHeartbeat(beat("x", 1), 1)
 	_, changed := r.Leave("x", 2)
 	must.True(t, changed)
-	must.False(t, r.Hear(beat("x", 9), 3))
+	must.False(t, r.ApplyHeartbeat(beat("x", 9), 3))
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "x")
 	_, changed = r.Leave("x", 4)
 	must.False(t, changed)
 }
 
-func TestMergeInAnyOrderComesToTheSame(t *testing.T) {
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	notes := []messages.RunnerRecord{beat("x", 1), beat("x", 2), beat("y", 1), beat("y", 3)}
 	notes[1].Models = []messages.Target{{Model: "m", Version: 2}}
 	notes[3].Draining = true
@@ -77,17 +77,17 @@
 	}
 }
 
-// What silence means is compared with the newest word of any runner.
-func TestSweepMarksThenLosesTheSilent(t *testing.T) {
+// Silence is measured against the newest heartbeat of any runner.
+func TestSweepMarksSilentRunnersStaleThenLost(t *testing.T) {
 	r, after := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
-	r.Hear(at("x", "1:1", 1), 0)
-	r.Hear(at("y", "2:1", 1), 9)
+	r.ApplyHeartbeat(at("x", "1:1", 1), 0)
+	r.ApplyHeartbeat(at("y", "2:1", 1), 9)
 	must.Len(t, 1, r.Sweep(10, after, true))
 	must.True(t, r.Snapshot().ByID["x"].Stale)
-	must.True(t, r.Hear(at("x", "1:1", 2), 11))
+	must.True(t, r.ApplyHeartbeat(at("x", "1:1", 2), 11))
 	must.False(t, r.Snapshot().ByID["x"].Stale)
-	must.SliceEmpty(t, r.Sweep(100, after, true), must.Sprint("nobody has been heard since"))
-	r.Hear(at("z", "3:1", 1), 100)
+	must.SliceEmpty(t, r.Sweep(100, after, true), must.Sprint("no heartbeat has arrived since"))
+	r.ApplyHeartbeat(at("z", "3:1", 1), 100)
 	must.Len(t, 2, r.Sweep(100, after, true))
 	must.MapLen(t, 1, r.Snapshot().ByID)
 	must.MapContainsKey(t, r.Snapshot().ByID, "z")
