--- a/internal/controller/three_test.go
+++ b/internal/controller/three_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -18,7 +19,7 @@
 )
 
 // three starts a core of three on the loopback and waits until each reaches the
-// others. The first one's clock can be put on by skipUs.
+// others and serves its control address. The first one's clock can be put on by skipUs.
 func three(t *testing.T) (nodes []*Controller, url string, skipUs *atomic.Int64) {
 	t.Helper()
 	port, began := freePort(t), time.Now()
@@ -49,9 +50,22 @@
 			return d.inContact() && len(membership.Core(d.monitor.Alive(messages.Controller))) == len(nodes)
 		})
 	}
+	for _, control := range seeds {
+		until(t, func() bool { return listens(control) })
+	}
 	return nodes, "http://" + seeds[0], skipUs
 }
 
+// listens reports whether a server accepts connections at an address.
+func listens(addr string) bool {
+	conn, err := net.Dial("tcp4", addr)
+	if err != nil {
+		return false
+	}
+	conn.Close()
+	return true
+}
+
 // until polls for what is to come; the test's own time-out bounds it.
 func until(t *testing.T, reached func() bool) {
 	t.Helper()
