--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -42,13 +42,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- d.Run(ctx) }()
-	for {
-		c, err := net.Dial("tcp4", control)
-		if err == nil {
-			c.Close()
-			break
-		}
-	}
+	until(t, func() bool { return listens(control) })
 	return d, "http://" + control, func() {
 		cancel()
 		<-ended
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -73,25 +73,30 @@
 	return max(versionUs-orderMarginUs, versionUs/4)
 }
 
-// newest is the newest committed version of a model's weights, over all registers:
-// earlier versions of the program chose the register by the configuration they held.
-func (m *rolloutManager) newest(model string) int64 {
-	newest := int64(0)
+// committedBodies calls visit with the committed body of each register that has a lease.
+func (m *rolloutManager) committedBodies(visit func(part int, body messages.LeaseBody)) {
 	for part := 1; part < consensus.Parts; part++ {
 		v, ok := m.controller.registers.Committed(part)
 		if !ok {
 			continue
 		}
-		body, err := leaseBody(v)
-		if err != nil {
-			continue
+		if body, err := leaseBody(v); err == nil {
+			visit(part, body)
 		}
+	}
+}
+
+// newest is the newest committed version of a model's weights, over all registers:
+// earlier versions of the program chose the register by the configuration they held.
+func (m *rolloutManager) newest(model string) int64 {
+	newest := int64(0)
+	m.committedBodies(func(_ int, body messages.LeaseBody) {
 		for _, t := range body.Targets {
 			if t.Model == model {
 				newest = max(newest, t.Version)
 			}
 		}
-	}
+	})
 	return newest
 }
 
@@ -109,21 +114,16 @@
 // that belongs to this one.
 func (m *rolloutManager) fenceFloor(part int) int64 {
 	floor := int64(0)
-	for other := 1; other < consensus.Parts; other++ {
-		v, ok := m.controller.registers.Committed(other)
-		if other == part || !ok {
-			continue
-		}
-		body, err := leaseBody(v)
-		if err != nil {
-			continue
+	m.committedBodies(func(other int, body messages.LeaseBody) {
+		if other == part {
+			return
 		}
 		for _, t := range body.Targets {
 			if consensus.PartOf(t.Model) == part {
 				floor = max(floor, body.Lease.Fence)
 			}
 		}
-	}
+	})
 	return floor
 }
 
--- a/internal/controller/unfinished_test.go
+++ b/internal/controller/unfinished_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -10,6 +9,20 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// grants sends a member a request of a round, and checks that it is granted.
+func grants(t *testing.T, d *Controller, request messages.ConsensusRequest) {
+	t.Helper()
+	request.To = d.registers.ID()
+	b, err := request.MarshalMsg(nil)
+	must.NoError(t, err)
+	out, err := d.registers.Handle(t.Context(), b)
+	must.NoError(t, err)
+	var response messages.ConsensusResponse
+	_, err = response.UnmarshalMsg(out)
+	must.NoError(t, err)
+	must.Eq(t, messages.Granted, response.Verdict)
+}
+
 // A proposer wins its round, so that it may acknowledge the change, and ends before
 // it tells anybody. The members that accepted the change put it into force.
 func TestChosenValueOfAProposerThatEndedComesIntoForce(t *testing.T) {
@@ -27,15 +40,7 @@
 	ballot := messages.Ballot{N: 1 << 40, Who: "ended"}
 	for _, d := range nodes {
 		for _, step := range []messages.Step{messages.Prepare, messages.Accept} {
-			ask := messages.ConsensusRequest{Part: consensus.ConfigPart, To: d.registers.ID(), Step: step, Slot: next.Version, Ballot: ballot, Value: next}
-			b, err := ask.MarshalMsg(nil)
-			must.NoError(t, err)
-			answer, err := d.registers.Handle(context.Background(), b)
-			must.NoError(t, err)
-			var got messages.ConsensusResponse
-			_, err = got.UnmarshalMsg(answer)
-			must.NoError(t, err)
-			must.Eq(t, messages.Granted, got.Verdict)
+			grants(t, d, messages.ConsensusRequest{Part: consensus.ConfigPart, Step: step, Slot: next.Version, Ballot: ballot, Value: next})
 		}
 	}
 	for _, d := range nodes {
@@ -67,15 +72,7 @@
 	must.NoError(t, err)
 	value := messages.Value{Version: base.Version + 1, Group: base.Group, Body: raw, Stamp: "s"}
 	for _, d := range nodes[1:] {
-		request := messages.ConsensusRequest{Part: part, To: d.registers.ID(), Step: messages.Accept, Slot: value.Version, Ballot: messages.Ballot{N: 1_000, Who: "x"}, Value: value}
-		b, err := request.MarshalMsg(nil)
-		must.NoError(t, err)
-		out, err := d.registers.Handle(context.Background(), b)
-		must.NoError(t, err)
-		var response messages.ConsensusResponse
-		_, err = response.UnmarshalMsg(out)
-		must.NoError(t, err)
-		must.Eq(t, messages.Granted, response.Verdict)
+		grants(t, d, messages.ConsensusRequest{Part: part, Step: messages.Accept, Slot: value.Version, Ballot: messages.Ballot{N: 1_000, Who: "x"}, Value: value})
 	}
 	for _, d := range nodes {
 		until(t, func() bool { return d.rollouts.newest("m") == version })
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -14,6 +14,8 @@
 import (
 	"encoding/binary"
 	"hash/fnv"
+
+	"beechtide.org/beechtide/internal/statesync"
 )
 
 // AgainUs is the cost in microseconds, beyond the time it takes, of each token
@@ -135,15 +137,5 @@
 	binary.LittleEndian.PutUint64(b[:], prefix)
 	_, _ = h.Write(b[:])
 	_, _ = h.Write([]byte(id))
-	return mix64(h.Sum64())
-}
-
-// mix64 is the 64-bit finalizer of MurmurHash3. FNV alone spreads short inputs
-// too little over the high bits.
-func mix64(x uint64) uint64 {
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	x *= 0xc4ceb9fe1a85ec53
-	return x ^ x>>33
+	return statesync.Mix(h.Sum64()) // FNV alone spreads short inputs too little over the high bits
 }
--- a/internal/statesync/stream.go
+++ b/internal/statesync/stream.go
@@ -314,7 +314,7 @@
 	return h
 }
 
-// Mix spreads the bits of x.
+// Mix spreads the bits of x: the 64-bit finalizer of MurmurHash3.
 func Mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
