--- a/internal/admission/absent_test.go
+++ b/internal/admission/absent_test.go
@@ -9,10 +9,10 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// submitAgainstGone plays requests, one every 10 ms for 7 s and each 200 ms long, against
+// submitWithEndedInstance plays requests, one every 10 ms for 7 s and each 200 ms long, against
 // runners of which one has ended: its address answers 421. It counts the requests
 // that were answered so.
-func submitAgainstGone(t *testing.T, admitter *Admitter, gone string) (misdirected int) {
+func submitWithEndedInstance(t *testing.T, admitter *Admitter, endedID string) (misdirected int) {
 	t.Helper()
 	const stepUs, durationUs = 10_000, 200_000
 	type running struct {
@@ -29,7 +29,7 @@
 		if adm == nil {
 			continue
 		}
-		if adm.Runner.ID != gone {
+		if adm.Runner.ID != endedID {
 			list = append(list, running{adm, nowUs + durationUs})
 			continue
 		}
@@ -44,20 +44,20 @@
 	return misdirected
 }
 
-func TestRunnerLeavesCandidatesAtFirst421(t *testing.T) {
+func TestRunnerIsExcludedAfterFirst421(t *testing.T) {
 	admitter := newAdmitter("x", "y", "z", "w", "v", "u")
 	admitter.Index.Put("x", 7, 100)
-	must.Eq(t, 1, submitAgainstGone(t, admitter, "x"))
+	must.Eq(t, 1, submitWithEndedInstance(t, admitter, "x"))
 	must.Eq(t, 0, admitter.Index.CachedPrefixes("x").Len(), must.Sprint("its cached prefixes are cleared"))
 }
 
-// misdirect records a 421 of a runner, and reports whether the runner has left the
+// receive421 records a 421 of a runner, and reports whether the runner has left the
 // candidates.
-func misdirect(t *testing.T, admitter *Admitter, id string, expected bool, nowUs int64) bool {
+func receive421(t *testing.T, admitter *Admitter, id string, versionNamed bool, nowUs int64) bool {
 	t.Helper()
 	r := admitter.pool("s").runners[id]
 	adm := &Admission{Runner: r.record, service: "s", tenant: "t"}
-	return admitter.WrongInstance(adm, expected, nowUs)
+	return admitter.WrongInstance(adm, versionNamed, nowUs)
 }
 
 func candidateSet(admitter *Admitter, nowUs int64) map[string]bool {
@@ -70,56 +70,56 @@
 
 func TestAbsentRunnerReturnsOnlyWithNewerRegistration(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	must.True(t, misdirect(t, admitter, "x", false, 1))
+	must.True(t, receive421(t, admitter, "x", false, 1))
 	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000))
-	admitter.SetService("s", []messages.RunnerRecord{runnerRecord("x"), runnerRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), testRecord("y")}, memory, 2)
 	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("the same sequence does not end the absence"))
-	x := runnerRecord("x")
+	x := testRecord("x")
 	x.Seq, x.Stale = 1, true
-	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
 	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("a record that marks it as stale does not end the absence"))
 	x.Stale = false
-	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
 	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000))
 	x.Seq = 2
-	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
 	must.Eq(t, map[string]bool{"x": true, "y": true}, candidateSet(admitter, 60_000_000))
 }
 
 func TestOnlyConfirmedAbsenceIsReported(t *testing.T) {
 	admitter := newAdmitter("x", "y", "z")
-	must.True(t, misdirect(t, admitter, "x", true, 1))
+	must.True(t, receive421(t, admitter, "x", true, 1))
 	must.SliceEmpty(t, admitter.TakeAbsent())
-	admitter.Found(runnerRecord("x"), PresenceMismatch, 2)
-	must.True(t, misdirect(t, admitter, "y", false, 3))
+	admitter.Found(testRecord("x"), PresenceMismatch, 2)
+	must.True(t, receive421(t, admitter, "y", false, 3))
 	must.Eq(t, []string{"x", "y"}, admitter.TakeAbsent())
 	must.SliceEmpty(t, admitter.TakeAbsent())
 }
 
 func Test421FromBeforeNewerRegistrationIsIgnored(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	adm := &Admission{Runner: runnerRecord("x"), service: "s", tenant: "t"}
-	x := runnerRecord("x")
+	adm := &Admission{Runner: testRecord("x"), service: "s", tenant: "t"}
+	x := testRecord("x")
 	x.Seq = 1
-	admitter.SetService("s", []messages.RunnerRecord{x, runnerRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
 	must.False(t, admitter.WrongInstance(adm, false, 1))
 	must.True(t, candidateSet(admitter, 1)["x"])
 }
 
 func TestProbeRestoresRunnerThatIsPresent(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	must.True(t, misdirect(t, admitter, "x", true, 1))
+	must.True(t, receive421(t, admitter, "x", true, 1))
 	due, anyAbsent := admitter.DueProbes(1)
 	must.True(t, anyAbsent)
 	must.Len(t, 1, due)
 	admitter.Found(due[0], PresenceConfirmed, 2)
 	must.True(t, candidateSet(admitter, 1_000_000)["x"])
-	must.False(t, misdirect(t, admitter, "x", true, 1_000_000), must.Sprint("a probe has just found it: the 421 is about the weights"))
+	must.False(t, receive421(t, admitter, "x", true, 1_000_000), must.Sprint("a probe has just found it: the 421 is about the weights"))
 }
 
 func TestProbesOfAbsentRunnerBackOff(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	must.True(t, misdirect(t, admitter, "x", false, 0))
+	must.True(t, receive421(t, admitter, "x", false, 0))
 	probes := 0
 	for nowUs := int64(0); nowUs < 60_000_000; nowUs += 50_000 {
 		due, _ := admitter.DueProbes(nowUs)
@@ -138,7 +138,7 @@
 	for nowUs := int64(1); nowUs < 60_000_000; nowUs += 50_000 {
 		if candidateSet(admitter, nowUs)["x"] {
 			tried++
-			must.True(t, misdirect(t, admitter, "x", false, nowUs))
+			must.True(t, receive421(t, admitter, "x", false, nowUs))
 		}
 		due, _ := admitter.DueProbes(nowUs)
 		for _, n := range due {
@@ -156,7 +156,7 @@
 	admitter := newAdmitter(ids...)
 	for nowUs := int64(1); nowUs < 10_000_000; nowUs += 100_000 {
 		for _, id := range ids {
-			misdirect(t, admitter, id, true, nowUs)
+			receive421(t, admitter, id, true, nowUs)
 		}
 		must.GreaterEq(t, 3, len(candidateSet(admitter, nowUs)))
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -64,28 +64,28 @@
 
 // Admitter is the admission of one node. It is not safe for concurrent use.
 type Admitter struct {
-	T               Tuning
-	Zone            string
-	Index           *prefixindex.Index
-	nodes           int
-	pools           map[string]*pool
-	tenants         map[string]*tenantState
-	relinquished    map[string]relinquished // by zone
-	retired         map[string]int64        // by model: the first version of the weights that is not retired
-	evacuations     evacuations
-	unreachable     unreachable
-	warmups         warmups
-	regions         map[string]string     // by zone
-	candidateBuffer []placement.Candidate // reused by the next search for candidates
-	runnerBuffer    []*runner
-	random          *rand.Rand                // which runners are compared, where other nodes send requests too
-	transferTurn    int                       // counts equal transfer sources, which take turns
-	hasCapacity     bool                      // the last search found a runner below its thresholds
-	peerLoadsUs     int64                     // when the loads of the other nodes were last updated; 0: expired
-	pendingBlocks   []messages.CachedPrefixes // prefixes that runners will cache once they have read them; for the other nodes
-	absent          []string                  // runners of confirmed absence, for the other nodes
-	Bound           WeightsBound
-	targets         targets.Table
+	T                Tuning
+	Zone             string
+	Index            *prefixindex.Index
+	nodes            int
+	pools            map[string]*pool
+	tenants          map[string]*tenantState
+	relinquished     map[string]relinquishment // by zone
+	retiredBelow     map[string]int64          // by model: the first version of the weights that is not retired
+	evacuations      evacuationState
+	unreachable      unreachableZones
+	warmups          warmupConfig
+	regions          map[string]string     // by zone
+	candidateBuffer  []placement.Candidate // reused by the next search for candidates
+	runnerBuffer     []*runner
+	random           *rand.Rand                // which runners are compared, where other nodes send requests too
+	transferTurn     int                       // counts equal transfer sources, which take turns
+	hasCapacity      bool                      // the last search found a runner below its thresholds
+	peerLoadsUs      int64                     // when the loads of the other nodes were last updated; 0: expired
+	expectedPrefixes []messages.CachedPrefixes // prefixes that runners will cache once they have read them; for the other nodes
+	confirmedAbsent  []string                  // runners of confirmed absence, for the other nodes
+	Bound            WeightsBound
+	targets          targets.Table
 	// contactUs is when a controller with contact to the core was last heard from.
 	contactUs int64
 	Salt      func(tenant string, isolated bool, regime string, version int64) string
@@ -128,7 +128,7 @@
 	if !a.allowRate(t, p, nowUs) {
 		return a.reject(request, p, RejectRate, 429)
 	}
-	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens {
+	if p.memoryTokens > 0 && request.TokensIn+request.TokensOut > p.memoryTokens {
 		return a.reject(request, p, RejectContext, 503)
 	}
 	if p.queue.count == 0 || p.queue.bands[0].rank > request.Rank || a.noneQueuedAhead(p, request.Rank) {
@@ -141,7 +141,7 @@
 
 func (a *Admitter) noneQueuedAhead(p *pool, rank int) bool {
 	for _, b := range p.queue.bands {
-		if b.rank <= rank && len(b.turn) > 0 {
+		if b.rank <= rank && len(b.rotation) > 0 {
 			return false
 		}
 	}
@@ -149,21 +149,21 @@
 }
 
 func (a *Admitter) enqueue(request Request, p *pool, nowUs int64) Decision {
-	share := func(total float64) float64 {
+	nodeShare := func(total float64) float64 {
 		if a.nodes > 2 {
 			return 2 * total / float64(a.nodes)
 		}
 		return total
 	}
-	if float64(p.queue.count+1) > share(float64(a.totalCapacity(p)+a.T.BufferRequests)) {
+	if float64(p.queue.count+1) > nodeShare(float64(a.totalCapacity(p)+a.T.BufferRequests)) {
 		return a.reject(request, p, RejectQueue, 503)
 	}
 	setpoint := max(request.SetpointUs, 100_000)
-	if p.queue.count > 0 && float64(p.queue.tokens+request.TokensIn) > share(float64(setpoint)*a.rate(p)) {
+	if p.queue.count > 0 && float64(p.queue.tokens+request.TokensIn) > nodeShare(float64(setpoint)*a.totalPrefillRate(p)) {
 		return a.reject(request, p, RejectTokens, 503)
 	}
 	ttl := min(int64(float64(request.LeftUs)*a.T.TTLPart), int64(float64(setpoint)*a.T.TTLSetpoints))
-	p.queue.put(&waiting{request: request, untilUs: nowUs + max(ttl, 50_000)})
+	p.queue.enqueue(&queuedRequest{request: request, expiresUs: nowUs + max(ttl, 50_000)})
 	return Decision{Ref: request.Ref, Hold: true}
 }
 
@@ -178,7 +178,7 @@
 	return a.reject(w.request, p, RejectShed, 503), true
 }
 
-func (a *Admitter) reject(request Request, p *pool, why Reason, status int) Decision {
-	again := int64(float64(p.queue.tokens)/a.rate(p)) + 60_000
-	return Decision{Ref: request.Ref, Reject: why, Status: status, AgainUs: min(max(again, 60_000), 1_000_000)}
+func (a *Admitter) reject(request Request, p *pool, reason Reason, status int) Decision {
+	retryAfterUs := int64(float64(p.queue.tokens)/a.totalPrefillRate(p)) + 60_000
+	return Decision{Ref: request.Ref, Reject: reason, Status: status, AgainUs: min(max(retryAfterUs, 60_000), 1_000_000)}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,17 +13,17 @@
 
 const memory = 16_000 // tokens of a runner: 1,000 blocks
 
-func runnerRecord(id string) messages.RunnerRecord {
+func testRecord(id string) messages.RunnerRecord {
 	return messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Zone: "a", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 1}}}
 }
 
 func newAdmitter(ids ...string) *Admitter {
 	admitter := New(Defaults, "a", 1)
-	var notes []messages.RunnerRecord
+	var records []messages.RunnerRecord
 	for _, id := range ids {
-		notes = append(notes, runnerRecord(id))
+		records = append(records, testRecord(id))
 	}
-	admitter.SetService("s", notes, memory, 2)
+	admitter.SetService("s", records, memory, 2)
 	return admitter
 }
 
@@ -97,14 +97,14 @@
 	must.Len(t, 1, admitter.Tick(500_001))
 }
 
-func TestThresholdsFireWithoutReports(t *testing.T) {
+func TestThresholdsApplyWithoutReports(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(4)
 	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), 1).Admit)
 	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold, must.Sprint("no loads of other nodes: this node keeps to its share"))
 }
 
-func TestThresholdsFireWithLateReportsAndGaps(t *testing.T) {
+func TestThresholdsApplyWithLateReportsAndPeerLoads(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(2)
 	admitter.Report(messages.RunnerReport{ID: "x", Used: 0, Total: memory}, 1)
@@ -120,7 +120,7 @@
 
 // Sums that lack the loads of some nodes must not hide a threshold that the node's own
 // requests reach.
-func TestThresholdsFireWithIncompletePeerLoads(t *testing.T) {
+func TestThresholdsApplyWithNegativePeerLoads(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(3)
 	admitter.Others(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: -40, Count: -2, Prefill: -5} }, 1)
@@ -130,7 +130,7 @@
 
 func TestSharedPartsUseOneStoreAndAllStoresAreUsed(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.SetService("s", []messages.RunnerRecord{runnerRecord("x")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x")}, memory, 2)
 	admitter.SetStores("s", []Store{{ID: "s1", Addr: "s1"}, {ID: "s2", Addr: "s2"}, {ID: "s3", Addr: "s3"}})
 	used := map[string]bool{}
 	for i := range 40 {
@@ -256,12 +256,12 @@
 
 func TestWindowFollowsUseAndHits(t *testing.T) {
 	tu := Defaults
-	must.Eq(t, 50.0, Window(&tu, 48, 0.1, 1))
-	must.Eq(t, 24.0, Window(&tu, 48, 0.6, 0.1))
-	must.Eq(t, 48.0, Window(&tu, 48, 0.6, 0.5), must.Sprint("full, but hits are many"))
-	must.Eq(t, 48.0, Window(&tu, 48, 0.3, 0.1))
-	must.Eq(t, tu.WindowMin, Window(&tu, 5, 0.9, 0))
-	must.Eq(t, tu.WindowMax, Window(&tu, tu.WindowMax, 0, 1))
+	must.Eq(t, 50.0, nextWindow(&tu, 48, 0.1, 1))
+	must.Eq(t, 24.0, nextWindow(&tu, 48, 0.6, 0.1))
+	must.Eq(t, 48.0, nextWindow(&tu, 48, 0.6, 0.5), must.Sprint("full, but hits are many"))
+	must.Eq(t, 48.0, nextWindow(&tu, 48, 0.3, 0.1))
+	must.Eq(t, tu.WindowMin, nextWindow(&tu, 5, 0.9, 0))
+	must.Eq(t, tu.WindowMax, nextWindow(&tu, tu.WindowMax, 0, 1))
 }
 
 func TestWindowLimitsAdmittedRequestsOfTenant(t *testing.T) {
@@ -279,9 +279,9 @@
 
 func TestDrainingCordonedAndAvoidedRunnersAreNotCandidates(t *testing.T) {
 	admitter := newAdmitter("x", "y", "z")
-	a, b := runnerRecord("x"), runnerRecord("y")
+	a, b := testRecord("x"), testRecord("y")
 	a.Draining, b.Cordoned = true, true
-	admitter.SetService("s", []messages.RunnerRecord{a, b, runnerRecord("z")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{a, b, testRecord("z")}, memory, 2)
 	list := admitter.Candidates(newRequest(16, 1), 1)
 	must.Len(t, 1, list)
 	must.Eq(t, "z", list[0].ID)
@@ -292,7 +292,7 @@
 
 func TestCordonExpires(t *testing.T) {
 	admitter := newAdmitter("x")
-	n := runnerRecord("x")
+	n := testRecord("x")
 	n.Cordoned = true
 	admitter.SetService("s", []messages.RunnerRecord{n}, memory, 2)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), 1))
@@ -300,7 +300,7 @@
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), 1+maxCordonUs))
 }
 
-func TestNodeKeepsToItsShareOfRunnerConnections(t *testing.T) {
+func TestNodeStaysWithinItsShareOfRunnerConnections(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetLinks("s", 10)
 	admitter.SetNodes(4)
@@ -313,9 +313,9 @@
 
 func TestDrainingRunnersGetLongRequestsOnlyAsLastResort(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	e := runnerRecord("x")
+	e := testRecord("x")
 	e.DrainingLong = true
-	admitter.SetService("s", []messages.RunnerRecord{e, runnerRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{e, testRecord("y")}, memory, 2)
 	must.Len(t, 2, admitter.Candidates(newRequest(16, 10), 1))
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 200), 1))
 	admitter.SetService("s", []messages.RunnerRecord{e}, memory, 2)
@@ -354,9 +354,9 @@
 
 func TestTransfersComeFromSameWeightsOnly(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	y := runnerRecord("y")
+	y := testRecord("y")
 	y.Models[0].Version = 2
-	admitter.SetService("s", []messages.RunnerRecord{runnerRecord("x"), y}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), y}, memory, 2)
 	a := newRequest(16, 1)
 	a.Parts = []prefixindex.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 16}}
 	a.TokensIn = 1016
@@ -364,7 +364,7 @@
 	for _, c := range admitter.Candidates(a, 1) {
 		must.Eq(t, "", c.From)
 	}
-	admitter.SetService("s", []messages.RunnerRecord{runnerRecord("x"), runnerRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), testRecord("y")}, memory, 2)
 	found := false
 	for _, c := range admitter.Candidates(a, 1) {
 		if c.ID == "y" {
@@ -394,7 +394,7 @@
 	}
 	for _, id := range []string{"x", "y"} {
 		r := admitter.pool("s").runners[id]
-		must.Eq(t, loadReport{flow: r.own.flow, atUs: r.own.atUs}, r.own, must.Sprint(id))
+		must.Eq(t, runnerLoad{flow: r.ownLoad.flow, atUs: r.ownLoad.atUs}, r.ownLoad, must.Sprint(id))
 		must.MapEmpty(t, r.pins)
 	}
 	must.Eq(t, 0, admitter.tenants["t"].admitted)
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -13,27 +13,27 @@
 
 // Admission is the capacity that a request has reserved at a runner; Done releases it.
 type Admission struct {
-	Runner      messages.RunnerRecord
-	Salt        string
-	Version     int64
-	Cached      int
-	Source      string // address of the runner or store to transfer cached blocks from
-	Sink        string // address of the store to send blocks to after prefill
-	atUs        int64
-	blocks      int
-	pins        []pin
-	prefill     int
-	ahead       int
-	prefilling  bool
-	tenant      string
-	service     string
-	model       string
-	tokensIn    int
-	Keys        []uint64
-	Parts       []prefixindex.Part
-	pendingKeys []uint64
-	class       string
-	slow        bool // its first token took long
+	Runner         messages.RunnerRecord
+	Salt           string
+	Version        int64
+	Cached         int
+	Source         string // address of the runner or store to transfer cached blocks from
+	Sink           string // address of the store to send blocks to after prefill
+	atUs           int64
+	blocks         int
+	pins           []pin
+	prefillTokens  int
+	prefillAhead   int
+	prefilling     bool
+	tenant         string
+	service        string
+	model          string
+	tokensIn       int
+	Keys           []uint64
+	Parts          []prefixindex.Part
+	expectedKeys   []uint64
+	class          string
+	slowFirstToken bool // its first token took long
 }
 
 type pin struct {
@@ -55,7 +55,7 @@
 	if float64(t.admitted) >= t.window {
 		return nil
 	}
-	list, who := a.findCandidates(request, p, nowUs)
+	list, runners := a.findCandidates(request, p, nowUs)
 	prompt := placement.Prompt{Tokens: request.TokensIn, Out: request.TokensOut}
 	if n := len(request.Parts); n > 1 {
 		prompt.Shared = prefixindex.Key("", request.Model, request.Parts[n-2].ID)
@@ -64,71 +64,71 @@
 	if i < 0 {
 		return nil
 	}
-	r, c := who[i], list[i]
+	r, c := runners[i], list[i]
 	version := weightsVersion(r.record, request.Model)
 	salt := a.Salt(request.Tenant, request.Isolated, request.Regime, version)
 	adm := &Admission{Runner: r.record, Salt: salt, Version: version, Cached: c.Cached, Source: c.From, atUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
-	bt := a.T.BlockTokens
-	inParts := 0
+	blockTokens := a.T.BlockTokens
+	partTokens := 0
 	for j, k := range adm.Keys {
-		n := (request.Parts[j].Tokens + bt - 1) / bt
-		inParts += request.Parts[j].Tokens
+		n := (request.Parts[j].Tokens + blockTokens - 1) / blockTokens
+		partTokens += request.Parts[j].Tokens
 		adm.pins = append(adm.pins, pin{k, n})
 		if r.pins[k]++; r.pins[k] == 1 {
-			r.own.blocks += n
+			r.ownLoad.blocks += n
 		}
 	}
-	adm.blocks = (max(request.TokensIn-inParts, 0) + request.TokensOut + bt - 1) / bt
-	r.own.blocks += adm.blocks
-	if a.recordPending(adm, len(request.Parts)-1) && c.Moved < minTransferTokens {
+	adm.blocks = (max(request.TokensIn-partTokens, 0) + request.TokensOut + blockTokens - 1) / blockTokens
+	r.ownLoad.blocks += adm.blocks
+	if a.recordExpected(adm, len(request.Parts)-1) && c.Moved < minTransferTokens {
 		adm.Sink = p.sink(request, adm.Keys)
 	}
-	adm.ahead = c.Prefill
-	adm.prefill = max(request.TokensIn-c.Cached-c.Moved, 0)
-	r.own.prefill += adm.prefill
-	r.sent(adm.prefill, nowUs)
-	r.own.count++
+	adm.prefillAhead = c.Prefill
+	adm.prefillTokens = max(request.TokensIn-c.Cached-c.Moved, 0)
+	r.ownLoad.prefill += adm.prefillTokens
+	r.recordSent(adm.prefillTokens, nowUs)
+	r.ownLoad.count++
 	p.recordWarmup(r, nowUs)
-	r.recent = append(r.recent, recentRequest{nowUs, adm.blocks + adm.prefill/bt})
-	r.trimRecent(nowUs)
+	r.recentRequests = append(r.recentRequests, recentRequest{nowUs, adm.blocks + adm.prefillTokens/blockTokens})
+	r.trimRecentRequests(nowUs)
 	t.admitted++
-	t.hit += float64(c.Cached + c.Moved)
-	t.all += float64(request.TokensIn)
+	t.hitTokens += float64(c.Cached + c.Moved)
+	t.promptTokens += float64(request.TokensIn)
 	return adm
 }
 
 // sink returns the store for a prompt's shared parts, by rendezvous hashing of the
 // deepest of them: a chain of parts lies in one store, and all stores are used.
 func (p *pool) sink(request Request, keys []uint64) string {
-	best, top := "", uint64(0)
+	addr, topScore := "", uint64(0)
 	for _, s := range p.stores {
-		if v := statesync.Mix(keys[max(len(keys)-2, 0)] ^ statesync.HashText(s.ID, "")); p.permits(request, s.ID) && (best == "" || v > top) {
-			best, top = s.Addr, v
+		if score := statesync.Mix(keys[max(len(keys)-2, 0)] ^ statesync.HashText(s.ID, "")); p.permits(request, s.ID) && (addr == "" || score > topScore) {
+			addr, topScore = s.Addr, score
 		}
 	}
-	return best
+	return addr
 }
 
-// recordPending records the shared parts that a runner is about to cache, here and for
+// recordExpected records the shared parts that a runner is about to cache, here and for
 // the other nodes. It reports whether there are any.
-func (a *Admitter) recordPending(adm *Admission, shared int) bool {
-	note := messages.CachedPrefixes{ID: adm.Runner.ID, Parts: []messages.CachedPart{}}
+func (a *Admitter) recordExpected(adm *Admission, shared int) bool {
+	expected := messages.CachedPrefixes{ID: adm.Runner.ID, Parts: []messages.CachedPart{}}
 	for i := range max(shared, 0) {
 		k, n := adm.Keys[i], int32(adm.Parts[i].Tokens)
-		if a.Index.Cached(note.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
-			a.Index.Expect(note.ID, k, n)
-			adm.pendingKeys = append(adm.pendingKeys, k)
-			note.Parts = append(note.Parts, messages.CachedPart{Key: k, Tokens: n})
+		if a.Index.Cached(expected.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
+			a.Index.Expect(expected.ID, k, n)
+			adm.expectedKeys = append(adm.expectedKeys, k)
+			expected.Parts = append(expected.Parts, messages.CachedPart{Key: k, Tokens: n})
 		}
 	}
-	if len(note.Parts) > 0 {
-		a.pendingBlocks = append(a.pendingBlocks, note)
+	if len(expected.Parts) > 0 {
+		a.expectedPrefixes = append(a.expectedPrefixes, expected)
 	}
-	return len(note.Parts) > 0
+	return len(expected.Parts) > 0
 }
 
 // HasFresh reports whether TakeFresh has something that other nodes should get soon.
-func (a *Admitter) HasFresh() bool { return len(a.pendingBlocks) > 0 }
+func (a *Admitter) HasFresh() bool { return len(a.expectedPrefixes) > 0 }
 
 // FirstToken records that a runner has finished the prefill of a prompt. It updates the
 // runner's prefill rate and cached prefixes.
@@ -138,14 +138,14 @@
 		return
 	}
 	adm.prefilling = false
-	a.pool(adm.service).judgeFirstToken(&a.T, adm, r, nowUs)
-	r.own.prefill -= adm.prefill
-	if took := nowUs - adm.atUs; took > 0 && adm.prefill >= 512 && adm.ahead*4 <= adm.prefill {
-		sample := float64(adm.prefill) / float64(took)
-		if r.rate <= 0 {
-			r.rate = sample
+	a.pool(adm.service).recordFirstTokenLatency(&a.T, adm, r, nowUs)
+	r.ownLoad.prefill -= adm.prefillTokens
+	if elapsedUs := nowUs - adm.atUs; elapsedUs > 0 && adm.prefillTokens >= 512 && adm.prefillAhead*4 <= adm.prefillTokens {
+		sample := float64(adm.prefillTokens) / float64(elapsedUs)
+		if r.measuredRate <= 0 {
+			r.measuredRate = sample
 		} else {
-			r.rate += (sample - r.rate) * 0.2
+			r.measuredRate += (sample - r.measuredRate) * 0.2
 		}
 	}
 	for i, k := range adm.Keys {
@@ -155,7 +155,7 @@
 
 // Done releases the capacity of an admission. ok is false if the connection to the
 // runner failed; the runner is then avoided for a while, longer each time.
-func (a *Admitter) Done(adm *Admission, ok bool, nowUs int64) {
+func (a *Admitter) Done(adm *Admission, connected bool, nowUs int64) {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
 	a.tenant(adm.tenant, nowUs).admitted--
@@ -164,37 +164,37 @@
 	}
 	if adm.prefilling {
 		adm.prefilling = false
-		r.own.prefill -= adm.prefill
-		for _, k := range adm.pendingKeys {
+		r.ownLoad.prefill -= adm.prefillTokens
+		for _, k := range adm.expectedKeys {
 			a.Index.Forget(r.record.ID, k)
 		}
 	}
 	for _, k := range adm.pins {
 		if r.pins[k.key]--; r.pins[k.key] <= 0 {
 			delete(r.pins, k.key)
-			r.own.blocks -= k.blocks
+			r.ownLoad.blocks -= k.blocks
 		}
 	}
-	r.own.blocks -= adm.blocks
-	r.own.count--
-	if ok {
-		r.pauseUs, r.avoidUntilUs = 0, 0
+	r.ownLoad.blocks -= adm.blocks
+	r.ownLoad.count--
+	if connected {
+		r.backoffUs, r.avoidUntilUs = 0, 0
 		return
 	}
-	r.pauseUs = min(max(2*r.pauseUs, a.T.UnsoundUs), a.T.UnsoundMaxUs)
-	r.avoidUntilUs = nowUs + r.pauseUs
+	r.backoffUs = min(max(2*r.backoffUs, a.T.UnsoundUs), a.T.UnsoundMaxUs)
+	r.avoidUntilUs = nowUs + r.backoffUs
 }
 
 // Ended records whether a request that ran at a runner succeeded there.
-func (a *Admitter) Ended(adm *Admission, good bool, nowUs int64) {
+func (a *Admitter) Ended(adm *Admission, succeeded bool, nowUs int64) {
 	p := a.pool(adm.service)
 	if r := p.runners[adm.Runner.ID]; r != nil {
-		r.health.record(good, nowUs)
-		p.recordOutcome(adm, r, good)
-		if !good {
-			p.eject(nowUs)
-		} else if !r.absence.out {
-			r.absence.pauseUs = 0
+		r.health.record(succeeded, nowUs)
+		p.recordOutcome(adm, r, succeeded)
+		if !succeeded {
+			p.ejectOutliers(nowUs)
+		} else if !r.absence.excluded {
+			r.absence.backoffUs = 0
 		}
 	}
 }
@@ -203,14 +203,14 @@
 // a short while.
 func (a *Admitter) Full(adm *Admission, nowUs int64) {
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
-		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+rejectionPauseUs)
+		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+rejectionBackoffUs)
 	}
 }
 
 // TakeFresh returns the prefixes that runners are about to cache for requests that this
 // node has sent since the last call.
 func (a *Admitter) TakeFresh() []messages.CachedPrefixes {
-	out := a.pendingBlocks
-	a.pendingBlocks = nil
+	out := a.expectedPrefixes
+	a.expectedPrefixes = nil
 	return out
 }
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -16,37 +16,37 @@
 	return slices.Clone(list)
 }
 
-// search is what one search for candidates goes by.
-type search struct {
-	request       Request
-	pool          *pool
-	nowUs         int64
-	peersKnown    bool // the loads of the other nodes are recent
-	linkShare     int  // requests that this node may have at one runner; 0: any number
-	preferredZone string
-	avoidsZones   bool // runners in unreachable zones get nothing
-	relinquishing bool // sessions that leave their zone have another one to go to
-	blocks        int  // memory that the request needs without a cached prefix
-	keysOf        func(version int64) []uint64
+// candidateSearch is what one search for candidates goes by.
+type candidateSearch struct {
+	request         Request
+	pool            *pool
+	nowUs           int64
+	peersKnown      bool // the loads of the other nodes are recent
+	connectionShare int  // requests that this node may have at one runner; 0: any number
+	preferredZone   string
+	skipUnreachable bool // runners in unreachable zones get nothing
+	movesSessions   bool // sessions that leave their zone have another one to go to
+	blocks          int  // memory that the request needs without a cached prefix
+	keysOf          func(version int64) []uint64
 }
 
-// newSearch begins a search: it expires the loads of other nodes and finds the zone to
+// newCandidateSearch begins a search: it expires the loads of other nodes and finds the zone to
 // prefer.
-func (a *Admitter) newSearch(request Request, p *pool, nowUs int64) search {
-	share := a.linkShare(p)
+func (a *Admitter) newCandidateSearch(request Request, p *pool, nowUs int64) candidateSearch {
+	share := a.connectionShare(p)
 	a.expirePeerLoads(nowUs)
-	s := search{
+	s := candidateSearch{
 		request: request, pool: p, nowUs: nowUs,
-		peersKnown: a.peerLoadsCurrent(nowUs), linkShare: share,
+		peersKnown: a.peerLoadsCurrent(nowUs), connectionShare: share,
 		preferredZone: a.Zone, keysOf: a.keysOf(request),
-		avoidsZones: a.reachesOthers(p),
-		blocks:      (request.TokensIn + request.TokensOut + a.T.BlockTokens - 1) / a.T.BlockTokens,
+		skipUnreachable: a.hasReachableRunners(p),
+		blocks:          (request.TokensIn + request.TokensOut + a.T.BlockTokens - 1) / a.T.BlockTokens,
 	}
 	if len(a.relinquished) == 0 {
 		return s
 	}
-	if home := a.home(request, p); home != "" {
-		s.relinquishing = true
+	if home := a.targetZone(request, p); home != "" {
+		s.movesSessions = true
 		if a.Leaves(request, a.Zone, nowUs) {
 			s.preferredZone = home
 		}
@@ -63,7 +63,7 @@
 func (a *Admitter) findCandidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
 	list, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
 	a.hasCapacity = false
-	s := a.newSearch(request, p, nowUs)
+	s := a.newCandidateSearch(request, p, nowUs)
 	for pass := range preferences {
 		for _, id := range p.order {
 			r := p.runners[id]
@@ -78,7 +78,7 @@
 			break
 		}
 	}
-	if p.moveUs > 0 && len(request.Parts) > 0 {
+	if p.transferUsPerToken > 0 && len(request.Parts) > 0 {
 		a.findTransfers(&s, list, runners)
 	}
 	a.candidateBuffer, a.runnerBuffer = list, runners
@@ -87,29 +87,29 @@
 
 // eligible reports whether a request may be sent to a runner of this preference, whatever the
 // runner's load.
-func (a *Admitter) eligible(s *search, r *runner, preference int) bool {
+func (a *Admitter) eligible(s *candidateSearch, r *runner, preference int) bool {
 	reason, byVersion := a.withheldFrom(s, r)
 	return reason == NotWithheld && preference == max(byVersion, a.preference(s.request, r, s.nowUs))
 }
 
 // candidateAt returns the candidate that a runner is, and whether the request fits there:
 // the runner is below its thresholds and has memory for the request.
-func (a *Admitter) candidateAt(s *search, r *runner) (candidate placement.Candidate, fits bool) {
-	use := r.updateBusy(&a.T, s.nowUs, a.nodes, s.peersKnown)
+func (a *Admitter) candidateAt(s *candidateSearch, r *runner) (candidate placement.Candidate, fits bool) {
+	memoryUse := r.updateBusy(&a.T, s.nowUs, a.nodes, s.peersKnown)
 	active := r.active(&a.T, s.nowUs)
-	if a.withheldForLoad(r, active, s.linkShare) != NotWithheld {
+	if a.withheldForLoad(r, active, s.connectionShare) != NotWithheld {
 		return placement.Candidate{}, false
 	}
 	id := r.record.ID
 	cached := a.Index.Expected(id, s.keysOf(weightsVersion(r.record, s.request.Model)), s.request.Parts)
 	a.hasCapacity = true
-	if r.blocks > 0 && active > 0 && use+float64(s.blocks-cached/a.T.BlockTokens)/float64(r.blocks) > maxUseAfter {
+	if r.blocks > 0 && active > 0 && memoryUse+float64(s.blocks-cached/a.T.BlockTokens)/float64(r.blocks) > maxUseAfter {
 		return placement.Candidate{}, false
 	}
 	return placement.Candidate{
 		ID: id, NearSite: r.record.Zone == s.preferredZone, Cached: cached, Prefill: r.prefill(),
-		Active: active, Capacity: r.capacity, Used: use, Rate: r.prefillRate(&a.T),
-		Reading: r.prefillLoad(&a.T, s.nowUs), DoubtUs: r.health.doubtUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
+		Active: active, Capacity: r.capacity, Used: memoryUse, Rate: r.prefillRate(&a.T),
+		Reading: r.prefillLoad(&a.T, s.nowUs), DoubtUs: r.health.slowStartCostUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
 	}, true
 }
 
@@ -137,38 +137,38 @@
 // Costs of a transfer of cached blocks: its start in microseconds, and how much longer
 // it takes between zones. Fewer than minTransferTokens are not transferred.
 const (
-	transferStartUs   = 3_000
+	transferSetupUs   = 3_000
 	crossZoneFactor   = 2
 	minTransferTokens = 48
 )
 
 // blockSource is a runner or store that has cached blocks of a prompt.
 type blockSource struct {
-	addr    string
-	zone    string
-	version int64
-	kept    int // tokens of the prompt that are cached
-	moveUs  float64
-	equals  int // other sources of the same value
+	addr               string
+	zone               string
+	version            int64
+	cachedTokens       int // tokens of the prompt that are cached
+	transferUsPerToken float64
+	ties               int // other sources of the same value
 }
 
 // blockSources are the sources for a prompt, and how much of its shared parts the
 // runners and stores with each version of the weights have or are about to have.
 type blockSources struct {
-	list   []blockSource
-	shared map[int64]int // tokens, by version
+	list         []blockSource
+	sharedTokens map[int64]int // tokens, by version
 }
 
 // sameCost reports whether a transfer from both sources costs the same, so that only the
 // one with more cached tokens is needed.
 func (s *blockSource) sameCost(other *blockSource) bool {
-	return s.version == other.version && s.zone == other.zone && s.moveUs == other.moveUs
+	return s.version == other.version && s.zone == other.zone && s.transferUsPerToken == other.transferUsPerToken
 }
 
 // addSource adds a source. Of several with the same cost the one with most cached tokens
 // is enough; equal ones take turns.
 func (a *Admitter) addSource(sources *blockSources, added blockSource) {
-	if added.kept < minTransferTokens {
+	if added.cachedTokens < minTransferTokens {
 		return
 	}
 	i := slices.IndexFunc(sources.list, func(known blockSource) bool { return known.sameCost(&added) })
@@ -178,51 +178,51 @@
 	}
 	known := &sources.list[i]
 	switch {
-	case added.kept > known.kept:
+	case added.cachedTokens > known.cachedTokens:
 		*known = added
-	case added.kept == known.kept:
-		known.equals++
-		if a.transferTurn++; a.transferTurn%(known.equals+1) == 0 {
-			added.equals = known.equals
+	case added.cachedTokens == known.cachedTokens:
+		known.ties++
+		if a.transferTurn++; a.transferTurn%(known.ties+1) == 0 {
+			added.ties = known.ties
 			*known = added
 		}
 	}
 }
 
 // mayFetchFrom reports whether cached blocks may be fetched from a runner.
-func (a *Admitter) mayFetchFrom(s *search, r *runner) bool {
-	if r.absence.out || r.record.Stale || r.avoidUntilUs > s.nowUs || a.zoneUnreachable(r.record.Zone) {
+func (a *Admitter) mayFetchFrom(s *candidateSearch, r *runner) bool {
+	if r.absence.excluded || r.record.Stale || r.avoidUntilUs > s.nowUs || a.zoneUnreachable(r.record.Zone) {
 		return false
 	}
 	return s.pool.permits(s.request, r.record.ID)
 }
 
 // findSources finds the runners and stores that have cached blocks of a prompt.
-func (a *Admitter) findSources(s *search) blockSources {
+func (a *Admitter) findSources(s *candidateSearch) blockSources {
 	request, p := s.request, s.pool
 	sharedTokens := 0
 	for _, part := range request.Parts[:len(request.Parts)-1] {
 		sharedTokens += part.Tokens
 	}
-	sources := blockSources{shared: map[int64]int{}}
+	sources := blockSources{sharedTokens: map[int64]int{}}
 	for _, id := range p.order {
 		r := p.runners[id]
 		version := weightsVersion(r.record, request.Model)
 		if !a.mayFetchFrom(s, r) || a.RetiredWeights(request.Model, version) {
 			continue
 		}
-		kept, expected := a.Index.CachedAndExpected(id, s.keysOf(version), request.Parts)
-		a.addSource(&sources, blockSource{addr: r.record.Addr, zone: r.record.Zone, version: version, kept: kept, moveUs: p.moveUs})
-		sources.shared[version] = max(sources.shared[version], min(sharedTokens, expected))
+		cachedTokens, expected := a.Index.CachedAndExpected(id, s.keysOf(version), request.Parts)
+		a.addSource(&sources, blockSource{addr: r.record.Addr, zone: r.record.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: p.transferUsPerToken})
+		sources.sharedTokens[version] = max(sources.sharedTokens[version], min(sharedTokens, expected))
 	}
 	for _, store := range p.stores {
 		if !p.permits(request, store.ID) || a.zoneUnreachable(store.Zone) {
 			continue
 		}
-		for version := range sources.shared {
-			if kept := a.Index.Cached(store.ID, s.keysOf(version), request.Parts); kept >= minTransferTokens {
-				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, kept: kept, moveUs: store.MoveUs})
-				sources.shared[version] = max(sources.shared[version], min(sharedTokens, kept))
+		for version := range sources.sharedTokens {
+			if cachedTokens := a.Index.Cached(store.ID, s.keysOf(version), request.Parts); cachedTokens >= minTransferTokens {
+				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: store.MoveUs})
+				sources.sharedTokens[version] = max(sources.sharedTokens[version], min(sharedTokens, cachedTokens))
 			}
 		}
 	}
@@ -231,31 +231,31 @@
 
 // findTransfers finds for every candidate the source with the same weights from which a
 // transfer of cached blocks gains most over prefill.
-func (a *Admitter) findTransfers(s *search, list []placement.Candidate, runners []*runner) {
+func (a *Admitter) findTransfers(s *candidateSearch, list []placement.Candidate, runners []*runner) {
 	sources := a.findSources(s)
 	for i := range list {
 		c := &list[i]
 		version := weightsVersion(runners[i].record, s.request.Model)
-		sources.chooseFor(c, runners[i], version)
-		c.Again = max(sources.shared[version]-c.Cached-c.Moved, 0)
+		sources.chooseTransfer(c, runners[i], version)
+		c.Again = max(sources.sharedTokens[version]-c.Cached-c.Moved, 0)
 	}
 }
 
-// chooseFor sets the transfer of a candidate whose weights have the given version.
-func (s *blockSources) chooseFor(c *placement.Candidate, r *runner, version int64) {
-	best := 0.0
+// chooseTransfer sets the transfer of a candidate whose weights have the given version.
+func (s *blockSources) chooseTransfer(c *placement.Candidate, r *runner, version int64) {
+	bestGain := 0.0
 	for _, source := range s.list {
-		more := source.kept - c.Cached
-		if source.addr == r.record.Addr || source.version != version || more < minTransferTokens {
+		gainTokens := source.cachedTokens - c.Cached
+		if source.addr == r.record.Addr || source.version != version || gainTokens < minTransferTokens {
 			continue
 		}
-		us := transferStartUs + float64(more)*source.moveUs
+		transferUs := transferSetupUs + float64(gainTokens)*source.transferUsPerToken
 		if source.zone != r.record.Zone {
-			us *= crossZoneFactor
+			transferUs *= crossZoneFactor
 		}
-		if gain := float64(more)*(1/c.Rate+placement.AgainUs) - us; gain > best {
-			best = gain
-			c.Moved, c.MoveUs, c.From = more, us, source.addr
+		if gain := float64(gainTokens)*(1/c.Rate+placement.AgainUs) - transferUs; gain > bestGain {
+			bestGain = gain
+			c.Moved, c.MoveUs, c.From = gainTokens, transferUs, source.addr
 		}
 	}
 }
--- a/internal/admission/evacuation.go
+++ b/internal/admission/evacuation.go
@@ -8,22 +8,22 @@
 	"slices"
 )
 
-// evacuations is which zones are evacuated.
-type evacuations struct {
+// evacuationState is which zones are evacuated.
+type evacuationState struct {
 	zones map[string]bool
-	// returnColdUs is for how long the runners of a zone that is taken back count as cold,
+	// returnWarmupUs is for how long the runners of a zone that is taken back count as cold,
 	// in microseconds, unless their heartbeats say that it is longer.
-	returnColdUs int64
+	returnWarmupUs int64
 }
 
 // SetReturnCold sets for how long runners of a zone that is taken back count as cold.
-func (a *Admitter) SetReturnCold(forUs int64) { a.evacuations.returnColdUs = forUs }
+func (a *Admitter) SetReturnCold(forUs int64) { a.evacuations.returnWarmupUs = forUs }
 
 // SetEvacuated sets which zones are evacuated.
 func (a *Admitter) SetEvacuated(zones map[string]bool, nowUs int64) {
 	for zone := range a.evacuations.zones {
 		if !zones[zone] {
-			a.assumeCold(zone, a.evacuations.returnColdUs, nowUs)
+			a.restartWarmups(zone, a.evacuations.returnWarmupUs, nowUs)
 		}
 	}
 	a.evacuations.zones = maps.Clone(zones)
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -17,8 +17,8 @@
 	return newAdmitter(ids...), ids
 }
 
-func (a *Admitter) end(id string, good bool, nowUs int64) {
-	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, good, nowUs)
+func (a *Admitter) endRequest(id string, succeeded bool, nowUs int64) {
+	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, succeeded, nowUs)
 }
 
 func candidateIDs(admitter *Admitter, nowUs int64) map[string]bool {
@@ -36,7 +36,7 @@
 	now := int64(1_000_000)
 	for _, id := range ids {
 		for i := range 4 {
-			admitter.end(id, id != "r3" || i%2 == 0, now)
+			admitter.endRequest(id, id != "r3" || i%2 == 0, now)
 		}
 	}
 	must.False(t, candidateIDs(admitter, now)["r3"])
@@ -46,29 +46,29 @@
 	for _, c := range admitter.Candidates(newRequest(16, 1), back+1) {
 		must.Eq(t, c.ID == "r3", c.DoubtUs > 0)
 	}
-	now = back + windowUs
+	now = back + outcomeWindowUs
 	for _, id := range ids {
 		for i := range 4 {
-			admitter.end(id, id != "r3" || i%2 == 0, now)
+			admitter.endRequest(id, id != "r3" || i%2 == 0, now)
 		}
 	}
 	must.False(t, candidateIDs(admitter, now+ejectionUs+1)["r3"], must.Sprint("longer the second time"))
 	must.True(t, candidateIDs(admitter, now+2*ejectionUs)["r3"])
-	must.Eq(t, 0.0, admitter.pool("s").runners["r3"].health.doubtUs(now+2*ejectionUs+rampUs))
+	must.Eq(t, 0.0, admitter.pool("s").runners["r3"].health.slowStartCostUs(now+2*ejectionUs+slowStartUs))
 }
 
 func TestEjectionsAreLimitedAndNoneWhenAllFail(t *testing.T) {
 	admitter, ids := tenRunners()
 	for i, id := range ids {
 		for range 4 {
-			admitter.end(id, i > 3, 1_000_000)
+			admitter.endRequest(id, i > 3, 1_000_000)
 		}
 	}
 	must.MapLen(t, 8, candidateIDs(admitter, 1_000_000), must.Sprint("a fifth at most"))
 	admitter, ids = tenRunners()
 	for range 6 {
 		for _, id := range ids {
-			admitter.end(id, false, 1_000_000)
+			admitter.endRequest(id, false, 1_000_000)
 		}
 	}
 	must.Greater(t, 7, len(candidateIDs(admitter, 1_000_000)))
@@ -90,7 +90,7 @@
 	reportFailures(6)
 	must.False(t, candidateIDs(admitter, 1_000_001)["r1"])
 	for range 20 {
-		admitter.end("r2", true, 1_000_000)
+		admitter.endRequest("r2", true, 1_000_000)
 	}
 	admitter.Others(func(id string) messages.RunnerLoad { return messages.RunnerLoad{ID: id, Tried: 10, Failed: 4} }, 1_000_000)
 	must.True(t, candidateIDs(admitter, 1_000_001)["r2"], must.Sprint("its requests from this node succeeded"))
@@ -99,8 +99,8 @@
 func TestEjectedRunnerIsUsedAsLastResort(t *testing.T) {
 	admitter := newAdmitter("x", "y")
 	for range 4 {
-		admitter.end("x", false, 1)
-		admitter.end("y", true, 1)
+		admitter.endRequest("x", false, 1)
+		admitter.endRequest("y", true, 1)
 	}
 	q := newRequest(16, 1)
 	must.Len(t, 1, admitter.Candidates(q, 2))
--- a/internal/admission/homes.go
+++ b/internal/admission/homes.go
@@ -7,9 +7,9 @@
 // SetRegions sets the region of each zone.
 func (a *Admitter) SetRegions(regions map[string]string) { a.regions = regions }
 
-// atHome reports whether a runner of a zone may serve a request. A zone whose region is not
+// regionAllowed reports whether a runner of a zone may serve a request. A zone whose region is not
 // known is in none.
-func (a *Admitter) atHome(request *Request, zone string) bool {
+func (a *Admitter) regionAllowed(request *Request, zone string) bool {
 	if !request.Bound {
 		return true
 	}
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -13,8 +13,8 @@
 func (a *Admitter) Report(n messages.RunnerReport, nowUs int64) {
 	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
-			r.report = loadReport{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
-			r.reported, r.queued = true, n.Queued
+			r.reportedLoad = runnerLoad{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
+			r.hasReport, r.queued = true, n.Queued
 			if n.Total > 0 {
 				r.blocks = n.Total / a.T.BlockTokens
 			}
@@ -55,7 +55,7 @@
 func (a *Admitter) LoadsUpdated(nowUs int64) {
 	a.peerLoadsUs = nowUs
 	for _, p := range a.pools {
-		p.eject(nowUs)
+		p.ejectOutliers(nowUs)
 	}
 }
 
@@ -67,7 +67,7 @@
 	a.peerLoadsUs = 0
 	for _, p := range a.pools {
 		for _, r := range p.runners {
-			r.peers = loadReport{}
+			r.peerLoad = runnerLoad{}
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if r.blocks == 0 || !r.reported || nowUs-r.report.atUs > 3*a.T.ReportFreshUs {
+			if r.blocks == 0 || !r.hasReport || nowUs-r.reportedLoad.atUs > 3*a.T.ReportFreshUs {
 				out = append(out, id)
 			}
 		}
@@ -109,9 +109,9 @@
 	for _, p := range a.pools {
 		for id, r := range p.runners {
 			flow := int(r.ownFlow(nowUs)/flowStep+0.5) * flowStep
-			seen := r.health.own(nowUs)
-			if r.own.count > 0 || flow > 0 || seen.tried > 0 {
-				out[id] = messages.RunnerLoad{ID: id, Tried: seen.tried, Failed: seen.failed, Blocks: r.own.blocks, Prefill: r.own.prefill, Count: r.own.count, Rate: math.Round(r.rate*rateSteps) / rateSteps, Flow: flow}
+			outcomes := r.health.own(nowUs)
+			if r.ownLoad.count > 0 || flow > 0 || outcomes.tried > 0 {
+				out[id] = messages.RunnerLoad{ID: id, Tried: outcomes.tried, Failed: outcomes.failed, Blocks: r.ownLoad.blocks, Prefill: r.ownLoad.prefill, Count: r.ownLoad.count, Rate: math.Round(r.measuredRate*rateSteps) / rateSteps, Flow: flow}
 			}
 		}
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -5,15 +5,15 @@
 
 import "sort"
 
-type waiting struct {
-	request Request
-	untilUs int64
+type queuedRequest struct {
+	request   Request
+	expiresUs int64
 }
 
 type band struct {
-	rank    int
-	turn    []string
-	tenants map[string][]*waiting
+	rank     int
+	rotation []string
+	tenants  map[string][]*queuedRequest
 }
 
 type queue struct {
@@ -22,16 +22,16 @@
 	tokens int
 }
 
-func (q *queue) put(w *waiting) {
+func (q *queue) enqueue(w *queuedRequest) {
 	i := sort.Search(len(q.bands), func(i int) bool { return q.bands[i].rank >= w.request.Rank })
 	if i == len(q.bands) || q.bands[i].rank != w.request.Rank {
 		q.bands = append(q.bands, nil)
 		copy(q.bands[i+1:], q.bands[i:])
-		q.bands[i] = &band{rank: w.request.Rank, tenants: map[string][]*waiting{}}
+		q.bands[i] = &band{rank: w.request.Rank, tenants: map[string][]*queuedRequest{}}
 	}
 	b := q.bands[i]
 	if len(b.tenants[w.request.Tenant]) == 0 {
-		b.turn = append(b.turn, w.request.Tenant)
+		b.rotation = append(b.rotation, w.request.Tenant)
 	}
 	b.tenants[w.request.Tenant] = append(b.tenants[w.request.Tenant], w)
 	q.count++
@@ -39,15 +39,15 @@
 }
 
 // remove removes the i-th request of a tenant in a band.
-func (q *queue) remove(b *band, tenant string, i int) *waiting {
+func (q *queue) remove(b *band, tenant string, i int) *queuedRequest {
 	list := b.tenants[tenant]
 	w := list[i]
 	b.tenants[tenant] = append(list[:i:i], list[i+1:]...)
 	if len(b.tenants[tenant]) == 0 {
 		delete(b.tenants, tenant)
-		for j, t := range b.turn {
+		for j, t := range b.rotation {
 			if t == tenant {
-				b.turn = append(b.turn[:j:j], b.turn[j+1:]...)
+				b.rotation = append(b.rotation[:j:j], b.rotation[j+1:]...)
 				break
 			}
 		}
@@ -58,12 +58,12 @@
 }
 
 // expired removes and returns the requests whose time to live is over.
-func (q *queue) expired(nowUs int64) []*waiting {
-	var out []*waiting
+func (q *queue) expired(nowUs int64) []*queuedRequest {
+	var out []*queuedRequest
 	for _, b := range q.bands {
-		for _, tenant := range append([]string{}, b.turn...) {
+		for _, tenant := range append([]string{}, b.rotation...) {
 			for i := len(b.tenants[tenant]) - 1; i >= 0; i-- {
-				if b.tenants[tenant][i].untilUs <= nowUs {
+				if b.tenants[tenant][i].expiresUs <= nowUs {
 					out = append(out, q.remove(b, tenant, i))
 				}
 			}
@@ -74,33 +74,33 @@
 
 // shed removes and returns the newest request of the lowest band below rank, of the
 // tenant with most requests there; nil if there is none.
-func (q *queue) shed(rank int) *waiting {
+func (q *queue) shed(rank int) *queuedRequest {
 	for i := len(q.bands) - 1; i >= 0 && q.bands[i].rank > rank; i-- {
 		b := q.bands[i]
-		worst, at := "", -1
+		largest, newest := "", -1
 		for tenant, list := range b.tenants {
-			if at < 0 || len(list) > len(b.tenants[worst]) || len(list) == len(b.tenants[worst]) && tenant < worst {
-				worst, at = tenant, len(list)-1
+			if newest < 0 || len(list) > len(b.tenants[largest]) || len(list) == len(b.tenants[largest]) && tenant < largest {
+				largest, newest = tenant, len(list)-1
 			}
 		}
-		if at >= 0 {
-			return q.remove(b, worst, at)
+		if newest >= 0 {
+			return q.remove(b, largest, newest)
 		}
 	}
 	return nil
 }
 
-// walk offers the requests in their order, band by band and round robin between the
+// dequeueAccepted offers the requests in their order, band by band and round robin between the
 // tenants of a band; those that take accepts leave the queue. A tenant whose first
 // request is not accepted is skipped.
-func (q *queue) walk(take func(*waiting) bool) {
+func (q *queue) dequeueAccepted(accept func(*queuedRequest) bool) {
 	for _, b := range q.bands {
-		for tries := len(b.turn); tries > 0 && len(b.turn) > 0; tries-- {
-			tenant := b.turn[0]
-			b.turn = append(b.turn[1:], tenant)
-			if take(b.tenants[tenant][0]) {
+		for remaining := len(b.rotation); remaining > 0 && len(b.rotation) > 0; remaining-- {
+			tenant := b.rotation[0]
+			b.rotation = append(b.rotation[1:], tenant)
+			if accept(b.tenants[tenant][0]) {
 				q.remove(b, tenant, 0)
-				tries = len(b.turn) + 1
+				remaining = len(b.rotation) + 1
 			}
 		}
 	}
--- a/internal/admission/retired.go
+++ b/internal/admission/retired.go
@@ -6,12 +6,12 @@
 import "beechtide.org/beechtide/internal/messages"
 
 // SetRetired sets, by model, the first version of the weights that is not retired.
-func (a *Admitter) SetRetired(retired map[string]int64) { a.retired = retired }
+func (a *Admitter) SetRetired(retired map[string]int64) { a.retiredBelow = retired }
 
 // RetiredWeights reports whether a version of a model's weights is retired. A version that
 // is not known, 0, counts as older than any.
 func (a *Admitter) RetiredWeights(model string, version int64) bool {
-	return version < a.retired[model]
+	return version < a.retiredBelow[model]
 }
 
 // Retired reports whether an admission is for weights that have been retired since. It goes
--- a/internal/admission/retired_test.go
+++ b/internal/admission/retired_test.go
@@ -12,7 +12,7 @@
 
 var retiredBelow2 = map[string]int64{"m": 2}
 
-func TestRunnersWithRetiredWeightsAreNoCandidates(t *testing.T) {
+func TestRunnersWithRetiredWeightsAreNotCandidates(t *testing.T) {
 	admitter := newAdmitter("x")
 	for _, c := range []struct {
 		version    int64
@@ -28,7 +28,7 @@
 
 // A runner that restarts with the weights that it had takes no work, whatever it reports
 // as cached.
-func TestLateEventsDoNotBringRetiredWeightsBack(t *testing.T) {
+func TestCachedPrefixesDoNotRestoreRunnerWithRetiredWeights(t *testing.T) {
 	admitter := newAdmitter("x")
 	withVersion(admitter, 1)
 	admitter.SetRetired(retiredBelow2)
@@ -40,7 +40,7 @@
 	must.Nil(t, admitter.Submit(request, second).Admit)
 }
 
-func TestAdmissionToWeightsThatHaveBeenRetiredSinceIsNotSent(t *testing.T) {
+func TestAdmissionIsNotSentAfterItsWeightsAreRetired(t *testing.T) {
 	admitter := newAdmitter("x")
 	withVersion(admitter, 1)
 	adm := admitter.Submit(newRequest(16, 1), second).Admit
@@ -52,9 +52,9 @@
 	must.True(t, admitter.Retired(adm), must.Sprint("its prefixes are those of the old weights"))
 }
 
-func TestNothingIsFetchedFromARunnerWithRetiredWeights(t *testing.T) {
+func TestBlocksAreNotFetchedFromRunnerWithRetiredWeights(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	records := []messages.RunnerRecord{runnerRecord("x"), runnerRecord("y")}
+	records := []messages.RunnerRecord{testRecord("x"), testRecord("y")}
 	for i := range records {
 		records[i].Models = []messages.Target{{Model: "m", Version: int64(i + 1)}}
 	}
@@ -72,7 +72,7 @@
 	must.Eq(t, "", adm.Source)
 }
 
-func TestWhatIsLeftOfRetiredWeightsIsCounted(t *testing.T) {
+func TestRunnersAndPartsWithRetiredWeightsAreCounted(t *testing.T) {
 	admitter := newAdmitter("x")
 	withVersion(admitter, 1)
 	admitter.SetRetired(retiredBelow2)
--- a/internal/admission/rollout.go
+++ b/internal/admission/rollout.go
@@ -17,9 +17,9 @@
 // Parameters of the trial of a new version.
 const (
 	perMille = 1000
-	// triedLoad is how many times the usual load the runners get on which a version is tried:
+	// canaryLoadFactor is how many times the usual load the runners get on which a version is tried:
 	// some faults show only under load.
-	triedLoad = 2.0
+	canaryLoadFactor = 2.0
 	// An answer is slow whose first token takes slowFactor times as long as the prompt takes to
 	// read where nothing of it is cached, and slowBaseUs.
 	slowFactor = 3.0
@@ -29,14 +29,14 @@
 // rollout is the rollout of a service, as this node goes by it.
 type rollout struct {
 	messages.ServiceRollout
-	tried    map[string]bool // runners of the new version that get requests while it is tried
-	outcomes map[canary.Key]canary.Outcome
+	canaryRunners map[string]bool // runners of the new version that get requests while it is tried
+	outcomes      map[canary.Key]canary.Outcome
 }
 
 func (o *rollout) stage() canary.Stage { return canary.Stage(o.Stage) }
 
-// isNew reports whether a runner has the version that the service is brought to.
-func (o *rollout) isNew(r *runner) bool { return r.record.Version == o.Target }
+// hasTargetVersion reports whether a runner has the version that the service is brought to.
+func (o *rollout) hasTargetVersion(r *runner) bool { return r.record.Version == o.Target }
 
 // SetRollouts sets the newest rollout of each service.
 func (a *Admitter) SetRollouts(list []messages.ServiceRollout) {
@@ -46,38 +46,38 @@
 			p.rollout = &rollout{outcomes: map[canary.Key]canary.Outcome{}}
 		}
 		p.rollout.ServiceRollout = next
-		p.chooseTried()
+		p.chooseCanaryRunners()
 	}
 }
 
-// chooseTried chooses the runners on which a new version is tried: few of them, by a hash, so
+// chooseCanaryRunners chooses the runners on which a new version is tried: few of them, by a hash, so
 // that all nodes choose the same.
-func (p *pool) chooseTried() {
+func (p *pool) chooseCanaryRunners() {
 	o := p.rollout
 	if o == nil {
 		return
 	}
-	o.tried = nil
+	o.canaryRunners = nil
 	if o.stage() != canary.Trying {
 		return
 	}
-	var fresh []string
+	var updated []string
 	others := 0
 	for _, id := range p.order {
 		switch r := p.runners[id]; {
-		case !o.isNew(r):
+		case !o.hasTargetVersion(r):
 			others++
 		case !r.record.Draining && !r.record.Stale:
-			fresh = append(fresh, id)
+			updated = append(updated, id)
 		}
 	}
-	slices.SortFunc(fresh, func(x, y string) int {
+	slices.SortFunc(updated, func(x, y string) int {
 		return cmp.Compare(statesync.HashText(x, o.Target), statesync.HashText(y, o.Target))
 	})
-	count := int(math.Ceil(float64(o.SharePerMille) / perMille * float64(others) / triedLoad))
-	o.tried = map[string]bool{}
-	for _, id := range fresh[:min(max(count, 1), len(fresh))] {
-		o.tried[id] = true
+	count := int(math.Ceil(float64(o.SharePerMille) / perMille * float64(others) / canaryLoadFactor))
+	o.canaryRunners = map[string]bool{}
+	for _, id := range updated[:min(max(count, 1), len(updated))] {
+		o.canaryRunners[id] = true
 	}
 }
 
@@ -94,20 +94,20 @@
 	if o == nil {
 		return 0, true
 	}
-	fresh := o.isNew(r)
+	updated := o.hasTargetVersion(r)
 	switch o.stage() {
 	case canary.Trying:
-		if fresh {
-			return 0, request.Canary && o.tried[r.record.ID]
+		if updated {
+			return 0, request.Canary && o.canaryRunners[r.record.ID]
 		}
 		if request.Canary {
 			return 1, true
 		}
 		return 0, true
 	case canary.Reverted:
-		return 0, !fresh
+		return 0, !updated
 	}
-	if fresh {
+	if updated {
 		return 0, true
 	}
 	return preferences - 1, true
@@ -124,8 +124,8 @@
 func (p *pool) slowAfterUs(t *Tuning, tokens int) int64 {
 	var rates []float64
 	for _, id := range p.order {
-		if r := p.runners[id]; r.rate > 0 && !p.rollout.isNew(r) {
-			rates = append(rates, r.rate)
+		if r := p.runners[id]; r.measuredRate > 0 && !p.rollout.hasTargetVersion(r) {
+			rates = append(rates, r.measuredRate)
 		}
 	}
 	rate := t.RateStart
@@ -136,37 +136,37 @@
 	return int64(slowFactor*float64(tokens)/max(rate, t.RateFloor)) + slowBaseUs
 }
 
-// judgeFirstToken notes whether the first token of an answer was slow. A runner that warms up is
+// recordFirstTokenLatency notes whether the first token of an answer was slow. A runner that warms up is
 // slow whatever its version.
-func (p *pool) judgeFirstToken(t *Tuning, adm *Admission, r *runner, nowUs int64) {
+func (p *pool) recordFirstTokenLatency(t *Tuning, adm *Admission, r *runner, nowUs int64) {
 	if p.rollout != nil && p.rollout.stage().Running() && !p.warmingUp(r, nowUs) {
-		adm.slow = nowUs-adm.atUs > p.slowAfterUs(t, adm.tokensIn)
+		adm.slowFirstToken = nowUs-adm.atUs > p.slowAfterUs(t, adm.tokensIn)
 	}
 }
 
 // recordOutcome counts how a request ended for the rollout that is running.
-func (p *pool) recordOutcome(adm *Admission, r *runner, good bool) {
-	o := p.rollout
-	if o == nil || !o.stage().Running() {
+func (p *pool) recordOutcome(adm *Admission, r *runner, succeeded bool) {
+	rollout := p.rollout
+	if rollout == nil || !rollout.stage().Running() {
 		return
 	}
 	side := canary.OtherSide
-	if o.isNew(r) {
+	if rollout.hasTargetVersion(r) {
 		side = canary.NewSide
 	}
-	count := func(comparison string, bad bool) {
-		key := canary.Key{Service: o.Service, Number: o.Number, Side: side, Comparison: comparison}
-		outcome := o.outcomes[key]
+	count := func(comparison string, failed bool) {
+		key := canary.Key{Service: rollout.Service, Number: rollout.Number, Side: side, Comparison: comparison}
+		outcome := rollout.outcomes[key]
 		outcome.Answers++
-		if bad {
+		if failed {
 			outcome.Bad++
 		}
-		o.outcomes[key] = outcome
+		rollout.outcomes[key] = outcome
 	}
-	count(canary.AllRequests, !good)
-	count(adm.class+" failed", !good)
-	if good {
-		count(adm.class+" slow", adm.slow)
+	count(canary.AllRequests, !succeeded)
+	count(adm.class+" failed", !succeeded)
+	if succeeded {
+		count(adm.class+" slow", adm.slowFirstToken)
 	}
 }
 
--- a/internal/admission/rollout_test.go
+++ b/internal/admission/rollout_test.go
@@ -10,15 +10,15 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// rolledOut is an admitter with so many runners of either version of a service, and its
+// newRolloutAdmitter is an admitter with so many runners of either version of a service, and its
 // rollout in a stage.
-func rolledOut(stage canary.Stage, old, fresh int) *Admitter {
+func newRolloutAdmitter(stage canary.Stage, old, updated int) *Admitter {
 	a := New(Defaults, "a", 1)
 	var records []messages.RunnerRecord
 	for i := range old {
 		records = append(records, messages.RunnerRecord{ID: fmt.Sprint("old", i), Service: "s", Addr: fmt.Sprint("o", i), Zone: "a", Capacity: 8, Version: "v1"})
 	}
-	for i := range fresh {
+	for i := range updated {
 		records = append(records, messages.RunnerRecord{ID: fmt.Sprint("new", i), Service: "s", Addr: fmt.Sprint("n", i), Zone: "a", Capacity: 8, Version: "v2"})
 	}
 	a.SetService("s", records, 100_000, 0)
@@ -26,8 +26,8 @@
 	return a
 }
 
-// versionsOf counts the candidates of a request by their version.
-func versionsOf(a *Admitter, request Request) map[string]int {
+// candidatesByVersion counts the candidates of a request by their version.
+func candidatesByVersion(a *Admitter, request Request) map[string]int {
 	out := map[string]int{}
 	for _, c := range a.Candidates(request, 1) {
 		out[a.pool("s").runners[c.ID].record.Version]++
@@ -35,7 +35,7 @@
 	return out
 }
 
-func TestStageOfARolloutChoosesTheVersion(t *testing.T) {
+func TestRolloutStageSelectsCandidateVersions(t *testing.T) {
 	request, probe := Request{Service: "s", TokensIn: 10}, Request{Service: "s", TokensIn: 10, Canary: true}
 	for _, c := range []struct {
 		name         string
@@ -51,16 +51,16 @@
 		{"reverted", canary.Reverted, 4, 4, map[string]int{"v1": 4}, map[string]int{"v1": 4}},
 		{"reverted, and no other is left", canary.Reverted, 0, 4, map[string]int{}, map[string]int{}},
 	} {
-		a := rolledOut(c.stage, c.old, c.fresh)
-		must.Eq(t, c.usual, versionsOf(a, request), must.Sprint(c.name))
-		must.Eq(t, c.drawn, versionsOf(a, probe), must.Sprint(c.name))
+		a := newRolloutAdmitter(c.stage, c.old, c.fresh)
+		must.Eq(t, c.usual, candidatesByVersion(a, request), must.Sprint(c.name))
+		must.Eq(t, c.drawn, candidatesByVersion(a, probe), must.Sprint(c.name))
 	}
 }
 
-func TestShareOfRequestsIsDrawnWhileAVersionIsTried(t *testing.T) {
+func TestCanaryShareIsDrawnOnlyWhileVersionIsTried(t *testing.T) {
 	const draws = 10_000
 	for stage, share := range map[canary.Stage]int{canary.Trying: draws / 10, canary.Shifting: 0, canary.Reverted: 0} {
-		a, drawn := rolledOut(stage, 4, 4), 0
+		a, drawn := newRolloutAdmitter(stage, 4, 4), 0
 		for range draws {
 			if a.DrawCanary("s") {
 				drawn++
@@ -72,10 +72,10 @@
 
 // All nodes choose the same runners, or a version would be tried under less load than it bears
 // later.
-func TestNodesTryAVersionOnTheSameRunners(t *testing.T) {
+func TestNodesChooseTheSameCanaryRunners(t *testing.T) {
 	probe := Request{Service: "s", TokensIn: 10, Canary: true}
 	ids := func(seed uint64) (out []string) {
-		a := rolledOut(canary.Trying, 40, 40)
+		a := newRolloutAdmitter(canary.Trying, 40, 40)
 		a.Zone = fmt.Sprint("zone", seed)
 		for _, c := range a.Candidates(probe, 1) {
 			out = append(out, c.ID)
@@ -86,16 +86,16 @@
 }
 
 func TestOutcomesAreCountedByVersionAndKind(t *testing.T) {
-	a := rolledOut(canary.Trying, 1, 1)
-	end := func(probe, good bool, tookUs int64) {
+	a := newRolloutAdmitter(canary.Trying, 1, 1)
+	end := func(probe, succeeded bool, firstTokenUs int64) {
 		request := Request{Service: "s", TokensIn: 100, Canary: probe, Class: "500 ms", LeftUs: 1_000_000}
 		decision := a.Submit(request, 1000)
 		must.NotNil(t, decision.Admit)
-		if good {
-			a.FirstToken(decision.Admit, 1000+tookUs)
+		if succeeded {
+			a.FirstToken(decision.Admit, 1000+firstTokenUs)
 		}
-		a.Ended(decision.Admit, good, 1000+tookUs)
-		a.Done(decision.Admit, true, 1000+tookUs)
+		a.Ended(decision.Admit, succeeded, 1000+firstTokenUs)
+		a.Done(decision.Admit, true, 1000+firstTokenUs)
 	}
 	end(true, true, 10_000)
 	end(true, true, 5_000_000)
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -13,7 +13,7 @@
 func runnersInZones(zones ...string) []messages.RunnerRecord {
 	var out []messages.RunnerRecord
 	for i, s := range zones {
-		n := runnerRecord(fmt.Sprint("r", i))
+		n := testRecord(fmt.Sprint("r", i))
 		n.Zone, n.Capacity = s, 1000
 		out = append(out, n)
 	}
@@ -26,7 +26,7 @@
 	return a
 }
 
-func zoneOf(t *testing.T, admitter *Admitter, i int, nowUs int64) string {
+func admittedZone(t *testing.T, admitter *Admitter, i int, nowUs int64) string {
 	t.Helper()
 	a := sessionRequest(i)
 	a.Tenant = fmt.Sprint("t", i) // so that no tenant reaches its rate limit
@@ -69,7 +69,7 @@
 		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next version of the configuration repeats it
 	}
 	for i := range 40 {
-		must.NotEq(t, "a", zoneOf(t, admitter, i, 12_000_000))
+		must.NotEq(t, "a", admittedZone(t, admitter, i, 12_000_000))
 	}
 	admitter.SetRelinquished(nil, 13_000_000)
 	must.False(t, admitter.Leaves(sessionRequest(1), "a", 14_000_000), must.Sprint("the zone is no longer relinquished"))
@@ -86,8 +86,8 @@
 	first := map[int]string{}
 	seen := map[string]int{}
 	for i := range sessionCount {
-		first[i] = one.home(sessionRequest(i), one.pool("s"))
-		must.Eq(t, first[i], two.home(sessionRequest(i), two.pool("s")))
+		first[i] = one.targetZone(sessionRequest(i), one.pool("s"))
+		must.Eq(t, first[i], two.targetZone(sessionRequest(i), two.pool("s")))
 		seen[first[i]]++
 	}
 	must.MapLen(t, 2, seen)
@@ -96,7 +96,7 @@
 	one.SetService("s", runnersInZones("a", "b", "c", "d", "b", "c"), memory, 0.01)
 	one.SetRelinquished(map[string]int64{"a": 0, "b": 0}, 2)
 	for i := range sessionCount {
-		home := one.home(sessionRequest(i), one.pool("s"))
+		home := one.targetZone(sessionRequest(i), one.pool("s"))
 		must.NotEq(t, "b", home)
 		if first[i] == "c" {
 			must.True(t, home == "c" || home == "d", must.Sprint("a new zone may draw some"))
@@ -104,27 +104,27 @@
 	}
 	one.SetService("s", runnersInZones("a", "b", "c", "c", "b", "c"), memory, 0.01)
 	for i := range sessionCount {
-		must.Eq(t, "c", zoneOf(t, one, i, int64(1_000_000+i)))
+		must.Eq(t, "c", admittedZone(t, one, i, int64(1_000_000+i)))
 	}
 }
 
 func TestRelinquishRespectsDrainingWeightsAndCertification(t *testing.T) {
 	admitter := zonedAdmitter()
 	admitter.SetRelinquished(map[string]int64{"a": 0}, 1)
-	notes := runnersInZones("a", "b", "c", "a", "b", "c")
-	notes[1].Draining, notes[4].Draining = true, true
-	admitter.SetService("s", notes, memory, 0.01)
-	must.Eq(t, "c", zoneOf(t, admitter, 1, 10), must.Sprint("zone b drains"))
+	records := runnersInZones("a", "b", "c", "a", "b", "c")
+	records[1].Draining, records[4].Draining = true, true
+	admitter.SetService("s", records, memory, 0.01)
+	must.Eq(t, "c", admittedZone(t, admitter, 1, 10), must.Sprint("zone b drains"))
 
-	notes = runnersInZones("a", "b", "c", "a", "b", "c")
-	notes[2].Cordoned, notes[5].Cordoned = true, true
-	admitter.SetService("s", notes, memory, 0.01)
-	must.Eq(t, "b", zoneOf(t, admitter, 1, 20), must.Sprint("zone c gets new weights"))
+	records = runnersInZones("a", "b", "c", "a", "b", "c")
+	records[2].Cordoned, records[5].Cordoned = true, true
+	admitter.SetService("s", records, memory, 0.01)
+	must.Eq(t, "b", admittedZone(t, admitter, 1, 20), must.Sprint("zone c gets new weights"))
 
 	// what is cached under the old weights is not transferred to the new ones
-	notes = runnersInZones("a", "b")
-	notes[1].Models = []messages.Target{{Model: "m", Version: 2}}
-	admitter.SetService("s", notes, memory, 0.01)
+	records = runnersInZones("a", "b")
+	records[1].Models = []messages.Target{{Model: "m", Version: 2}}
+	admitter.SetService("s", records, memory, 0.01)
 	a := sessionRequest(7)
 	for i, k := range prefixindex.Keys(admitter.Salt(a.Tenant, false, "", 1), "m", a.Parts) {
 		admitter.Index.Put("r0", k, int32(a.Parts[i].Tokens))
@@ -143,7 +143,7 @@
 
 	admitter.pool("s").queue = queue{}
 	admitter.SetService("s", runnersInZones("a", "a"), memory, 0.01)
-	must.Eq(t, "a", zoneOf(t, admitter, 3, 60), must.Sprint("nowhere else to go"))
+	must.Eq(t, "a", admittedZone(t, admitter, 3, 60), must.Sprint("nowhere else to go"))
 }
 
 func TestTryNowDoesNotQueue(t *testing.T) {
--- a/internal/admission/unreachable.go
+++ b/internal/admission/unreachable.go
@@ -5,34 +5,34 @@
 
 import "math"
 
-// unreachable is what this node knows of the ways to zones.
-type unreachable struct {
-	zones  map[string]int64 // unreachable ones, and since when
-	backUs map[string]int64 // when others were reachable again
+// unreachableZones is what this node knows of the ways to zones.
+type unreachableZones struct {
+	unreachableSinceUs map[string]int64 // unreachable ones, and since when
+	reachableAgainUs   map[string]int64 // when others were reachable again
 }
 
 // SetUnreachable sets which zones are unreachable, and since when. What was concluded from
 // failures of runners there says nothing of the runners.
 func (a *Admitter) SetUnreachable(zones map[string]int64, nowUs int64) {
-	for zone := range a.unreachable.zones {
-		if _, still := zones[zone]; still {
+	for zone := range a.unreachable.unreachableSinceUs {
+		if _, stillUnreachable := zones[zone]; stillUnreachable {
 			continue
 		}
-		if a.unreachable.backUs == nil {
-			a.unreachable.backUs = map[string]int64{}
+		if a.unreachable.reachableAgainUs == nil {
+			a.unreachable.reachableAgainUs = map[string]int64{}
 		}
-		a.unreachable.backUs[zone] = nowUs
-		a.forgiveZone(zone)
+		a.unreachable.reachableAgainUs[zone] = nowUs
+		a.clearZoneFailures(zone)
 	}
-	a.unreachable.zones = zones
+	a.unreachable.unreachableSinceUs = zones
 }
 
-// forgiveZone forgets failures of the runners of a zone.
-func (a *Admitter) forgiveZone(zone string) {
+// clearZoneFailures forgets failures of the runners of a zone.
+func (a *Admitter) clearZoneFailures(zone string) {
 	for _, p := range a.pools {
 		for _, r := range p.runners {
 			if r.record.Zone == zone {
-				r.health, r.pauseUs, r.avoidUntilUs = health{}, 0, 0
+				r.health, r.backoffUs, r.avoidUntilUs = health{}, 0, 0
 			}
 		}
 	}
@@ -40,7 +40,7 @@
 
 // zoneUnreachable reports whether a zone is unreachable.
 func (a *Admitter) zoneUnreachable(zone string) bool {
-	_, ok := a.unreachable.zones[zone]
+	_, ok := a.unreachable.unreachableSinceUs[zone]
 	return ok
 }
 
@@ -50,13 +50,13 @@
 // LeavesUnreachable reports whether an admission's runner is in a zone out of reach, and others of
 // the service are not.
 func (a *Admitter) LeavesUnreachable(adm *Admission) bool {
-	return a.OutOfReach(adm) && a.reachesOthers(a.pool(adm.service))
+	return a.OutOfReach(adm) && a.hasReachableRunners(a.pool(adm.service))
 }
 
-// reachesOthers reports whether a service has runners in zones that can be reached, so that
+// hasReachableRunners reports whether a service has runners in zones that can be reached, so that
 // those in others need not be tried.
-func (a *Admitter) reachesOthers(p *pool) bool {
-	if len(a.unreachable.zones) == 0 {
+func (a *Admitter) hasReachableRunners(p *pool) bool {
+	if len(a.unreachable.unreachableSinceUs) == 0 {
 		return false
 	}
 	for _, id := range p.order {
@@ -71,9 +71,9 @@
 // returnCostUs is the cost in the matching of a runner whose zone has just become reachable
 // again, so that not all nodes send there at once.
 func (a *Admitter) returnCostUs(zone string, nowUs int64) float64 {
-	backUs, ok := a.unreachable.backUs[zone]
+	reachableAgainUs, ok := a.unreachable.reachableAgainUs[zone]
 	if !ok {
 		return 0
 	}
-	return rampCostUs * math.Max(0, 1-float64(nowUs-backUs)/rampUs)
+	return maxSlowStartCostUs * math.Max(0, 1-float64(nowUs-reachableAgainUs)/slowStartUs)
 }
--- a/internal/admission/unreachable_test.go
+++ b/internal/admission/unreachable_test.go
@@ -6,51 +6,51 @@
 	"github.com/shoenig/test/must"
 )
 
-// zonesOf lists the zones of the candidates.
-func zonesOf(a *Admitter, nowUs int64) (zones []string) {
+// candidateZones lists the zones of the candidates.
+func candidateZones(a *Admitter, nowUs int64) (zones []string) {
 	for _, c := range a.Candidates(newRequest(16, 1), nowUs) {
 		zones = append(zones, a.pool("s").runners[c.ID].record.Zone)
 	}
 	return zones
 }
 
-func TestRunnersOfUnreachableZonesAreNoCandidates(t *testing.T) {
+func TestRunnersInUnreachableZonesAreNotCandidates(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetService("s", runnersInZones("a", "b"), memory, 0)
 	a.SetUnreachable(map[string]int64{"b": second}, second)
-	must.Eq(t, []string{"a"}, zonesOf(a, 2*second))
+	must.Eq(t, []string{"a"}, candidateZones(a, 2*second))
 	a.SetUnreachable(nil, 3*second)
-	must.Eq(t, []string{"a", "b"}, zonesOf(a, 3*second))
+	must.Eq(t, []string{"a", "b"}, candidateZones(a, 3*second))
 }
 
 // Where a service has no runners elsewhere, those of an unreachable zone are tried.
-func TestOnlyRunnersOfAServiceAreTriedThoughUnreachable(t *testing.T) {
+func TestUnreachableRunnersAreUsedWhenServiceHasNoOthers(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetService("s", runnersInZones("b", "c"), memory, 0)
 	a.SetUnreachable(map[string]int64{"b": second, "c": second}, second)
-	must.Eq(t, []string{"b", "c"}, zonesOf(a, 2*second))
+	must.Eq(t, []string{"b", "c"}, candidateZones(a, 2*second))
 	a.SetUnreachable(map[string]int64{"b": second}, 3*second)
-	must.Eq(t, []string{"c"}, zonesOf(a, 3*second))
+	must.Eq(t, []string{"c"}, candidateZones(a, 3*second))
 }
 
-func TestRunnersOfAZoneThatIsBackAreForgivenAndReturnSlowly(t *testing.T) {
+func TestRunnersOfRecoveredZoneLoseFailuresAndReturnWithSlowStart(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetService("s", runnersInZones("a", "b"), memory, 0)
 	for range 8 {
-		a.end("r0", true, second)
-		a.end("r1", false, second)
+		a.endRequest("r0", true, second)
+		a.endRequest("r1", false, second)
 	}
-	must.Eq(t, []string{"a"}, zonesOf(a, second))
+	must.Eq(t, []string{"a"}, candidateZones(a, second))
 	a.SetUnreachable(map[string]int64{"b": second}, second)
 	a.SetUnreachable(nil, 2*second)
-	must.Eq(t, []string{"a", "b"}, zonesOf(a, 2*second))
-	must.Eq(t, rampCostUs, a.returnCostUs("b", 2*second))
-	must.Eq(t, rampCostUs/2, a.returnCostUs("b", 2*second+rampUs/2))
-	must.Eq(t, 0, a.returnCostUs("b", 2*second+rampUs))
+	must.Eq(t, []string{"a", "b"}, candidateZones(a, 2*second))
+	must.Eq(t, maxSlowStartCostUs, a.returnCostUs("b", 2*second))
+	must.Eq(t, maxSlowStartCostUs/2, a.returnCostUs("b", 2*second+slowStartUs/2))
+	must.Eq(t, 0, a.returnCostUs("b", 2*second+slowStartUs))
 	must.Eq(t, 0, a.returnCostUs("a", 2*second))
 }
 
-func TestNothingIsFetchedFromAnUnreachableZone(t *testing.T) {
+func TestBlocksAreNotFetchedFromUnreachableZone(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetService("s", runnersInZones("a", "b"), memory, 2)
 	request := newRequest(600, 1)
--- a/internal/admission/warmup.go
+++ b/internal/admission/warmup.go
@@ -21,71 +21,71 @@
 }
 
 const (
-	// defaultOvershoot and defaultColdSlack stand for bounds that the settings do not have.
+	// defaultOvershoot and defaultSlack stand for bounds that the settings do not have.
 	defaultOvershoot = 1.0
-	defaultColdSlack = 2.0
-	// warmupViews is how many sets of lenders may serve a runner at the same time, as nodes
+	defaultSlack     = 2.0
+	// concurrentSenderSets is how many sets of lenders may serve a runner at the same time, as nodes
 	// that have not seen the same others choose differently.
-	warmupViews = 2
-	// maxLenders bounds the nodes that share the rate of a runner.
-	maxLenders = 8
-	// lendAfterUs is how long after its start a node lends nothing, in microseconds: it has
+	concurrentSenderSets = 2
+	// maxSenders bounds the nodes that share the rate of a runner.
+	maxSenders = 8
+	// senderStartDelayUs is how long after its start a node lends nothing, in microseconds: it has
 	// not seen the others yet, and an earlier process may have lent.
-	lendAfterUs = 3_000_000
+	senderStartDelayUs = 3_000_000
 	// spacingMargin lengthens the pause between two requests of a lender, since they do not
 	// take the same time on their way.
 	spacingMargin = 1.05
 	secondUs      = 1_000_000
-	// lenderMemoryUs is for how long a node goes by its last look at whether it lends.
-	lenderMemoryUs = 500_000
+	// senderCheckPeriodUs is for how long a node goes by its last look at whether it lends.
+	senderCheckPeriodUs = 500_000
 )
 
 // warmupShare is what each lender of a runner may send.
 type warmupShare struct {
-	lenders   int
+	senders   int
 	spacingUs int64 // between two requests of one lender
 }
 
 // newWarmupShare divides the rate of a runner among as many lenders as the bounds allow, even
-// if warmupViews sets of them serve it.
-func newWarmupShare(perS float64, bounds WarmupBounds) warmupShare {
-	most := perS*bounds.Overshoot + bounds.Slack
-	for lenders := maxLenders; lenders > 0; lenders-- {
-		spacing := spacingMargin * float64(lenders) / perS
-		if float64(warmupViews*lenders*inOneSecond(spacing)) <= most {
-			return warmupShare{lenders: lenders, spacingUs: int64(spacing * secondUs)}
+// if concurrentSenderSets sets of them serve it.
+func newWarmupShare(ratePerS float64, bounds WarmupBounds) warmupShare {
+	limit := ratePerS*bounds.Overshoot + bounds.Slack
+	for senders := maxSenders; senders > 0; senders-- {
+		spacing := spacingMargin * float64(senders) / ratePerS
+		if float64(concurrentSenderSets*senders*maxInOneSecond(spacing)) <= limit {
+			return warmupShare{senders: senders, spacingUs: int64(spacing * secondUs)}
 		}
 	}
-	return warmupShare{lenders: 1, spacingUs: int64(spacingMargin * secondUs)}
+	return warmupShare{senders: 1, spacingUs: int64(spacingMargin * secondUs)}
 }
 
-// inOneSecond returns how many requests at most, so many seconds apart, lie in one second.
-func inOneSecond(spacing float64) int { return int(math.Floor(1/spacing)) + 1 }
+// maxInOneSecond returns how many requests at most, so many seconds apart, lie in one second.
+func maxInOneSecond(spacing float64) int { return int(math.Floor(1/spacing)) + 1 }
 
 // warmup is the warm-up of one runner.
 type warmup struct {
-	untilUs       int64
-	seq, leftUs   int64 // the heartbeat that said so
-	seen          bool
-	nextUs        int64 // when this node may send it the next request
-	lends         bool
-	lendsLookedUs int64
+	untilUs          int64
+	seq, remainingUs int64 // the heartbeat that said so
+	observed         bool
+	nextRequestUs    int64 // when this node may send it the next request
+	isSender         bool
+	senderCheckedUs  int64
 }
 
 // observe takes the record of a runner.
 func (w *warmup) observe(n messages.RunnerRecord, nowUs int64) {
-	if w.seen && w.seq == n.Seq && w.leftUs == n.ColdLeftUs {
+	if w.observed && w.seq == n.Seq && w.remainingUs == n.ColdLeftUs {
 		return
 	}
-	w.seen, w.seq, w.leftUs = true, n.Seq, n.ColdLeftUs
+	w.observed, w.seq, w.remainingUs = true, n.Seq, n.ColdLeftUs
 	w.untilUs = max(w.untilUs, nowUs+n.ColdLeftUs)
 	if n.ColdLeftUs == 0 {
 		w.untilUs = min(w.untilUs, nowUs)
 	}
 }
 
-// warmups is what the warm-ups of all runners have in common.
-type warmups struct {
+// warmupConfig is what the warm-ups of all runners have in common.
+type warmupConfig struct {
 	bounds  WarmupBounds
 	nodes   *rendezvous.Nodes
 	startUs int64
@@ -94,9 +94,9 @@
 // SetWarmup sets who this node is, for the choice of lenders, and the bounds.
 func (a *Admitter) SetWarmup(self string, bounds WarmupBounds, nowUs int64) {
 	if bounds.Overshoot <= 0 {
-		bounds = WarmupBounds{Overshoot: defaultOvershoot, Slack: max(bounds.Slack, defaultColdSlack)}
+		bounds = WarmupBounds{Overshoot: defaultOvershoot, Slack: max(bounds.Slack, defaultSlack)}
 	}
-	a.warmups = warmups{bounds: bounds, nodes: rendezvous.NewNodes(self, nowUs), startUs: nowUs}
+	a.warmups = warmupConfig{bounds: bounds, nodes: rendezvous.NewNodes(self, nowUs), startUs: nowUs}
 }
 
 // SeeNodes sets which nodes are seen, and how many share the runners.
@@ -108,52 +108,52 @@
 
 // SetWarmups sets how many requests a second a runner of a service bears while it warms up,
 // 0 being any number, and takes in what the records of the runners say. It follows SetService.
-func (a *Admitter) SetWarmups(service string, perS float64, nowUs int64) {
+func (a *Admitter) SetWarmups(service string, ratePerS float64, nowUs int64) {
 	p := a.pool(service)
 	for _, id := range p.order {
 		p.runners[id].warmup.observe(p.runners[id].record, nowUs)
 	}
-	if perS == p.coldPerS {
+	if ratePerS == p.warmupRatePerS {
 		return
 	}
-	p.coldPerS = perS
-	if perS > 0 {
-		p.warmupShare = newWarmupShare(perS, a.warmups.bounds)
+	p.warmupRatePerS = ratePerS
+	if ratePerS > 0 {
+		p.warmupShare = newWarmupShare(ratePerS, a.warmups.bounds)
 	}
 }
 
 // warmingUp reports whether a runner is to get no more than its share of a warm-up.
 func (p *pool) warmingUp(r *runner, nowUs int64) bool {
-	return p.coldPerS > 0 && nowUs < r.warmup.untilUs
+	return p.warmupRatePerS > 0 && nowUs < r.warmup.untilUs
 }
 
 // warmupAllows reports whether this node may send a runner a request as far as its warm-up
 // goes.
 func (a *Admitter) warmupAllows(p *pool, r *runner, nowUs int64) bool {
-	return !p.warmingUp(r, nowUs) || nowUs >= r.warmup.nextUs && a.lends(p, r, nowUs)
+	return !p.warmingUp(r, nowUs) || nowUs >= r.warmup.nextRequestUs && a.isSender(p, r, nowUs)
 }
 
-// lends reports whether this node is a lender of a runner.
-func (a *Admitter) lends(p *pool, r *runner, nowUs int64) bool {
+// isSender reports whether this node is a lender of a runner.
+func (a *Admitter) isSender(p *pool, r *runner, nowUs int64) bool {
 	w := &r.warmup
-	if w.lendsLookedUs == 0 || nowUs-w.lendsLookedUs >= lenderMemoryUs {
-		w.lendsLookedUs = nowUs
-		w.lends = a.warmups.nodes != nil && nowUs-a.warmups.startUs >= lendAfterUs &&
-			a.warmups.nodes.Among(r.record.ID, p.warmupShare.lenders)
+	if w.senderCheckedUs == 0 || nowUs-w.senderCheckedUs >= senderCheckPeriodUs {
+		w.senderCheckedUs = nowUs
+		w.isSender = a.warmups.nodes != nil && nowUs-a.warmups.startUs >= senderStartDelayUs &&
+			a.warmups.nodes.Among(r.record.ID, p.warmupShare.senders)
 	}
-	return w.lends
+	return w.isSender
 }
 
 // recordWarmup counts a request that goes to a runner.
 func (p *pool) recordWarmup(r *runner, nowUs int64) {
 	if p.warmingUp(r, nowUs) {
-		r.warmup.nextUs = nowUs + p.warmupShare.spacingUs
+		r.warmup.nextRequestUs = nowUs + p.warmupShare.spacingUs
 	}
 }
 
-// assumeCold takes all runners of a zone for cold for a while, until they have said what they
+// restartWarmups takes all runners of a zone for cold for a while, until they have said what they
 // are.
-func (a *Admitter) assumeCold(zone string, forUs, nowUs int64) {
+func (a *Admitter) restartWarmups(zone string, forUs, nowUs int64) {
 	for _, p := range a.pools {
 		for _, r := range p.runners {
 			if r.record.Zone == zone {
@@ -172,7 +172,7 @@
 				continue
 			}
 			c := messages.WarmupCondition{ID: id, LeftUs: r.warmup.untilUs - nowUs}
-			if a.lends(p, r, nowUs) {
+			if a.isSender(p, r, nowUs) {
 				c.RatePerS = secondUs / float64(p.warmupShare.spacingUs)
 			}
 			out = append(out, c)
--- a/internal/admission/warmup_test.go
+++ b/internal/admission/warmup_test.go
@@ -15,8 +15,8 @@
 // testColdRate and testColdBounds are those of a deployment.
 const testColdRate = 5.7
 
-// mostInOneSecond is how many requests the bounds let a cold runner get in one second.
-var mostInOneSecond = int(math.Floor(testColdRate*testColdBounds.Overshoot + testColdBounds.Slack))
+// testColdLimit is how many requests the bounds let a cold runner get in one second.
+var testColdLimit = int(math.Floor(testColdRate*testColdBounds.Overshoot + testColdBounds.Slack))
 
 var testColdBounds = WarmupBounds{Overshoot: 1.5, Slack: 5}
 
@@ -36,12 +36,12 @@
 		a.SeeNodes(seen(node), second)
 		var records []messages.RunnerRecord
 		for r := range runners {
-			record := runnerRecord(fmt.Sprint("r", r))
+			record := testRecord(fmt.Sprint("r", r))
 			record.Capacity, record.ColdLeftUs, record.Seq = 100, 20*second, 1
 			records = append(records, record)
 		}
 		a.SetService("s", records, 100*memory, 0)
-		a.SetWarmups("s", testColdRate, lendAfterUs)
+		a.SetWarmups("s", testColdRate, senderStartDelayUs)
 		f.admitters = append(f.admitters, a)
 	}
 	return f
@@ -57,10 +57,10 @@
 	return func(int) []string { return names }
 }
 
-// press has every node offer far more than the runners may get, for some seconds.
-func (f *coldFleet) press(seconds int64) {
+// offerLoad has every node offer far more than the runners may get, for some seconds.
+func (f *coldFleet) offerLoad(seconds int64) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for nowUs := int64(lendAfterUs); nowUs < lendAfterUs+seconds*second; nowUs += 2_000 {
+	for nowUs := int64(senderStartDelayUs); nowUs < senderStartDelayUs+seconds*second; nowUs += 2_000 {
 		a := f.admitters[random.IntN(len(f.admitters))]
 		for _, decision := range append(a.Tick(nowUs), a.Submit(newRequest(16, 1), nowUs)) {
 			if adm := decision.Admit; adm != nil {
@@ -71,27 +71,27 @@
 	}
 }
 
-// most returns the most requests that one runner got in one second, and the fewest that one
+// requestCounts returns the most requests that one runner got in one second, and the fewest that one
 // got in all.
-func (f *coldFleet) most() (inOneSecond, fewest int) {
+func (f *coldFleet) requestCounts() (mostInOneSecond, fewest int) {
 	fewest = 1 << 30
 	for _, sent := range f.sentUs {
 		for i, from := range sent {
-			inOneSecond = max(inOneSecond, len(sent[i:])-len(slices.DeleteFunc(slices.Clone(sent[i:]), func(us int64) bool { return us < from+second })))
+			mostInOneSecond = max(mostInOneSecond, len(sent[i:])-len(slices.DeleteFunc(slices.Clone(sent[i:]), func(us int64) bool { return us < from+second })))
 		}
 		fewest = min(fewest, len(sent))
 	}
-	return inOneSecond, fewest
+	return mostInOneSecond, fewest
 }
 
-func TestColdRunnersGetNoMoreThanTheyBear(t *testing.T) {
+func TestColdRunnersStayWithinWarmupRate(t *testing.T) {
 	const (
 		nodes, runners = 40, 10
 		seconds        = int64(10)
 	)
 	f := newColdFleet(nodes, runners, allNodes(nodes))
-	f.press(seconds)
-	most, fewest := f.most()
+	f.offerLoad(seconds)
+	most, fewest := f.requestCounts()
 	must.LessEq(t, int(math.Ceil(testColdRate)), most)
 	must.Len(t, runners, mapKeys(f.sentUs))
 	must.GreaterEq(t, int(math.Floor(testColdRate*float64(seconds)/2)), fewest, must.Sprint("they warm up by requests"))
@@ -106,36 +106,36 @@
 }
 
 // Two halves of the nodes have never seen each other and choose different lenders.
-func TestColdRunnersGetNoMoreThanTheyBearFromTwoSides(t *testing.T) {
+func TestColdRunnersStayWithinBoundDuringPartition(t *testing.T) {
 	const nodes = 40
 	halves := [][]string{allNodes(nodes)(0)[:nodes/2], allNodes(nodes)(0)[nodes/2:]}
 	f := newColdFleet(nodes, 10, func(node int) []string { return halves[node*2/nodes] })
-	f.press(10)
-	most, _ := f.most()
-	must.LessEq(t, mostInOneSecond, most)
+	f.offerLoad(10)
+	most, _ := f.requestCounts()
+	must.LessEq(t, testColdLimit, most)
 }
 
 // Without lenders, every node sending what it likes, the bound is broken.
-func TestColdRunnersWouldBeCrowdedWithoutLenders(t *testing.T) {
+func TestColdRunnersExceedBoundWithoutWarmupRate(t *testing.T) {
 	f := newColdFleet(40, 10, allNodes(40))
 	for _, a := range f.admitters {
-		a.SetWarmups("s", 0, lendAfterUs)
+		a.SetWarmups("s", 0, senderStartDelayUs)
 	}
-	f.press(2)
-	most, _ := f.most()
-	must.Greater(t, mostInOneSecond, most)
+	f.offerLoad(2)
+	most, _ := f.requestCounts()
+	must.Greater(t, testColdLimit, most)
 }
 
-func TestNodeThatHasJustStartedLendsNothing(t *testing.T) {
+func TestNewlyStartedNodeSendsNothingToColdRunners(t *testing.T) {
 	f := newColdFleet(1, 1, allNodes(1))
-	must.SliceEmpty(t, f.admitters[0].Candidates(newRequest(16, 1), lendAfterUs-1))
-	must.Len(t, 1, f.admitters[0].Candidates(newRequest(16, 1), lendAfterUs+lenderMemoryUs))
+	must.SliceEmpty(t, f.admitters[0].Candidates(newRequest(16, 1), senderStartDelayUs-1))
+	must.Len(t, 1, f.admitters[0].Candidates(newRequest(16, 1), senderStartDelayUs+senderCheckPeriodUs))
 }
 
-func TestHeartbeatEndsAWarmUpAndBeginsOne(t *testing.T) {
+func TestHeartbeatEndsAndStartsWarmup(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetWarmup("self", testColdBounds, 0)
-	record := runnerRecord("x")
+	record := testRecord("x")
 	observe := func(seq, leftUs, nowUs int64) {
 		record.Seq, record.ColdLeftUs = seq, leftUs
 		a.SetService("s", []messages.RunnerRecord{record}, memory, 0)
@@ -151,20 +151,20 @@
 	must.SliceEmpty(t, a.WarmingUp(5*second))
 }
 
-func TestWarmupShareKeepsItsBoundWhereTwoSetsOfLendersServe(t *testing.T) {
+func TestWarmupShareStaysWithinBoundWithTwoSenderSets(t *testing.T) {
 	for _, c := range []struct {
 		perS   float64
 		bounds WarmupBounds
 	}{{5.7, testColdBounds}, {7.67, testColdBounds}, {1, WarmupBounds{Overshoot: 1.5, Slack: 1}}, {200, testColdBounds}, {0.2, WarmupBounds{Overshoot: 1, Slack: 2}}} {
 		share := newWarmupShare(c.perS, c.bounds)
-		most := warmupViews * share.lenders * inOneSecond(float64(share.spacingUs)/secondUs)
-		must.LessEq(t, max(c.perS*c.bounds.Overshoot+c.bounds.Slack, warmupViews), float64(most), must.Sprintf("%+v: %+v", c, share))
-		must.Positive(t, share.lenders)
+		most := concurrentSenderSets * share.senders * maxInOneSecond(float64(share.spacingUs)/secondUs)
+		must.LessEq(t, max(c.perS*c.bounds.Overshoot+c.bounds.Slack, concurrentSenderSets), float64(most), must.Sprintf("%+v: %+v", c, share))
+		must.Positive(t, share.senders)
 		must.Positive(t, share.spacingUs)
 	}
 }
 
-func TestEvacuatedZoneGetsNothingAndComesBackCold(t *testing.T) {
+func TestEvacuatedZoneGetsNoRequestsAndReturnsCold(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetWarmup("self", testColdBounds, 0)
 	a.SetReturnCold(2 * second)
@@ -185,7 +185,7 @@
 	must.SliceEmpty(t, a.WarmingUp(22*second))
 }
 
-func TestRequestWithHomesStaysThere(t *testing.T) {
+func TestRequestWithHomeRegionsStaysInThem(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetRegions(map[string]string{"a": "north", "b": "south"})
 	a.SetService("s", runnersInZones("a", "b", "c"), memory, 0)
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -8,11 +8,11 @@
 
 // Margins before the moment from which nothing may begin on older weights.
 const (
-	// leastSendMarginUs is how long before that moment the last request is sent
+	// minSendMarginUs is how long before that moment the last request is sent
 	// to a runner with older weights, where nothing waits at that runner.
-	leastSendMarginUs = 2_300_000
-	// mostExpectedWaitUs bounds what the wait expected at the runner adds to it.
-	mostExpectedWaitUs = 2_300_000
+	minSendMarginUs = 2_300_000
+	// maxExpectedWaitUs bounds what the wait expected at the runner adds to it.
+	maxExpectedWaitUs = 2_300_000
 	// queuedWaitUs is what each request adds that the runner reports as waiting.
 	queuedWaitUs = 400_000
 	// withdrawMarginUs is how long before that moment requests that have not
@@ -66,17 +66,17 @@
 // runnerWeightsAllowed reports whether a request for a model may be sent to a runner. A
 // runner whose version is not known counts as one with older weights.
 func (a *Admitter) runnerWeightsAllowed(model string, r *runner, nowUs int64) bool {
-	return !a.pastBound(model, weightsVersion(r.record, model), leastSendMarginUs+r.expectedWaitUs(&a.T, nowUs), nowUs)
+	return !a.pastBound(model, weightsVersion(r.record, model), minSendMarginUs+r.expectedWaitUs(&a.T, nowUs), nowUs)
 }
 
 // expectedWaitUs estimates for how long a request sent now waits at the runner
 // before it begins.
 func (r *runner) expectedWaitUs(t *Tuning, nowUs int64) int64 {
-	wait := float64(r.prefill()) / r.prefillRate(t)
-	if r.reported && nowUs-r.report.atUs < t.ReportFreshUs {
-		wait += float64(r.queued) * queuedWaitUs
+	waitUs := float64(r.prefill()) / r.prefillRate(t)
+	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportFreshUs {
+		waitUs += float64(r.queued) * queuedWaitUs
 	}
-	return int64(min(max(wait, 0), mostExpectedWaitUs))
+	return int64(min(max(waitUs, 0), maxExpectedWaitUs))
 }
 
 // WeightsAllowed reports whether an admitted request may still be sent to its
@@ -84,7 +84,7 @@
 // which the request asks the runner for: past the bound that is never one that is
 // too old, and never one that is retired.
 func (a *Admitter) WeightsAllowed(adm *Admission, nowUs int64) bool {
-	return !a.Retired(adm) && !a.pastBound(adm.model, adm.Version, leastSendMarginUs, nowUs)
+	return !a.Retired(adm) && !a.pastBound(adm.model, adm.Version, minSendMarginUs, nowUs)
 }
 
 // MustWithdraw reports whether a request that was sent and has not begun is to be
--- a/internal/admission/weights_test.go
+++ b/internal/admission/weights_test.go
@@ -26,7 +26,7 @@
 // withVersion replaces the runner x by one with a version of the weights; 0 means an
 // unknown one.
 func withVersion(admitter *Admitter, version int64) {
-	n := runnerRecord("x")
+	n := testRecord("x")
 	n.Models = nil
 	if version > 0 {
 		n.Models = []messages.Target{{Model: "m", Version: version}}
@@ -36,7 +36,7 @@
 
 func TestOldWeightsBoundIgnoresCoreChanges(t *testing.T) {
 	admitter := boundAdmitter("x")
-	const bound = versionUs - leastSendMarginUs
+	const bound = versionUs - minSendMarginUs
 	for us := int64(250_000); us < bound; us += 250_000 {
 		admitter.Contact(us) // messages come from one controller after another, each new to this node
 		admitter.ObserveTargets(age(2, 0), us)
@@ -59,7 +59,7 @@
 	after.Contact(1)
 	after.ObserveTargets(before.TargetAges(restart), 1)
 	must.Len(t, 1, after.Candidates(newRequest(16, 1), 1))
-	must.SliceEmpty(t, after.Candidates(newRequest(16, 1), versionUs-leastSendMarginUs-restart+1))
+	must.SliceEmpty(t, after.Candidates(newRequest(16, 1), versionUs-minSendMarginUs-restart+1))
 }
 
 func TestTargetOfUnknownAgeIsPastBound(t *testing.T) {
@@ -73,7 +73,7 @@
 func TestUnknownVersionNotAllowedPastBound(t *testing.T) {
 	admitter := boundAdmitter("x")
 	withVersion(admitter, 0)
-	const bound = versionUs - leastSendMarginUs
+	const bound = versionUs - minSendMarginUs
 	admitter.Contact(bound)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), bound-1))
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound))
@@ -93,7 +93,7 @@
 
 func TestExpectedWaitAtRunnerAdvancesBound(t *testing.T) {
 	admitter := boundAdmitter("x", "y")
-	const shortly = versionUs - leastSendMarginUs - 500_000
+	const shortly = versionUs - minSendMarginUs - 500_000
 	admitter.Contact(shortly)
 	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), shortly))
 	admitter.Report(messages.RunnerReport{ID: "x", Queued: 2}, shortly)
@@ -105,7 +105,7 @@
 
 func TestAdmittedRequestIsRecheckedWhenSent(t *testing.T) {
 	admitter := boundAdmitter("x")
-	const bound = versionUs - leastSendMarginUs
+	const bound = versionUs - minSendMarginUs
 	admitter.Contact(bound)
 	adm := admitter.Submit(newRequest(16, 1), bound-1).Admit
 	must.NotNil(t, adm)
@@ -129,9 +129,9 @@
 	must.False(t, admitter.MustWithdraw(adm, withdraw), must.Sprint("it begins on the new weights there"))
 }
 
-func TestLaterNamingDoesNotExtendBoundOfOlderWeights(t *testing.T) {
+func TestLaterTargetDoesNotExtendBoundOfOlderWeights(t *testing.T) {
 	admitter := boundAdmitter("x")
-	const bound = versionUs - leastSendMarginUs
+	const bound = versionUs - minSendMarginUs
 	admitter.Contact(bound)
 	admitter.ObserveTargets(age(3, 1_000_000), bound)
 	admitter.ObserveTargets(age(4, 0), bound)
--- a/internal/admission/withheld.go
+++ b/internal/admission/withheld.go
@@ -29,9 +29,9 @@
 // Reasons that depend on the request.
 const (
 	withheldRegime Withheld = withheldReasons + iota
-	withheldHome
+	withheldRegion
 	withheldVersion
-	withheldTried
+	withheldExcluded
 	withheldRetired
 	withheldOldWeights
 	withheldSession
@@ -47,15 +47,15 @@
 func (w Withheld) String() string { return withheldNames[w] }
 
 // withheldFromAll returns why a runner is withheld from every request, whatever its load.
-func (a *Admitter) withheldFromAll(p *pool, r *runner, avoidsZones bool, nowUs int64) Withheld {
+func (a *Admitter) withheldFromAll(p *pool, r *runner, skipUnreachable bool, nowUs int64) Withheld {
 	switch zone := r.record.Zone; {
-	case r.absence.out:
+	case r.absence.excluded:
 		return WithheldAbsent
 	case r.record.Draining:
 		return WithheldDraining
 	case r.cordoned(nowUs):
 		return WithheldCordoned
-	case avoidsZones && a.zoneUnreachable(zone):
+	case skipUnreachable && a.zoneUnreachable(zone):
 		return WithheldUnreachable
 	case a.Evacuated(zone):
 		return WithheldEvacuated
@@ -67,8 +67,8 @@
 
 // withheldFrom returns why a runner is withheld from a request, whatever its load, and the least
 // preference that it has by the version of its software.
-func (a *Admitter) withheldFrom(s *search, r *runner) (reason Withheld, preference int) {
-	if reason := a.withheldFromAll(s.pool, r, s.avoidsZones, s.nowUs); reason != NotWithheld {
+func (a *Admitter) withheldFrom(s *candidateSearch, r *runner) (reason Withheld, preference int) {
+	if reason := a.withheldFromAll(s.pool, r, s.skipUnreachable, s.nowUs); reason != NotWithheld {
 		return reason, 0
 	}
 	preference, allowed := s.pool.versionPreference(&s.request, r)
@@ -76,30 +76,30 @@
 	switch {
 	case !s.pool.permits(s.request, r.record.ID):
 		return withheldRegime, 0
-	case !a.atHome(&s.request, r.record.Zone):
-		return withheldHome, 0
+	case !a.regionAllowed(&s.request, r.record.Zone):
+		return withheldRegion, 0
 	case !allowed:
 		return withheldVersion, 0
 	case slices.Contains(s.request.Avoid, r.record.ID):
-		return withheldTried, 0
+		return withheldExcluded, 0
 	case a.RetiredWeights(model, weightsVersion(r.record, model)):
 		return withheldRetired, 0
 	case !a.runnerWeightsAllowed(model, r, s.nowUs):
 		return withheldOldWeights, 0
-	case s.relinquishing && a.Leaves(s.request, r.record.Zone, s.nowUs):
+	case s.movesSessions && a.Leaves(s.request, r.record.Zone, s.nowUs):
 		return withheldSession, 0
 	}
 	return NotWithheld, preference
 }
 
 // withheldForLoad returns why a runner is withheld for its load.
-func (a *Admitter) withheldForLoad(r *runner, active, linkShare int) Withheld {
+func (a *Admitter) withheldForLoad(r *runner, active, connectionShare int) Withheld {
 	switch {
-	case r.busyKV:
+	case r.memoryBusy:
 		return WithheldMemory
-	case r.busyPrefill:
+	case r.prefillBusy:
 		return WithheldPrefill
-	case r.capacity > 0 && active >= r.capacity, linkShare > 0 && r.own.count >= linkShare:
+	case r.capacity > 0 && active >= r.capacity, connectionShare > 0 && r.ownLoad.count >= connectionShare:
 		return WithheldSlots
 	}
 	return NotWithheld
@@ -109,20 +109,20 @@
 func (a *Admitter) CountWithheld(nowUs int64) map[Withheld]int {
 	counts := map[Withheld]int{}
 	for _, p := range a.pools {
-		avoidsZones, linkShare := a.reachesOthers(p), a.linkShare(p)
+		skipUnreachable, connectionShare := a.hasReachableRunners(p), a.connectionShare(p)
 		for _, id := range p.order {
-			counts[a.withheldNow(p, p.runners[id], avoidsZones, linkShare, nowUs)]++
+			counts[a.withheldNow(p, p.runners[id], skipUnreachable, connectionShare, nowUs)]++
 		}
 	}
 	return counts
 }
 
-func (a *Admitter) withheldNow(p *pool, r *runner, avoidsZones bool, linkShare int, nowUs int64) Withheld {
-	if reason := a.withheldFromAll(p, r, avoidsZones, nowUs); reason != NotWithheld {
+func (a *Admitter) withheldNow(p *pool, r *runner, skipUnreachable bool, connectionShare int, nowUs int64) Withheld {
+	if reason := a.withheldFromAll(p, r, skipUnreachable, nowUs); reason != NotWithheld {
 		return reason
 	}
 	if a.preference(Request{}, r, nowUs) == doubtful {
 		return WithheldDoubtful
 	}
-	return a.withheldForLoad(r, r.active(&a.T, nowUs), linkShare)
+	return a.withheldForLoad(r, r.active(&a.T, nowUs), connectionShare)
 }
--- a/internal/admission/withheld_test.go
+++ b/internal/admission/withheld_test.go
@@ -8,23 +8,23 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestEachReasonWithholdsARunnerAndIsNamed(t *testing.T) {
+func TestEachReasonWithholdsRunnerAndHasName(t *testing.T) {
 	const nowUs = 10_000_000
 	cases := map[Withheld]func(a *Admitter, r *runner){
 		NotWithheld:         func(*Admitter, *runner) {},
-		WithheldAbsent:      func(_ *Admitter, r *runner) { r.absence.out = true },
+		WithheldAbsent:      func(_ *Admitter, r *runner) { r.absence.excluded = true },
 		WithheldDraining:    func(_ *Admitter, r *runner) { r.record.Draining = true },
 		WithheldCordoned:    func(_ *Admitter, r *runner) { r.record.Cordoned = true },
 		WithheldUnreachable: func(a *Admitter, _ *runner) { a.SetUnreachable(map[string]int64{"b": 1}, nowUs) },
 		WithheldEvacuated:   func(a *Admitter, _ *runner) { a.SetEvacuated(map[string]bool{"b": true}, nowUs) },
 		WithheldWarmingUp: func(a *Admitter, r *runner) {
-			a.pool("s").coldPerS = 1
+			a.pool("s").warmupRatePerS = 1
 			r.warmup.untilUs = nowUs + 1
 		},
 		WithheldDoubtful: func(_ *Admitter, r *runner) { r.record.Stale = true },
-		WithheldMemory:   func(_ *Admitter, r *runner) { r.busyKV = true },
-		WithheldPrefill:  func(_ *Admitter, r *runner) { r.busyPrefill = true },
-		WithheldSlots:    func(_ *Admitter, r *runner) { r.own.count = r.capacity },
+		WithheldMemory:   func(_ *Admitter, r *runner) { r.memoryBusy = true },
+		WithheldPrefill:  func(_ *Admitter, r *runner) { r.prefillBusy = true },
+		WithheldSlots:    func(_ *Admitter, r *runner) { r.ownLoad.count = r.capacity },
 	}
 	must.MapLen(t, int(withheldReasons), cases, must.Sprint("every reason has a case"))
 	for want, set := range cases {
@@ -32,7 +32,7 @@
 		a.SetService("s", []messages.RunnerRecord{{ID: "near", Zone: "a", Capacity: 4}, {ID: "far", Zone: "b", Capacity: 4}}, 10_000, 0)
 		set(a, a.pool("s").runners["far"])
 		counts := a.CountWithheld(nowUs)
-		must.Eq(t, 1, counts[want]-b2i(want == NotWithheld), must.Sprint(want, counts))
+		must.Eq(t, 1, counts[want]-boolToInt(want == NotWithheld), must.Sprint(want, counts))
 		must.NotEq(t, "", want.String())
 		request := Request{Service: "s", TokensIn: 100, SetpointUs: 1, LeftUs: 1_000_000}
 		for range 20 {
@@ -43,7 +43,7 @@
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
