--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,8 @@
 // The Admitter and its decision on a new request. Checks run cheapest first. Load is
 // counted in blocks of runner memory, output blocks included, and in prompt tokens
-// that wait for prefill; a runner past a threshold gets no new request; what cannot be
-// admitted now is queued within caps and a time to live, or rejected at once with a
-// time after which to retry.
+// that wait for prefill. A runner past a threshold receives no new requests. A request
+// that cannot be admitted now is queued, within size limits and a time to live, or
+// rejected at once with a retry delay.
 
 package admission
 
@@ -16,31 +16,32 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// Request is a client's request as far as admission needs it. Times are microseconds.
+// Request holds the attributes of a client's request that admission uses. Times are
+// microseconds.
 type Request struct {
 	Ref        inflight.Ref
 	Service    string
 	Tenant     string
-	Rank       int // band: the tenant's rank goes before the route's
+	Rank       int // priority band, lowest first; the tenant's rank takes precedence over the route's
 	TokensIn   int
 	TokensOut  int
 	Model      string
 	Parts      []prefixindex.Part
 	Isolated   bool
-	Regime     string // only runners certified for it are candidates
+	Regime     string // compliance regime; only runners certified for it are candidates
 	SetpointUs int64
 	LeftUs     int64
-	Avoid      []string // runners that were tried before
+	Avoid      []string // runners of earlier attempts, which are not candidates
 	Bound      bool     // only runners in one of the regions in Homes are candidates
 	Homes      []string
-	Canary     bool   // goes to a new version of the service that is tried
-	Class      string // kind of request, by which outcomes are compared
+	Canary     bool   // is sent to the software version under trial
+	Class      string // request class; rollout outcomes are compared per class
 }
 
-// Reason says which check rejected a request.
+// Reason identifies the check that rejected a request.
 type Reason string
 
-// Reasons of a rejection.
+// Rejection reasons.
 const (
 	RejectRate    Reason = "tenant-rate"
 	RejectContext Reason = "context"
@@ -51,8 +52,7 @@
 )
 
 // Decision is the outcome for one request: it is admitted (Admit), queued (Hold) or
-// rejected (Reject, with the HTTP status and the time in microseconds after which to
-// retry).
+// rejected (Reject, with the HTTP status and the retry delay in microseconds).
 type Decision struct {
 	Ref     inflight.Ref
 	Admit   *Admission
@@ -62,7 +62,7 @@
 	AgainUs int64
 }
 
-// Admitter is the admission of one node. It is not safe for concurrent use.
+// Admitter implements the admission of one node. It is not safe for concurrent use.
 type Admitter struct {
 	T                Tuning
 	Zone             string
@@ -71,34 +71,36 @@
 	pools            map[string]*pool
 	tenants          map[string]*tenantState
 	relinquished     map[string]relinquishment // by zone
-	retiredBelow     map[string]int64          // by model: the first version of the weights that is not retired
+	retiredBelow     map[string]int64          // by model: the lowest weights version that is not retired
 	evacuations      evacuationState
 	unreachable      unreachableZones
 	warmups          warmupConfig
 	regions          map[string]string     // by zone
-	candidateBuffer  []placement.Candidate // reused by the next search for candidates
+	candidateBuffer  []placement.Candidate // backing arrays of the last search's results, reused by the next one
 	runnerBuffer     []*runner
-	random           *rand.Rand                // which runners are compared, where other nodes send requests too
-	transferTurn     int                       // counts equal transfer sources, which take turns
+	random           *rand.Rand                // selects the runners to compare when several nodes share them
+	transferTurn     int                       // round-robin counter over equivalent transfer sources
 	hasCapacity      bool                      // the last search found a runner below its thresholds
-	peerLoadsUs      int64                     // when the loads of the other nodes were last updated; 0: expired
-	expectedPrefixes []messages.CachedPrefixes // prefixes that runners will cache once they have read them; for the other nodes
-	confirmedAbsent  []string                  // runners of confirmed absence, for the other nodes
+	peerLoadsUs      int64                     // time of the last update of the other nodes' loads; 0: expired
+	expectedPrefixes []messages.CachedPrefixes // prefixes that runners will cache after their prefill; to be sent to the other nodes
+	confirmedAbsent  []string                  // runners whose absence was confirmed; to be sent to the other nodes
 	Bound            WeightsBound
 	targets          targets.Table
-	// contactUs is when a controller with contact to the core was last heard from.
+	// contactUs is when the last message arrived from a controller that is in contact
+	// with the core.
 	contactUs int64
 	Salt      func(tenant string, isolated bool, regime string, version int64) string
 }
 
-// New returns the admitter of a node in a zone. The nodes of a fleet should have
-// different seeds: from equal ones they would choose the same runners.
+// New returns the admitter of a node in a zone. The nodes of a fleet should use
+// different seeds; nodes with the same seed would sample the same runners.
 func New(t Tuning, zone string, seed uint64) *Admitter {
 	return &Admitter{T: t, Zone: zone, Index: prefixindex.NewIndex(), random: rand.New(rand.NewPCG(seed, 0)), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
 }
 
-// Salt keeps weight versions apart, isolated tenants from all others, and the
-// tenants of a regime from those outside it, whose requests may go anywhere.
+// Salt returns the cache salt of a request. It separates the cached prefixes of
+// different weights versions, of each isolated tenant from all others, and of the
+// tenants under a regime from those without one, whose requests may go to any runner.
 func Salt(tenant string, isolated bool, regime string, version int64) string {
 	b := []byte{'w'}
 	b = appendInt(b, version)
@@ -111,6 +113,7 @@
 	return string(b)
 }
 
+// appendInt appends the decimal digits of a non-negative integer.
 func appendInt(b []byte, n int64) []byte {
 	if n >= 10 {
 		b = appendInt(b, n/10)
@@ -139,6 +142,8 @@
 	return a.enqueue(request, p, nowUs)
 }
 
+// noneQueuedAhead reports whether no request of the same or a higher-priority band is
+// queued.
 func (a *Admitter) noneQueuedAhead(p *pool, rank int) bool {
 	for _, b := range p.queue.bands {
 		if b.rank <= rank && len(b.rotation) > 0 {
@@ -148,6 +153,9 @@
 	return true
 }
 
+// enqueue queues a request, or rejects it if the queue has reached its limit of requests
+// or prompt tokens. Of more than two nodes, each may queue up to twice its even share of
+// these limits. The time to live is at least 50 ms.
 func (a *Admitter) enqueue(request Request, p *pool, nowUs int64) Decision {
 	nodeShare := func(total float64) float64 {
 		if a.nodes > 2 {
@@ -167,8 +175,9 @@
 	return Decision{Ref: request.Ref, Hold: true}
 }
 
-// ShedFor makes room for a request of a higher band that was rejected for a full
-// queue: the newest of the lowest band goes instead.
+// ShedFor removes the newest request of the lowest-priority band from a full queue to
+// make room for a request of a higher-priority band. It returns the rejection of the
+// removed request, and false if no band has a lower priority.
 func (a *Admitter) ShedFor(request Request, _ int64) (Decision, bool) {
 	p := a.pool(request.Service)
 	w := p.queue.shed(request.Rank)
@@ -178,6 +187,8 @@
 	return a.reject(w.request, p, RejectShed, 503), true
 }
 
+// reject returns a rejection. The retry delay is the estimated prefill time of the queued
+// prompts, from 60 ms to 1 s.
 func (a *Admitter) reject(request Request, p *pool, reason Reason, status int) Decision {
 	retryAfterUs := int64(float64(p.queue.tokens)/a.totalPrefillRate(p)) + 60_000
 	return Decision{Ref: request.Ref, Reject: reason, Status: status, AgainUs: min(max(retryAfterUs, 60_000), 1_000_000)}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -1,4 +1,5 @@
-// Capacity at runners: a request is admitted, its first token comes, it is done.
+// Accounting of runner capacity: it is reserved when a request is admitted, partly
+// released at the first token, and fully released at the end.
 
 package admission
 
@@ -11,7 +12,8 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Admission is the capacity that a request has reserved at a runner; Done releases it.
+// Admission is the capacity that a request has reserved at a runner, until Done releases
+// it.
 type Admission struct {
 	Runner         messages.RunnerRecord
 	Salt           string
@@ -33,16 +35,18 @@
 	Parts          []prefixindex.Part
 	expectedKeys   []uint64
 	class          string
-	slowFirstToken bool // its first token took long
+	slowFirstToken bool // the first token exceeded the latency threshold of the rollout
 }
 
+// pin is a reference to the blocks of one prompt part. Requests with the same part at a
+// runner share the blocks.
 type pin struct {
 	key    uint64
 	blocks int
 }
 
-// sampling returns the source of random choices, or nil where this node sends all
-// requests itself and so knows all loads exactly.
+// sampling returns the random source for sampling candidates, or nil if this is the only
+// node: its view of the loads is then exact, and it compares all candidates.
 func (a *Admitter) sampling() *rand.Rand {
 	if a.nodes <= 1 {
 		return nil
@@ -50,6 +54,8 @@
 	return a.random
 }
 
+// admit selects a runner for a request and reserves capacity there. It returns nil if the
+// tenant's window is full or no candidate has capacity.
 func (a *Admitter) admit(request Request, p *pool, t *tenantState, nowUs int64) *Admission {
 	a.hasCapacity = true
 	if float64(t.admitted) >= t.window {
@@ -97,8 +103,9 @@
 	return adm
 }
 
-// sink returns the store for a prompt's shared parts, by rendezvous hashing of the
-// deepest of them: a chain of parts lies in one store, and all stores are used.
+// sink returns the address of the store for a prompt's shared parts, chosen by
+// rendezvous hashing of the last shared part. All parts of a chain are thus kept in one
+// store, and the chains are spread over all stores.
 func (p *pool) sink(request Request, keys []uint64) string {
 	addr, topScore := "", uint64(0)
 	for _, s := range p.stores {
@@ -109,8 +116,9 @@
 	return addr
 }
 
-// recordExpected records the shared parts that a runner is about to cache, here and for
-// the other nodes. It reports whether there are any.
+// recordExpected adds the shared parts that a runner is about to cache to the index of
+// this node and to the prefixes to be sent to the other nodes. It reports whether there
+// are any.
 func (a *Admitter) recordExpected(adm *Admission, shared int) bool {
 	expected := messages.CachedPrefixes{ID: adm.Runner.ID, Parts: []messages.CachedPart{}}
 	for i := range max(shared, 0) {
@@ -127,7 +135,7 @@
 	return len(expected.Parts) > 0
 }
 
-// HasFresh reports whether TakeFresh has something that other nodes should get soon.
+// HasFresh reports whether TakeFresh would return any prefixes.
 func (a *Admitter) HasFresh() bool { return len(a.expectedPrefixes) > 0 }
 
 // FirstToken records that a runner has finished the prefill of a prompt. It updates the
@@ -153,8 +161,8 @@
 	}
 }
 
-// Done releases the capacity of an admission. ok is false if the connection to the
-// runner failed; the runner is then avoided for a while, longer each time.
+// Done releases the capacity of an admission. connected is false if the connection to
+// the runner failed; the runner is then avoided, with exponential backoff.
 func (a *Admitter) Done(adm *Admission, connected bool, nowUs int64) {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
@@ -185,7 +193,8 @@
 	r.avoidUntilUs = nowUs + r.backoffUs
 }
 
-// Ended records whether a request that ran at a runner succeeded there.
+// Ended records whether a request that ran at a runner succeeded, for outlier detection
+// and for the rollout in progress.
 func (a *Admitter) Ended(adm *Admission, succeeded bool, nowUs int64) {
 	p := a.pool(adm.service)
 	if r := p.runners[adm.Runner.ID]; r != nil {
@@ -199,16 +208,16 @@
 	}
 }
 
-// Full records that a runner rejected a request for lack of capacity: it is avoided for
-// a short while.
+// Full records that a runner rejected a request for lack of capacity. The runner is
+// avoided for rejectionBackoffUs.
 func (a *Admitter) Full(adm *Admission, nowUs int64) {
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
 		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+rejectionBackoffUs)
 	}
 }
 
-// TakeFresh returns the prefixes that runners are about to cache for requests that this
-// node has sent since the last call.
+// TakeFresh returns, and clears, the prefixes that runners are about to cache for
+// requests that this node has admitted since the last call.
 func (a *Admitter) TakeFresh() []messages.CachedPrefixes {
 	out := a.expectedPrefixes
 	a.expectedPrefixes = nil
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -1,5 +1,5 @@
-// Candidates: the runners that may get a request now, and from which other runner or
-// store each could transfer cached blocks of its prompt.
+// Candidates: the runners that may receive a request now, each with the runner or store
+// from which it could fetch cached blocks of the prompt.
 
 package admission
 
@@ -16,22 +16,23 @@
 	return slices.Clone(list)
 }
 
-// candidateSearch is what one search for candidates goes by.
+// candidateSearch holds the parameters of one search for candidates.
 type candidateSearch struct {
 	request         Request
 	pool            *pool
 	nowUs           int64
 	peersKnown      bool // the loads of the other nodes are recent
-	connectionShare int  // requests that this node may have at one runner; 0: any number
+	connectionShare int  // maximum concurrent requests of this node at one runner; 0: no limit
 	preferredZone   string
-	skipUnreachable bool // runners in unreachable zones get nothing
-	movesSessions   bool // sessions that leave their zone have another one to go to
-	blocks          int  // memory that the request needs without a cached prefix
+	skipUnreachable bool // runners in unreachable zones are not candidates
+	movesSessions   bool // sessions of relinquished zones move, as another zone is available
+	blocks          int  // memory that the request needs without any cached prefix
 	keysOf          func(version int64) []uint64
 }
 
-// newCandidateSearch begins a search: it expires the loads of other nodes and finds the zone to
-// prefer.
+// newCandidateSearch returns the parameters of a search. It first clears outdated loads
+// of other nodes. The preferred zone is the node's own, or the session's new zone if the
+// session leaves the node's zone.
 func (a *Admitter) newCandidateSearch(request Request, p *pool, nowUs int64) candidateSearch {
 	share := a.connectionShare(p)
 	a.expirePeerLoads(nowUs)
@@ -54,12 +55,12 @@
 	return s
 }
 
-// preferences is the number of values of preference.
+// preferences is the number of preference classes, from 0 (best).
 const preferences = 3
 
-// findCandidates returns the runners that a request may go to; the result is valid until
-// the next call. Runners of a later preference are used only if there is none of an
-// earlier one.
+// findCandidates returns the runners that a request may be sent to. The result is valid
+// until the next call. Runners of a lower preference are used only if no candidate has a
+// higher one.
 func (a *Admitter) findCandidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
 	list, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
 	a.hasCapacity = false
@@ -85,15 +86,16 @@
 	return list, runners
 }
 
-// eligible reports whether a request may be sent to a runner of this preference, whatever the
-// runner's load.
+// eligible reports whether a runner may receive a request and is in the given preference
+// class, regardless of its load.
 func (a *Admitter) eligible(s *candidateSearch, r *runner, preference int) bool {
 	reason, byVersion := a.withheldFrom(s, r)
 	return reason == NotWithheld && preference == max(byVersion, a.preference(s.request, r, s.nowUs))
 }
 
-// candidateAt returns the candidate that a runner is, and whether the request fits there:
-// the runner is below its thresholds and has memory for the request.
+// candidateAt returns the candidate for a runner, and whether the request fits there: the
+// runner is below its thresholds and has enough memory. A runner without other requests
+// accepts a request of any size.
 func (a *Admitter) candidateAt(s *candidateSearch, r *runner) (candidate placement.Candidate, fits bool) {
 	memoryUse := r.updateBusy(&a.T, s.nowUs, a.nodes, s.peersKnown)
 	active := r.active(&a.T, s.nowUs)
@@ -113,12 +115,12 @@
 	}, true
 }
 
-// maxUseAfter is the highest memory use of a runner with other requests that a new
-// request may lead to.
+// maxUseAfter is the maximum memory use, as a share, of a runner with other requests once
+// a new request is added.
 const maxUseAfter = 0.98
 
-// keysOf returns a function that gives the keys of a request's parts under a version of
-// the weights; the keys of each version are computed once.
+// keysOf returns a function that returns the prefix keys of a request's parts for a
+// weights version. The keys of each version are computed once.
 func (a *Admitter) keysOf(request Request) func(version int64) []uint64 {
 	var versions []int64
 	var keys [][]uint64
@@ -134,39 +136,39 @@
 	}
 }
 
-// Costs of a transfer of cached blocks: its start in microseconds, and how much longer
-// it takes between zones. Fewer than minTransferTokens are not transferred.
+// Cost of a transfer of cached blocks: the setup time in microseconds, and the factor
+// for transfers between zones. Fewer than minTransferTokens are not transferred.
 const (
 	transferSetupUs   = 3_000
 	crossZoneFactor   = 2
 	minTransferTokens = 48
 )
 
-// blockSource is a runner or store that has cached blocks of a prompt.
+// blockSource is a runner or store that holds cached blocks of a prompt.
 type blockSource struct {
 	addr               string
 	zone               string
 	version            int64
-	cachedTokens       int // tokens of the prompt that are cached
+	cachedTokens       int // tokens of the prompt that are cached there
 	transferUsPerToken float64
-	ties               int // other sources of the same value
+	ties               int // number of other sources with the same cost and cached tokens
 }
 
-// blockSources are the sources for a prompt, and how much of its shared parts the
-// runners and stores with each version of the weights have or are about to have.
+// blockSources holds the sources for a prompt, and by weights version the most tokens of
+// its shared parts that one runner or store has cached or is about to cache.
 type blockSources struct {
 	list         []blockSource
 	sharedTokens map[int64]int // tokens, by version
 }
 
-// sameCost reports whether a transfer from both sources costs the same, so that only the
-// one with more cached tokens is needed.
+// sameCost reports whether transfers from both sources cost the same per token, so that
+// only the one with more cached tokens is needed.
 func (s *blockSource) sameCost(other *blockSource) bool {
 	return s.version == other.version && s.zone == other.zone && s.transferUsPerToken == other.transferUsPerToken
 }
 
-// addSource adds a source. Of several with the same cost the one with most cached tokens
-// is enough; equal ones take turns.
+// addSource adds a source. Of sources with the same cost, only the one with the most
+// cached tokens is kept; equivalent ones are used in rotation.
 func (a *Admitter) addSource(sources *blockSources, added blockSource) {
 	if added.cachedTokens < minTransferTokens {
 		return
@@ -197,7 +199,7 @@
 	return s.pool.permits(s.request, r.record.ID)
 }
 
-// findSources finds the runners and stores that have cached blocks of a prompt.
+// findSources returns the runners and stores that hold cached blocks of a prompt.
 func (a *Admitter) findSources(s *candidateSearch) blockSources {
 	request, p := s.request, s.pool
 	sharedTokens := 0
@@ -229,8 +231,8 @@
 	return sources
 }
 
-// findTransfers finds for every candidate the source with the same weights from which a
-// transfer of cached blocks gains most over prefill.
+// findTransfers sets for every candidate the source with the same weights version whose
+// transfer of cached blocks saves the most time over prefill.
 func (a *Admitter) findTransfers(s *candidateSearch, list []placement.Candidate, runners []*runner) {
 	sources := a.findSources(s)
 	for i := range list {
@@ -241,7 +243,8 @@
 	}
 }
 
-// chooseTransfer sets the transfer of a candidate whose weights have the given version.
+// chooseTransfer sets the transfer of a candidate to the source with the largest gain, if
+// any. version is the candidate's weights version.
 func (s *blockSources) chooseTransfer(c *placement.Candidate, r *runner, version int64) {
 	bestGain := 0.0
 	for _, source := range s.list {
@@ -260,11 +263,12 @@
 	}
 }
 
-// doubtful is the preference of a runner that is used only where there is no other.
+// doubtful is the preference of a runner that is used only as a last resort.
 const doubtful = preferences - 1
 
-// preference returns the class of a runner for a request, the best first: 0 in general, 1
-// if it is draining and the request is long, 2 if it is stale, avoided or ejected.
+// preference returns the preference class of a runner for a request: 0 (best) in
+// general, 1 if the runner is draining long requests and the request is long, 2 if the
+// runner is stale, avoided or ejected.
 func (a *Admitter) preference(request Request, r *runner, nowUs int64) int {
 	switch {
 	case r.record.Stale || r.avoidUntilUs > nowUs || r.health.ejected(nowUs):
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,27 +1,33 @@
-// The queue of one service: strict bands by rank, round robin between the tenants of a
-// band, and a time to live for every request.
+// The queue of one service: strict priority bands by rank, round robin between the
+// tenants of a band, and a time to live for every request.
 
 package admission
 
 import "sort"
 
+// queuedRequest is a request that waits for capacity until it expires.
 type queuedRequest struct {
 	request   Request
 	expiresUs int64
 }
 
+// band holds the queued requests of one rank, by tenant, and the round-robin order of the
+// tenants.
 type band struct {
 	rank     int
 	rotation []string
 	tenants  map[string][]*queuedRequest
 }
 
+// queue holds the bands in ascending rank order, and the number of requests and of their
+// prompt tokens. The zero value is an empty queue.
 type queue struct {
 	bands  []*band
 	count  int
 	tokens int
 }
 
+// enqueue appends a request to its tenant's list in the band of its rank.
 func (q *queue) enqueue(w *queuedRequest) {
 	i := sort.Search(len(q.bands), func(i int) bool { return q.bands[i].rank >= w.request.Rank })
 	if i == len(q.bands) || q.bands[i].rank != w.request.Rank {
@@ -57,7 +63,7 @@
 	return w
 }
 
-// expired removes and returns the requests whose time to live is over.
+// expired removes and returns the requests whose time to live has elapsed.
 func (q *queue) expired(nowUs int64) []*queuedRequest {
 	var out []*queuedRequest
 	for _, b := range q.bands {
@@ -72,8 +78,8 @@
 	return out
 }
 
-// shed removes and returns the newest request of the lowest band below rank, of the
-// tenant with most requests there; nil if there is none.
+// shed removes and returns the newest request of the tenant with the most requests in
+// the lowest-priority band after rank. It returns nil if there is none.
 func (q *queue) shed(rank int) *queuedRequest {
 	for i := len(q.bands) - 1; i >= 0 && q.bands[i].rank > rank; i-- {
 		b := q.bands[i]
@@ -90,9 +96,9 @@
 	return nil
 }
 
-// dequeueAccepted offers the requests in their order, band by band and round robin between the
-// tenants of a band; those that take accepts leave the queue. A tenant whose first
-// request is not accepted is skipped.
+// dequeueAccepted calls accept with the queued requests, band by band and round robin
+// between the tenants of a band, and removes those for which it returns true. A tenant
+// whose first request is not accepted is skipped until another one is accepted.
 func (q *queue) dequeueAccepted(accept func(*queuedRequest) bool) {
 	for _, b := range q.bands {
 		for remaining := len(b.rotation); remaining > 0 && len(b.rotation) > 0; remaining-- {
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -1,8 +1,10 @@
-// Windows: how many requests of a tenant are admitted at once, adjusted by AIMD, and
-// the tenant's rate limit.
+// Tenant limits: the window, which is the maximum number of a tenant's requests admitted
+// at a time and is adjusted by AIMD, and the tenant's rate limit, a token bucket.
 
 package admission
 
+// tenantState holds the window and the token bucket of a tenant. hitTokens and
+// promptTokens are decaying sums from which the cache hit share is computed.
 type tenantState struct {
 	window                  float64
 	admitted                int
@@ -12,6 +14,7 @@
 	windowUpdatedUs         int64
 }
 
+// tenant returns the state of a tenant, and creates it at the first request.
 func (a *Admitter) tenant(name string, nowUs int64) *tenantState {
 	t := a.tenants[name]
 	if t == nil {
@@ -21,6 +24,8 @@
 	return t
 }
 
+// allowRate consumes one token of a tenant's bucket and reports whether there was one.
+// The bucket refills from empty in two seconds.
 func (a *Admitter) allowRate(t *tenantState, p *pool, nowUs int64) bool {
 	burst := max(a.T.TenantBurst*float64(a.totalCapacity(p)), 64)
 	if t.bucket < 0 {
@@ -35,8 +40,8 @@
 	return true
 }
 
-// Tick advances the time: queued requests whose time to live is over are rejected, others
-// that fit are admitted, and the tenants' windows are adjusted.
+// Tick processes the passage of time: it rejects queued requests whose time to live has
+// elapsed, admits others for which there is capacity, and adjusts the tenants' windows.
 func (a *Admitter) Tick(nowUs int64) []Decision {
 	var out []Decision
 	for _, p := range a.pools {
@@ -53,7 +58,8 @@
 			}
 			adm := a.admit(w.request, p, a.tenant(w.request.Tenant, nowUs), nowUs)
 			if adm == nil {
-				// if no runner has capacity for this one, none has for the next
+				// If no runner has capacity for this request, none has for the next, unless
+				// this one may use only some of the runners.
 				noCapacity = !a.hasCapacity && w.request.Regime == "" && len(w.request.Avoid) == 0
 				return false
 			}
@@ -65,6 +71,7 @@
 	return out
 }
 
+// updateWindows adjusts the windows that are due and removes idle tenants.
 func (a *Admitter) updateWindows(nowUs int64) {
 	use, n := 0.0, 0
 	for name, t := range a.tenants {
@@ -87,7 +94,8 @@
 	}
 }
 
-// nextWindow returns a tenant's window after one AIMD step.
+// nextWindow returns a tenant's window after one AIMD step. It grows while the mean
+// memory use is low, and is cut when the use is high and the cache hit share is low.
 func nextWindow(t *Tuning, window, use, hitShare float64) float64 {
 	switch {
 	case use < t.LowUse:
@@ -98,6 +106,7 @@
 	return min(max(window, t.WindowMin), t.WindowMax)
 }
 
+// meanUse returns the mean memory use, from 0 to 1, of all runners of known memory.
 func (a *Admitter) meanUse(nowUs int64) float64 {
 	sum, n := 0.0, 0
 	for _, p := range a.pools {
