--- a/internal/admission/abandon.go
+++ b/internal/admission/abandon.go
@@ -1,7 +1,7 @@
 package admission
 
-// Abandon removes a queued request, as when its client has disconnected. It reports
-// whether the request was still queued.
+// Abandon removes a queued request, for example when its client has disconnected. It
+// reports whether the request was still queued.
 func (a *Admitter) Abandon(request Request) bool {
 	p := a.pool(request.Service)
 	for _, b := range p.queue.bands {
--- a/internal/admission/absent.go
+++ b/internal/admission/absent.go
@@ -1,12 +1,13 @@
-// Absent runners. If the address of an instance answers 421, the instance has ended and
-// the address belongs to another one now. It leaves the candidates at the first such
-// response, because it would look the least loaded of all for as long as it is listed.
-// It returns with a newer registration (higher sequence, or another address), or when a
-// probe finds it there. A 421 may also mean that the runner's
-// weights have another version than the request expected; a probe tells the two apart,
-// and until then only a part of a service's runners may be out at once, so that many
-// such responses do not empty a service. A confirmed absence is reported to other
-// nodes as a hint.
+// Absent runners. A response 421 from a runner's address usually means that the instance
+// has ended and the address belongs to another one. The runner is excluded from the
+// candidates at the first such response, because it would appear to be the least loaded
+// one for as long as it is registered. It becomes a candidate again with a newer
+// registration (higher sequence or another address), or when a probe finds it there.
+//
+// A 421 may also mean that the runner's weights have another version than the request
+// named. A probe distinguishes the two. Until then, only a share of a service's runners
+// may be excluded at a time, so that many such responses do not exclude all of them. A
+// confirmed absence is reported to the other nodes as a hint.
 
 package admission
 
@@ -16,39 +17,41 @@
 
 // Limits of absences and their probes. Times are in microseconds.
 const (
-	maxUnconfirmedShare = 0.5        // part of a service's runners that may be absent without confirmation
-	probeBackoffUs      = 250_000    // backoff after the first probe that did not find the instance
+	maxUnconfirmedShare = 0.5        // share of a service's runners that may be excluded without confirmation
+	probeBackoffUs      = 250_000    // backoff after the first probe that does not find the instance
 	maxProbeBackoffUs   = 16_000_000 // maximum backoff; it doubles with each probe
 	presenceValidUs     = 2_000_000  // how long the result of a probe that found the instance is valid
-	rejectionBackoffUs  = 150_000    // how long a runner that rejected a request gets no other
-	maxPendingHints     = 64         // absent runners that wait to be reported to other nodes
-	maxProbesPerCall    = 8          // probes returned by one call of DueProbes
+	rejectionBackoffUs  = 150_000    // how long a runner is avoided after it rejected a request
+	maxPendingHints     = 64         // maximum number of absent runners waiting to be reported to other nodes
+	maxProbesPerCall    = 8          // maximum number of probes returned by one call of DueProbes
 )
 
 // Presence is what a probe found at a runner's address.
 type Presence int
 
-// What a probe may find.
+// Results of a probe.
 const (
-	PresenceUnknown   Presence = iota // no answer, or one that names nobody
+	PresenceUnknown   Presence = iota // no response, or one that does not identify an instance
 	PresenceConfirmed                 // the instance itself
 	PresenceMismatch                  // another instance
-	PresenceUnprobed                  // the service has no probe: a request has to find out
+	PresenceUnprobed                  // the service has no probe: the next request shows whether the instance is present
 )
 
-// absence is whether a runner is missing at its address, and when to probe it.
+// absence records whether a runner is excluded because it is missing at its address, and
+// when to probe it.
 type absence struct {
 	excluded    bool
-	confirmed   bool   // confirmed: not only a 421 that may have been about the weights
+	confirmed   bool   // not only by a 421 that may have been caused by the weights version
 	sequence    int64  // of the registration at the time of the 421
 	addr        string // of that registration
 	nextProbeUs int64  // when the next probe is due
 	backoffUs   int64
-	lastFoundUs int64 // when a probe last found it; 0: never
+	lastFoundUs int64 // when a probe last found the instance; 0: never
 }
 
-// observe records the runner's registration. One that is newer than the registration at
-// the time of the 421 ends the absence, unless it only marks the runner as stale.
+// observe applies the runner's current registration. A registration that is newer than
+// the one at the time of the 421 ends the absence, unless it only marks the runner as
+// stale.
 func (a *absence) observe(n messages.RunnerRecord) {
 	if !a.excluded {
 		return
@@ -60,9 +63,9 @@
 	a.sequence = max(a.sequence, n.Seq)
 }
 
-// WrongInstance records that a runner answered 421. expected says whether the request
-// named a version of the weights, so that the answer may be about that. It reports
-// whether the runner has left the candidates.
+// WrongInstance records that a runner responded with 421. versionNamed is true if the
+// request named a weights version, which may have caused the response. It reports whether
+// the runner is now excluded from the candidates.
 func (a *Admitter) WrongInstance(adm *Admission, versionNamed bool, nowUs int64) bool {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
@@ -70,7 +73,7 @@
 		return false
 	}
 	if r.record.Seq > adm.Runner.Seq || r.record.Addr != adm.Runner.Addr {
-		return false // it has registered again since the request was sent
+		return false // it has registered again since the request was admitted
 	}
 	recentlyFound := r.absence.lastFoundUs > 0 && nowUs-r.absence.lastFoundUs < presenceValidUs
 	if versionNamed && (recentlyFound || !p.mayExcludeUnconfirmed()) {
@@ -85,8 +88,8 @@
 	return true
 }
 
-// mayExcludeUnconfirmed reports whether one more runner may leave the candidates without
-// confirmation.
+// mayExcludeUnconfirmed reports whether one more runner may be excluded without
+// confirmation of its absence.
 func (p *pool) mayExcludeUnconfirmed() bool {
 	unconfirmed := 0
 	for _, id := range p.order {
@@ -97,7 +100,7 @@
 	return unconfirmed < max(int(maxUnconfirmedShare*float64(len(p.order))), 1)
 }
 
-// Absent reports whether the runner of an admission has left the candidates since.
+// Absent reports whether the runner of an admission has been excluded as absent.
 func (a *Admitter) Absent(adm *Admission) bool {
 	r := a.pool(adm.service).runners[adm.Runner.ID]
 	return r != nil && r.absence.excluded
@@ -124,8 +127,8 @@
 	return due, anyAbsent
 }
 
-// Found records what a probe found at the address of a runner. It reports whether that
-// has confirmed the runner's absence.
+// Found applies the result of a probe at a runner's address. It reports whether the
+// result has confirmed the runner's absence.
 func (a *Admitter) Found(n messages.RunnerRecord, presence Presence, nowUs int64) (confirmed bool) {
 	r := a.pool(n.Service).runners[n.ID]
 	if r == nil || !r.absence.excluded || r.record.Addr != n.Addr {
@@ -147,8 +150,8 @@
 	return false
 }
 
-// confirmAbsent clears the cached prefixes of a runner, and queues the runner to be
-// reported to other nodes.
+// confirmAbsent clears the cached prefixes of a runner from the index, and queues the
+// runner to be reported to the other nodes.
 func (a *Admitter) confirmAbsent(id string) {
 	a.Index.Reset(id)
 	if len(a.confirmedAbsent) < maxPendingHints {
@@ -156,7 +159,8 @@
 	}
 }
 
-// TakeAbsent returns the runners whose absence was confirmed since the last call.
+// TakeAbsent returns, and clears, the runners whose absence has been confirmed since the
+// last call.
 func (a *Admitter) TakeAbsent() []string {
 	ids := a.confirmedAbsent
 	a.confirmedAbsent = nil
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -28,7 +28,7 @@
 	Model      string
 	Parts      []prefixindex.Part
 	Isolated   bool
-	Regime     string // compliance regime; only runners certified for it are candidates
+	Regime     string // only runners certified for this regime are candidates
 	SetpointUs int64
 	LeftUs     int64
 	Avoid      []string // runners of earlier attempts, which are not candidates
@@ -188,7 +188,7 @@
 }
 
 // reject returns a rejection. The retry delay is the estimated prefill time of the queued
-// prompts, from 60 ms to 1 s.
+// prompts plus 60 ms, at most 1 s.
 func (a *Admitter) reject(request Request, p *pool, reason Reason, status int) Decision {
 	retryAfterUs := int64(float64(p.queue.tokens)/a.totalPrefillRate(p)) + 60_000
 	return Decision{Ref: request.Ref, Reject: reason, Status: status, AgainUs: min(max(retryAfterUs, 60_000), 1_000_000)}
--- a/internal/admission/evacuation.go
+++ b/internal/admission/evacuation.go
@@ -1,5 +1,5 @@
-// Evacuated zones: their runners get no requests. When a zone is taken back its runners may
-// have lost their warmth a moment before.
+// Evacuated zones: their runners receive no requests. When the evacuation of a zone ends, its
+// runners are treated as cold, because they may have become cold since their last heartbeat.
 
 package admission
 
@@ -8,18 +8,20 @@
 	"slices"
 )
 
-// evacuationState is which zones are evacuated.
+// evacuationState holds the evacuated zones.
 type evacuationState struct {
 	zones map[string]bool
-	// returnWarmupUs is for how long the runners of a zone that is taken back count as cold,
-	// in microseconds, unless their heartbeats say that it is longer.
+	// returnWarmupUs is how long the runners of a zone are treated as cold after the end of its
+	// evacuation, in microseconds, unless their heartbeats report a longer time.
 	returnWarmupUs int64
 }
 
-// SetReturnCold sets for how long runners of a zone that is taken back count as cold.
+// SetReturnCold sets how long the runners of a zone are treated as cold after the end of its
+// evacuation.
 func (a *Admitter) SetReturnCold(forUs int64) { a.evacuations.returnWarmupUs = forUs }
 
-// SetEvacuated sets which zones are evacuated.
+// SetEvacuated sets the evacuated zones. The runners of zones that are no longer in the set are
+// treated as cold for a while.
 func (a *Admitter) SetEvacuated(zones map[string]bool, nowUs int64) {
 	for zone := range a.evacuations.zones {
 		if !zones[zone] {
@@ -29,10 +31,10 @@
 	a.evacuations.zones = maps.Clone(zones)
 }
 
-// Evacuated reports whether the runners of a zone are to get no requests.
+// Evacuated reports whether a zone is evacuated, so that its runners receive no requests.
 func (a *Admitter) Evacuated(zone string) bool { return a.evacuations.zones[zone] }
 
-// EvacuatedZones lists the evacuated zones.
+// EvacuatedZones returns the evacuated zones, sorted.
 func (a *Admitter) EvacuatedZones() []string {
 	return slices.Sorted(maps.Keys(a.evacuations.zones))
 }
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -1,9 +1,8 @@
-// Outlier detection: what the outcomes of requests say of a runner, whatever its
-// health endpoint says. A runner that fails far more of its requests than the others
-// is ejected from the candidates for a while, longer each time, and comes back with
-// few requests at first. The outcomes are this node's own; those of the other nodes
-// are a hint, which counts half. An ejected runner stays in the registry and is used
-// where no other is left.
+// Outlier detection by the outcomes of requests, independent of the runner's health
+// endpoint. A runner that fails a far larger share of its requests than the others is
+// ejected from the candidates, with exponential backoff, and returns with a slow start.
+// Outcomes that this node observed count fully, those reported by other nodes count half.
+// An ejected runner stays in the registry and is used as a last resort.
 
 package admission
 
@@ -13,23 +12,26 @@
 	"slices"
 )
 
-// Parameters of the ejection. Times are in microseconds.
+// Parameters of outlier ejection. Times are in microseconds.
 const (
-	outcomeWindowUs    = 4_000_000  // outcomes are counted in spans; the current and the last one count
-	peerWeight         = 0.5        // weight of the other nodes' outcomes
-	minFailureShare    = 0.2        // share of failures from which a runner may be ejected
-	outlierFactor      = 3.0        // and how many times the failure share of the healthy runners it must be
-	minFailures        = 1.5        // weighted failures below which no runner is ejected
-	maxEjectedShare    = 0.2        // part of a service's runners that may be ejected at once
-	ejectionUs         = 2_000_000  // first ejection
-	maxEjectionUs      = 16_000_000 // maximum ejection; it doubles with each
-	ejectionResetUs    = 30_000_000 // time after an ejection after which the next one is a first one again
-	slowStartUs        = 4_000_000  // slow start after an ejection
-	maxSlowStartCostUs = 300_000.0  // cost in the matching at the beginning of the slow start
+	outcomeWindowUs    = 4_000_000  // outcomes are counted per window; the current and the previous one are used
+	peerWeight         = 0.5        // weight of outcomes reported by other nodes
+	minFailureShare    = 0.2        // minimum failure share for an ejection
+	outlierFactor      = 3.0        // minimum ratio to the failure share of the healthy runners
+	minFailures        = 1.5        // minimum weighted number of failures for an ejection
+	maxEjectedShare    = 0.2        // maximum share of a service's runners that are ejected at a time
+	ejectionUs         = 2_000_000  // duration of the first ejection
+	maxEjectionUs      = 16_000_000 // maximum duration; it doubles with each ejection
+	ejectionResetUs    = 30_000_000 // time without an ejection after which the duration is reset
+	slowStartUs        = 4_000_000  // duration of the slow start after an ejection
+	maxSlowStartCostUs = 300_000.0  // placement cost at the start of the slow start, in microseconds
 )
 
+// outcomes counts requests and how many of them failed.
 type outcomes struct{ tried, failed int }
 
+// health holds the recent outcomes of a runner's requests and its ejection. Outcomes are
+// counted in windows of outcomeWindowUs; span is the number of the current one.
 type health struct {
 	span              int64
 	current, previous outcomes
@@ -38,6 +40,7 @@
 	ejectedForUs      int64
 }
 
+// rotate advances the outcome windows to the current time.
 func (h *health) rotate(nowUs int64) {
 	switch span := nowUs / outcomeWindowUs; {
 	case span == h.span:
@@ -48,6 +51,7 @@
 	}
 }
 
+// record counts the outcome of one request.
 func (h *health) record(succeeded bool, nowUs int64) {
 	h.rotate(nowUs)
 	h.current.tried++
@@ -56,12 +60,13 @@
 	}
 }
 
-// own returns this node's outcomes that still count.
+// own returns this node's outcomes of the current and the previous window.
 func (h *health) own(nowUs int64) outcomes {
 	h.rotate(nowUs)
 	return outcomes{h.current.tried + h.previous.tried, h.current.failed + h.previous.failed}
 }
 
+// weighted returns this node's outcomes plus the weighted outcomes of the other nodes.
 func (h *health) weighted(nowUs int64) (tried, failed float64) {
 	own := h.own(nowUs)
 	return float64(own.tried) + peerWeight*float64(h.peers.tried), float64(own.failed) + peerWeight*float64(h.peers.failed)
@@ -69,7 +74,8 @@
 
 func (h *health) ejected(nowUs int64) bool { return nowUs < h.ejectedUntilUs }
 
-// slowStartCostUs returns the cost in the matching of a runner in slow start.
+// slowStartCostUs returns the placement cost of a runner in slow start, which decreases
+// linearly to 0.
 func (h *health) slowStartCostUs(nowUs int64) float64 {
 	if h.ejectedUntilUs == 0 {
 		return 0
@@ -77,20 +83,20 @@
 	return maxSlowStartCostUs * math.Max(0, 1-float64(max(nowUs-h.ejectedUntilUs, 0))/slowStartUs)
 }
 
-// suspect is a runner that fails many of its requests.
+// suspect is a runner with enough failures to be ejected if it is an outlier.
 type suspect struct {
 	health       *health
-	failureShare float64 // of its requests that failed
+	failureShare float64 // share of its requests that failed, computed with one extra success
 }
 
-// healthSummary is the health of a service's runners at one time.
+// healthSummary classifies a service's runners by health.
 type healthSummary struct {
 	suspects                    []suspect
-	healthyTried, healthyFailed float64 // outcomes of the other runners, added up
-	ejected                     int     // runners that are ejected already
+	healthyTried, healthyFailed float64 // summed outcomes of the healthy runners
+	ejected                     int     // number of ejected runners
 }
 
-// healthSummary sorts the runners of a service into ejected, suspect and healthy ones.
+// summarizeHealth classifies the runners of a service as ejected, suspect or healthy.
 func (p *pool) summarizeHealth(nowUs int64) (summary healthSummary) {
 	for _, id := range p.order {
 		h := &p.runners[id].health
@@ -108,8 +114,9 @@
 	return summary
 }
 
-// ejectOutliers decides anew which runners of a service are ejected. If most of them fail the
-// cause is not the runners, and none is.
+// ejectOutliers ejects the suspect runners of a service whose failure share is an
+// outlier, the worst first. If more than half of the runners are suspect, the cause is
+// assumed to lie elsewhere, and none is ejected.
 func (p *pool) ejectOutliers(nowUs int64) {
 	summary := p.summarizeHealth(nowUs)
 	suspects, ejected := summary.suspects, summary.ejected
@@ -127,8 +134,8 @@
 	}
 }
 
-// eject ejects the runner, for longer each time, and clears its outcomes: they have had
-// their effect.
+// eject ejects the runner, with exponential backoff, and clears its outcomes, so that
+// after its return only new failures lead to another ejection.
 func (h *health) eject(nowUs int64) {
 	if nowUs-h.ejectedUntilUs > ejectionResetUs || h.ejectedForUs == 0 {
 		h.ejectedForUs = ejectionUs
--- a/internal/admission/homes.go
+++ b/internal/admission/homes.go
@@ -1,4 +1,4 @@
-// Homes: regions whose runners alone may serve a route or a tenant.
+// Home regions: the regions to which the requests of a route or a tenant are restricted.
 
 package admission
 
@@ -7,8 +7,8 @@
 // SetRegions sets the region of each zone.
 func (a *Admitter) SetRegions(regions map[string]string) { a.regions = regions }
 
-// regionAllowed reports whether a runner of a zone may serve a request. A zone whose region is not
-// known is in none.
+// regionAllowed reports whether the home regions of a request allow runners of a zone. A zone of
+// unknown region is in no home region.
 func (a *Admitter) regionAllowed(request *Request, zone string) bool {
 	if !request.Bound {
 		return true
@@ -17,8 +17,9 @@
 	return known && slices.Contains(request.Homes, region)
 }
 
-// Homes joins the homes of a route and a tenant: where both have some, both bind. bound is
-// false where neither has any; the list may then be empty though it is bound.
+// Homes combines the home regions of a route and a tenant. If both have home regions, the result
+// is their intersection. bound is false if neither has any. If bound is true and homes is empty,
+// no region is allowed.
 func Homes(route, tenant []string) (homes []string, bound bool) {
 	switch {
 	case len(route) == 0:
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -1,4 +1,4 @@
-// Loads: what runners report, and what other nodes have in flight at each runner.
+// Loads: the reports of runners, and the loads of this and the other nodes at each runner.
 
 package admission
 
@@ -22,8 +22,8 @@
 	}
 }
 
-// ExpectBlocks records the prefixes that runners are about to cache for requests of other
-// nodes.
+// ExpectBlocks adds the prefixes that runners are about to cache for requests of other
+// nodes to the index.
 func (a *Admitter) ExpectBlocks(notes []messages.CachedPrefixes) {
 	for _, n := range notes {
 		for _, part := range n.Parts {
@@ -32,7 +32,7 @@
 	}
 }
 
-// Others records the load of all other nodes at each runner, added up.
+// Others sets the total load of the other nodes at each runner.
 func (a *Admitter) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
 	for _, p := range a.pools {
 		for id, r := range p.runners {
@@ -42,7 +42,7 @@
 	a.LoadsUpdated(nowUs)
 }
 
-// Other records the load of all other nodes at one runner.
+// Other sets the total load of the other nodes at one runner.
 func (a *Admitter) Other(id string, l messages.RunnerLoad) {
 	for _, p := range a.pools {
 		if r := p.runners[id]; r != nil {
@@ -51,7 +51,8 @@
 	}
 }
 
-// LoadsUpdated records that the loads of the other nodes are up to date at nowUs.
+// LoadsUpdated records that the loads of the other nodes are up to date at nowUs, and
+// ejects outliers by their outcomes.
 func (a *Admitter) LoadsUpdated(nowUs int64) {
 	a.peerLoadsUs = nowUs
 	for _, p := range a.pools {
@@ -59,7 +60,7 @@
 	}
 }
 
-// expirePeerLoads clears the loads of the other nodes once they are too old.
+// expirePeerLoads clears the loads of the other nodes if they are outdated.
 func (a *Admitter) expirePeerLoads(nowUs int64) {
 	if a.peerLoadsUs == 0 || a.peerLoadsCurrent(nowUs) {
 		return
@@ -72,13 +73,14 @@
 	}
 }
 
-// peerLoadsCurrent reports whether the loads of the other nodes are recent enough.
+// peerLoadsCurrent reports whether the loads of the other nodes were updated within
+// Tuning.ReportFreshUs.
 func (a *Admitter) peerLoadsCurrent(nowUs int64) bool {
 	return a.peerLoadsUs > 0 && nowUs-a.peerLoadsUs < a.T.ReportFreshUs
 }
 
-// Blind returns the sorted identities of the runners whose thresholds are unreliable:
-// their memory is unknown, or their last report is older than three times
+// Blind returns the sorted identities of the runners whose load thresholds are unreliable:
+// their memory is unknown, or they have sent no report within three times
 // Tuning.ReportFreshUs.
 func (a *Admitter) Blind(nowUs int64) []string {
 	var out []string
@@ -94,16 +96,17 @@
 	return out
 }
 
-// flowStep is the unit, in prompt tokens per second, to which the reported flow is
-// rounded, so that it does not change all the time.
+// flowStep is the unit, in prompt tokens per second, to which the published prompt token
+// rate is rounded, so that small variations do not cause updates.
 const flowStep = 250
 
-// rateSteps is into how many parts of a token per microsecond the reported rate is rounded. It is a
-// power of two, so that the encoded number ends with zeros, which updates are compressed to nearly
-// nothing with.
+// rateSteps is the number of steps per token per microsecond to which the published prefill rate
+// is rounded. It is a power of two, so that the encoded number ends with zeros, which compress to
+// nearly nothing in updates.
 const rateSteps = 1 << 13
 
-// Own returns the load of this node at each runner that has any.
+// Own returns the load of this node at each runner where it has any, and the outcomes of the
+// rollouts in progress, to be published to the other nodes.
 func (a *Admitter) Own(nowUs int64) map[string]messages.RunnerLoad {
 	out := map[string]messages.RunnerLoad{}
 	for _, p := range a.pools {
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -1,25 +1,27 @@
-// Pools: the runners, stores and limits of a service.
+// Pools: the runners, block stores and limits of a service.
 
 package admission
 
 import "beechtide.org/beechtide/internal/messages"
 
+// pool holds the admission state of one service. order lists the runners in the order in
+// which SetService received them.
 type pool struct {
 	runners         map[string]*runner
 	order           []string
 	queue           queue
 	stores          []Store
-	connectionLimit int                        // connections that a runner accepts from all nodes together; 0: no limit
+	connectionLimit int                        // connections that each runner accepts from all nodes together; 0: no limit
 	certified       map[string]map[string]bool // by regime, the identities of the certified runners and stores
-	memoryTokens    int                        // memory of a runner, in tokens
-	// warmupRatePerS is how many requests a second a runner bears while it warms up; 0: any number.
+	memoryTokens    int                        // memory of each runner, in tokens
+	// warmupRatePerS is the request rate that a runner can serve during warm-up; 0: no limit.
 	warmupRatePerS     float64
 	warmupShare        warmupShare
-	rollout            *rollout // the newest of the service; nil for none
+	rollout            *rollout // the newest rollout; nil if there is none
 	transferUsPerToken float64  // microseconds to transfer the memory of one token between runners; 0: no transfers
 }
 
-// Store is a server that caches blocks for the runners of a service.
+// Store is a server that caches memory blocks for the runners of a service.
 type Store struct {
 	ID     string
 	Addr   string
@@ -27,8 +29,9 @@
 	MoveUs float64 // microseconds to transfer the memory of one token
 }
 
-// SetService sets the runners of a service, the memory of each in tokens, and how many
-// microseconds the transfer of one token's memory takes.
+// SetService sets the runners of a service, the memory of each in tokens, and the time in
+// microseconds to transfer the memory of one token between runners. A runner that is not
+// listed any more is removed at the first call after its last request has ended.
 func (a *Admitter) SetService(service string, records []messages.RunnerRecord, memoryTokens int, transferUsPerToken float64) {
 	p := a.pool(service)
 	p.memoryTokens, p.transferUsPerToken = memoryTokens, transferUsPerToken
@@ -54,15 +57,15 @@
 	}
 }
 
-// requestConnectionShare is the part of a runner's connections that requests may take; the
-// rest is for reports, events and orders.
+// requestConnectionShare is the share of a runner's connections that requests may use. The
+// rest is reserved for reports, events and operator commands.
 const requestConnectionShare = 0.9
 
-// SetLinks sets how many connections a runner of a service accepts in all.
+// SetLinks sets the maximum number of connections that each runner of a service accepts.
 func (a *Admitter) SetLinks(service string, limit int) { a.pool(service).connectionLimit = limit }
 
-// connectionShare returns how many requests this node may have at one runner at a time,
-// each on a connection of its own; 0 means any number.
+// connectionShare returns the maximum number of concurrent requests of this node at one
+// runner, each of which uses a connection; 0 means no limit.
 func (a *Admitter) connectionShare(p *pool) int {
 	if p.connectionLimit <= 0 {
 		return 0
@@ -75,8 +78,8 @@
 	a.pool(service).certified = certified
 }
 
-// permits reports whether a request may use a runner or store: it has no regime, or the
-// runner or store is known to be certified for it.
+// permits reports whether the regime of a request allows the use of a runner or store:
+// the request has no regime, or the runner or store is certified for it.
 func (p *pool) permits(request Request, id string) bool {
 	return request.Regime == "" || p.certified[request.Regime][id]
 }
@@ -93,6 +96,7 @@
 	return out
 }
 
+// pool returns the pool of a service, and creates it at the first use.
 func (a *Admitter) pool(service string) *pool {
 	p := a.pools[service]
 	if p == nil {
@@ -102,6 +106,7 @@
 	return p
 }
 
+// totalCapacity returns the sum of the runners' request capacities.
 func (a *Admitter) totalCapacity(p *pool) int {
 	n := 0
 	for _, id := range p.order {
@@ -110,6 +115,7 @@
 	return n
 }
 
+// totalPrefillRate returns the sum of the runners' prefill rates, at least RateFloor.
 func (a *Admitter) totalPrefillRate(p *pool) float64 {
 	sum := 0.0
 	for _, id := range p.order {
--- a/internal/admission/retired.go
+++ b/internal/admission/retired.go
@@ -1,25 +1,25 @@
-// Retired weights: nothing is sent to a runner that has them, nothing is fetched from one,
-// and what was cached under them is not used.
+// Retired weights versions: no request is sent to a runner with retired weights, no blocks are
+// fetched from one, and prefixes cached under retired weights are not used.
 
 package admission
 
 import "beechtide.org/beechtide/internal/messages"
 
-// SetRetired sets, by model, the first version of the weights that is not retired.
+// SetRetired sets, by model, the lowest weights version that is not retired.
 func (a *Admitter) SetRetired(retired map[string]int64) { a.retiredBelow = retired }
 
-// RetiredWeights reports whether a version of a model's weights is retired. A version that
-// is not known, 0, counts as older than any.
+// RetiredWeights reports whether a version of a model's weights is retired. An unknown
+// version, 0, counts as older than any other.
 func (a *Admitter) RetiredWeights(model string, version int64) bool {
 	return version < a.retiredBelow[model]
 }
 
-// Retired reports whether an admission is for weights that have been retired since. It goes
-// by the version at admission, which the cached prefixes are found by.
+// Retired reports whether the weights version of an admission has been retired since. It uses
+// the version at admission, which the keys of the cached prefixes contain.
 func (a *Admitter) Retired(adm *Admission) bool { return a.RetiredWeights(adm.model, adm.Version) }
 
-// RetiredLeft counts the runners that still have retired weights of a model, and the parts
-// of prompts that these have cached.
+// RetiredLeft returns the number of runners that still have retired weights of a model, and the
+// number of prompt parts cached at these runners.
 func (a *Admitter) RetiredLeft(model string) (runners, parts int) {
 	for _, p := range a.pools {
 		for _, r := range p.runners {
@@ -32,6 +32,7 @@
 	return runners, parts
 }
 
+// hasModel reports whether a runner's record lists a model.
 func hasModel(n messages.RunnerRecord, model string) bool {
 	for _, m := range n.Models {
 		if m.Model == model {
--- a/internal/admission/rollout.go
+++ b/internal/admission/rollout.go
@@ -1,5 +1,6 @@
-// Rollouts of services: which runners of a new software version may get a request, and how the
-// requests to the new and the other versions end. Package canary decides on the stages.
+// Rollouts of services: which runners may receive a request depending on their software version,
+// and the counts of request outcomes for the new and the other versions. Package canary decides
+// on the stages.
 
 package admission
 
@@ -14,28 +15,28 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Parameters of the trial of a new version.
+// Parameters of the canary stage of a rollout.
 const (
 	perMille = 1000
-	// canaryLoadFactor is how many times the usual load the runners get on which a version is tried:
-	// some faults show only under load.
+	// canaryLoadFactor is the load of the canary runners relative to that of other runners. It is
+	// above 1 because some faults appear only under load.
 	canaryLoadFactor = 2.0
-	// An answer is slow whose first token takes slowFactor times as long as the prompt takes to
-	// read where nothing of it is cached, and slowBaseUs.
+	// A response counts as slow if its first token takes longer than slowFactor times the prefill
+	// time of the prompt without cached prefixes, plus slowBaseUs.
 	slowFactor = 3.0
 	slowBaseUs = 60_000
 )
 
-// rollout is the rollout of a service, as this node goes by it.
+// rollout is the newest rollout of a service that this node has received.
 type rollout struct {
 	messages.ServiceRollout
-	canaryRunners map[string]bool // runners of the new version that get requests while it is tried
+	canaryRunners map[string]bool // runners of the target version that receive requests in the canary stage
 	outcomes      map[canary.Key]canary.Outcome
 }
 
 func (o *rollout) stage() canary.Stage { return canary.Stage(o.Stage) }
 
-// hasTargetVersion reports whether a runner has the version that the service is brought to.
+// hasTargetVersion reports whether a runner has the target version of the rollout.
 func (o *rollout) hasTargetVersion(r *runner) bool { return r.record.Version == o.Target }
 
 // SetRollouts sets the newest rollout of each service.
@@ -50,8 +51,9 @@
 	}
 }
 
-// chooseCanaryRunners chooses the runners on which a new version is tried: few of them, by a hash, so
-// that all nodes choose the same.
+// chooseCanaryRunners chooses the runners on which a new version is tried. They are few, so that
+// their load is canaryLoadFactor times that of the others, and are chosen by a hash, so that all
+// nodes choose the same.
 func (p *pool) chooseCanaryRunners() {
 	o := p.rollout
 	if o == nil {
@@ -81,14 +83,15 @@
 	}
 }
 
-// DrawCanary reports whether a request that has just come goes to a version that is tried.
+// DrawCanary reports whether a new request is to be sent to the version under trial. It is true
+// at random, for the rollout's share of requests.
 func (a *Admitter) DrawCanary(service string) bool {
 	o := a.pool(service).rollout
 	return o != nil && o.stage() == canary.Trying && a.random.IntN(perMille) < o.SharePerMille
 }
 
-// versionPreference returns the least preference that a runner has for a request by its version,
-// and whether the request may go there at all.
+// versionPreference returns the best preference class that a runner's version allows for a
+// request, and whether the request may be sent to that version at all.
 func (p *pool) versionPreference(request *Request, r *runner) (preference int, allowed bool) {
 	o := p.rollout
 	if o == nil {
@@ -113,14 +116,15 @@
 	return preferences - 1, true
 }
 
-// VersionAllowed reports whether an admitted request may still go to its runner's version: the
-// rollout may have been reverted since.
+// VersionAllowed reports whether an admitted request may still be sent to its runner's version. It
+// may not if the rollout of that version has been reverted since.
 func (a *Admitter) VersionAllowed(adm *Admission) bool {
 	o := a.pool(adm.service).rollout
 	return o == nil || o.stage() != canary.Reverted || adm.Runner.Version != o.Target
 }
 
-// slowAfterUs returns after how long the first token of a prompt is slow.
+// slowAfterUs returns the time after which the first token of a prompt counts as slow. It is based
+// on the median prefill rate of the runners of other versions.
 func (p *pool) slowAfterUs(t *Tuning, tokens int) int64 {
 	var rates []float64
 	for _, id := range p.order {
@@ -136,15 +140,15 @@
 	return int64(slowFactor*float64(tokens)/max(rate, t.RateFloor)) + slowBaseUs
 }
 
-// recordFirstTokenLatency notes whether the first token of an answer was slow. A runner that warms up is
-// slow whatever its version.
+// recordFirstTokenLatency records whether the first token of a response was slow. Runners in warm-up
+// are left out, because they are slow whatever their version.
 func (p *pool) recordFirstTokenLatency(t *Tuning, adm *Admission, r *runner, nowUs int64) {
 	if p.rollout != nil && p.rollout.stage().Running() && !p.warmingUp(r, nowUs) {
 		adm.slowFirstToken = nowUs-adm.atUs > p.slowAfterUs(t, adm.tokensIn)
 	}
 }
 
-// recordOutcome counts how a request ended for the rollout that is running.
+// recordOutcome counts the outcome of a request for the rollout in progress.
 func (p *pool) recordOutcome(adm *Admission, r *runner, succeeded bool) {
 	rollout := p.rollout
 	if rollout == nil || !rollout.stage().Running() {
@@ -170,7 +174,7 @@
 	}
 }
 
-// addOutcomes adds the outcomes of the rollouts that are running to the loads of this node.
+// addOutcomes adds the outcomes of the rollouts in progress to the loads that this node publishes.
 func (a *Admitter) addOutcomes(loads map[string]messages.RunnerLoad) {
 	for _, p := range a.pools {
 		if p.rollout == nil || !p.rollout.stage().Running() {
@@ -183,7 +187,7 @@
 	}
 }
 
-// Rollouts lists the rollouts that this node goes by, in the order of the services' names.
+// Rollouts returns the newest rollout of each service, sorted by service name.
 func (a *Admitter) Rollouts() []messages.ServiceRollout {
 	var out []messages.ServiceRollout
 	for _, name := range slices.Sorted(maps.Keys(a.pools)) {
--- a/internal/admission/runner.go
+++ b/internal/admission/runner.go
@@ -1,6 +1,5 @@
-// The state that admission keeps for one runner: what this node has in flight there,
-// what the other nodes report to have there, what the runner itself reported, its prefill
-// rate, and its health.
+// The state of one runner: the load of this node there, the loads reported by the other
+// nodes and by the runner itself, its prefill rate, and its health.
 
 package admission
 
@@ -10,12 +9,15 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
+// runnerLoad is a load at a runner: memory blocks, prompt tokens that wait for prefill,
+// and requests.
 type runnerLoad struct {
 	blocks, prefill, count int
 	flow                   float64 // prompt tokens per second sent there, as a decaying average
 	atUs                   int64
 }
 
+// runner is the admission state of one runner.
 type runner struct {
 	record          messages.RunnerRecord
 	capacity        int
@@ -23,30 +25,33 @@
 	ownLoad         runnerLoad
 	recentRequests  []recentRequest
 	pins            map[uint64]int
-	peerLoad        runnerLoad // load of the other nodes, added up
+	peerLoad        runnerLoad // total load of the other nodes
 	reportedLoad    runnerLoad
 	hasReport       bool
-	queued          int // requests that wait at the runner, as it reported
+	queued          int // requests queued at the runner, from its last report
 	measuredRate    float64
-	cordonedSinceUs int64 // since when it has been cordoned; 0: it is not
+	cordonedSinceUs int64 // start of the cordon; 0: not cordoned
 	memoryBusy      bool
 	prefillBusy     bool
-	avoidUntilUs    int64 // gets requests before then only if no other runner is left
+	avoidUntilUs    int64 // until then the runner is used only as a last resort
 	backoffUs       int64
 	health          health
 	absence         absence
 	warmup          warmup
 }
 
+// recentRequest is a request that was sent too recently for the runner's last report to
+// be sure to include it.
 type recentRequest struct {
 	atUs   int64
 	blocks int
 }
 
-// maxCordonUs is how long a cordon is respected, in microseconds: an order that the
-// controller could not finish must not withdraw a runner forever.
+// maxCordonUs is the time after which a cordon expires, in microseconds: an operation that
+// the controller could not complete must not exclude a runner forever.
 const maxCordonUs = 10_000_000
 
+// cordoned reports whether the runner is cordoned, and its cordon has not expired.
 func (r *runner) cordoned(nowUs int64) bool {
 	if !r.record.Cordoned {
 		r.cordonedSinceUs = 0
@@ -62,9 +67,10 @@
 	return &runner{pins: map[uint64]int{}}
 }
 
-// usedBlocks estimates the memory in use: from the runner's recent report and what was
-// sent since, else from the loads of all nodes, else from this node's own load, as if
-// every other node had as much there.
+// usedBlocks estimates the memory in use. If the runner's report is recent, it adds the
+// requests that this node has sent since 0.5 s before the report, with this node's load as
+// the minimum. Otherwise it uses the loads of all nodes, if those are recent, or else this
+// node's load multiplied by the number of nodes.
 func (r *runner) usedBlocks(t *Tuning, nowUs int64, nodes int, peersKnown bool) int {
 	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportFreshUs {
 		since := 0
@@ -81,7 +87,8 @@
 	return r.ownLoad.blocks + r.peerLoad.blocks
 }
 
-// setPeerLoad records the load of the other nodes here.
+// setPeerLoad sets the total load of the other nodes at this runner. Negative values,
+// which sums without some nodes' loads may have, count as 0.
 func (r *runner) setPeerLoad(l messages.RunnerLoad) {
 	r.health.peers = outcomes{max(l.Tried, 0), max(l.Failed, 0)}
 	r.peerLoad = runnerLoad{blocks: max(l.Blocks, 0), prefill: max(l.Prefill, 0), count: max(l.Count, 0), flow: max(float64(l.Flow), 0)}
@@ -90,6 +97,8 @@
 	}
 }
 
+// active returns the number of requests in progress at the runner: the sum over all
+// nodes, or the runner's own count if that is recent and greater.
 func (r *runner) active(t *Tuning, nowUs int64) int {
 	sum := r.ownLoad.count + r.peerLoad.count
 	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportFreshUs {
@@ -98,27 +107,32 @@
 	return sum
 }
 
+// prefill returns the prompt tokens of all nodes that wait for prefill at the runner.
 func (r *runner) prefill() int { return r.ownLoad.prefill + r.peerLoad.prefill }
 
-// flowUs is the time constant of the flow of prompt tokens, in microseconds.
+// flowUs is the decay time constant of the prompt token rate, in microseconds.
 const flowUs = 2_000_000
 
-// recordSent adds to the flow of prompt tokens to this runner.
+// recordSent adds the tokens of a prompt to this node's prompt token rate at the runner.
 func (r *runner) recordSent(tokens int, nowUs int64) {
 	r.ownLoad.flow = r.ownFlow(nowUs) + float64(tokens)*1e6/flowUs
 	r.ownLoad.atUs = nowUs
 }
 
+// ownFlow returns this node's prompt token rate at the runner, in tokens per second,
+// decayed to nowUs.
 func (r *runner) ownFlow(nowUs int64) float64 {
 	return r.ownLoad.flow * math.Exp(-float64(nowUs-r.ownLoad.atUs)/flowUs)
 }
 
-// prefillLoad returns the part of its time that the runner needs for the prefill of the
-// prompts that all nodes send it.
+// prefillLoad returns the share of the runner's time spent on the prefill of the prompts
+// of all nodes.
 func (r *runner) prefillLoad(t *Tuning, nowUs int64) float64 {
 	return (r.ownFlow(nowUs) + r.peerLoad.flow) / 1e6 / r.prefillRate(t)
 }
 
+// prefillRate returns the measured prefill rate in tokens per microsecond, or a default
+// until there is a measurement.
 func (r *runner) prefillRate(t *Tuning) float64 {
 	if r.measuredRate <= 0 {
 		return t.RateStart
@@ -126,8 +140,8 @@
 	return max(r.measuredRate, t.RateFloor)
 }
 
-// updateBusy updates the two busy flags, each with its hysteresis, and returns the memory
-// use from 0 to 1.
+// updateBusy updates the two busy flags, each with hysteresis, and returns the memory use,
+// which is 0 if the runner's memory is unknown and normally at most 1.
 func (r *runner) updateBusy(t *Tuning, nowUs int64, nodes int, peersKnown bool) (memoryUse float64) {
 	if r.blocks > 0 {
 		memoryUse = float64(r.usedBlocks(t, nowUs, nodes, peersKnown)) / float64(r.blocks)
@@ -146,6 +160,7 @@
 	return memoryUse
 }
 
+// trimRecentRequests removes requests older than two seconds.
 func (r *runner) trimRecentRequests(nowUs int64) {
 	i := 0
 	for i < len(r.recentRequests) && nowUs-r.recentRequests[i].atUs > 2_000_000 {
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -1,8 +1,7 @@
-// A session is the chain of requests of one tenant and model that share the blocks of
-// their prompts up to the last. The sessions of a zone that is relinquished leave it
-// one after the other, over a time that the operator gives; each goes to a new home
-// zone that all nodes compute alike, and stays there. No node keeps an entry for a
-// session.
+// A session is a chain of requests of one tenant and model whose prompts share all parts
+// but the last. When a zone is relinquished, its sessions leave it gradually over a
+// duration set by the operator. Each session moves to a new zone, which all nodes compute
+// identically, and stays there. No node stores state per session.
 
 package admission
 
@@ -10,12 +9,15 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
+// relinquishment is the time at which a zone began to give up its sessions, and the
+// duration over which they leave, both in microseconds.
 type relinquishment struct {
 	sinceUs, durationUs int64
 }
 
-// SetRelinquished sets the zones that give up their sessions, and over how many
-// microseconds. A session does not return while its zone is named.
+// SetRelinquished sets the zones that give up their sessions, with the duration in
+// microseconds over which the sessions leave. A session does not return while its zone is
+// in the set.
 func (a *Admitter) SetRelinquished(zones map[string]int64, nowUs int64) {
 	next := map[string]relinquishment{}
 	for zone, overUs := range zones {
@@ -29,7 +31,8 @@
 	a.relinquished = next
 }
 
-// sessionHash names the session that a request belongs to.
+// sessionHash returns the identity of a request's session: a hash of the tenant, the model
+// and the last shared part.
 func sessionHash(request Request) uint64 {
 	hash := statesync.HashText(request.Tenant, request.Model)
 	if n := len(request.Parts); n > 0 {
@@ -38,7 +41,7 @@
 	return hash
 }
 
-// Leaves reports whether a request's session has left a zone, or is to leave it now.
+// Leaves reports whether a request's session has left a zone or must leave it now.
 func (a *Admitter) Leaves(request Request, zone string, nowUs int64) bool {
 	entry, ok := a.relinquished[zone]
 	if !ok {
@@ -47,12 +50,13 @@
 	if entry.durationUs <= 0 {
 		return true
 	}
-	// the hash of a session sets when it leaves, at the same time at every node
+	// The hash of a session determines when it leaves, so that all nodes agree.
 	return float64(sessionHash(request)>>11)/(1<<53) < float64(nowUs-entry.sinceUs)/float64(entry.durationUs)
 }
 
-// targetZone returns the zone that a session moves to, by rendezvous hashing: the same at all
-// nodes, and not affected by changes of other zones.
+// targetZone returns the zone that a session moves to, by rendezvous hashing: it is the same
+// at all nodes, and relinquishing another zone does not change it. It is empty if no zone is
+// available.
 func (a *Admitter) targetZone(request Request, p *pool) string {
 	session, zone, topScore := sessionHash(request), "", uint64(0)
 	for _, id := range p.order {
@@ -67,8 +71,8 @@
 	return zone
 }
 
-// TryNow admits a request if there is capacity for it now; otherwise it returns nil and
-// does not queue it.
+// TryNow admits a request if there is capacity for it now. Otherwise it returns nil and
+// does not queue the request.
 func (a *Admitter) TryNow(request Request, nowUs int64) *Admission {
 	p := a.pool(request.Service)
 	if p.memoryTokens > 0 && request.TokensIn+request.TokensOut > p.memoryTokens || !a.noneQueuedAhead(p, request.Rank) {
--- a/internal/admission/tuning.go
+++ b/internal/admission/tuning.go
@@ -1,16 +1,17 @@
 // Package admission decides for every request whether it is admitted to a runner,
 // queued or rejected.
 //
-// It follows "Admission control for distributed LLM inference"; docs/source.md names
-// what was kept and what was changed.
+// It follows "Admission control for distributed LLM inference"; docs/source.md lists
+// the parts that were adopted and those that were changed.
 //
-// # What it is given and what it guarantees
+// # Input and guarantees
 //
-// The Admitter is one node's admission. Its owner hands it the runners and limits of
-// each service (SetService, SetStores, SetCertified), reports of runners (Report), the
-// load of the other nodes (Others, Other), the ages of target weights versions
-// (ObserveTargets), and what became of each admitted request (FirstToken, Ended,
-// Done). Submit decides on a new request; Tick decides on queued ones as time passes.
+// The Admitter implements the admission of one node; the router calls it. Its input is
+// the runners and limits of each service (SetService, SetStores, SetCertified), reports
+// of runners (Report), the loads of the other nodes (Others, Other), the ages of target
+// weights versions (ObserveTargets), and the outcome of each admitted request
+// (FirstToken, Ended, Done). Submit decides on a new request; Tick decides on queued
+// ones as time passes.
 //
 //   - A request is admitted only to a runner that is below the load thresholds, not
 //     cordoned, certified for the tenant's regime, and whose weights are new enough
@@ -18,45 +19,42 @@
 //   - A queued request gets exactly one decision, at the first Tick after its time to
 //     live at the latest, unless it is abandoned. Queues are bounded in requests and
 //     tokens.
-//   - A rejection names its Reason and, where it helps, the time after which a retry
-//     makes sense.
+//   - A rejection has a Reason and a retry delay.
 //
 // Load is counted in blocks of a runner's memory, expected output included, and in
 // prompt tokens that wait for prefill. Times are microseconds of the caller's
 // monotonic clock.
 //
-// # Who owns which state
+// # State and concurrency
 //
-// Everything here is pure: time and input are arguments, nothing is sent and no
-// goroutine is started. An Admitter is not safe for concurrent use; the router guards
-// its own with a mutex.
+// The package performs no I/O and starts no goroutines: time and input are arguments. An
+// Admitter is not safe for concurrent use; the router guards its Admitter with a mutex.
 package admission
 
-// Tuning are the parameters of admission; Defaults has their defaults. Times are
-// microseconds.
+// Tuning holds the parameters of admission. Times are microseconds.
 type Tuning struct {
 	BlockTokens     int     // tokens in a block of a runner's memory
-	BusyAt, FreeAt  float64 // memory use at which a runner leaves the candidates, and comes back
-	PrefillUs       int64   // a runner is busy once the prefill of what waits there takes this long
-	PrefillFree     float64 // part of PrefillUs below which it is free again
-	BufferRequests  int     // requests that may wait beyond runners x capacity
+	BusyAt, FreeAt  float64 // memory use at which a runner becomes busy, and free again
+	PrefillUs       int64   // expected prefill time of the waiting prompts at which a runner becomes busy
+	PrefillFree     float64 // share of PrefillUs at which it becomes free again
+	BufferRequests  int     // requests that may be queued beyond runners x capacity
 	RateFloor       float64 // minimum prefill rate, tokens per microsecond
-	RateStart       float64
-	ReportFreshUs   int64 // how long a report of a runner or node is valid
-	WindowStart     float64
+	RateStart       float64 // prefill rate of a runner without measurements, tokens per microsecond
+	ReportFreshUs   int64   // how long the report of a runner or the load of the other nodes is valid
+	WindowStart     float64 // initial window of a tenant, in requests
 	WindowMin       float64
 	WindowMax       float64
-	WindowAdd       float64
-	WindowCut       float64
-	LowUse, HighUse float64 // U below which W grows, above which it may be cut
-	LowHits         float64 // H below which a cut is made
-	WindowEveryUs   int64
-	TenantBurst     float64 // requests a tenant may send at once, in parts of runners x capacity
-	TTLPart         float64 // part of the time left that a request may wait
-	TTLSetpoints    float64 // and how many times its setpoint
-	LongOut         int     // a request that may bring more tokens than this is long
-	UnsoundUs       int64   // first backoff for a runner whose connections fail
-	UnsoundMaxUs    int64
+	WindowAdd       float64 // additive increase
+	WindowCut       float64 // multiplicative decrease
+	LowUse, HighUse float64 // mean memory use below which windows grow, and above which they may be cut
+	LowHits         float64 // cache hit share below which a window is cut
+	WindowEveryUs   int64   // interval between adjustments of a window
+	TenantBurst     float64 // token bucket size of a tenant, as a multiple of runners x capacity
+	TTLPart         float64 // share of the remaining time that a request may be queued
+	TTLSetpoints    float64 // maximum time in the queue, as a multiple of the setpoint
+	LongOut         int     // a request with more output tokens than this is long
+	UnsoundUs       int64   // first backoff for a runner after a failed connection
+	UnsoundMaxUs    int64   // maximum backoff
 }
 
 // Defaults are the default parameters.
--- a/internal/admission/unreachable.go
+++ b/internal/admission/unreachable.go
@@ -1,18 +1,20 @@
-// Zones that this node cannot reach: their runners get nothing as long as a service has others,
-// nothing is fetched from them, and when the way is back they return by a slow start.
+// Zones that this node cannot reach: their runners receive no requests as long as the service has
+// reachable runners, and no blocks are fetched from them. When a zone is reachable again, its
+// runners return with a slow start.
 
 package admission
 
 import "math"
 
-// unreachableZones is what this node knows of the ways to zones.
+// unreachableZones holds which zones are unreachable from this node, or were.
 type unreachableZones struct {
-	unreachableSinceUs map[string]int64 // unreachable ones, and since when
-	reachableAgainUs   map[string]int64 // when others were reachable again
+	unreachableSinceUs map[string]int64 // start of the unreachability, by unreachable zone
+	reachableAgainUs   map[string]int64 // time at which other zones became reachable again
 }
 
-// SetUnreachable sets which zones are unreachable, and since when. What was concluded from
-// failures of runners there says nothing of the runners.
+// SetUnreachable sets the unreachable zones, with the time since when each is. When a zone becomes
+// reachable again, the recorded failures of its runners are cleared, because the network may have
+// caused them.
 func (a *Admitter) SetUnreachable(zones map[string]int64, nowUs int64) {
 	for zone := range a.unreachable.unreachableSinceUs {
 		if _, stillUnreachable := zones[zone]; stillUnreachable {
@@ -27,7 +29,7 @@
 	a.unreachable.unreachableSinceUs = zones
 }
 
-// clearZoneFailures forgets failures of the runners of a zone.
+// clearZoneFailures clears the outcomes, ejections and backoffs of the runners of a zone.
 func (a *Admitter) clearZoneFailures(zone string) {
 	for _, p := range a.pools {
 		for _, r := range p.runners {
@@ -47,14 +49,14 @@
 // OutOfReach reports whether the runner of an admission is in an unreachable zone.
 func (a *Admitter) OutOfReach(adm *Admission) bool { return a.zoneUnreachable(adm.Runner.Zone) }
 
-// LeavesUnreachable reports whether an admission's runner is in a zone out of reach, and others of
-// the service are not.
+// LeavesUnreachable reports whether the runner of an admission is in an unreachable zone while the
+// service has reachable runners.
 func (a *Admitter) LeavesUnreachable(adm *Admission) bool {
 	return a.OutOfReach(adm) && a.hasReachableRunners(a.pool(adm.service))
 }
 
-// hasReachableRunners reports whether a service has runners in zones that can be reached, so that
-// those in others need not be tried.
+// hasReachableRunners reports whether zones are unreachable, and the service has runners outside
+// them, so that those in unreachable zones need not be tried.
 func (a *Admitter) hasReachableRunners(p *pool) bool {
 	if len(a.unreachable.unreachableSinceUs) == 0 {
 		return false
@@ -68,8 +70,8 @@
 	return false
 }
 
-// returnCostUs is the cost in the matching of a runner whose zone has just become reachable
-// again, so that not all nodes send there at once.
+// returnCostUs returns the placement cost of a runner whose zone has recently become reachable
+// again. It decreases to 0 during the slow start, so that not all nodes send there at once.
 func (a *Admitter) returnCostUs(zone string, nowUs int64) float64 {
 	reachableAgainUs, ok := a.unreachable.reachableAgainUs[zone]
 	if !ok {
--- a/internal/admission/warmup.go
+++ b/internal/admission/warmup.go
@@ -1,7 +1,8 @@
-// Warm-up: a runner that has just started, or has lost its warmth, bears few requests a second
-// from all nodes together. A few nodes, its lenders, share that rate; the others send nothing to
-// it until it is warm. The lenders are chosen without a message, by rendezvous hashing, so that
-// it works on both sides of a partition; docs/design/warm-up.md derives the share.
+// Warm-up: a runner that is cold, because it has just started or for another reason, can serve
+// only a few requests per second from all nodes together. A few nodes, its senders, share that
+// rate; the other nodes send no requests to it until it is warm. Every node chooses the senders
+// by rendezvous hashing, without messages, so that the choice works on both sides of a network
+// partition. docs/design/warm-up.md derives each sender's share.
 
 package admission
 
@@ -14,40 +15,41 @@
 	"beechtide.org/beechtide/internal/rendezvous"
 )
 
-// WarmupBounds is how far the requests to a runner that warms up may exceed its rate.
+// WarmupBounds limits how far the requests to a runner in warm-up may exceed its warm-up rate.
 type WarmupBounds struct {
 	Overshoot float64 // factor of the rate
-	Slack     float64 // requests in a second
+	Slack     float64 // additional requests per second
 }
 
 const (
-	// defaultOvershoot and defaultSlack stand for bounds that the settings do not have.
+	// defaultOvershoot and defaultSlack apply if the settings do not define the bounds.
 	defaultOvershoot = 1.0
 	defaultSlack     = 2.0
-	// concurrentSenderSets is how many sets of lenders may serve a runner at the same time, as nodes
-	// that have not seen the same others choose differently.
+	// concurrentSenderSets is how many different sets of senders may serve a runner at the same
+	// time: nodes with different views of the membership choose different senders.
 	concurrentSenderSets = 2
-	// maxSenders bounds the nodes that share the rate of a runner.
+	// maxSenders is the maximum number of nodes that share the rate of a runner.
 	maxSenders = 8
-	// senderStartDelayUs is how long after its start a node lends nothing, in microseconds: it has
-	// not seen the others yet, and an earlier process may have lent.
+	// senderStartDelayUs is the time after its start during which a node is not a sender, in
+	// microseconds: it has not discovered the other nodes yet, and the node's previous process
+	// may have sent requests shortly before.
 	senderStartDelayUs = 3_000_000
-	// spacingMargin lengthens the pause between two requests of a lender, since they do not
-	// take the same time on their way.
+	// spacingMargin lengthens the interval between two requests of a sender, because network
+	// delay varies between requests.
 	spacingMargin = 1.05
 	secondUs      = 1_000_000
-	// senderCheckPeriodUs is for how long a node goes by its last look at whether it lends.
+	// senderCheckPeriodUs is how long a node reuses the result of its last sender check.
 	senderCheckPeriodUs = 500_000
 )
 
-// warmupShare is what each lender of a runner may send.
+// warmupShare is the share of a runner's warm-up rate that each of its senders may use.
 type warmupShare struct {
 	senders   int
-	spacingUs int64 // between two requests of one lender
+	spacingUs int64 // interval between two requests of one sender
 }
 
-// newWarmupShare divides the rate of a runner among as many lenders as the bounds allow, even
-// if concurrentSenderSets sets of them serve it.
+// newWarmupShare divides the rate of a runner among the largest number of senders for which the
+// requests of concurrentSenderSets sets of senders stay within the bounds.
 func newWarmupShare(ratePerS float64, bounds WarmupBounds) warmupShare {
 	limit := ratePerS*bounds.Overshoot + bounds.Slack
 	for senders := maxSenders; senders > 0; senders-- {
@@ -59,20 +61,21 @@
 	return warmupShare{senders: 1, spacingUs: int64(spacingMargin * secondUs)}
 }
 
-// maxInOneSecond returns how many requests at most, so many seconds apart, lie in one second.
+// maxInOneSecond returns the maximum number of requests in one second at the given spacing in seconds.
 func maxInOneSecond(spacing float64) int { return int(math.Floor(1/spacing)) + 1 }
 
-// warmup is the warm-up of one runner.
+// warmup is the warm-up state of one runner.
 type warmup struct {
 	untilUs          int64
-	seq, remainingUs int64 // the heartbeat that said so
+	seq, remainingUs int64 // of the last record applied
 	observed         bool
-	nextRequestUs    int64 // when this node may send it the next request
+	nextRequestUs    int64 // earliest time of this node's next request to the runner
 	isSender         bool
 	senderCheckedUs  int64
 }
 
-// observe takes the record of a runner.
+// observe applies the record of a runner. A record that repeats the last one does not extend the
+// warm-up.
 func (w *warmup) observe(n messages.RunnerRecord, nowUs int64) {
 	if w.observed && w.seq == n.Seq && w.remainingUs == n.ColdLeftUs {
 		return
@@ -84,14 +87,14 @@
 	}
 }
 
-// warmupConfig is what the warm-ups of all runners have in common.
+// warmupConfig holds what is common to the warm-ups of all runners.
 type warmupConfig struct {
 	bounds  WarmupBounds
 	nodes   *rendezvous.Nodes
 	startUs int64
 }
 
-// SetWarmup sets who this node is, for the choice of lenders, and the bounds.
+// SetWarmup sets the identity of this node, for the choice of senders, and the bounds.
 func (a *Admitter) SetWarmup(self string, bounds WarmupBounds, nowUs int64) {
 	if bounds.Overshoot <= 0 {
 		bounds = WarmupBounds{Overshoot: defaultOvershoot, Slack: max(bounds.Slack, defaultSlack)}
@@ -99,15 +102,17 @@
 	a.warmups = warmupConfig{bounds: bounds, nodes: rendezvous.NewNodes(self, nowUs), startUs: nowUs}
 }
 
-// SeeNodes sets which nodes are seen, and how many share the runners.
+// SeeNodes records the nodes that are visible now. The senders are chosen among the nodes seen
+// recently.
 func (a *Admitter) SeeNodes(addrs []string, nowUs int64) {
 	if a.warmups.nodes != nil {
 		a.warmups.nodes.See(addrs, nowUs)
 	}
 }
 
-// SetWarmups sets how many requests a second a runner of a service bears while it warms up,
-// 0 being any number, and takes in what the records of the runners say. It follows SetService.
+// SetWarmups sets the warm-up rate of a service's runners in requests per second, 0 for no
+// limit, and applies the warm-up state in the runners' records. It must be called after
+// SetService.
 func (a *Admitter) SetWarmups(service string, ratePerS float64, nowUs int64) {
 	p := a.pool(service)
 	for _, id := range p.order {
@@ -122,18 +127,18 @@
 	}
 }
 
-// warmingUp reports whether a runner is to get no more than its share of a warm-up.
+// warmingUp reports whether the warm-up limit applies to a runner.
 func (p *pool) warmingUp(r *runner, nowUs int64) bool {
 	return p.warmupRatePerS > 0 && nowUs < r.warmup.untilUs
 }
 
-// warmupAllows reports whether this node may send a runner a request as far as its warm-up
-// goes.
+// warmupAllows reports whether the warm-up limit allows this node to send a runner a request
+// now.
 func (a *Admitter) warmupAllows(p *pool, r *runner, nowUs int64) bool {
 	return !p.warmingUp(r, nowUs) || nowUs >= r.warmup.nextRequestUs && a.isSender(p, r, nowUs)
 }
 
-// isSender reports whether this node is a lender of a runner.
+// isSender reports whether this node is one of a runner's senders.
 func (a *Admitter) isSender(p *pool, r *runner, nowUs int64) bool {
 	w := &r.warmup
 	if w.senderCheckedUs == 0 || nowUs-w.senderCheckedUs >= senderCheckPeriodUs {
@@ -144,15 +149,15 @@
 	return w.isSender
 }
 
-// recordWarmup counts a request that goes to a runner.
+// recordWarmup records a request to a runner, which delays the next one during warm-up.
 func (p *pool) recordWarmup(r *runner, nowUs int64) {
 	if p.warmingUp(r, nowUs) {
 		r.warmup.nextRequestUs = nowUs + p.warmupShare.spacingUs
 	}
 }
 
-// restartWarmups takes all runners of a zone for cold for a while, until they have said what they
-// are.
+// restartWarmups treats all runners of a zone as cold for at least forUs, unless a new record of
+// a runner reports that it is warm.
 func (a *Admitter) restartWarmups(zone string, forUs, nowUs int64) {
 	for _, p := range a.pools {
 		for _, r := range p.runners {
@@ -163,7 +168,8 @@
 	}
 }
 
-// WarmingUp lists the runners that warm up, and what this node may send them.
+// WarmingUp returns the runners in warm-up, sorted by identity, each with the rate at which this
+// node may send requests to it.
 func (a *Admitter) WarmingUp(nowUs int64) []messages.WarmupCondition {
 	var out []messages.WarmupCondition
 	for _, p := range a.pools {
--- a/internal/admission/withheld.go
+++ b/internal/admission/withheld.go
@@ -1,11 +1,12 @@
-// Withheld: which mechanism keeps requests from a runner. All mechanisms that may do so are asked
-// here, in one order, so that a request, the metrics and the doctor name the same reason.
+// Reasons for which a runner receives no requests. All mechanisms that may exclude a runner are
+// checked here, in one order, so that admission, the metrics and the doctor command use the same
+// reason.
 
 package admission
 
 import "slices"
 
-// Withheld is the reason for which a runner gets no request now.
+// Withheld is the reason for which a runner receives no requests now.
 type Withheld int
 
 // Reasons that do not depend on the request.
@@ -17,8 +18,8 @@
 	WithheldUnreachable
 	WithheldEvacuated
 	WithheldWarmingUp
-	// WithheldDoubtful: stale, avoided after a failure, or ejected. It gets requests where there is
-	// no other.
+	// WithheldDoubtful means stale, avoided after a failure, or ejected. Such a runner is used as a
+	// last resort.
 	WithheldDoubtful
 	WithheldMemory
 	WithheldPrefill
@@ -43,10 +44,11 @@
 	WithheldDoubtful: "doubtful", WithheldMemory: "memory", WithheldPrefill: "prefill", WithheldSlots: "slots",
 }
 
-// String is the reason as metrics name it.
+// String returns the reason as it is named in metrics.
 func (w Withheld) String() string { return withheldNames[w] }
 
-// withheldFromAll returns why a runner is withheld from every request, whatever its load.
+// withheldFromAll returns the reason for which a runner is withheld from every request, regardless
+// of its load.
 func (a *Admitter) withheldFromAll(p *pool, r *runner, skipUnreachable bool, nowUs int64) Withheld {
 	switch zone := r.record.Zone; {
 	case r.absence.excluded:
@@ -65,8 +67,8 @@
 	return NotWithheld
 }
 
-// withheldFrom returns why a runner is withheld from a request, whatever its load, and the least
-// preference that it has by the version of its software.
+// withheldFrom returns the reason for which a runner is withheld from a request, regardless of its
+// load, and the best preference class that its software version allows.
 func (a *Admitter) withheldFrom(s *candidateSearch, r *runner) (reason Withheld, preference int) {
 	if reason := a.withheldFromAll(s.pool, r, s.skipUnreachable, s.nowUs); reason != NotWithheld {
 		return reason, 0
@@ -92,7 +94,7 @@
 	return NotWithheld, preference
 }
 
-// withheldForLoad returns why a runner is withheld for its load.
+// withheldForLoad returns the reason for which a runner is withheld because of its load.
 func (a *Admitter) withheldForLoad(r *runner, active, connectionShare int) Withheld {
 	switch {
 	case r.memoryBusy:
@@ -105,7 +107,7 @@
 	return NotWithheld
 }
 
-// CountWithheld counts the runners of all services by the reason for which they are withheld.
+// CountWithheld returns the number of runners of all services by withheld reason.
 func (a *Admitter) CountWithheld(nowUs int64) map[Withheld]int {
 	counts := map[Withheld]int{}
 	for _, p := range a.pools {
@@ -117,6 +119,8 @@
 	return counts
 }
 
+// withheldNow returns the reason for which a runner is withheld, apart from reasons that depend on
+// the request.
 func (a *Admitter) withheldNow(p *pool, r *runner, skipUnreachable bool, connectionShare int, nowUs int64) Withheld {
 	if reason := a.withheldFromAll(p, r, skipUnreachable, nowUs); reason != NotWithheld {
 		return reason
