--- a/internal/admission/absent_test.go
+++ b/internal/admission/absent_test.go
@@ -9,10 +9,10 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// submitWithEndedInstance plays requests, one every 10 ms for 7 s and each 200 ms long, against
-// runners of which one has ended: its address answers 421. It counts the requests
-// that were answered so.
-func submitWithEndedInstance(t *testing.T, admitter *Admitter, endedID string) (misdirected int) {
+// submitWithEndedInstance submits one request every 10 ms for 7 s, each of which takes
+// 200 ms. The instance of one runner has ended, and its address responds with 421. It
+// returns the number of requests that received this response.
+func submitWithEndedInstance(t *testing.T, admitter *Admitter, endedID string) (responses421 int) {
 	t.Helper()
 	const stepUs, durationUs = 10_000, 200_000
 	type running struct {
@@ -33,7 +33,7 @@
 			list = append(list, running{adm, nowUs + durationUs})
 			continue
 		}
-		misdirected++
+		responses421++
 		admitter.Done(adm, true, nowUs)
 		admitter.WrongInstance(adm, true, nowUs)
 		due, _ := admitter.DueProbes(nowUs)
@@ -41,18 +41,18 @@
 			admitter.Found(n, PresenceMismatch, nowUs)
 		}
 	}
-	return misdirected
+	return responses421
 }
 
 func TestRunnerIsExcludedAfterFirst421(t *testing.T) {
 	admitter := newAdmitter("x", "y", "z", "w", "v", "u")
 	admitter.Index.Put("x", 7, 100)
 	must.Eq(t, 1, submitWithEndedInstance(t, admitter, "x"))
-	must.Eq(t, 0, admitter.Index.CachedPrefixes("x").Len(), must.Sprint("its cached prefixes are cleared"))
+	must.Eq(t, 0, admitter.Index.CachedPrefixes("x").Len(), must.Sprint("cached prefixes of the absent runner must be cleared"))
 }
 
-// receive421 records a 421 of a runner, and reports whether the runner has left the
-// candidates.
+// receive421 records a 421 from a runner, and reports whether the runner has been excluded
+// from the candidates.
 func receive421(t *testing.T, admitter *Admitter, id string, versionNamed bool, nowUs int64) bool {
 	t.Helper()
 	r := admitter.pool("s").runners[id]
@@ -60,6 +60,7 @@
 	return admitter.WrongInstance(adm, versionNamed, nowUs)
 }
 
+// candidateSet returns the set of runners that are candidates for a request.
 func candidateSet(admitter *Admitter, nowUs int64) map[string]bool {
 	out := map[string]bool{}
 	for _, c := range admitter.Candidates(newRequest(100, 10), nowUs) {
@@ -72,17 +73,17 @@
 	admitter := newAdmitter("x", "y")
 	must.True(t, receive421(t, admitter, "x", false, 1))
 	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000))
-	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), testRecord("y")}, memory, 2)
-	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("the same sequence does not end the absence"))
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), testRecord("y")}, testMemoryTokens, 2)
+	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("the same sequence must not end the absence"))
 	x := testRecord("x")
 	x.Seq, x.Stale = 1, true
-	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
-	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("a record that marks it as stale does not end the absence"))
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, testMemoryTokens, 2)
+	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000), must.Sprint("a record that only marks the runner as stale must not end the absence"))
 	x.Stale = false
-	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, testMemoryTokens, 2)
 	must.Eq(t, map[string]bool{"y": true}, candidateSet(admitter, 60_000_000))
 	x.Seq = 2
-	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, testMemoryTokens, 2)
 	must.Eq(t, map[string]bool{"x": true, "y": true}, candidateSet(admitter, 60_000_000))
 }
 
@@ -101,7 +102,7 @@
 	adm := &Admission{Runner: testRecord("x"), service: "s", tenant: "t"}
 	x := testRecord("x")
 	x.Seq = 1
-	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, testMemoryTokens, 2)
 	must.False(t, admitter.WrongInstance(adm, false, 1))
 	must.True(t, candidateSet(admitter, 1)["x"])
 }
@@ -114,7 +115,7 @@
 	must.Len(t, 1, due)
 	admitter.Found(due[0], PresenceConfirmed, 2)
 	must.True(t, candidateSet(admitter, 1_000_000)["x"])
-	must.False(t, receive421(t, admitter, "x", true, 1_000_000), must.Sprint("a probe has just found it: the 421 is about the weights"))
+	must.False(t, receive421(t, admitter, "x", true, 1_000_000), must.Sprint("a probe has just found the runner, so the 421 concerns the weights"))
 }
 
 func TestProbesOfAbsentRunnerBackOff(t *testing.T) {
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -64,7 +64,7 @@
 
 // Admitter implements the admission of one node. It is not safe for concurrent use.
 type Admitter struct {
-	T                Tuning
+	Tuning           Tuning
 	Zone             string
 	Index            *prefixindex.Index
 	nodes            int
@@ -95,7 +95,7 @@
 // New returns the admitter of a node in a zone. The nodes of a fleet should use
 // different seeds; nodes with the same seed would sample the same runners.
 func New(t Tuning, zone string, seed uint64) *Admitter {
-	return &Admitter{T: t, Zone: zone, Index: prefixindex.NewIndex(), random: rand.New(rand.NewPCG(seed, 0)), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
+	return &Admitter{Tuning: t, Zone: zone, Index: prefixindex.NewIndex(), random: rand.New(rand.NewPCG(seed, 0)), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
 }
 
 // Salt returns the cache salt of a request. It separates the cached prefixes of
@@ -163,14 +163,14 @@
 		}
 		return total
 	}
-	if float64(p.queue.count+1) > nodeShare(float64(a.totalCapacity(p)+a.T.BufferRequests)) {
+	if float64(p.queue.count+1) > nodeShare(float64(a.totalCapacity(p)+a.Tuning.BufferRequests)) {
 		return a.reject(request, p, RejectQueue, 503)
 	}
 	setpoint := max(request.SetpointUs, 100_000)
 	if p.queue.count > 0 && float64(p.queue.tokens+request.TokensIn) > nodeShare(float64(setpoint)*a.totalPrefillRate(p)) {
 		return a.reject(request, p, RejectTokens, 503)
 	}
-	ttl := min(int64(float64(request.LeftUs)*a.T.TTLPart), int64(float64(setpoint)*a.T.TTLSetpoints))
+	ttl := min(int64(float64(request.LeftUs)*a.Tuning.TTLShare), int64(float64(setpoint)*a.Tuning.TTLSetpoints))
 	p.queue.enqueue(&queuedRequest{request: request, expiresUs: nowUs + max(ttl, 50_000)})
 	return Decision{Ref: request.Ref, Hold: true}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,7 +11,7 @@
 	"beechtide.org/beechtide/internal/prefixindex"
 )
 
-const memory = 16_000 // tokens of a runner: 1,000 blocks
+const testMemoryTokens = 16_000 // memory of each runner, in tokens: 1,000 blocks
 
 func testRecord(id string) messages.RunnerRecord {
 	return messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Zone: "a", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 1}}}
@@ -23,43 +23,43 @@
 	for _, id := range ids {
 		records = append(records, testRecord(id))
 	}
-	admitter.SetService("s", records, memory, 2)
+	admitter.SetService("s", records, testMemoryTokens, 2)
 	return admitter
 }
 
-var slab inflight.Slab[int]
+var refs inflight.Slab[int]
 
-func newRequest(in, out int) Request {
-	return Request{Ref: slab.Put(func(int) {}), Service: "s", Tenant: "t", TokensIn: in, TokensOut: out, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: in}}, SetpointUs: 400_000, LeftUs: 6_000_000}
+func newRequest(tokensIn, tokensOut int) Request {
+	return Request{Ref: refs.Put(func(int) {}), Service: "s", Tenant: "t", TokensIn: tokensIn, TokensOut: tokensOut, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: tokensIn}}, SetpointUs: 400_000, LeftUs: 6_000_000}
 }
 
 func TestFreeRunnerAdmits(t *testing.T) {
 	admitter := newAdmitter("x")
-	r := admitter.Submit(newRequest(100, 10), 1)
-	must.NotNil(t, r.Admit)
-	must.Eq(t, "x", r.Admit.Runner.ID)
-	must.Eq(t, "w1", r.Admit.Salt)
+	decision := admitter.Submit(newRequest(100, 10), 1)
+	must.NotNil(t, decision.Admit)
+	must.Eq(t, "x", decision.Admit.Runner.ID)
+	must.Eq(t, "w1", decision.Admit.Salt)
 }
 
 func TestTenantRateIsCheckedBeforeContext(t *testing.T) {
 	admitter := newAdmitter("x")
-	a := newRequest(memory, memory)
+	request := newRequest(testMemoryTokens, testMemoryTokens)
 	for range 64 {
-		must.Eq(t, RejectContext, admitter.Submit(a, 1).Reject)
+		must.Eq(t, RejectContext, admitter.Submit(request, 1).Reject)
 	}
-	r := admitter.Submit(a, 1)
-	must.Eq(t, RejectRate, r.Reject)
-	must.Eq(t, 429, r.Status)
-	must.Greater(t, 0, r.AgainUs)
-	must.Eq(t, RejectContext, admitter.Submit(a, 10_000_000).Reject, must.Sprint("the bucket fills again"))
+	decision := admitter.Submit(request, 1)
+	must.Eq(t, RejectRate, decision.Reject)
+	must.Eq(t, 429, decision.Status)
+	must.Greater(t, 0, decision.AgainUs)
+	must.Eq(t, RejectContext, admitter.Submit(request, 10_000_000).Reject, must.Sprint("the token bucket has been refilled"))
 }
 
 func TestContextLimitIncludesOutputAndReturns503(t *testing.T) {
 	admitter := newAdmitter("x")
-	r := admitter.Submit(newRequest(memory-5, 6), 1)
-	must.Eq(t, RejectContext, r.Reject)
-	must.Eq(t, 503, r.Status)
-	must.NotNil(t, admitter.Submit(newRequest(memory-6, 6), 2).Admit)
+	decision := admitter.Submit(newRequest(testMemoryTokens-5, 6), 1)
+	must.Eq(t, RejectContext, decision.Reject)
+	must.Eq(t, 503, decision.Status)
+	must.NotNil(t, admitter.Submit(newRequest(testMemoryTokens-6, 6), 2).Admit)
 }
 
 func TestRunnerIsBusyByMemoryIncludingOutput(t *testing.T) {
@@ -67,7 +67,7 @@
 	first := admitter.Submit(newRequest(400, 13_300), 1).Admit // 25 + 832 blocks
 	must.NotNil(t, first)
 	admitter.FirstToken(first, 2)
-	must.True(t, admitter.Submit(newRequest(16, 1), 3).Hold, must.Sprint("0.857 of the memory, nearly all of it output"))
+	must.True(t, admitter.Submit(newRequest(16, 1), 3).Hold, must.Sprint("0.857 of the memory is used, nearly all of it by output"))
 	admitter.Done(first, true, 4)
 	out := admitter.Tick(5)
 	must.Len(t, 1, out)
@@ -77,19 +77,19 @@
 func TestBusyRunnerReturnsBelowLowerThreshold(t *testing.T) {
 	admitter := newAdmitter("x")
 	report := func(used int, now int64) {
-		admitter.Report(messages.RunnerReport{ID: "x", Used: used, Total: memory, Active: 1}, now)
+		admitter.Report(messages.RunnerReport{ID: "x", Used: used, Total: testMemoryTokens, Active: 1}, now)
 	}
-	report(memory*86/100, 1_000_000)
+	report(testMemoryTokens*86/100, 1_000_000)
 	must.True(t, admitter.Submit(newRequest(16, 1), 1_000_001).Hold)
-	report(memory*82/100, 1_200_000)
+	report(testMemoryTokens*82/100, 1_200_000)
 	must.SliceEmpty(t, admitter.Tick(1_200_001))
-	report(memory*79/100, 1_300_000)
+	report(testMemoryTokens*79/100, 1_300_000)
 	must.Len(t, 1, admitter.Tick(1_300_001))
 }
 
 func TestBusyByPrefillTokens(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.T.RateStart = 0.02 // 12,000 tokens are 0.6 s
+	admitter.Tuning.InitialRate = 0.02 // 12,000 tokens are 0.6 s
 	big := admitter.Submit(newRequest(12_000, 1), 1).Admit
 	must.NotNil(t, big)
 	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold)
@@ -101,25 +101,25 @@
 	admitter := newAdmitter("x")
 	admitter.SetNodes(4)
 	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), 1).Admit)
-	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold, must.Sprint("no loads of other nodes: this node keeps to its share"))
+	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold, must.Sprint("without loads of other nodes, this node must stay within its share"))
 }
 
 func TestThresholdsApplyWithLateReportsAndPeerLoads(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(2)
-	admitter.Report(messages.RunnerReport{ID: "x", Used: 0, Total: memory}, 1)
-	now := int64(1 + admitter.T.ReportFreshUs) // the report has expired
+	admitter.Report(messages.RunnerReport{ID: "x", Used: 0, Total: testMemoryTokens}, 1)
+	now := int64(1 + admitter.Tuning.ReportValidUs) // the report is no longer valid
 	admitter.Others(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: 870, Count: 2} }, now)
-	must.True(t, admitter.Submit(newRequest(16, 1), now+1).Hold, must.Sprint("the loads of other nodes count"))
-	must.Len(t, 1, admitter.Tick(now+1_000_000), must.Sprint("a queued request does not wait forever"))
-	late := now + admitter.T.ReportFreshUs + 1
+	must.True(t, admitter.Submit(newRequest(16, 1), now+1).Hold, must.Sprint("the loads of other nodes must be counted"))
+	must.Len(t, 1, admitter.Tick(now+1_000_000), must.Sprint("a queued request must be admitted or rejected"))
+	late := now + admitter.Tuning.ReportValidUs + 1
 	admitter.SetNodes(4)
-	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), late).Admit, must.Sprint("old loads of other nodes expire"))
-	must.True(t, admitter.Submit(newRequest(16, 1), late+1).Hold, must.Sprint("and the node keeps to its share"))
+	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), late).Admit, must.Sprint("outdated loads of other nodes must expire"))
+	must.True(t, admitter.Submit(newRequest(16, 1), late+1).Hold, must.Sprint("without current loads of other nodes, this node must stay within its share"))
 }
 
-// Sums that lack the loads of some nodes must not hide a threshold that the node's own
-// requests reach.
+// Guards against missing a threshold that the node's own requests exceed: the summed loads
+// of the other nodes can be negative if the loads of some nodes are missing.
 func TestThresholdsApplyWithNegativePeerLoads(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(3)
@@ -130,33 +130,33 @@
 
 func TestSharedPartsUseOneStoreAndAllStoresAreUsed(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.SetService("s", []messages.RunnerRecord{testRecord("x")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x")}, testMemoryTokens, 2)
 	admitter.SetStores("s", []Store{{ID: "s1", Addr: "s1"}, {ID: "s2", Addr: "s2"}, {ID: "s3", Addr: "s3"}})
 	used := map[string]bool{}
 	for i := range 40 {
-		var last string
+		var sink string
 		for j := range 2 {
-			a := newRequest(116, 1)
-			a.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("deep", i), Tokens: 50}, {ID: fmt.Sprint("own", i, j), Tokens: 16}}
-			r := admitter.Submit(a, int64(1+i)*1_000_000)
-			must.NotNil(t, r.Admit)
+			request := newRequest(116, 1)
+			request.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("deep", i), Tokens: 50}, {ID: fmt.Sprint("own", i, j), Tokens: 16}}
+			decision := admitter.Submit(request, int64(1+i)*1_000_000)
+			must.NotNil(t, decision.Admit)
 			if j == 0 {
-				last = r.Admit.Sink
+				sink = decision.Admit.Sink
 			}
-			must.Eq(t, last, r.Admit.Sink)
-			admitter.Done(r.Admit, true, int64(1+i)*1_000_000)
+			must.Eq(t, sink, decision.Admit.Sink)
+			admitter.Done(decision.Admit, true, int64(1+i)*1_000_000)
 		}
-		used[last] = true
+		used[sink] = true
 	}
 	must.MapLen(t, 3, used)
 }
 
 func TestOwnRequestsAddToLateReport(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.Report(messages.RunnerReport{ID: "x", Used: memory / 2, Total: memory, Active: 1}, 1_000_000)
-	a := admitter.Submit(newRequest(5_700, 10), 1_000_001).Admit
-	must.NotNil(t, a)
-	admitter.FirstToken(a, 1_100_000)
+	admitter.Report(messages.RunnerReport{ID: "x", Used: testMemoryTokens / 2, Total: testMemoryTokens, Active: 1}, 1_000_000)
+	adm := admitter.Submit(newRequest(5_700, 10), 1_000_001).Admit
+	must.NotNil(t, adm)
+	admitter.FirstToken(adm, 1_100_000)
 	must.True(t, admitter.Submit(newRequest(160, 1), 1_100_001).Hold)
 }
 
@@ -167,21 +167,21 @@
 	}
 	queued := 0
 	for i := range 40 {
-		r := admitter.Submit(newRequest(16, 1), int64(10+i))
-		if r.Hold {
+		decision := admitter.Submit(newRequest(16, 1), int64(10+i))
+		if decision.Hold {
 			queued++
 			continue
 		}
-		must.Eq(t, RejectQueue, r.Reject)
-		must.Eq(t, 503, r.Status)
-		must.Greater(t, 0, r.AgainUs)
+		must.Eq(t, RejectQueue, decision.Reject)
+		must.Eq(t, 503, decision.Status)
+		must.Greater(t, 0, decision.AgainUs)
 	}
-	must.Eq(t, 4+admitter.T.BufferRequests, queued, must.Sprint("runners x capacity and the buffer"))
+	must.Eq(t, 4+admitter.Tuning.BufferRequests, queued, must.Sprint("the limit is runners x capacity plus the buffer"))
 }
 
 func TestPendingTokensStayWithinSetpointTimesRate(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.T.RateStart = 0.01 // 0.4 s x 10 tokens a ms = 4,000 tokens
+	admitter.Tuning.InitialRate = 0.01 // 0.4 s x 10 tokens per ms = 4,000 tokens
 	for i := range 4 {
 		admitter.Submit(newRequest(16, 1), int64(i))
 	}
@@ -192,9 +192,9 @@
 
 func TestQueueTTLIsBelowTimeLeft(t *testing.T) {
 	admitter := newAdmitter()
-	a := newRequest(16, 1)
-	a.LeftUs = 300_000
-	must.True(t, admitter.Submit(a, 1).Hold)
+	request := newRequest(16, 1)
+	request.LeftUs = 300_000
+	must.True(t, admitter.Submit(request, 1).Hold)
 	must.SliceEmpty(t, admitter.Tick(98_000))
 	out := admitter.Tick(100_000)
 	must.Len(t, 1, out)
@@ -204,27 +204,27 @@
 
 func TestBandsAreStrictWithRoundRobinBetweenTenants(t *testing.T) {
 	admitter := newAdmitter("x")
-	var first *Admission
+	var running *Admission
 	for i := range 4 {
-		first = admitter.Submit(newRequest(16, 1), int64(i)).Admit
+		running = admitter.Submit(newRequest(16, 1), int64(i)).Admit
 	}
 	order := []string{}
-	names := map[inflight.Ref]string{}
+	tenantByRef := map[inflight.Ref]string{}
 	for i, c := range []struct {
 		tenant string
 		rank   int
 	}{{"a", 1}, {"a", 1}, {"a", 1}, {"b", 1}, {"b", 1}, {"z", 0}} {
-		a := newRequest(16, 1)
-		a.Tenant, a.Rank = c.tenant, c.rank
-		names[a.Ref] = c.tenant
-		must.True(t, admitter.Submit(a, int64(10+i)).Hold)
+		request := newRequest(16, 1)
+		request.Tenant, request.Rank = c.tenant, c.rank
+		tenantByRef[request.Ref] = c.tenant
+		must.True(t, admitter.Submit(request, int64(10+i)).Hold)
 	}
 	for i := range 6 {
-		admitter.Done(first, true, int64(100+i))
+		admitter.Done(running, true, int64(100+i))
 		out := admitter.Tick(int64(100 + i))
 		must.Len(t, 1, out)
-		order = append(order, names[out[0].Ref])
-		first = out[0].Admit
+		order = append(order, tenantByRef[out[0].Ref])
+		running = out[0].Admit
 	}
 	must.Eq(t, []string{"z", "a", "b", "a", "b", "a"}, order)
 }
@@ -235,11 +235,11 @@
 		admitter.Submit(newRequest(16, 1), int64(i))
 	}
 	var last inflight.Ref
-	for i := range 4 + admitter.T.BufferRequests {
-		a := newRequest(16, 1)
-		a.Rank = 1
-		last = a.Ref
-		must.True(t, admitter.Submit(a, int64(10+i)).Hold)
+	for i := range 4 + admitter.Tuning.BufferRequests {
+		request := newRequest(16, 1)
+		request.Rank = 1
+		last = request.Ref
+		must.True(t, admitter.Submit(request, int64(10+i)).Hold)
 	}
 	high := newRequest(16, 1)
 	must.Eq(t, RejectQueue, admitter.Submit(high, 50).Reject)
@@ -251,22 +251,22 @@
 	low := newRequest(16, 1)
 	low.Rank = 1
 	_, ok = admitter.ShedFor(low, 53)
-	must.False(t, ok, must.Sprint("no lower band"))
+	must.False(t, ok, must.Sprint("no band has a lower priority"))
 }
 
 func TestWindowFollowsUseAndHits(t *testing.T) {
-	tu := Defaults
-	must.Eq(t, 50.0, nextWindow(&tu, 48, 0.1, 1))
-	must.Eq(t, 24.0, nextWindow(&tu, 48, 0.6, 0.1))
-	must.Eq(t, 48.0, nextWindow(&tu, 48, 0.6, 0.5), must.Sprint("full, but hits are many"))
-	must.Eq(t, 48.0, nextWindow(&tu, 48, 0.3, 0.1))
-	must.Eq(t, tu.WindowMin, nextWindow(&tu, 5, 0.9, 0))
-	must.Eq(t, tu.WindowMax, nextWindow(&tu, tu.WindowMax, 0, 1))
+	tuning := Defaults
+	must.Eq(t, 50.0, nextWindow(&tuning, 48, 0.1, 1))
+	must.Eq(t, 24.0, nextWindow(&tuning, 48, 0.6, 0.1))
+	must.Eq(t, 48.0, nextWindow(&tuning, 48, 0.6, 0.5), must.Sprint("memory use is high, but so is the cache hit share"))
+	must.Eq(t, 48.0, nextWindow(&tuning, 48, 0.3, 0.1))
+	must.Eq(t, tuning.MinWindow, nextWindow(&tuning, 5, 0.9, 0))
+	must.Eq(t, tuning.MaxWindow, nextWindow(&tuning, tuning.MaxWindow, 0, 1))
 }
 
 func TestWindowLimitsAdmittedRequestsOfTenant(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	admitter.T.WindowStart = 3
+	admitter.Tuning.InitialWindow = 3
 	for i := range 3 {
 		must.NotNil(t, admitter.Submit(newRequest(16, 1), int64(i)).Admit)
 	}
@@ -279,22 +279,22 @@
 
 func TestDrainingCordonedAndAvoidedRunnersAreNotCandidates(t *testing.T) {
 	admitter := newAdmitter("x", "y", "z")
-	a, b := testRecord("x"), testRecord("y")
-	a.Draining, b.Cordoned = true, true
-	admitter.SetService("s", []messages.RunnerRecord{a, b, testRecord("z")}, memory, 2)
+	draining, cordoned := testRecord("x"), testRecord("y")
+	draining.Draining, cordoned.Cordoned = true, true
+	admitter.SetService("s", []messages.RunnerRecord{draining, cordoned, testRecord("z")}, testMemoryTokens, 2)
 	list := admitter.Candidates(newRequest(16, 1), 1)
 	must.Len(t, 1, list)
 	must.Eq(t, "z", list[0].ID)
-	q := newRequest(16, 1)
-	q.Avoid = []string{"z"}
-	must.SliceEmpty(t, admitter.Candidates(q, 1))
+	request := newRequest(16, 1)
+	request.Avoid = []string{"z"}
+	must.SliceEmpty(t, admitter.Candidates(request, 1))
 }
 
 func TestCordonExpires(t *testing.T) {
 	admitter := newAdmitter("x")
 	n := testRecord("x")
 	n.Cordoned = true
-	admitter.SetService("s", []messages.RunnerRecord{n}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{n}, testMemoryTokens, 2)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), 1))
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), maxCordonUs))
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), 1+maxCordonUs))
@@ -306,19 +306,19 @@
 	admitter.SetNodes(4)
 	must.NotNil(t, admitter.Submit(newRequest(16, 1), 1).Admit)
 	must.NotNil(t, admitter.Submit(newRequest(16, 1), 2).Admit)
-	must.True(t, admitter.Submit(newRequest(16, 1), 3).Hold, must.Sprint("nine of ten over four nodes are two"))
+	must.True(t, admitter.Submit(newRequest(16, 1), 3).Hold, must.Sprint("9 of 10 connections for four nodes are 2 for each"))
 	admitter.SetNodes(1)
 	must.Len(t, 1, admitter.Tick(4))
 }
 
 func TestDrainingRunnersGetLongRequestsOnlyAsLastResort(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	e := testRecord("x")
-	e.DrainingLong = true
-	admitter.SetService("s", []messages.RunnerRecord{e, testRecord("y")}, memory, 2)
+	drainingLong := testRecord("x")
+	drainingLong.DrainingLong = true
+	admitter.SetService("s", []messages.RunnerRecord{drainingLong, testRecord("y")}, testMemoryTokens, 2)
 	must.Len(t, 2, admitter.Candidates(newRequest(16, 10), 1))
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 200), 1))
-	admitter.SetService("s", []messages.RunnerRecord{e}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{drainingLong}, testMemoryTokens, 2)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 200), 1))
 }
 
@@ -338,35 +338,35 @@
 func TestRunnerWithFailedConnectionsIsAvoided(t *testing.T) {
 	admitter := newAdmitter("x", "y")
 	for i := range 3 {
-		a := newRequest(16, 1)
-		a.Avoid = []string{"y"}
-		r := admitter.Submit(a, int64(1+i*3_000_000))
-		must.NotNil(t, r.Admit)
-		admitter.Done(r.Admit, false, int64(1+i*3_000_000))
+		request := newRequest(16, 1)
+		request.Avoid = []string{"y"}
+		decision := admitter.Submit(request, int64(1+i*3_000_000))
+		must.NotNil(t, decision.Admit)
+		admitter.Done(decision.Admit, false, int64(1+i*3_000_000))
 		list := admitter.Candidates(newRequest(16, 1), int64(2+i*3_000_000))
 		must.Len(t, 1, list)
 		must.Eq(t, "y", list[0].ID)
 	}
 	only := newRequest(16, 1)
 	only.Avoid = []string{"y"}
-	must.Len(t, 1, admitter.Candidates(only, 6_000_010), must.Sprint("an avoided runner is better than none"))
+	must.Len(t, 1, admitter.Candidates(only, 6_000_010), must.Sprint("an avoided runner must be used if there is no other"))
 }
 
 func TestTransfersComeFromSameWeightsOnly(t *testing.T) {
 	admitter := newAdmitter("x", "y")
 	y := testRecord("y")
 	y.Models[0].Version = 2
-	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), y}, memory, 2)
-	a := newRequest(16, 1)
-	a.Parts = []prefixindex.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 16}}
-	a.TokensIn = 1016
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), y}, testMemoryTokens, 2)
+	request := newRequest(16, 1)
+	request.Parts = []prefixindex.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 16}}
+	request.TokensIn = 1016
 	admitter.Index.Put("x", prefixindex.Key("w1", "m", "shared"), 1000)
-	for _, c := range admitter.Candidates(a, 1) {
+	for _, c := range admitter.Candidates(request, 1) {
 		must.Eq(t, "", c.From)
 	}
-	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), testRecord("y")}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), testRecord("y")}, testMemoryTokens, 2)
 	found := false
-	for _, c := range admitter.Candidates(a, 1) {
+	for _, c := range admitter.Candidates(request, 1) {
 		if c.ID == "y" {
 			found = true
 			must.Eq(t, "x:1", c.From)
@@ -378,19 +378,19 @@
 
 func TestLoadReturnsToZeroAfterDone(t *testing.T) {
 	admitter := newAdmitter("x", "y")
-	var list []*Admission
+	var admissions []*Admission
 	for i := range 8 {
-		a := newRequest(100+i, 50)
-		a.Parts = []prefixindex.Part{{ID: "shared", Tokens: 64}, {ID: fmt.Sprint(i), Tokens: 36 + i}}
-		r := admitter.Submit(a, int64(i))
+		request := newRequest(100+i, 50)
+		request.Parts = []prefixindex.Part{{ID: "shared", Tokens: 64}, {ID: fmt.Sprint(i), Tokens: 36 + i}}
+		r := admitter.Submit(request, int64(i))
 		must.NotNil(t, r.Admit)
-		list = append(list, r.Admit)
+		admissions = append(admissions, r.Admit)
 	}
-	for i, a := range list {
+	for i, request := range admissions {
 		if i%2 == 0 {
-			admitter.FirstToken(a, 100)
+			admitter.FirstToken(request, 100)
 		}
-		admitter.Done(a, i%3 > 0, 200)
+		admitter.Done(request, i%3 > 0, 200)
 	}
 	for _, id := range []string{"x", "y"} {
 		r := admitter.pool("s").runners[id]
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -61,20 +61,20 @@
 	if float64(t.admitted) >= t.window {
 		return nil
 	}
-	list, runners := a.findCandidates(request, p, nowUs)
+	candidates, runners := a.findCandidates(request, p, nowUs)
 	prompt := placement.Prompt{Tokens: request.TokensIn, Out: request.TokensOut}
 	if n := len(request.Parts); n > 1 {
 		prompt.Shared = prefixindex.Key("", request.Model, request.Parts[n-2].ID)
 	}
-	i := placement.Match(prompt, list, a.sampling())
+	i := placement.Match(prompt, candidates, a.sampling())
 	if i < 0 {
 		return nil
 	}
-	r, c := runners[i], list[i]
+	r, c := runners[i], candidates[i]
 	version := weightsVersion(r.record, request.Model)
 	salt := a.Salt(request.Tenant, request.Isolated, request.Regime, version)
 	adm := &Admission{Runner: r.record, Salt: salt, Version: version, Cached: c.Cached, Source: c.From, atUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
-	blockTokens := a.T.BlockTokens
+	blockTokens := a.Tuning.BlockTokens
 	partTokens := 0
 	for j, k := range adm.Keys {
 		n := (request.Parts[j].Tokens + blockTokens - 1) / blockTokens
@@ -146,7 +146,7 @@
 		return
 	}
 	adm.prefilling = false
-	a.pool(adm.service).recordFirstTokenLatency(&a.T, adm, r, nowUs)
+	a.pool(adm.service).recordFirstTokenLatency(&a.Tuning, adm, r, nowUs)
 	r.ownLoad.prefill -= adm.prefillTokens
 	if elapsedUs := nowUs - adm.atUs; elapsedUs > 0 && adm.prefillTokens >= 512 && adm.prefillAhead*4 <= adm.prefillTokens {
 		sample := float64(adm.prefillTokens) / float64(elapsedUs)
@@ -189,7 +189,7 @@
 		r.backoffUs, r.avoidUntilUs = 0, 0
 		return
 	}
-	r.backoffUs = min(max(2*r.backoffUs, a.T.UnsoundUs), a.T.UnsoundMaxUs)
+	r.backoffUs = min(max(2*r.backoffUs, a.Tuning.FailureBackoffUs), a.Tuning.MaxFailureBackoffUs)
 	r.avoidUntilUs = nowUs + r.backoffUs
 }
 
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -12,8 +12,8 @@
 
 // Candidates returns the runners that a request may be sent to now.
 func (a *Admitter) Candidates(request Request, nowUs int64) []placement.Candidate {
-	list, _ := a.findCandidates(request, a.pool(request.Service), nowUs)
-	return slices.Clone(list)
+	candidates, _ := a.findCandidates(request, a.pool(request.Service), nowUs)
+	return slices.Clone(candidates)
 }
 
 // candidateSearch holds the parameters of one search for candidates.
@@ -41,7 +41,7 @@
 		peersKnown: a.peerLoadsCurrent(nowUs), connectionShare: share,
 		preferredZone: a.Zone, keysOf: a.keysOf(request),
 		skipUnreachable: a.hasReachableRunners(p),
-		blocks:          (request.TokensIn + request.TokensOut + a.T.BlockTokens - 1) / a.T.BlockTokens,
+		blocks:          (request.TokensIn + request.TokensOut + a.Tuning.BlockTokens - 1) / a.Tuning.BlockTokens,
 	}
 	if len(a.relinquished) == 0 {
 		return s
@@ -55,35 +55,35 @@
 	return s
 }
 
-// preferences is the number of preference classes, from 0 (best).
-const preferences = 3
+// preferenceClasses is the number of preference classes, from 0 (best).
+const preferenceClasses = 3
 
 // findCandidates returns the runners that a request may be sent to. The result is valid
 // until the next call. Runners of a lower preference are used only if no candidate has a
 // higher one.
 func (a *Admitter) findCandidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
-	list, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
+	candidates, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
 	a.hasCapacity = false
 	s := a.newCandidateSearch(request, p, nowUs)
-	for pass := range preferences {
+	for preference := range preferenceClasses {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if !a.eligible(&s, r, pass) {
+			if !a.eligible(&s, r, preference) {
 				continue
 			}
 			if candidate, fits := a.candidateAt(&s, r); fits {
-				list, runners = append(list, candidate), append(runners, r)
+				candidates, runners = append(candidates, candidate), append(runners, r)
 			}
 		}
-		if len(list) > 0 {
+		if len(candidates) > 0 {
 			break
 		}
 	}
 	if p.transferUsPerToken > 0 && len(request.Parts) > 0 {
-		a.findTransfers(&s, list, runners)
+		a.findTransfers(&s, candidates, runners)
 	}
-	a.candidateBuffer, a.runnerBuffer = list, runners
-	return list, runners
+	a.candidateBuffer, a.runnerBuffer = candidates, runners
+	return candidates, runners
 }
 
 // eligible reports whether a runner may receive a request and is in the given preference
@@ -97,21 +97,21 @@
 // runner is below its thresholds and has enough memory. A runner without other requests
 // accepts a request of any size.
 func (a *Admitter) candidateAt(s *candidateSearch, r *runner) (candidate placement.Candidate, fits bool) {
-	memoryUse := r.updateBusy(&a.T, s.nowUs, a.nodes, s.peersKnown)
-	active := r.active(&a.T, s.nowUs)
+	memoryUse := r.updateBusy(&a.Tuning, s.nowUs, a.nodes, s.peersKnown)
+	active := r.active(&a.Tuning, s.nowUs)
 	if a.withheldForLoad(r, active, s.connectionShare) != NotWithheld {
 		return placement.Candidate{}, false
 	}
 	id := r.record.ID
 	cached := a.Index.Expected(id, s.keysOf(weightsVersion(r.record, s.request.Model)), s.request.Parts)
 	a.hasCapacity = true
-	if r.blocks > 0 && active > 0 && memoryUse+float64(s.blocks-cached/a.T.BlockTokens)/float64(r.blocks) > maxUseAfter {
+	if r.blocks > 0 && active > 0 && memoryUse+float64(s.blocks-cached/a.Tuning.BlockTokens)/float64(r.blocks) > maxUseAfter {
 		return placement.Candidate{}, false
 	}
 	return placement.Candidate{
 		ID: id, NearSite: r.record.Zone == s.preferredZone, Cached: cached, Prefill: r.prefill(),
-		Active: active, Capacity: r.capacity, Used: memoryUse, Rate: r.prefillRate(&a.T),
-		Reading: r.prefillLoad(&a.T, s.nowUs), DoubtUs: r.health.slowStartCostUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
+		Active: active, Capacity: r.capacity, Used: memoryUse, Rate: r.prefillRate(&a.Tuning),
+		Reading: r.prefillLoad(&a.Tuning, s.nowUs), DoubtUs: r.health.slowStartCostUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
 	}, true
 }
 
@@ -157,7 +157,7 @@
 // blockSources holds the sources for a prompt, and by weights version the most tokens of
 // its shared parts that one runner or store has cached or is about to cache.
 type blockSources struct {
-	list         []blockSource
+	sources      []blockSource
 	sharedTokens map[int64]int // tokens, by version
 }
 
@@ -173,12 +173,12 @@
 	if added.cachedTokens < minTransferTokens {
 		return
 	}
-	i := slices.IndexFunc(sources.list, func(known blockSource) bool { return known.sameCost(&added) })
+	i := slices.IndexFunc(sources.sources, func(known blockSource) bool { return known.sameCost(&added) })
 	if i < 0 {
-		sources.list = append(sources.list, added)
+		sources.sources = append(sources.sources, added)
 		return
 	}
-	known := &sources.list[i]
+	known := &sources.sources[i]
 	switch {
 	case added.cachedTokens > known.cachedTokens:
 		*known = added
@@ -233,10 +233,10 @@
 
 // findTransfers sets for every candidate the source with the same weights version whose
 // transfer of cached blocks saves the most time over prefill.
-func (a *Admitter) findTransfers(s *candidateSearch, list []placement.Candidate, runners []*runner) {
+func (a *Admitter) findTransfers(s *candidateSearch, candidates []placement.Candidate, runners []*runner) {
 	sources := a.findSources(s)
-	for i := range list {
-		c := &list[i]
+	for i := range candidates {
+		c := &candidates[i]
 		version := weightsVersion(runners[i].record, s.request.Model)
 		sources.chooseTransfer(c, runners[i], version)
 		c.Again = max(sources.sharedTokens[version]-c.Cached-c.Moved, 0)
@@ -247,7 +247,7 @@
 // any. version is the candidate's weights version.
 func (s *blockSources) chooseTransfer(c *placement.Candidate, r *runner, version int64) {
 	bestGain := 0.0
-	for _, source := range s.list {
+	for _, source := range s.sources {
 		gainTokens := source.cachedTokens - c.Cached
 		if source.addr == r.record.Addr || source.version != version || gainTokens < minTransferTokens {
 			continue
@@ -263,8 +263,8 @@
 	}
 }
 
-// doubtful is the preference of a runner that is used only as a last resort.
-const doubtful = preferences - 1
+// lastResort is the preference of a runner that is used only as a last resort.
+const lastResort = preferenceClasses - 1
 
 // preference returns the preference class of a runner for a request: 0 (best) in
 // general, 1 if the runner is draining long requests and the request is long, 2 if the
@@ -272,8 +272,8 @@
 func (a *Admitter) preference(request Request, r *runner, nowUs int64) int {
 	switch {
 	case r.record.Stale || r.avoidUntilUs > nowUs || r.health.ejected(nowUs):
-		return doubtful
-	case r.record.DrainingLong && request.TokensOut > a.T.LongOut:
+		return lastResort
+	case r.record.DrainingLong && request.TokensOut > a.Tuning.LongOutputTokens:
 		return 1
 	}
 	return 0
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -28,7 +28,7 @@
 )
 
 // outcomes counts requests and how many of them failed.
-type outcomes struct{ tried, failed int }
+type outcomes struct{ total, failed int }
 
 // health holds the recent outcomes of a runner's requests and its ejection. Outcomes are
 // counted in windows of outcomeWindowUs; span is the number of the current one.
@@ -54,7 +54,7 @@
 // record counts the outcome of one request.
 func (h *health) record(succeeded bool, nowUs int64) {
 	h.rotate(nowUs)
-	h.current.tried++
+	h.current.total++
 	if !succeeded {
 		h.current.failed++
 	}
@@ -63,13 +63,13 @@
 // own returns this node's outcomes of the current and the previous window.
 func (h *health) own(nowUs int64) outcomes {
 	h.rotate(nowUs)
-	return outcomes{h.current.tried + h.previous.tried, h.current.failed + h.previous.failed}
+	return outcomes{h.current.total + h.previous.total, h.current.failed + h.previous.failed}
 }
 
 // weighted returns this node's outcomes plus the weighted outcomes of the other nodes.
-func (h *health) weighted(nowUs int64) (tried, failed float64) {
+func (h *health) weighted(nowUs int64) (total, failed float64) {
 	own := h.own(nowUs)
-	return float64(own.tried) + peerWeight*float64(h.peers.tried), float64(own.failed) + peerWeight*float64(h.peers.failed)
+	return float64(own.total) + peerWeight*float64(h.peers.total), float64(own.failed) + peerWeight*float64(h.peers.failed)
 }
 
 func (h *health) ejected(nowUs int64) bool { return nowUs < h.ejectedUntilUs }
@@ -92,7 +92,7 @@
 // healthSummary classifies a service's runners by health.
 type healthSummary struct {
 	suspects                    []suspect
-	healthyTried, healthyFailed float64 // summed outcomes of the healthy runners
+	healthyTotal, healthyFailed float64 // summed outcomes of the healthy runners
 	ejected                     int     // number of ejected runners
 }
 
@@ -104,12 +104,12 @@
 			summary.ejected++
 			continue
 		}
-		tried, failed := h.weighted(nowUs)
-		if failureShare := failed / (tried + 1); failed >= minFailures && failureShare >= minFailureShare {
+		total, failed := h.weighted(nowUs)
+		if failureShare := failed / (total + 1); failed >= minFailures && failureShare >= minFailureShare {
 			summary.suspects = append(summary.suspects, suspect{h, failureShare})
 			continue
 		}
-		summary.healthyTried, summary.healthyFailed = summary.healthyTried+tried, summary.healthyFailed+failed
+		summary.healthyTotal, summary.healthyFailed = summary.healthyTotal+total, summary.healthyFailed+failed
 	}
 	return summary
 }
@@ -126,7 +126,7 @@
 	slices.SortStableFunc(suspects, func(a, b suspect) int { return cmp.Compare(b.failureShare, a.failureShare) })
 	maxEjected := max(int(maxEjectedShare*float64(len(p.order))), 1)
 	for _, s := range suspects {
-		if ejected >= maxEjected || s.failureShare < outlierFactor*summary.healthyFailed/math.Max(summary.healthyTried, 1) {
+		if ejected >= maxEjected || s.failureShare < outlierFactor*summary.healthyFailed/math.Max(summary.healthyTotal, 1) {
 			return
 		}
 		s.health.eject(nowUs)
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -9,7 +9,9 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func tenRunners() (*Admitter, []string) {
+// newAdmitterWithTenRunners returns an admitter with the runners r0 to r9, and their
+// identities.
+func newAdmitterWithTenRunners() (*Admitter, []string) {
 	var ids []string
 	for i := range 10 {
 		ids = append(ids, fmt.Sprint("r", i))
@@ -17,10 +19,12 @@
 	return newAdmitter(ids...), ids
 }
 
+// endRequest records the outcome of a request at a runner.
 func (a *Admitter) endRequest(id string, succeeded bool, nowUs int64) {
 	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, succeeded, nowUs)
 }
 
+// candidateIDs returns the set of runners that are candidates for a short request.
 func candidateIDs(admitter *Admitter, nowUs int64) map[string]bool {
 	out := map[string]bool{}
 	for _, c := range admitter.Candidates(newRequest(16, 1), nowUs) {
@@ -29,10 +33,10 @@
 	return out
 }
 
-// A runner that fails part of its requests is ejected although its health check passes,
-// returns, and is ejected for longer if it still fails.
+// A runner that fails half of its requests, whatever its health check returns, is ejected,
+// returns with a slow start, and is ejected for longer if it still fails.
 func TestFailingRunnerIsEjectedAndReturnsWithSlowStart(t *testing.T) {
-	admitter, ids := tenRunners()
+	admitter, ids := newAdmitterWithTenRunners()
 	now := int64(1_000_000)
 	for _, id := range ids {
 		for i := range 4 {
@@ -52,20 +56,20 @@
 			admitter.endRequest(id, id != "r3" || i%2 == 0, now)
 		}
 	}
-	must.False(t, candidateIDs(admitter, now+ejectionUs+1)["r3"], must.Sprint("longer the second time"))
+	must.False(t, candidateIDs(admitter, now+ejectionUs+1)["r3"], must.Sprint("the second ejection must be longer"))
 	must.True(t, candidateIDs(admitter, now+2*ejectionUs)["r3"])
 	must.Eq(t, 0.0, admitter.pool("s").runners["r3"].health.slowStartCostUs(now+2*ejectionUs+slowStartUs))
 }
 
 func TestEjectionsAreLimitedAndNoneWhenAllFail(t *testing.T) {
-	admitter, ids := tenRunners()
+	admitter, ids := newAdmitterWithTenRunners()
 	for i, id := range ids {
 		for range 4 {
 			admitter.endRequest(id, i > 3, 1_000_000)
 		}
 	}
-	must.MapLen(t, 8, candidateIDs(admitter, 1_000_000), must.Sprint("a fifth at most"))
-	admitter, ids = tenRunners()
+	must.MapLen(t, 8, candidateIDs(admitter, 1_000_000), must.Sprint("at most a fifth of the runners may be ejected"))
+	admitter, ids = newAdmitterWithTenRunners()
 	for range 6 {
 		for _, id := range ids {
 			admitter.endRequest(id, false, 1_000_000)
@@ -75,7 +79,7 @@
 }
 
 func TestPeerOutcomesCountHalf(t *testing.T) {
-	admitter, _ := tenRunners()
+	admitter, _ := newAdmitterWithTenRunners()
 	reportFailures := func(failed int) {
 		admitter.Others(func(id string) messages.RunnerLoad {
 			l := messages.RunnerLoad{ID: id, Tried: 10}
@@ -93,7 +97,7 @@
 		admitter.endRequest("r2", true, 1_000_000)
 	}
 	admitter.Others(func(id string) messages.RunnerLoad { return messages.RunnerLoad{ID: id, Tried: 10, Failed: 4} }, 1_000_000)
-	must.True(t, candidateIDs(admitter, 1_000_001)["r2"], must.Sprint("its requests from this node succeeded"))
+	must.True(t, candidateIDs(admitter, 1_000_001)["r2"], must.Sprint("the requests of this node to the runner succeeded"))
 }
 
 func TestEjectedRunnerIsUsedAsLastResort(t *testing.T) {
@@ -102,8 +106,8 @@
 		admitter.endRequest("x", false, 1)
 		admitter.endRequest("y", true, 1)
 	}
-	q := newRequest(16, 1)
-	must.Len(t, 1, admitter.Candidates(q, 2))
-	q.Avoid = []string{"y"}
-	must.Len(t, 1, admitter.Candidates(q, 2))
+	request := newRequest(16, 1)
+	must.Len(t, 1, admitter.Candidates(request, 2))
+	request.Avoid = []string{"y"}
+	must.Len(t, 1, admitter.Candidates(request, 2))
 }
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -13,10 +13,10 @@
 func (a *Admitter) Report(n messages.RunnerReport, nowUs int64) {
 	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
-			r.reportedLoad = runnerLoad{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
+			r.reportedLoad = runnerLoad{blocks: n.Used / a.Tuning.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
 			r.hasReport, r.queued = true, n.Queued
 			if n.Total > 0 {
-				r.blocks = n.Total / a.T.BlockTokens
+				r.blocks = n.Total / a.Tuning.BlockTokens
 			}
 		}
 	}
@@ -74,20 +74,20 @@
 }
 
 // peerLoadsCurrent reports whether the loads of the other nodes were updated within
-// Tuning.ReportFreshUs.
+// Tuning.ReportValidUs.
 func (a *Admitter) peerLoadsCurrent(nowUs int64) bool {
-	return a.peerLoadsUs > 0 && nowUs-a.peerLoadsUs < a.T.ReportFreshUs
+	return a.peerLoadsUs > 0 && nowUs-a.peerLoadsUs < a.Tuning.ReportValidUs
 }
 
 // Blind returns the sorted identities of the runners whose load thresholds are unreliable:
 // their memory is unknown, or they have sent no report within three times
-// Tuning.ReportFreshUs.
+// Tuning.ReportValidUs.
 func (a *Admitter) Blind(nowUs int64) []string {
 	var out []string
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if r.blocks == 0 || !r.hasReport || nowUs-r.reportedLoad.atUs > 3*a.T.ReportFreshUs {
+			if r.blocks == 0 || !r.hasReport || nowUs-r.reportedLoad.atUs > 3*a.Tuning.ReportValidUs {
 				out = append(out, id)
 			}
 		}
@@ -113,8 +113,8 @@
 		for id, r := range p.runners {
 			flow := int(r.ownFlow(nowUs)/flowStep+0.5) * flowStep
 			outcomes := r.health.own(nowUs)
-			if r.ownLoad.count > 0 || flow > 0 || outcomes.tried > 0 {
-				out[id] = messages.RunnerLoad{ID: id, Tried: outcomes.tried, Failed: outcomes.failed, Blocks: r.ownLoad.blocks, Prefill: r.ownLoad.prefill, Count: r.ownLoad.count, Rate: math.Round(r.measuredRate*rateSteps) / rateSteps, Flow: flow}
+			if r.ownLoad.count > 0 || flow > 0 || outcomes.total > 0 {
+				out[id] = messages.RunnerLoad{ID: id, Tried: outcomes.total, Failed: outcomes.failed, Blocks: r.ownLoad.blocks, Prefill: r.ownLoad.prefill, Count: r.ownLoad.count, Rate: math.Round(r.measuredRate*rateSteps) / rateSteps, Flow: flow}
 			}
 		}
 	}
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -43,7 +43,7 @@
 			r = newRunner()
 			p.runners[n.ID] = r
 		}
-		r.record, r.capacity, r.blocks = n, n.Capacity, memoryTokens/a.T.BlockTokens
+		r.record, r.capacity, r.blocks = n, n.Capacity, memoryTokens/a.Tuning.BlockTokens
 		r.absence.observe(n)
 		listed[n.ID] = true
 		p.order = append(p.order, n.ID)
@@ -115,11 +115,11 @@
 	return n
 }
 
-// totalPrefillRate returns the sum of the runners' prefill rates, at least RateFloor.
+// totalPrefillRate returns the sum of the runners' prefill rates, at least MinRate.
 func (a *Admitter) totalPrefillRate(p *pool) float64 {
 	sum := 0.0
 	for _, id := range p.order {
-		sum += p.runners[id].prefillRate(&a.T)
+		sum += p.runners[id].prefillRate(&a.Tuning)
 	}
-	return max(sum, a.T.RateFloor)
+	return max(sum, a.Tuning.MinRate)
 }
--- a/internal/admission/rollout.go
+++ b/internal/admission/rollout.go
@@ -113,7 +113,7 @@
 	if updated {
 		return 0, true
 	}
-	return preferences - 1, true
+	return preferenceClasses - 1, true
 }
 
 // VersionAllowed reports whether an admitted request may still be sent to its runner's version. It
@@ -132,12 +132,12 @@
 			rates = append(rates, r.measuredRate)
 		}
 	}
-	rate := t.RateStart
+	rate := t.InitialRate
 	if len(rates) > 0 {
 		slices.Sort(rates)
 		rate = rates[len(rates)/2]
 	}
-	return int64(slowFactor*float64(tokens)/max(rate, t.RateFloor)) + slowBaseUs
+	return int64(slowFactor*float64(tokens)/max(rate, t.MinRate)) + slowBaseUs
 }
 
 // recordFirstTokenLatency records whether the first token of a response was slow. Runners in warm-up
--- a/internal/admission/rollout_test.go
+++ b/internal/admission/rollout_test.go
@@ -10,8 +10,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// newRolloutAdmitter is an admitter with so many runners of either version of a service, and its
-// rollout in a stage.
+// newRolloutAdmitter returns an admitter with the given numbers of runners of the old and the
+// target version of a service, and a rollout in the given stage.
 func newRolloutAdmitter(stage canary.Stage, old, updated int) *Admitter {
 	a := New(Defaults, "a", 1)
 	var records []messages.RunnerRecord
@@ -26,7 +26,7 @@
 	return a
 }
 
-// candidatesByVersion counts the candidates of a request by their version.
+// candidatesByVersion returns the number of candidates for a request by software version.
 func candidatesByVersion(a *Admitter, request Request) map[string]int {
 	out := map[string]int{}
 	for _, c := range a.Candidates(request, 1) {
@@ -36,7 +36,7 @@
 }
 
 func TestRolloutStageSelectsCandidateVersions(t *testing.T) {
-	request, probe := Request{Service: "s", TokensIn: 10}, Request{Service: "s", TokensIn: 10, Canary: true}
+	request, canaryRequest := Request{Service: "s", TokensIn: 10}, Request{Service: "s", TokensIn: 10, Canary: true}
 	for _, c := range []struct {
 		name         string
 		stage        canary.Stage
@@ -53,7 +53,7 @@
 	} {
 		a := newRolloutAdmitter(c.stage, c.old, c.fresh)
 		must.Eq(t, c.usual, candidatesByVersion(a, request), must.Sprint(c.name))
-		must.Eq(t, c.drawn, candidatesByVersion(a, probe), must.Sprint(c.name))
+		must.Eq(t, c.drawn, candidatesByVersion(a, canaryRequest), must.Sprint(c.name))
 	}
 }
 
@@ -70,14 +70,14 @@
 	}
 }
 
-// All nodes choose the same runners, or a version would be tried under less load than it bears
-// later.
+// If nodes chose different runners, the load would be spread over more of them, and the version
+// would be tried under less load than it has to serve later.
 func TestNodesChooseTheSameCanaryRunners(t *testing.T) {
-	probe := Request{Service: "s", TokensIn: 10, Canary: true}
+	canaryRequest := Request{Service: "s", TokensIn: 10, Canary: true}
 	ids := func(seed uint64) (out []string) {
 		a := newRolloutAdmitter(canary.Trying, 40, 40)
 		a.Zone = fmt.Sprint("zone", seed)
-		for _, c := range a.Candidates(probe, 1) {
+		for _, c := range a.Candidates(canaryRequest, 1) {
 			out = append(out, c.ID)
 		}
 		return out
@@ -85,10 +85,10 @@
 	must.Eq(t, ids(1), ids(2))
 }
 
-func TestOutcomesAreCountedByVersionAndKind(t *testing.T) {
+func TestOutcomesAreCountedByVersionAndClass(t *testing.T) {
 	a := newRolloutAdmitter(canary.Trying, 1, 1)
-	end := func(probe, succeeded bool, firstTokenUs int64) {
-		request := Request{Service: "s", TokensIn: 100, Canary: probe, Class: "500 ms", LeftUs: 1_000_000}
+	end := func(isCanary, succeeded bool, firstTokenUs int64) {
+		request := Request{Service: "s", TokensIn: 100, Canary: isCanary, Class: "500 ms", LeftUs: 1_000_000}
 		decision := a.Submit(request, 1000)
 		must.NotNil(t, decision.Admit)
 		if succeeded {
@@ -113,6 +113,6 @@
 	a.SetRollouts([]messages.ServiceRollout{{Service: "s", Target: "v2", Stage: int(canary.Settled), Number: 1}})
 	for id := range a.Own(2000) {
 		_, ok := canary.ParseKey(id)
-		must.False(t, ok, must.Sprint("nothing is counted once it has ended"))
+		must.False(t, ok, must.Sprint("outcomes must not be published after the end of the rollout"))
 	}
 }
--- a/internal/admission/runner.go
+++ b/internal/admission/runner.go
@@ -72,7 +72,7 @@
 // the minimum. Otherwise it uses the loads of all nodes, if those are recent, or else this
 // node's load multiplied by the number of nodes.
 func (r *runner) usedBlocks(t *Tuning, nowUs int64, nodes int, peersKnown bool) int {
-	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportFreshUs {
+	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportValidUs {
 		since := 0
 		for _, s := range r.recentRequests {
 			if s.atUs > r.reportedLoad.atUs-500_000 {
@@ -101,7 +101,7 @@
 // nodes, or the runner's own count if that is recent and greater.
 func (r *runner) active(t *Tuning, nowUs int64) int {
 	sum := r.ownLoad.count + r.peerLoad.count
-	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportFreshUs {
+	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportValidUs {
 		return max(sum, r.reportedLoad.count)
 	}
 	return sum
@@ -135,9 +135,9 @@
 // until there is a measurement.
 func (r *runner) prefillRate(t *Tuning) float64 {
 	if r.measuredRate <= 0 {
-		return t.RateStart
+		return t.InitialRate
 	}
-	return max(r.measuredRate, t.RateFloor)
+	return max(r.measuredRate, t.MinRate)
 }
 
 // updateBusy updates the two busy flags, each with hysteresis, and returns the memory use,
@@ -145,16 +145,16 @@
 func (r *runner) updateBusy(t *Tuning, nowUs int64, nodes int, peersKnown bool) (memoryUse float64) {
 	if r.blocks > 0 {
 		memoryUse = float64(r.usedBlocks(t, nowUs, nodes, peersKnown)) / float64(r.blocks)
-		if memoryUse >= t.BusyAt {
+		if memoryUse >= t.BusyUse {
 			r.memoryBusy = true
-		} else if memoryUse <= t.FreeAt {
+		} else if memoryUse <= t.FreeUse {
 			r.memoryBusy = false
 		}
 	}
 	prefillWaitUs := float64(r.prefill()) / r.prefillRate(t)
-	if prefillWaitUs >= float64(t.PrefillUs) {
+	if prefillWaitUs >= float64(t.BusyPrefillUs) {
 		r.prefillBusy = true
-	} else if prefillWaitUs <= float64(t.PrefillUs)*t.PrefillFree {
+	} else if prefillWaitUs <= float64(t.BusyPrefillUs)*t.PrefillFreeShare {
 		r.prefillBusy = false
 	}
 	return memoryUse
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -10,51 +10,54 @@
 	"beechtide.org/beechtide/internal/prefixindex"
 )
 
+// runnersInZones returns the records of runners r0, r1 and so on, one in each given zone.
 func runnersInZones(zones ...string) []messages.RunnerRecord {
 	var out []messages.RunnerRecord
-	for i, s := range zones {
-		n := testRecord(fmt.Sprint("r", i))
-		n.Zone, n.Capacity = s, 1000
-		out = append(out, n)
+	for i, zone := range zones {
+		record := testRecord(fmt.Sprint("r", i))
+		record.Zone, record.Capacity = zone, 1000
+		out = append(out, record)
 	}
 	return out
 }
 
+// sessionRequest returns a request of the i-th session.
 func sessionRequest(i int) Request {
-	a := newRequest(116, 1)
-	a.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("session", i), Tokens: 50}, {ID: "own", Tokens: 16}}
-	return a
+	request := newRequest(116, 1)
+	request.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("session", i), Tokens: 50}, {ID: "own", Tokens: 16}}
+	return request
 }
 
+// admittedZone submits a request of the i-th session and returns the zone of its runner.
 func admittedZone(t *testing.T, admitter *Admitter, i int, nowUs int64) string {
 	t.Helper()
-	a := sessionRequest(i)
-	a.Tenant = fmt.Sprint("t", i) // so that no tenant reaches its rate limit
-	r := admitter.Submit(a, nowUs)
-	must.NotNil(t, r.Admit, must.Sprint(r.Reject))
-	admitter.FirstToken(r.Admit, nowUs)
-	admitter.Done(r.Admit, true, nowUs)
-	return r.Admit.Runner.Zone
+	request := sessionRequest(i)
+	request.Tenant = fmt.Sprint("t", i) // one tenant per session, so that none reaches its rate limit
+	decision := admitter.Submit(request, nowUs)
+	must.NotNil(t, decision.Admit, must.Sprint(decision.Reject))
+	admitter.FirstToken(decision.Admit, nowUs)
+	admitter.Done(decision.Admit, true, nowUs)
+	return decision.Admit.Runner.Zone
 }
 
-const sessionCount = 400
+const testSessions = 400
 
-func zonedAdmitter() *Admitter {
+func newZonedAdmitter() *Admitter {
 	admitter := New(Defaults, "a", 1)
-	admitter.SetService("s", runnersInZones("a", "b", "c", "a", "b", "c"), memory, 0.01)
+	admitter.SetService("s", runnersInZones("a", "b", "c", "a", "b", "c"), testMemoryTokens, 0.01)
 	return admitter
 }
 
-// Sessions leave one after the other over the given time, and do not return while the
-// zone is relinquished.
+// Sessions leave a relinquished zone gradually over the given duration, and do not return
+// while the zone is relinquished.
 func TestSessionsLeaveZoneGradually(t *testing.T) {
-	admitter := zonedAdmitter()
+	admitter := newZonedAdmitter()
 	admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, 1_000_000)
 	left := map[int]bool{}
 	for _, at := range []int64{1_000_000, 3_500_000, 6_000_000, 8_500_000, 11_000_000} {
-		for i := range sessionCount {
+		for i := range testSessions {
 			leaves := admitter.Leaves(sessionRequest(i), "a", at)
-			must.False(t, left[i] && !leaves, must.Sprint("back again: ", i))
+			must.False(t, left[i] && !leaves, must.Sprint("session returned: ", i))
 			left[i] = left[i] || leaves
 			must.False(t, admitter.Leaves(sessionRequest(i), "b", at))
 		}
@@ -64,9 +67,9 @@
 				n++
 			}
 		}
-		want := int(float64(sessionCount) * float64(at-1_000_000) / 10_000_000)
+		want := int(float64(testSessions) * float64(at-1_000_000) / 10_000_000)
 		must.Between(t, want-40, n, want+40, must.Sprint("at ", at))
-		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next version of the configuration repeats it
+		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next configuration contains the zone again
 	}
 	for i := range 40 {
 		must.NotEq(t, "a", admittedZone(t, admitter, i, 12_000_000))
@@ -75,84 +78,84 @@
 	must.False(t, admitter.Leaves(sessionRequest(1), "a", 14_000_000), must.Sprint("the zone is no longer relinquished"))
 }
 
-// All nodes send a session to the same home, and a second relinquished zone moves only
-// its own sessions.
+// All nodes choose the same target zone for a session, and relinquishing a second zone
+// moves only the sessions of that zone.
 func TestSecondZoneMovesOnlyItsOwnSessions(t *testing.T) {
-	one, two := zonedAdmitter(), zonedAdmitter()
-	two.Zone = "c"
-	for _, admitter := range []*Admitter{one, two} {
+	first, second := newZonedAdmitter(), newZonedAdmitter()
+	second.Zone = "c"
+	for _, admitter := range []*Admitter{first, second} {
 		admitter.SetRelinquished(map[string]int64{"a": 0}, 1)
 	}
-	first := map[int]string{}
-	seen := map[string]int{}
-	for i := range sessionCount {
-		first[i] = one.targetZone(sessionRequest(i), one.pool("s"))
-		must.Eq(t, first[i], two.targetZone(sessionRequest(i), two.pool("s")))
-		seen[first[i]]++
+	targets := map[int]string{}
+	sessionsByZone := map[string]int{}
+	for i := range testSessions {
+		targets[i] = first.targetZone(sessionRequest(i), first.pool("s"))
+		must.Eq(t, targets[i], second.targetZone(sessionRequest(i), second.pool("s")))
+		sessionsByZone[targets[i]]++
 	}
-	must.MapLen(t, 2, seen)
-	must.Greater(t, sessionCount/3, seen["b"])
-	must.Greater(t, sessionCount/3, seen["c"])
-	one.SetService("s", runnersInZones("a", "b", "c", "d", "b", "c"), memory, 0.01)
-	one.SetRelinquished(map[string]int64{"a": 0, "b": 0}, 2)
-	for i := range sessionCount {
-		home := one.targetZone(sessionRequest(i), one.pool("s"))
+	must.MapLen(t, 2, sessionsByZone)
+	must.Greater(t, testSessions/3, sessionsByZone["b"])
+	must.Greater(t, testSessions/3, sessionsByZone["c"])
+	first.SetService("s", runnersInZones("a", "b", "c", "d", "b", "c"), testMemoryTokens, 0.01)
+	first.SetRelinquished(map[string]int64{"a": 0, "b": 0}, 2)
+	for i := range testSessions {
+		home := first.targetZone(sessionRequest(i), first.pool("s"))
 		must.NotEq(t, "b", home)
-		if first[i] == "c" {
-			must.True(t, home == "c" || home == "d", must.Sprint("a new zone may draw some"))
+		if targets[i] == "c" {
+			must.True(t, home == "c" || home == "d", must.Sprint("sessions may only stay or move to the new zone"))
 		}
 	}
-	one.SetService("s", runnersInZones("a", "b", "c", "c", "b", "c"), memory, 0.01)
-	for i := range sessionCount {
-		must.Eq(t, "c", admittedZone(t, one, i, int64(1_000_000+i)))
+	first.SetService("s", runnersInZones("a", "b", "c", "c", "b", "c"), testMemoryTokens, 0.01)
+	for i := range testSessions {
+		must.Eq(t, "c", admittedZone(t, first, i, int64(1_000_000+i)))
 	}
 }
 
 func TestRelinquishRespectsDrainingWeightsAndCertification(t *testing.T) {
-	admitter := zonedAdmitter()
+	admitter := newZonedAdmitter()
 	admitter.SetRelinquished(map[string]int64{"a": 0}, 1)
 	records := runnersInZones("a", "b", "c", "a", "b", "c")
 	records[1].Draining, records[4].Draining = true, true
-	admitter.SetService("s", records, memory, 0.01)
-	must.Eq(t, "c", admittedZone(t, admitter, 1, 10), must.Sprint("zone b drains"))
+	admitter.SetService("s", records, testMemoryTokens, 0.01)
+	must.Eq(t, "c", admittedZone(t, admitter, 1, 10), must.Sprint("zone b is draining"))
 
 	records = runnersInZones("a", "b", "c", "a", "b", "c")
 	records[2].Cordoned, records[5].Cordoned = true, true
-	admitter.SetService("s", records, memory, 0.01)
-	must.Eq(t, "b", admittedZone(t, admitter, 1, 20), must.Sprint("zone c gets new weights"))
+	admitter.SetService("s", records, testMemoryTokens, 0.01)
+	must.Eq(t, "b", admittedZone(t, admitter, 1, 20), must.Sprint("zone c is cordoned for new weights"))
 
-	// what is cached under the old weights is not transferred to the new ones
+	// Blocks cached under the old weights are not transferred to a runner with new ones.
 	records = runnersInZones("a", "b")
 	records[1].Models = []messages.Target{{Model: "m", Version: 2}}
-	admitter.SetService("s", records, memory, 0.01)
-	a := sessionRequest(7)
-	for i, k := range prefixindex.Keys(admitter.Salt(a.Tenant, false, "", 1), "m", a.Parts) {
-		admitter.Index.Put("r0", k, int32(a.Parts[i].Tokens))
+	admitter.SetService("s", records, testMemoryTokens, 0.01)
+	request := sessionRequest(7)
+	for i, k := range prefixindex.Keys(admitter.Salt(request.Tenant, false, "", 1), "m", request.Parts) {
+		admitter.Index.Put("r0", k, int32(request.Parts[i].Tokens))
 	}
-	adm := admitter.Submit(a, 30).Admit
+	adm := admitter.Submit(request, 30).Admit
 	must.Eq(t, "r1", adm.Runner.ID)
 	must.Eq(t, "", adm.Source)
 	admitter.Done(adm, true, 31)
 
-	admitter.SetService("s", runnersInZones("a", "b", "c"), memory, 0.01)
+	admitter.SetService("s", runnersInZones("a", "b", "c"), testMemoryTokens, 0.01)
 	admitter.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true, "r2": true}})
-	a.Regime = "allergen"
-	must.Eq(t, "r2", admitter.Submit(a, 40).Admit.Runner.ID)
+	request.Regime = "allergen"
+	must.Eq(t, "r2", admitter.Submit(request, 40).Admit.Runner.ID)
 	admitter.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true}})
-	must.True(t, admitter.Submit(a, 50).Hold, must.Sprint("the regime goes before the move, and the zone is left"))
+	must.True(t, admitter.Submit(request, 50).Hold, must.Sprint("the only certified runner is in the zone that the session has left"))
 
 	admitter.pool("s").queue = queue{}
-	admitter.SetService("s", runnersInZones("a", "a"), memory, 0.01)
-	must.Eq(t, "a", admittedZone(t, admitter, 3, 60), must.Sprint("nowhere else to go"))
+	admitter.SetService("s", runnersInZones("a", "a"), testMemoryTokens, 0.01)
+	must.Eq(t, "a", admittedZone(t, admitter, 3, 60), must.Sprint("no other zone is available"))
 }
 
 func TestTryNowDoesNotQueue(t *testing.T) {
-	admitter := zonedAdmitter()
-	a := sessionRequest(1)
-	must.NotNil(t, admitter.TryNow(a, 1))
-	a.Avoid = []string{"r0", "r1", "r2", "r3", "r4", "r5"}
-	must.Nil(t, admitter.TryNow(a, 2))
+	admitter := newZonedAdmitter()
+	request := sessionRequest(1)
+	must.NotNil(t, admitter.TryNow(request, 1))
+	request.Avoid = []string{"r0", "r1", "r2", "r3", "r4", "r5"}
+	must.Nil(t, admitter.TryNow(request, 2))
 	must.Eq(t, 0, admitter.pool("s").queue.count)
-	a.TokensIn = 10 * memory
-	must.Nil(t, admitter.TryNow(a, 3))
+	request.TokensIn = 10 * testMemoryTokens
+	must.Nil(t, admitter.TryNow(request, 3))
 }
--- a/internal/admission/tuning.go
+++ b/internal/admission/tuning.go
@@ -33,37 +33,37 @@
 
 // Tuning holds the parameters of admission. Times are microseconds.
 type Tuning struct {
-	BlockTokens     int     // tokens in a block of a runner's memory
-	BusyAt, FreeAt  float64 // memory use at which a runner becomes busy, and free again
-	PrefillUs       int64   // expected prefill time of the waiting prompts at which a runner becomes busy
-	PrefillFree     float64 // share of PrefillUs at which it becomes free again
-	BufferRequests  int     // requests that may be queued beyond runners x capacity
-	RateFloor       float64 // minimum prefill rate, tokens per microsecond
-	RateStart       float64 // prefill rate of a runner without measurements, tokens per microsecond
-	ReportFreshUs   int64   // how long the report of a runner or the load of the other nodes is valid
-	WindowStart     float64 // initial window of a tenant, in requests
-	WindowMin       float64
-	WindowMax       float64
-	WindowAdd       float64 // additive increase
-	WindowCut       float64 // multiplicative decrease
-	LowUse, HighUse float64 // mean memory use below which windows grow, and above which they may be cut
-	LowHits         float64 // cache hit share below which a window is cut
-	WindowEveryUs   int64   // interval between adjustments of a window
-	TenantBurst     float64 // token bucket size of a tenant, as a multiple of runners x capacity
-	TTLPart         float64 // share of the remaining time that a request may be queued
-	TTLSetpoints    float64 // maximum time in the queue, as a multiple of the setpoint
-	LongOut         int     // a request with more output tokens than this is long
-	UnsoundUs       int64   // first backoff for a runner after a failed connection
-	UnsoundMaxUs    int64   // maximum backoff
+	BlockTokens         int     // tokens in a block of a runner's memory
+	BusyUse, FreeUse    float64 // memory use at which a runner becomes busy, and free again
+	BusyPrefillUs       int64   // expected prefill time of the waiting prompts at which a runner becomes busy
+	PrefillFreeShare    float64 // share of BusyPrefillUs at which it becomes free again
+	BufferRequests      int     // requests that may be queued beyond runners x capacity
+	MinRate             float64 // minimum prefill rate, tokens per microsecond
+	InitialRate         float64 // prefill rate of a runner without measurements, tokens per microsecond
+	ReportValidUs       int64   // how long the report of a runner or the load of the other nodes is valid
+	InitialWindow       float64 // initial window of a tenant, in requests
+	MinWindow           float64
+	MaxWindow           float64
+	WindowAdd           float64 // additive increase
+	WindowCut           float64 // multiplicative decrease
+	LowUse, HighUse     float64 // mean memory use below which windows grow, and above which they may be cut
+	LowHitShare         float64 // cache hit share below which a window is cut
+	WindowIntervalUs    int64   // interval between adjustments of a window
+	TenantBurst         float64 // token bucket size of a tenant, as a multiple of runners x capacity
+	TTLShare            float64 // share of the remaining time that a request may be queued
+	TTLSetpoints        float64 // maximum time in the queue, as a multiple of the setpoint
+	LongOutputTokens    int     // a request with more output tokens than this is long
+	FailureBackoffUs    int64   // first backoff for a runner after a failed connection
+	MaxFailureBackoffUs int64   // maximum backoff
 }
 
 // Defaults are the default parameters.
 var Defaults = Tuning{
-	BlockTokens: 16, BusyAt: 0.85, FreeAt: 0.8,
-	PrefillUs: 600_000, PrefillFree: 0.7, BufferRequests: 16,
-	RateFloor: 0.004, RateStart: 0.02, ReportFreshUs: 1_500_000,
-	WindowStart: 48, WindowMin: 4, WindowMax: 1024, WindowAdd: 2, WindowCut: 0.5,
-	LowUse: 0.2, HighUse: 0.5, LowHits: 0.2, WindowEveryUs: 500_000,
-	TenantBurst: 2, TTLPart: 0.33, TTLSetpoints: 2,
-	LongOut: 64, UnsoundUs: 200_000, UnsoundMaxUs: 2_000_000,
+	BlockTokens: 16, BusyUse: 0.85, FreeUse: 0.8,
+	BusyPrefillUs: 600_000, PrefillFreeShare: 0.7, BufferRequests: 16,
+	MinRate: 0.004, InitialRate: 0.02, ReportValidUs: 1_500_000,
+	InitialWindow: 48, MinWindow: 4, MaxWindow: 1024, WindowAdd: 2, WindowCut: 0.5,
+	LowUse: 0.2, HighUse: 0.5, LowHitShare: 0.2, WindowIntervalUs: 500_000,
+	TenantBurst: 2, TTLShare: 0.33, TTLSetpoints: 2,
+	LongOutputTokens: 64, FailureBackoffUs: 200_000, MaxFailureBackoffUs: 2_000_000,
 }
--- a/internal/admission/warmup_test.go
+++ b/internal/admission/warmup_test.go
@@ -12,35 +12,35 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// testColdRate and testColdBounds are those of a deployment.
+// testColdRate and testColdBounds are the values of a deployment.
 const testColdRate = 5.7
 
-// testColdLimit is how many requests the bounds let a cold runner get in one second.
+// testColdLimit is the maximum number of requests to a cold runner in one second under the bounds.
 var testColdLimit = int(math.Floor(testColdRate*testColdBounds.Overshoot + testColdBounds.Slack))
 
 var testColdBounds = WarmupBounds{Overshoot: 1.5, Slack: 5}
 
-// coldFleet is admitters that share runners which have just started.
+// coldFleet is a set of admitters that share runners which have just started.
 type coldFleet struct {
 	admitters []*Admitter
-	sentUs    map[string][]int64 // by runner
+	sentUs    map[string][]int64 // times of the requests, by runner
 }
 
-// newColdFleet makes a fleet whose nodes see those that seen names for each.
+// newColdFleet returns a fleet in which each node sees the nodes that seen returns for it.
 func newColdFleet(nodes, runners int, seen func(node int) []string) *coldFleet {
 	f := &coldFleet{sentUs: map[string][]int64{}}
 	for node := range nodes {
 		a := New(Defaults, "a", uint64(node))
 		a.SetNodes(nodes)
 		a.SetWarmup(nodeName(node), testColdBounds, 0)
-		a.SeeNodes(seen(node), second)
+		a.SeeNodes(seen(node), testSecondUs)
 		var records []messages.RunnerRecord
 		for r := range runners {
 			record := testRecord(fmt.Sprint("r", r))
-			record.Capacity, record.ColdLeftUs, record.Seq = 100, 20*second, 1
+			record.Capacity, record.ColdLeftUs, record.Seq = 100, 20*testSecondUs, 1
 			records = append(records, record)
 		}
-		a.SetService("s", records, 100*memory, 0)
+		a.SetService("s", records, 100*testMemoryTokens, 0)
 		a.SetWarmups("s", testColdRate, senderStartDelayUs)
 		f.admitters = append(f.admitters, a)
 	}
@@ -57,10 +57,11 @@
 	return func(int) []string { return names }
 }
 
-// offerLoad has every node offer far more than the runners may get, for some seconds.
+// offerLoad submits far more requests than the runners may receive, at random nodes, for the given
+// number of seconds.
 func (f *coldFleet) offerLoad(seconds int64) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for nowUs := int64(senderStartDelayUs); nowUs < senderStartDelayUs+seconds*second; nowUs += 2_000 {
+	for nowUs := int64(senderStartDelayUs); nowUs < senderStartDelayUs+seconds*testSecondUs; nowUs += 2_000 {
 		a := f.admitters[random.IntN(len(f.admitters))]
 		for _, decision := range append(a.Tick(nowUs), a.Submit(newRequest(16, 1), nowUs)) {
 			if adm := decision.Admit; adm != nil {
@@ -71,17 +72,17 @@
 	}
 }
 
-// requestCounts returns the most requests that one runner got in one second, and the fewest that one
-// got in all.
-func (f *coldFleet) requestCounts() (mostInOneSecond, fewest int) {
-	fewest = 1 << 30
+// requestCounts returns the largest number of requests that one runner received in any second, and
+// the smallest total of one runner.
+func (f *coldFleet) requestCounts() (mostInOneSecond, fewestInAll int) {
+	fewestInAll = 1 << 30
 	for _, sent := range f.sentUs {
 		for i, from := range sent {
-			mostInOneSecond = max(mostInOneSecond, len(sent[i:])-len(slices.DeleteFunc(slices.Clone(sent[i:]), func(us int64) bool { return us < from+second })))
+			mostInOneSecond = max(mostInOneSecond, len(sent[i:])-len(slices.DeleteFunc(slices.Clone(sent[i:]), func(us int64) bool { return us < from+testSecondUs })))
 		}
-		fewest = min(fewest, len(sent))
+		fewestInAll = min(fewestInAll, len(sent))
 	}
-	return mostInOneSecond, fewest
+	return mostInOneSecond, fewestInAll
 }
 
 func TestColdRunnersStayWithinWarmupRate(t *testing.T) {
@@ -94,7 +95,7 @@
 	most, fewest := f.requestCounts()
 	must.LessEq(t, int(math.Ceil(testColdRate)), most)
 	must.Len(t, runners, mapKeys(f.sentUs))
-	must.GreaterEq(t, int(math.Floor(testColdRate*float64(seconds)/2)), fewest, must.Sprint("they warm up by requests"))
+	must.GreaterEq(t, int(math.Floor(testColdRate*float64(seconds)/2)), fewest, must.Sprint("runners warm up by serving requests and must receive enough of them"))
 }
 
 func mapKeys(m map[string][]int64) []string {
@@ -105,7 +106,8 @@
 	return keys
 }
 
-// Two halves of the nodes have never seen each other and choose different lenders.
+// In a network partition, two halves of the nodes that have never seen each other choose different
+// senders. Together these must stay within the bounds.
 func TestColdRunnersStayWithinBoundDuringPartition(t *testing.T) {
 	const nodes = 40
 	halves := [][]string{allNodes(nodes)(0)[:nodes/2], allNodes(nodes)(0)[nodes/2:]}
@@ -115,7 +117,7 @@
 	must.LessEq(t, testColdLimit, most)
 }
 
-// Without lenders, every node sending what it likes, the bound is broken.
+// Shows that the load that the tests above offer exceeds the bounds if the warm-up limit is off.
 func TestColdRunnersExceedBoundWithoutWarmupRate(t *testing.T) {
 	f := newColdFleet(40, 10, allNodes(40))
 	for _, a := range f.admitters {
@@ -138,17 +140,17 @@
 	record := testRecord("x")
 	observe := func(seq, leftUs, nowUs int64) {
 		record.Seq, record.ColdLeftUs = seq, leftUs
-		a.SetService("s", []messages.RunnerRecord{record}, memory, 0)
+		a.SetService("s", []messages.RunnerRecord{record}, testMemoryTokens, 0)
 		a.SetWarmups("s", testColdRate, nowUs)
 	}
-	observe(1, 3*second, 0)
-	must.Len(t, 1, a.WarmingUp(second))
-	observe(1, 3*second, 2*second) // the same record again
-	must.SliceEmpty(t, a.WarmingUp(3*second))
-	observe(2, 3*second, 4*second)
-	must.Len(t, 1, a.WarmingUp(5*second))
-	observe(3, 0, 5*second)
-	must.SliceEmpty(t, a.WarmingUp(5*second))
+	observe(1, 3*testSecondUs, 0)
+	must.Len(t, 1, a.WarmingUp(testSecondUs))
+	observe(1, 3*testSecondUs, 2*testSecondUs) // the same record again must not extend the warm-up
+	must.SliceEmpty(t, a.WarmingUp(3*testSecondUs))
+	observe(2, 3*testSecondUs, 4*testSecondUs)
+	must.Len(t, 1, a.WarmingUp(5*testSecondUs))
+	observe(3, 0, 5*testSecondUs)
+	must.SliceEmpty(t, a.WarmingUp(5*testSecondUs))
 }
 
 func TestWarmupShareStaysWithinBoundWithTwoSenderSets(t *testing.T) {
@@ -167,8 +169,8 @@
 func TestEvacuatedZoneGetsNoRequestsAndReturnsCold(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetWarmup("self", testColdBounds, 0)
-	a.SetReturnCold(2 * second)
-	a.SetService("s", runnersInZones("a", "b"), memory, 0)
+	a.SetReturnCold(2 * testSecondUs)
+	a.SetService("s", runnersInZones("a", "b"), testMemoryTokens, 0)
 	a.SetWarmups("s", testColdRate, 0)
 	zones := func(nowUs int64) (zones []string) {
 		for _, c := range a.Candidates(newRequest(16, 1), nowUs) {
@@ -176,19 +178,19 @@
 		}
 		return zones
 	}
-	must.Eq(t, []string{"a", "b"}, zones(10*second))
-	a.SetEvacuated(map[string]bool{"a": true}, 10*second)
-	must.Eq(t, []string{"b"}, zones(10*second))
+	must.Eq(t, []string{"a", "b"}, zones(10*testSecondUs))
+	a.SetEvacuated(map[string]bool{"a": true}, 10*testSecondUs)
+	must.Eq(t, []string{"b"}, zones(10*testSecondUs))
 	must.Eq(t, []string{"a"}, a.EvacuatedZones())
-	a.SetEvacuated(map[string]bool{}, 20*second)
-	must.Len(t, 1, a.WarmingUp(20*second))
-	must.SliceEmpty(t, a.WarmingUp(22*second))
+	a.SetEvacuated(map[string]bool{}, 20*testSecondUs)
+	must.Len(t, 1, a.WarmingUp(20*testSecondUs))
+	must.SliceEmpty(t, a.WarmingUp(22*testSecondUs))
 }
 
 func TestRequestWithHomeRegionsStaysInThem(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetRegions(map[string]string{"a": "north", "b": "south"})
-	a.SetService("s", runnersInZones("a", "b", "c"), memory, 0)
+	a.SetService("s", runnersInZones("a", "b", "c"), testMemoryTokens, 0)
 	for _, c := range []struct {
 		route, tenant []string
 		want          int
@@ -201,6 +203,6 @@
 	} {
 		request := newRequest(16, 1)
 		request.Homes, request.Bound = Homes(c.route, c.tenant)
-		must.Len(t, c.want, a.Candidates(request, second), must.Sprintf("%+v", c))
+		must.Len(t, c.want, a.Candidates(request, testSecondUs), must.Sprintf("%+v", c))
 	}
 }
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -66,14 +66,14 @@
 // runnerWeightsAllowed reports whether the bound allows a request for a model to be sent to
 // a runner. A runner of unknown version counts as one with older weights.
 func (a *Admitter) runnerWeightsAllowed(model string, r *runner, nowUs int64) bool {
-	return !a.pastBound(model, weightsVersion(r.record, model), minSendMarginUs+r.expectedWaitUs(&a.T, nowUs), nowUs)
+	return !a.pastBound(model, weightsVersion(r.record, model), minSendMarginUs+r.expectedWaitUs(&a.Tuning, nowUs), nowUs)
 }
 
 // expectedWaitUs estimates how long a request sent now waits at the runner before it
 // begins.
 func (r *runner) expectedWaitUs(t *Tuning, nowUs int64) int64 {
 	waitUs := float64(r.prefill()) / r.prefillRate(t)
-	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportFreshUs {
+	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportValidUs {
 		waitUs += float64(r.queued) * queuedWaitUs
 	}
 	return int64(min(max(waitUs, 0), maxExpectedWaitUs))
--- a/internal/admission/weights_test.go
+++ b/internal/admission/weights_test.go
@@ -8,92 +8,94 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-const versionUs = 8_000_000
+const testVersionUs = 8_000_000
 
-func age(version, us int64) []messages.TargetAge {
+// targetAge returns the age of one target version of the test model.
+func targetAge(version, us int64) []messages.TargetAge {
 	return []messages.TargetAge{{Model: "m", Version: version, AgeUs: us}}
 }
 
-// boundAdmitter has runners with weights 1, and version 2 was acknowledged at 0.
-func boundAdmitter(ids ...string) *Admitter {
+// newBoundAdmitter returns an admitter whose runners have weights version 1, while version 2
+// was acknowledged at time 0.
+func newBoundAdmitter(ids ...string) *Admitter {
 	admitter := newAdmitter(ids...)
-	admitter.Bound = WeightsBound{VersionUs: versionUs, ContactLossUs: 3_000_000}
+	admitter.Bound = WeightsBound{VersionUs: testVersionUs, ContactLossUs: 3_000_000}
 	admitter.Contact(1)
-	admitter.ObserveTargets(age(2, 1), 1)
+	admitter.ObserveTargets(targetAge(2, 1), 1)
 	return admitter
 }
 
-// withVersion replaces the runner x by one with a version of the weights; 0 means an
-// unknown one.
-func withVersion(admitter *Admitter, version int64) {
+// setRunnerVersion replaces all runners by a runner x with the given weights version; 0
+// means an unknown version.
+func setRunnerVersion(admitter *Admitter, version int64) {
 	n := testRecord("x")
 	n.Models = nil
 	if version > 0 {
 		n.Models = []messages.Target{{Model: "m", Version: version}}
 	}
-	admitter.SetService("s", []messages.RunnerRecord{n}, memory, 2)
+	admitter.SetService("s", []messages.RunnerRecord{n}, testMemoryTokens, 2)
 }
 
 func TestOldWeightsBoundIgnoresCoreChanges(t *testing.T) {
-	admitter := boundAdmitter("x")
-	const bound = versionUs - minSendMarginUs
+	admitter := newBoundAdmitter("x")
+	const bound = testVersionUs - minSendMarginUs
 	for us := int64(250_000); us < bound; us += 250_000 {
-		admitter.Contact(us) // messages come from one controller after another, each new to this node
-		admitter.ObserveTargets(age(2, 0), us)
-		admitter.ObserveTargets(age(2, -1), us)
+		admitter.Contact(us) // messages arrive from different controllers, each new to this node
+		admitter.ObserveTargets(targetAge(2, 0), us)
+		admitter.ObserveTargets(targetAge(2, -1), us)
 		admitter.AssumeTarget("m", 2, us)
 		must.Len(t, 1, admitter.Candidates(newRequest(16, 1), us))
 	}
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound))
-	withVersion(admitter, 2)
+	setRunnerVersion(admitter, 2)
 	r := admitter.Submit(newRequest(16, 1), bound)
 	must.NotNil(t, r.Admit)
 	must.Eq(t, "w2", r.Admit.Salt)
 }
 
 func TestBoundSurvivesRouterRestart(t *testing.T) {
-	before := boundAdmitter("x")
+	before := newBoundAdmitter("x")
 	const restart = 3_000_000
 	after := newAdmitter("x")
 	after.Bound = before.Bound
 	after.Contact(1)
 	after.ObserveTargets(before.TargetAges(restart), 1)
 	must.Len(t, 1, after.Candidates(newRequest(16, 1), 1))
-	must.SliceEmpty(t, after.Candidates(newRequest(16, 1), versionUs-minSendMarginUs-restart+1))
+	must.SliceEmpty(t, after.Candidates(newRequest(16, 1), testVersionUs-minSendMarginUs-restart+1))
 }
 
 func TestTargetOfUnknownAgeIsPastBound(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.ObserveTargets(age(2, -1), 1)
+	admitter.ObserveTargets(targetAge(2, -1), 1)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), 1))
-	admitter.ObserveTargets(age(2, 1_000_000), 2)
+	admitter.ObserveTargets(targetAge(2, 1_000_000), 2)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), 2))
 }
 
 func TestUnknownVersionNotAllowedPastBound(t *testing.T) {
-	admitter := boundAdmitter("x")
-	withVersion(admitter, 0)
-	const bound = versionUs - minSendMarginUs
+	admitter := newBoundAdmitter("x")
+	setRunnerVersion(admitter, 0)
+	const bound = testVersionUs - minSendMarginUs
 	admitter.Contact(bound)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), bound-1))
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound))
 	other := newRequest(16, 1)
-	other.Model = "of which no version was named"
+	other.Model = "model without a target version"
 	must.Len(t, 1, admitter.Candidates(other, bound))
 }
 
 func TestLossOfContactSuspendsBoundUntilContactReturns(t *testing.T) {
-	admitter := boundAdmitter("x")
-	admitter.Contact(versionUs)
-	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), versionUs+2_999_999))
-	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), versionUs+3_000_000))
-	admitter.Contact(versionUs + 3_000_001)
-	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), versionUs+3_000_001))
+	admitter := newBoundAdmitter("x")
+	admitter.Contact(testVersionUs)
+	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), testVersionUs+2_999_999))
+	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), testVersionUs+3_000_000))
+	admitter.Contact(testVersionUs + 3_000_001)
+	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), testVersionUs+3_000_001))
 }
 
 func TestExpectedWaitAtRunnerAdvancesBound(t *testing.T) {
-	admitter := boundAdmitter("x", "y")
-	const shortly = versionUs - minSendMarginUs - 500_000
+	admitter := newBoundAdmitter("x", "y")
+	const shortly = testVersionUs - minSendMarginUs - 500_000
 	admitter.Contact(shortly)
 	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), shortly))
 	admitter.Report(messages.RunnerReport{ID: "x", Queued: 2}, shortly)
@@ -104,39 +106,39 @@
 }
 
 func TestAdmittedRequestIsRecheckedWhenSent(t *testing.T) {
-	admitter := boundAdmitter("x")
-	const bound = versionUs - minSendMarginUs
+	admitter := newBoundAdmitter("x")
+	const bound = testVersionUs - minSendMarginUs
 	admitter.Contact(bound)
 	adm := admitter.Submit(newRequest(16, 1), bound-1).Admit
 	must.NotNil(t, adm)
 	must.True(t, admitter.WeightsAllowed(adm, bound-1_000_000))
 	must.False(t, admitter.WeightsAllowed(adm, bound))
-	withVersion(admitter, 2)
-	must.False(t, admitter.WeightsAllowed(adm, bound), must.Sprint("its salt is for the old weights"))
+	setRunnerVersion(admitter, 2)
+	must.False(t, admitter.WeightsAllowed(adm, bound), must.Sprint("the cache salt of the admission belongs to the old weights"))
 	must.True(t, admitter.WeightsAllowed(admitter.Submit(newRequest(16, 1), bound).Admit, bound))
 }
 
 func TestUnstartedRequestIsWithdrawnBeforeBound(t *testing.T) {
-	admitter := boundAdmitter("x")
+	admitter := newBoundAdmitter("x")
 	adm := admitter.Submit(newRequest(16, 1), 1_000_000).Admit
 	must.NotNil(t, adm)
-	const withdraw = versionUs - withdrawMarginUs
+	const withdraw = testVersionUs - withdrawMarginUs
 	admitter.Contact(withdraw)
 	must.False(t, admitter.MustWithdraw(adm, withdraw-1))
 	must.True(t, admitter.MustWithdraw(adm, withdraw))
 	must.False(t, admitter.MustWithdraw(adm, withdraw+3_000_000), must.Sprint("out of contact"))
-	withVersion(admitter, 2)
-	must.False(t, admitter.MustWithdraw(adm, withdraw), must.Sprint("it begins on the new weights there"))
+	setRunnerVersion(admitter, 2)
+	must.False(t, admitter.MustWithdraw(adm, withdraw), must.Sprint("the request begins on the new weights at the runner"))
 }
 
 func TestLaterTargetDoesNotExtendBoundOfOlderWeights(t *testing.T) {
-	admitter := boundAdmitter("x")
-	const bound = versionUs - minSendMarginUs
+	admitter := newBoundAdmitter("x")
+	const bound = testVersionUs - minSendMarginUs
 	admitter.Contact(bound)
-	admitter.ObserveTargets(age(3, 1_000_000), bound)
-	admitter.ObserveTargets(age(4, 0), bound)
-	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound), must.Sprint("version 2 has been named for longer than the bound"))
-	withVersion(admitter, 2)
+	admitter.ObserveTargets(targetAge(3, 1_000_000), bound)
+	admitter.ObserveTargets(targetAge(4, 0), bound)
+	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound), must.Sprint("version 2 was acknowledged longer ago than the bound"))
+	setRunnerVersion(admitter, 2)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), bound))
 	admitter.Contact(2 * bound)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), 2*bound))
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -18,7 +18,7 @@
 func (a *Admitter) tenant(name string, nowUs int64) *tenantState {
 	t := a.tenants[name]
 	if t == nil {
-		t = &tenantState{window: a.T.WindowStart, bucket: -1, bucketUpdatedUs: nowUs, windowUpdatedUs: nowUs}
+		t = &tenantState{window: a.Tuning.InitialWindow, bucket: -1, bucketUpdatedUs: nowUs, windowUpdatedUs: nowUs}
 		a.tenants[name] = t
 	}
 	return t
@@ -27,7 +27,7 @@
 // allowRate consumes one token of a tenant's bucket and reports whether there was one.
 // The bucket refills from empty in two seconds.
 func (a *Admitter) allowRate(t *tenantState, p *pool, nowUs int64) bool {
-	burst := max(a.T.TenantBurst*float64(a.totalCapacity(p)), 64)
+	burst := max(a.Tuning.TenantBurst*float64(a.totalCapacity(p)), 64)
 	if t.bucket < 0 {
 		t.bucket = burst
 	}
@@ -75,7 +75,7 @@
 func (a *Admitter) updateWindows(nowUs int64) {
 	use, n := 0.0, 0
 	for name, t := range a.tenants {
-		if nowUs-t.windowUpdatedUs < a.T.WindowEveryUs {
+		if nowUs-t.windowUpdatedUs < a.Tuning.WindowIntervalUs {
 			continue
 		}
 		if n == 0 {
@@ -86,9 +86,9 @@
 		if t.promptTokens > 0 {
 			hitShare = t.hitTokens / t.promptTokens
 		}
-		t.window = nextWindow(&a.T, t.window, use, hitShare)
+		t.window = nextWindow(&a.Tuning, t.window, use, hitShare)
 		t.hitTokens, t.promptTokens = t.hitTokens/2, t.promptTokens/2
-		if t.admitted == 0 && t.promptTokens < 1 && t.window >= a.T.WindowStart && t.bucket >= 0 && nowUs-t.bucketUpdatedUs > 60_000_000 {
+		if t.admitted == 0 && t.promptTokens < 1 && t.window >= a.Tuning.InitialWindow && t.bucket >= 0 && nowUs-t.bucketUpdatedUs > 60_000_000 {
 			delete(a.tenants, name)
 		}
 	}
@@ -100,10 +100,10 @@
 	switch {
 	case use < t.LowUse:
 		window += t.WindowAdd
-	case use > t.HighUse && hitShare < t.LowHits:
+	case use > t.HighUse && hitShare < t.LowHitShare:
 		window *= t.WindowCut
 	}
-	return min(max(window, t.WindowMin), t.WindowMax)
+	return min(max(window, t.MinWindow), t.MaxWindow)
 }
 
 // meanUse returns the mean memory use, from 0 to 1, of all runners of known memory.
@@ -112,7 +112,7 @@
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			if r := p.runners[id]; r.blocks > 0 {
-				sum += r.updateBusy(&a.T, nowUs, a.nodes, a.peerLoadsCurrent(nowUs))
+				sum += r.updateBusy(&a.Tuning, nowUs, a.nodes, a.peerLoadsCurrent(nowUs))
 				n++
 			}
 		}
--- a/internal/admission/withheld.go
+++ b/internal/admission/withheld.go
@@ -125,8 +125,8 @@
 	if reason := a.withheldFromAll(p, r, skipUnreachable, nowUs); reason != NotWithheld {
 		return reason
 	}
-	if a.preference(Request{}, r, nowUs) == doubtful {
+	if a.preference(Request{}, r, nowUs) == lastResort {
 		return WithheldDoubtful
 	}
-	return a.withheldForLoad(r, r.active(&a.T, nowUs), connectionShare)
+	return a.withheldForLoad(r, r.active(&a.Tuning, nowUs), connectionShare)
 }
--- a/internal/admission/withheld_test.go
+++ b/internal/admission/withheld_test.go
@@ -26,7 +26,7 @@
 		WithheldPrefill:  func(_ *Admitter, r *runner) { r.prefillBusy = true },
 		WithheldSlots:    func(_ *Admitter, r *runner) { r.ownLoad.count = r.capacity },
 	}
-	must.MapLen(t, int(withheldReasons), cases, must.Sprint("every reason has a case"))
+	must.MapLen(t, int(withheldReasons), cases, must.Sprint("every reason must have a case"))
 	for want, set := range cases {
 		a := New(Defaults, "a", 1)
 		a.SetService("s", []messages.RunnerRecord{{ID: "near", Zone: "a", Capacity: 4}, {ID: "far", Zone: "b", Capacity: 4}}, 10_000, 0)
@@ -43,6 +43,7 @@
 	}
 }
 
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
