--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -32,7 +32,7 @@
 	SetpointUs int64
 	LeftUs     int64
 	Avoid      []string // runners of earlier attempts, which are not candidates
-	Bound      bool     // only runners in one of the regions in Homes are candidates
+	Bound      bool     // only runners in one of the home regions are candidates
 	Homes      []string
 	Canary     bool   // is sent to the software version under trial
 	Class      string // request class; rollout outcomes are compared per class
@@ -51,8 +51,8 @@
 	RejectTTL     Reason = "ttl"
 )
 
-// Decision is the outcome for one request: it is admitted (Admit), queued (Hold) or
-// rejected (Reject, with the HTTP status and the retry delay in microseconds).
+// Decision is the outcome for one request: it is either admitted, queued, or rejected with a
+// reason, an HTTP status and a retry delay in microseconds.
 type Decision struct {
 	Ref     inflight.Ref
 	Admit   *Admission
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Admission is the capacity that a request has reserved at a runner, until Done releases
+// Admission is the capacity that a request has reserved at a runner. Admitter.Done releases
 // it.
 type Admission struct {
 	Runner         messages.RunnerRecord
--- a/internal/admission/tuning.go
+++ b/internal/admission/tuning.go
@@ -8,10 +8,10 @@
 //
 // The Admitter implements the admission of one node; the router calls it. Its input is
 // the runners and limits of each service (SetService, SetStores, SetCertified), reports
-// of runners (Report), the loads of the other nodes (Others, Other), the ages of target
-// weights versions (ObserveTargets), and the outcome of each admitted request
-// (FirstToken, Ended, Done). Submit decides on a new request; Tick decides on queued
-// ones as time passes.
+// of runners (Admitter.Report), the loads of the other nodes (Admitter.Others,
+// Admitter.Other), the ages of target weights versions (ObserveTargets), and the progress
+// of each admitted request (Admitter.FirstToken, Admitter.Ended, Admitter.Done). Submit
+// decides on a new request; Tick decides on queued ones as time passes.
 //
 //   - A request is admitted only to a runner that is below the load thresholds, not
 //     cordoned, certified for the tenant's regime, and whose weights are new enough
