--- a/internal/admission/tuning.go
+++ b/internal/admission/tuning.go
@@ -7,10 +7,9 @@
 // # Input and guarantees
 //
 // The Admitter implements the admission of one node; the router calls it. Its input is
-// the runners and limits of each service (SetService, SetStores, SetCertified), reports
-// of runners (Admitter.Report), the loads of the other nodes (Admitter.Others,
-// Admitter.Other), the ages of target weights versions (ObserveTargets), and the progress
-// of each admitted request (Admitter.FirstToken, Admitter.Ended, Admitter.Done). Submit
+// the runners and limits of each service (SetService, SetStores, SetCertified), the load
+// reports of runners, the loads of the other nodes, the ages of target weights versions
+// (ObserveTargets), and the first token, outcome and end of each admitted request. Submit
 // decides on a new request; Tick decides on queued ones as time passes.
 //
 //   - A request is admitted only to a runner that is below the load thresholds, not
