--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -64,32 +64,32 @@
 
 // Admitter implements the admission of one node. It is not safe for concurrent use.
 type Admitter struct {
-	Tuning           Tuning
-	Zone             string
-	Index            *prefixindex.Index
-	nodes            int
-	pools            map[string]*pool
-	tenants          map[string]*tenantState
-	relinquished     map[string]relinquishment // by zone
-	retiredBelow     map[string]int64          // by model: the lowest weights version that is not retired
-	evacuations      evacuationState
-	unreachable      unreachableZones
-	warmups          warmupConfig
-	regions          map[string]string     // by zone
-	candidateBuffer  []placement.Candidate // backing arrays of the last search's results, reused by the next one
-	runnerBuffer     []*runner
-	random           *rand.Rand                // selects the runners to compare when several nodes share them
-	transferTurn     int                       // round-robin counter over equivalent transfer sources
-	hasCapacity      bool                      // the last search found a runner below its thresholds
-	peerLoadsUs      int64                     // time of the last update of the other nodes' loads; 0: expired
-	expectedPrefixes []messages.CachedPrefixes // prefixes that runners will cache after their prefill; to be sent to the other nodes
-	confirmedAbsent  []string                  // runners whose absence was confirmed; to be sent to the other nodes
-	Bound            WeightsBound
-	targets          targets.Table
-	// contactUs is when the last message arrived from a controller that is in contact
+	Tuning             Tuning
+	Zone               string
+	Index              *prefixindex.Index
+	nodes              int
+	pools              map[string]*pool
+	tenants            map[string]*tenantState
+	relinquished       map[string]relinquishment // by zone
+	retiredBelow       map[string]int64          // by model: the lowest weights version that is not retired
+	evacuations        evacuationState
+	unreachable        unreachableZones
+	warmups            warmupConfig
+	regions            map[string]string     // by zone
+	candidateBuffer    []placement.Candidate // backing arrays of the last search's results, reused by the next one
+	runnerBuffer       []*runner
+	random             *rand.Rand                // selects the runners to compare when several nodes share them
+	transferTurn       int                       // round-robin counter over equivalent transfer sources
+	hasCapacity        bool                      // the last search found a runner below its thresholds
+	peerLoadsUpdatedUs int64                     // time of the last update of the other nodes' loads; 0: expired
+	expectedPrefixes   []messages.CachedPrefixes // prefixes that runners will cache after their prefill; to be sent to the other nodes
+	confirmedAbsent    []string                  // runners whose absence was confirmed; to be sent to the other nodes
+	Bound              WeightsBound
+	targets            targets.Table
+	// lastContactUs is when the last message arrived from a controller that is in contact
 	// with the core.
-	contactUs int64
-	Salt      func(tenant string, isolated bool, regime string, version int64) string
+	lastContactUs int64
+	Salt          func(tenant string, isolated bool, regime string, version int64) string
 }
 
 // New returns the admitter of a node in a zone. The nodes of a fleet should use
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -394,7 +394,7 @@
 	}
 	for _, id := range []string{"x", "y"} {
 		r := admitter.pool("s").runners[id]
-		must.Eq(t, runnerLoad{flow: r.ownLoad.flow, atUs: r.ownLoad.atUs}, r.ownLoad, must.Sprint(id))
+		must.Eq(t, runnerLoad{promptRate: r.ownLoad.promptRate, updatedUs: r.ownLoad.updatedUs}, r.ownLoad, must.Sprint(id))
 		must.MapEmpty(t, r.pins)
 	}
 	must.Eq(t, 0, admitter.tenants["t"].admitted)
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -21,7 +21,7 @@
 	Cached         int
 	Source         string // address of the runner or store to transfer cached blocks from
 	Sink           string // address of the store to send blocks to after prefill
-	atUs           int64
+	admittedUs     int64
 	blocks         int
 	pins           []pin
 	prefillTokens  int
@@ -46,7 +46,7 @@
 }
 
 // sampling returns the random source for sampling candidates, or nil if this is the only
-// node: its view of the loads is then exact, and it compares all candidates.
+// node: its view of the loads is then exact, so that it compares all candidates.
 func (a *Admitter) sampling() *rand.Rand {
 	if a.nodes <= 1 {
 		return nil
@@ -73,7 +73,7 @@
 	r, c := runners[i], candidates[i]
 	version := weightsVersion(r.record, request.Model)
 	salt := a.Salt(request.Tenant, request.Isolated, request.Regime, version)
-	adm := &Admission{Runner: r.record, Salt: salt, Version: version, Cached: c.Cached, Source: c.From, atUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
+	adm := &Admission{Runner: r.record, Salt: salt, Version: version, Cached: c.Cached, Source: c.From, admittedUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
 	blockTokens := a.Tuning.BlockTokens
 	partTokens := 0
 	for j, k := range adm.Keys {
@@ -148,7 +148,7 @@
 	adm.prefilling = false
 	a.pool(adm.service).recordFirstTokenLatency(&a.Tuning, adm, r, nowUs)
 	r.ownLoad.prefill -= adm.prefillTokens
-	if elapsedUs := nowUs - adm.atUs; elapsedUs > 0 && adm.prefillTokens >= 512 && adm.prefillAhead*4 <= adm.prefillTokens {
+	if elapsedUs := nowUs - adm.admittedUs; elapsedUs > 0 && adm.prefillTokens >= 512 && adm.prefillAhead*4 <= adm.prefillTokens {
 		sample := float64(adm.prefillTokens) / float64(elapsedUs)
 		if r.measuredRate <= 0 {
 			r.measuredRate = sample
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -34,11 +34,11 @@
 // of other nodes. The preferred zone is the node's own, or the session's new zone if the
 // session leaves the node's zone.
 func (a *Admitter) newCandidateSearch(request Request, p *pool, nowUs int64) candidateSearch {
-	share := a.connectionShare(p)
+	connectionShare := a.connectionShare(p)
 	a.expirePeerLoads(nowUs)
 	s := candidateSearch{
 		request: request, pool: p, nowUs: nowUs,
-		peersKnown: a.peerLoadsCurrent(nowUs), connectionShare: share,
+		peersKnown: a.peerLoadsCurrent(nowUs), connectionShare: connectionShare,
 		preferredZone: a.Zone, keysOf: a.keysOf(request),
 		skipUnreachable: a.hasReachableRunners(p),
 		blocks:          (request.TokensIn + request.TokensOut + a.Tuning.BlockTokens - 1) / a.Tuning.BlockTokens,
@@ -46,10 +46,10 @@
 	if len(a.relinquished) == 0 {
 		return s
 	}
-	if home := a.targetZone(request, p); home != "" {
+	if targetZone := a.targetZone(request, p); targetZone != "" {
 		s.movesSessions = true
 		if a.Leaves(request, a.Zone, nowUs) {
-			s.preferredZone = home
+			s.preferredZone = targetZone
 		}
 	}
 	return s
@@ -173,20 +173,20 @@
 	if added.cachedTokens < minTransferTokens {
 		return
 	}
-	i := slices.IndexFunc(sources.sources, func(known blockSource) bool { return known.sameCost(&added) })
+	i := slices.IndexFunc(sources.sources, func(existing blockSource) bool { return existing.sameCost(&added) })
 	if i < 0 {
 		sources.sources = append(sources.sources, added)
 		return
 	}
-	known := &sources.sources[i]
+	existing := &sources.sources[i]
 	switch {
-	case added.cachedTokens > known.cachedTokens:
-		*known = added
-	case added.cachedTokens == known.cachedTokens:
-		known.ties++
-		if a.transferTurn++; a.transferTurn%(known.ties+1) == 0 {
-			added.ties = known.ties
-			*known = added
+	case added.cachedTokens > existing.cachedTokens:
+		*existing = added
+	case added.cachedTokens == existing.cachedTokens:
+		existing.ties++
+		if a.transferTurn++; a.transferTurn%(existing.ties+1) == 0 {
+			added.ties = existing.ties
+			*existing = added
 		}
 	}
 }
@@ -267,8 +267,8 @@
 const lastResort = preferenceClasses - 1
 
 // preference returns the preference class of a runner for a request: 0 (best) in
-// general, 1 if the runner is draining long requests and the request is long, 2 if the
-// runner is stale, avoided or ejected.
+// general, 1 if the runner is draining for long requests and the request is long, 2 if
+// the runner is stale, avoided or ejected.
 func (a *Admitter) preference(request Request, r *runner, nowUs int64) int {
 	switch {
 	case r.record.Stale || r.avoidUntilUs > nowUs || r.health.ejected(nowUs):
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -45,12 +45,12 @@
 	}
 	must.False(t, candidateIDs(admitter, now)["r3"])
 	must.MapLen(t, 9, candidateIDs(admitter, now))
-	back := now + ejectionUs
-	must.True(t, candidateIDs(admitter, back)["r3"])
-	for _, c := range admitter.Candidates(newRequest(16, 1), back+1) {
+	ejectionEnd := now + ejectionUs
+	must.True(t, candidateIDs(admitter, ejectionEnd)["r3"])
+	for _, c := range admitter.Candidates(newRequest(16, 1), ejectionEnd+1) {
 		must.Eq(t, c.ID == "r3", c.DoubtUs > 0)
 	}
-	now = back + outcomeWindowUs
+	now = ejectionEnd + outcomeWindowUs
 	for _, id := range ids {
 		for i := range 4 {
 			admitter.endRequest(id, id != "r3" || i%2 == 0, now)
@@ -61,7 +61,7 @@
 	must.Eq(t, 0.0, admitter.pool("s").runners["r3"].health.slowStartCostUs(now+2*ejectionUs+slowStartUs))
 }
 
-func TestEjectionsAreLimitedAndNoneWhenAllFail(t *testing.T) {
+func TestEjectionsAreLimitedAndNoneWhenAllRunnersFail(t *testing.T) {
 	admitter, ids := newAdmitterWithTenRunners()
 	for i, id := range ids {
 		for range 4 {
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -13,7 +13,7 @@
 func (a *Admitter) Report(n messages.RunnerReport, nowUs int64) {
 	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
-			r.reportedLoad = runnerLoad{blocks: n.Used / a.Tuning.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
+			r.reportedLoad = runnerLoad{blocks: n.Used / a.Tuning.BlockTokens, count: n.Active + n.Queued, updatedUs: nowUs}
 			r.hasReport, r.queued = true, n.Queued
 			if n.Total > 0 {
 				r.blocks = n.Total / a.Tuning.BlockTokens
@@ -24,8 +24,8 @@
 
 // ExpectBlocks adds the prefixes that runners are about to cache for requests of other
 // nodes to the index.
-func (a *Admitter) ExpectBlocks(notes []messages.CachedPrefixes) {
-	for _, n := range notes {
+func (a *Admitter) ExpectBlocks(prefixes []messages.CachedPrefixes) {
+	for _, n := range prefixes {
 		for _, part := range n.Parts {
 			a.Index.Expect(n.ID, part.Key, part.Tokens)
 		}
@@ -54,7 +54,7 @@
 // LoadsUpdated records that the loads of the other nodes are up to date at nowUs, and
 // ejects outliers by their outcomes.
 func (a *Admitter) LoadsUpdated(nowUs int64) {
-	a.peerLoadsUs = nowUs
+	a.peerLoadsUpdatedUs = nowUs
 	for _, p := range a.pools {
 		p.ejectOutliers(nowUs)
 	}
@@ -62,10 +62,10 @@
 
 // expirePeerLoads clears the loads of the other nodes if they are outdated.
 func (a *Admitter) expirePeerLoads(nowUs int64) {
-	if a.peerLoadsUs == 0 || a.peerLoadsCurrent(nowUs) {
+	if a.peerLoadsUpdatedUs == 0 || a.peerLoadsCurrent(nowUs) {
 		return
 	}
-	a.peerLoadsUs = 0
+	a.peerLoadsUpdatedUs = 0
 	for _, p := range a.pools {
 		for _, r := range p.runners {
 			r.peerLoad = runnerLoad{}
@@ -76,7 +76,7 @@
 // peerLoadsCurrent reports whether the loads of the other nodes were updated within
 // Tuning.ReportValidUs.
 func (a *Admitter) peerLoadsCurrent(nowUs int64) bool {
-	return a.peerLoadsUs > 0 && nowUs-a.peerLoadsUs < a.Tuning.ReportValidUs
+	return a.peerLoadsUpdatedUs > 0 && nowUs-a.peerLoadsUpdatedUs < a.Tuning.ReportValidUs
 }
 
 // Blind returns the sorted identities of the runners whose load thresholds are unreliable:
@@ -87,7 +87,7 @@
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if r.blocks == 0 || !r.hasReport || nowUs-r.reportedLoad.atUs > 3*a.Tuning.ReportValidUs {
+			if r.blocks == 0 || !r.hasReport || nowUs-r.reportedLoad.updatedUs > 3*a.Tuning.ReportValidUs {
 				out = append(out, id)
 			}
 		}
@@ -96,9 +96,9 @@
 	return out
 }
 
-// flowStep is the unit, in prompt tokens per second, to which the published prompt token
+// promptRateStep is the unit, in prompt tokens per second, to which the published prompt token
 // rate is rounded, so that small variations do not cause updates.
-const flowStep = 250
+const promptRateStep = 250
 
 // rateSteps is the number of steps per token per microsecond to which the published prefill rate
 // is rounded. It is a power of two, so that the encoded number ends with zeros, which compress to
@@ -111,10 +111,10 @@
 	out := map[string]messages.RunnerLoad{}
 	for _, p := range a.pools {
 		for id, r := range p.runners {
-			flow := int(r.ownFlow(nowUs)/flowStep+0.5) * flowStep
+			promptRate := int(r.ownPromptRate(nowUs)/promptRateStep+0.5) * promptRateStep
 			outcomes := r.health.own(nowUs)
-			if r.ownLoad.count > 0 || flow > 0 || outcomes.total > 0 {
-				out[id] = messages.RunnerLoad{ID: id, Tried: outcomes.total, Failed: outcomes.failed, Blocks: r.ownLoad.blocks, Prefill: r.ownLoad.prefill, Count: r.ownLoad.count, Rate: math.Round(r.measuredRate*rateSteps) / rateSteps, Flow: flow}
+			if r.ownLoad.count > 0 || promptRate > 0 || outcomes.total > 0 {
+				out[id] = messages.RunnerLoad{ID: id, Tried: outcomes.total, Failed: outcomes.failed, Blocks: r.ownLoad.blocks, Prefill: r.ownLoad.prefill, Count: r.ownLoad.count, Rate: math.Round(r.measuredRate*rateSteps) / rateSteps, Flow: promptRate}
 			}
 		}
 	}
--- a/internal/admission/rollout.go
+++ b/internal/admission/rollout.go
@@ -15,7 +15,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Parameters of the canary stage of a rollout.
+// Parameters of the comparison of versions during a rollout.
 const (
 	perMille = 1000
 	// canaryLoadFactor is the load of the canary runners relative to that of other runners. It is
@@ -40,8 +40,8 @@
 func (o *rollout) hasTargetVersion(r *runner) bool { return r.record.Version == o.Target }
 
 // SetRollouts sets the newest rollout of each service.
-func (a *Admitter) SetRollouts(list []messages.ServiceRollout) {
-	for _, next := range list {
+func (a *Admitter) SetRollouts(rollouts []messages.ServiceRollout) {
+	for _, next := range rollouts {
 		p := a.pool(next.Service)
 		if p.rollout == nil || p.rollout.Number != next.Number {
 			p.rollout = &rollout{outcomes: map[canary.Key]canary.Outcome{}}
@@ -144,7 +144,7 @@
 // are left out, because they are slow whatever their version.
 func (p *pool) recordFirstTokenLatency(t *Tuning, adm *Admission, r *runner, nowUs int64) {
 	if p.rollout != nil && p.rollout.stage().Running() && !p.warmingUp(r, nowUs) {
-		adm.slowFirstToken = nowUs-adm.atUs > p.slowAfterUs(t, adm.tokensIn)
+		adm.slowFirstToken = nowUs-adm.admittedUs > p.slowAfterUs(t, adm.tokensIn)
 	}
 }
 
--- a/internal/admission/rollout_test.go
+++ b/internal/admission/rollout_test.go
@@ -38,10 +38,10 @@
 func TestRolloutStageSelectsCandidateVersions(t *testing.T) {
 	request, canaryRequest := Request{Service: "s", TokensIn: 10}, Request{Service: "s", TokensIn: 10, Canary: true}
 	for _, c := range []struct {
-		name         string
-		stage        canary.Stage
-		old, fresh   int
-		usual, drawn map[string]int
+		name                          string
+		stage                         canary.Stage
+		old, updated                  int
+		usualVersions, canaryVersions map[string]int
 	}{
 		{"tried on few runners", canary.Trying, 40, 40, map[string]int{"v1": 40}, map[string]int{"v2": 2}},
 		{"tried without runners", canary.Trying, 40, 0, map[string]int{"v1": 40}, map[string]int{"v1": 40}},
@@ -51,9 +51,9 @@
 		{"reverted", canary.Reverted, 4, 4, map[string]int{"v1": 4}, map[string]int{"v1": 4}},
 		{"reverted, and no other is left", canary.Reverted, 0, 4, map[string]int{}, map[string]int{}},
 	} {
-		a := newRolloutAdmitter(c.stage, c.old, c.fresh)
-		must.Eq(t, c.usual, candidatesByVersion(a, request), must.Sprint(c.name))
-		must.Eq(t, c.drawn, candidatesByVersion(a, canaryRequest), must.Sprint(c.name))
+		a := newRolloutAdmitter(c.stage, c.old, c.updated)
+		must.Eq(t, c.usualVersions, candidatesByVersion(a, request), must.Sprint(c.name))
+		must.Eq(t, c.canaryVersions, candidatesByVersion(a, canaryRequest), must.Sprint(c.name))
 	}
 }
 
--- a/internal/admission/runner.go
+++ b/internal/admission/runner.go
@@ -10,11 +10,11 @@
 )
 
 // runnerLoad is a load at a runner: memory blocks, prompt tokens that wait for prefill,
-// and requests.
+// requests, and the rate of prompt tokens.
 type runnerLoad struct {
 	blocks, prefill, count int
-	flow                   float64 // prompt tokens per second sent there, as a decaying average
-	atUs                   int64
+	promptRate             float64 // prompt tokens per second sent there, as a decaying average
+	updatedUs              int64
 }
 
 // runner is the admission state of one runner.
@@ -40,10 +40,10 @@
 	warmup          warmup
 }
 
-// recentRequest is a request that was sent too recently for the runner's last report to
-// be sure to include it.
+// recentRequest is a request sent recently, which the runner's last report may not include,
+// and the blocks that it needs.
 type recentRequest struct {
-	atUs   int64
+	sentUs int64
 	blocks int
 }
 
@@ -72,14 +72,14 @@
 // the minimum. Otherwise it uses the loads of all nodes, if those are recent, or else this
 // node's load multiplied by the number of nodes.
 func (r *runner) usedBlocks(t *Tuning, nowUs int64, nodes int, peersKnown bool) int {
-	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportValidUs {
-		since := 0
-		for _, s := range r.recentRequests {
-			if s.atUs > r.reportedLoad.atUs-500_000 {
-				since += s.blocks
+	if r.hasReport && nowUs-r.reportedLoad.updatedUs < t.ReportValidUs {
+		sinceBlocks := 0
+		for _, request := range r.recentRequests {
+			if request.sentUs > r.reportedLoad.updatedUs-500_000 {
+				sinceBlocks += request.blocks
 			}
 		}
-		return max(r.ownLoad.blocks, r.reportedLoad.blocks+since)
+		return max(r.ownLoad.blocks, r.reportedLoad.blocks+sinceBlocks)
 	}
 	if !peersKnown && nodes > 1 {
 		return r.ownLoad.blocks * nodes
@@ -91,7 +91,7 @@
 // which sums without some nodes' loads may have, count as 0.
 func (r *runner) setPeerLoad(l messages.RunnerLoad) {
 	r.health.peers = outcomes{max(l.Tried, 0), max(l.Failed, 0)}
-	r.peerLoad = runnerLoad{blocks: max(l.Blocks, 0), prefill: max(l.Prefill, 0), count: max(l.Count, 0), flow: max(float64(l.Flow), 0)}
+	r.peerLoad = runnerLoad{blocks: max(l.Blocks, 0), prefill: max(l.Prefill, 0), count: max(l.Count, 0), promptRate: max(float64(l.Flow), 0)}
 	if l.Rate > 0 && r.measuredRate <= 0 {
 		r.measuredRate = l.Rate
 	}
@@ -101,7 +101,7 @@
 // nodes, or the runner's own count if that is recent and greater.
 func (r *runner) active(t *Tuning, nowUs int64) int {
 	sum := r.ownLoad.count + r.peerLoad.count
-	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportValidUs {
+	if r.hasReport && nowUs-r.reportedLoad.updatedUs < t.ReportValidUs {
 		return max(sum, r.reportedLoad.count)
 	}
 	return sum
@@ -110,25 +110,25 @@
 // prefill returns the prompt tokens of all nodes that wait for prefill at the runner.
 func (r *runner) prefill() int { return r.ownLoad.prefill + r.peerLoad.prefill }
 
-// flowUs is the decay time constant of the prompt token rate, in microseconds.
-const flowUs = 2_000_000
+// promptRateDecayUs is the decay time constant of the prompt token rate, in microseconds.
+const promptRateDecayUs = 2_000_000
 
 // recordSent adds the tokens of a prompt to this node's prompt token rate at the runner.
 func (r *runner) recordSent(tokens int, nowUs int64) {
-	r.ownLoad.flow = r.ownFlow(nowUs) + float64(tokens)*1e6/flowUs
-	r.ownLoad.atUs = nowUs
+	r.ownLoad.promptRate = r.ownPromptRate(nowUs) + float64(tokens)*1e6/promptRateDecayUs
+	r.ownLoad.updatedUs = nowUs
 }
 
-// ownFlow returns this node's prompt token rate at the runner, in tokens per second,
+// ownPromptRate returns this node's prompt token rate at the runner, in tokens per second,
 // decayed to nowUs.
-func (r *runner) ownFlow(nowUs int64) float64 {
-	return r.ownLoad.flow * math.Exp(-float64(nowUs-r.ownLoad.atUs)/flowUs)
+func (r *runner) ownPromptRate(nowUs int64) float64 {
+	return r.ownLoad.promptRate * math.Exp(-float64(nowUs-r.ownLoad.updatedUs)/promptRateDecayUs)
 }
 
 // prefillLoad returns the share of the runner's time spent on the prefill of the prompts
 // of all nodes.
 func (r *runner) prefillLoad(t *Tuning, nowUs int64) float64 {
-	return (r.ownFlow(nowUs) + r.peerLoad.flow) / 1e6 / r.prefillRate(t)
+	return (r.ownPromptRate(nowUs) + r.peerLoad.promptRate) / 1e6 / r.prefillRate(t)
 }
 
 // prefillRate returns the measured prefill rate in tokens per microsecond, or a default
@@ -163,7 +163,7 @@
 // trimRecentRequests removes requests older than two seconds.
 func (r *runner) trimRecentRequests(nowUs int64) {
 	i := 0
-	for i < len(r.recentRequests) && nowUs-r.recentRequests[i].atUs > 2_000_000 {
+	for i < len(r.recentRequests) && nowUs-r.recentRequests[i].sentUs > 2_000_000 {
 		i++
 	}
 	r.recentRequests = r.recentRequests[i:]
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -20,12 +20,12 @@
 // in the set.
 func (a *Admitter) SetRelinquished(zones map[string]int64, nowUs int64) {
 	next := map[string]relinquishment{}
-	for zone, overUs := range zones {
+	for zone, durationUs := range zones {
 		entry, known := a.relinquished[zone]
 		if !known {
 			entry.sinceUs = nowUs
 		}
-		entry.durationUs = overUs
+		entry.durationUs = durationUs
 		next[zone] = entry
 	}
 	a.relinquished = next
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -54,12 +54,12 @@
 	admitter := newZonedAdmitter()
 	admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, 1_000_000)
 	left := map[int]bool{}
-	for _, at := range []int64{1_000_000, 3_500_000, 6_000_000, 8_500_000, 11_000_000} {
+	for _, nowUs := range []int64{1_000_000, 3_500_000, 6_000_000, 8_500_000, 11_000_000} {
 		for i := range testSessions {
-			leaves := admitter.Leaves(sessionRequest(i), "a", at)
+			leaves := admitter.Leaves(sessionRequest(i), "a", nowUs)
 			must.False(t, left[i] && !leaves, must.Sprint("session returned: ", i))
 			left[i] = left[i] || leaves
-			must.False(t, admitter.Leaves(sessionRequest(i), "b", at))
+			must.False(t, admitter.Leaves(sessionRequest(i), "b", nowUs))
 		}
 		n := 0
 		for _, l := range left {
@@ -67,9 +67,9 @@
 				n++
 			}
 		}
-		want := int(float64(testSessions) * float64(at-1_000_000) / 10_000_000)
-		must.Between(t, want-40, n, want+40, must.Sprint("at ", at))
-		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, at) // the next configuration contains the zone again
+		want := int(float64(testSessions) * float64(nowUs-1_000_000) / 10_000_000)
+		must.Between(t, want-40, n, want+40, must.Sprint("at ", nowUs))
+		admitter.SetRelinquished(map[string]int64{"a": 10_000_000}, nowUs) // the next configuration contains the zone again
 	}
 	for i := range 40 {
 		must.NotEq(t, "a", admittedZone(t, admitter, i, 12_000_000))
@@ -99,10 +99,10 @@
 	first.SetService("s", runnersInZones("a", "b", "c", "d", "b", "c"), testMemoryTokens, 0.01)
 	first.SetRelinquished(map[string]int64{"a": 0, "b": 0}, 2)
 	for i := range testSessions {
-		home := first.targetZone(sessionRequest(i), first.pool("s"))
-		must.NotEq(t, "b", home)
+		targetZone := first.targetZone(sessionRequest(i), first.pool("s"))
+		must.NotEq(t, "b", targetZone)
 		if targets[i] == "c" {
-			must.True(t, home == "c" || home == "d", must.Sprint("sessions may only stay or move to the new zone"))
+			must.True(t, targetZone == "c" || targetZone == "d", must.Sprint("sessions may only stay or move to the new zone"))
 		}
 	}
 	first.SetService("s", runnersInZones("a", "b", "c", "c", "b", "c"), testMemoryTokens, 0.01)
--- a/internal/admission/unreachable.go
+++ b/internal/admission/unreachable.go
@@ -8,15 +8,15 @@
 
 // unreachableZones holds which zones are unreachable from this node, or were.
 type unreachableZones struct {
-	unreachableSinceUs map[string]int64 // start of the unreachability, by unreachable zone
-	reachableAgainUs   map[string]int64 // time at which other zones became reachable again
+	sinceUs          map[string]int64 // start of the unreachability, by unreachable zone
+	reachableAgainUs map[string]int64 // time at which other zones became reachable again
 }
 
 // SetUnreachable sets the unreachable zones, with the time since when each is. When a zone becomes
 // reachable again, the recorded failures of its runners are cleared, because the network may have
 // caused them.
 func (a *Admitter) SetUnreachable(zones map[string]int64, nowUs int64) {
-	for zone := range a.unreachable.unreachableSinceUs {
+	for zone := range a.unreachable.sinceUs {
 		if _, stillUnreachable := zones[zone]; stillUnreachable {
 			continue
 		}
@@ -26,7 +26,7 @@
 		a.unreachable.reachableAgainUs[zone] = nowUs
 		a.clearZoneFailures(zone)
 	}
-	a.unreachable.unreachableSinceUs = zones
+	a.unreachable.sinceUs = zones
 }
 
 // clearZoneFailures clears the outcomes, ejections and backoffs of the runners of a zone.
@@ -42,7 +42,7 @@
 
 // zoneUnreachable reports whether a zone is unreachable.
 func (a *Admitter) zoneUnreachable(zone string) bool {
-	_, ok := a.unreachable.unreachableSinceUs[zone]
+	_, ok := a.unreachable.sinceUs[zone]
 	return ok
 }
 
@@ -58,7 +58,7 @@
 // hasReachableRunners reports whether zones are unreachable, and the service has runners outside
 // them, so that those in unreachable zones need not be tried.
 func (a *Admitter) hasReachableRunners(p *pool) bool {
-	if len(a.unreachable.unreachableSinceUs) == 0 {
+	if len(a.unreachable.sinceUs) == 0 {
 		return false
 	}
 	for _, id := range p.order {
--- a/internal/admission/warmup.go
+++ b/internal/admission/warmup.go
@@ -1,5 +1,5 @@
-// Warm-up: a runner that is cold, because it has just started or for another reason, can serve
-// only a few requests per second from all nodes together. A few nodes, its senders, share that
+// Warm-up: a runner that has just started, or has become cold again, can serve only a few requests
+// per second from all nodes together. A few nodes, its senders, share that
 // rate; the other nodes send no requests to it until it is warm. Every node chooses the senders
 // by rendezvous hashing, without messages, so that the choice works on both sides of a network
 // partition. docs/design/warm-up.md derives each sender's share.
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -46,12 +46,12 @@
 func (a *Admitter) TargetAges(nowUs int64) []messages.TargetAge { return a.targets.Ages(nowUs) }
 
 // Contact records a message from a controller that is in contact with the core.
-func (a *Admitter) Contact(nowUs int64) { a.contactUs = max(a.contactUs, nowUs) }
+func (a *Admitter) Contact(nowUs int64) { a.lastContactUs = max(a.lastContactUs, nowUs) }
 
 // outOfContact reports whether the bound is suspended. Only this node's own loss of contact
 // suspends it, not changes of the core's membership.
 func (a *Admitter) outOfContact(nowUs int64) bool {
-	return a.Bound.ContactLossUs > 0 && nowUs-a.contactUs >= a.Bound.ContactLossUs
+	return a.Bound.ContactLossUs > 0 && nowUs-a.lastContactUs >= a.Bound.ContactLossUs
 }
 
 // pastBound reports whether a version of a model's weights is too old for requests that
@@ -73,7 +73,7 @@
 // begins.
 func (r *runner) expectedWaitUs(t *Tuning, nowUs int64) int64 {
 	waitUs := float64(r.prefill()) / r.prefillRate(t)
-	if r.hasReport && nowUs-r.reportedLoad.atUs < t.ReportValidUs {
+	if r.hasReport && nowUs-r.reportedLoad.updatedUs < t.ReportValidUs {
 		waitUs += float64(r.queued) * queuedWaitUs
 	}
 	return int64(min(max(waitUs, 0), maxExpectedWaitUs))
--- a/internal/admission/weights_test.go
+++ b/internal/admission/weights_test.go
@@ -55,13 +55,13 @@
 
 func TestBoundSurvivesRouterRestart(t *testing.T) {
 	before := newBoundAdmitter("x")
-	const restart = 3_000_000
+	const restartUs = 3_000_000
 	after := newAdmitter("x")
 	after.Bound = before.Bound
 	after.Contact(1)
-	after.ObserveTargets(before.TargetAges(restart), 1)
+	after.ObserveTargets(before.TargetAges(restartUs), 1)
 	must.Len(t, 1, after.Candidates(newRequest(16, 1), 1))
-	must.SliceEmpty(t, after.Candidates(newRequest(16, 1), testVersionUs-minSendMarginUs-restart+1))
+	must.SliceEmpty(t, after.Candidates(newRequest(16, 1), testVersionUs-minSendMarginUs-restartUs+1))
 }
 
 func TestTargetOfUnknownAgeIsPastBound(t *testing.T) {
@@ -95,14 +95,14 @@
 
 func TestExpectedWaitAtRunnerAdvancesBound(t *testing.T) {
 	admitter := newBoundAdmitter("x", "y")
-	const shortly = testVersionUs - minSendMarginUs - 500_000
-	admitter.Contact(shortly)
-	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), shortly))
-	admitter.Report(messages.RunnerReport{ID: "x", Queued: 2}, shortly)
-	list := admitter.Candidates(newRequest(16, 1), shortly)
+	const beforeBoundUs = testVersionUs - minSendMarginUs - 500_000
+	admitter.Contact(beforeBoundUs)
+	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), beforeBoundUs))
+	admitter.Report(messages.RunnerReport{ID: "x", Queued: 2}, beforeBoundUs)
+	list := admitter.Candidates(newRequest(16, 1), beforeBoundUs)
 	must.Len(t, 1, list)
 	must.Eq(t, "y", list[0].ID)
-	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), shortly-500_000))
+	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), beforeBoundUs-500_000))
 }
 
 func TestAdmittedRequestIsRecheckedWhenSent(t *testing.T) {
@@ -122,13 +122,13 @@
 	admitter := newBoundAdmitter("x")
 	adm := admitter.Submit(newRequest(16, 1), 1_000_000).Admit
 	must.NotNil(t, adm)
-	const withdraw = testVersionUs - withdrawMarginUs
-	admitter.Contact(withdraw)
-	must.False(t, admitter.MustWithdraw(adm, withdraw-1))
-	must.True(t, admitter.MustWithdraw(adm, withdraw))
-	must.False(t, admitter.MustWithdraw(adm, withdraw+3_000_000), must.Sprint("out of contact"))
+	const withdrawUs = testVersionUs - withdrawMarginUs
+	admitter.Contact(withdrawUs)
+	must.False(t, admitter.MustWithdraw(adm, withdrawUs-1))
+	must.True(t, admitter.MustWithdraw(adm, withdrawUs))
+	must.False(t, admitter.MustWithdraw(adm, withdrawUs+3_000_000), must.Sprint("out of contact"))
 	setRunnerVersion(admitter, 2)
-	must.False(t, admitter.MustWithdraw(adm, withdraw), must.Sprint("the request begins on the new weights at the runner"))
+	must.False(t, admitter.MustWithdraw(adm, withdrawUs), must.Sprint("the request begins on the new weights at the runner"))
 }
 
 func TestLaterTargetDoesNotExtendBoundOfOlderWeights(t *testing.T) {
