--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -1,5 +1,5 @@
-// Candidates: the runners that may get a request now, and from which other runner or
-// store each could transfer cached blocks of its prompt.
+// Candidates: the runners that may receive a request now, each with the runner or store
+// from which it could fetch cached blocks of the prompt.
 
 package admission
 
@@ -12,113 +12,115 @@
 
 // Candidates returns the runners that a request may be sent to now.
 func (a *Admitter) Candidates(request Request, nowUs int64) []placement.Candidate {
-	list, _ := a.findCandidates(request, a.pool(request.Service), nowUs)
-	return slices.Clone(list)
+	candidates, _ := a.findCandidates(request, a.pool(request.Service), nowUs)
+	return slices.Clone(candidates)
 }
 
-// search is what one search for candidates goes by.
-type search struct {
-	request       Request
-	pool          *pool
-	nowUs         int64
-	peersKnown    bool // the loads of the other nodes are recent
-	linkShare     int  // requests that this node may have at one runner; 0: any number
-	preferredZone string
-	avoidsZones   bool // runners in unreachable zones get nothing
-	relinquishing bool // sessions that leave their zone have another one to go to
-	blocks        int  // memory that the request needs without a cached prefix
-	keysOf        func(version int64) []uint64
+// candidateSearch holds the parameters of one search for candidates.
+type candidateSearch struct {
+	request         Request
+	pool            *pool
+	nowUs           int64
+	peersKnown      bool // the loads of the other nodes are recent
+	connectionShare int  // maximum concurrent requests of this node at one runner; 0: no limit
+	preferredZone   string
+	skipUnreachable bool // runners in unreachable zones are not candidates
+	movesSessions   bool // sessions of relinquished zones move, as another zone is available
+	blocks          int  // memory that the request needs without any cached prefix
+	keysOf          func(version int64) []uint64
 }
 
-// newSearch begins a search: it expires the loads of other nodes and finds the zone to
-// prefer.
-func (a *Admitter) newSearch(request Request, p *pool, nowUs int64) search {
-	share := a.linkShare(p)
+// newCandidateSearch returns the parameters of a search. It first clears outdated loads
+// of other nodes. The preferred zone is the node's own, or the session's new zone if the
+// session leaves the node's zone.
+func (a *Admitter) newCandidateSearch(request Request, p *pool, nowUs int64) candidateSearch {
+	connectionShare := a.connectionShare(p)
 	a.expirePeerLoads(nowUs)
-	s := search{
+	s := candidateSearch{
 		request: request, pool: p, nowUs: nowUs,
-		peersKnown: a.peerLoadsCurrent(nowUs), linkShare: share,
+		peersKnown: a.peerLoadsCurrent(nowUs), connectionShare: connectionShare,
 		preferredZone: a.Zone, keysOf: a.keysOf(request),
-		avoidsZones: a.reachesOthers(p),
-		blocks:      (request.TokensIn + request.TokensOut + a.T.BlockTokens - 1) / a.T.BlockTokens,
+		skipUnreachable: a.hasReachableRunners(p),
+		blocks:          (request.TokensIn + request.TokensOut + a.Tuning.BlockTokens - 1) / a.Tuning.BlockTokens,
 	}
 	if len(a.relinquished) == 0 {
 		return s
 	}
-	if home := a.home(request, p); home != "" {
-		s.relinquishing = true
+	if targetZone := a.targetZone(request, p); targetZone != "" {
+		s.movesSessions = true
 		if a.Leaves(request, a.Zone, nowUs) {
-			s.preferredZone = home
+			s.preferredZone = targetZone
 		}
 	}
 	return s
 }
 
-// preferences is the number of values of preference.
-const preferences = 3
+// preferenceClasses is the number of preference classes, from 0 (best).
+const preferenceClasses = 3
 
-// findCandidates returns the runners that a request may go to; the result is valid until
-// the next call. Runners of a later preference are used only if there is none of an
-// earlier one.
+// findCandidates returns the runners that a request may be sent to. The result is valid
+// until the next call. Runners of a lower preference are used only if no candidate has a
+// higher one.
 func (a *Admitter) findCandidates(request Request, p *pool, nowUs int64) ([]placement.Candidate, []*runner) {
-	list, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
+	candidates, runners := a.candidateBuffer[:0], a.runnerBuffer[:0]
 	a.hasCapacity = false
-	s := a.newSearch(request, p, nowUs)
-	for pass := range preferences {
+	s := a.newCandidateSearch(request, p, nowUs)
+	for preference := range preferenceClasses {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if !a.eligible(&s, r, pass) {
+			if !a.eligible(&s, r, preference) {
 				continue
 			}
 			if candidate, fits := a.candidateAt(&s, r); fits {
-				list, runners = append(list, candidate), append(runners, r)
+				candidates, runners = append(candidates, candidate), append(runners, r)
 			}
 		}
-		if len(list) > 0 {
+		if len(candidates) > 0 {
 			break
 		}
 	}
-	if p.moveUs > 0 && len(request.Parts) > 0 {
-		a.findTransfers(&s, list, runners)
+	if p.transferUsPerToken > 0 && len(request.Parts) > 0 {
+		a.findTransfers(&s, candidates, runners)
 	}
-	a.candidateBuffer, a.runnerBuffer = list, runners
-	return list, runners
+	a.candidateBuffer, a.runnerBuffer = candidates, runners
+	return candidates, runners
 }
 
-// eligible reports whether a request may be sent to a runner of this preference, whatever the
-// runner's load.
-func (a *Admitter) eligible(s *search, r *runner, preference int) bool {
+// eligible reports whether a runner may receive a request and is in the given preference
+// class, regardless of its load.
+func (a *Admitter) eligible(s *candidateSearch, r *runner, preference int) bool {
 	reason, byVersion := a.withheldFrom(s, r)
 	return reason == NotWithheld && preference == max(byVersion, a.preference(s.request, r, s.nowUs))
 }
 
-// candidateAt returns the candidate that a runner is, and whether the request fits there:
-// the runner is below its thresholds and has memory for the request.
-func (a *Admitter) candidateAt(s *search, r *runner) (candidate placement.Candidate, fits bool) {
-	use := r.updateBusy(&a.T, s.nowUs, a.nodes, s.peersKnown)
-	active := r.active(&a.T, s.nowUs)
-	if a.withheldForLoad(r, active, s.linkShare) != NotWithheld {
+// candidateAt returns the candidate for a runner, and whether the request fits there: the
+// runner is below its thresholds and has enough memory. A runner without other requests
+// accepts a request of any size.
+func (a *Admitter) candidateAt(s *candidateSearch, r *runner) (candidate placement.Candidate, fits bool) {
+	memoryUse := r.updateBusy(&a.Tuning, s.nowUs, a.nodes, s.peersKnown)
+	active := r.active(&a.Tuning, s.nowUs)
+	if a.withheldForLoad(r, active, s.connectionShare) != NotWithheld {
 		return placement.Candidate{}, false
 	}
 	id := r.record.ID
 	cached := a.Index.Expected(id, s.keysOf(weightsVersion(r.record, s.request.Model)), s.request.Parts)
 	a.hasCapacity = true
-	if r.blocks > 0 && active > 0 && use+float64(s.blocks-cached/a.T.BlockTokens)/float64(r.blocks) > maxUseAfter {
+	if r.blocks > 0 && active > 0 && memoryUse+float64(s.blocks-cached/a.Tuning.BlockTokens)/float64(r.blocks) > maxUseAfter {
 		return placement.Candidate{}, false
 	}
 	return placement.Candidate{
 		ID: id, NearSite: r.record.Zone == s.preferredZone, Cached: cached, Prefill: r.prefill(),
-		Active: active, Capacity: r.capacity, Used: use, Rate: r.prefillRate(&a.T),
-		Reading: r.prefillLoad(&a.T, s.nowUs), DoubtUs: r.health.doubtUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
+		Active: active, Capacity: r.capacity, Used: memoryUse, Rate: r.prefillRate(&a.Tuning),
+		Reading: r.prefillLoad(&a.Tuning, s.nowUs), DoubtUs: r.health.slowStartCostUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
 	}, true
 }
 
-// maxUseAfter is the highest memory use of a runner with other requests that a new
-// request may lead to.
+// maxUseAfter is the maximum memory use, as a share, of a runner with other requests once
+// a new request is added.
 const maxUseAfter = 0.98
 
-// keysOf returns a function that gives the keys of a request's parts under a version of
-// the weights; the keys of each version are computed once.
+// keysOf returns a function that returns the prefix keys of a request's parts for a
+// weights version. The keys of each version are computed once.
 func (a *Admitter) keysOf(request Request) func(version int64) []uint64 {
 	var versions []int64
 	var keys [][]uint64
@@ -134,142 +136,144 @@
 	}
 }
 
-// Costs of a transfer of cached blocks: its start in microseconds, and how much longer
-// it takes between zones. Fewer than minTransferTokens are not transferred.
+// Cost of a transfer of cached blocks: the setup time in microseconds, and the factor
+// for transfers between zones. Fewer than minTransferTokens are not transferred.
 const (
-	transferStartUs   = 3_000
+	transferSetupUs   = 3_000
 	crossZoneFactor   = 2
 	minTransferTokens = 48
 )
 
-// blockSource is a runner or store that has cached blocks of a prompt.
+// blockSource is a runner or store that holds cached blocks of a prompt.
 type blockSource struct {
-	addr    string
-	zone    string
-	version int64
-	kept    int // tokens of the prompt that are cached
-	moveUs  float64
-	equals  int // other sources of the same value
+	addr               string
+	zone               string
+	version            int64
+	cachedTokens       int // tokens of the prompt that are cached there
+	transferUsPerToken float64
+	ties               int // number of other sources with the same cost and cached tokens
 }
 
-// blockSources are the sources for a prompt, and how much of its shared parts the
-// runners and stores with each version of the weights have or are about to have.
+// blockSources holds the sources for a prompt, and by weights version the most tokens of
+// its shared parts that one runner or store has cached or is about to cache.
 type blockSources struct {
-	list   []blockSource
-	shared map[int64]int // tokens, by version
+	sources      []blockSource
+	sharedTokens map[int64]int // tokens, by version
 }
 
-// sameCost reports whether a transfer from both sources costs the same, so that only the
-// one with more cached tokens is needed.
+// sameCost reports whether transfers from both sources cost the same per token, so that
+// only the one with more cached tokens is needed.
 func (s *blockSource) sameCost(other *blockSource) bool {
-	return s.version == other.version && s.zone == other.zone && s.moveUs == other.moveUs
+	return s.version == other.version && s.zone == other.zone && s.transferUsPerToken == other.transferUsPerToken
 }
 
-// addSource adds a source. Of several with the same cost the one with most cached tokens
-// is enough; equal ones take turns.
+// addSource adds a source. Of sources with the same cost, only the one with the most
+// cached tokens is kept; equivalent ones are used in rotation.
 func (a *Admitter) addSource(sources *blockSources, added blockSource) {
-	if added.kept < minTransferTokens {
+	if added.cachedTokens < minTransferTokens {
 		return
 	}
-	i := slices.IndexFunc(sources.list, func(known blockSource) bool { return known.sameCost(&added) })
+	i := slices.IndexFunc(sources.sources, func(existing blockSource) bool { return existing.sameCost(&added) })
 	if i < 0 {
-		sources.list = append(sources.list, added)
+		sources.sources = append(sources.sources, added)
 		return
 	}
-	known := &sources.list[i]
+	existing := &sources.sources[i]
 	switch {
-	case added.kept > known.kept:
-		*known = added
-	case added.kept == known.kept:
-		known.equals++
-		if a.transferTurn++; a.transferTurn%(known.equals+1) == 0 {
-			added.equals = known.equals
-			*known = added
+	case added.cachedTokens > existing.cachedTokens:
+		*existing = added
+	case added.cachedTokens == existing.cachedTokens:
+		existing.ties++
+		if a.transferTurn++; a.transferTurn%(existing.ties+1) == 0 {
+			added.ties = existing.ties
+			*existing = added
 		}
 	}
 }
 
 // mayFetchFrom reports whether cached blocks may be fetched from a runner.
-func (a *Admitter) mayFetchFrom(s *search, r *runner) bool {
-	if r.absence.out || r.record.Stale || r.avoidUntilUs > s.nowUs || a.zoneUnreachable(r.record.Zone) {
+func (a *Admitter) mayFetchFrom(s *candidateSearch, r *runner) bool {
+	if r.absence.excluded || r.record.Stale || r.avoidUntilUs > s.nowUs || a.zoneUnreachable(r.record.Zone) {
 		return false
 	}
 	return s.pool.permits(s.request, r.record.ID)
 }
 
-// findSources finds the runners and stores that have cached blocks of a prompt.
-func (a *Admitter) findSources(s *search) blockSources {
+// findSources returns the runners and stores that hold cached blocks of a prompt.
+func (a *Admitter) findSources(s *candidateSearch) blockSources {
 	request, p := s.request, s.pool
 	sharedTokens := 0
 	for _, part := range request.Parts[:len(request.Parts)-1] {
 		sharedTokens += part.Tokens
 	}
-	sources := blockSources{shared: map[int64]int{}}
+	sources := blockSources{sharedTokens: map[int64]int{}}
 	for _, id := range p.order {
 		r := p.runners[id]
 		version := weightsVersion(r.record, request.Model)
 		if !a.mayFetchFrom(s, r) || a.RetiredWeights(request.Model, version) {
 			continue
 		}
-		kept, expected := a.Index.CachedAndExpected(id, s.keysOf(version), request.Parts)
-		a.addSource(&sources, blockSource{addr: r.record.Addr, zone: r.record.Zone, version: version, kept: kept, moveUs: p.moveUs})
-		sources.shared[version] = max(sources.shared[version], min(sharedTokens, expected))
+		cachedTokens, expected := a.Index.CachedAndExpected(id, s.keysOf(version), request.Parts)
+		a.addSource(&sources, blockSource{addr: r.record.Addr, zone: r.record.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: p.transferUsPerToken})
+		sources.sharedTokens[version] = max(sources.sharedTokens[version], min(sharedTokens, expected))
 	}
 	for _, store := range p.stores {
 		if !p.permits(request, store.ID) || a.zoneUnreachable(store.Zone) {
 			continue
 		}
-		for version := range sources.shared {
-			if kept := a.Index.Cached(store.ID, s.keysOf(version), request.Parts); kept >= minTransferTokens {
-				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, kept: kept, moveUs: store.MoveUs})
-				sources.shared[version] = max(sources.shared[version], min(sharedTokens, kept))
+		for version := range sources.sharedTokens {
+			if cachedTokens := a.Index.Cached(store.ID, s.keysOf(version), request.Parts); cachedTokens >= minTransferTokens {
+				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: store.MoveUs})
+				sources.sharedTokens[version] = max(sources.sharedTokens[version], min(sharedTokens, cachedTokens))
 			}
 		}
 	}
 	return sources
 }
 
-// findTransfers finds for every candidate the source with the same weights from which a
-// transfer of cached blocks gains most over prefill.
-func (a *Admitter) findTransfers(s *search, list []placement.Candidate, runners []*runner) {
+// findTransfers sets for every candidate the source with the same weights version whose
+// transfer of cached blocks saves the most time over prefill.
+func (a *Admitter) findTransfers(s *candidateSearch, candidates []placement.Candidate, runners []*runner) {
 	sources := a.findSources(s)
-	for i := range list {
-		c := &list[i]
+	for i := range candidates {
+		c := &candidates[i]
 		version := weightsVersion(runners[i].record, s.request.Model)
-		sources.chooseFor(c, runners[i], version)
-		c.Again = max(sources.shared[version]-c.Cached-c.Moved, 0)
+		sources.chooseTransfer(c, runners[i], version)
+		c.Again = max(sources.sharedTokens[version]-c.Cached-c.Moved, 0)
 	}
 }
 
-// chooseFor sets the transfer of a candidate whose weights have the given version.
-func (s *blockSources) chooseFor(c *placement.Candidate, r *runner, version int64) {
-	best := 0.0
-	for _, source := range s.list {
-		more := source.kept - c.Cached
-		if source.addr == r.record.Addr || source.version != version || more < minTransferTokens {
+// chooseTransfer sets the transfer of a candidate to the source with the largest gain, if
+// any. version is the candidate's weights version.
+func (s *blockSources) chooseTransfer(c *placement.Candidate, r *runner, version int64) {
+	bestGain := 0.0
+	for _, source := range s.sources {
+		gainTokens := source.cachedTokens - c.Cached
+		if source.addr == r.record.Addr || source.version != version || gainTokens < minTransferTokens {
 			continue
 		}
-		us := transferStartUs + float64(more)*source.moveUs
+		transferUs := transferSetupUs + float64(gainTokens)*source.transferUsPerToken
 		if source.zone != r.record.Zone {
-			us *= crossZoneFactor
+			transferUs *= crossZoneFactor
 		}
-		if gain := float64(more)*(1/c.Rate+placement.AgainUs) - us; gain > best {
-			best = gain
-			c.Moved, c.MoveUs, c.From = more, us, source.addr
+		if gain := float64(gainTokens)*(1/c.Rate+placement.AgainUs) - transferUs; gain > bestGain {
+			bestGain = gain
+			c.Moved, c.MoveUs, c.From = gainTokens, transferUs, source.addr
 		}
 	}
 }
 
-// doubtful is the preference of a runner that is used only where there is no other.
-const doubtful = preferences - 1
+// lastResort is the preference of a runner that is used only as a last resort.
+const lastResort = preferenceClasses - 1
 
-// preference returns the class of a runner for a request, the best first: 0 in general, 1
-// if it is draining and the request is long, 2 if it is stale, avoided or ejected.
+// preference returns the preference class of a runner for a request: 0 (best) in
+// general, 1 if the runner is draining for long requests and the request is long, 2 if
+// the runner is stale, avoided or ejected.
 func (a *Admitter) preference(request Request, r *runner, nowUs int64) int {
 	switch {
 	case r.record.Stale || r.avoidUntilUs > nowUs || r.health.ejected(nowUs):
-		return doubtful
-	case r.record.DrainingLong && request.TokensOut > a.T.LongOut:
+		return lastResort
+	case r.record.DrainingLong && request.TokensOut > a.Tuning.LongOutputTokens:
 		return 1
 	}
 	return 0
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -1,9 +1,8 @@
-// Outlier detection: what the outcomes of requests say of a runner, whatever its
-// health endpoint says. A runner that fails far more of its requests than the others
-// is ejected from the candidates for a while, longer each time, and comes back with
-// few requests at first. The outcomes are this node's own; those of the other nodes
-// are a hint, which counts half. An ejected runner stays in the registry and is used
-// where no other is left.
+// Outlier detection by the outcomes of requests, independent of the runner's health
+// endpoint. A runner that fails a far larger share of its requests than the others is
+// ejected from the candidates, with exponential backoff, and returns with a slow start.
+// Outcomes that this node observed count fully, those reported by other nodes count half.
+// An ejected runner stays in the registry and is used as a last resort.
 
 package admission
 
@@ -13,113 +12,121 @@
 	"slices"
 )
 
-// Parameters of the ejection. Times are in microseconds.
+// Parameters of outlier ejection. Times are in microseconds.
 const (
-	windowUs        = 4_000_000  // outcomes are counted in spans; the current and the last one count
-	peerWeight      = 0.5        // weight of the other nodes' outcomes
-	minFailureShare = 0.2        // share of failures from which a runner may be ejected
-	outlierFactor   = 3.0        // and how many times the failure share of the healthy runners it must be
-	minFailures     = 1.5        // weighted failures below which no runner is ejected
-	maxEjectedPart  = 0.2        // part of a service's runners that may be ejected at once
-	ejectionUs      = 2_000_000  // first ejection
-	maxEjectionUs   = 16_000_000 // maximum ejection; it doubles with each
-	ejectionResetUs = 30_000_000 // time after an ejection after which the next one is a first one again
-	rampUs          = 4_000_000  // slow start after an ejection
-	rampCostUs      = 300_000.0  // cost in the matching at the beginning of the slow start
+	outcomeWindowUs    = 4_000_000  // outcomes are counted per window; the current and the previous one are used
+	peerWeight         = 0.5        // weight of outcomes reported by other nodes
+	minFailureShare    = 0.2        // minimum failure share for an ejection
+	outlierFactor      = 3.0        // minimum ratio to the failure share of the healthy runners
+	minFailures        = 1.5        // minimum weighted number of failures for an ejection
+	maxEjectedShare    = 0.2        // maximum share of a service's runners that are ejected at a time
+	ejectionUs         = 2_000_000  // duration of the first ejection
+	maxEjectionUs      = 16_000_000 // maximum duration; it doubles with each ejection
+	ejectionResetUs    = 30_000_000 // time without an ejection after which the duration is reset
+	slowStartUs        = 4_000_000  // duration of the slow start after an ejection
+	maxSlowStartCostUs = 300_000.0  // placement cost at the start of the slow start, in microseconds
 )
 
-type outcomes struct{ tried, failed int }
+// outcomes counts requests and how many of them failed.
+type outcomes struct{ total, failed int }
 
+// health holds the recent outcomes of a runner's requests and its ejection. Outcomes are
+// counted in windows of outcomeWindowUs; span is the number of the current one.
 type health struct {
-	span           int64
-	now, last      outcomes
-	hint           outcomes
-	ejectedUntilUs int64
-	ejectedForUs   int64
+	span              int64
+	current, previous outcomes
+	peers             outcomes
+	ejectedUntilUs    int64
+	ejectedForUs      int64
 }
 
-func (h *health) roll(nowUs int64) {
-	switch span := nowUs / windowUs; {
+// rotate advances the outcome windows to the current time.
+func (h *health) rotate(nowUs int64) {
+	switch span := nowUs / outcomeWindowUs; {
 	case span == h.span:
 	case span == h.span+1:
-		h.span, h.last, h.now = span, h.now, outcomes{}
+		h.span, h.previous, h.current = span, h.current, outcomes{}
 	default:
-		h.span, h.last, h.now = span, outcomes{}, outcomes{}
+		h.span, h.previous, h.current = span, outcomes{}, outcomes{}
 	}
 }
 
-func (h *health) record(good bool, nowUs int64) {
-	h.roll(nowUs)
-	h.now.tried++
-	if !good {
-		h.now.failed++
+// record counts the outcome of one request.
+func (h *health) record(succeeded bool, nowUs int64) {
+	h.rotate(nowUs)
+	h.current.total++
+	if !succeeded {
+		h.current.failed++
 	}
 }
 
-// own returns this node's outcomes that still count.
+// own returns this node's outcomes of the current and the previous window.
 func (h *health) own(nowUs int64) outcomes {
-	h.roll(nowUs)
-	return outcomes{h.now.tried + h.last.tried, h.now.failed + h.last.failed}
+	h.rotate(nowUs)
+	return outcomes{h.current.total + h.previous.total, h.current.failed + h.previous.failed}
 }
 
-func (h *health) weighed(nowUs int64) (tried, failed float64) {
+// weighted returns this node's outcomes plus the weighted outcomes of the other nodes.
+func (h *health) weighted(nowUs int64) (total, failed float64) {
 	own := h.own(nowUs)
-	return float64(own.tried) + peerWeight*float64(h.hint.tried), float64(own.failed) + peerWeight*float64(h.hint.failed)
+	return float64(own.total) + peerWeight*float64(h.peers.total), float64(own.failed) + peerWeight*float64(h.peers.failed)
 }
 
 func (h *health) ejected(nowUs int64) bool { return nowUs < h.ejectedUntilUs }
 
-// doubtUs returns the cost in the matching of a runner in slow start.
-func (h *health) doubtUs(nowUs int64) float64 {
+// slowStartCostUs returns the placement cost of a runner in slow start, which decreases
+// linearly to 0.
+func (h *health) slowStartCostUs(nowUs int64) float64 {
 	if h.ejectedUntilUs == 0 {
 		return 0
 	}
-	return rampCostUs * math.Max(0, 1-float64(max(nowUs-h.ejectedUntilUs, 0))/rampUs)
+	return maxSlowStartCostUs * math.Max(0, 1-float64(max(nowUs-h.ejectedUntilUs, 0))/slowStartUs)
 }
 
-// suspect is a runner that fails many of its requests.
+// suspect is a runner with enough failures to be ejected if it is an outlier.
 type suspect struct {
-	health *health
-	share  float64 // of its requests that failed
+	health       *health
+	failureShare float64 // share of its requests that failed, computed with one extra success
 }
 
-// outlook is the health of a service's runners at one time.
-type outlook struct {
+// healthSummary classifies a service's runners by health.
+type healthSummary struct {
 	suspects                    []suspect
-	healthyTried, healthyFailed float64 // outcomes of the other runners, added up
-	ejected                     int     // runners that are ejected already
+	healthyTotal, healthyFailed float64 // summed outcomes of the healthy runners
+	ejected                     int     // number of ejected runners
 }
 
-// outlook sorts the runners of a service into ejected, suspect and healthy ones.
-func (p *pool) outlook(nowUs int64) (o outlook) {
+// summarizeHealth classifies the runners of a service as ejected, suspect or healthy.
+func (p *pool) summarizeHealth(nowUs int64) (summary healthSummary) {
 	for _, id := range p.order {
 		h := &p.runners[id].health
 		if h.ejected(nowUs) {
-			o.ejected++
+			summary.ejected++
 			continue
 		}
-		tried, failed := h.weighed(nowUs)
-		if share := failed / (tried + 1); failed >= minFailures && share >= minFailureShare {
-			o.suspects = append(o.suspects, suspect{h, share})
+		total, failed := h.weighted(nowUs)
+		if failureShare := failed / (total + 1); failed >= minFailures && failureShare >= minFailureShare {
+			summary.suspects = append(summary.suspects, suspect{h, failureShare})
 			continue
 		}
-		o.healthyTried, o.healthyFailed = o.healthyTried+tried, o.healthyFailed+failed
+		summary.healthyTotal, summary.healthyFailed = summary.healthyTotal+total, summary.healthyFailed+failed
 	}
-	return o
+	return summary
 }
 
-// eject decides anew which runners of a service are ejected. If most of them fail the
-// cause is not the runners, and none is.
-func (p *pool) eject(nowUs int64) {
-	o := p.outlook(nowUs)
-	list, ejected := o.suspects, o.ejected
-	if len(list) == 0 || len(p.order) < 2 || 2*len(list) > len(p.order) && len(p.order) > 2 {
+// ejectOutliers ejects the suspect runners of a service whose failure share is an
+// outlier, the worst first. If more than half of the runners are suspect, the cause is
+// assumed to lie elsewhere, and none is ejected.
+func (p *pool) ejectOutliers(nowUs int64) {
+	summary := p.summarizeHealth(nowUs)
+	suspects, ejected := summary.suspects, summary.ejected
+	if len(suspects) == 0 || len(p.order) < 2 || 2*len(suspects) > len(p.order) && len(p.order) > 2 {
 		return
 	}
-	slices.SortStableFunc(list, func(a, b suspect) int { return cmp.Compare(b.share, a.share) })
-	most := max(int(maxEjectedPart*float64(len(p.order))), 1)
-	for _, s := range list {
-		if ejected >= most || s.share < outlierFactor*o.healthyFailed/math.Max(o.healthyTried, 1) {
+	slices.SortStableFunc(suspects, func(a, b suspect) int { return cmp.Compare(b.failureShare, a.failureShare) })
+	maxEjected := max(int(maxEjectedShare*float64(len(p.order))), 1)
+	for _, s := range suspects {
+		if ejected >= maxEjected || s.failureShare < outlierFactor*summary.healthyFailed/math.Max(summary.healthyTotal, 1) {
 			return
 		}
 		s.health.eject(nowUs)
@@ -127,13 +134,13 @@
 	}
 }
 
-// eject ejects the runner, for longer each time, and clears its outcomes: they have had
-// their effect.
+// eject ejects the runner, with exponential backoff, and clears its outcomes, so that
+// after its return only new failures lead to another ejection.
 func (h *health) eject(nowUs int64) {
 	if nowUs-h.ejectedUntilUs > ejectionResetUs || h.ejectedForUs == 0 {
 		h.ejectedForUs = ejectionUs
 	} else {
 		h.ejectedForUs = min(2*h.ejectedForUs, maxEjectionUs)
 	}
-	h.ejectedUntilUs, h.now, h.last, h.hint = nowUs+h.ejectedForUs, outcomes{}, outcomes{}, outcomes{}
+	h.ejectedUntilUs, h.current, h.previous, h.peers = nowUs+h.ejectedForUs, outcomes{}, outcomes{}, outcomes{}
 }
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -1,4 +1,4 @@
-// Loads: what runners report, and what other nodes have in flight at each runner.
+// Loads: the reports of runners, and the loads of this and the other nodes at each runner.
 
 package admission
 
@@ -13,26 +13,26 @@
 func (a *Admitter) Report(n messages.RunnerReport, nowUs int64) {
 	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
-			r.report = loadReport{blocks: n.Used / a.T.BlockTokens, count: n.Active + n.Queued, atUs: nowUs}
-			r.reported, r.queued = true, n.Queued
+			r.reportedLoad = runnerLoad{blocks: n.Used / a.Tuning.BlockTokens, count: n.Active + n.Queued, updatedUs: nowUs}
+			r.hasReport, r.queued = true, n.Queued
 			if n.Total > 0 {
-				r.blocks = n.Total / a.T.BlockTokens
+				r.blocks = n.Total / a.Tuning.BlockTokens
 			}
 		}
 	}
 }
 
-// ExpectBlocks records the prefixes that runners are about to cache for requests of other
-// nodes.
-func (a *Admitter) ExpectBlocks(notes []messages.CachedPrefixes) {
-	for _, n := range notes {
+// ExpectBlocks adds the prefixes that runners are about to cache for requests of other
+// nodes to the index.
+func (a *Admitter) ExpectBlocks(prefixes []messages.CachedPrefixes) {
+	for _, n := range prefixes {
 		for _, part := range n.Parts {
 			a.Index.Expect(n.ID, part.Key, part.Tokens)
 		}
 	}
 }
 
-// Others records the load of all other nodes at each runner, added up.
+// Others sets the total load of the other nodes at each runner.
 func (a *Admitter) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
 	for _, p := range a.pools {
 		for id, r := range p.runners {
@@ -42,7 +42,7 @@
 	a.LoadsUpdated(nowUs)
 }
 
-// Other records the load of all other nodes at one runner.
+// Other sets the total load of the other nodes at one runner.
 func (a *Admitter) Other(id string, l messages.RunnerLoad) {
 	for _, p := range a.pools {
 		if r := p.runners[id]; r != nil {
@@ -51,41 +51,43 @@
 	}
 }
 
-// LoadsUpdated records that the loads of the other nodes are up to date at nowUs.
+// LoadsUpdated records that the loads of the other nodes are up to date at nowUs, and
+// ejects outliers by their outcomes.
 func (a *Admitter) LoadsUpdated(nowUs int64) {
-	a.peerLoadsUs = nowUs
+	a.peerLoadsUpdatedUs = nowUs
 	for _, p := range a.pools {
-		p.eject(nowUs)
+		p.ejectOutliers(nowUs)
 	}
 }
 
-// expirePeerLoads clears the loads of the other nodes once they are too old.
+// expirePeerLoads clears the loads of the other nodes if they are outdated.
 func (a *Admitter) expirePeerLoads(nowUs int64) {
-	if a.peerLoadsUs == 0 || a.peerLoadsCurrent(nowUs) {
+	if a.peerLoadsUpdatedUs == 0 || a.peerLoadsCurrent(nowUs) {
 		return
 	}
-	a.peerLoadsUs = 0
+	a.peerLoadsUpdatedUs = 0
 	for _, p := range a.pools {
 		for _, r := range p.runners {
-			r.peers = loadReport{}
+			r.peerLoad = runnerLoad{}
 		}
 	}
 }
 
-// peerLoadsCurrent reports whether the loads of the other nodes are recent enough.
+// peerLoadsCurrent reports whether the loads of the other nodes were updated within
+// Tuning.ReportValidUs.
 func (a *Admitter) peerLoadsCurrent(nowUs int64) bool {
-	return a.peerLoadsUs > 0 && nowUs-a.peerLoadsUs < a.T.ReportFreshUs
+	return a.peerLoadsUpdatedUs > 0 && nowUs-a.peerLoadsUpdatedUs < a.Tuning.ReportValidUs
 }
 
-// Blind returns the sorted identities of the runners whose thresholds are unreliable:
-// their memory is unknown, or their last report is older than three times
-// Tuning.ReportFreshUs.
+// Blind returns the sorted identities of the runners whose load thresholds are unreliable:
+// their memory is unknown, or they have sent no report within three times
+// Tuning.ReportValidUs.
 func (a *Admitter) Blind(nowUs int64) []string {
 	var out []string
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			r := p.runners[id]
-			if r.blocks == 0 || !r.reported || nowUs-r.report.atUs > 3*a.T.ReportFreshUs {
+			if r.blocks == 0 || !r.hasReport || nowUs-r.reportedLoad.updatedUs > 3*a.Tuning.ReportValidUs {
 				out = append(out, id)
 			}
 		}
@@ -94,24 +96,25 @@
 	return out
 }
 
-// flowStep is the unit, in prompt tokens per second, to which the reported flow is
-// rounded, so that it does not change all the time.
-const flowStep = 250
+// promptRateStep is the unit, in prompt tokens per second, to which the published prompt token
+// rate is rounded, so that small variations do not cause updates.
+const promptRateStep = 250
 
-// rateSteps is into how many parts of a token per microsecond the reported rate is rounded. It is a
-// power of two, so that the encoded number ends with zeros, which updates are compressed to nearly
-// nothing with.
+// rateSteps is the number of steps per token per microsecond to which the published prefill rate
+// is rounded. It is a power of two, so that the encoded number ends with zeros, which compress to
+// nearly nothing in updates.
 const rateSteps = 1 << 13
 
-// Own returns the load of this node at each runner that has any.
+// Own returns the load of this node at each runner where it has any, and the outcomes of the
+// rollouts in progress, to be published to the other nodes.
 func (a *Admitter) Own(nowUs int64) map[string]messages.RunnerLoad {
 	out := map[string]messages.RunnerLoad{}
 	for _, p := range a.pools {
 		for id, r := range p.runners {
-			flow := int(r.ownFlow(nowUs)/flowStep+0.5) * flowStep
-			seen := r.health.own(nowUs)
-			if r.own.count > 0 || flow > 0 || seen.tried > 0 {
-				out[id] = messages.RunnerLoad{ID: id, Tried: seen.tried, Failed: seen.failed, Blocks: r.own.blocks, Prefill: r.own.prefill, Count: r.own.count, Rate: math.Round(r.rate*rateSteps) / rateSteps, Flow: flow}
+			promptRate := int(r.ownPromptRate(nowUs)/promptRateStep+0.5) * promptRateStep
+			outcomes := r.health.own(nowUs)
+			if r.ownLoad.count > 0 || promptRate > 0 || outcomes.total > 0 {
+				out[id] = messages.RunnerLoad{ID: id, Tried: outcomes.total, Failed: outcomes.failed, Blocks: r.ownLoad.blocks, Prefill: r.ownLoad.prefill, Count: r.ownLoad.count, Rate: math.Round(r.measuredRate*rateSteps) / rateSteps, Flow: promptRate}
 			}
 		}
 	}
--- a/internal/admission/rollout.go
+++ b/internal/admission/rollout.go
@@ -1,5 +1,6 @@
-// Rollouts of services: which runners of a new software version may get a request, and how the
-// requests to the new and the other versions end. Package canary decides on the stages.
+// Rollouts of services: which runners may receive a request depending on their software version,
+// and the counts of request outcomes for the new and the other versions. Package canary decides
+// on the stages.
 
 package admission
 
@@ -14,163 +15,166 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Parameters of the trial of a new version.
+// Parameters of the comparison of versions during a rollout.
 const (
 	perMille = 1000
-	// triedLoad is how many times the usual load the runners get on which a version is tried:
-	// some faults show only under load.
-	triedLoad = 2.0
-	// An answer is slow whose first token takes slowFactor times as long as the prompt takes to
-	// read where nothing of it is cached, and slowBaseUs.
+	// canaryLoadFactor is the load of the canary runners relative to that of other runners. It is
+	// above 1 because some faults appear only under load.
+	canaryLoadFactor = 2.0
+	// A response counts as slow if its first token takes longer than slowFactor times the prefill
+	// time of the prompt without cached prefixes, plus slowBaseUs.
 	slowFactor = 3.0
 	slowBaseUs = 60_000
 )
 
-// rollout is the rollout of a service, as this node goes by it.
+// rollout is the newest rollout of a service that this node has received.
 type rollout struct {
 	messages.ServiceRollout
-	tried    map[string]bool // runners of the new version that get requests while it is tried
-	outcomes map[canary.Key]canary.Outcome
+	canaryRunners map[string]bool // runners of the target version that receive requests in the canary stage
+	outcomes      map[canary.Key]canary.Outcome
 }
 
 func (o *rollout) stage() canary.Stage { return canary.Stage(o.Stage) }
 
-// isNew reports whether a runner has the version that the service is brought to.
-func (o *rollout) isNew(r *runner) bool { return r.record.Version == o.Target }
+// hasTargetVersion reports whether a runner has the target version of the rollout.
+func (o *rollout) hasTargetVersion(r *runner) bool { return r.record.Version == o.Target }
 
 // SetRollouts sets the newest rollout of each service.
-func (a *Admitter) SetRollouts(list []messages.ServiceRollout) {
-	for _, next := range list {
+func (a *Admitter) SetRollouts(rollouts []messages.ServiceRollout) {
+	for _, next := range rollouts {
 		p := a.pool(next.Service)
 		if p.rollout == nil || p.rollout.Number != next.Number {
 			p.rollout = &rollout{outcomes: map[canary.Key]canary.Outcome{}}
 		}
 		p.rollout.ServiceRollout = next
-		p.chooseTried()
+		p.chooseCanaryRunners()
 	}
 }
 
-// chooseTried chooses the runners on which a new version is tried: few of them, by a hash, so
-// that all nodes choose the same.
-func (p *pool) chooseTried() {
+// chooseCanaryRunners chooses the runners on which a new version is tried. They are few, so that
+// their load is canaryLoadFactor times that of the others, and are chosen by a hash, so that all
+// nodes choose the same.
+func (p *pool) chooseCanaryRunners() {
 	o := p.rollout
 	if o == nil {
 		return
 	}
-	o.tried = nil
+	o.canaryRunners = nil
 	if o.stage() != canary.Trying {
 		return
 	}
-	var fresh []string
+	var updated []string
 	others := 0
 	for _, id := range p.order {
 		switch r := p.runners[id]; {
-		case !o.isNew(r):
+		case !o.hasTargetVersion(r):
 			others++
 		case !r.record.Draining && !r.record.Stale:
-			fresh = append(fresh, id)
+			updated = append(updated, id)
 		}
 	}
-	slices.SortFunc(fresh, func(x, y string) int {
+	slices.SortFunc(updated, func(x, y string) int {
 		return cmp.Compare(statesync.HashText(x, o.Target), statesync.HashText(y, o.Target))
 	})
-	count := int(math.Ceil(float64(o.SharePerMille) / perMille * float64(others) / triedLoad))
-	o.tried = map[string]bool{}
-	for _, id := range fresh[:min(max(count, 1), len(fresh))] {
-		o.tried[id] = true
+	count := int(math.Ceil(float64(o.SharePerMille) / perMille * float64(others) / canaryLoadFactor))
+	o.canaryRunners = map[string]bool{}
+	for _, id := range updated[:min(max(count, 1), len(updated))] {
+		o.canaryRunners[id] = true
 	}
 }
 
-// DrawCanary reports whether a request that has just come goes to a version that is tried.
+// DrawCanary reports whether a new request is to be sent to the version under trial. It is true
+// at random, for the rollout's share of requests.
 func (a *Admitter) DrawCanary(service string) bool {
 	o := a.pool(service).rollout
 	return o != nil && o.stage() == canary.Trying && a.random.IntN(perMille) < o.SharePerMille
 }
 
-// versionPreference returns the least preference that a runner has for a request by its version,
-// and whether the request may go there at all.
+// versionPreference returns the best preference class that a runner's version allows for a
+// request, and whether the request may be sent to that version at all.
 func (p *pool) versionPreference(request *Request, r *runner) (preference int, allowed bool) {
 	o := p.rollout
 	if o == nil {
 		return 0, true
 	}
-	fresh := o.isNew(r)
+	updated := o.hasTargetVersion(r)
 	switch o.stage() {
 	case canary.Trying:
-		if fresh {
-			return 0, request.Canary && o.tried[r.record.ID]
+		if updated {
+			return 0, request.Canary && o.canaryRunners[r.record.ID]
 		}
 		if request.Canary {
 			return 1, true
 		}
 		return 0, true
 	case canary.Reverted:
-		return 0, !fresh
+		return 0, !updated
 	}
-	if fresh {
+	if updated {
 		return 0, true
 	}
-	return preferences - 1, true
+	return preferenceClasses - 1, true
 }
 
-// VersionAllowed reports whether an admitted request may still go to its runner's version: the
-// rollout may have been reverted since.
+// VersionAllowed reports whether an admitted request may still be sent to its runner's version. It
+// may not if the rollout of that version has been reverted since.
 func (a *Admitter) VersionAllowed(adm *Admission) bool {
 	o := a.pool(adm.service).rollout
 	return o == nil || o.stage() != canary.Reverted || adm.Runner.Version != o.Target
 }
 
-// slowAfterUs returns after how long the first token of a prompt is slow.
+// slowAfterUs returns the time after which the first token of a prompt counts as slow. It is based
+// on the median prefill rate of the runners of other versions.
 func (p *pool) slowAfterUs(t *Tuning, tokens int) int64 {
 	var rates []float64
 	for _, id := range p.order {
-		if r := p.runners[id]; r.rate > 0 && !p.rollout.isNew(r) {
-			rates = append(rates, r.rate)
+		if r := p.runners[id]; r.measuredRate > 0 && !p.rollout.hasTargetVersion(r) {
+			rates = append(rates, r.measuredRate)
 		}
 	}
-	rate := t.RateStart
+	rate := t.InitialRate
 	if len(rates) > 0 {
 		slices.Sort(rates)
 		rate = rates[len(rates)/2]
 	}
-	return int64(slowFactor*float64(tokens)/max(rate, t.RateFloor)) + slowBaseUs
+	return int64(slowFactor*float64(tokens)/max(rate, t.MinRate)) + slowBaseUs
 }
 
-// judgeFirstToken notes whether the first token of an answer was slow. A runner that warms up is
-// slow whatever its version.
-func (p *pool) judgeFirstToken(t *Tuning, adm *Admission, r *runner, nowUs int64) {
+// recordFirstTokenLatency records whether the first token of a response was slow. Runners in warm-up
+// are left out, because they are slow whatever their version.
+func (p *pool) recordFirstTokenLatency(t *Tuning, adm *Admission, r *runner, nowUs int64) {
 	if p.rollout != nil && p.rollout.stage().Running() && !p.warmingUp(r, nowUs) {
-		adm.slow = nowUs-adm.atUs > p.slowAfterUs(t, adm.tokensIn)
+		adm.slowFirstToken = nowUs-adm.admittedUs > p.slowAfterUs(t, adm.tokensIn)
 	}
 }
 
-// recordOutcome counts how a request ended for the rollout that is running.
-func (p *pool) recordOutcome(adm *Admission, r *runner, good bool) {
-	o := p.rollout
-	if o == nil || !o.stage().Running() {
+// recordOutcome counts the outcome of a request for the rollout in progress.
+func (p *pool) recordOutcome(adm *Admission, r *runner, succeeded bool) {
+	rollout := p.rollout
+	if rollout == nil || !rollout.stage().Running() {
 		return
 	}
 	side := canary.OtherSide
-	if o.isNew(r) {
+	if rollout.hasTargetVersion(r) {
 		side = canary.NewSide
 	}
-	count := func(comparison string, bad bool) {
-		key := canary.Key{Service: o.Service, Number: o.Number, Side: side, Comparison: comparison}
-		outcome := o.outcomes[key]
+	count := func(comparison string, failed bool) {
+		key := canary.Key{Service: rollout.Service, Number: rollout.Number, Side: side, Comparison: comparison}
+		outcome := rollout.outcomes[key]
 		outcome.Answers++
-		if bad {
+		if failed {
 			outcome.Bad++
 		}
-		o.outcomes[key] = outcome
+		rollout.outcomes[key] = outcome
 	}
-	count(canary.AllRequests, !good)
-	count(adm.class+" failed", !good)
-	if good {
-		count(adm.class+" slow", adm.slow)
+	count(canary.AllRequests, !succeeded)
+	count(adm.class+" failed", !succeeded)
+	if succeeded {
+		count(adm.class+" slow", adm.slowFirstToken)
 	}
 }
 
-// addOutcomes adds the outcomes of the rollouts that are running to the loads of this node.
+// addOutcomes adds the outcomes of the rollouts in progress to the loads that this node publishes.
 func (a *Admitter) addOutcomes(loads map[string]messages.RunnerLoad) {
 	for _, p := range a.pools {
 		if p.rollout == nil || !p.rollout.stage().Running() {
@@ -183,7 +187,7 @@
 	}
 }
 
-// Rollouts lists the rollouts that this node goes by, in the order of the services' names.
+// Rollouts returns the newest rollout of each service, sorted by service name.
 func (a *Admitter) Rollouts() []messages.ServiceRollout {
 	var out []messages.ServiceRollout
 	for _, name := range slices.Sorted(maps.Keys(a.pools)) {
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -1,8 +1,7 @@
-// A session is the chain of requests of one tenant and model that share the blocks of
-// their prompts up to the last. The sessions of a zone that is relinquished leave it
-// one after the other, over a time that the operator gives; each goes to a new home
-// zone that all nodes compute alike, and stays there. No node keeps an entry for a
-// session.
+// A session is a chain of requests of one tenant and model whose prompts share all parts
+// but the last. When a zone is relinquished, its sessions leave it gradually over a
+// duration set by the operator. Each session moves to a new zone, which all nodes compute
+// identically, and stays there. No node stores state per session.
 
 package admission
 
@@ -10,68 +9,73 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-type relinquished struct {
-	sinceUs, overUs int64
+// relinquishment is the time at which a zone began to give up its sessions, and the
+// duration over which they leave, both in microseconds.
+type relinquishment struct {
+	sinceUs, durationUs int64
 }
 
-// SetRelinquished sets the zones that give up their sessions, and over how many
-// microseconds. A session does not return while its zone is named.
+// SetRelinquished sets the zones that give up their sessions, with the duration in
+// microseconds over which the sessions leave. A session does not return while its zone is
+// in the set.
 func (a *Admitter) SetRelinquished(zones map[string]int64, nowUs int64) {
-	next := map[string]relinquished{}
-	for zone, overUs := range zones {
-		x, known := a.relinquished[zone]
+	next := map[string]relinquishment{}
+	for zone, durationUs := range zones {
+		entry, known := a.relinquished[zone]
 		if !known {
-			x.sinceUs = nowUs
+			entry.sinceUs = nowUs
 		}
-		x.overUs = overUs
-		next[zone] = x
+		entry.durationUs = durationUs
+		next[zone] = entry
 	}
 	a.relinquished = next
 }
 
-// Session names the session that a request belongs to.
-func Session(request Request) uint64 {
-	h := statesync.HashText(request.Tenant, request.Model)
+// sessionHash returns the identity of a request's session: a hash of the tenant, the model
+// and the last shared part.
+func sessionHash(request Request) uint64 {
+	hash := statesync.HashText(request.Tenant, request.Model)
 	if n := len(request.Parts); n > 0 {
-		h = statesync.Mix(h ^ statesync.HashText(request.Parts[max(n-2, 0)].ID, ""))
+		hash = statesync.Mix(hash ^ statesync.HashText(request.Parts[max(n-2, 0)].ID, ""))
 	}
-	return h
+	return hash
 }
 
-// Leaves reports whether a request's session has left a zone, or is to leave it now.
+// Leaves reports whether a request's session has left a zone or must leave it now.
 func (a *Admitter) Leaves(request Request, zone string, nowUs int64) bool {
-	x, ok := a.relinquished[zone]
+	entry, ok := a.relinquished[zone]
 	if !ok {
 		return false
 	}
-	if x.overUs <= 0 {
+	if entry.durationUs <= 0 {
 		return true
 	}
-	// the hash of a session sets when it leaves, at the same time at every node
-	return float64(Session(request)>>11)/(1<<53) < float64(nowUs-x.sinceUs)/float64(x.overUs)
+	// The hash of a session determines when it leaves, so that all nodes agree.
+	return float64(sessionHash(request)>>11)/(1<<53) < float64(nowUs-entry.sinceUs)/float64(entry.durationUs)
 }
 
-// home returns the zone that a session moves to, by rendezvous hashing: the same at all
-// nodes, and not affected by changes of other zones.
-func (a *Admitter) home(request Request, p *pool) string {
-	session, best, top := Session(request), "", uint64(0)
+// targetZone returns the zone that a session moves to, by rendezvous hashing: it is the same
+// at all nodes, and relinquishing another zone does not change it. It is empty if no zone is
+// available.
+func (a *Admitter) targetZone(request Request, p *pool) string {
+	session, zone, topScore := sessionHash(request), "", uint64(0)
 	for _, id := range p.order {
 		n := &p.runners[id].record
 		if _, left := a.relinquished[n.Zone]; left || n.Draining || n.Stale {
 			continue
 		}
-		if v := statesync.Mix(session ^ statesync.HashText(n.Zone, "")); best == "" || v > top {
-			best, top = n.Zone, v
+		if score := statesync.Mix(session ^ statesync.HashText(n.Zone, "")); zone == "" || score > topScore {
+			zone, topScore = n.Zone, score
 		}
 	}
-	return best
+	return zone
 }
 
-// TryNow admits a request if there is capacity for it now; otherwise it returns nil and
-// does not queue it.
+// TryNow admits a request if there is capacity for it now. Otherwise it returns nil and
+// does not queue the request.
 func (a *Admitter) TryNow(request Request, nowUs int64) *Admission {
 	p := a.pool(request.Service)
-	if p.tokens > 0 && request.TokensIn+request.TokensOut > p.tokens || !a.noneQueuedAhead(p, request.Rank) {
+	if p.memoryTokens > 0 && request.TokensIn+request.TokensOut > p.memoryTokens || !a.noneQueuedAhead(p, request.Rank) {
 		return nil
 	}
 	return a.admit(request, p, a.tenant(request.Tenant, nowUs), nowUs)
--- a/internal/admission/unreachable.go
+++ b/internal/admission/unreachable.go
@@ -1,38 +1,40 @@
-// Zones that this node cannot reach: their runners get nothing as long as a service has others,
-// nothing is fetched from them, and when the way is back they return by a slow start.
+// Zones that this node cannot reach: their runners receive no requests as long as the service has
+// reachable runners, and no blocks are fetched from them. When a zone is reachable again, its
+// runners return with a slow start.
 
 package admission
 
 import "math"
 
-// unreachable is what this node knows of the ways to zones.
-type unreachable struct {
-	zones  map[string]int64 // unreachable ones, and since when
-	backUs map[string]int64 // when others were reachable again
+// unreachableZones holds which zones are unreachable from this node, or were.
+type unreachableZones struct {
+	sinceUs          map[string]int64 // start of the unreachability, by unreachable zone
+	reachableAgainUs map[string]int64 // time at which other zones became reachable again
 }
 
-// SetUnreachable sets which zones are unreachable, and since when. What was concluded from
-// failures of runners there says nothing of the runners.
+// SetUnreachable sets the unreachable zones, with the time since when each is. When a zone becomes
+// reachable again, the recorded failures of its runners are cleared, because the network may have
+// caused them.
 func (a *Admitter) SetUnreachable(zones map[string]int64, nowUs int64) {
-	for zone := range a.unreachable.zones {
-		if _, still := zones[zone]; still {
+	for zone := range a.unreachable.sinceUs {
+		if _, stillUnreachable := zones[zone]; stillUnreachable {
 			continue
 		}
-		if a.unreachable.backUs == nil {
-			a.unreachable.backUs = map[string]int64{}
+		if a.unreachable.reachableAgainUs == nil {
+			a.unreachable.reachableAgainUs = map[string]int64{}
 		}
-		a.unreachable.backUs[zone] = nowUs
-		a.forgiveZone(zone)
+		a.unreachable.reachableAgainUs[zone] = nowUs
+		a.clearZoneFailures(zone)
 	}
-	a.unreachable.zones = zones
+	a.unreachable.sinceUs = zones
 }
 
-// forgiveZone forgets failures of the runners of a zone.
-func (a *Admitter) forgiveZone(zone string) {
+// clearZoneFailures clears the outcomes, ejections and backoffs of the runners of a zone.
+func (a *Admitter) clearZoneFailures(zone string) {
 	for _, p := range a.pools {
 		for _, r := range p.runners {
 			if r.record.Zone == zone {
-				r.health, r.pauseUs, r.avoidUntilUs = health{}, 0, 0
+				r.health, r.backoffUs, r.avoidUntilUs = health{}, 0, 0
 			}
 		}
 	}
@@ -40,23 +42,23 @@
 
 // zoneUnreachable reports whether a zone is unreachable.
 func (a *Admitter) zoneUnreachable(zone string) bool {
-	_, ok := a.unreachable.zones[zone]
+	_, ok := a.unreachable.sinceUs[zone]
 	return ok
 }
 
 // OutOfReach reports whether the runner of an admission is in an unreachable zone.
 func (a *Admitter) OutOfReach(adm *Admission) bool { return a.zoneUnreachable(adm.Runner.Zone) }
 
-// LeavesUnreachable reports whether an admission's runner is in a zone out of reach, and others of
-// the service are not.
+// LeavesUnreachable reports whether the runner of an admission is in an unreachable zone while the
+// service has reachable runners.
 func (a *Admitter) LeavesUnreachable(adm *Admission) bool {
-	return a.OutOfReach(adm) && a.reachesOthers(a.pool(adm.service))
+	return a.OutOfReach(adm) && a.hasReachableRunners(a.pool(adm.service))
 }
 
-// reachesOthers reports whether a service has runners in zones that can be reached, so that
-// those in others need not be tried.
-func (a *Admitter) reachesOthers(p *pool) bool {
-	if len(a.unreachable.zones) == 0 {
+// hasReachableRunners reports whether zones are unreachable, and the service has runners outside
+// them, so that those in unreachable zones need not be tried.
+func (a *Admitter) hasReachableRunners(p *pool) bool {
+	if len(a.unreachable.sinceUs) == 0 {
 		return false
 	}
 	for _, id := range p.order {
@@ -68,12 +70,12 @@
 	return false
 }
 
-// returnCostUs is the cost in the matching of a runner whose zone has just become reachable
-// again, so that not all nodes send there at once.
+// returnCostUs returns the placement cost of a runner whose zone has recently become reachable
+// again. It decreases to 0 during the slow start, so that not all nodes send there at once.
 func (a *Admitter) returnCostUs(zone string, nowUs int64) float64 {
-	backUs, ok := a.unreachable.backUs[zone]
+	reachableAgainUs, ok := a.unreachable.reachableAgainUs[zone]
 	if !ok {
 		return 0
 	}
-	return rampCostUs * math.Max(0, 1-float64(nowUs-backUs)/rampUs)
+	return maxSlowStartCostUs * math.Max(0, 1-float64(nowUs-reachableAgainUs)/slowStartUs)
 }
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -1,33 +1,38 @@
-// Windows: how many requests of a tenant are admitted at once, adjusted by AIMD, and
-// the tenant's rate limit.
+// Tenant limits: the window, which is the maximum number of a tenant's requests admitted
+// at a time and is adjusted by AIMD, and the tenant's rate limit, a token bucket.
 
 package admission
 
+// tenantState holds the window and the token bucket of a tenant. hitTokens and
+// promptTokens are decaying sums from which the cache hit share is computed.
 type tenantState struct {
-	window   float64
-	admitted int
-	hit, all float64
-	bucket   float64
-	bucketUs int64
-	windowUs int64
+	window                  float64
+	admitted                int
+	hitTokens, promptTokens float64
+	bucket                  float64
+	bucketUpdatedUs         int64
+	windowUpdatedUs         int64
 }
 
+// tenant returns the state of a tenant, and creates it at the first request.
 func (a *Admitter) tenant(name string, nowUs int64) *tenantState {
 	t := a.tenants[name]
 	if t == nil {
-		t = &tenantState{window: a.T.WindowStart, bucket: -1, bucketUs: nowUs, windowUs: nowUs}
+		t = &tenantState{window: a.Tuning.InitialWindow, bucket: -1, bucketUpdatedUs: nowUs, windowUpdatedUs: nowUs}
 		a.tenants[name] = t
 	}
 	return t
 }
 
+// allowRate consumes one token of a tenant's bucket and reports whether there was one.
+// The bucket refills from empty in two seconds.
 func (a *Admitter) allowRate(t *tenantState, p *pool, nowUs int64) bool {
-	most := max(a.T.TenantBurst*float64(a.totalCapacity(p)), 64)
+	burst := max(a.Tuning.TenantBurst*float64(a.totalCapacity(p)), 64)
 	if t.bucket < 0 {
-		t.bucket = most
+		t.bucket = burst
 	}
-	t.bucket = min(most, t.bucket+float64(nowUs-t.bucketUs)/1e6*most/2)
-	t.bucketUs = nowUs
+	t.bucket = min(burst, t.bucket+float64(nowUs-t.bucketUpdatedUs)/1e6*burst/2)
+	t.bucketUpdatedUs = nowUs
 	if t.bucket < 1 {
 		return false
 	}
@@ -35,8 +40,8 @@
 	return true
 }
 
-// Tick advances the time: queued requests whose time to live is over are rejected, others
-// that fit are admitted, and the tenants' windows are adjusted.
+// Tick processes the passage of time: it rejects queued requests whose time to live has
+// elapsed, admits others for which there is capacity, and adjusts the tenants' windows.
 func (a *Admitter) Tick(nowUs int64) []Decision {
 	var out []Decision
 	for _, p := range a.pools {
@@ -46,64 +51,68 @@
 		for _, w := range p.queue.expired(nowUs) {
 			out = append(out, a.reject(w.request, p, RejectTTL, 503))
 		}
-		full := false
-		p.queue.walk(func(w *waiting) bool {
-			if full {
+		noCapacity := false
+		p.queue.dequeueAccepted(func(w *queuedRequest) bool {
+			if noCapacity {
 				return false
 			}
 			adm := a.admit(w.request, p, a.tenant(w.request.Tenant, nowUs), nowUs)
 			if adm == nil {
-				// if no runner has capacity for this one, none has for the next
-				full = !a.hasCapacity && w.request.Regime == "" && len(w.request.Avoid) == 0
+				// If no runner has capacity for this request, none has for the next, unless
+				// this one may use only some of the runners.
+				noCapacity = !a.hasCapacity && w.request.Regime == "" && len(w.request.Avoid) == 0
 				return false
 			}
 			out = append(out, Decision{Ref: w.request.Ref, Admit: adm})
 			return true
 		})
 	}
-	a.moveWindows(nowUs)
+	a.updateWindows(nowUs)
 	return out
 }
 
-func (a *Admitter) moveWindows(nowUs int64) {
+// updateWindows adjusts the windows that are due and removes idle tenants.
+func (a *Admitter) updateWindows(nowUs int64) {
 	use, n := 0.0, 0
 	for name, t := range a.tenants {
-		if nowUs-t.windowUs < a.T.WindowEveryUs {
+		if nowUs-t.windowUpdatedUs < a.Tuning.WindowIntervalUs {
 			continue
 		}
 		if n == 0 {
 			use, n = a.meanUse(nowUs), 1
 		}
-		t.windowUs = nowUs
-		hits := 1.0
-		if t.all > 0 {
-			hits = t.hit / t.all
+		t.windowUpdatedUs = nowUs
+		hitShare := 1.0
+		if t.promptTokens > 0 {
+			hitShare = t.hitTokens / t.promptTokens
 		}
-		t.window = Window(&a.T, t.window, use, hits)
-		t.hit, t.all = t.hit/2, t.all/2
-		if t.admitted == 0 && t.all < 1 && t.window >= a.T.WindowStart && t.bucket >= 0 && nowUs-t.bucketUs > 60_000_000 {
+		t.window = nextWindow(&a.Tuning, t.window, use, hitShare)
+		t.hitTokens, t.promptTokens = t.hitTokens/2, t.promptTokens/2
+		if t.admitted == 0 && t.promptTokens < 1 && t.window >= a.Tuning.InitialWindow && t.bucket >= 0 && nowUs-t.bucketUpdatedUs > 60_000_000 {
 			delete(a.tenants, name)
 		}
 	}
 }
 
-// Window returns a tenant's window after one AIMD step.
-func Window(t *Tuning, w, use, hits float64) float64 {
+// nextWindow returns a tenant's window after one AIMD step. It grows while the mean
+// memory use is low, and is cut when the use is high and the cache hit share is low.
+func nextWindow(t *Tuning, window, use, hitShare float64) float64 {
 	switch {
 	case use < t.LowUse:
-		w += t.WindowAdd
-	case use > t.HighUse && hits < t.LowHits:
-		w *= t.WindowCut
+		window += t.WindowAdd
+	case use > t.HighUse && hitShare < t.LowHitShare:
+		window *= t.WindowCut
 	}
-	return min(max(w, t.WindowMin), t.WindowMax)
+	return min(max(window, t.MinWindow), t.MaxWindow)
 }
 
+// meanUse returns the mean memory use, from 0 to 1, of all runners of known memory.
 func (a *Admitter) meanUse(nowUs int64) float64 {
 	sum, n := 0.0, 0
 	for _, p := range a.pools {
 		for _, id := range p.order {
 			if r := p.runners[id]; r.blocks > 0 {
-				sum += r.updateBusy(&a.T, nowUs, a.nodes, a.peerLoadsCurrent(nowUs))
+				sum += r.updateBusy(&a.Tuning, nowUs, a.nodes, a.peerLoadsCurrent(nowUs))
 				n++
 			}
 		}
