--- a/internal/admission/absent.go
+++ b/internal/admission/absent.go
@@ -63,10 +63,10 @@
 	a.sequence = max(a.sequence, n.Seq)
 }
 
-// WrongInstance records that a runner responded with 421. versionNamed is true if the
+// RecordWrongInstance records that a runner responded with 421. versionNamed is true if the
 // request named a weights version, which may have caused the response. It reports whether
 // the runner is now excluded from the candidates.
-func (a *Admitter) WrongInstance(adm *Admission, versionNamed bool, nowUs int64) bool {
+func (a *Admitter) RecordWrongInstance(adm *Admission, versionNamed bool, nowUs int64) bool {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
 	if r == nil || r.absence.excluded {
@@ -100,8 +100,8 @@
 	return unconfirmed < max(int(maxUnconfirmedShare*float64(len(p.order))), 1)
 }
 
-// Absent reports whether the runner of an admission has been excluded as absent.
-func (a *Admitter) Absent(adm *Admission) bool {
+// RunnerAbsent reports whether the runner of an admission has been excluded as absent.
+func (a *Admitter) RunnerAbsent(adm *Admission) bool {
 	r := a.pool(adm.service).runners[adm.Runner.ID]
 	return r != nil && r.absence.excluded
 }
@@ -127,9 +127,9 @@
 	return due, anyAbsent
 }
 
-// Found applies the result of a probe at a runner's address. It reports whether the
+// RecordProbe applies the result of a probe at a runner's address. It reports whether the
 // result has confirmed the runner's absence.
-func (a *Admitter) Found(n messages.RunnerRecord, presence Presence, nowUs int64) (confirmed bool) {
+func (a *Admitter) RecordProbe(n messages.RunnerRecord, presence Presence, nowUs int64) (confirmed bool) {
 	r := a.pool(n.Service).runners[n.ID]
 	if r == nil || !r.absence.excluded || r.record.Addr != n.Addr {
 		return false
@@ -159,9 +159,9 @@
 	}
 }
 
-// TakeAbsent returns, and clears, the runners whose absence has been confirmed since the
+// TakeConfirmedAbsent returns, and clears, the runners whose absence has been confirmed since the
 // last call.
-func (a *Admitter) TakeAbsent() []string {
+func (a *Admitter) TakeConfirmedAbsent() []string {
 	ids := a.confirmedAbsent
 	a.confirmedAbsent = nil
 	return ids
--- a/internal/admission/absent_test.go
+++ b/internal/admission/absent_test.go
@@ -22,10 +22,10 @@
 	var list []running
 	for nowUs := int64(stepUs); nowUs < 7_000_000; nowUs += stepUs {
 		for len(list) > 0 && list[0].endUs <= nowUs {
-			admitter.Done(list[0].adm, true, nowUs)
+			admitter.Release(list[0].adm, true, nowUs)
 			list = list[1:]
 		}
-		adm := admitter.Submit(newRequest(100, 10), nowUs).Admit
+		adm := admitter.Submit(newRequest(100, 10), nowUs).Admission
 		if adm == nil {
 			continue
 		}
@@ -34,11 +34,11 @@
 			continue
 		}
 		responses421++
-		admitter.Done(adm, true, nowUs)
-		admitter.WrongInstance(adm, true, nowUs)
+		admitter.Release(adm, true, nowUs)
+		admitter.RecordWrongInstance(adm, true, nowUs)
 		due, _ := admitter.DueProbes(nowUs)
 		for _, n := range due {
-			admitter.Found(n, PresenceMismatch, nowUs)
+			admitter.RecordProbe(n, PresenceMismatch, nowUs)
 		}
 	}
 	return responses421
@@ -57,7 +57,7 @@
 	t.Helper()
 	r := admitter.pool("s").runners[id]
 	adm := &Admission{Runner: r.record, service: "s", tenant: "t"}
-	return admitter.WrongInstance(adm, versionNamed, nowUs)
+	return admitter.RecordWrongInstance(adm, versionNamed, nowUs)
 }
 
 // candidateSet returns the set of runners that are candidates for a request.
@@ -90,11 +90,11 @@
 func TestOnlyConfirmedAbsenceIsReported(t *testing.T) {
 	admitter := newAdmitter("x", "y", "z")
 	must.True(t, receive421(t, admitter, "x", true, 1))
-	must.SliceEmpty(t, admitter.TakeAbsent())
-	admitter.Found(testRecord("x"), PresenceMismatch, 2)
+	must.SliceEmpty(t, admitter.TakeConfirmedAbsent())
+	admitter.RecordProbe(testRecord("x"), PresenceMismatch, 2)
 	must.True(t, receive421(t, admitter, "y", false, 3))
-	must.Eq(t, []string{"x", "y"}, admitter.TakeAbsent())
-	must.SliceEmpty(t, admitter.TakeAbsent())
+	must.Eq(t, []string{"x", "y"}, admitter.TakeConfirmedAbsent())
+	must.SliceEmpty(t, admitter.TakeConfirmedAbsent())
 }
 
 func Test421FromBeforeNewerRegistrationIsIgnored(t *testing.T) {
@@ -103,7 +103,7 @@
 	x := testRecord("x")
 	x.Seq = 1
 	admitter.SetService("s", []messages.RunnerRecord{x, testRecord("y")}, testMemoryTokens, 2)
-	must.False(t, admitter.WrongInstance(adm, false, 1))
+	must.False(t, admitter.RecordWrongInstance(adm, false, 1))
 	must.True(t, candidateSet(admitter, 1)["x"])
 }
 
@@ -113,7 +113,7 @@
 	due, anyAbsent := admitter.DueProbes(1)
 	must.True(t, anyAbsent)
 	must.Len(t, 1, due)
-	admitter.Found(due[0], PresenceConfirmed, 2)
+	admitter.RecordProbe(due[0], PresenceConfirmed, 2)
 	must.True(t, candidateSet(admitter, 1_000_000)["x"])
 	must.False(t, receive421(t, admitter, "x", true, 1_000_000), must.Sprint("a probe has just found the runner, so the 421 concerns the weights"))
 }
@@ -126,7 +126,7 @@
 		due, _ := admitter.DueProbes(nowUs)
 		for _, n := range due {
 			probes++
-			admitter.Found(n, PresenceUnknown, nowUs)
+			admitter.RecordProbe(n, PresenceUnknown, nowUs)
 		}
 	}
 	must.Between(t, 8, probes, 12)
@@ -143,7 +143,7 @@
 		}
 		due, _ := admitter.DueProbes(nowUs)
 		for _, n := range due {
-			admitter.Found(n, PresenceUnprobed, nowUs)
+			admitter.RecordProbe(n, PresenceUnprobed, nowUs)
 		}
 	}
 	must.Between(t, 4, tried, 12)
@@ -163,7 +163,7 @@
 	}
 	due, _ := admitter.DueProbes(10_000_000)
 	for _, n := range due {
-		admitter.Found(n, PresenceConfirmed, 10_000_000)
+		admitter.RecordProbe(n, PresenceConfirmed, 10_000_000)
 	}
 	must.Eq(t, 6, len(candidateSet(admitter, 10_200_000)))
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -19,23 +19,23 @@
 // Request holds the attributes of a client's request that admission uses. Times are
 // microseconds.
 type Request struct {
-	Ref        inflight.Ref
-	Service    string
-	Tenant     string
-	Rank       int // priority band, lowest first; the tenant's rank takes precedence over the route's
-	TokensIn   int
-	TokensOut  int
-	Model      string
-	Parts      []prefixindex.Part
-	Isolated   bool
-	Regime     string // only runners certified for this regime are candidates
-	SetpointUs int64
-	LeftUs     int64
-	Avoid      []string // runners of earlier attempts, which are not candidates
-	Bound      bool     // only runners in one of the home regions are candidates
-	Homes      []string
-	Canary     bool   // is sent to the software version under trial
-	Class      string // request class; rollout outcomes are compared per class
+	Ref              inflight.Ref
+	Service          string
+	Tenant           string
+	Rank             int // priority band, lowest first; the tenant's rank takes precedence over the route's
+	TokensIn         int
+	TokensOut        int
+	Model            string
+	Parts            []prefixindex.Part
+	Isolated         bool
+	Regime           string // only runners certified for this regime are candidates
+	SetpointUs       int64
+	TimeLeftUs       int64
+	ExcludedRunners  []string // runners of earlier attempts, which are not candidates
+	RegionRestricted bool     // only runners in one of the home regions are candidates
+	HomeRegions      []string
+	Canary           bool   // is sent to the software version under trial
+	Class            string // request class; rollout outcomes are compared per class
 }
 
 // Reason identifies the check that rejected a request.
@@ -54,12 +54,12 @@
 // Decision is the outcome for one request: it is either admitted, queued, or rejected with a
 // reason, an HTTP status and a retry delay in microseconds.
 type Decision struct {
-	Ref     inflight.Ref
-	Admit   *Admission
-	Hold    bool
-	Reject  Reason
-	Status  int
-	AgainUs int64
+	Ref          inflight.Ref
+	Admission    *Admission
+	Queued       bool
+	Reason       Reason
+	Status       int
+	RetryAfterUs int64
 }
 
 // Admitter implements the admission of one node. It is not safe for concurrent use.
@@ -84,24 +84,24 @@
 	peerLoadsUpdatedUs int64                     // time of the last update of the other nodes' loads; 0: expired
 	expectedPrefixes   []messages.CachedPrefixes // prefixes that runners will cache after their prefill; to be sent to the other nodes
 	confirmedAbsent    []string                  // runners whose absence was confirmed; to be sent to the other nodes
-	Bound              WeightsBound
+	WeightsBound       WeightsBound
 	targets            targets.Table
 	// lastContactUs is when the last message arrived from a controller that is in contact
 	// with the core.
 	lastContactUs int64
-	Salt          func(tenant string, isolated bool, regime string, version int64) string
+	CacheSalt     func(tenant string, isolated bool, regime string, version int64) string
 }
 
 // New returns the admitter of a node in a zone. The nodes of a fleet should use
 // different seeds; nodes with the same seed would sample the same runners.
 func New(t Tuning, zone string, seed uint64) *Admitter {
-	return &Admitter{Tuning: t, Zone: zone, Index: prefixindex.NewIndex(), random: rand.New(rand.NewPCG(seed, 0)), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, Bound: WeightsBound{VersionUs: 8_000_000}, Salt: Salt}
+	return &Admitter{Tuning: t, Zone: zone, Index: prefixindex.NewIndex(), random: rand.New(rand.NewPCG(seed, 0)), nodes: 1, pools: map[string]*pool{}, tenants: map[string]*tenantState{}, WeightsBound: WeightsBound{VersionUs: 8_000_000}, CacheSalt: CacheSalt}
 }
 
-// Salt returns the cache salt of a request. It separates the cached prefixes of
+// CacheSalt returns the cache salt of a request. It separates the cached prefixes of
 // different weights versions, of each isolated tenant from all others, and of the
 // tenants under a regime from those without one, whose requests may go to any runner.
-func Salt(tenant string, isolated bool, regime string, version int64) string {
+func CacheSalt(tenant string, isolated bool, regime string, version int64) string {
 	b := []byte{'w'}
 	b = appendInt(b, version)
 	if regime != "" {
@@ -136,7 +136,7 @@
 	}
 	if p.queue.count == 0 || p.queue.bands[0].rank > request.Rank || a.noneQueuedAhead(p, request.Rank) {
 		if adm := a.admit(request, p, t, nowUs); adm != nil {
-			return Decision{Ref: request.Ref, Admit: adm}
+			return Decision{Ref: request.Ref, Admission: adm}
 		}
 	}
 	return a.enqueue(request, p, nowUs)
@@ -170,15 +170,15 @@
 	if p.queue.count > 0 && float64(p.queue.tokens+request.TokensIn) > nodeShare(float64(setpoint)*a.totalPrefillRate(p)) {
 		return a.reject(request, p, RejectTokens, 503)
 	}
-	ttl := min(int64(float64(request.LeftUs)*a.Tuning.TTLShare), int64(float64(setpoint)*a.Tuning.TTLSetpoints))
+	ttl := min(int64(float64(request.TimeLeftUs)*a.Tuning.TTLShare), int64(float64(setpoint)*a.Tuning.TTLSetpoints))
 	p.queue.enqueue(&queuedRequest{request: request, expiresUs: nowUs + max(ttl, 50_000)})
-	return Decision{Ref: request.Ref, Hold: true}
+	return Decision{Ref: request.Ref, Queued: true}
 }
 
-// ShedFor removes the newest request of the lowest-priority band from a full queue to
+// ShedLowerPriority removes the newest request of the lowest-priority band from a full queue to
 // make room for a request of a higher-priority band. It returns the rejection of the
 // removed request, and false if no band has a lower priority.
-func (a *Admitter) ShedFor(request Request, _ int64) (Decision, bool) {
+func (a *Admitter) ShedLowerPriority(request Request, _ int64) (Decision, bool) {
 	p := a.pool(request.Service)
 	w := p.queue.shed(request.Rank)
 	if w == nil {
@@ -191,5 +191,5 @@
 // prompts plus 60 ms, at most 1 s.
 func (a *Admitter) reject(request Request, p *pool, reason Reason, status int) Decision {
 	retryAfterUs := int64(float64(p.queue.tokens)/a.totalPrefillRate(p)) + 60_000
-	return Decision{Ref: request.Ref, Reject: reason, Status: status, AgainUs: min(max(retryAfterUs, 60_000), 1_000_000)}
+	return Decision{Ref: request.Ref, Reason: reason, Status: status, RetryAfterUs: min(max(retryAfterUs, 60_000), 1_000_000)}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,57 +30,57 @@
 var refs inflight.Slab[int]
 
 func newRequest(tokensIn, tokensOut int) Request {
-	return Request{Ref: refs.Put(func(int) {}), Service: "s", Tenant: "t", TokensIn: tokensIn, TokensOut: tokensOut, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: tokensIn}}, SetpointUs: 400_000, LeftUs: 6_000_000}
+	return Request{Ref: refs.Put(func(int) {}), Service: "s", Tenant: "t", TokensIn: tokensIn, TokensOut: tokensOut, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: tokensIn}}, SetpointUs: 400_000, TimeLeftUs: 6_000_000}
 }
 
 func TestFreeRunnerAdmits(t *testing.T) {
 	admitter := newAdmitter("x")
 	decision := admitter.Submit(newRequest(100, 10), 1)
-	must.NotNil(t, decision.Admit)
-	must.Eq(t, "x", decision.Admit.Runner.ID)
-	must.Eq(t, "w1", decision.Admit.Salt)
+	must.NotNil(t, decision.Admission)
+	must.Eq(t, "x", decision.Admission.Runner.ID)
+	must.Eq(t, "w1", decision.Admission.CacheSalt)
 }
 
 func TestTenantRateIsCheckedBeforeContext(t *testing.T) {
 	admitter := newAdmitter("x")
 	request := newRequest(testMemoryTokens, testMemoryTokens)
 	for range 64 {
-		must.Eq(t, RejectContext, admitter.Submit(request, 1).Reject)
+		must.Eq(t, RejectContext, admitter.Submit(request, 1).Reason)
 	}
 	decision := admitter.Submit(request, 1)
-	must.Eq(t, RejectRate, decision.Reject)
+	must.Eq(t, RejectRate, decision.Reason)
 	must.Eq(t, 429, decision.Status)
-	must.Greater(t, 0, decision.AgainUs)
-	must.Eq(t, RejectContext, admitter.Submit(request, 10_000_000).Reject, must.Sprint("the token bucket has been refilled"))
+	must.Greater(t, 0, decision.RetryAfterUs)
+	must.Eq(t, RejectContext, admitter.Submit(request, 10_000_000).Reason, must.Sprint("the token bucket has been refilled"))
 }
 
 func TestContextLimitIncludesOutputAndReturns503(t *testing.T) {
 	admitter := newAdmitter("x")
 	decision := admitter.Submit(newRequest(testMemoryTokens-5, 6), 1)
-	must.Eq(t, RejectContext, decision.Reject)
+	must.Eq(t, RejectContext, decision.Reason)
 	must.Eq(t, 503, decision.Status)
-	must.NotNil(t, admitter.Submit(newRequest(testMemoryTokens-6, 6), 2).Admit)
+	must.NotNil(t, admitter.Submit(newRequest(testMemoryTokens-6, 6), 2).Admission)
 }
 
 func TestRunnerIsBusyByMemoryIncludingOutput(t *testing.T) {
 	admitter := newAdmitter("x")
-	first := admitter.Submit(newRequest(400, 13_300), 1).Admit // 25 + 832 blocks
+	first := admitter.Submit(newRequest(400, 13_300), 1).Admission // 25 + 832 blocks
 	must.NotNil(t, first)
-	admitter.FirstToken(first, 2)
-	must.True(t, admitter.Submit(newRequest(16, 1), 3).Hold, must.Sprint("0.857 of the memory is used, nearly all of it by output"))
-	admitter.Done(first, true, 4)
+	admitter.RecordFirstToken(first, 2)
+	must.True(t, admitter.Submit(newRequest(16, 1), 3).Queued, must.Sprint("0.857 of the memory is used, nearly all of it by output"))
+	admitter.Release(first, true, 4)
 	out := admitter.Tick(5)
 	must.Len(t, 1, out)
-	must.NotNil(t, out[0].Admit)
+	must.NotNil(t, out[0].Admission)
 }
 
 func TestBusyRunnerReturnsBelowLowerThreshold(t *testing.T) {
 	admitter := newAdmitter("x")
 	report := func(used int, now int64) {
-		admitter.Report(messages.RunnerReport{ID: "x", Used: used, Total: testMemoryTokens, Active: 1}, now)
+		admitter.RecordRunnerReport(messages.RunnerReport{ID: "x", Used: used, Total: testMemoryTokens, Active: 1}, now)
 	}
 	report(testMemoryTokens*86/100, 1_000_000)
-	must.True(t, admitter.Submit(newRequest(16, 1), 1_000_001).Hold)
+	must.True(t, admitter.Submit(newRequest(16, 1), 1_000_001).Queued)
 	report(testMemoryTokens*82/100, 1_200_000)
 	must.SliceEmpty(t, admitter.Tick(1_200_001))
 	report(testMemoryTokens*79/100, 1_300_000)
@@ -90,32 +90,32 @@
 func TestBusyByPrefillTokens(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.Tuning.InitialRate = 0.02 // 12,000 tokens are 0.6 s
-	big := admitter.Submit(newRequest(12_000, 1), 1).Admit
+	big := admitter.Submit(newRequest(12_000, 1), 1).Admission
 	must.NotNil(t, big)
-	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold)
-	admitter.FirstToken(big, 500_000)
+	must.True(t, admitter.Submit(newRequest(16, 1), 2).Queued)
+	admitter.RecordFirstToken(big, 500_000)
 	must.Len(t, 1, admitter.Tick(500_001))
 }
 
 func TestThresholdsApplyWithoutReports(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(4)
-	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), 1).Admit)
-	must.True(t, admitter.Submit(newRequest(16, 1), 2).Hold, must.Sprint("without loads of other nodes, this node must stay within its share"))
+	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), 1).Admission)
+	must.True(t, admitter.Submit(newRequest(16, 1), 2).Queued, must.Sprint("without loads of other nodes, this node must stay within its share"))
 }
 
 func TestThresholdsApplyWithLateReportsAndPeerLoads(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(2)
-	admitter.Report(messages.RunnerReport{ID: "x", Used: 0, Total: testMemoryTokens}, 1)
+	admitter.RecordRunnerReport(messages.RunnerReport{ID: "x", Used: 0, Total: testMemoryTokens}, 1)
 	now := int64(1 + admitter.Tuning.ReportValidUs) // the report is no longer valid
-	admitter.Others(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: 870, Count: 2} }, now)
-	must.True(t, admitter.Submit(newRequest(16, 1), now+1).Hold, must.Sprint("the loads of other nodes must be counted"))
+	admitter.SetPeerLoads(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: 870, Count: 2} }, now)
+	must.True(t, admitter.Submit(newRequest(16, 1), now+1).Queued, must.Sprint("the loads of other nodes must be counted"))
 	must.Len(t, 1, admitter.Tick(now+1_000_000), must.Sprint("a queued request must be admitted or rejected"))
 	late := now + admitter.Tuning.ReportValidUs + 1
 	admitter.SetNodes(4)
-	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), late).Admit, must.Sprint("outdated loads of other nodes must expire"))
-	must.True(t, admitter.Submit(newRequest(16, 1), late+1).Hold, must.Sprint("without current loads of other nodes, this node must stay within its share"))
+	must.NotNil(t, admitter.Submit(newRequest(3_600, 20), late).Admission, must.Sprint("outdated loads of other nodes must expire"))
+	must.True(t, admitter.Submit(newRequest(16, 1), late+1).Queued, must.Sprint("without current loads of other nodes, this node must stay within its share"))
 }
 
 // Guards against missing a threshold that the node's own requests exceed: the summed loads
@@ -123,9 +123,9 @@
 func TestThresholdsApplyWithNegativePeerLoads(t *testing.T) {
 	admitter := newAdmitter("x")
 	admitter.SetNodes(3)
-	admitter.Others(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: -40, Count: -2, Prefill: -5} }, 1)
-	must.NotNil(t, admitter.Submit(newRequest(13_600, 20), 2).Admit)
-	must.True(t, admitter.Submit(newRequest(16, 1), 3).Hold)
+	admitter.SetPeerLoads(func(string) messages.RunnerLoad { return messages.RunnerLoad{Blocks: -40, Count: -2, Prefill: -5} }, 1)
+	must.NotNil(t, admitter.Submit(newRequest(13_600, 20), 2).Admission)
+	must.True(t, admitter.Submit(newRequest(16, 1), 3).Queued)
 }
 
 func TestSharedPartsUseOneStoreAndAllStoresAreUsed(t *testing.T) {
@@ -139,12 +139,12 @@
 			request := newRequest(116, 1)
 			request.Parts = []prefixindex.Part{{ID: "top", Tokens: 50}, {ID: fmt.Sprint("deep", i), Tokens: 50}, {ID: fmt.Sprint("own", i, j), Tokens: 16}}
 			decision := admitter.Submit(request, int64(1+i)*1_000_000)
-			must.NotNil(t, decision.Admit)
+			must.NotNil(t, decision.Admission)
 			if j == 0 {
-				sink = decision.Admit.Sink
+				sink = decision.Admission.Sink
 			}
-			must.Eq(t, sink, decision.Admit.Sink)
-			admitter.Done(decision.Admit, true, int64(1+i)*1_000_000)
+			must.Eq(t, sink, decision.Admission.Sink)
+			admitter.Release(decision.Admission, true, int64(1+i)*1_000_000)
 		}
 		used[sink] = true
 	}
@@ -153,28 +153,28 @@
 
 func TestOwnRequestsAddToLateReport(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.Report(messages.RunnerReport{ID: "x", Used: testMemoryTokens / 2, Total: testMemoryTokens, Active: 1}, 1_000_000)
-	adm := admitter.Submit(newRequest(5_700, 10), 1_000_001).Admit
+	admitter.RecordRunnerReport(messages.RunnerReport{ID: "x", Used: testMemoryTokens / 2, Total: testMemoryTokens, Active: 1}, 1_000_000)
+	adm := admitter.Submit(newRequest(5_700, 10), 1_000_001).Admission
 	must.NotNil(t, adm)
-	admitter.FirstToken(adm, 1_100_000)
-	must.True(t, admitter.Submit(newRequest(160, 1), 1_100_001).Hold)
+	admitter.RecordFirstToken(adm, 1_100_000)
+	must.True(t, admitter.Submit(newRequest(160, 1), 1_100_001).Queued)
 }
 
 func TestCapacityAndPendingCap(t *testing.T) {
 	admitter := newAdmitter("x")
 	for i := range 4 {
-		must.NotNil(t, admitter.Submit(newRequest(16, 1), int64(i)).Admit)
+		must.NotNil(t, admitter.Submit(newRequest(16, 1), int64(i)).Admission)
 	}
 	queued := 0
 	for i := range 40 {
 		decision := admitter.Submit(newRequest(16, 1), int64(10+i))
-		if decision.Hold {
+		if decision.Queued {
 			queued++
 			continue
 		}
-		must.Eq(t, RejectQueue, decision.Reject)
+		must.Eq(t, RejectQueue, decision.Reason)
 		must.Eq(t, 503, decision.Status)
-		must.Greater(t, 0, decision.AgainUs)
+		must.Greater(t, 0, decision.RetryAfterUs)
 	}
 	must.Eq(t, 4+admitter.Tuning.BufferRequests, queued, must.Sprint("the limit is runners x capacity plus the buffer"))
 }
@@ -185,20 +185,20 @@
 	for i := range 4 {
 		admitter.Submit(newRequest(16, 1), int64(i))
 	}
-	must.True(t, admitter.Submit(newRequest(3_000, 1), 10).Hold)
-	must.Eq(t, RejectTokens, admitter.Submit(newRequest(1_500, 1), 11).Reject)
-	must.True(t, admitter.Submit(newRequest(900, 1), 12).Hold)
+	must.True(t, admitter.Submit(newRequest(3_000, 1), 10).Queued)
+	must.Eq(t, RejectTokens, admitter.Submit(newRequest(1_500, 1), 11).Reason)
+	must.True(t, admitter.Submit(newRequest(900, 1), 12).Queued)
 }
 
 func TestQueueTTLIsBelowTimeLeft(t *testing.T) {
 	admitter := newAdmitter()
 	request := newRequest(16, 1)
-	request.LeftUs = 300_000
-	must.True(t, admitter.Submit(request, 1).Hold)
+	request.TimeLeftUs = 300_000
+	must.True(t, admitter.Submit(request, 1).Queued)
 	must.SliceEmpty(t, admitter.Tick(98_000))
 	out := admitter.Tick(100_000)
 	must.Len(t, 1, out)
-	must.Eq(t, RejectTTL, out[0].Reject)
+	must.Eq(t, RejectTTL, out[0].Reason)
 	must.Eq(t, 503, out[0].Status)
 }
 
@@ -206,7 +206,7 @@
 	admitter := newAdmitter("x")
 	var running *Admission
 	for i := range 4 {
-		running = admitter.Submit(newRequest(16, 1), int64(i)).Admit
+		running = admitter.Submit(newRequest(16, 1), int64(i)).Admission
 	}
 	order := []string{}
 	tenantByRef := map[inflight.Ref]string{}
@@ -217,14 +217,14 @@
 		request := newRequest(16, 1)
 		request.Tenant, request.Rank = c.tenant, c.rank
 		tenantByRef[request.Ref] = c.tenant
-		must.True(t, admitter.Submit(request, int64(10+i)).Hold)
+		must.True(t, admitter.Submit(request, int64(10+i)).Queued)
 	}
 	for i := range 6 {
-		admitter.Done(running, true, int64(100+i))
+		admitter.Release(running, true, int64(100+i))
 		out := admitter.Tick(int64(100 + i))
 		must.Len(t, 1, out)
 		order = append(order, tenantByRef[out[0].Ref])
-		running = out[0].Admit
+		running = out[0].Admission
 	}
 	must.Eq(t, []string{"z", "a", "b", "a", "b", "a"}, order)
 }
@@ -239,18 +239,18 @@
 		request := newRequest(16, 1)
 		request.Rank = 1
 		last = request.Ref
-		must.True(t, admitter.Submit(request, int64(10+i)).Hold)
+		must.True(t, admitter.Submit(request, int64(10+i)).Queued)
 	}
 	high := newRequest(16, 1)
-	must.Eq(t, RejectQueue, admitter.Submit(high, 50).Reject)
-	shed, ok := admitter.ShedFor(high, 51)
+	must.Eq(t, RejectQueue, admitter.Submit(high, 50).Reason)
+	shed, ok := admitter.ShedLowerPriority(high, 51)
 	must.True(t, ok)
 	must.Eq(t, last, shed.Ref)
-	must.Eq(t, RejectShed, shed.Reject)
-	must.True(t, admitter.Submit(high, 52).Hold)
+	must.Eq(t, RejectShed, shed.Reason)
+	must.True(t, admitter.Submit(high, 52).Queued)
 	low := newRequest(16, 1)
 	low.Rank = 1
-	_, ok = admitter.ShedFor(low, 53)
+	_, ok = admitter.ShedLowerPriority(low, 53)
 	must.False(t, ok, must.Sprint("no band has a lower priority"))
 }
 
@@ -268,13 +268,13 @@
 	admitter := newAdmitter("x", "y")
 	admitter.Tuning.InitialWindow = 3
 	for i := range 3 {
-		must.NotNil(t, admitter.Submit(newRequest(16, 1), int64(i)).Admit)
+		must.NotNil(t, admitter.Submit(newRequest(16, 1), int64(i)).Admission)
 	}
-	must.True(t, admitter.Submit(newRequest(16, 1), 4).Hold)
+	must.True(t, admitter.Submit(newRequest(16, 1), 4).Queued)
 	other := newRequest(16, 1)
 	other.Tenant = "u"
 	admitter.pool("s").queue = queue{}
-	must.NotNil(t, admitter.Submit(other, 5).Admit)
+	must.NotNil(t, admitter.Submit(other, 5).Admission)
 }
 
 func TestDrainingCordonedAndAvoidedRunnersAreNotCandidates(t *testing.T) {
@@ -286,7 +286,7 @@
 	must.Len(t, 1, list)
 	must.Eq(t, "z", list[0].ID)
 	request := newRequest(16, 1)
-	request.Avoid = []string{"z"}
+	request.ExcludedRunners = []string{"z"}
 	must.SliceEmpty(t, admitter.Candidates(request, 1))
 }
 
@@ -302,11 +302,11 @@
 
 func TestNodeStaysWithinItsShareOfRunnerConnections(t *testing.T) {
 	admitter := newAdmitter("x")
-	admitter.SetLinks("s", 10)
+	admitter.SetConnectionLimit("s", 10)
 	admitter.SetNodes(4)
-	must.NotNil(t, admitter.Submit(newRequest(16, 1), 1).Admit)
-	must.NotNil(t, admitter.Submit(newRequest(16, 1), 2).Admit)
-	must.True(t, admitter.Submit(newRequest(16, 1), 3).Hold, must.Sprint("9 of 10 connections for four nodes are 2 for each"))
+	must.NotNil(t, admitter.Submit(newRequest(16, 1), 1).Admission)
+	must.NotNil(t, admitter.Submit(newRequest(16, 1), 2).Admission)
+	must.True(t, admitter.Submit(newRequest(16, 1), 3).Queued, must.Sprint("9 of 10 connections for four nodes are 2 for each"))
 	admitter.SetNodes(1)
 	must.Len(t, 1, admitter.Tick(4))
 }
@@ -326,11 +326,11 @@
 	seen := map[string]bool{}
 	for _, version := range []int64{1, 2, 12} {
 		for _, tenant := range []string{"a", "b"} {
-			seen[Salt(tenant, true, "", version)] = true
+			seen[CacheSalt(tenant, true, "", version)] = true
 		}
-		seen[Salt("a", false, "r", version)], seen[Salt("a", true, "r", version)] = true, true
-		must.Eq(t, Salt("a", false, "", version), Salt("b", false, "", version))
-		seen[Salt("a", false, "", version)] = true
+		seen[CacheSalt("a", false, "r", version)], seen[CacheSalt("a", true, "r", version)] = true, true
+		must.Eq(t, CacheSalt("a", false, "", version), CacheSalt("b", false, "", version))
+		seen[CacheSalt("a", false, "", version)] = true
 	}
 	must.MapLen(t, 15, seen)
 }
@@ -339,16 +339,16 @@
 	admitter := newAdmitter("x", "y")
 	for i := range 3 {
 		request := newRequest(16, 1)
-		request.Avoid = []string{"y"}
+		request.ExcludedRunners = []string{"y"}
 		decision := admitter.Submit(request, int64(1+i*3_000_000))
-		must.NotNil(t, decision.Admit)
-		admitter.Done(decision.Admit, false, int64(1+i*3_000_000))
+		must.NotNil(t, decision.Admission)
+		admitter.Release(decision.Admission, false, int64(1+i*3_000_000))
 		list := admitter.Candidates(newRequest(16, 1), int64(2+i*3_000_000))
 		must.Len(t, 1, list)
 		must.Eq(t, "y", list[0].ID)
 	}
 	only := newRequest(16, 1)
-	only.Avoid = []string{"y"}
+	only.ExcludedRunners = []string{"y"}
 	must.Len(t, 1, admitter.Candidates(only, 6_000_010), must.Sprint("an avoided runner must be used if there is no other"))
 }
 
@@ -376,21 +376,21 @@
 	must.True(t, found)
 }
 
-func TestLoadReturnsToZeroAfterDone(t *testing.T) {
+func TestLoadReturnsToZeroAfterRelease(t *testing.T) {
 	admitter := newAdmitter("x", "y")
 	var admissions []*Admission
 	for i := range 8 {
 		request := newRequest(100+i, 50)
 		request.Parts = []prefixindex.Part{{ID: "shared", Tokens: 64}, {ID: fmt.Sprint(i), Tokens: 36 + i}}
 		r := admitter.Submit(request, int64(i))
-		must.NotNil(t, r.Admit)
-		admissions = append(admissions, r.Admit)
+		must.NotNil(t, r.Admission)
+		admissions = append(admissions, r.Admission)
 	}
 	for i, request := range admissions {
 		if i%2 == 0 {
-			admitter.FirstToken(request, 100)
+			admitter.RecordFirstToken(request, 100)
 		}
-		admitter.Done(request, i%3 > 0, 200)
+		admitter.Release(request, i%3 > 0, 200)
 	}
 	for _, id := range []string{"x", "y"} {
 		r := admitter.pool("s").runners[id]
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -12,13 +12,13 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Admission is the capacity that a request has reserved at a runner. Admitter.Done releases
+// Admission is the capacity that a request has reserved at a runner. Admitter.Release releases
 // it.
 type Admission struct {
 	Runner         messages.RunnerRecord
-	Salt           string
-	Version        int64
-	Cached         int
+	CacheSalt      string
+	WeightsVersion int64
+	CachedTokens   int
 	Source         string // address of the runner or store to transfer cached blocks from
 	Sink           string // address of the store to send blocks to after prefill
 	admittedUs     int64
@@ -72,8 +72,8 @@
 	}
 	r, c := runners[i], candidates[i]
 	version := weightsVersion(r.record, request.Model)
-	salt := a.Salt(request.Tenant, request.Isolated, request.Regime, version)
-	adm := &Admission{Runner: r.record, Salt: salt, Version: version, Cached: c.Cached, Source: c.From, admittedUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
+	salt := a.CacheSalt(request.Tenant, request.Isolated, request.Regime, version)
+	adm := &Admission{Runner: r.record, CacheSalt: salt, WeightsVersion: version, CachedTokens: c.Cached, Source: c.From, admittedUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
 	blockTokens := a.Tuning.BlockTokens
 	partTokens := 0
 	for j, k := range adm.Keys {
@@ -135,12 +135,12 @@
 	return len(expected.Parts) > 0
 }
 
-// HasFresh reports whether TakeFresh would return any prefixes.
-func (a *Admitter) HasFresh() bool { return len(a.expectedPrefixes) > 0 }
+// HasExpectedPrefixes reports whether TakeExpectedPrefixes would return any prefixes.
+func (a *Admitter) HasExpectedPrefixes() bool { return len(a.expectedPrefixes) > 0 }
 
-// FirstToken records that a runner has finished the prefill of a prompt. It updates the
+// RecordFirstToken records that a runner has finished the prefill of a prompt. It updates the
 // runner's prefill rate and cached prefixes.
-func (a *Admitter) FirstToken(adm *Admission, nowUs int64) {
+func (a *Admitter) RecordFirstToken(adm *Admission, nowUs int64) {
 	r := a.pool(adm.service).runners[adm.Runner.ID]
 	if r == nil || !adm.prefilling {
 		return
@@ -161,9 +161,9 @@
 	}
 }
 
-// Done releases the capacity of an admission. connected is false if the connection to
+// Release releases the capacity of an admission. connected is false if the connection to
 // the runner failed; the runner is then avoided, with exponential backoff.
-func (a *Admitter) Done(adm *Admission, connected bool, nowUs int64) {
+func (a *Admitter) Release(adm *Admission, connected bool, nowUs int64) {
 	p := a.pool(adm.service)
 	r := p.runners[adm.Runner.ID]
 	a.tenant(adm.tenant, nowUs).admitted--
@@ -193,9 +193,9 @@
 	r.avoidUntilUs = nowUs + r.backoffUs
 }
 
-// Ended records whether a request that ran at a runner succeeded, for outlier detection
+// RecordOutcome records whether a request that ran at a runner succeeded, for outlier detection
 // and for the rollout in progress.
-func (a *Admitter) Ended(adm *Admission, succeeded bool, nowUs int64) {
+func (a *Admitter) RecordOutcome(adm *Admission, succeeded bool, nowUs int64) {
 	p := a.pool(adm.service)
 	if r := p.runners[adm.Runner.ID]; r != nil {
 		r.health.record(succeeded, nowUs)
@@ -208,17 +208,17 @@
 	}
 }
 
-// Full records that a runner rejected a request for lack of capacity. The runner is
+// RecordRejection records that a runner rejected a request for lack of capacity. The runner is
 // avoided for rejectionBackoffUs.
-func (a *Admitter) Full(adm *Admission, nowUs int64) {
+func (a *Admitter) RecordRejection(adm *Admission, nowUs int64) {
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
 		r.avoidUntilUs = max(r.avoidUntilUs, nowUs+rejectionBackoffUs)
 	}
 }
 
-// TakeFresh returns, and clears, the prefixes that runners are about to cache for
+// TakeExpectedPrefixes returns, and clears, the prefixes that runners are about to cache for
 // requests that this node has admitted since the last call.
-func (a *Admitter) TakeFresh() []messages.CachedPrefixes {
+func (a *Admitter) TakeExpectedPrefixes() []messages.CachedPrefixes {
 	out := a.expectedPrefixes
 	a.expectedPrefixes = nil
 	return out
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -48,7 +48,7 @@
 	}
 	if targetZone := a.targetZone(request, p); targetZone != "" {
 		s.movesSessions = true
-		if a.Leaves(request, a.Zone, nowUs) {
+		if a.SessionLeaves(request, a.Zone, nowUs) {
 			s.preferredZone = targetZone
 		}
 	}
@@ -131,7 +131,7 @@
 			}
 		}
 		versions = append(versions, version)
-		keys = append(keys, prefixindex.Keys(a.Salt(request.Tenant, request.Isolated, request.Regime, version), request.Model, request.Parts))
+		keys = append(keys, prefixindex.Keys(a.CacheSalt(request.Tenant, request.Isolated, request.Regime, version), request.Model, request.Parts))
 		return keys[len(keys)-1]
 	}
 }
@@ -210,7 +210,7 @@
 	for _, id := range p.order {
 		r := p.runners[id]
 		version := weightsVersion(r.record, request.Model)
-		if !a.mayFetchFrom(s, r) || a.RetiredWeights(request.Model, version) {
+		if !a.mayFetchFrom(s, r) || a.WeightsRetired(request.Model, version) {
 			continue
 		}
 		cachedTokens, expected := a.Index.CachedAndExpected(id, s.keysOf(version), request.Parts)
@@ -223,7 +223,7 @@
 		}
 		for version := range sources.sharedTokens {
 			if cachedTokens := a.Index.Cached(store.ID, s.keysOf(version), request.Parts); cachedTokens >= minTransferTokens {
-				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: store.MoveUs})
+				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: store.TransferUsPerToken})
 				sources.sharedTokens[version] = max(sources.sharedTokens[version], min(sharedTokens, cachedTokens))
 			}
 		}
--- a/internal/admission/evacuation.go
+++ b/internal/admission/evacuation.go
@@ -16,9 +16,9 @@
 	returnWarmupUs int64
 }
 
-// SetReturnCold sets how long the runners of a zone are treated as cold after the end of its
+// SetReturnWarmup sets how long the runners of a zone are treated as cold after the end of its
 // evacuation.
-func (a *Admitter) SetReturnCold(forUs int64) { a.evacuations.returnWarmupUs = forUs }
+func (a *Admitter) SetReturnWarmup(forUs int64) { a.evacuations.returnWarmupUs = forUs }
 
 // SetEvacuated sets the evacuated zones. The runners of zones that are no longer in the set are
 // treated as cold for a while.
@@ -31,8 +31,8 @@
 	a.evacuations.zones = maps.Clone(zones)
 }
 
-// Evacuated reports whether a zone is evacuated, so that its runners receive no requests.
-func (a *Admitter) Evacuated(zone string) bool { return a.evacuations.zones[zone] }
+// ZoneEvacuated reports whether a zone is evacuated, so that its runners receive no requests.
+func (a *Admitter) ZoneEvacuated(zone string) bool { return a.evacuations.zones[zone] }
 
 // EvacuatedZones returns the evacuated zones, sorted.
 func (a *Admitter) EvacuatedZones() []string {
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -21,7 +21,7 @@
 
 // endRequest records the outcome of a request at a runner.
 func (a *Admitter) endRequest(id string, succeeded bool, nowUs int64) {
-	a.Ended(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, succeeded, nowUs)
+	a.RecordOutcome(&Admission{Runner: messages.RunnerRecord{ID: id}, service: "s"}, succeeded, nowUs)
 }
 
 // candidateIDs returns the set of runners that are candidates for a short request.
@@ -81,7 +81,7 @@
 func TestPeerOutcomesCountHalf(t *testing.T) {
 	admitter, _ := newAdmitterWithTenRunners()
 	reportFailures := func(failed int) {
-		admitter.Others(func(id string) messages.RunnerLoad {
+		admitter.SetPeerLoads(func(id string) messages.RunnerLoad {
 			l := messages.RunnerLoad{ID: id, Tried: 10}
 			if id == "r1" {
 				l.Failed = failed
@@ -96,7 +96,7 @@
 	for range 20 {
 		admitter.endRequest("r2", true, 1_000_000)
 	}
-	admitter.Others(func(id string) messages.RunnerLoad { return messages.RunnerLoad{ID: id, Tried: 10, Failed: 4} }, 1_000_000)
+	admitter.SetPeerLoads(func(id string) messages.RunnerLoad { return messages.RunnerLoad{ID: id, Tried: 10, Failed: 4} }, 1_000_000)
 	must.True(t, candidateIDs(admitter, 1_000_001)["r2"], must.Sprint("the requests of this node to the runner succeeded"))
 }
 
@@ -108,6 +108,6 @@
 	}
 	request := newRequest(16, 1)
 	must.Len(t, 1, admitter.Candidates(request, 2))
-	request.Avoid = []string{"y"}
+	request.ExcludedRunners = []string{"y"}
 	must.Len(t, 1, admitter.Candidates(request, 2))
 }
--- a/internal/admission/homes.go
+++ b/internal/admission/homes.go
@@ -10,17 +10,17 @@
 // regionAllowed reports whether the home regions of a request allow runners of a zone. A zone of
 // unknown region is in no home region.
 func (a *Admitter) regionAllowed(request *Request, zone string) bool {
-	if !request.Bound {
+	if !request.RegionRestricted {
 		return true
 	}
 	region, known := a.regions[zone]
-	return known && slices.Contains(request.Homes, region)
+	return known && slices.Contains(request.HomeRegions, region)
 }
 
-// Homes combines the home regions of a route and a tenant. If both have home regions, the result
+// CombineHomeRegions combines the home regions of a route and a tenant. If both have home regions, the result
 // is their intersection. bound is false if neither has any. If bound is true and homes is empty,
 // no region is allowed.
-func Homes(route, tenant []string) (homes []string, bound bool) {
+func CombineHomeRegions(route, tenant []string) (homes []string, bound bool) {
 	switch {
 	case len(route) == 0:
 		return tenant, len(tenant) > 0
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Report records a runner's report of its own load.
-func (a *Admitter) Report(n messages.RunnerReport, nowUs int64) {
+// RecordRunnerReport records a runner's report of its own load.
+func (a *Admitter) RecordRunnerReport(n messages.RunnerReport, nowUs int64) {
 	for _, p := range a.pools {
 		if r := p.runners[n.ID]; r != nil {
 			r.reportedLoad = runnerLoad{blocks: n.Used / a.Tuning.BlockTokens, count: n.Active + n.Queued, updatedUs: nowUs}
@@ -22,9 +22,9 @@
 	}
 }
 
-// ExpectBlocks adds the prefixes that runners are about to cache for requests of other
+// ExpectPrefixes adds the prefixes that runners are about to cache for requests of other
 // nodes to the index.
-func (a *Admitter) ExpectBlocks(prefixes []messages.CachedPrefixes) {
+func (a *Admitter) ExpectPrefixes(prefixes []messages.CachedPrefixes) {
 	for _, n := range prefixes {
 		for _, part := range n.Parts {
 			a.Index.Expect(n.ID, part.Key, part.Tokens)
@@ -32,18 +32,18 @@
 	}
 }
 
-// Others sets the total load of the other nodes at each runner.
-func (a *Admitter) Others(loads func(id string) messages.RunnerLoad, nowUs int64) {
+// SetPeerLoads sets the total load of the other nodes at each runner.
+func (a *Admitter) SetPeerLoads(loads func(id string) messages.RunnerLoad, nowUs int64) {
 	for _, p := range a.pools {
 		for id, r := range p.runners {
 			r.setPeerLoad(loads(id))
 		}
 	}
-	a.LoadsUpdated(nowUs)
+	a.PeerLoadsUpdated(nowUs)
 }
 
-// Other sets the total load of the other nodes at one runner.
-func (a *Admitter) Other(id string, l messages.RunnerLoad) {
+// SetPeerLoad sets the total load of the other nodes at one runner.
+func (a *Admitter) SetPeerLoad(id string, l messages.RunnerLoad) {
 	for _, p := range a.pools {
 		if r := p.runners[id]; r != nil {
 			r.setPeerLoad(l)
@@ -51,9 +51,9 @@
 	}
 }
 
-// LoadsUpdated records that the loads of the other nodes are up to date at nowUs, and
+// PeerLoadsUpdated records that the loads of the other nodes are up to date at nowUs, and
 // ejects outliers by their outcomes.
-func (a *Admitter) LoadsUpdated(nowUs int64) {
+func (a *Admitter) PeerLoadsUpdated(nowUs int64) {
 	a.peerLoadsUpdatedUs = nowUs
 	for _, p := range a.pools {
 		p.ejectOutliers(nowUs)
@@ -79,10 +79,10 @@
 	return a.peerLoadsUpdatedUs > 0 && nowUs-a.peerLoadsUpdatedUs < a.Tuning.ReportValidUs
 }
 
-// Blind returns the sorted identities of the runners whose load thresholds are unreliable:
+// UnmeasuredRunners returns the sorted identities of the runners whose load thresholds are unreliable:
 // their memory is unknown, or they have sent no report within three times
 // Tuning.ReportValidUs.
-func (a *Admitter) Blind(nowUs int64) []string {
+func (a *Admitter) UnmeasuredRunners(nowUs int64) []string {
 	var out []string
 	for _, p := range a.pools {
 		for _, id := range p.order {
@@ -105,9 +105,9 @@
 // nearly nothing in updates.
 const rateSteps = 1 << 13
 
-// Own returns the load of this node at each runner where it has any, and the outcomes of the
+// OwnLoads returns the load of this node at each runner where it has any, and the outcomes of the
 // rollouts in progress, to be published to the other nodes.
-func (a *Admitter) Own(nowUs int64) map[string]messages.RunnerLoad {
+func (a *Admitter) OwnLoads(nowUs int64) map[string]messages.RunnerLoad {
 	out := map[string]messages.RunnerLoad{}
 	for _, p := range a.pools {
 		for id, r := range p.runners {
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -23,10 +23,10 @@
 
 // Store is a server that caches memory blocks for the runners of a service.
 type Store struct {
-	ID     string
-	Addr   string
-	Zone   string
-	MoveUs float64 // microseconds to transfer the memory of one token
+	ID                 string
+	Addr               string
+	Zone               string
+	TransferUsPerToken float64 // microseconds to transfer the memory of one token
 }
 
 // SetService sets the runners of a service, the memory of each in tokens, and the time in
@@ -61,8 +61,10 @@
 // rest is reserved for reports, events and operator commands.
 const requestConnectionShare = 0.9
 
-// SetLinks sets the maximum number of connections that each runner of a service accepts.
-func (a *Admitter) SetLinks(service string, limit int) { a.pool(service).connectionLimit = limit }
+// SetConnectionLimit sets the maximum number of connections that each runner of a service accepts.
+func (a *Admitter) SetConnectionLimit(service string, limit int) {
+	a.pool(service).connectionLimit = limit
+}
 
 // connectionShare returns the maximum number of concurrent requests of this node at one
 // runner, each of which uses a connection; 0 means no limit.
--- a/internal/admission/retired.go
+++ b/internal/admission/retired.go
@@ -8,22 +8,24 @@
 // SetRetired sets, by model, the lowest weights version that is not retired.
 func (a *Admitter) SetRetired(retired map[string]int64) { a.retiredBelow = retired }
 
-// RetiredWeights reports whether a version of a model's weights is retired. An unknown
+// WeightsRetired reports whether a version of a model's weights is retired. An unknown
 // version, 0, counts as older than any other.
-func (a *Admitter) RetiredWeights(model string, version int64) bool {
+func (a *Admitter) WeightsRetired(model string, version int64) bool {
 	return version < a.retiredBelow[model]
 }
 
-// Retired reports whether the weights version of an admission has been retired since. It uses
+// HasRetiredWeights reports whether the weights version of an admission has been retired since. It uses
 // the version at admission, which the keys of the cached prefixes contain.
-func (a *Admitter) Retired(adm *Admission) bool { return a.RetiredWeights(adm.model, adm.Version) }
+func (a *Admitter) HasRetiredWeights(adm *Admission) bool {
+	return a.WeightsRetired(adm.model, adm.WeightsVersion)
+}
 
-// RetiredLeft returns the number of runners that still have retired weights of a model, and the
+// CountRetired returns the number of runners that still have retired weights of a model, and the
 // number of prompt parts cached at these runners.
-func (a *Admitter) RetiredLeft(model string) (runners, parts int) {
+func (a *Admitter) CountRetired(model string) (runners, parts int) {
 	for _, p := range a.pools {
 		for _, r := range p.runners {
-			if hasModel(r.record, model) && a.RetiredWeights(model, weightsVersion(r.record, model)) {
+			if hasModel(r.record, model) && a.WeightsRetired(model, weightsVersion(r.record, model)) {
 				runners++
 				parts += a.Index.Size(r.record.ID)
 			}
--- a/internal/admission/retired_test.go
+++ b/internal/admission/retired_test.go
@@ -37,19 +37,19 @@
 		admitter.Index.Put("x", key, int32(request.Parts[i].Tokens))
 	}
 	must.SliceEmpty(t, admitter.Candidates(request, testSecondUs))
-	must.Nil(t, admitter.Submit(request, testSecondUs).Admit)
+	must.Nil(t, admitter.Submit(request, testSecondUs).Admission)
 }
 
 func TestAdmissionIsNotSentAfterItsWeightsAreRetired(t *testing.T) {
 	admitter := newAdmitter("x")
 	setRunnerVersion(admitter, 1)
-	adm := admitter.Submit(newRequest(16, 1), testSecondUs).Admit
+	adm := admitter.Submit(newRequest(16, 1), testSecondUs).Admission
 	must.NotNil(t, adm)
 	must.True(t, admitter.WeightsAllowed(adm, testSecondUs))
 	admitter.SetRetired(testRetired)
 	must.False(t, admitter.WeightsAllowed(adm, testSecondUs))
 	setRunnerVersion(admitter, 2)
-	must.True(t, admitter.Retired(adm), must.Sprint("the admission's cached prefixes belong to the old weights"))
+	must.True(t, admitter.HasRetiredWeights(adm), must.Sprint("the admission's cached prefixes belong to the old weights"))
 }
 
 func TestBlocksAreNotFetchedFromRunnerWithRetiredWeights(t *testing.T) {
@@ -66,7 +66,7 @@
 			admitter.Index.Put("x", key, int32(request.Parts[i].Tokens))
 		}
 	}
-	adm := admitter.Submit(request, testSecondUs).Admit
+	adm := admitter.Submit(request, testSecondUs).Admission
 	must.NotNil(t, adm)
 	must.Eq(t, "y", adm.Runner.ID)
 	must.Eq(t, "", adm.Source)
@@ -80,10 +80,10 @@
 	stream.Begin(1, 0)
 	stream.Replace(map[uint64]int32{7: 16, 8: 16})
 	stream.Commit(1)
-	runners, parts := admitter.RetiredLeft("m")
+	runners, parts := admitter.CountRetired("m")
 	must.Eq(t, 1, runners)
 	must.Eq(t, 2, parts)
 	setRunnerVersion(admitter, 2)
-	runners, _ = admitter.RetiredLeft("m")
+	runners, _ = admitter.CountRetired("m")
 	must.Zero(t, runners)
 }
--- a/internal/admission/rollout_test.go
+++ b/internal/admission/rollout_test.go
@@ -88,21 +88,21 @@
 func TestOutcomesAreCountedByVersionAndClass(t *testing.T) {
 	a := newRolloutAdmitter(canary.Trying, 1, 1)
 	end := func(isCanary, succeeded bool, firstTokenUs int64) {
-		request := Request{Service: "s", TokensIn: 100, Canary: isCanary, Class: "500 ms", LeftUs: 1_000_000}
+		request := Request{Service: "s", TokensIn: 100, Canary: isCanary, Class: "500 ms", TimeLeftUs: 1_000_000}
 		decision := a.Submit(request, 1000)
-		must.NotNil(t, decision.Admit)
+		must.NotNil(t, decision.Admission)
 		if succeeded {
-			a.FirstToken(decision.Admit, 1000+firstTokenUs)
+			a.RecordFirstToken(decision.Admission, 1000+firstTokenUs)
 		}
-		a.Ended(decision.Admit, succeeded, 1000+firstTokenUs)
-		a.Done(decision.Admit, true, 1000+firstTokenUs)
+		a.RecordOutcome(decision.Admission, succeeded, 1000+firstTokenUs)
+		a.Release(decision.Admission, true, 1000+firstTokenUs)
 	}
 	end(true, true, 10_000)
 	end(true, true, 5_000_000)
 	end(true, false, 10_000)
 	end(false, true, 10_000)
 	evidence := canary.Evidence{}
-	for id, load := range a.Own(2000) {
+	for id, load := range a.OwnLoads(2000) {
 		canary.Collect(evidence, a.Rollouts()[0], id, load)
 	}
 	must.Eq(t, canary.Evidence{
@@ -111,7 +111,7 @@
 		"500 ms slow":      {New: canary.Outcome{Answers: 2, Bad: 1}, Other: canary.Outcome{Answers: 1}},
 	}, evidence)
 	a.SetRollouts([]messages.ServiceRollout{{Service: "s", Target: "v2", Stage: int(canary.Settled), Number: 1}})
-	for id := range a.Own(2000) {
+	for id := range a.OwnLoads(2000) {
 		_, ok := canary.ParseKey(id)
 		must.False(t, ok, must.Sprint("outcomes must not be published after the end of the rollout"))
 	}
--- a/internal/admission/session.go
+++ b/internal/admission/session.go
@@ -41,8 +41,8 @@
 	return hash
 }
 
-// Leaves reports whether a request's session has left a zone or must leave it now.
-func (a *Admitter) Leaves(request Request, zone string, nowUs int64) bool {
+// SessionLeaves reports whether a request's session has left a zone or must leave it now.
+func (a *Admitter) SessionLeaves(request Request, zone string, nowUs int64) bool {
 	entry, ok := a.relinquished[zone]
 	if !ok {
 		return false
@@ -71,9 +71,9 @@
 	return zone
 }
 
-// TryNow admits a request if there is capacity for it now. Otherwise it returns nil and
+// TryAdmit admits a request if there is capacity for it now. Otherwise it returns nil and
 // does not queue the request.
-func (a *Admitter) TryNow(request Request, nowUs int64) *Admission {
+func (a *Admitter) TryAdmit(request Request, nowUs int64) *Admission {
 	p := a.pool(request.Service)
 	if p.memoryTokens > 0 && request.TokensIn+request.TokensOut > p.memoryTokens || !a.noneQueuedAhead(p, request.Rank) {
 		return nil
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -34,10 +34,10 @@
 	request := sessionRequest(i)
 	request.Tenant = fmt.Sprint("t", i) // one tenant per session, so that none reaches its rate limit
 	decision := admitter.Submit(request, nowUs)
-	must.NotNil(t, decision.Admit, must.Sprint(decision.Reject))
-	admitter.FirstToken(decision.Admit, nowUs)
-	admitter.Done(decision.Admit, true, nowUs)
-	return decision.Admit.Runner.Zone
+	must.NotNil(t, decision.Admission, must.Sprint(decision.Reason))
+	admitter.RecordFirstToken(decision.Admission, nowUs)
+	admitter.Release(decision.Admission, true, nowUs)
+	return decision.Admission.Runner.Zone
 }
 
 const testSessions = 400
@@ -56,10 +56,10 @@
 	left := map[int]bool{}
 	for _, nowUs := range []int64{1_000_000, 3_500_000, 6_000_000, 8_500_000, 11_000_000} {
 		for i := range testSessions {
-			leaves := admitter.Leaves(sessionRequest(i), "a", nowUs)
+			leaves := admitter.SessionLeaves(sessionRequest(i), "a", nowUs)
 			must.False(t, left[i] && !leaves, must.Sprint("session returned: ", i))
 			left[i] = left[i] || leaves
-			must.False(t, admitter.Leaves(sessionRequest(i), "b", nowUs))
+			must.False(t, admitter.SessionLeaves(sessionRequest(i), "b", nowUs))
 		}
 		n := 0
 		for _, l := range left {
@@ -75,7 +75,7 @@
 		must.NotEq(t, "a", admittedZone(t, admitter, i, 12_000_000))
 	}
 	admitter.SetRelinquished(nil, 13_000_000)
-	must.False(t, admitter.Leaves(sessionRequest(1), "a", 14_000_000), must.Sprint("the zone is no longer relinquished"))
+	must.False(t, admitter.SessionLeaves(sessionRequest(1), "a", 14_000_000), must.Sprint("the zone is no longer relinquished"))
 }
 
 // All nodes choose the same target zone for a session, and relinquishing a second zone
@@ -129,33 +129,33 @@
 	records[1].Models = []messages.Target{{Model: "m", Version: 2}}
 	admitter.SetService("s", records, testMemoryTokens, 0.01)
 	request := sessionRequest(7)
-	for i, k := range prefixindex.Keys(admitter.Salt(request.Tenant, false, "", 1), "m", request.Parts) {
+	for i, k := range prefixindex.Keys(admitter.CacheSalt(request.Tenant, false, "", 1), "m", request.Parts) {
 		admitter.Index.Put("r0", k, int32(request.Parts[i].Tokens))
 	}
-	adm := admitter.Submit(request, 30).Admit
+	adm := admitter.Submit(request, 30).Admission
 	must.Eq(t, "r1", adm.Runner.ID)
 	must.Eq(t, "", adm.Source)
-	admitter.Done(adm, true, 31)
+	admitter.Release(adm, true, 31)
 
 	admitter.SetService("s", runnersInZones("a", "b", "c"), testMemoryTokens, 0.01)
 	admitter.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true, "r2": true}})
 	request.Regime = "allergen"
-	must.Eq(t, "r2", admitter.Submit(request, 40).Admit.Runner.ID)
+	must.Eq(t, "r2", admitter.Submit(request, 40).Admission.Runner.ID)
 	admitter.SetCertified("s", map[string]map[string]bool{"allergen": {"r0": true}})
-	must.True(t, admitter.Submit(request, 50).Hold, must.Sprint("the only certified runner is in the zone that the session has left"))
+	must.True(t, admitter.Submit(request, 50).Queued, must.Sprint("the only certified runner is in the zone that the session has left"))
 
 	admitter.pool("s").queue = queue{}
 	admitter.SetService("s", runnersInZones("a", "a"), testMemoryTokens, 0.01)
 	must.Eq(t, "a", admittedZone(t, admitter, 3, 60), must.Sprint("no other zone is available"))
 }
 
-func TestTryNowDoesNotQueue(t *testing.T) {
+func TestTryAdmitDoesNotQueue(t *testing.T) {
 	admitter := newZonedAdmitter()
 	request := sessionRequest(1)
-	must.NotNil(t, admitter.TryNow(request, 1))
-	request.Avoid = []string{"r0", "r1", "r2", "r3", "r4", "r5"}
-	must.Nil(t, admitter.TryNow(request, 2))
+	must.NotNil(t, admitter.TryAdmit(request, 1))
+	request.ExcludedRunners = []string{"r0", "r1", "r2", "r3", "r4", "r5"}
+	must.Nil(t, admitter.TryAdmit(request, 2))
 	must.Eq(t, 0, admitter.pool("s").queue.count)
 	request.TokensIn = 10 * testMemoryTokens
-	must.Nil(t, admitter.TryNow(request, 3))
+	must.Nil(t, admitter.TryAdmit(request, 3))
 }
--- a/internal/admission/unreachable.go
+++ b/internal/admission/unreachable.go
@@ -46,13 +46,13 @@
 	return ok
 }
 
-// OutOfReach reports whether the runner of an admission is in an unreachable zone.
-func (a *Admitter) OutOfReach(adm *Admission) bool { return a.zoneUnreachable(adm.Runner.Zone) }
+// InUnreachableZone reports whether the runner of an admission is in an unreachable zone.
+func (a *Admitter) InUnreachableZone(adm *Admission) bool { return a.zoneUnreachable(adm.Runner.Zone) }
 
-// LeavesUnreachable reports whether the runner of an admission is in an unreachable zone while the
+// MustLeaveUnreachableZone reports whether the runner of an admission is in an unreachable zone while the
 // service has reachable runners.
-func (a *Admitter) LeavesUnreachable(adm *Admission) bool {
-	return a.OutOfReach(adm) && a.hasReachableRunners(a.pool(adm.service))
+func (a *Admitter) MustLeaveUnreachableZone(adm *Admission) bool {
+	return a.InUnreachableZone(adm) && a.hasReachableRunners(a.pool(adm.service))
 }
 
 // hasReachableRunners reports whether zones are unreachable, and the service has runners outside
@@ -63,7 +63,7 @@
 	}
 	for _, id := range p.order {
 		r := p.runners[id]
-		if !r.record.Draining && !a.zoneUnreachable(r.record.Zone) && !a.Evacuated(r.record.Zone) {
+		if !r.record.Draining && !a.zoneUnreachable(r.record.Zone) && !a.ZoneEvacuated(r.record.Zone) {
 			return true
 		}
 	}
--- a/internal/admission/warmup.go
+++ b/internal/admission/warmup.go
@@ -102,18 +102,18 @@
 	a.warmups = warmupConfig{bounds: bounds, nodes: rendezvous.NewNodes(self, nowUs), startUs: nowUs}
 }
 
-// SeeNodes records the nodes that are visible now. The senders are chosen among the nodes seen
+// RecordVisibleNodes records the nodes that are visible now. The senders are chosen among the nodes seen
 // recently.
-func (a *Admitter) SeeNodes(addrs []string, nowUs int64) {
+func (a *Admitter) RecordVisibleNodes(addrs []string, nowUs int64) {
 	if a.warmups.nodes != nil {
 		a.warmups.nodes.See(addrs, nowUs)
 	}
 }
 
-// SetWarmups sets the warm-up rate of a service's runners in requests per second, 0 for no
+// SetWarmupRate sets the warm-up rate of a service's runners in requests per second, 0 for no
 // limit, and applies the warm-up state in the runners' records. It must be called after
 // SetService.
-func (a *Admitter) SetWarmups(service string, ratePerS float64, nowUs int64) {
+func (a *Admitter) SetWarmupRate(service string, ratePerS float64, nowUs int64) {
 	p := a.pool(service)
 	for _, id := range p.order {
 		p.runners[id].warmup.observe(p.runners[id].record, nowUs)
--- a/internal/admission/warmup_test.go
+++ b/internal/admission/warmup_test.go
@@ -33,7 +33,7 @@
 		a := New(Defaults, "a", uint64(node))
 		a.SetNodes(nodes)
 		a.SetWarmup(nodeName(node), testColdBounds, 0)
-		a.SeeNodes(seen(node), testSecondUs)
+		a.RecordVisibleNodes(seen(node), testSecondUs)
 		var records []messages.RunnerRecord
 		for r := range runners {
 			record := testRecord(fmt.Sprint("r", r))
@@ -41,7 +41,7 @@
 			records = append(records, record)
 		}
 		a.SetService("s", records, 100*testMemoryTokens, 0)
-		a.SetWarmups("s", testColdRate, senderStartDelayUs)
+		a.SetWarmupRate("s", testColdRate, senderStartDelayUs)
 		f.admitters = append(f.admitters, a)
 	}
 	return f
@@ -64,9 +64,9 @@
 	for nowUs := int64(senderStartDelayUs); nowUs < senderStartDelayUs+seconds*testSecondUs; nowUs += 2_000 {
 		a := f.admitters[random.IntN(len(f.admitters))]
 		for _, decision := range append(a.Tick(nowUs), a.Submit(newRequest(16, 1), nowUs)) {
-			if adm := decision.Admit; adm != nil {
+			if adm := decision.Admission; adm != nil {
 				f.sentUs[adm.Runner.ID] = append(f.sentUs[adm.Runner.ID], nowUs)
-				a.Done(adm, true, nowUs)
+				a.Release(adm, true, nowUs)
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 func TestColdRunnersExceedBoundWithoutWarmupRate(t *testing.T) {
 	f := newColdFleet(40, 10, allNodes(40))
 	for _, a := range f.admitters {
-		a.SetWarmups("s", 0, senderStartDelayUs)
+		a.SetWarmupRate("s", 0, senderStartDelayUs)
 	}
 	f.offerLoad(2)
 	most, _ := f.requestCounts()
@@ -141,7 +141,7 @@
 	observe := func(seq, leftUs, nowUs int64) {
 		record.Seq, record.ColdLeftUs = seq, leftUs
 		a.SetService("s", []messages.RunnerRecord{record}, testMemoryTokens, 0)
-		a.SetWarmups("s", testColdRate, nowUs)
+		a.SetWarmupRate("s", testColdRate, nowUs)
 	}
 	observe(1, 3*testSecondUs, 0)
 	must.Len(t, 1, a.WarmingUp(testSecondUs))
@@ -169,9 +169,9 @@
 func TestEvacuatedZoneGetsNoRequestsAndReturnsCold(t *testing.T) {
 	a := New(Defaults, "a", 1)
 	a.SetWarmup("self", testColdBounds, 0)
-	a.SetReturnCold(2 * testSecondUs)
+	a.SetReturnWarmup(2 * testSecondUs)
 	a.SetService("s", runnersInZones("a", "b"), testMemoryTokens, 0)
-	a.SetWarmups("s", testColdRate, 0)
+	a.SetWarmupRate("s", testColdRate, 0)
 	zones := func(nowUs int64) (zones []string) {
 		for _, c := range a.Candidates(newRequest(16, 1), nowUs) {
 			zones = append(zones, a.pool("s").runners[c.ID].record.Zone)
@@ -202,7 +202,7 @@
 		{[]string{"north", "south"}, []string{"south"}, 1},
 	} {
 		request := newRequest(16, 1)
-		request.Homes, request.Bound = Homes(c.route, c.tenant)
+		request.HomeRegions, request.RegionRestricted = CombineHomeRegions(c.route, c.tenant)
 		must.Len(t, c.want, a.Candidates(request, testSecondUs), must.Sprintf("%+v", c))
 	}
 }
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -45,13 +45,13 @@
 // TargetAges returns the ages of the target versions, to be sent to other nodes.
 func (a *Admitter) TargetAges(nowUs int64) []messages.TargetAge { return a.targets.Ages(nowUs) }
 
-// Contact records a message from a controller that is in contact with the core.
-func (a *Admitter) Contact(nowUs int64) { a.lastContactUs = max(a.lastContactUs, nowUs) }
+// RecordContact records a message from a controller that is in contact with the core.
+func (a *Admitter) RecordContact(nowUs int64) { a.lastContactUs = max(a.lastContactUs, nowUs) }
 
 // outOfContact reports whether the bound is suspended. Only this node's own loss of contact
 // suspends it, not changes of the core's membership.
 func (a *Admitter) outOfContact(nowUs int64) bool {
-	return a.Bound.ContactLossUs > 0 && nowUs-a.lastContactUs >= a.Bound.ContactLossUs
+	return a.WeightsBound.ContactLossUs > 0 && nowUs-a.lastContactUs >= a.WeightsBound.ContactLossUs
 }
 
 // pastBound reports whether a version of a model's weights is too old for requests that
@@ -60,7 +60,7 @@
 	if version >= a.targets.Newest(model).Version || a.outOfContact(nowUs) {
 		return false
 	}
-	return a.targets.OutdatedUs(model, version, nowUs) >= a.Bound.VersionUs-marginUs
+	return a.targets.OutdatedUs(model, version, nowUs) >= a.WeightsBound.VersionUs-marginUs
 }
 
 // runnerWeightsAllowed reports whether the bound allows a request for a model to be sent to
@@ -83,14 +83,14 @@
 // weights version is neither retired nor past the bound. It uses the version at admission,
 // which determines the cache salt and is named in the request to the runner.
 func (a *Admitter) WeightsAllowed(adm *Admission, nowUs int64) bool {
-	return !a.Retired(adm) && !a.pastBound(adm.model, adm.Version, minSendMarginUs, nowUs)
+	return !a.HasRetiredWeights(adm) && !a.pastBound(adm.model, adm.WeightsVersion, minSendMarginUs, nowUs)
 }
 
 // MustWithdraw reports whether a request that was sent and has not begun must be withdrawn,
 // because the weights might be past the bound when it begins. It uses the newer of the
 // version at admission and the runner's current one.
 func (a *Admitter) MustWithdraw(adm *Admission, nowUs int64) bool {
-	version := adm.Version
+	version := adm.WeightsVersion
 	if r := a.pool(adm.service).runners[adm.Runner.ID]; r != nil {
 		version = max(version, weightsVersion(r.record, adm.model))
 	}
--- a/internal/admission/weights_test.go
+++ b/internal/admission/weights_test.go
@@ -19,8 +19,8 @@
 // was acknowledged at time 0.
 func newBoundAdmitter(ids ...string) *Admitter {
 	admitter := newAdmitter(ids...)
-	admitter.Bound = WeightsBound{VersionUs: testVersionUs, ContactLossUs: 3_000_000}
-	admitter.Contact(1)
+	admitter.WeightsBound = WeightsBound{VersionUs: testVersionUs, ContactLossUs: 3_000_000}
+	admitter.RecordContact(1)
 	admitter.ObserveTargets(targetAge(2, 1), 1)
 	return admitter
 }
@@ -40,7 +40,7 @@
 	admitter := newBoundAdmitter("x")
 	const bound = testVersionUs - minSendMarginUs
 	for us := int64(250_000); us < bound; us += 250_000 {
-		admitter.Contact(us) // messages arrive from different controllers, each new to this node
+		admitter.RecordContact(us) // messages arrive from different controllers, each new to this node
 		admitter.ObserveTargets(targetAge(2, 0), us)
 		admitter.ObserveTargets(targetAge(2, -1), us)
 		admitter.AssumeTarget("m", 2, us)
@@ -49,16 +49,16 @@
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound))
 	setRunnerVersion(admitter, 2)
 	r := admitter.Submit(newRequest(16, 1), bound)
-	must.NotNil(t, r.Admit)
-	must.Eq(t, "w2", r.Admit.Salt)
+	must.NotNil(t, r.Admission)
+	must.Eq(t, "w2", r.Admission.CacheSalt)
 }
 
 func TestBoundSurvivesRouterRestart(t *testing.T) {
 	before := newBoundAdmitter("x")
 	const restartUs = 3_000_000
 	after := newAdmitter("x")
-	after.Bound = before.Bound
-	after.Contact(1)
+	after.WeightsBound = before.WeightsBound
+	after.RecordContact(1)
 	after.ObserveTargets(before.TargetAges(restartUs), 1)
 	must.Len(t, 1, after.Candidates(newRequest(16, 1), 1))
 	must.SliceEmpty(t, after.Candidates(newRequest(16, 1), testVersionUs-minSendMarginUs-restartUs+1))
@@ -76,7 +76,7 @@
 	admitter := newBoundAdmitter("x")
 	setRunnerVersion(admitter, 0)
 	const bound = testVersionUs - minSendMarginUs
-	admitter.Contact(bound)
+	admitter.RecordContact(bound)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), bound-1))
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound))
 	other := newRequest(16, 1)
@@ -86,19 +86,19 @@
 
 func TestLossOfContactSuspendsBoundUntilContactReturns(t *testing.T) {
 	admitter := newBoundAdmitter("x")
-	admitter.Contact(testVersionUs)
+	admitter.RecordContact(testVersionUs)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), testVersionUs+2_999_999))
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), testVersionUs+3_000_000))
-	admitter.Contact(testVersionUs + 3_000_001)
+	admitter.RecordContact(testVersionUs + 3_000_001)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), testVersionUs+3_000_001))
 }
 
 func TestExpectedWaitAtRunnerAdvancesBound(t *testing.T) {
 	admitter := newBoundAdmitter("x", "y")
 	const beforeBoundUs = testVersionUs - minSendMarginUs - 500_000
-	admitter.Contact(beforeBoundUs)
+	admitter.RecordContact(beforeBoundUs)
 	must.Len(t, 2, admitter.Candidates(newRequest(16, 1), beforeBoundUs))
-	admitter.Report(messages.RunnerReport{ID: "x", Queued: 2}, beforeBoundUs)
+	admitter.RecordRunnerReport(messages.RunnerReport{ID: "x", Queued: 2}, beforeBoundUs)
 	list := admitter.Candidates(newRequest(16, 1), beforeBoundUs)
 	must.Len(t, 1, list)
 	must.Eq(t, "y", list[0].ID)
@@ -108,22 +108,22 @@
 func TestAdmittedRequestIsRecheckedWhenSent(t *testing.T) {
 	admitter := newBoundAdmitter("x")
 	const bound = testVersionUs - minSendMarginUs
-	admitter.Contact(bound)
-	adm := admitter.Submit(newRequest(16, 1), bound-1).Admit
+	admitter.RecordContact(bound)
+	adm := admitter.Submit(newRequest(16, 1), bound-1).Admission
 	must.NotNil(t, adm)
 	must.True(t, admitter.WeightsAllowed(adm, bound-1_000_000))
 	must.False(t, admitter.WeightsAllowed(adm, bound))
 	setRunnerVersion(admitter, 2)
 	must.False(t, admitter.WeightsAllowed(adm, bound), must.Sprint("the cache salt of the admission belongs to the old weights"))
-	must.True(t, admitter.WeightsAllowed(admitter.Submit(newRequest(16, 1), bound).Admit, bound))
+	must.True(t, admitter.WeightsAllowed(admitter.Submit(newRequest(16, 1), bound).Admission, bound))
 }
 
 func TestUnstartedRequestIsWithdrawnBeforeBound(t *testing.T) {
 	admitter := newBoundAdmitter("x")
-	adm := admitter.Submit(newRequest(16, 1), 1_000_000).Admit
+	adm := admitter.Submit(newRequest(16, 1), 1_000_000).Admission
 	must.NotNil(t, adm)
 	const withdrawUs = testVersionUs - withdrawMarginUs
-	admitter.Contact(withdrawUs)
+	admitter.RecordContact(withdrawUs)
 	must.False(t, admitter.MustWithdraw(adm, withdrawUs-1))
 	must.True(t, admitter.MustWithdraw(adm, withdrawUs))
 	must.False(t, admitter.MustWithdraw(adm, withdrawUs+3_000_000), must.Sprint("out of contact"))
@@ -134,12 +134,12 @@
 func TestLaterTargetDoesNotExtendBoundOfOlderWeights(t *testing.T) {
 	admitter := newBoundAdmitter("x")
 	const bound = testVersionUs - minSendMarginUs
-	admitter.Contact(bound)
+	admitter.RecordContact(bound)
 	admitter.ObserveTargets(targetAge(3, 1_000_000), bound)
 	admitter.ObserveTargets(targetAge(4, 0), bound)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), bound), must.Sprint("version 2 was acknowledged longer ago than the bound"))
 	setRunnerVersion(admitter, 2)
 	must.Len(t, 1, admitter.Candidates(newRequest(16, 1), bound))
-	admitter.Contact(2 * bound)
+	admitter.RecordContact(2 * bound)
 	must.SliceEmpty(t, admitter.Candidates(newRequest(16, 1), 2*bound))
 }
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -60,10 +60,10 @@
 			if adm == nil {
 				// If no runner has capacity for this request, none has for the next, unless
 				// this one may use only some of the runners.
-				noCapacity = !a.hasCapacity && w.request.Regime == "" && len(w.request.Avoid) == 0
+				noCapacity = !a.hasCapacity && w.request.Regime == "" && len(w.request.ExcludedRunners) == 0
 				return false
 			}
-			out = append(out, Decision{Ref: w.request.Ref, Admit: adm})
+			out = append(out, Decision{Ref: w.request.Ref, Admission: adm})
 			return true
 		})
 	}
--- a/internal/admission/withheld.go
+++ b/internal/admission/withheld.go
@@ -59,7 +59,7 @@
 		return WithheldCordoned
 	case skipUnreachable && a.zoneUnreachable(zone):
 		return WithheldUnreachable
-	case a.Evacuated(zone):
+	case a.ZoneEvacuated(zone):
 		return WithheldEvacuated
 	case !a.warmupAllows(p, r, nowUs):
 		return WithheldWarmingUp
@@ -82,13 +82,13 @@
 		return withheldRegion, 0
 	case !allowed:
 		return withheldVersion, 0
-	case slices.Contains(s.request.Avoid, r.record.ID):
+	case slices.Contains(s.request.ExcludedRunners, r.record.ID):
 		return withheldExcluded, 0
-	case a.RetiredWeights(model, weightsVersion(r.record, model)):
+	case a.WeightsRetired(model, weightsVersion(r.record, model)):
 		return withheldRetired, 0
 	case !a.runnerWeightsAllowed(model, r, s.nowUs):
 		return withheldOldWeights, 0
-	case s.movesSessions && a.Leaves(s.request, r.record.Zone, s.nowUs):
+	case s.movesSessions && a.SessionLeaves(s.request, r.record.Zone, s.nowUs):
 		return withheldSession, 0
 	}
 	return NotWithheld, preference
--- a/internal/admission/withheld_test.go
+++ b/internal/admission/withheld_test.go
@@ -34,7 +34,7 @@
 		counts := a.CountWithheld(nowUs)
 		must.Eq(t, 1, counts[want]-boolToInt(want == NotWithheld), must.Sprint(want, counts))
 		must.NotEq(t, "", want.String())
-		request := Request{Service: "s", TokensIn: 100, SetpointUs: 1, LeftUs: 1_000_000}
+		request := Request{Service: "s", TokensIn: 100, SetpointUs: 1, TimeLeftUs: 1_000_000}
 		for range 20 {
 			for _, c := range a.Candidates(request, nowUs) {
 				must.True(t, c.ID == "near" || want == NotWithheld || want == WithheldMemory || want == WithheldPrefill, must.Sprint(want))
--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -21,10 +21,10 @@
 	v := &exchange{router: c, rc: app.NewContext(0), id: "id1", route: &routeconfig.Route{}, service: "s"}
 	v.rc.Request.Header.SetMethod("POST")
 	v.rc.Request.SetRequestURI("/pay/")
-	v.request = admission.Request{Service: "s", LeftUs: 1_000_000}
+	v.request = admission.Request{Service: "s", TimeLeftUs: 1_000_000}
 	v.endUs = c.clock() + endsInUs
 	c.admissionMu.Lock()
-	adm := c.admission.Submit(v.request, c.clock()).Admit
+	adm := c.admission.Submit(v.request, c.clock()).Admission
 	c.admissionMu.Unlock()
 	must.NotNil(t, adm)
 	link, err := upstream.Connect(context.Background(), adm.Runner.Addr)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -30,16 +30,16 @@
 // makeAttempt makes the next attempt. It reports whether another one follows.
 func (e *exchange) makeAttempt() bool {
 	decision := e.nextPlace()
-	if decision.Admit == nil {
+	if decision.Admission == nil {
 		e.rejectUnplaced(decision)
 		return false
 	}
-	if !e.reenter(decision.Admit) {
+	if !e.reenter(decision.Admission) {
 		return false
 	}
 	e.checkRepeat()
 	var end attempt.Result
-	end, e.stream = e.send(decision.Admit, e.stream)
+	end, e.stream = e.send(decision.Admission, e.stream)
 	if end != attempt.Answered && e.client.hasLeft() {
 		end = attempt.ClientGone
 	}
@@ -57,7 +57,7 @@
 		e.cut()
 		return false
 	}
-	if !e.retries(end, decision.Admit.Runner.ID) {
+	if !e.retries(end, decision.Admission.Runner.ID) {
 		e.rejectFailed()
 		return false
 	}
@@ -67,7 +67,7 @@
 // nextPlace is where the next attempt goes.
 func (e *exchange) nextPlace() admission.Decision {
 	if e.next != nil {
-		return admission.Decision{Admit: e.next.adm}
+		return admission.Decision{Admission: e.next.adm}
 	}
 	return e.admit()
 }
@@ -79,7 +79,7 @@
 	}
 	next := e.sequence.Failed(e.repeatRules(), end, e.timeOver(), retryBudget{e})
 	if next.Avoid {
-		e.request.Avoid = append(e.request.Avoid, runnerID)
+		e.request.ExcludedRunners = append(e.request.ExcludedRunners, runnerID)
 	}
 	return next.Retry
 }
@@ -101,9 +101,9 @@
 	switch {
 	case e.stream != nil:
 	case e.sequence.MayHaveRun():
-		e.reject(e.sequence.EndStatus(e.router.clock() >= e.endUs), decision.Reject, 0)
+		e.reject(e.sequence.EndStatus(e.router.clock() >= e.endUs), decision.Reason, 0)
 	default:
-		e.reject(decision.Status, decision.Reject, decision.AgainUs)
+		e.reject(decision.Status, decision.Reason, decision.RetryAfterUs)
 	}
 }
 
@@ -141,23 +141,23 @@
 	ch := make(chan admission.Decision, 1)
 	e.request.Ref = c.slab.Put(func(r admission.Decision) { ch <- r })
 	now := c.clock()
-	e.request.LeftUs = e.endUs - now
+	e.request.TimeLeftUs = e.endUs - now
 	c.admissionMu.Lock()
 	e.request.Canary = e.sequence.IsFirst() && (e.request.Canary || c.admission.DrawCanary(e.service))
 	r := c.admission.Submit(e.request, now)
-	if r.Reject == admission.RejectQueue || r.Reject == admission.RejectTokens {
-		if shed, ok := c.admission.ShedFor(e.request, now); ok {
+	if r.Reason == admission.RejectQueue || r.Reason == admission.RejectTokens {
+		if shed, ok := c.admission.ShedLowerPriority(e.request, now); ok {
 			defer c.slab.Resume(shed.Ref, shed)
 			r = c.admission.Submit(e.request, now)
 		}
 	}
-	fresh := c.admission.HasFresh()
+	fresh := c.admission.HasExpectedPrefixes()
 	c.admissionMu.Unlock()
 	if fresh {
 		signal(c.prefixesPending)
 	}
 	signal(c.loadsChanged)
-	if !r.Hold {
+	if !r.Queued {
 		c.slab.Drop(e.request.Ref)
 		return r
 	}
@@ -196,5 +196,5 @@
 	c.admissionMu.Lock()
 	c.admission.Abandon(e.request)
 	c.admissionMu.Unlock()
-	return admission.Decision{Ref: e.request.Ref, Status: 503, Reject: reason, AgainUs: drainRetryUs}
+	return admission.Decision{Ref: e.request.Ref, Status: 503, Reason: reason, RetryAfterUs: drainRetryUs}
 }
--- a/internal/router/client_watch_test.go
+++ b/internal/router/client_watch_test.go
@@ -94,7 +94,7 @@
 				must.Eq(t, 1, r.count(), must.Sprint("not sent once more"))
 				c.admissionMu.Lock()
 				defer c.admissionMu.Unlock()
-				must.NotNil(t, c.admission.TryNow(admission.Request{Service: "s", LeftUs: 1_000_000}, c.clock()), must.Sprint("no failure of the runner"))
+				must.NotNil(t, c.admission.TryAdmit(admission.Request{Service: "s", TimeLeftUs: 1_000_000}, c.clock()), must.Sprint("no failure of the runner"))
 			})
 		}
 	}
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -17,7 +17,7 @@
 	x.Versions = r.versions()
 	r.stateMu.Unlock()
 	r.admissionMu.Lock()
-	x.Blind = r.admission.Blind(r.clock())
+	x.Blind = r.admission.UnmeasuredRunners(r.clock())
 	x.Partition.Evacuated = r.admission.EvacuatedZones()
 	x.Partition.Rollouts = r.admission.Rollouts()
 	x.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
--- a/internal/router/cut_streams.go
+++ b/internal/router/cut_streams.go
@@ -32,12 +32,12 @@
 	now := r.clock()
 	r.admissionMu.Lock()
 	for _, s := range streams {
-		if r.admission.LeavesUnreachable(s.adm) && now >= s.stayUntilUs.Load() && s.link.SilentFor() >= silentStream {
+		if r.admission.MustLeaveUnreachableZone(s.adm) && now >= s.stayUntilUs.Load() && s.link.SilentFor() >= silentStream {
 			left = append(left, s)
 		}
 	}
 	for _, d := range dials {
-		if r.admission.LeavesUnreachable(d.adm) {
+		if r.admission.MustLeaveUnreachableZone(d.adm) {
 			d.cancel()
 		}
 	}
@@ -67,8 +67,8 @@
 		return false // it was interrupted for another reason, which ends it
 	}
 	resumable := !stream.started || stream.events.LastID != ""
-	leaves := func(admission.Request) bool { return c.admission.LeavesUnreachable(watched.adm) }
-	accepts := func(next *admission.Admission) bool { return !c.admission.OutOfReach(next) }
+	leaves := func(admission.Request) bool { return c.admission.MustLeaveUnreachableZone(watched.adm) }
+	accepts := func(next *admission.Admission) bool { return !c.admission.InUnreachableZone(next) }
 	if resumable && e.acquireNext(watched.adm, leaves, accepts) {
 		c.counters.streamsLeft.Add(1)
 		return false
--- a/internal/router/evening_test.go
+++ b/internal/router/evening_test.go
@@ -123,7 +123,7 @@
 	}
 	e.count++
 	g := &guest{id: fmt.Sprint(e.count), node: n}
-	g.ask = admission.Request{Service: "s", Tenant: "taxi", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, LeftUs: 6_000_000}
+	g.ask = admission.Request{Service: "s", Tenant: "taxi", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, TimeLeftUs: 6_000_000}
 	if e.rnd.IntN(2) == 0 {
 		g.ask.Tenant = "directorate"
 		g.ask.Regime = n.table.RegimeOf("directorate")
@@ -137,37 +137,37 @@
 	n := g.node
 	g.ask.Ref = n.slab.Put(func(r admission.Decision) { e.ruled(g, r) })
 	r := n.admission.Submit(g.ask, e.nowUs)
-	if !r.Hold {
+	if !r.Queued {
 		n.slab.Resume(g.ask.Ref, r)
 	}
 }
 
 func (e *evening) ruled(g *guest, r admission.Decision) {
-	if r.Admit == nil {
+	if r.Admission == nil {
 		e.end(g, compliance.Rejected)
 		return
 	}
-	_, cert, ok := g.node.table.Allows(g.ask.Tenant, sightOf(r.Admit.Runner))
+	_, cert, ok := g.node.table.Allows(g.ask.Tenant, sightOf(r.Admission.Runner))
 	if !ok {
-		g.node.admission.Done(r.Admit, true, e.nowUs)
-		g.ask.Avoid = append(g.ask.Avoid, r.Admit.Runner.ID)
-		if len(g.ask.Avoid) > attempt.MaxUnsent {
+		g.node.admission.Release(r.Admission, true, e.nowUs)
+		g.ask.ExcludedRunners = append(g.ask.ExcludedRunners, r.Admission.Runner.ID)
+		if len(g.ask.ExcludedRunners) > attempt.MaxUnsent {
 			e.end(g, compliance.Rejected)
 			return
 		}
 		e.offer(g)
 		return
 	}
-	must.False(e.t, r.Admit.Version < g.node.table.Retired["m"], must.Sprintf("%s is sent to weights %d in version %d", g.id, r.Admit.Version, g.node.table.Version))
-	must.Eq(e.t, admission.Salt(g.ask.Tenant, false, g.ask.Regime, r.Admit.Version), r.Admit.Salt)
-	if r.Admit.Version < e.newest {
+	must.False(e.t, r.Admission.WeightsVersion < g.node.table.Retired["m"], must.Sprintf("%s is sent to weights %d in version %d", g.id, r.Admission.WeightsVersion, g.node.table.Version))
+	must.Eq(e.t, admission.CacheSalt(g.ask.Tenant, false, g.ask.Regime, r.Admission.WeightsVersion), r.Admission.CacheSalt)
+	if r.Admission.WeightsVersion < e.newest {
 		e.older++
 	}
-	g.adm, g.endsUs = r.Admit, e.nowUs+200_000+int64(e.rnd.IntN(1_500_000))
+	g.adm, g.endsUs = r.Admission, e.nowUs+200_000+int64(e.rnd.IntN(1_500_000))
 	if g.ask.Regime != "" {
-		g.node.note(compliance.Sent, g, &r.Admit.Runner, cert)
-		e.sent[r.Admit.Runner.ID]++
-		must.True(e.t, e.certifiedAt(g.node.table.Version, r.Admit.Runner.ID), must.Sprintf("%s in version %d", r.Admit.Runner.ID, g.node.table.Version))
+		g.node.note(compliance.Sent, g, &r.Admission.Runner, cert)
+		e.sent[r.Admission.Runner.ID]++
+		must.True(e.t, e.certifiedAt(g.node.table.Version, r.Admission.Runner.ID), must.Sprintf("%s in version %d", r.Admission.Runner.ID, g.node.table.Version))
 	}
 }
 
@@ -228,7 +228,7 @@
 				step = compliance.Cut
 			}
 			e.end(g, step)
-			g.node.admission.Done(g.adm, true, e.nowUs)
+			g.node.admission.Release(g.adm, true, e.nowUs)
 		}
 		if g.endsUs >= 0 {
 			left = append(left, g)
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -222,9 +222,9 @@
 		again := k.Snapshot && r.admission.Index.CachedPrefixes(k.ID).Epoch == k.Epoch
 		fits = r.feedStats.fits(r.admission.Index.Apply(k), again) && fits
 	}
-	r.admission.ExpectBlocks(f.PendingBlocks)
+	r.admission.ExpectPrefixes(f.PendingBlocks)
 	for _, result := range f.Reports {
-		r.admission.Report(result, nowUs)
+		r.admission.RecordRunnerReport(result, nowUs)
 	}
 	if parent != "" {
 		r.loads.updateAdmission(r.admission, nowUs)
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -135,12 +135,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.allChanged {
-		a.Others(l.peerLoad, nowUs)
+		a.SetPeerLoads(l.peerLoad, nowUs)
 	} else {
 		for id := range l.changed {
-			a.Other(id, l.peerLoad(id))
+			a.SetPeerLoad(id, l.peerLoad(id))
 		}
-		a.LoadsUpdated(nowUs)
+		a.PeerLoadsUpdated(nowUs)
 	}
 	l.allChanged = false
 	clear(l.changed)
@@ -204,7 +204,7 @@
 	l.mu.Unlock()
 	if len(report.PendingBlocks) > 0 {
 		r.admissionMu.Lock()
-		r.admission.ExpectBlocks(report.PendingBlocks)
+		r.admission.ExpectPrefixes(report.PendingBlocks)
 		r.admissionMu.Unlock()
 		signal(r.prefixesPending)
 	}
@@ -237,7 +237,7 @@
 	r.nodes.Store(int64(fleetSize(len(r.monitor.Alive(messages.Router)), r.clock()-r.startUs)))
 	r.admissionMu.Lock()
 	r.admission.SetNodes(int(r.nodes.Load()))
-	own, pending, absent := r.admission.Own(r.clock()), r.admission.TakeFresh(), r.admission.TakeAbsent()
+	own, pending, absent := r.admission.OwnLoads(r.clock()), r.admission.TakeExpectedPrefixes(), r.admission.TakeConfirmedAbsent()
 	r.admissionMu.Unlock()
 	if report, some := r.loads.nextReport(own, pending, absent); some && !r.up.Send(transport.KindLoadReport, &report) {
 		r.resendLoads()
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -32,19 +32,19 @@
 // it names a version, and not the one that was asked for.
 func otherWeights(adm *admission.Admission, r *protocol.Response) bool {
 	version, err := strconv.ParseInt(r.Header.Get(hWeights), 10, 64)
-	return err == nil && adm.Version > 0 && version != adm.Version
+	return err == nil && adm.WeightsVersion > 0 && version != adm.WeightsVersion
 }
 
 // wrongInstance notes that a runner answered 421. One that only has other weights
 // is there; it has no place for a short while, until its new version is known.
 func (r *Router) wrongInstance(adm *admission.Admission, otherWeights bool) {
-	expected := adm.Version > 0
+	expected := adm.WeightsVersion > 0
 	left := false
 	r.admissionMu.Lock()
 	if otherWeights {
-		r.admission.Full(adm, r.clock())
+		r.admission.RecordRejection(adm, r.clock())
 	} else {
-		left = r.admission.WrongInstance(adm, expected, r.clock())
+		left = r.admission.RecordWrongInstance(adm, expected, r.clock())
 	}
 	r.admissionMu.Unlock()
 	if !left {
@@ -106,7 +106,7 @@
 		what = r.identifyInstance(ctx, n, s.Probe)
 	}
 	r.admissionMu.Lock()
-	sure := r.admission.Found(n, what, r.clock())
+	sure := r.admission.RecordProbe(n, what, r.clock())
 	r.admissionMu.Unlock()
 	if sure {
 		r.confirmAbsent(n)
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -32,7 +32,7 @@
 		return false
 	}
 	e.moveUs = now + moveAgainUs
-	leaves := func(ask admission.Request) bool { return c.admission.Leaves(ask, adm.Runner.Zone, now) }
+	leaves := func(ask admission.Request) bool { return c.admission.SessionLeaves(ask, adm.Runner.Zone, now) }
 	return e.acquireNext(adm, leaves, func(next *admission.Admission) bool { return next.Runner.Zone != adm.Runner.Zone })
 }
 
@@ -46,14 +46,14 @@
 	}
 	now := c.clock()
 	ask := e.request
-	ask.LeftUs = e.endUs - now
-	ask.Avoid = append(append([]string{}, ask.Avoid...), adm.Runner.ID)
+	ask.TimeLeftUs = e.endUs - now
+	ask.ExcludedRunners = append(append([]string{}, ask.ExcludedRunners...), adm.Runner.ID)
 	c.admissionMu.Lock()
 	if !leaves(ask) {
 		c.admissionMu.Unlock()
 		return false
 	}
-	next := c.admission.TryNow(ask, now)
+	next := c.admission.TryAdmit(ask, now)
 	accepted := next != nil && accepts(next)
 	c.admissionMu.Unlock()
 	if next == nil {
@@ -73,7 +73,7 @@
 		c.done(next, true)
 		return false
 	}
-	e.request.Avoid = ask.Avoid
+	e.request.ExcludedRunners = ask.ExcludedRunners
 	e.next = &nextAttempt{next, link}
 	return true
 }
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -71,7 +71,7 @@
 
 func (r *Router) firstToken(adm *admission.Admission) {
 	r.admissionMu.Lock()
-	r.admission.FirstToken(adm, r.clock())
+	r.admission.RecordFirstToken(adm, r.clock())
 	r.admissionMu.Unlock()
 	signal(r.loadsChanged)
 	r.wakeQueue()
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -116,7 +116,7 @@
 	case r.Header.Get(hNotRun) != "":
 		c.releaseUnwanted(adm, link, r)
 		c.admissionMu.Lock()
-		c.admission.Full(adm, c.clock())
+		c.admission.RecordRejection(adm, c.clock())
 		c.admissionMu.Unlock()
 		e.refundToken()
 		return attempt.NotRun
@@ -217,7 +217,7 @@
 		r.connPool.Alive(link)
 	}
 	r.admissionMu.Lock()
-	r.admission.Ended(adm, good, r.clock())
+	r.admission.RecordOutcome(adm, good, r.clock())
 	r.admissionMu.Unlock()
 }
 
@@ -234,7 +234,7 @@
 
 func (r *Router) done(adm *admission.Admission, ok bool) {
 	r.admissionMu.Lock()
-	r.admission.Done(adm, ok, r.clock())
+	r.admission.Release(adm, ok, r.clock())
 	r.admissionMu.Unlock()
 	signal(r.loadsChanged)
 	r.wakeQueue()
--- a/internal/router/targets.go
+++ b/internal/router/targets.go
@@ -12,7 +12,7 @@
 	defer r.admissionMu.Unlock()
 	r.admission.ObserveTargets(f.TargetAges, nowUs)
 	if !f.CutOff && !f.FromRelay {
-		r.admission.Contact(nowUs)
+		r.admission.RecordContact(nowUs)
 	}
 }
 
--- a/internal/router/targets_test.go
+++ b/internal/router/targets_test.go
@@ -12,10 +12,10 @@
 func TestOnlyAControllerWithTheCoreInReachCountsAsContact(t *testing.T) {
 	const versionUs, contactLossUs = 8_000_000, 3_000_000
 	c := &Router{admission: admission.New(admission.Defaults, "a", 1)}
-	c.admission.Bound = admission.WeightsBound{VersionUs: versionUs, ContactLossUs: contactLossUs}
+	c.admission.WeightsBound = admission.WeightsBound{VersionUs: versionUs, ContactLossUs: contactLossUs}
 	old := messages.RunnerRecord{ID: "r0", Service: "s", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 4}}}
 	c.admission.SetService("s", []messages.RunnerRecord{old}, 1000, 0)
-	adm := c.admission.Submit(admission.Request{Service: "s", Model: "m", TokensIn: 8, LeftUs: 1_000_000}, 1).Admit
+	adm := c.admission.Submit(admission.Request{Service: "s", Model: "m", TokensIn: 8, TimeLeftUs: 1_000_000}, 1).Admission
 	must.NotNil(t, adm)
 
 	c.takeTargetAges(messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: versionUs}}}, 1)
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -36,7 +36,7 @@
 // nameWeights makes the router learn of weights that were named so long ago that
 // nothing may begin on older ones.
 func (r *Router) nameWeights(version int64) {
-	r.applyFeed("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: version, AgeUs: r.admission.Bound.VersionUs}}})
+	r.applyFeed("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: version, AgeUs: r.admission.WeightsBound.VersionUs}}})
 }
 
 type answered struct {
@@ -120,7 +120,7 @@
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
 	n := 0
-	for _, l := range r.admission.Own(r.clock()) {
+	for _, l := range r.admission.OwnLoads(r.clock()) {
 		if l.Count > 0 && l.Prefill == 0 {
 			n++
 		}
@@ -133,7 +133,7 @@
 	c, _, _ := start(t, old)
 	v, _, _ := chosen(t, c, 1_000_000)
 	v.request.Model = "m"
-	adm := c.admission.Submit(v.request, c.clock()).Admit
+	adm := c.admission.Submit(v.request, c.clock()).Admission
 	must.NotNil(t, adm)
 	must.True(t, c.stillAllowed(adm))
 	c.nameWeights(5)
--- a/internal/router/zones_test.go
+++ b/internal/router/zones_test.go
@@ -184,7 +184,7 @@
 	c, _, _ := start(t)
 	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
 	c.admissionMu.Lock()
-	admitted := c.admission.Submit(admission.Request{Service: "s", LeftUs: 1_000_000}, c.clock()).Admit
+	admitted := c.admission.Submit(admission.Request{Service: "s", TimeLeftUs: 1_000_000}, c.clock()).Admission
 	c.admissionMu.Unlock()
 	must.NotNil(t, admitted)
 	c.join(t, "near", newRunner(t), 1)
--- a/internal/simulation/traffic/cut.go
+++ b/internal/simulation/traffic/cut.go
@@ -83,14 +83,14 @@
 // connect tries a runner beyond the partition: after a while the request looks for another one.
 func (f *fleet) connect(r *request) {
 	f.kernel.After(connectWaitUs, func() {
-		f.routers[r.router].Done(r.admitted, false, f.kernel.NowUs())
+		f.routers[r.router].Release(r.admitted, false, f.kernel.NowUs())
 		r.unsent++
-		r.LeftUs = r.arrivedUs + f.options.Classes[r.class].Deadline.Microseconds() - f.kernel.NowUs()
-		if r.unsent >= maxUnsent || r.LeftUs <= 0 {
+		r.TimeLeftUs = r.arrivedUs + f.options.Classes[r.class].Deadline.Microseconds() - f.kernel.NowUs()
+		if r.unsent >= maxUnsent || r.TimeLeftUs <= 0 {
 			f.result.Classes[r.class].Rejected++
 			return
 		}
-		r.Avoid = append(slices.Clone(r.Avoid), r.admitted.Runner.ID)
+		r.ExcludedRunners = append(slices.Clone(r.ExcludedRunners), r.admitted.Runner.ID)
 		r.decided = false
 		f.decide(r, f.routers[r.router].Submit(r.Request, f.kernel.NowUs()))
 	})
--- a/internal/simulation/traffic/news.go
+++ b/internal/simulation/traffic/news.go
@@ -6,14 +6,14 @@
 
 // noticePending sends the prefixes that runners are about to cache to the other routers.
 func (f *fleet) noticePending(from int) {
-	notes := f.routers[from].TakeFresh()
+	notes := f.routers[from].TakeExpectedPrefixes()
 	if len(notes) == 0 {
 		return
 	}
 	f.kernel.After(f.options.NoticeDelay.Microseconds(), func() {
 		for i, a := range f.routers {
 			if i != from {
-				a.ExpectBlocks(notes)
+				a.ExpectPrefixes(notes)
 			}
 		}
 	})
@@ -28,14 +28,14 @@
 	sum := map[string]messages.RunnerLoad{}
 	own := make([]map[string]messages.RunnerLoad, len(f.routers))
 	for i, a := range f.routers {
-		own[i] = a.Own(f.kernel.NowUs())
+		own[i] = a.OwnLoads(f.kernel.NowUs())
 		for id, load := range own[i] {
 			sum[id] = combine(sum[id], load, 1)
 		}
 	}
 	f.kernel.After(f.options.LoadDelay.Microseconds(), func() {
 		for i, a := range f.routers {
-			a.Others(func(id string) messages.RunnerLoad { return combine(sum[id], own[i][id], -1) }, f.kernel.NowUs())
+			a.SetPeerLoads(func(id string) messages.RunnerLoad { return combine(sum[id], own[i][id], -1) }, f.kernel.NowUs())
 		}
 	})
 }
@@ -62,7 +62,7 @@
 		note := messages.RunnerReport{ID: r.id, Active: r.active, Queued: len(r.queue), Total: runnerMemoryTokens, Used: r.used}
 		f.kernel.After(reportDelayUs, func() {
 			for _, a := range f.routers {
-				a.Report(note, f.kernel.NowUs())
+				a.RecordRunnerReport(note, f.kernel.NowUs())
 			}
 		})
 	}
--- a/internal/simulation/traffic/runner.go
+++ b/internal/simulation/traffic/runner.go
@@ -101,7 +101,7 @@
 
 func (r *runner) finishReading(f *fleet, q *request) {
 	r.current = nil
-	f.routers[q.router].FirstToken(q.admitted, f.kernel.NowUs())
+	f.routers[q.router].RecordFirstToken(q.admitted, f.kernel.NowUs())
 	f.result.Classes[q.class].firstToken(f.kernel.NowUs()-q.arrivedUs, f.options.Classes[q.class])
 	if f.kernel.NowUs()-q.arrivedUs <= f.options.Classes[q.class].Aim.Microseconds() {
 		_, inAim := f.phase(q.arrivedUs)
@@ -190,8 +190,8 @@
 	r.used -= s.request.TokensIn
 	f.result.Classes[s.request.class].ended(s.longestUs)
 	router := f.routers[s.request.router]
-	router.Ended(s.request.admitted, true, now)
-	router.Done(s.request.admitted, true, now)
+	router.RecordOutcome(s.request.admitted, true, now)
+	router.Release(s.request.admitted, true, now)
 	r.readNext(f)
 	r.planEnd(f)
 }
--- a/internal/simulation/traffic/traffic.go
+++ b/internal/simulation/traffic/traffic.go
@@ -198,7 +198,7 @@
 			Ref: f.slab.Put(func(admission.Decision) {}), Service: service, Model: model,
 			Tenant:   fmt.Sprint("tenant-", f.random.IntN(tenants)),
 			TokensIn: c.HeadTokens + c.BodyTokens + own, TokensOut: c.OutTokens,
-			SetpointUs: c.Aim.Microseconds(), LeftUs: c.Deadline.Microseconds(),
+			SetpointUs: c.Aim.Microseconds(), TimeLeftUs: c.Deadline.Microseconds(),
 			Parts: []prefixindex.Part{
 				{ID: fmt.Sprintf("%s/head-%d", c.Name, subject%c.Heads), Tokens: c.HeadTokens},
 				{ID: fmt.Sprintf("%s/body-%d", c.Name, subject), Tokens: c.BodyTokens},
@@ -216,7 +216,7 @@
 
 // decide carries out a decision of a router.
 func (f *fleet) decide(r *request, decision admission.Decision) {
-	if decision.Hold {
+	if decision.Queued {
 		f.queued[r.Ref] = r
 		f.result.Queued++
 		f.kernel.After(queueTickUs, func() { f.tick(r) })
@@ -227,16 +227,16 @@
 	}
 	r.decided = true
 	f.slab.Resume(r.Ref, decision)
-	if decision.Admit == nil {
+	if decision.Admission == nil {
 		f.result.Classes[r.class].Rejected++
 		return
 	}
-	r.admitted = decision.Admit
-	if f.separated(f.zoneOf(r.router), decision.Admit.Runner.Zone) {
+	r.admitted = decision.Admission
+	if f.separated(f.zoneOf(r.router), decision.Admission.Runner.Zone) {
 		f.connect(r)
 		return
 	}
-	f.byAddr[decision.Admit.Runner.Addr].enqueue(f, r)
+	f.byAddr[decision.Admission.Runner.Addr].enqueue(f, r)
 }
 
 // tick lets a router look at its queue, while r waits in it.
--- a/internal/simulation/versions_router.go
+++ b/internal/simulation/versions_router.go
@@ -49,7 +49,7 @@
 	k := r.history.kernel
 	r.process.After(versionReportUs, func() {
 		if !r.cut {
-			loads := r.admitter.Own(k.NowUs())
+			loads := r.admitter.OwnLoads(k.NowUs())
 			k.After(k.Between(20*Millisecond, 250*Millisecond), func() {
 				if r.process.Up() {
 					r.reported = loads
@@ -69,20 +69,20 @@
 func (r *versionRouter) serve() {
 	h, k := r.history, r.history.kernel
 	kind := k.Below(2)
-	request := admission.Request{Service: versionService, TokensIn: versionTokens, Class: fmt.Sprint("kind ", kind), LeftUs: 5 * Second}
+	request := admission.Request{Service: versionService, TokensIn: versionTokens, Class: fmt.Sprint("kind ", kind), TimeLeftUs: 5 * Second}
 	request.Canary = r.admitter.DrawCanary(versionService)
 	decision := r.admitter.Submit(request, k.NowUs())
-	if decision.Admit == nil {
+	if decision.Admission == nil {
 		return
 	}
-	adm := decision.Admit
+	adm := decision.Admission
 	fresh := adm.Runner.Version == versionTarget
 	h.sent(r, fresh)
 	h.active[side(fresh)][adm.Runner.ID]++
 	failed, tookUs := h.answer(adm, fresh, kind)
 	r.process.After(tookUs, func() {
 		if !failed {
-			r.admitter.FirstToken(adm, k.NowUs())
+			r.admitter.RecordFirstToken(adm, k.NowUs())
 		}
 	})
 	streamUs := tookUs + k.Between(0, 400*Millisecond)
@@ -91,8 +91,8 @@
 		h.answered(fresh, failed || tookUs > versionReadUs*versionSlowTimes/2)
 	})
 	r.process.After(streamUs, func() {
-		r.admitter.Ended(adm, !failed, k.NowUs())
-		r.admitter.Done(adm, true, k.NowUs())
+		r.admitter.RecordOutcome(adm, !failed, k.NowUs())
+		r.admitter.Release(adm, true, k.NowUs())
 	})
 }
 
