--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -22,7 +22,7 @@
 	v.rc.Request.Header.SetMethod("POST")
 	v.rc.Request.SetRequestURI("/pay/")
 	v.request = admission.Request{Service: "s", LeftUs: 1_000_000}
-	v.endUs = c.clock() + endsInUs
+	v.deadlineUs = c.clock() + endsInUs
 	c.admissionMu.Lock()
 	adm := c.admission.Submit(v.request, c.clock()).Admit
 	c.admissionMu.Unlock()
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -1,5 +1,5 @@
-// The attempts of a request: the decision of admission, each attempt (send.go), and what
-// follows when an attempt fails, as package attempt decides.
+// The attempts of a request: admission, the attempts themselves (send.go), and the retry after a
+// failed attempt, as package attempt decides.
 
 package router
 
@@ -10,9 +10,10 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// run makes the attempts of a request, until it is answered or rejected.
+// run makes attempts until the request is answered or rejected. It closes the client's connection
+// if a stream has begun and cannot be finished.
 func (e *exchange) run() {
-	if !e.enter() {
+	if !e.acquireInitialToken() {
 		return
 	}
 	defer e.returnToken()
@@ -22,103 +23,106 @@
 	for e.makeAttempt() {
 	}
 	if e.stream != nil && e.stream.started && !e.stream.finished {
-		e.ended = compliance.Cut
-		e.cut()
+		e.outcome = compliance.Cut
+		e.closeClientConn()
 	}
 }
 
 // makeAttempt makes the next attempt. It reports whether another one follows.
 func (e *exchange) makeAttempt() bool {
-	decision := e.nextPlace()
+	decision := e.nextDecision()
 	if decision.Admit == nil {
-		e.rejectUnplaced(decision)
+		e.rejectNotAdmitted(decision)
 		return false
 	}
-	if !e.reenter(decision.Admit) {
+	if !e.acquireAttemptToken(decision.Admit) {
 		return false
 	}
 	e.checkRepeat()
-	var end attempt.Result
-	end, e.stream = e.send(decision.Admit, e.stream)
-	if end != attempt.Answered && e.client.hasLeft() {
-		end = attempt.ClientGone
+	var result attempt.Result
+	result, e.stream = e.send(decision.Admit, e.stream)
+	if result != attempt.Answered && e.client.isGone() {
+		result = attempt.ClientGone
 	}
-	e.recordAttempt(end)
-	switch end {
+	e.recordAttempt(result)
+	switch result {
 	case attempt.Moving:
 		e.sequence.Moved()
 		return true
 	case attempt.Answered:
-		e.ended = compliance.Answered
+		e.outcome = compliance.Answered
 		return false
 	case attempt.ClientGone:
-		e.ended = compliance.Cut
-		e.releaseNext()
-		e.cut()
+		e.outcome = compliance.Cut
+		e.releaseReserved()
+		e.closeClientConn()
 		return false
 	}
-	if !e.retries(end, decision.Admit.Runner.ID) {
+	if !e.shouldRetry(result, decision.Admit.Runner.ID) {
 		e.rejectFailed()
 		return false
 	}
 	return true
 }
 
-// nextPlace is where the next attempt goes.
-func (e *exchange) nextPlace() admission.Decision {
-	if e.next != nil {
-		return admission.Decision{Admit: e.next.adm}
+// nextDecision returns the capacity that has been reserved for a moving stream, or the decision of
+// the admission control on the next attempt.
+func (e *exchange) nextDecision() admission.Decision {
+	if e.reserved != nil {
+		return admission.Decision{Admit: e.reserved.adm}
 	}
 	return e.admit()
 }
 
-// retries tells whether another attempt follows one that failed.
-func (e *exchange) retries(end attempt.Result, runnerID string) bool {
-	if end == attempt.NotSent && e.changed {
-		e.changed, end = false, attempt.Outdated
+// shouldRetry reports whether another attempt follows one that failed with result.
+func (e *exchange) shouldRetry(result attempt.Result, runnerID string) bool {
+	if result == attempt.NotSent && e.regimeChanged {
+		e.regimeChanged, result = false, attempt.Outdated
 	}
-	next := e.sequence.Failed(e.repeatRules(), end, e.timeOver(), retryBudget{e})
+	next := e.sequence.Failed(e.retryPolicy(), result, e.timeExpired(), retryBudget{e})
 	if next.Avoid {
 		e.request.Avoid = append(e.request.Avoid, runnerID)
 	}
 	return next.Retry
 }
 
-// repeatRules is what the route says of repeats.
-func (e *exchange) repeatRules() attempt.Request {
+// retryPolicy returns the route's limits on repeated attempts.
+func (e *exchange) retryPolicy() attempt.Request {
 	return attempt.Request{Repeatable: e.route.Repeatable(), Tries: e.route.Tries}
 }
 
-// retryBudget pays for the further attempts of a request.
+// retryBudget adapts the retry budget of the request's service to attempt.Budget.
 type retryBudget struct{ e *exchange }
 
-// Spend takes a retry from the budget of the service.
+// Spend takes a retry from the budget of the service and reports whether there was one.
 func (b retryBudget) Spend() bool { return b.e.spendRetry() }
 
-// rejectUnplaced answers a request for which there is no place, unless a part of
-// its answer has gone out.
-func (e *exchange) rejectUnplaced(decision admission.Decision) {
+// rejectNotAdmitted answers a request that was not admitted. It does nothing if a streamed
+// response has begun.
+func (e *exchange) rejectNotAdmitted(decision admission.Decision) {
 	switch {
 	case e.stream != nil:
 	case e.sequence.MayHaveRun():
-		e.reject(e.sequence.EndStatus(e.router.clock() >= e.endUs), decision.Reject, 0)
+		e.reject(e.sequence.EndStatus(e.router.clock() >= e.deadlineUs), decision.Reject, 0)
 	default:
 		e.reject(decision.Status, decision.Reject, decision.AgainUs)
 	}
 }
 
-// againUs is after how long a client may come back whose request found no runner.
-const againUs = 100_000
+// defaultRetryAfterUs is the Retry-After of a request for which no runner was found, in
+// microseconds.
+const defaultRetryAfterUs = 100_000
 
-// rejectFailed answers a request whose last attempt has failed.
+// rejectFailed answers a request whose last attempt has failed. It does nothing if a part of a
+// streamed response has been sent to the client.
 func (e *exchange) rejectFailed() {
 	if e.stream != nil && e.stream.started {
 		return
 	}
-	e.reject(e.sequence.EndStatus(e.timeOver()), "", againUs)
+	e.reject(e.sequence.EndStatus(e.timeExpired()), "", defaultRetryAfterUs)
 }
 
-// spendRetry takes a further attempt from the budget, if there is one.
+// spendRetry takes a retry from the service's budget and reports whether there was one.
 func (e *exchange) spendRetry() bool {
 	e.router.admissionMu.Lock()
 	defer e.router.admissionMu.Unlock()
@@ -135,13 +139,15 @@
 	return b
 }
 
-// admit asks the admission control, and waits where the request is held.
+// admit submits the request to the admission control, and waits for the decision if the request is
+// queued. If the queue is full, by requests or by tokens, it sheds a queued request of lower
+// priority and submits once more.
 func (e *exchange) admit() admission.Decision {
 	c := e.router
 	ch := make(chan admission.Decision, 1)
 	e.request.Ref = c.slab.Put(func(r admission.Decision) { ch <- r })
 	now := c.clock()
-	e.request.LeftUs = e.endUs - now
+	e.request.LeftUs = e.deadlineUs - now
 	c.admissionMu.Lock()
 	e.request.Canary = e.sequence.IsFirst() && (e.request.Canary || c.admission.DrawCanary(e.service))
 	r := c.admission.Submit(e.request, now)
@@ -165,20 +171,22 @@
 	return e.awaitDecision(ch)
 }
 
-// awaitDecision waits in the queue. A request that nothing was sent of leaves it as soon as
-// the router drains, if it may outlast the router.
+// awaitDecision waits until the queued request is admitted or rejected. The request leaves the
+// queue when its client closes the connection, when the final phase of a shutdown begins, and, if
+// none of its attempts has been sent and its deadline is after the end of the shutdown, as soon as
+// the router drains.
 func (e *exchange) awaitDecision(decision <-chan admission.Decision) admission.Decision {
 	drainBegun := e.router.drainBegun
 	for {
 		select {
 		case r := <-decision:
 			return r
-		case <-e.client.leftChannel():
+		case <-e.client.goneChannel():
 			return e.abandon(decision, "")
-		case <-e.router.lastAnswers:
+		case <-e.router.finalPhase:
 			return e.abandon(decision, rejectDraining)
 		case <-drainBegun:
-			if e.sequence.Sent() == 0 && !e.router.shutdown.Load().forwards(e.endUs) {
+			if e.sequence.Sent() == 0 && !e.router.shutdown.Load().mayForward(e.deadlineUs) {
 				return e.abandon(decision, rejectDraining)
 			}
 			drainBegun = nil
@@ -186,8 +194,8 @@
 	}
 }
 
-// abandon takes a request out of the queue whose client has left, or whose router ends.
-// A decision that was already on its way stands.
+// abandon removes the request from the queue, as its client has left or the router shuts down. If
+// it has already been decided on, that decision is returned.
 func (e *exchange) abandon(decision <-chan admission.Decision, reason admission.Reason) admission.Decision {
 	c := e.router
 	if !c.slab.Drop(e.request.Ref) {
@@ -196,5 +204,5 @@
 	c.admissionMu.Lock()
 	c.admission.Abandon(e.request)
 	c.admissionMu.Unlock()
-	return admission.Decision{Ref: e.request.Ref, Status: 503, Reject: reason, AgainUs: drainRetryUs}
+	return admission.Decision{Ref: e.request.Ref, Status: 503, Reject: reason, AgainUs: drainRetryAfterUs}
 }
--- a/internal/router/client_watch.go
+++ b/internal/router/client_watch.go
@@ -1,8 +1,8 @@
-// Clients that leave. A client that closes its connection wants no response any more:
-// its request leaves the queue and is sent to no runner, and the connection to the
-// runner that works on it is closed, since runners drop a request with its connection.
-// The close is noticed without reading from the client's connection, so that a request
-// that is pipelined behind this one stays where it is.
+// Detection of clients that disconnect. A client that closes its connection no longer expects a
+// response: its request leaves the queue and is not sent to a runner, and the connection to a
+// runner that works on it is closed, since runners abort a request when its connection closes. The
+// close is detected without reading from the client's connection, so that a request pipelined
+// behind this one stays unread.
 
 package router
 
@@ -16,36 +16,36 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// watchDelay is how long a request is served before its client is watched. A
-// client that leaves earlier is noticed then; most short requests need no watch.
+// watchDelay is how long a request is served before its client is watched. A client that
+// disconnects earlier is detected then. Most short requests end before a watch is needed.
 const watchDelay = 200 * time.Millisecond
 
-// closeWatch notices that the peer of a connection has closed it.
+// closeWatch detects that the peer of a connection has closed it.
 type closeWatch struct {
-	conn     *timedConn
-	onClosed func()
-	timer    *time.Timer
-	done     chan struct{}
+	clientConn *timedConn
+	onClosed   func()
+	timer      *time.Timer
+	done       chan struct{}
 
 	mu      sync.Mutex
 	running bool
 	stopped bool
 }
 
-// watchClose calls onClosed, from another goroutine, once the peer has closed the
-// connection. It begins after watchDelay; nothing may be read until stop returns.
+// watchClose calls onClosed from another goroutine once the peer has closed the connection. The
+// watch begins after watchDelay. The connection must not be read until stop has returned.
 func (c *timedConn) watchClose(onClosed func()) *closeWatch {
-	w := &closeWatch{conn: c, onClosed: onClosed, done: make(chan struct{})}
+	w := &closeWatch{clientConn: c, onClosed: onClosed, done: make(chan struct{})}
 	w.timer = time.AfterFunc(watchDelay, w.run)
 	return w
 }
 
-// stop ends the watch; onClosed is not called after it has returned.
+// stop ends the watch. onClosed is not called after it has returned.
 func (w *closeWatch) stop() {
 	w.mu.Lock()
 	w.stopped = true
 	if w.running {
-		_ = w.conn.SetReadDeadline(time.Unix(1, 0)) // ends the wait for the peer
+		_ = w.clientConn.SetReadDeadline(time.Unix(1, 0)) // unblocks awaitClose
 	}
 	running := w.running
 	w.mu.Unlock()
@@ -60,7 +60,7 @@
 		return
 	}
 	defer close(w.done)
-	if w.conn.awaitClose() {
+	if w.clientConn.awaitClose() {
 		w.onClosed()
 	}
 }
@@ -71,12 +71,12 @@
 	if w.stopped {
 		return false
 	}
-	_ = w.conn.SetReadDeadline(time.Time{})
+	_ = w.clientConn.SetReadDeadline(time.Time{})
 	w.running = true
 	return true
 }
 
-// awaitClose waits until the peer has closed the connection, or the read deadline.
+// awaitClose waits until the peer has closed the connection, or until the read deadline.
 func (c *timedConn) awaitClose() (closed bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -93,7 +93,7 @@
 	return closed
 }
 
-// peerClosed looks at what is next on a socket without taking it.
+// peerClosed peeks at a socket and reports whether the peer has closed or reset it.
 func peerClosed(fd int) bool {
 	var next [1]byte
 	for {
@@ -110,56 +110,57 @@
 	}
 }
 
-// clientState is what a request knows of its client's connection, and the
-// connection to the runner that ends with it.
+// clientState records whether the client of a request has disconnected, and what is cancelled when
+// it does: the connection to the runner and a pending wait. All methods accept a nil receiver,
+// except markGone, for a client that is not watched.
 type clientState struct {
-	left chan struct{} // closed once the client has left
+	goneCh chan struct{} // closed once the client has disconnected
 
-	mu   sync.Mutex
-	gone bool
-	link *upstream.Conn
-	stop func() // ends what the request waits for besides link
+	mu         sync.Mutex
+	gone       bool
+	conn       *upstream.Conn
+	cancelWait func() // cancels a wait other than on conn
 }
 
-func newClientState() *clientState { return &clientState{left: make(chan struct{})} }
+func newClientState() *clientState { return &clientState{goneCh: make(chan struct{})} }
 
-// leave notes that the client has left.
-func (s *clientState) leave() {
+// markGone records that the client has disconnected, and cancels the request's work.
+func (s *clientState) markGone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.gone {
 		return
 	}
 	s.gone = true
-	close(s.left)
-	if s.link != nil {
-		s.link.Close()
+	close(s.goneCh)
+	if s.conn != nil {
+		s.conn.Close()
 	}
-	if s.stop != nil {
-		s.stop()
+	if s.cancelWait != nil {
+		s.cancelWait()
 	}
 }
 
-// onLeave calls stop once the client leaves, until the returned function is called.
-func (s *clientState) onLeave(stop func()) (forget func()) {
+// onGone calls cancel once the client disconnects, until the returned function is called.
+func (s *clientState) onGone(cancel func()) (unregister func()) {
 	if s == nil {
 		return func() {}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.gone {
-		stop()
+		cancel()
 	}
-	s.stop = stop
+	s.cancelWait = cancel
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.stop = nil
+		s.cancelWait = nil
 	}
 }
 
-// hasLeft tells whether the client has left. Without a state it is not watched.
-func (s *clientState) hasLeft() bool {
+// isGone reports whether the client has disconnected; false for a client that is not watched.
+func (s *clientState) isGone() bool {
 	if s == nil {
 		return false
 	}
@@ -168,27 +169,28 @@
 	return s.gone
 }
 
-// use names the connection that is closed when the client leaves, nil for none. It
-// tells whether the client is still there.
-func (s *clientState) use(link *upstream.Conn) bool {
+// attachConn sets the connection to close when the client disconnects, nil for none. It reports
+// whether the client is still connected.
+func (s *clientState) attachConn(conn *upstream.Conn) bool {
 	if s == nil {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.link = link
+	s.conn = conn
 	return !s.gone
 }
 
-// leftChannel is closed once the client has left; nil where it is not watched.
-func (s *clientState) leftChannel() <-chan struct{} {
+// goneChannel returns a channel that is closed once the client has disconnected; nil for a client
+// that is not watched.
+func (s *clientState) goneChannel() <-chan struct{} {
 	if s == nil {
 		return nil
 	}
-	return s.left
+	return s.goneCh
 }
 
-// clientConnKey is where the context of a connection holds it.
+// clientConnKey is the context key of the client's connection.
 type clientConnKey struct{}
 
 func withClientConn(conn *timedConn) context.Context {
@@ -202,18 +204,18 @@
 	return nil
 }
 
-// stopsWithClient tells whether a runner's work on the request ends when its client
-// leaves. A request that may run only once is left to its end: what it did cannot
-// be undone, and another attempt would be refused.
+// stopsWithClient reports whether a runner's work on the request is aborted when the client
+// disconnects. A request that may run only once is left to finish: its effects cannot be undone,
+// and a further attempt would be refused.
 func (e *exchange) stopsWithClient() bool {
 	return e.route.Kind == api.Streaming || e.route.Repeatable()
 }
 
-// useLink names the connection that the request is sent on. It tells whether the
-// client still waits.
-func (e *exchange) useLink(link *upstream.Conn) bool {
+// attachRunnerConn sets the runner connection that is closed when the client disconnects. It
+// reports whether the client is still connected.
+func (e *exchange) attachRunnerConn(conn *upstream.Conn) bool {
 	if !e.stopsWithClient() {
-		return !e.client.hasLeft()
+		return !e.client.isGone()
 	}
-	return e.client.use(link)
+	return e.client.attachConn(conn)
 }
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -12,7 +12,7 @@
 // The second request comes while the first one's check is under way: it must not be
 // rejected before that has come out.
 func TestConfirmWaitsForACheckUnderWay(t *testing.T) {
-	var c currencyChecks
+	var c freshnessChecks
 	clock := func() int64 { return 1 }
 	begun, answer, results := make(chan bool), make(chan bool), make(chan bool, 2)
 	go func() {
@@ -34,7 +34,7 @@
 }
 
 func TestConfirmAsksAgainOnceACheckIsOld(t *testing.T) {
-	var c currencyChecks
+	var c freshnessChecks
 	now, asked := int64(1), 0
 	confirm := func(answer bool) bool {
 		return c.confirm(func() int64 { return now }, func() bool { asked++; return answer })
@@ -42,7 +42,7 @@
 	must.False(t, confirm(false))
 	must.False(t, confirm(true), must.Sprint("one that did not come out holds for as long"))
 	must.Eq(t, 1, asked)
-	now += recheckUs
+	now += confirmationTTLUs
 	must.True(t, confirm(true))
 	must.True(t, confirm(false))
 	must.Eq(t, 2, asked)
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -88,16 +88,16 @@
 // recordEnd counts how a request ended, and checks that it was not just dropped.
 func (e *exchange) recordEnd() {
 	counters := &e.router.counters
-	switch e.ended {
+	switch e.outcome {
 	case compliance.Answered:
 		counters.answered.Add(1)
 	case compliance.Rejected:
-		counters.rejections.add(e.rc.Response.StatusCode(), e.why)
+		counters.rejections.add(e.rc.Response.StatusCode(), e.rejectReason)
 	default:
 		reason := e.cutReason()
 		counters.cuts[reason].Add(1)
 		if reason == cutUnexplained {
-			requestEnds.Violated("request", e.id, "attempts", e.sequence.Sent(), "lastAttempt", attemptNames[e.lastEnd], "leaving", e.router.draining())
+			requestEnds.Violated("request", e.id, "attempts", e.sequence.Sent(), "lastAttempt", attemptNames[e.lastResult], "leaving", e.router.draining())
 		}
 	}
 }
@@ -105,13 +105,13 @@
 // cutReason tells why the request has no complete answer.
 func (e *exchange) cutReason() cutReason {
 	switch {
-	case e.client.hasLeft() || e.lastEnd == attempt.ClientGone:
+	case e.client.isGone() || e.lastResult == attempt.ClientGone:
 		return cutClientGone
-	case e.endUs > 0 && e.timeOver():
+	case e.deadlineUs > 0 && e.timeExpired():
 		return cutTimeOver
-	case e.sequence.Sent() > 0 && (e.broken || e.lastEnd == attempt.Unknown):
+	case e.sequence.Sent() > 0 && (e.brokenOff || e.lastResult == attempt.Unknown):
 		return cutRunner
-	case e.sequence.Sent() > 0 && e.lastEnd == attempt.Answered: // the end of the answer could not be written
+	case e.sequence.Sent() > 0 && e.lastResult == attempt.Answered: // the end of the answer could not be written
 		return cutClientGone
 	}
 	return cutUnexplained
@@ -119,8 +119,8 @@
 
 // recordAttempt counts an attempt that has ended.
 func (e *exchange) recordAttempt(end attempt.Result) {
-	e.lastEnd = end
-	e.broken = e.broken || end == attempt.BrokenOff
+	e.lastResult = end
+	e.brokenOff = e.brokenOff || end == attempt.BrokenOff
 	e.router.counters.attempts[end].Add(1)
 }
 
--- a/internal/router/cut_streams.go
+++ b/internal/router/cut_streams.go
@@ -1,7 +1,7 @@
-// Streams and connects across a cut: when a zone cannot be reached any more, streams that may be
-// resumed and that deliver nothing go on at other runners, and connections in the making there are
-// given up. A stream is left only for a place that is there: capacity, a connection and a retry
-// come first, and without them it stays until its runner's connection breaks.
+// Streams and connection attempts across a network partition. When a zone becomes unreachable,
+// resumable streams from there that deliver nothing continue at other runners, and pending
+// connects to it are cancelled. A stream leaves its runner only after capacity, a connection and a
+// retry have been acquired elsewhere; otherwise it stays until its runner's connection breaks.
 
 package router
 
@@ -12,69 +12,71 @@
 	"beechtide.org/beechtide/internal/admission"
 )
 
-// silentStream is for how long a stream has delivered nothing when it may be taken from a runner
-// that cannot be reached. What arrives is better evidence of the way than an unanswered ping.
-const silentStream = 300 * time.Millisecond
+// minStreamSilence is how long a stream must have delivered nothing before it leaves an
+// unreachable runner. Arriving data is better evidence of a working network path than an
+// unanswered ping.
+const minStreamSilence = 300 * time.Millisecond
 
-// connecting is a connection in the making to a runner.
-type connecting struct {
+// pendingConnect is a connection attempt to a runner.
+type pendingConnect struct {
 	adm    *admission.Admission
 	cancel context.CancelFunc
 }
 
-// leaveUnreachable gives up what goes on with runners that are out of reach.
-func (r *Router) leaveUnreachable() {
-	streams, dials := r.streams.snapshot(), r.connects.snapshot()
-	if len(streams)+len(dials) == 0 {
+// abandonUnreachable interrupts silent streams from unreachable runners, and cancels connection
+// attempts to them.
+func (r *Router) abandonUnreachable() {
+	streams, connects := r.movableStreams.snapshot(), r.pendingConnects.snapshot()
+	if len(streams)+len(connects) == 0 {
 		return
 	}
-	var left []*sentAttempt
+	var withdrawn []*sentAttempt
 	now := r.clock()
 	r.admissionMu.Lock()
 	for _, s := range streams {
-		if r.admission.LeavesUnreachable(s.adm) && now >= s.stayUntilUs.Load() && s.link.SilentFor() >= silentStream {
-			left = append(left, s)
+		if r.admission.LeavesUnreachable(s.adm) && now >= s.nextMoveUs.Load() && s.conn.SilentFor() >= minStreamSilence {
+			withdrawn = append(withdrawn, s)
 		}
 	}
-	for _, d := range dials {
+	for _, d := range connects {
 		if r.admission.LeavesUnreachable(d.adm) {
 			d.cancel()
 		}
 	}
 	r.admissionMu.Unlock()
-	r.streams.withdraw(left)
+	r.movableStreams.withdraw(withdrawn)
 }
 
-// watchStream lets a stream that has begun, and that another attempt may take up, be taken from
-// its runner. The returned function ends that.
-func (e *exchange) watchStream(sent *sentAttempt, stream *answerStream) (end func()) {
-	if !e.sequence.MayRepeat(e.repeatRules()) {
+// watchStream allows a stream that has begun to be moved from its runner, if another attempt may
+// resume it. The returned function revokes that.
+func (e *exchange) watchStream(sent *sentAttempt, stream *responseStream) (end func()) {
+	if !e.sequence.MayRepeat(e.retryPolicy()) {
 		return func() {}
 	}
-	watched := e.router.streams.add(sent.adm, sent.link, true)
-	sent.link.OnInterrupt = func() (goOn bool) { return e.staysAtRunner(watched, stream) }
+	attempt := e.router.movableStreams.add(sent.adm, sent.conn, true)
+	sent.conn.OnInterrupt = func() (goOn bool) { return e.staysAtRunner(attempt, stream) }
 	return func() {
-		sent.link.OnInterrupt = nil
-		e.router.streams.remove(watched)
+		sent.conn.OnInterrupt = nil
+		e.router.movableStreams.remove(attempt)
 	}
 }
 
-// staysAtRunner decides on a stream whose runner cannot be reached, and reports whether it stays
-// there: it leaves if the next attempt is ready.
-func (e *exchange) staysAtRunner(watched *sentAttempt, stream *answerStream) bool {
+// staysAtRunner is called when reading from an unreachable runner is interrupted. It reserves
+// another runner and returns false; if there is none, the stream stays and it returns true.
+func (e *exchange) staysAtRunner(attempt *sentAttempt, stream *responseStream) bool {
 	c := e.router
-	if !c.streams.takeWithdrawal(watched) {
-		return false // it was interrupted for another reason, which ends it
+	if !c.movableStreams.clearWithdrawal(attempt) {
+		return false // interrupted for another reason, which ends the attempt
 	}
-	resumable := !stream.started || stream.events.LastID != ""
-	leaves := func(admission.Request) bool { return c.admission.LeavesUnreachable(watched.adm) }
+	resumable := !stream.started || stream.splitter.LastID != ""
+	mustLeave := func(admission.Request) bool { return c.admission.LeavesUnreachable(attempt.adm) }
 	accepts := func(next *admission.Admission) bool { return !c.admission.OutOfReach(next) }
-	if resumable && e.acquireNext(watched.adm, leaves, accepts) {
+	if resumable && e.reserveAttempt(attempt.adm, mustLeave, accepts) {
 		c.counters.streamsLeft.Add(1)
 		return false
 	}
 	c.counters.streamsStayed.Add(1)
-	watched.stayUntilUs.Store(c.clock() + moveAgainUs)
-	watched.link.Resume(e.deadline(lateUs))
+	attempt.nextMoveUs.Store(c.clock() + moveRetryUs)
+	attempt.conn.Resume(e.deadlineTime(lateReadUs))
 	return true
 }
--- a/internal/router/forms_test.go
+++ b/internal/router/forms_test.go
@@ -126,5 +126,5 @@
 	must.NoError(t, err)
 	must.Eq(t, 413, ans.StatusCode)
 	must.Eq(t, 0, r.count())
-	must.Eq(t, 1, c.front.Load().counts.byStatus()[413])
+	must.Eq(t, 1, c.front.Load().refusals.byStatus()[413])
 }
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -1,5 +1,5 @@
-// The front: hertz reads the clients' requests, this file checks them, cheapest check
-// first, and hands the valid ones to their attempts.
+// The client-facing HTTP server. hertz parses the requests; this file validates them, cheapest
+// check first, resolves route and tenant, and starts the attempts of valid requests.
 
 package router
 
@@ -52,15 +52,17 @@
 	return r.table.Load() != nil && r.informed.Load() && !r.draining()
 }
 
-// orMs gives a limit in milliseconds, or the fallback where there is none.
-func orMs(ms, fallback int) time.Duration {
+// durationOrDefault converts a limit in milliseconds to a duration. It uses the fallback where the
+// limit is not positive.
+func durationOrDefault(ms, fallback int) time.Duration {
 	if ms <= 0 {
 		ms = fallback
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// frontLimits are the limits on clients' times that are in force.
+// frontLimits returns the idle and receive timeouts and the size limits of the current
+// configuration.
 func (r *Router) frontLimits() frontLimits {
 	limits := r.table.Load().Limits
 	sizes := http1.Limits{HeadBytes: limits.HeaderBytes, BodyBytes: int64(limits.BodyBytes)}
@@ -70,30 +72,30 @@
 	if sizes.BodyBytes <= 0 {
 		sizes.BodyBytes = defaultBodyBytes
 	}
-	return frontLimits{idle: orMs(limits.IdleMs, 15000), rest: orMs(limits.HeaderMs, 10000), sizes: sizes}
+	return frontLimits{idle: durationOrDefault(limits.IdleMs, 15000), receive: durationOrDefault(limits.HeaderMs, 10000), sizes: sizes}
 }
 
-// Limits on sizes where the configuration has none.
+// Size limits for a configuration that sets none.
 const (
 	defaultHeadBytes = 64 << 10
 	defaultBodyBytes = 4 << 20
 )
 
-// Limits of hertz. The front holds requests to those of the configuration before hertz sees
-// them (timedConn.Read), so these are never reached.
+// Limits passed to hertz. timedConn.Read enforces the limits of the configuration before hertz
+// receives a request, so these are never reached.
 const (
 	libraryHeadBytes = 1 << 20
 	libraryBodyBytes = 1 << 30
 )
 
-// serveFront serves clients until live ends.
+// serveFront serves clients until live is cancelled.
 func (r *Router) serveFront(live context.Context) error {
 	ln, err := listenFront(r.set.Listen.Front, r.frontLimits)
 	if err != nil {
 		return err
 	}
 	h := httpserver.New(r.set.Listen.Front,
-		server.WithListener(lingeringListener{ln, live}), server.WithOnAccept(onAccept), server.WithMaxRequestBodySize(libraryBodyBytes), server.WithMaxHeaderBytes(libraryHeadBytes),
+		server.WithListener(delayedCloseListener{ln, live}), server.WithOnAccept(onAccept), server.WithMaxRequestBodySize(libraryBodyBytes), server.WithMaxHeaderBytes(libraryHeadBytes),
 		server.WithWriteTimeout(10*time.Second), server.WithDisableHeaderNamesNormalizing(true), server.WithUseRawPath(true),
 		server.WithMaxKeepBodySize(64<<10), server.WithReadBufferSize(4096))
 	h.NoRoute(r.serve)
@@ -101,33 +103,34 @@
 	return h.Run()
 }
 
-// exchange is one request on its way through the router.
+// exchange is one client request and the state of its attempts. The goroutine of the HTTP server
+// that serves the client's connection owns it.
 type exchange struct {
-	router   *Router
-	rc       *app.RequestContext
-	conn     *timedConn // of the client; nil in tests without one
-	route    *routeconfig.Route
-	tenant   *api.Tenant
-	service  string
-	id       string
-	startUs  int64
-	endUs    int64 // the client's deadline or the route's cutoff
-	request  admission.Request
-	sequence attempt.Sequence
-	stream   *answerStream // the client's side of an answer that has begun
-	next     *nextAttempt  // for a stream on the move
-	moveUs   int64         // when it looks for a place again
-	client   *clientState
-	held     *sentAttempt // whose answer has begun and is not passed on yet
-	ended    compliance.Step
-	lastEnd  attempt.Result   // of the newest attempt
-	broken   bool             // a runner broke off what had been passed on in part
-	why      admission.Reason // of a rejection
-	limit    quota.Limit      // of the tenant
-	token    quota.Token      // lets the next attempt run
-	spent    quota.Token      // of the newest attempt
-	counted  bool             // it counts as usage of the tenant
-	changed  bool             // the tenant's regime changed while the request waited
+	router          *Router
+	rc              *app.RequestContext
+	clientConn      *timedConn // nil in tests without a connection
+	route           *routeconfig.Route
+	tenant          *api.Tenant
+	service         string
+	id              string
+	startUs         int64
+	deadlineUs      int64 // the client's deadline or the route's cutoff, whichever is earlier
+	request         admission.Request
+	sequence        attempt.Sequence
+	stream          *responseStream  // response to the client, once a runner has started a response that is streamed
+	reserved        *reservedAttempt // capacity and connection at the runner that a moving stream continues on
+	nextMoveCheckUs int64            // earliest time of the next attempt to move the stream
+	client          *clientState
+	undelivered     *sentAttempt // attempt whose response head has been read, while the client has received nothing
+	outcome         compliance.Step
+	lastResult      attempt.Result   // of the latest attempt
+	brokenOff       bool             // a runner broke off a response that had been forwarded in part
+	rejectReason    admission.Reason // empty if the request is not rejected or no reason is given
+	quotaLimit      quota.Limit      // of the tenant
+	quotaToken      quota.Token      // permits the next attempt
+	spentToken      quota.Token      // used by the latest attempt
+	usageCounted    bool             // whether the request has been counted as usage of the tenant
+	regimeChanged   bool             // whether the tenant's regime changed between admission and sending
 }
 
 func (r *Router) serve(ctx context.Context, rc *app.RequestContext) {
@@ -138,11 +141,11 @@
 	}
 	conn := clientConn(ctx)
 	defer func() {
-		if r.closesWithAnswer(conn, rc) {
+		if r.closesAfterResponse(conn, rc) {
 			rc.Response.Header.SetConnectionClose(true)
 		}
 	}()
-	e := &exchange{router: r, rc: rc, conn: conn, startUs: r.clock() - conn.requestAge().Microseconds(), id: get(rc, hAttempt)}
+	e := &exchange{router: r, rc: rc, clientConn: conn, startUs: r.clock() - conn.requestAge().Microseconds(), id: headerValue(rc, hAttempt)}
 	defer e.recordEnd()
 	uri := rc.Request.Header.RequestURI()
 	path, _, _ := strings.Cut(string(uri), "?")
@@ -155,31 +158,31 @@
 	if t == nil {
 		return
 	}
-	e.endUs = endOf(e.startUs, e.route.CutoffUs, get(rc, hTimeLeft))
-	if !r.shutdown.Load().forwards(e.endUs) {
-		e.reject(503, rejectDraining, drainRetryUs)
+	e.deadlineUs = requestDeadlineUs(e.startUs, e.route.CutoffUs, headerValue(rc, hTimeLeft))
+	if !r.shutdown.Load().mayForward(e.deadlineUs) {
+		e.reject(503, rejectDraining, drainRetryAfterUs)
 		return
 	}
-	conn.answerUntil(time.Now().Add(time.Duration(e.endUs-r.clock()) * time.Microsecond))
-	e.describe(t)
+	conn.setResponseDeadline(time.Now().Add(time.Duration(e.deadlineUs-r.clock()) * time.Microsecond))
+	e.buildAdmissionRequest(t)
 	if e.request.Regime != "" {
-		e.note(compliance.Asked, nil, -1)
-		defer func() { e.note(e.ended, nil, -1) }()
+		e.recordAudit(compliance.Asked, nil, -1)
+		defer func() { e.recordAudit(e.outcome, nil, -1) }()
 	}
 	if conn != nil {
 		e.client = newClientState()
-		defer conn.watchClose(e.client.leave).stop()
+		defer conn.watchClose(e.client.markGone).stop()
 	}
 	e.run()
 }
 
-// match finds the route and the tenant, and returns the table that has them. It returns nil
-// where the request has been rejected: with a denial only once the table is known to be
-// the newest.
+// match finds the route and the tenant, and returns the configuration table that has them. It
+// returns nil if it has rejected the request. It denies a request (401, 404) only after confirming
+// that the table is the newest; if that cannot be confirmed it answers 503.
 func (e *exchange) match(path string) *routeconfig.Table {
 	t := e.router.table.Load()
 	if t == nil {
-		e.reject(503, "", againUs)
+		e.reject(503, "", defaultRetryAfterUs)
 		return nil
 	}
 	status := e.find(t, path)
@@ -194,23 +197,24 @@
 	switch {
 	case status == 0:
 		return t
-	case confirmed && e.router.confirmationHolds():
+	case confirmed && e.router.confirmationValid():
 		e.reject(status, "", 0)
 	default:
-		e.reject(503, "", recheckUs)
+		e.reject(503, "", confirmationTTLUs)
 	}
 	return nil
 }
 
-// describe makes the request that admission decides on.
-func (e *exchange) describe(t *routeconfig.Table) {
+// buildAdmissionRequest fills in the request for the admission control: service, rank, tokens,
+// cached prefix, home zones and the limits of the tenant.
+func (e *exchange) buildAdmissionRequest(t *routeconfig.Table) {
 	e.service = e.route.Pick(rand.Float64())
-	in, out, _ := strings.Cut(get(e.rc, hTokens), ",")
+	in, out, _ := strings.Cut(headerValue(e.rc, hTokens), ",")
 	tokensIn, _ := strconv.Atoi(strings.TrimSpace(in))
 	tokensOut, _ := strconv.Atoi(strings.TrimSpace(out))
 	e.request = admission.Request{
 		Service: e.service, Rank: e.route.Rank, TokensIn: max(tokensIn, 0), TokensOut: max(tokensOut, 0),
-		Class: classOf(e.route), Model: get(e.rc, hModel), Parts: prefixindex.ParseParts(get(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, LeftUs: e.endUs - e.router.clock(),
+		Class: classOf(e.route), Model: headerValue(e.rc, hModel), Parts: prefixindex.ParseParts(headerValue(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, LeftUs: e.deadlineUs - e.router.clock(),
 	}
 	var tenantHomes []string
 	if e.tenant != nil {
@@ -219,12 +223,13 @@
 		e.request.Rank += 16 * e.tenant.Rank
 		e.request.Isolated = e.tenant.Isolated
 		e.request.Regime = t.RegimeOf(e.tenant.Name)
-		e.limit = quota.Limit{Version: t.Version, RatePerS: e.tenant.RatePerS, Burst: e.tenant.Burst}
+		e.quotaLimit = quota.Limit{Version: t.Version, RatePerS: e.tenant.RatePerS, Burst: e.tenant.Burst}
 	}
 	e.request.Homes, e.request.Bound = admission.Homes(e.route.Homes, tenantHomes)
 }
 
-// onAccept makes the context in which the requests of a connection are served.
+// onAccept returns the context in which the requests of a connection are served. It carries the
+// connection.
 func onAccept(conn net.Conn) context.Context {
 	if timed, ok := conn.(*timedConn); ok {
 		return withClientConn(timed)
@@ -232,16 +237,16 @@
 	return context.Background()
 }
 
-// note adds to the audit trail of regulated requests.
-func (e *exchange) note(step compliance.Step, n *messages.RunnerRecord, certificate int) {
+// recordAudit appends an entry to the audit trail of regulated requests.
+func (e *exchange) recordAudit(step compliance.Step, runner *messages.RunnerRecord, certificate int) {
 	entry := compliance.Entry{Node: e.router.set.Node, Step: step, Attempt: e.id, Tenant: e.tenant.Name, Regime: e.request.Regime, Certificate: certificate, Version: e.router.table.Load().Version}
-	if n != nil {
-		entry.Runner, entry.Service, entry.Zone = n.ID, n.Service, n.Zone
+	if runner != nil {
+		entry.Runner, entry.Service, entry.Zone = runner.ID, runner.Service, runner.Zone
 	}
 	e.router.trail.Note(entry)
 }
 
-// find looks up the route and the tenant; it returns the status of a denial, or 0.
+// find looks up the route and the tenant. It returns 0, or the status of the denial.
 func (e *exchange) find(t *routeconfig.Table, path string) int {
 	if e.route = t.Match(string(e.rc.Request.Header.Host()), path); e.route == nil {
 		return 404
@@ -250,7 +255,7 @@
 	if t.Tenants == 0 || e.route.Unkeyed {
 		return 0
 	}
-	if scheme, key, ok := strings.Cut(get(e.rc, hAuth), " "); ok && strings.EqualFold(scheme, "Token") {
+	if scheme, key, ok := strings.Cut(headerValue(e.rc, hAuth), " "); ok && strings.EqualFold(scheme, "Token") {
 		e.tenant = t.Tenant(strings.TrimSpace(key))
 	}
 	if e.tenant == nil {
@@ -259,7 +264,8 @@
 	return 0
 }
 
-// malformed finds requests whose end could be read in two ways.
+// malformed reports whether the end of the request is ambiguous: it has several Content-Length or
+// Transfer-Encoding headers, or both (request smuggling).
 func malformed(rc *app.RequestContext) bool {
 	lengths, chunked := 0, 0
 	for line := range bytes.SplitSeq(rc.Request.Header.RawHeaders(), []byte("\n")) {
@@ -274,21 +280,23 @@
 	return lengths > 1 || chunked > 1 || lengths > 0 && chunked > 0
 }
 
-// get returns the value of a field. Its name is in the usual case of letters, as the front's
-// connections rewrite it.
-func get(rc *app.RequestContext, key string) string { return string(rc.Request.Header.Peek(key)) }
+// headerValue returns the value of a request header. The key must be in canonical case, which the
+// front's connections rewrite all header names to.
+func headerValue(rc *app.RequestContext, key string) string {
+	return string(rc.Request.Header.Peek(key))
+}
 
-// reject answers at once. A status that promises that the request has not run
-// says when to come back.
-func (e *exchange) reject(status int, reason admission.Reason, againUs int64) {
+// reject sets a response without a body, or with the reason as its body. 429 and 503 promise that
+// the request has not run; they get a Retry-After header if retryAfterUs is positive.
+func (e *exchange) reject(status int, reason admission.Reason, retryAfterUs int64) {
 	h := &e.rc.Response.Header
 	if e.id != "" {
 		h.Set(hAttempt, e.id)
 	}
-	if againUs > 0 && (status == 429 || status == 503) {
-		h.Set(hRetryAfter, strconv.FormatFloat(float64(againUs)/1e6, 'f', 3, 64))
+	if retryAfterUs > 0 && (status == 429 || status == 503) {
+		h.Set(hRetryAfter, strconv.FormatFloat(float64(retryAfterUs)/1e6, 'f', 3, 64))
 	}
-	e.ended, e.why = compliance.Rejected, reason
+	e.outcome, e.rejectReason = compliance.Rejected, reason
 	e.checkDenial(status)
 	e.rc.SetStatusCode(status)
 	if reason != "" {
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -1,5 +1,5 @@
-// Rules for headers, one list for requests and one for responses. Headers without a
-// rule are passed along.
+// Rules for headers, one table for requests and one for responses. Headers without a rule are
+// forwarded.
 
 package router
 
@@ -10,13 +10,13 @@
 type headerRule int
 
 const (
-	pass   headerRule = iota
-	hop               // concerns one connection only
-	ours              // set by the system, whatever the client sent
-	secret            // ends here
+	forwardHeader  headerRule = iota
+	hopByHopHeader            // concerns one connection only
+	routerHeader              // set by the router, whatever the sender set
+	privateHeader             // read by the router and not forwarded
 )
 
-// Names of the headers the system itself reads or sets.
+// Names of the headers that the router reads or sets.
 const (
 	hAttempt    = "Beechtide-Attempt-Id"
 	hTimeLeft   = "Beechtide-Time-Left"
@@ -39,22 +39,23 @@
 )
 
 var requestRules = map[string]headerRule{
-	"connection": hop, "keep-alive": hop, "proxy-connection": hop, "proxy-authenticate": hop,
-	"proxy-authorization": hop, "te": hop, "trailer": hop, "transfer-encoding": hop, "upgrade": hop,
-	"expect": hop, "content-length": ours, "host": ours,
-	lower(hAuth): secret, lower(hTimeLeft): ours, lower(hTenant): ours, lower(hTarget): ours,
-	lower(hUrgency): ours, lower(hExpected): ours, lower(hSalt): ours, lower(hSource): ours, lower(hSink): ours,
+	"connection": hopByHopHeader, "keep-alive": hopByHopHeader, "proxy-connection": hopByHopHeader, "proxy-authenticate": hopByHopHeader,
+	"proxy-authorization": hopByHopHeader, "te": hopByHopHeader, "trailer": hopByHopHeader, "transfer-encoding": hopByHopHeader, "upgrade": hopByHopHeader,
+	"expect": hopByHopHeader, "content-length": routerHeader, "host": routerHeader,
+	lower(hAuth): privateHeader, lower(hTimeLeft): routerHeader, lower(hTenant): routerHeader, lower(hTarget): routerHeader,
+	lower(hUrgency): routerHeader, lower(hExpected): routerHeader, lower(hSalt): routerHeader, lower(hSource): routerHeader, lower(hSink): routerHeader,
 }
 
-var answerRules = map[string]headerRule{
-	"connection": hop, "keep-alive": hop, "proxy-connection": hop, "proxy-authenticate": hop,
-	"te": hop, "trailer": hop, "transfer-encoding": hop, "upgrade": hop, "content-length": ours,
+var responseRules = map[string]headerRule{
+	"connection": hopByHopHeader, "keep-alive": hopByHopHeader, "proxy-connection": hopByHopHeader, "proxy-authenticate": hopByHopHeader,
+	"te": hopByHopHeader, "trailer": hopByHopHeader, "transfer-encoding": hopByHopHeader, "upgrade": hopByHopHeader, "content-length": routerHeader,
 }
 
 func lower(s string) string { return strings.ToLower(s) }
 
-// named lists the headers that a Connection header makes hop by hop.
-func named(connection string) map[string]bool {
+// connectionHeaders returns the headers that a Connection header names as hop-by-hop, in lower
+// case.
+func connectionHeaders(connection string) map[string]bool {
 	if connection == "" {
 		return nil
 	}
@@ -65,7 +66,9 @@
 	return out
 }
 
-func passes(rules map[string]headerRule, extra map[string]bool, key string) bool {
+// isForwarded reports whether a header is forwarded by the rules. extra are the headers named by
+// the Connection header.
+func isForwarded(rules map[string]headerRule, extra map[string]bool, key string) bool {
 	k := lower(key)
-	return rules[k] == pass && !extra[k]
+	return rules[k] == forwardHeader && !extra[k]
 }
--- a/internal/router/hostile_test.go
+++ b/internal/router/hostile_test.go
@@ -165,7 +165,7 @@
 	if ans.StatusCode == 200 && body != id[len(id)-4:]+" " {
 		t.Errorf("%s got the body %q", id, body)
 	}
-	if promises(ans.StatusCode) && ran > 0 {
+	if impliesNotExecuted(ans.StatusCode) && ran > 0 {
 		t.Errorf("%s ran, and the answer was %d", id, ans.StatusCode)
 	}
 	return ans.StatusCode
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -15,10 +15,10 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// visitAt makes a request of a router that runs nothing; its time is over at endUs.
+// visitAt makes a request of a router that runs nothing; its time is over at deadlineUs.
 func visitAt(nowUs, endUs int64) *exchange {
 	c := &Router{clock: func() int64 { return nowUs }}
-	return &exchange{router: c, rc: app.NewContext(0), endUs: endUs, route: &routeconfig.Route{}}
+	return &exchange{router: c, rc: app.NewContext(0), deadlineUs: endUs, route: &routeconfig.Route{}}
 }
 
 func TestRequestThatIsDroppedViolatesInvariant(t *testing.T) {
@@ -27,7 +27,7 @@
 		before := requestEnds.Violations()
 		v := visitAt(1, 1_000_000)
 		v.sequence.Begin()
-		v.ended, v.lastEnd = compliance.Cut, last
+		v.outcome, v.lastResult = compliance.Cut, last
 		v.recordEnd()
 		must.Eq(t, before+1, requestEnds.Violations(), must.Sprint(attemptNames[last]))
 	}
@@ -51,7 +51,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := visitAt(c.nowUs, 1_000_000)
-			v.ended = c.ended
+			v.outcome = c.ended
 			for range c.attempts {
 				v.sequence.Begin()
 			}
@@ -72,14 +72,14 @@
 	for _, end := range []attempt.Result{attempt.Unknown, attempt.BrokenOff} {
 		v := visitAt(1, 1_000_000)
 		v.sequence.Begin()
-		v.lastEnd = end
+		v.lastResult = end
 		v.route.Kind = api.Idempotent
 		v.checkRepeat()
 	}
 	invarianttest.Expect(t, noAttemptAfterRun)
 	v := visitAt(1, 1_000_000)
 	v.sequence.Begin()
-	v.lastEnd = attempt.Unknown
+	v.lastResult = attempt.Unknown
 	v.route.Kind = api.Streaming
 	v.checkRepeat()
 }
@@ -94,7 +94,7 @@
 	v.checkDenial(404)
 	v.checkDenial(503)
 	invarianttest.Expect(t, denialConfirmed)
-	c.majorityUs.Store(c.clock() - recheckUs - 2*c.recheckWait().Microseconds())
+	c.majorityUs.Store(c.clock() - confirmationTTLUs - 2*c.recheckTimeout().Microseconds())
 	v.checkDenial(401)
 }
 
--- a/internal/router/leave.go
+++ b/internal/router/leave.go
@@ -1,10 +1,9 @@
-// Graceful shutdown: report not ready, accept connections until the platform has
-// noticed, and let every response end its connection. A request that may outlast the
-// process is rejected at once, also one that waits in the queue, so that its client goes
-// to another router. Then accept no more connections, close those on which no request
-// has begun, and end with the last response. What is in flight when the grace period is
-// nearly over is answered where nothing of an answer has been sent; only a stream that
-// has begun is cut.
+// Graceful shutdown. The router reports not ready, accepts connections until the platform has
+// noticed, and closes each connection with its response. A request that may outlast the process is
+// rejected at once, also one in the queue, so that its client retries at another router. Then the
+// router accepts no more connections, closes those on which no request has begun, and ends with
+// the last response. Requests in flight near the end of the grace period are answered if the
+// client has received nothing; only a stream that has begun is cut off.
 
 package router
 
@@ -19,35 +18,35 @@
 	"beechtide.org/beechtide/internal/admission"
 )
 
-// shutdownInterval is how often a draining router looks whether it is done.
+// shutdownInterval is how often a draining router checks whether it may end.
 const shutdownInterval = 20 * time.Millisecond
 
-// rejectDraining is why a draining router rejects a request.
+// rejectDraining is the reason of a rejection by a draining router.
 const rejectDraining admission.Reason = "draining"
 
-// drainRetryUs is after how long a client may come back: at once, as another router
-// serves its new connection.
-const drainRetryUs = 10_000
+// drainRetryAfterUs is the Retry-After of such a rejection, in microseconds: almost immediately,
+// as another router serves the client's new connection.
+const drainRetryAfterUs = 10_000
 
 // draining reports whether the graceful shutdown has begun.
 func (r *Router) draining() bool { return r.shutdown.Load() != nil }
 
-// closesWithAnswer reports whether a connection ends with the answer to its request
-// because the router drains. Not while a part of the next request has been read with
-// this one: a client that has sent it is answered that, too.
-func (r *Router) closesWithAnswer(conn *timedConn, rc *app.RequestContext) bool {
+// closesAfterResponse reports whether a connection is closed with the response because the router
+// drains. It is not if a part of the next pipelined request has been read already: that request is
+// answered too.
+func (r *Router) closesAfterResponse(conn *timedConn, rc *app.RequestContext) bool {
 	return r.draining() && rc.GetReader().Len() == 0 && (conn == nil || conn.requests.Buffered() == 0)
 }
 
-// lingeringListener returns the error of a closed listener only once live has ended: the
-// server above it ends every connection with its next answer after an error.
-type lingeringListener struct {
+// delayedCloseListener returns the error of a closed listener only once live has been cancelled.
+// After an error from Accept the server closes every connection with its next response.
+type delayedCloseListener struct {
 	net.Listener
 	live context.Context
 }
 
 // Accept accepts a connection.
-func (l lingeringListener) Accept() (net.Conn, error) {
+func (l delayedCloseListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
 		<-l.live.Done()
@@ -55,22 +54,22 @@
 	return conn, err
 }
 
-// endAttempts withdraws the attempts that have no answer yet. first tells that this phase of
-// the shutdown begins.
-func (r *Router) endAttempts(first bool) {
-	if first {
-		close(r.lastAnswers)
+// withdrawUndelivered withdraws the attempts of which the client has received nothing. firstCall
+// also closes finalPhase, which rejects queued requests.
+func (r *Router) withdrawUndelivered(firstCall bool) {
+	if firstCall {
+		close(r.finalPhase)
 	}
 	r.sent.withdraw(r.sent.snapshot())
-	r.held.withdraw(r.held.snapshot())
+	r.undelivered.withdraw(r.undelivered.snapshot())
 }
 
-// leave shuts down gracefully. It returns when the process may end.
-func (r *Router) leave() {
+// shutDown shuts down gracefully. It returns when the process may end.
+func (r *Router) shutDown() {
 	plan := newShutdownPlan(r.clock(), int64(r.set.Bounds.GraceS*1e6))
 	r.shutdown.Store(plan)
 	close(r.drainBegun)
-	r.log.Info("leaving")
+	r.log.Info("graceful shutdown begins")
 	front := r.front.Load()
 	if front == nil {
 		return
@@ -82,14 +81,14 @@
 			continue
 		}
 		if phase == phaseOver {
-			r.log.Info("grace period over", "inFlight", r.inFlight.Load())
+			r.log.Info("grace period is over, ending with requests in flight", "inFlight", r.inFlight.Load())
 			return
 		}
 		if entered == phaseNotice {
 			front.Listener.Close()
 		}
-		if phase == phaseAnswers {
-			r.endAttempts(entered != phaseAnswers)
+		if phase == phaseFinal {
+			r.withdrawUndelivered(entered != phaseFinal)
 		}
 		entered = phase
 		if front.closeIdle() == 0 && r.inFlight.Load() == 0 {
--- a/internal/router/listener.go
+++ b/internal/router/listener.go
@@ -1,8 +1,8 @@
-// The front's listener bounds how long a client may take to send the rest of a request
-// once it has begun, and to be idle between two. hertz's standard transport has no
-// such bounds of its own. A request that arrives too slowly gets 408, since it has not
-// been forwarded. The bounds are those of the configuration in force, also for a
-// connection that waits already.
+// Timeouts on client connections: how long a client may take to send the rest of a request once it
+// has begun, and how long a connection may be idle between two requests. hertz's standard
+// transport has no such timeouts. A request that arrives too slowly gets 408, since it has not
+// been forwarded. The timeouts follow the current configuration, also for connections that are
+// already waiting.
 
 package router
 
@@ -21,46 +21,49 @@
 
 const tcpUserTimeout = 18
 
-// clientSilentMs is after how long a client that acknowledges nothing is gone.
-const clientSilentMs = 4000
+// clientTimeoutMs is the TCP user timeout: a client that acknowledges nothing for this long is
+// disconnected.
+const clientTimeoutMs = 4000
 
-// writeWait is how long a client may leave its window shut before it is given
-// up; nothing is buffered for it meanwhile beyond one read from the runner.
-const writeWait = 10 * time.Second
+// writeTimeout is how long a write may block on the client's closed receive window before the
+// connection is dropped. Meanwhile no more is buffered for the client than one read from the
+// runner.
+const writeTimeout = 10 * time.Second
 
-const answer408 = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+const response408 = "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-// frontLimits bound how long a client may take.
+// frontLimits are the timeouts and size limits for clients.
 type frontLimits struct {
-	idle  time.Duration // between two requests of a connection
-	rest  time.Duration // for a request that has begun
-	sizes http1.Limits
+	idle    time.Duration // between two requests of a connection
+	receive time.Duration // from the first byte of a request to its last
+	sizes   http1.Limits
 }
 
+// timedListener accepts client connections and tracks the open ones.
 type timedListener struct {
 	net.Listener
-	limits func() frontLimits // those in force
-	counts frontCounts
+	limits   func() frontLimits // returns the current ones
+	refusals refusalCounts
 
 	mu    sync.Mutex
 	conns map[*timedConn]bool
 }
 
-func newTimedListener(ln net.Listener, limits func() frontLimits) *timedListener {
-	return &timedListener{Listener: httpserver.Listener{Listener: ln}, limits: limits, conns: map[*timedConn]bool{}}
+func newTimedListener(inner net.Listener, limits func() frontLimits) *timedListener {
+	return &timedListener{Listener: httpserver.Listener{Listener: inner}, limits: limits, conns: map[*timedConn]bool{}}
 }
 
 func listenFront(addr string, limits func() frontLimits) (*timedListener, error) {
-	ln, err := httpserver.Listen(addr, func(fd uintptr) {
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, clientSilentMs)
+	inner, err := httpserver.Listen(addr, func(fd uintptr) {
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, clientTimeoutMs)
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "router: front")
 	}
-	return newTimedListener(ln.Listener, limits), nil
+	return newTimedListener(inner.Listener, limits), nil
 }
 
-// Accept accepts a connection and bounds it.
+// Accept accepts a connection and applies the limits to it.
 func (l *timedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -70,7 +73,7 @@
 }
 
 func (l *timedListener) track(c net.Conn) *timedConn {
-	tc := &timedConn{Conn: c, l: l}
+	tc := &timedConn{Conn: c, listener: l}
 	tc.requests.Limits = func() http1.Limits { return l.limits().sizes }
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,8 +81,8 @@
 	return tc
 }
 
-// closeIdle tells the connections on which no request has begun to close. It returns
-// how many connections are open, those that are about to close included.
+// closeIdle makes the connections on which no request has begun close. It returns how many
+// connections are open, including those about to close.
 func (l *timedListener) closeIdle() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,31 +92,31 @@
 	return len(l.conns)
 }
 
-// timedConn is read and written by one goroutine at a time.
+// timedConn is a client connection. It is read and written by one goroutine at a time.
 type timedConn struct {
 	net.Conn
-	l        *timedListener
-	requests http1.Rewriter // what the client has sent, in the form that hertz reads
-	begun    time.Time      // when the request being read began; zero between requests
-	answerBy time.Time      // when the request in hand is over; zero between requests
-	writeBy  time.Time      // the write deadline that is set
+	listener           *timedListener
+	requests           http1.Rewriter // converts the bytes of the client to the form that hertz reads
+	requestStart       time.Time      // when the request being read began; zero between requests
+	responseDeadline   time.Time      // deadline of the current request; zero between requests
+	armedWriteDeadline time.Time      // the write deadline set on the socket
 
 	mu      sync.Mutex
 	idle    bool // a read waits for a request to begin
 	closing bool // the connection closes unless a request has begun
 }
 
-// Close is called by hertz, and where a connection that was idle is to close.
+// Close is called by hertz, and by the reader of an idle connection that is to close.
 func (c *timedConn) Close() error {
-	c.l.mu.Lock()
-	delete(c.l.conns, c)
-	c.l.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// closeIfIdle ends the wait for a request. The reader closes the connection, so that a
-// request of which it has read a part meanwhile is served, and one that it has not
-// read is seen unread by its client.
+// closeIfIdle interrupts the wait for a request. The reader then closes the connection; if it has
+// read a part of a request meanwhile, it serves that request. A request that it has not read was
+// not processed in any part, so its client may retry it.
 func (c *timedConn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,14 +134,14 @@
 		var refusal *http1.Error
 		switch {
 		case err == nil:
-			c.begin(time.Now())
+			c.markRequestStart(time.Now())
 			return n, nil
 		case errors.As(err, &refusal):
 			c.refuse(refusal)
 			return 0, net.ErrClosed
 		}
 		if c.requests.TakeExpectation() {
-			if _, err := c.Conn.Write([]byte(answer100)); err != nil {
+			if _, err := c.Conn.Write([]byte(response100)); err != nil {
 				return 0, err
 			}
 		}
@@ -150,34 +153,34 @@
 	}
 }
 
-// begin notes when a request began, unless one has begun already.
-func (c *timedConn) begin(at time.Time) {
-	if c.begun.IsZero() {
-		c.begun, c.answerBy = at, time.Time{}
+// markRequestStart records when a request began, unless one has begun already.
+func (c *timedConn) markRequestStart(at time.Time) {
+	if c.requestStart.IsZero() {
+		c.requestStart, c.responseDeadline = at, time.Time{}
 	}
 }
 
-// readSocket reads bytes as the client has sent them.
+// readSocket reads bytes from the client.
 func (c *timedConn) readSocket(b []byte) (int, error) {
-	if c.begun.IsZero() && c.requests.Between() {
-		return c.readFirst(b)
+	if c.requestStart.IsZero() && c.requests.Between() {
+		return c.readRequestStart(b)
 	}
-	c.begin(time.Now()) // a part of it came with the request before
-	return c.readRest(b)
+	c.markRequestStart(time.Now()) // its first bytes were read with the previous request
+	return c.readRequestRest(b)
 }
 
-// readFirst reads the first bytes of a request.
-func (c *timedConn) readFirst(b []byte) (int, error) {
+// readRequestStart reads the first bytes of a request.
+func (c *timedConn) readRequestStart(b []byte) (int, error) {
 	for since := time.Now(); ; {
-		if !c.enterIdle(since) {
+		if !c.beginIdle(since) {
 			c.Close()
 			return 0, net.ErrClosed
 		}
 		n, err := c.Conn.Read(b)
 		readAt := time.Now()
-		stays := c.leaveIdle(since)
+		stays := c.endIdle(since)
 		if n > 0 {
-			c.begin(readAt)
+			c.markRequestStart(readAt)
 			return n, err
 		}
 		if !stays || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -186,63 +189,63 @@
 	}
 }
 
-// enterIdle begins a wait for a request on a connection that is idle since then. It
-// returns false where the connection is to close.
-func (c *timedConn) enterIdle(since time.Time) bool {
+// beginIdle begins a wait for a request on a connection that has been idle since the given time.
+// It returns false if the connection is to close.
+func (c *timedConn) beginIdle(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return false
 	}
-	_ = c.SetReadDeadline(since.Add(c.l.limits().idle))
+	_ = c.SetReadDeadline(since.Add(c.listener.limits().idle))
 	c.idle = true
 	return true
 }
 
-// leaveIdle ends a wait for a request. It reports whether there is a reason to look
-// again: the limit that is in force now is not over, or the connection is to close.
-func (c *timedConn) leaveIdle(since time.Time) bool {
+// endIdle ends a wait for a request. It reports whether the reader is to check again: the current
+// idle timeout has not expired, or the connection is to close.
+func (c *timedConn) endIdle(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = false
-	return c.closing || time.Since(since) < c.l.limits().idle
+	return c.closing || time.Since(since) < c.listener.limits().idle
 }
 
-// readRest reads on in a request that has begun.
-func (c *timedConn) readRest(b []byte) (int, error) {
+// readRequestRest reads the rest of a request that has begun.
+func (c *timedConn) readRequestRest(b []byte) (int, error) {
 	for {
-		_ = c.SetReadDeadline(c.begun.Add(c.l.limits().rest))
+		_ = c.SetReadDeadline(c.requestStart.Add(c.listener.limits().receive))
 		n, err := c.Conn.Read(b)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if time.Since(c.begun) >= c.l.limits().rest {
-			_, _ = c.Conn.Write([]byte(answer408))
+		if time.Since(c.requestStart) >= c.listener.limits().receive {
+			_, _ = c.Conn.Write([]byte(response408))
 			return n, err
 		}
 	}
 }
 
 func (c *timedConn) Write(b []byte) (int, error) {
-	c.begun = time.Time{}
-	if deadline := c.writeDeadline(); !c.writtenBy(deadline) {
+	c.requestStart = time.Time{}
+	if deadline := c.writeDeadline(); !c.writeDeadlineSuffices(deadline) {
 		_ = c.SetWriteDeadline(deadline)
 	}
 	return c.Conn.Write(b)
 }
 
-// SetWriteDeadline keeps the deadline in mind, so that it is not set anew for each event of a
+// SetWriteDeadline records the deadline, so that it need not be set again for each event of a
 // stream.
 func (c *timedConn) SetWriteDeadline(deadline time.Time) error {
-	c.writeBy = deadline
+	c.armedWriteDeadline = deadline
 	return c.Conn.SetWriteDeadline(deadline)
 }
 
-// writtenBy reports whether the deadline that is set serves for one that is wanted: it is the
-// same, or earlier and still far away.
-func (c *timedConn) writtenBy(deadline time.Time) bool {
-	if c.writeBy.Equal(deadline) {
+// writeDeadlineSuffices reports whether the deadline set on the socket can stand in for the given
+// one: it is the same, or earlier but still more than half of writeTimeout away.
+func (c *timedConn) writeDeadlineSuffices(deadline time.Time) bool {
+	if c.armedWriteDeadline.Equal(deadline) {
 		return true
 	}
-	return !c.writeBy.After(deadline) && time.Until(c.writeBy) > writeWait/2
+	return !c.armedWriteDeadline.After(deadline) && time.Until(c.armedWriteDeadline) > writeTimeout/2
 }
--- a/internal/router/listener_test.go
+++ b/internal/router/listener_test.go
@@ -15,7 +15,7 @@
 )
 
 func fixedLimits(d time.Duration) func() frontLimits {
-	return func() frontLimits { return frontLimits{idle: d, rest: d, sizes: testSizes} }
+	return func() frontLimits { return frontLimits{idle: d, receive: d, sizes: testSizes} }
 }
 
 // testSizes are limits that no test's requests reach.
@@ -30,9 +30,9 @@
 
 func (r *raisedLimits) limits() frontLimits {
 	if r.short.Swap(false) {
-		return frontLimits{idle: time.Millisecond, rest: time.Millisecond, sizes: testSizes}
+		return frontLimits{idle: time.Millisecond, receive: time.Millisecond, sizes: testSizes}
 	}
-	return frontLimits{idle: time.Hour, rest: time.Hour, sizes: testSizes}
+	return frontLimits{idle: time.Hour, receive: time.Hour, sizes: testSizes}
 }
 
 // scriptedListener accepts what it is given, one after the other, and is closed then.
@@ -157,17 +157,17 @@
 		must.NoError(t, err)
 		must.False(t, under.by.After(conn.writeDeadline()))
 	}
-	conn.answerUntil(time.Now().Add(3 * writeWait / 2))
+	conn.setResponseDeadline(time.Now().Add(3 * writeTimeout / 2))
 	for range 20 {
 		write()
 	}
 	must.Eq(t, 1, under.set)
-	conn.answerUntil(time.Now().Add(writeWait / 4))
+	conn.setResponseDeadline(time.Now().Add(writeTimeout / 4))
 	for range 20 {
 		write()
 	}
 	must.Eq(t, 2, under.set, must.Sprint("a shorter time counts at once"))
-	conn.answerUntil(time.Now().Add(-time.Second))
+	conn.setResponseDeadline(time.Now().Add(-time.Second))
 	write()
 	must.Eq(t, 3, under.set, must.Sprint("the last bytes of an answer that is late"))
 	must.True(t, under.by.After(time.Now()), must.Sprint("may still be written"))
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -1,9 +1,9 @@
-// Moving a live stream: when its session leaves the zone of its runner, or that zone cannot be
-// reached any more, a stream that may be resumed goes on elsewhere, after its last whole event.
-// Capacity and a connection there are acquired before the old connection is closed,
-// and the old one is closed before anything is sent, so that one runner at a time
-// responds and the client sees one response. A stream that may not be resumed ends
-// where it runs; the next request of its session goes to the new home.
+// Moving a live stream to another runner, when its session leaves the zone of its runner or that
+// zone becomes unreachable. A resumable stream continues there after its last complete event.
+// Capacity and a connection at the new runner are acquired before the old connection is closed,
+// and the old one is closed before anything is sent, so that only one runner responds at a time
+// and the client receives one response. A stream that is not resumable ends where it runs; the
+// next request of its session goes to the new home zone.
 
 package router
 
@@ -13,82 +13,83 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// nextAttempt is a place and a link that wait for a stream which is on the move.
-type nextAttempt struct {
+// reservedAttempt is the capacity and the connection reserved for a stream that moves.
+type reservedAttempt struct {
 	adm  *admission.Admission
-	link *upstream.Conn
+	conn *upstream.Conn
 }
 
-// moves reports whether the stream leaves its runner now, as its session's zone has been
-// relinquished; then the next attempt is there.
-func (e *exchange) moves(adm *admission.Admission, stream *answerStream) bool {
+// reserveMove reports whether the stream leaves its runner now, because its session's zone has
+// been relinquished. If so, the next attempt has been reserved.
+func (e *exchange) reserveMove(adm *admission.Admission, stream *responseStream) bool {
 	c := e.router
-	t := c.table.Load()
-	if _, left := t.Relinquished[adm.Runner.Zone]; !left || !stream.cutting || stream.events.LastID == "" {
+	table := c.table.Load()
+	if _, relinquished := table.Relinquished[adm.Runner.Zone]; !relinquished || !stream.isEventStream || stream.splitter.LastID == "" {
 		return false
 	}
 	now := c.clock()
-	if now < e.moveUs {
+	if now < e.nextMoveCheckUs {
 		return false
 	}
-	e.moveUs = now + moveAgainUs
-	leaves := func(ask admission.Request) bool { return c.admission.Leaves(ask, adm.Runner.Zone, now) }
-	return e.acquireNext(adm, leaves, func(next *admission.Admission) bool { return next.Runner.Zone != adm.Runner.Zone })
+	e.nextMoveCheckUs = now + moveRetryUs
+	mustLeave := func(request admission.Request) bool { return c.admission.Leaves(request, adm.Runner.Zone, now) }
+	return e.reserveAttempt(adm, mustLeave, func(next *admission.Admission) bool { return next.Runner.Zone != adm.Runner.Zone })
 }
 
-// acquireNext reserves capacity at another runner and connects to it, for a stream that goes on
-// there. It is within tries, budget and limits like every further attempt. leaves is asked first,
-// and accepts of the place found, both with the admission's mutex held.
-func (e *exchange) acquireNext(adm *admission.Admission, leaves func(admission.Request) bool, accepts func(*admission.Admission) bool) bool {
+// reserveAttempt reserves capacity at another runner and connects to it, for a stream that
+// continues there. The attempt counts against tries, retry budget and limits like every other one.
+// mustLeave and then accepts, for the admission found, are called with the admission mutex held;
+// if either returns false nothing is reserved.
+func (e *exchange) reserveAttempt(adm *admission.Admission, mustLeave func(admission.Request) bool, accepts func(*admission.Admission) bool) bool {
 	c := e.router
-	if !e.sequence.MayRepeat(e.repeatRules()) {
+	if !e.sequence.MayRepeat(e.retryPolicy()) {
 		return false
 	}
 	now := c.clock()
-	ask := e.request
-	ask.LeftUs = e.endUs - now
-	ask.Avoid = append(append([]string{}, ask.Avoid...), adm.Runner.ID)
+	request := e.request
+	request.LeftUs = e.deadlineUs - now
+	request.Avoid = append(append([]string{}, request.Avoid...), adm.Runner.ID)
 	c.admissionMu.Lock()
-	if !leaves(ask) {
+	if !mustLeave(request) {
 		c.admissionMu.Unlock()
 		return false
 	}
-	next := c.admission.TryNow(ask, now)
+	next := c.admission.TryNow(request, now)
 	accepted := next != nil && accepts(next)
 	c.admissionMu.Unlock()
 	if next == nil {
 		return false
 	}
 	if !accepted {
-		c.done(next, true)
+		c.releaseCapacity(next, true)
 		return false
 	}
-	link, err := e.connect(next)
+	conn, err := e.connect(next)
 	if err != nil {
-		c.done(next, false)
+		c.releaseCapacity(next, false)
 		return false
 	}
 	if !e.spendRetry() || e.acquireToken(false, moveQuotaWaitUs).Outcome != quotaclient.Granted {
-		link.Close()
-		c.done(next, true)
+		conn.Close()
+		c.releaseCapacity(next, true)
 		return false
 	}
-	e.request.Avoid = ask.Avoid
-	e.next = &nextAttempt{next, link}
+	e.request.Avoid = request.Avoid
+	e.reserved = &reservedAttempt{next, conn}
 	return true
 }
 
-// releaseNext gives up the place and the link of a stream that does not move after
+// releaseReserved releases the capacity and the connection of a stream that does not move after
 // all.
-func (e *exchange) releaseNext() {
-	if e.next == nil {
+func (e *exchange) releaseReserved() {
+	if e.reserved == nil {
 		return
 	}
-	e.next.link.Close()
-	e.router.done(e.next.adm, true)
-	e.next = nil
+	e.reserved.conn.Close()
+	e.router.releaseCapacity(e.reserved.adm, true)
+	e.reserved = nil
 }
 
-// moveAgainUs is how long a stream that found no place to go to stays before it
-// looks again.
-const moveAgainUs = 200_000
+// moveRetryUs is how long a stream stays at its runner before it tries again to move, in
+// microseconds.
+const moveRetryUs = 200_000
--- a/internal/router/partition_metrics.go
+++ b/internal/router/partition_metrics.go
@@ -32,7 +32,7 @@
 			if front == nil {
 				return
 			}
-			for status, count := range front.counts.byStatus() {
+			for status, count := range front.refusals.byStatus() {
 				emit(float64(count), strconv.Itoa(status))
 			}
 		}),
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -87,9 +87,9 @@
 
 // countUsage counts a request once, when a runner has begun it.
 func (e *exchange) countUsage(r *protocol.Response) {
-	if e.counted || e.tenant == nil || r.StatusCode()/100 != 2 || e.router.usage == nil {
+	if e.usageCounted || e.tenant == nil || r.StatusCode()/100 != 2 || e.router.usage == nil {
 		return
 	}
-	e.counted = true
+	e.usageCounted = true
 	e.router.usage.Add(e.tenant.Name)
 }
--- a/internal/router/quota_attempts.go
+++ b/internal/router/quota_attempts.go
@@ -1,4 +1,5 @@
-// Tokens of a request: it begins with one, and every attempt that a runner may run uses one.
+// Quota tokens of a request. A request needs one to begin, and every attempt that a runner may
+// have run uses one.
 
 package router
 
@@ -10,45 +11,46 @@
 	"beechtide.org/beechtide/internal/router/quotaclient"
 )
 
-// Reasons of rejections for a tenant's limit.
+// Reasons for rejecting a request because of its tenant's limit.
 const (
-	rejectOverQuota  admission.Reason = "tenant-quota"
-	rejectNoCounting admission.Reason = "tenant-quota-unavailable"
+	rejectOverQuota        admission.Reason = "tenant-quota"
+	rejectQuotaUnavailable admission.Reason = "tenant-quota-unavailable"
 )
 
-// Bounds of how long a request waits for a token, in microseconds: a quarter of its latency
-// target, after which an early rejection would count as a late one.
+// Bounds on the wait for a token, in microseconds. The wait is a quarter of the latency target;
+// after a longer one a rejection would no longer count as early.
 const (
 	minQuotaWaitUs = 40_000
 	maxQuotaWaitUs = 200_000
-	// moveQuotaWaitUs is how long a stream that could move elsewhere waits.
+	// moveQuotaWaitUs is the wait of a stream that could move to another runner.
 	moveQuotaWaitUs = 50_000
 )
 
 // limited reports whether the request's tenant has a limit.
-func (e *exchange) limited() bool { return e.tenant != nil && !e.limit.Unlimited() }
+func (e *exchange) limited() bool { return e.tenant != nil && !e.quotaLimit.Unlimited() }
 
-// acquireToken gets a token, unless the request has one that is valid. It reports what
-// became of it.
-func (e *exchange) acquireToken(arrives bool, waitUs int64) quotaclient.Answer {
-	if !e.limited() || e.token.Valid(e.router.clock()) {
-		return quotaclient.Answer{Outcome: quotaclient.Granted, Token: e.token}
+// acquireToken acquires a token, unless the request holds a valid one, and waits up to waitUs for
+// it. isArrival reports whether the request begins; it is false for further attempts.
+func (e *exchange) acquireToken(isArrival bool, waitUs int64) quotaclient.Answer {
+	if !e.limited() || e.quotaToken.Valid(e.router.clock()) {
+		return quotaclient.Answer{Outcome: quotaclient.Granted, Token: e.quotaToken}
 	}
-	answer := e.router.quotas.Acquire(e.tenant.Name, e.limit, arrives, waitUs, e.client.leftChannel())
+	answer := e.router.quotas.Acquire(e.tenant.Name, e.quotaLimit, isArrival, waitUs, e.client.goneChannel())
 	if answer.Outcome == quotaclient.Granted {
-		e.token = answer.Token
+		e.quotaToken = answer.Token
 	}
 	return answer
 }
 
-// quotaWaitUs is how long the request may wait for a token.
+// quotaWaitUs returns how long the request may wait for a token.
 func (e *exchange) quotaWaitUs() int64 {
 	waitUs := min(max(e.route.SetpointUs/4-10_000, minQuotaWaitUs), maxQuotaWaitUs)
-	return min(waitUs, max(e.endUs-e.router.clock(), 0))
+	return min(waitUs, max(e.deadlineUs-e.router.clock(), 0))
 }
 
-// enter gets the token with which the request begins; without one it is rejected.
-func (e *exchange) enter() bool {
+// acquireInitialToken acquires the token with which the request begins. It rejects the request and
+// returns false if there is none.
+func (e *exchange) acquireInitialToken() bool {
 	answer := e.acquireToken(true, e.quotaWaitUs())
 	if answer.Outcome != quotaclient.Granted {
 		e.rejectWithoutToken(answer)
@@ -56,10 +58,10 @@
 	return answer.Outcome == quotaclient.Granted
 }
 
-// reenter gets a token for an attempt where the request has none any more: the one that it
-// began with has been used by an earlier attempt, or is too old. Without one, the attempt's
-// place is released and the request ends.
-func (e *exchange) reenter(adm *admission.Admission) bool {
+// acquireAttemptToken acquires a token for an attempt if the initial one has been used by an
+// earlier attempt or has expired. If there is none it releases the capacity of the attempt, ends
+// the request and returns false.
+func (e *exchange) acquireAttemptToken(adm *admission.Admission) bool {
 	answer := e.acquireToken(false, e.quotaWaitUs())
 	if e.stream != nil && e.stream.started {
 		answer = e.awaitToken(answer)
@@ -67,10 +69,10 @@
 	if answer.Outcome == quotaclient.Granted {
 		return true
 	}
-	if e.next != nil {
-		e.releaseNext()
+	if e.reserved != nil {
+		e.releaseReserved()
 	} else {
-		e.router.done(adm, true)
+		e.router.releaseCapacity(adm, true)
 	}
 	switch {
 	case e.stream != nil || e.sequence.MayHaveRun():
@@ -81,13 +83,13 @@
 	return false
 }
 
-// awaitToken waits for a token for a stream of which the client has a part, while the request
-// has time left: such a stream can neither be rejected nor begun anew. A stream on the move has
-// a token when it leaves its runner, which may expire before the next attempt is sent.
+// awaitToken keeps acquiring a token until the deadline, for a stream that the client has received
+// in part: such a stream can neither be rejected nor started anew. A moving stream acquires its
+// token before it leaves its runner, but the token may expire before the next attempt is sent.
 func (e *exchange) awaitToken(answer quotaclient.Answer) quotaclient.Answer {
 	for answer.Outcome != quotaclient.Granted {
-		leftUs := e.endUs - e.router.clock()
-		if leftUs <= 0 || !e.pause(min(answer.WaitUs, leftUs)) {
+		leftUs := e.deadlineUs - e.router.clock()
+		if leftUs <= 0 || !e.sleepUs(min(answer.WaitUs, leftUs)) {
 			return answer
 		}
 		answer = e.acquireToken(false, e.quotaWaitUs())
@@ -95,15 +97,16 @@
 	return answer
 }
 
-// pause waits. It returns false at once if the client leaves or the router ends.
-func (e *exchange) pause(forUs int64) bool {
-	timer := time.NewTimer(time.Duration(forUs) * time.Microsecond)
+// sleepUs waits. It returns false early if the client leaves or the final phase of the shutdown
+// begins.
+func (e *exchange) sleepUs(durationUs int64) bool {
+	timer := time.NewTimer(time.Duration(durationUs) * time.Microsecond)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-e.client.leftChannel():
-	case <-e.router.lastAnswers:
+	case <-e.client.goneChannel():
+	case <-e.router.finalPhase:
 	}
 	return false
 }
@@ -112,19 +115,20 @@
 	if answer.Outcome == quotaclient.Denied {
 		e.reject(429, rejectOverQuota, answer.WaitUs)
 	} else {
-		e.reject(503, rejectNoCounting, answer.WaitUs)
+		e.reject(503, rejectQuotaUnavailable, answer.WaitUs)
 	}
 }
 
-// spendToken is called as the request leaves for a runner. refundToken takes that back, as
-// the runner has said that it has not run it, or has got nothing of it.
-func (e *exchange) spendToken() { e.spent, e.token = e.token, quota.Token{} }
+// spendToken marks the token as used; it is called before the request is written to a runner.
+// refundToken reverts that if the runner received nothing or reported that the request has not
+// run.
+func (e *exchange) spendToken() { e.spentToken, e.quotaToken = e.quotaToken, quota.Token{} }
 
-func (e *exchange) refundToken() { e.token, e.spent = e.spent, quota.Token{} }
+func (e *exchange) refundToken() { e.quotaToken, e.spentToken = e.spentToken, quota.Token{} }
 
-// returnToken gives back what the request has not used, as it ends.
+// returnToken returns an unused token when the request ends.
 func (e *exchange) returnToken() {
-	if e.limited() && e.token != (quota.Token{}) {
-		e.router.quotas.Return(e.tenant.Name, e.token)
+	if e.limited() && e.quotaToken != (quota.Token{}) {
+		e.router.quotas.Return(e.tenant.Name, e.quotaToken)
 	}
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -79,7 +79,7 @@
 	must.NoError(t, err)
 	must.Eq(t, 503, a.StatusCode)
 	must.NotEq(t, "", a.Header.Get(hRetryAfter))
-	must.Eq(t, string(rejectNoCounting)+"\n", body)
+	must.Eq(t, string(rejectQuotaUnavailable)+"\n", body)
 	must.Zero(t, r.count())
 	must.Eq(t, 1, c.quotas.Counts().Unknown)
 }
@@ -158,8 +158,8 @@
 func movedStream(c *Router, forUs int64) *exchange {
 	return &exchange{
 		router: c, rc: app.NewContext(0), route: &routeconfig.Route{}, tenant: &api.Tenant{Name: "t1"},
-		limit: quota.Limit{Version: 3, RatePerS: 10, Burst: 10}, endUs: c.clock() + forUs,
-		stream: &answerStream{started: true},
+		quotaLimit: quota.Limit{Version: 3, RatePerS: 10, Burst: 10}, deadlineUs: c.clock() + forUs,
+		stream: &responseStream{started: true},
 	}
 }
 
@@ -186,14 +186,14 @@
 		}
 	})
 	e := movedStream(c, (20 * time.Second).Microseconds())
-	must.True(t, e.reenter(c.admitOne(t)))
-	must.True(t, e.token.Valid(c.clock()))
+	must.True(t, e.acquireAttemptToken(c.admitOne(t)))
+	must.True(t, e.quotaToken.Valid(c.clock()))
 }
 
 func TestStreamOnTheMoveWithoutATokenEndsWithItsTime(t *testing.T) {
 	c, _, _ := startLimited(t, 1, newRunner(t))
 	e := movedStream(c, (500 * time.Millisecond).Microseconds())
-	must.False(t, e.reenter(c.admitOne(t)))
-	must.True(t, e.timeOver())
+	must.False(t, e.acquireAttemptToken(c.admitOne(t)))
+	must.True(t, e.timeExpired())
 	c.holdsNothing(t)
 }
--- a/internal/router/recheck.go
+++ b/internal/router/recheck.go
@@ -1,6 +1,5 @@
-// Before a valid request is rejected because its route or key is unknown, the router
-// makes sure that its configuration is the newest. Where it cannot, the request gets
-// 503 instead.
+// Confirmation that the configuration is the newest, before a valid request is denied because its
+// route or key is unknown. If that cannot be confirmed the request gets 503 instead.
 
 package router
 
@@ -12,67 +11,67 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Times of a check.
+// Timing of a check.
 const (
-	// recheckUs is for how long a check that came out holds. What it may miss is
-	// younger than that, and convergeMs is much longer.
-	recheckUs = 200_000
-	// recheckParts is the part of convergeMs that a check may take.
-	recheckParts     = 5
-	recheckLeastWait = 100 * time.Millisecond
+	// confirmationTTLUs is how long the result of a check is valid. A change that is missed is
+	// younger than that, which is much less than convergeMs.
+	confirmationTTLUs = 200_000
+	// A check may take convergeMs divided by recheckFraction.
+	recheckFraction   = 5
+	minRecheckTimeout = 100 * time.Millisecond
 )
 
-// currencyChecks sees to it that one check goes on at a time, and that the
-// requests which come meanwhile wait for it. The zero value is ready for use.
-type currencyChecks struct {
+// freshnessChecks runs one check at a time; requests that arrive meanwhile wait for its result.
+// The zero value is ready for use.
+type freshnessChecks struct {
 	mu      sync.Mutex
-	current *currencyCheck
+	current *freshnessCheck
 }
 
-// currencyCheck is one check; the fields are set before done is closed.
-type currencyCheck struct {
+// freshnessCheck is one check. endedUs and confirmed are set before done is closed.
+type freshnessCheck struct {
 	done      chan struct{}
 	endedUs   int64
 	confirmed bool
 }
 
-// confirm tells whether the configuration was the newest a short while ago. It asks
-// by way of ask, unless a check is under way or has ended lately.
-func (c *currencyChecks) confirm(clock func() int64, ask func() bool) bool {
+// confirm reports whether the configuration was the newest within the last confirmationTTLUs. It
+// calls check, unless a check is under way or its last result is still valid.
+func (c *freshnessChecks) confirm(clock func() int64, check func() bool) bool {
 	c.mu.Lock()
-	check := c.current
-	if check != nil && check.holds(clock()) {
+	current := c.current
+	if current != nil && current.isValid(clock()) {
 		c.mu.Unlock()
-		<-check.done
-		return check.confirmed
+		<-current.done
+		return current.confirmed
 	}
-	check = &currencyCheck{done: make(chan struct{})}
-	c.current = check
+	current = &freshnessCheck{done: make(chan struct{})}
+	c.current = current
 	c.mu.Unlock()
-	check.confirmed = ask()
-	check.endedUs = clock()
-	close(check.done)
-	return check.confirmed
+	current.confirmed = check()
+	current.endedUs = clock()
+	close(current.done)
+	return current.confirmed
 }
 
-// holds tells whether a check is under way or has ended lately.
-func (c *currencyCheck) holds(nowUs int64) bool {
+// isValid reports whether the check is under way or ended less than confirmationTTLUs ago.
+func (c *freshnessCheck) isValid(nowUs int64) bool {
 	select {
 	case <-c.done:
-		return nowUs-c.endedUs < recheckUs
+		return nowUs-c.endedUs < confirmationTTLUs
 	default:
 		return true
 	}
 }
 
-func (r *Router) recheckWait() time.Duration {
-	return max(r.convergeTime()/recheckParts, recheckLeastWait)
+func (r *Router) recheckTimeout() time.Duration {
+	return max(r.convergeTime()/recheckFraction, minRecheckTimeout)
 }
 
-// confirmCurrent tells whether the configuration is the newest that was committed when
-// the check began, or was so a short while ago. What is newer is fetched first.
+// confirmCurrent reports whether the configuration is the newest that was committed when the check
+// began, at most confirmationTTLUs ago. It fetches a newer configuration first.
 func (r *Router) confirmCurrent() bool {
-	return r.currency.confirm(r.clock, func() bool {
+	return r.freshness.confirm(r.clock, func() bool {
 		confirmed := r.readNewest(r.wholeCore())
 		if confirmed {
 			r.majorityUs.Store(r.clock())
@@ -81,23 +80,24 @@
 	})
 }
 
-// answeredVersions is a controller's response, if there was one in time.
-type answeredVersions struct {
+// versionsResponse is a controller's response, or the error of the call.
+type versionsResponse struct {
 	addr     string
 	versions messages.Versions
 	err      error
 }
 
-// readNewest asks controllers for their versions, which are small, and fetches what this
-// node lacks from one of them. It tells whether by then the configuration is the newest.
+// readNewest requests the versions of all given controllers, which are small messages, and fetches
+// what this node lacks from one of them. It reports whether the configuration is the newest
+// afterwards.
 func (r *Router) readNewest(controllers []string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), r.recheckWait())
+	ctx, cancel := context.WithTimeout(context.Background(), r.recheckTimeout())
 	defer cancel()
-	answers := make(chan answeredVersions, len(controllers))
+	answers := make(chan versionsResponse, len(controllers))
 	for _, addr := range controllers {
 		go func() {
 			m, err := r.askVersions(ctx, addr)
-			answers <- answeredVersions{addr, m, err}
+			answers <- versionsResponse{addr, m, err}
 		}()
 	}
 	var read versionRead
@@ -120,9 +120,9 @@
 	return r.fetchMissing(ctx, read.newestAt, false) && !r.behind([]int64{read.committed})
 }
 
-// confirmationHolds reports whether the last confirmation is recent. It is asked as a
-// refusal leaves: this process may have stood still since the check.
-func (r *Router) confirmationHolds() bool {
+// confirmationValid reports whether the last confirmation is recent enough. It is checked again
+// immediately before a denial is sent, as this process may have been paused since the check.
+func (r *Router) confirmationValid() bool {
 	confirmedUs := r.majorityUs.Load()
-	return confirmedUs != 0 && r.clock()-confirmedUs <= recheckUs+r.recheckWait().Microseconds()
+	return confirmedUs != 0 && r.clock()-confirmedUs <= confirmationTTLUs+r.recheckTimeout().Microseconds()
 }
--- a/internal/router/recheck_test.go
+++ b/internal/router/recheck_test.go
@@ -121,10 +121,10 @@
 // A confirmation from before this process stood still is none.
 func TestConfirmationExpires(t *testing.T) {
 	c, _, _ := start(t, newRunner(t))
-	must.False(t, c.confirmationHolds(), must.Sprint("nothing was ever confirmed"))
-	limitUs := recheckUs + c.recheckWait().Microseconds()
+	must.False(t, c.confirmationValid(), must.Sprint("nothing was ever confirmed"))
+	limitUs := confirmationTTLUs + c.recheckTimeout().Microseconds()
 	c.majorityUs.Store(c.clock() + 10*limitUs) // ahead, so that a slow test does not outlast it
-	must.True(t, c.confirmationHolds())
+	must.True(t, c.confirmationValid())
 	c.majorityUs.Store(c.clock() - limitUs - 1)
-	must.False(t, c.confirmationHolds())
+	must.False(t, c.confirmationValid())
 }
--- a/internal/router/refusals.go
+++ b/internal/router/refusals.go
@@ -1,4 +1,4 @@
-// Refusals of requests that hertz never sees: those that break HTTP or a limit on sizes.
+// Responses to requests that hertz never receives, because they violate HTTP or a size limit.
 
 package router
 
@@ -12,24 +12,25 @@
 	"beechtide.org/beechtide/internal/http1"
 )
 
-const answer100 = "HTTP/1.1 100 Continue\r\n\r\n"
+const response100 = "HTTP/1.1 100 Continue\r\n\r\n"
 
 const (
-	// lingerTime and lingerBytes bound how long, and how much, is read of a client whose
-	// request was refused: one that still sends would lose the answer to a reset.
+	// lingerTime and lingerBytes limit how long and how much is read from a client after its
+	// request was refused. Without that, a client that is still sending would lose the response
+	// to a TCP reset.
 	lingerTime  = 500 * time.Millisecond
 	lingerBytes = 256 << 10
-	// refusalWait bounds the writing of a refusal.
+	// refusalWait limits the writing of a refusal.
 	refusalWait = time.Second
 )
 
-// frontCounts are the refusals by status.
-type frontCounts struct {
+// refusalCounts counts the refused requests by status.
+type refusalCounts struct {
 	mu      sync.Mutex
 	refused map[int]int64
 }
 
-func (c *frontCounts) refuse(status int) {
+func (c *refusalCounts) add(status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.refused == nil {
@@ -38,8 +39,8 @@
 	c.refused[status]++
 }
 
-// byStatus returns the refusals by status.
-func (c *frontCounts) byStatus() map[int]int64 {
+// byStatus returns a copy of the counts by status.
+func (c *refusalCounts) byStatus() map[int]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[int]int64, len(c.refused))
@@ -49,9 +50,9 @@
 	return out
 }
 
-// refuse answers a request that is not taken, and ends the connection.
+// refuse answers a refused request and closes the connection.
 func (c *timedConn) refuse(refusal *http1.Error) {
-	c.l.counts.refuse(refusal.Status)
+	c.listener.refusals.add(refusal.Status)
 	body := refusal.Reason + "\n"
 	answer := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
 		refusal.Status, http.StatusText(refusal.Status), len(body), body)
@@ -64,7 +65,7 @@
 	c.Close()
 }
 
-// linger reads what a client still sends, so that it can read the answer.
+// linger discards what the client still sends, so that the client can read the response.
 func (c *timedConn) linger() {
 	_ = c.SetReadDeadline(time.Now().Add(lingerTime))
 	var b [2048]byte
--- a/internal/router/request_head.go
+++ b/internal/router/request_head.go
@@ -1,4 +1,4 @@
-// The head of an attempt, made from the client's by the rules for headers.
+// The header of the request to a runner, derived from the client's.
 
 package router
 
@@ -11,8 +11,9 @@
 	"beechtide.org/beechtide/internal/admission"
 )
 
-// head makes the head of an attempt by the rules for headers.
-func (e *exchange) head(adm *admission.Admission, leftUs int64, stream *answerStream) *protocol.RequestHeader {
+// attemptHeader returns the request header of an attempt: the client's headers as far as the rules
+// forward them, and those that the router sets.
+func (e *exchange) attemptHeader(adm *admission.Admission, leftUs int64, stream *responseStream) *protocol.RequestHeader {
 	in := &e.rc.Request.Header
 	h := &protocol.RequestHeader{}
 	h.DisableNormalizing()
@@ -20,13 +21,13 @@
 	h.SetMethodBytes(in.Method())
 	h.SetRequestURIBytes(in.RequestURI())
 	h.SetHostBytes(in.Host())
-	extra := named(string(in.Peek("Connection")))
+	extra := connectionHeaders(string(in.Peek("Connection")))
 	in.VisitAll(func(k, val []byte) {
 		key := string(k)
-		if strings.EqualFold(key, hLastEvent) && stream != nil && stream.events.LastID != "" {
+		if strings.EqualFold(key, hLastEvent) && stream != nil && stream.splitter.LastID != "" {
 			return
 		}
-		if passes(requestRules, extra, key) {
+		if isForwarded(requestRules, extra, key) {
 			h.Add(key, string(val))
 		}
 	})
@@ -44,14 +45,14 @@
 		h.Set(hUrgency, strconv.Itoa(urgency(e)))
 		setCacheHeaders(h, adm)
 	}
-	if stream != nil && stream.events.LastID != "" {
-		h.Set(hLastEvent, stream.events.LastID)
+	if stream != nil && stream.splitter.LastID != "" {
+		h.Set(hLastEvent, stream.splitter.LastID)
 	}
 	return h
 }
 
-// setCacheHeaders names where the runner gets cached blocks from, where it sends its own to,
-// and which weights it should have.
+// setCacheHeaders sets where the runner copies cached blocks from, where it copies its own to, and
+// which weights version it must have.
 func setCacheHeaders(h *protocol.RequestHeader, adm *admission.Admission) {
 	if adm.Source != "" {
 		h.Set(hSource, adm.Source)
@@ -64,11 +65,11 @@
 	}
 }
 
-// urgency is the rank of a request at its runner, 0 first.
-func urgency(v *exchange) int {
-	u := 1 + min(v.route.Rank, 1)
-	if v.tenant != nil {
-		u += 2 * v.tenant.Rank
+// urgency returns the priority of a request at its runner, from 0 (first) to 9.
+func urgency(e *exchange) int {
+	u := 1 + min(e.route.Rank, 1)
+	if e.tenant != nil {
+		u += 2 * e.tenant.Rank
 	}
 	return min(max(u, 0), 9)
 }
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -1,5 +1,5 @@
-// A runner's response is passed on to the client: in one piece where its length is
-// known, event by event where it is a stream.
+// Forwarding of a runner's response to the client: a body as a whole once it is complete, a stream
+// event by event.
 
 package router
 
@@ -16,60 +16,65 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// answerStream is the client's side of a streamed answer; it outlives an attempt
-// where another runner takes the stream up.
-type answerStream struct {
-	out      network.ExtWriter
-	events   upstream.Events
-	started  bool
-	finished bool
-	cutting  bool // the answer is a series of events
+// responseStream is the client's side of a streamed response. It outlives an attempt if another
+// runner resumes the stream.
+type responseStream struct {
+	out           network.ExtWriter
+	splitter      upstream.Events
+	started       bool
+	finished      bool
+	isEventStream bool // only whole events are forwarded
 }
 
-func (e *exchange) answerHead(r *protocol.Response) {
+// copyResponseHead copies the status and the end-to-end headers of a runner's response to the
+// response to the client.
+func (e *exchange) copyResponseHead(r *protocol.Response) {
 	out := &e.rc.Response.Header
 	out.SetStatusCode(r.StatusCode())
 	out.SetNoDefaultContentType(true)
-	extra := named(string(r.Header.Peek("Connection")))
+	extra := connectionHeaders(string(r.Header.Peek("Connection")))
 	r.Header.VisitAll(func(k, val []byte) {
-		if key := string(k); passes(answerRules, extra, key) {
+		if key := string(k); isForwarded(responseRules, extra, key) {
 			out.Add(key, string(val))
 		}
 	})
-	if e.router.closesWithAnswer(e.conn, e.rc) {
+	if e.router.closesAfterResponse(e.clientConn, e.rc) {
 		out.SetConnectionClose(true)
 	}
 }
 
-// mostBody bounds an answer that is held until it is whole.
-const mostBody = 64 << 20
+// maxBufferedBody limits a response that is buffered until it is complete, in bytes.
+const maxBufferedBody = 64 << 20
 
-// passBody passes on an answer of known length, once it is whole.
-func (e *exchange) passBody(adm *admission.Admission, link *upstream.Conn, r *protocol.Response, stream *answerStream) attempt.Result {
+// forwardBody reads the response completely and then forwards it. It forwards nothing and returns
+// attempt.Unknown for an incomplete response, and for a 5xx response to a request that may be
+// repeated.
+func (e *exchange) forwardBody(adm *admission.Admission, conn *upstream.Conn, r *protocol.Response, stream *responseStream) attempt.Result {
 	e.countUsage(r)
-	b, err := upstream.ReadBody(r, mostBody)
-	e.router.held.remove(e.held)
+	b, err := upstream.ReadBody(r, maxBufferedBody)
+	e.router.undelivered.remove(e.undelivered)
 	if err != nil {
-		link.Close()
-		e.failed(adm, link, true)
+		conn.Close()
+		e.releaseFailedAttempt(adm, conn, true)
 		return attempt.Unknown
 	}
-	e.router.firstToken(adm)
+	e.router.recordFirstToken(adm)
 	status := r.StatusCode()
-	e.router.ended(adm, link, status < 500, true)
-	e.router.release(adm, link, r, true)
+	e.router.recordAttemptOutcome(adm, conn, status < 500, true)
+	e.router.releaseCapacityAndConn(adm, conn, r, true)
 	if stream != nil && stream.started {
 		return attempt.BrokenOff
 	}
-	if status >= 500 && e.sequence.MayRepeat(e.repeatRules()) {
+	if status >= 500 && e.sequence.MayRepeat(e.retryPolicy()) {
 		return attempt.Unknown
 	}
-	e.answerHead(r)
+	e.copyResponseHead(r)
 	e.rc.Response.SetBody(b)
 	return attempt.Answered
 }
 
-func (r *Router) firstToken(adm *admission.Admission) {
+// recordFirstToken reports to the admission control that the attempt has produced output.
+func (r *Router) recordFirstToken(adm *admission.Admission) {
 	r.admissionMu.Lock()
 	r.admission.FirstToken(adm, r.clock())
 	r.admissionMu.Unlock()
@@ -77,17 +82,18 @@
 	r.wakeQueue()
 }
 
-// streams tells whether an answer is passed on as it comes. One that is no series of
-// events is held until it is whole, whatever its framing: where it is broken off, the
-// client has seen nothing of it, and a request that may be repeated is sent again. Of a
-// part that the client has, nothing says where another runner's answer would go on.
-func (e *exchange) streams(r *protocol.Response) bool {
+// isStreamed reports whether the response is forwarded as it arrives. A response that is not an
+// event stream is buffered until it is complete, whatever its framing: if it breaks off, the
+// client has received nothing and a repeatable request is sent again. A partly forwarded response
+// could not be continued with another runner's, as nothing marks the position.
+func (e *exchange) isStreamed(r *protocol.Response) bool {
 	return e.route.Kind == api.Streaming && r.StatusCode()/100 == 2 && r.Header.ContentLength() < 0
 }
 
-// passStream passes on a streamed answer, event by event.
-func (e *exchange) passStream(adm *admission.Admission, link *upstream.Conn, r *protocol.Response, stream *answerStream) (attempt.Result, *answerStream) {
-	stream.events.Cut()
+// forwardStream forwards a streamed response, event by event. The returned stream is nil if
+// another attempt is to start the response anew.
+func (e *exchange) forwardStream(adm *admission.Admission, conn *upstream.Conn, r *protocol.Response, stream *responseStream) (attempt.Result, *responseStream) {
+	stream.splitter.Cut()
 	body := r.BodyStream()
 	buf := make([]byte, 2048)
 	first := true
@@ -96,76 +102,79 @@
 		if n > 0 && first {
 			first = false
 			e.countUsage(r)
-			e.router.firstToken(adm)
+			e.router.recordFirstToken(adm)
 		}
 		switch {
-		case n > 0 && !e.passBytes(r, stream, buf[:n]):
-			return e.abandonStream(adm, link, attempt.ClientGone), stream
-		case err == nil && stream.started && e.moves(adm, stream):
-			return e.abandonStream(adm, link, attempt.Moving), stream
+		case n > 0 && !e.forwardEvents(r, stream, buf[:n]):
+			return e.releaseStream(adm, conn, attempt.ClientGone), stream
+		case err == nil && stream.started && e.reserveMove(adm, stream):
+			return e.releaseStream(adm, conn, attempt.Moving), stream
 		case err == nil:
-		case e.next != nil: // it left a runner that cannot be reached
-			result := e.abandonStream(adm, link, attempt.Moving)
+		case e.reserved != nil: // staysAtRunner has reserved another runner, as this one is unreachable
+			result := e.releaseStream(adm, conn, attempt.Moving)
 			if !stream.started {
 				return result, nil
 			}
 			return result, stream
 		case err != io.EOF:
-			return e.breakOffStream(adm, link, stream)
+			return e.failStream(adm, conn, stream)
 		default:
-			return e.endStream(adm, link, r, stream)
+			return e.finishStream(adm, conn, r, stream)
 		}
 	}
 }
 
-// passBytes passes on what has been read, as far as it makes whole events. It returns
-// false if the client takes nothing more.
-func (e *exchange) passBytes(r *protocol.Response, stream *answerStream, b []byte) bool {
-	if stream.cutting {
-		b = stream.events.Add(b)
+// forwardEvents forwards the bytes read so far as whole events. It returns false if writing to the
+// client failed.
+func (e *exchange) forwardEvents(r *protocol.Response, stream *responseStream, b []byte) bool {
+	if stream.isEventStream {
+		b = stream.splitter.Add(b)
 	}
-	return len(b) == 0 || e.write(r, stream, b)
+	return len(b) == 0 || e.writeStream(r, stream, b)
 }
 
-// abandonStream ends an attempt whose runner is well.
-func (e *exchange) abandonStream(adm *admission.Admission, link *upstream.Conn, result attempt.Result) attempt.Result {
-	link.Close()
-	e.router.done(adm, true)
+// releaseStream closes the runner's connection and releases the capacity of an attempt that ends
+// without a failure of the runner.
+func (e *exchange) releaseStream(adm *admission.Admission, conn *upstream.Conn, result attempt.Result) attempt.Result {
+	conn.Close()
+	e.router.releaseCapacity(adm, true)
 	return result
 }
 
-// breakOffStream ends an attempt whose runner has broken the answer off.
-func (e *exchange) breakOffStream(adm *admission.Admission, link *upstream.Conn, stream *answerStream) (attempt.Result, *answerStream) {
-	link.Close()
-	e.failed(adm, link, true)
+// failStream ends an attempt whose runner broke the response off.
+func (e *exchange) failStream(adm *admission.Admission, conn *upstream.Conn, stream *responseStream) (attempt.Result, *responseStream) {
+	conn.Close()
+	e.releaseFailedAttempt(adm, conn, true)
 	if stream.started {
 		return attempt.BrokenOff, stream
 	}
 	return attempt.Unknown, nil
 }
 
-// endStream ends an answer that the runner has ended. Where its end is that of the
-// connection, nothing but a whole event tells it from a crash.
-func (e *exchange) endStream(adm *admission.Admission, link *upstream.Conn, r *protocol.Response, stream *answerStream) (attempt.Result, *answerStream) {
-	rest := stream.events.Rest()
-	partial := len(rest) > 0 && stream.cutting
+// finishStream ends a response that the runner has ended. If the response is delimited by the end
+// of the connection, an incomplete last event is the only sign that the runner crashed.
+func (e *exchange) finishStream(adm *admission.Admission, conn *upstream.Conn, r *protocol.Response, stream *responseStream) (attempt.Result, *responseStream) {
+	rest := stream.splitter.Rest()
+	partial := len(rest) > 0 && stream.isEventStream
 	if partial && upstream.EndsWithConn(r) {
-		return e.breakOffStream(adm, link, stream)
+		return e.failStream(adm, conn, stream)
 	}
-	if partial && !e.write(r, stream, rest) {
-		return e.abandonStream(adm, link, attempt.ClientGone), stream
+	if partial && !e.writeStream(r, stream, rest) {
+		return e.releaseStream(adm, conn, attempt.ClientGone), stream
 	}
 	if !stream.started {
-		e.begin(r, stream)
+		e.beginStream(r, stream)
 	}
 	stream.finished = stream.out.Finalize() == nil && e.rc.Flush() == nil
-	e.router.ended(adm, link, true, true)
-	e.router.release(adm, link, r, true)
+	e.router.recordAttemptOutcome(adm, conn, true, true)
+	e.router.releaseCapacityAndConn(adm, conn, r, true)
 	return attempt.Answered, stream
 }
 
-func (e *exchange) begin(r *protocol.Response, stream *answerStream) {
-	e.answerHead(r)
+// beginStream writes the head of the response to the client and stops withdrawals of the attempt
+// for an undelivered response.
+func (e *exchange) beginStream(r *protocol.Response, stream *responseStream) {
+	e.copyResponseHead(r)
 	if e.rc.Request.Header.IsHTTP11() {
 		stream.out = resp.NewChunkedBodyWriter(&e.rc.Response, e.rc.GetWriter())
 	} else {
@@ -173,14 +182,16 @@
 	}
 	e.rc.Response.HijackWriter(stream.out)
 	stream.started = true
-	if e.router.held.remove(e.held) { // it has begun just in time
-		e.held.link.Resume(e.deadline(lateUs))
+	if e.router.undelivered.remove(e.undelivered) { // interrupted while this response began: read on
+		e.undelivered.conn.Resume(e.deadlineTime(lateReadUs))
 	}
 }
 
-func (e *exchange) write(r *protocol.Response, stream *answerStream, b []byte) bool {
+// writeStream writes and flushes a part of the response. It returns false if the client cannot be
+// written to.
+func (e *exchange) writeStream(r *protocol.Response, stream *responseStream, b []byte) bool {
 	if !stream.started {
-		e.begin(r, stream)
+		e.beginStream(r, stream)
 	}
 	if _, err := stream.out.Write(b); err != nil {
 		return false
@@ -188,8 +199,9 @@
 	return stream.out.Flush() == nil
 }
 
-// cut ends the client's connection so that the answer cannot be taken for whole.
-func (e *exchange) cut() {
+// closeClientConn closes the client's connection, so that the client does not take an incomplete
+// response for a complete one.
+func (e *exchange) closeClientConn() {
 	if conn := e.rc.GetConn(); conn != nil {
 		conn.Close()
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -111,11 +111,11 @@
 	loadsChanged    chan struct{} // this node's loads have changed
 	missing         chan struct{} // a runner was not at its address
 	sent            sentAttempts
-	streams         sentAttempts          // streams that have begun and that another attempt may take up
-	connects        underWay[*connecting] // connections in the making
-	held            sentAttempts          // begun, and the client has nothing of the answer yet
+	movableStreams  sentAttempts               // streams that have begun and that another attempt may take up
+	pendingConnects activeSet[*pendingConnect] // connections in the making
+	undelivered     sentAttempts               // begun, and the client has nothing of the answer yet
 
-	currency     currencyChecks
+	freshness    freshnessChecks
 	comparisons  *dissemination.Comparisons
 	core         coreMemory
 	lastUpdateUs atomic.Int64 // when the parent, in reach of the core, last sent a feed
@@ -127,9 +127,9 @@
 	inFlight atomic.Int64
 	front    atomic.Pointer[timedListener]
 
-	shutdown    atomic.Pointer[shutdownPlan] // nil until SIGTERM
-	drainBegun  chan struct{}                // closed when shutdown is set
-	lastAnswers chan struct{}                // closed when what has no answer yet gets its last one
+	shutdown   atomic.Pointer[shutdownPlan] // nil until SIGTERM
+	drainBegun chan struct{}                // closed when shutdown is set
+	finalPhase chan struct{}                // closed when what has no answer yet gets its last one
 
 	timeOfDay clocksync.Shared
 	usage     *usagereport.Reports // nil where no usage is wanted
@@ -176,7 +176,7 @@
 		missing:         make(chan struct{}, 1),
 		comparisons:     dissemination.NewComparisons(rand.IntN(comparisonOrders)),
 		drainBegun:      make(chan struct{}),
-		lastAnswers:     make(chan struct{}),
+		finalPhase:      make(chan struct{}),
 	}
 	r.loads.init(clock())
 	r.parent.Store(new(string))
@@ -248,7 +248,7 @@
 	go r.zones.Run(live)
 	go r.probeAbsent(live)
 	go loop.Every(live, quotaclient.SweepInterval, r.seeRouters)
-	go loop.Every(live, withdrawEvery, r.withdrawFromOldWeights)
+	go loop.Every(live, withdrawInterval, r.withdrawFromOldWeights)
 	go r.metricsServer().Run(live)
 	if r.usage != nil {
 		go loop.Every(live, timeOfDayPeriod, func() { r.timeOfDay.Observe(time.Now().UnixMicro(), r.clock()) })
@@ -272,7 +272,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	r.leave()
+	r.shutDown()
 	r.recordCutByLeaving()
 	return nil
 }
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -1,5 +1,5 @@
-// One attempt: a connection, the request that is written to it, and the answer as far as it
-// decides whether another attempt may follow.
+// A single attempt: connecting, writing the request, and reading the response as far as it decides
+// whether another attempt may follow.
 
 package router
 
@@ -17,52 +17,53 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// send sends the request to the runner of an admission and passes its answer on. However it
-// ends, the admission's capacity has been released by then.
-func (e *exchange) send(adm *admission.Admission, stream *answerStream) (attempt.Result, *answerStream) {
+// send sends the request to the admitted runner and forwards the response. However it ends, the
+// capacity of the admission has been released when it returns.
+func (e *exchange) send(adm *admission.Admission, stream *responseStream) (attempt.Result, *responseStream) {
 	c := e.router
 	e.sequence.Begin()
-	link, err := e.takeLink(adm)
+	conn, err := e.acquireConn(adm)
 	if err != nil {
-		c.done(adm, e.client.hasLeft())
+		c.releaseCapacity(adm, e.client.isGone())
 		return attempt.NotSent, stream
 	}
-	defer e.client.use(nil)
-	if end := e.checkBeforeSending(adm, link); end != attempt.Sent {
-		link.Close()
-		c.done(adm, true)
-		return end, stream
+	defer e.client.attachConn(nil)
+	if result := e.checkBeforeSending(adm, conn); result != attempt.Sent {
+		conn.Close()
+		c.releaseCapacity(adm, true)
+		return result, stream
 	}
-	sent := c.sent.add(adm, link, e.sequence.MayRepeat(e.repeatRules()))
+	sent := c.sent.add(adm, conn, e.sequence.MayRepeat(e.retryPolicy()))
 	sent.sentUs = c.clock()
 	defer c.sent.remove(sent)
 	e.spendToken()
-	end := e.writeRequest(adm, link, stream)
-	if end == attempt.Sent {
+	result := e.writeRequest(adm, conn, stream)
+	if result == attempt.Sent {
 		return e.receive(sent, stream)
 	}
-	link.Close()
-	if end == attempt.NotSent {
+	conn.Close()
+	if result == attempt.NotSent {
 		e.refundToken()
 	}
-	return end, stream
+	return result, stream
 }
 
-// takeLink returns the connection that waits for a stream on the move, or one to the runner.
-func (e *exchange) takeLink(adm *admission.Admission) (*upstream.Conn, error) {
-	if e.next != nil {
-		link := e.next.link
-		e.next = nil
-		return link, nil
+// acquireConn returns the connection that was reserved for a moving stream, or a new one from the
+// pool.
+func (e *exchange) acquireConn(adm *admission.Admission) (*upstream.Conn, error) {
+	if e.reserved != nil {
+		conn := e.reserved.conn
+		e.reserved = nil
+		return conn, nil
 	}
 	return e.connect(adm)
 }
 
-// checkBeforeSending returns attempt.Sent where the request may be sent: what was true at
-// admission may have changed since.
-func (e *exchange) checkBeforeSending(adm *admission.Admission, link *upstream.Conn) attempt.Result {
+// checkBeforeSending returns attempt.Sent if the request may be sent. The client may have left, or
+// the runner may no longer be permitted, since admission.
+func (e *exchange) checkBeforeSending(adm *admission.Admission, conn *upstream.Conn) attempt.Result {
 	switch {
-	case !e.useLink(link):
+	case !e.attachRunnerConn(conn):
 		return attempt.ClientGone
 	case !e.router.stillAllowed(adm), !e.recheckPolicy(adm):
 		return attempt.NotSent
@@ -70,98 +71,99 @@
 	return attempt.Sent
 }
 
-// receive reads the answer to an attempt that has been sent, and passes it on where it says
-// that the runner has begun it.
-func (e *exchange) receive(sent *sentAttempt, stream *answerStream) (attempt.Result, *answerStream) {
-	c, adm, link := e.router, sent.adm, sent.link
+// receive reads the response to an attempt that has been sent, and forwards it unless the runner
+// rejected the request.
+func (e *exchange) receive(sent *sentAttempt, stream *responseStream) (attempt.Result, *responseStream) {
+	c, adm, conn := e.router, sent.adm, sent.conn
 	r := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(r)
 	if err := e.readHead(sent, r); err != nil {
 		if errors.Is(err, errWithdrawn) {
-			c.done(adm, true)
+			c.releaseCapacity(adm, true)
 		} else {
-			e.failed(adm, link, false) // silence, too, is a failure of the runner
+			e.releaseFailedAttempt(adm, conn, false) // a missing response counts as a failure of the runner
 		}
-		link.Close()
+		conn.Close()
 		return attempt.Unknown, stream
 	}
-	if end := e.receiveRejection(adm, link, r); end != attempt.Answered {
-		return end, stream
+	if result := e.receiveRejection(adm, conn, r); result != attempt.Answered {
+		return result, stream
 	}
 	if stream == nil {
-		e.held = c.held.add(adm, link, false)
-		defer c.held.remove(e.held)
+		e.undelivered = c.undelivered.add(adm, conn, false)
+		defer c.undelivered.remove(e.undelivered)
 	}
-	if e.streams(r) {
+	if e.isStreamed(r) {
 		if stream == nil {
-			stream = &answerStream{cutting: e.route.Kind == api.Streaming}
+			stream = &responseStream{isEventStream: e.route.Kind == api.Streaming}
 		}
 		unwatch := e.watchStream(sent, stream)
 		defer unwatch()
-		return e.passStream(adm, link, r, stream)
+		return e.forwardStream(adm, conn, r, stream)
 	}
-	return e.passBody(adm, link, r, stream), stream
+	return e.forwardBody(adm, conn, r, stream), stream
 }
 
-// receiveRejection reads an answer that says that the runner has not run the request, or
-// promises it without saying so. It returns attempt.Answered for any other answer.
-func (e *exchange) receiveRejection(adm *admission.Admission, link *upstream.Conn, r *protocol.Response) attempt.Result {
+// receiveRejection handles responses by which the runner rejects the request: those that state
+// that it has not run, and those whose status implies it without the header that states it. It
+// returns attempt.Answered for any other response.
+func (e *exchange) receiveRejection(adm *admission.Admission, conn *upstream.Conn, r *protocol.Response) attempt.Result {
 	c, status := e.router, r.StatusCode()
 	switch {
 	case status == statusWrongInstance:
-		c.releaseUnwanted(adm, link, r)
+		c.discardResponse(adm, conn, r)
 		c.wrongInstance(adm, otherWeights(adm, r))
 		e.refundToken()
 		return attempt.NotRun
 	case r.Header.Get(hNotRun) != "":
-		c.releaseUnwanted(adm, link, r)
+		c.discardResponse(adm, conn, r)
 		c.admissionMu.Lock()
 		c.admission.Full(adm, c.clock())
 		c.admissionMu.Unlock()
 		e.refundToken()
 		return attempt.NotRun
-	case promises(status):
-		// no runner gives this promise without saying that it has not run it
-		_, err := upstream.ReadBody(r, mostUnwanted)
-		c.ended(adm, link, status < 500, true)
-		c.release(adm, link, r, err == nil)
+	case impliesNotExecuted(status):
+		// without the header the request may have run, whatever the status implies
+		_, err := upstream.ReadBody(r, maxDiscardedBody)
+		c.recordAttemptOutcome(adm, conn, status < 500, true)
+		c.releaseCapacityAndConn(adm, conn, r, err == nil)
 		return attempt.Unknown
 	}
 	return attempt.Answered
 }
 
-// releaseUnwanted reads the body of an answer that is not passed on, and releases the
-// attempt's capacity and connection.
-func (r *Router) releaseUnwanted(adm *admission.Admission, link *upstream.Conn, response *protocol.Response) {
-	_, err := upstream.ReadBody(response, mostUnwanted)
-	r.release(adm, link, response, err == nil)
+// discardResponse reads the body of a response that is not forwarded, and releases the attempt's
+// capacity and connection.
+func (r *Router) discardResponse(adm *admission.Admission, conn *upstream.Conn, response *protocol.Response) {
+	_, err := upstream.ReadBody(response, maxDiscardedBody)
+	r.releaseCapacityAndConn(adm, conn, response, err == nil)
 }
 
-// mostUnwanted bounds the body of an answer that is not passed on.
-const mostUnwanted = 1 << 20
+// maxDiscardedBody limits the body of a response that is not forwarded, in bytes.
+const maxDiscardedBody = 1 << 20
 
-// writeRequest sends the request. Where it has not all been sent it says what that means:
-// as long as no byte can have reached the runner, it has not run.
-func (e *exchange) writeRequest(adm *admission.Admission, link *upstream.Conn, stream *answerStream) attempt.Result {
+// writeRequest writes the request. If that fails it releases the capacity and returns
+// attempt.NotSent if no byte can have reached the runner, attempt.Unknown otherwise.
+func (e *exchange) writeRequest(adm *admission.Admission, conn *upstream.Conn, stream *responseStream) attempt.Result {
 	c := e.router
-	leftUs := e.endUs - c.clock()
-	if leftUs <= closeLeadUs { // as after a freeze of this process
-		c.done(adm, true)
+	leftUs := e.deadlineUs - c.clock()
+	if leftUs <= withdrawLeadUs { // for example after this process was paused
+		c.releaseCapacity(adm, true)
 		return attempt.NotSent
 	}
-	sent, err := link.Send(e.head(adm, leftUs, stream), e.rc.Request.Body(), e.deadline(-closeLeadUs))
+	sent, err := conn.Send(e.attemptHeader(adm, leftUs, stream), e.rc.Request.Body(), e.deadlineTime(-withdrawLeadUs))
 	if err == nil {
 		return attempt.Sent
 	}
-	e.failed(adm, link, false)
+	e.releaseFailedAttempt(adm, conn, false)
 	if sent {
 		return attempt.Unknown
 	}
 	return attempt.NotSent
 }
 
-// promises tells whether a status says that the request has not run.
-func promises(status int) bool {
+// impliesNotExecuted reports whether a status promises to the client that the request has not run.
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case 408, statusWrongInstance, 429, 503:
 		return true
@@ -169,10 +171,10 @@
 	return false
 }
 
-// recheckPolicy checks at the moment of sending, against the configuration in force
-// now, that a regulated request goes to a certified runner; a regime that came
-// or went while the request waited counts as it is now. The salt was made for
-// the regime at admission, so a change of regime sends the request back.
+// recheckPolicy checks, immediately before sending and against the current configuration, that a
+// regulated request goes to a runner certified for the tenant's regime. If the tenant's regime has
+// changed since admission it returns false and records the new one, since the cache salt was
+// derived from the old regime; the request is then admitted anew.
 func (e *exchange) recheckPolicy(adm *admission.Admission) bool {
 	if e.tenant == nil {
 		return true
@@ -183,56 +185,58 @@
 		return true
 	}
 	if now != e.request.Regime {
-		e.request.Regime, e.changed = now, true
+		e.request.Regime, e.regimeChanged = now, true
 		return false
 	}
 	_, certificate, ok := t.Allows(e.tenant.Name, sightOf(adm.Runner))
 	if ok {
-		e.note(compliance.Sent, &adm.Runner, certificate)
+		e.recordAudit(compliance.Sent, &adm.Runner, certificate)
 	}
 	return ok
 }
 
-// connect returns a connection to a runner. It is given up when the client leaves, and when the
-// runner's zone cannot be reached any more.
+// connect returns a connection to the runner. Connecting is cancelled at the request's deadline,
+// when the client leaves, and when the runner's zone becomes unreachable.
 func (e *exchange) connect(adm *admission.Admission) (*upstream.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(max(e.endUs-e.router.clock(), 1000))*time.Microsecond)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(max(e.deadlineUs-e.router.clock(), 1000))*time.Microsecond)
 	defer cancel()
-	stop := e.client.onLeave(cancel)
-	defer stop()
-	making := &connecting{adm: adm, cancel: cancel}
-	e.router.connects.begin(making)
-	defer e.router.connects.end(making)
+	unregister := e.client.onGone(cancel)
+	defer unregister()
+	pending := &pendingConnect{adm: adm, cancel: cancel}
+	e.router.pendingConnects.begin(pending)
+	defer e.router.pendingConnects.end(pending)
 	return e.router.connPool.GetFor(ctx, adm.Runner.Addr, e.service, e.route.Repeatable())
 }
 
-// ended notes how an attempt that was sent ended at its runner. One that died on a
-// link that had rested says something of the link, not of the runner.
-func (r *Router) ended(adm *admission.Admission, link *upstream.Conn, good, answered bool) {
-	if !good && !answered && link.RestedUs > 0 {
-		r.connPool.Dead(link)
+// recordAttemptOutcome records whether the runner completed an attempt. A failure without any
+// response on a connection that had been idle is attributed to the connection, not to the runner.
+func (r *Router) recordAttemptOutcome(adm *admission.Admission, conn *upstream.Conn, succeeded, responded bool) {
+	if !succeeded && !responded && conn.RestedUs > 0 {
+		r.connPool.Dead(conn)
 		return
 	}
-	if answered {
-		r.connPool.Alive(link)
+	if responded {
+		r.connPool.Alive(conn)
 	}
 	r.admissionMu.Lock()
-	r.admission.Ended(adm, good, r.clock())
+	r.admission.Ended(adm, succeeded, r.clock())
 	r.admissionMu.Unlock()
 }
 
-// failed gives back the place of an attempt that broke off. It is the runner's
-// failure unless the client has left, which ends the connection to the runner.
-func (e *exchange) failed(adm *admission.Admission, link *upstream.Conn, answered bool) {
-	if e.client.hasLeft() {
-		e.router.done(adm, true)
+// releaseFailedAttempt releases the capacity of an attempt that broke off. It counts as a failure
+// of the runner, unless the client has left: then this router closed the connection to the runner.
+func (e *exchange) releaseFailedAttempt(adm *admission.Admission, conn *upstream.Conn, responded bool) {
+	if e.client.isGone() {
+		e.router.releaseCapacity(adm, true)
 		return
 	}
-	e.router.ended(adm, link, false, answered)
-	e.router.done(adm, false)
+	e.router.recordAttemptOutcome(adm, conn, false, responded)
+	e.router.releaseCapacity(adm, false)
 }
 
-func (r *Router) done(adm *admission.Admission, ok bool) {
+// releaseCapacity releases the capacity of an admission. ok reports whether the attempt ended
+// without a failure of the runner.
+func (r *Router) releaseCapacity(adm *admission.Admission, ok bool) {
 	r.admissionMu.Lock()
 	r.admission.Done(adm, ok, r.clock())
 	r.admissionMu.Unlock()
@@ -240,11 +244,13 @@
 	r.wakeQueue()
 }
 
-func (r *Router) release(adm *admission.Admission, link *upstream.Conn, response *protocol.Response, ok bool) {
+// releaseCapacityAndConn releases the capacity of an admission. It returns the connection to the
+// pool if ok, and closes it otherwise.
+func (r *Router) releaseCapacityAndConn(adm *admission.Admission, conn *upstream.Conn, response *protocol.Response, ok bool) {
 	if ok {
-		r.connPool.Put(adm.Runner.Addr, link, &response.Header)
+		r.connPool.Put(adm.Runner.Addr, conn, &response.Header)
 	} else {
-		link.Close()
+		conn.Close()
 	}
-	r.done(adm, ok)
+	r.releaseCapacity(adm, ok)
 }
--- a/internal/router/shutdown_plan_test.go
+++ b/internal/router/shutdown_plan_test.go
@@ -20,9 +20,9 @@
 		{testBeganUs, phaseNotice},
 		{testBeganUs + noticeUs - 1, phaseNotice},
 		{testBeganUs + noticeUs, phaseDrain},
-		{testBeganUs + testGraceUs - exitMarginUs - lastAnswersUs - 1, phaseDrain},
-		{testBeganUs + testGraceUs - exitMarginUs - lastAnswersUs, phaseAnswers},
-		{testBeganUs + testGraceUs - exitMarginUs - 1, phaseAnswers},
+		{testBeganUs + testGraceUs - exitMarginUs - finalPhaseUs - 1, phaseDrain},
+		{testBeganUs + testGraceUs - exitMarginUs - finalPhaseUs, phaseFinal},
+		{testBeganUs + testGraceUs - exitMarginUs - 1, phaseFinal},
 		{testBeganUs + testGraceUs - exitMarginUs, phaseOver},
 		{testBeganUs + testGraceUs, phaseOver},
 	} {
@@ -40,10 +40,10 @@
 
 func TestShutdownPlanForwardsWhatEndsBeforeTheProcess(t *testing.T) {
 	plan := newShutdownPlan(testBeganUs, testGraceUs)
-	last := int64(testBeganUs + testGraceUs - exitMarginUs - lastAnswersUs)
-	must.True(t, plan.forwards(last))
-	must.False(t, plan.forwards(last+1))
-	must.Eq(t, phaseAnswers, plan.phase(last), must.Sprint("its last answer is waited for"))
+	last := int64(testBeganUs + testGraceUs - exitMarginUs - finalPhaseUs)
+	must.True(t, plan.mayForward(last))
+	must.False(t, plan.mayForward(last+1))
+	must.Eq(t, phaseFinal, plan.phase(last), must.Sprint("its last answer is waited for"))
 	var running *shutdownPlan
-	must.True(t, running.forwards(1<<62), must.Sprint("a router that is not draining forwards everything"))
+	must.True(t, running.mayForward(1<<62), must.Sprint("a router that is not draining forwards everything"))
 }
--- a/internal/router/time_limit.go
+++ b/internal/router/time_limit.go
@@ -1,6 +1,5 @@
-// The time limit of a request: its client's deadline or its route's cutoff, whichever
-// is earlier, counted from its first byte. The configuration at its beginning applies
-// to its end.
+// The deadline of a request: its client's time limit or its route's cutoff, whichever is earlier,
+// counted from its first byte. The configuration at its beginning applies until its end.
 
 package router
 
@@ -10,13 +9,13 @@
 	"time"
 )
 
-// lastWrite is how long the answer to a request whose time is over may take to be
-// written.
-const lastWrite = 200 * time.Millisecond
+// lateWriteTimeout is how long writing the response may take once the request's deadline has
+// passed.
+const lateWriteTimeout = 200 * time.Millisecond
 
-// endOf gives when a request is over that began at startUs; timeLeft is the
-// client's header, in milliseconds.
-func endOf(startUs, cutoffUs int64, timeLeft string) int64 {
+// requestDeadlineUs returns the deadline of a request that began at startUs. timeLeft is the
+// client's header, in milliseconds; an unparseable one is ignored.
+func requestDeadlineUs(startUs, cutoffUs int64, timeLeft string) int64 {
 	ms, err := strconv.ParseFloat(timeLeft, 64)
 	if err != nil || math.IsNaN(ms) || ms*1000 >= float64(cutoffUs) {
 		return startUs + cutoffUs
@@ -24,31 +23,31 @@
 	return startUs + int64(max(ms, 0)*1000)
 }
 
-// requestAge is how long ago the request that has just been read began to arrive.
+// requestAge returns the time since the first byte of the current request arrived.
 func (c *timedConn) requestAge() time.Duration {
-	if c == nil || c.begun.IsZero() {
+	if c == nil || c.requestStart.IsZero() {
 		return 0
 	}
-	return time.Since(c.begun)
+	return time.Since(c.requestStart)
 }
 
-// answerUntil bounds the writing of the answer to the request in hand.
-func (c *timedConn) answerUntil(end time.Time) {
+// setResponseDeadline limits the writing of the response to the current request.
+func (c *timedConn) setResponseDeadline(deadline time.Time) {
 	if c != nil {
-		c.answerBy = end
+		c.responseDeadline = deadline
 	}
 }
 
-// writeDeadline is when a write that begins now is given up: the client reads too
-// slowly, or the request's time is over.
+// writeDeadline returns when a write that begins now fails: after writeTimeout, if the client
+// reads too slowly, or at the request's deadline, with at least lateWriteTimeout to write.
 func (c *timedConn) writeDeadline() time.Time {
 	now := time.Now()
-	byClient := now.Add(writeWait)
-	if c.answerBy.IsZero() || c.answerBy.After(byClient) {
+	byClient := now.Add(writeTimeout)
+	if c.responseDeadline.IsZero() || c.responseDeadline.After(byClient) {
 		return byClient
 	}
-	if soon := now.Add(lastWrite); c.answerBy.Before(soon) {
+	if soon := now.Add(lateWriteTimeout); c.responseDeadline.Before(soon) {
 		return soon
 	}
-	return c.answerBy
+	return c.responseDeadline
 }
--- a/internal/router/under_way.go
+++ b/internal/router/under_way.go
@@ -2,33 +2,33 @@
 
 import "sync"
 
-// underWay is a set of what goes on at the moment. It is safe for concurrent use; the zero set is
+// activeSet is a set of operations in progress. It is safe for concurrent use; the zero value is
 // empty.
-type underWay[T comparable] struct {
-	mu   sync.Mutex
-	list map[T]struct{}
+type activeSet[T comparable] struct {
+	mu    sync.Mutex
+	items map[T]struct{}
 }
 
-func (u *underWay[T]) begin(item T) {
+func (u *activeSet[T]) begin(item T) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.list == nil {
-		u.list = map[T]struct{}{}
+	if u.items == nil {
+		u.items = map[T]struct{}{}
 	}
-	u.list[item] = struct{}{}
+	u.items[item] = struct{}{}
 }
 
-func (u *underWay[T]) end(item T) {
+func (u *activeSet[T]) end(item T) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.list, item)
+	delete(u.items, item)
 }
 
-func (u *underWay[T]) snapshot() []T {
+func (u *activeSet[T]) snapshot() []T {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := make([]T, 0, len(u.list))
-	for item := range u.list {
+	out := make([]T, 0, len(u.items))
+	for item := range u.items {
 		out = append(out, item)
 	}
 	return out
--- a/internal/router/until_close.go
+++ b/internal/router/until_close.go
@@ -8,18 +8,18 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// untilCloseWriter writes a stream to a client of HTTP/1.0, which knows no chunks: the answer
-// ends with its connection.
+// untilCloseWriter writes a stream to an HTTP/1.0 client, which does not support chunked transfer
+// coding: the end of the connection ends the response.
 type untilCloseWriter struct {
-	response *protocol.Response
-	out      network.Writer
-	begun    bool
+	response    *protocol.Response
+	out         network.Writer
+	headWritten bool
 }
 
-// Write writes the head before the first bytes.
+// Write writes b, preceded by the head on the first call.
 func (w *untilCloseWriter) Write(b []byte) (int, error) {
-	if !w.begun {
-		w.begun = true
+	if !w.headWritten {
+		w.headWritten = true
 		w.response.Header.SetConnectionClose(true)
 		if _, err := w.out.WriteBinary(w.head()); err != nil {
 			return 0, err
@@ -28,8 +28,8 @@
 	return w.out.WriteBinary(b)
 }
 
-// head is the head of an answer that has no length: the library would name a transfer coding,
-// which these clients do not know.
+// head returns the head of a response without a length. hertz would set a transfer coding, which
+// HTTP/1.0 clients do not support.
 func (w *untilCloseWriter) head() []byte {
 	status := w.response.StatusCode()
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
@@ -46,7 +46,7 @@
 // Flush sends what has been written.
 func (w *untilCloseWriter) Flush() error { return w.out.Flush() }
 
-// Finalize ends the answer; the connection ends with it.
+// Finalize ends the response. The connection is closed after it.
 func (w *untilCloseWriter) Finalize() error {
 	if _, err := w.Write(nil); err != nil {
 		return err
--- a/internal/router/version_read.go
+++ b/internal/router/version_read.go
@@ -1,5 +1,5 @@
-// The quorum read of a router: which version of the configuration is the newest, without
-// the configuration itself.
+// The quorum read by which a router finds the newest committed version of the configuration,
+// without reading the configuration itself.
 
 package router
 
@@ -9,19 +9,19 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// versionRead is a linearizable read of the version of the configuration's register. A
-// version that is committed has been accepted by a majority of the register's members, who
-// may not have learned that it is committed. So the newest committed version that anybody
-// knows is the newest there is only if a majority of its members has accepted nothing
-// newer. The zero value has received nothing. It is pure.
+// versionRead is a linearizable read of the version of the configuration register. A committed
+// version has been accepted by a majority of the register's members, but they may not have learned
+// that it is committed. So the newest version that any respondent reports as committed is the
+// newest there is only if a majority of the members has accepted nothing newer. The zero value has
+// received no response. It does no I/O.
 type versionRead struct {
-	committed int64    // the newest version that anybody knows to be committed
-	group     []string // its members' identities
-	newestAt  string   // the address of one that knows it
-	accepted  map[string]int64
+	committed int64            // the newest version that any respondent reports as committed
+	group     []string         // the member IDs of the register at that version
+	newestAt  string           // the address of a controller that has it
+	accepted  map[string]int64 // newest accepted version, by member ID
 }
 
-// receive records the response of the controller at an address.
+// receive records the response of the controller at addr.
 func (r *versionRead) receive(addr string, m messages.Versions) {
 	if r.accepted == nil {
 		r.accepted = map[string]int64{}
@@ -33,7 +33,8 @@
 }
 
 // hasQuorum reports whether a majority of the members has accepted nothing newer than the
-// committed version. One of an earlier release names no group, and none is no quorum.
+// committed version. A controller of an earlier release sends no group; an empty group is no
+// quorum.
 func (r *versionRead) hasQuorum() bool {
 	unaccepted := 0
 	for id, accepted := range r.accepted {
--- a/internal/router/withdraw.go
+++ b/internal/router/withdraw.go
@@ -1,7 +1,7 @@
-// Withdrawal of attempts: one that was sent and has not begun is withdrawn from its
-// runner, by closing the connection, when the weights there become too old for it, and
-// when the request's time is over. An attempt has begun once the head of its response
-// is there. Whether a withdrawn one ran is not known.
+// Withdrawal of attempts. An attempt that was sent and has not begun is withdrawn from its runner
+// by closing the connection, when the weights there become too old for it and when the request's
+// deadline is reached. An attempt has begun once the head of its response has been read. Whether a
+// withdrawn attempt ran is unknown.
 
 package router
 
@@ -16,50 +16,50 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// withdrawEvery is how often attempts that have not begun are looked at.
-const withdrawEvery = 100 * time.Millisecond
+// withdrawInterval is how often attempts that have not begun are checked.
+const withdrawInterval = 100 * time.Millisecond
 
-// closeLeadUs is how long before the end of a request's time an attempt that has
-// not begun is taken back, so that the closing is at the runner by then.
-const closeLeadUs = 20_000
+// withdrawLeadUs is how long before the deadline an attempt that has not begun is withdrawn, so
+// that the runner sees the close by the deadline.
+const withdrawLeadUs = 20_000
 
-// lateUs is how long after the end of a request's time the rest of an answer that
-// has begun may still be read.
-const lateUs = 150_000
+// lateReadUs is how long after the deadline the rest of a response that has begun may still be
+// read.
+const lateReadUs = 150_000
 
-// errWithdrawn says that the attempt was taken back for the weights.
-var errWithdrawn = errors.New("router: the attempt was taken back")
+// errWithdrawn is returned for an attempt that was withdrawn before its response began.
+var errWithdrawn = errors.New("router: attempt withdrawn from its runner")
 
-// sentAttempt is an attempt that has been sent and has not begun.
+// sentAttempt is an attempt that has been sent, and that a sentAttempts set may interrupt.
 type sentAttempt struct {
 	adm       *admission.Admission
-	link      *upstream.Conn
+	conn      *upstream.Conn
 	withdrawn bool
-	again     bool // another attempt may follow
+	retryable bool // another attempt may follow
 	sentUs    int64
 
-	stayUntilUs atomic.Int64 // a stream that found no place elsewhere looks again then
+	nextMoveUs atomic.Int64 // earliest time at which a stream that stayed at its runner is checked again
 }
 
-// sentAttempts are attempts of a router that may still be withdrawn.
-type sentAttempts struct{ underWay[*sentAttempt] }
+// sentAttempts is a set of attempts that may be withdrawn.
+type sentAttempts struct{ activeSet[*sentAttempt] }
 
-func (s *sentAttempts) add(adm *admission.Admission, link *upstream.Conn, again bool) *sentAttempt {
-	a := &sentAttempt{adm: adm, link: link, again: again}
+func (s *sentAttempts) add(adm *admission.Admission, conn *upstream.Conn, retryable bool) *sentAttempt {
+	a := &sentAttempt{adm: adm, conn: conn, retryable: retryable}
 	s.begin(a)
 	return a
 }
 
-// remove ends the watch over an attempt and tells whether it was taken back.
+// remove removes an attempt from the set and reports whether it was withdrawn.
 func (s *sentAttempts) remove(a *sentAttempt) (withdrawn bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.list, a)
+	delete(s.items, a)
 	return a.withdrawn
 }
 
-// takeWithdrawal reports whether an attempt was taken back, and clears that.
-func (s *sentAttempts) takeWithdrawal(a *sentAttempt) bool {
+// clearWithdrawal reports whether an attempt was withdrawn, and clears the mark.
+func (s *sentAttempts) clearWithdrawal(a *sentAttempt) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	withdrawn := a.withdrawn
@@ -67,24 +67,24 @@
 	return withdrawn
 }
 
-// withdraw takes back those of the attempts that have not begun meanwhile.
+// withdraw interrupts the attempts that are still in the set.
 func (s *sentAttempts) withdraw(attempts []*sentAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range attempts {
-		if _, waits := s.list[a]; waits {
+		if _, waits := s.items[a]; waits {
 			a.withdrawn = true
-			a.link.Interrupt()
+			a.conn.Interrupt()
 		}
 	}
 }
 
-// withdrawFromOldWeights takes back the attempts that would begin on weights that are too
-// old by then. Where the weights have been retired it takes back only those that another
-// attempt may follow: the others were sent before, and are answered by who has them.
-// The latter holds too for runners of a zone that cannot be reached any more.
+// withdrawFromOldWeights withdraws the attempts that would begin on weights that are too old.
+// Attempts on retired weights, and attempts at runners of an unreachable zone, are withdrawn only
+// if another attempt may follow; the others were sent before the retirement or the outage and wait
+// for their runner.
 func (r *Router) withdrawFromOldWeights() {
-	r.leaveUnreachable()
+	r.abandonUnreachable()
 	attempts := r.sent.snapshot()
 	if len(attempts) == 0 {
 		return
@@ -93,7 +93,7 @@
 	now := r.clock()
 	r.admissionMu.Lock()
 	for _, a := range attempts {
-		if r.admission.MustWithdraw(a.adm, now) || a.again && (r.admission.Retired(a.adm) || r.admission.OutOfReach(a.adm)) {
+		if r.admission.MustWithdraw(a.adm, now) || a.retryable && (r.admission.Retired(a.adm) || r.admission.OutOfReach(a.adm)) {
 			due = append(due, a)
 		}
 	}
@@ -101,22 +101,22 @@
 	r.sent.withdraw(due)
 }
 
-// timeOver tells whether the request's time, or the router's, is over for attempts that
-// have not begun.
-func (e *exchange) timeOver() bool {
-	return e.router.clock() >= min(e.endUs, e.router.shutdown.Load().lastEndUs())-closeLeadUs
+// timeExpired reports whether an attempt that has not begun is out of time: by the request's
+// deadline, or by the end of the shutdown.
+func (e *exchange) timeExpired() bool {
+	return e.router.clock() >= min(e.deadlineUs, e.router.shutdown.Load().lastDeadlineUs())-withdrawLeadUs
 }
 
-// readHead reads the head of the answer to an attempt that was sent. It returns
-// errWithdrawn where the attempt was taken back before a head came.
+// readHead reads the head of the response to an attempt. It returns errWithdrawn if the attempt
+// was withdrawn before the head arrived.
 func (e *exchange) readHead(a *sentAttempt, r *protocol.Response) error {
-	begunBy := e.deadline(-closeLeadUs)
-	err := a.link.HeadFor(e.id, r, begunBy)
+	headBy := e.deadlineTime(-withdrawLeadUs)
+	err := a.conn.HeadFor(e.id, r, headBy)
 	withdrawn := e.router.sent.remove(a)
 	switch {
 	case err == nil:
 		e.router.zones.RunnerAnswered(a.adm.Runner.Zone, a.sentUs)
-		a.link.Resume(e.deadline(lateUs))
+		a.conn.Resume(e.deadlineTime(lateReadUs))
 		return nil
 	case withdrawn:
 		return errWithdrawn
@@ -124,15 +124,15 @@
 	return err
 }
 
-// deadline is the end of the request's time, put off by afterUs.
-func (e *exchange) deadline(afterUs int64) time.Time {
-	return time.Now().Add(time.Duration(e.endUs-e.router.clock()+afterUs) * time.Microsecond)
+// deadlineTime returns the request's deadline plus offsetUs as a wall-clock time.
+func (e *exchange) deadlineTime(offsetUs int64) time.Time {
+	return time.Now().Add(time.Duration(e.deadlineUs-e.router.clock()+offsetUs) * time.Microsecond)
 }
 
-// stillAllowed tells whether an admitted request may still be sent to its runner:
-// what was true at admission may have changed since.
+// stillAllowed reports whether an admitted request may still be sent to its runner. The state of
+// the runner, its zone and its weights may have changed since admission.
 func (r *Router) stillAllowed(adm *admission.Admission) bool {
-	if n, ok := r.registry.Snapshot().ByID[adm.Runner.ID]; !ok || n.Draining {
+	if runner, ok := r.registry.Snapshot().ByID[adm.Runner.ID]; !ok || runner.Draining {
 		return false
 	}
 	r.admissionMu.Lock()
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -84,7 +84,7 @@
 		must.Eq(t, 200, a.StatusCode)
 		must.Eq(t, 1, renewed.count())
 		must.Eq(t, "5", renewed.last().Header.Get(hExpected))
-		must.MapEmpty(t, c.sent.list)
+		must.MapEmpty(t, c.sent.items)
 	}
 }
 
--- a/internal/router/zones_test.go
+++ b/internal/router/zones_test.go
@@ -102,7 +102,7 @@
 
 func TestRequestBeyondACutThatMayRunOnceStays(t *testing.T) {
 	near, c, answer := cutOff(t, "/pay/1")
-	time.Sleep(4 * withdrawEvery)
+	time.Sleep(4 * withdrawInterval)
 	must.Eq(t, 0, near.count())
 	must.Len(t, 1, c.sent.snapshot())
 	a := <-answer // its time is over
@@ -171,7 +171,7 @@
 		c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "gone", Service: "s", Addr: gone.Addr().String(), Zone: "a", Capacity: 8, Seq: 1})}})
 	}
 	c, body := streamAcrossACut(t, join, func(write func(string)) {
-		time.Sleep(3 * silentStream)
+		time.Sleep(3 * minStreamSilence)
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	})
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", body)
@@ -194,16 +194,16 @@
 	link, err := upstream.Connect(t.Context(), far.addr)
 	must.NoError(t, err)
 	defer link.Close()
-	streams := &c.streams
+	streams := &c.movableStreams
 	stream := streams.add(admitted, link, true)
-	c.leaveUnreachable()
-	taken := streams.takeWithdrawal(stream)
-	must.True(t, !taken || link.SilentFor() >= silentStream, must.Sprint("it has just been heard of"))
-	for link.SilentFor() < silentStream {
-		time.Sleep(silentStream / 10)
+	c.abandonUnreachable()
+	taken := streams.clearWithdrawal(stream)
+	must.True(t, !taken || link.SilentFor() >= minStreamSilence, must.Sprint("it has just been heard of"))
+	for link.SilentFor() < minStreamSilence {
+		time.Sleep(minStreamSilence / 10)
 	}
-	for !streams.takeWithdrawal(stream) {
-		c.leaveUnreachable()
+	for !streams.clearWithdrawal(stream) {
+		c.abandonUnreachable()
 	}
 	streams.remove(stream)
 }
