--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -14,15 +14,15 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// chosen makes a run-once request that has been given its runner and link, and
-// that ends so many microseconds from now.
-func chosen(t *testing.T, c *Router, endsInUs int64) (*exchange, *admission.Admission, *upstream.Conn) {
+// newAdmittedExchange returns a run-once request that has been admitted and connected to a runner,
+// with its deadline in timeoutUs.
+func newAdmittedExchange(t *testing.T, c *Router, timeoutUs int64) (*exchange, *admission.Admission, *upstream.Conn) {
 	t.Helper()
 	v := &exchange{router: c, rc: app.NewContext(0), id: "id1", route: &routeconfig.Route{}, service: "s"}
 	v.rc.Request.Header.SetMethod("POST")
 	v.rc.Request.SetRequestURI("/pay/")
 	v.request = admission.Request{Service: "s", LeftUs: 1_000_000}
-	v.deadlineUs = c.clock() + endsInUs
+	v.deadlineUs = c.clock() + timeoutUs
 	c.admissionMu.Lock()
 	adm := c.admission.Submit(v.request, c.clock()).Admit
 	c.admissionMu.Unlock()
@@ -33,54 +33,54 @@
 	return v, adm, link
 }
 
-// This process stands still between choosing and sending.
-func TestARequestWhoseTimeHasPassedIsNotSent(t *testing.T) {
+// The process may be paused between admission and sending.
+func TestWriteRequestAfterDeadlineSendsNothing(t *testing.T) {
 	r := newRunner(t)
 	c, _, _ := start(t, r)
-	v, adm, link := chosen(t, c, -1)
+	v, adm, link := newAdmittedExchange(t, c, -1)
 	end := v.writeRequest(adm, link, nil)
 	must.Eq(t, attempt.NotSent, end)
 	link.Close()
-	must.Eq(t, 0, r.count())
+	must.Eq(t, 0, r.requestCount())
 }
 
-func TestAConnectionThatTookNoByteLeavesTheRequestUnsent(t *testing.T) {
+func TestWriteRequestOnClosedConnectionIsNotSent(t *testing.T) {
 	c, _, _ := start(t, newRunner(t))
-	v, adm, link := chosen(t, c, 1_000_000)
+	v, adm, link := newAdmittedExchange(t, c, 1_000_000)
 	link.Close()
 	end := v.writeRequest(adm, link, nil)
 	must.Eq(t, attempt.NotSent, end)
 }
 
-func TestAnAnswerThatNamesNoRequestIsNobodys(t *testing.T) {
+func TestResponseWithoutAttemptIDGives502AndNoRetry(t *testing.T) {
 	a := newRunner(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
 	b := newRunner(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
 	_, front, _ := start(t, a, b)
-	ans, _, err := say(t, front, request("/pay/", "x"))
+	ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 502, ans.StatusCode)
-	must.Eq(t, 1, a.count()+b.count(), must.Sprint("it may have run"))
+	must.Eq(t, 1, a.requestCount()+b.requestCount(), must.Sprint("the request may have run"))
 }
 
-func TestAPromiseThatTheRunnerDidNotGiveIsNotPassedOn(t *testing.T) {
+func TestRejectionWithoutNotExecutedHeaderGives502(t *testing.T) {
 	for _, line := range []string{"408 Request Timeout", "429 Too Many Requests", "503 Service Unavailable"} {
 		raw := "HTTP/1.1 " + line + "\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n"
 		a, b := newRunner(t, raw), newRunner(t, raw)
 		_, front, _ := start(t, a, b)
-		ans, _, err := say(t, front, request("/pay/", "x"))
+		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 502, ans.StatusCode, must.Sprint(line))
-		must.Eq(t, 1, a.count()+b.count(), must.Sprint("it may have run"))
+		must.Eq(t, 1, a.requestCount()+b.requestCount(), must.Sprint("the request may have run"))
 	}
 }
 
-func TestALinkThatBroughtAForeignAnswerIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithForeignResponseIsNotReused(t *testing.T) {
 	late := "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: other\r\nContent-Length: 5\r\n\r\nwrong"
 	own := "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nright"
 	r := newRunner(t, late+own, own)
 	_, front, _ := start(t, r)
 	for range 2 {
-		ans, body, err := say(t, front, request("/pay/", "x"))
+		ans, body, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 		must.Eq(t, "right", body)
@@ -88,7 +88,7 @@
 	must.Eq(t, 2, r.conns)
 }
 
-func TestALinkIsNotUsedAgainAfterSilenceOrAShortBody(t *testing.T) {
+func TestConnectionIsNotReusedAfterMissingOrTruncatedResponse(t *testing.T) {
 	own := "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nright"
 	for _, first := range []string{
 		"",
@@ -97,11 +97,11 @@
 	} {
 		r := newRunner(t, first, own)
 		_, front, _ := start(t, r)
-		ans, _, err := say(t, front, strings.Replace(request("/pay/", "x"), "2500", "100", 1))
+		ans, _, err := roundTrip(t, front, strings.Replace(request("/pay/", "x"), "2500", "100", 1))
 		must.NoError(t, err)
 		must.Between(t, 502, ans.StatusCode, 504)
-		must.NotEq(t, 503, ans.StatusCode, must.Sprint("it may have run"))
-		ans, body, err := say(t, front, request("/pay/", "x"))
+		must.NotEq(t, 503, ans.StatusCode, must.Sprint("the request may have run"))
+		ans, body, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 		must.Eq(t, "right", body)
--- a/internal/router/client_watch_test.go
+++ b/internal/router/client_watch_test.go
@@ -16,26 +16,26 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// patience is how long a test waits for what should come soon.
-const patience = 20 * time.Second
+// awaitTimeout is how long a test waits for an event that should occur soon.
+const awaitTimeout = 20 * time.Second
 
-// unhurriedMenu is the usual configuration with hours for every request: what ends
-// earlier was ended by something else.
-var unhurriedMenu = strings.NewReplacer(`"version":3`, `"version":4`, `"cutoffMs":3000`, `"cutoffMs":7200000`).Replace(configText)
+// longCutoffConfig is configText with a cutoff of hours on every route, so that a request that
+// ends earlier was ended by something else.
+var longCutoffConfig = strings.NewReplacer(`"version":3`, `"version":4`, `"cutoffMs":3000`, `"cutoffMs":7200000`).Replace(configText)
 
-// unhurried is a request whose client waits for hours.
-func unhurried(path string) string {
+// longRequest returns a request whose client allows hours for it.
+func longRequest(path string) string {
 	return strings.Replace(request(path, "x"), "Time-Left: 2500", "Time-Left: 7200000", 1)
 }
 
-// working is a runner that tells when a request reaches it and when its connection
-// ends. It writes what is given and then works on.
-func working(t *testing.T, writes string) (r *runner, reached, ended chan struct{}) {
+// newBlockingRunner returns a runner that writes output and then waits until its connection is
+// closed. It signals when a request arrives and when its connection ends.
+func newBlockingRunner(t *testing.T, output string) (r *runner, reached, ended chan struct{}) {
 	t.Helper()
 	reached, ended = make(chan struct{}, 8), make(chan struct{}, 8)
 	r = newRunner(t)
 	r.stream = func(write func(string), closed <-chan struct{}) {
-		write(writes)
+		write(output)
 		reached <- struct{}{}
 		<-closed
 		ended <- struct{}{}
@@ -43,16 +43,16 @@
 	return r, reached, ended
 }
 
-func awaited(t *testing.T, event <-chan struct{}, what string) {
+func awaitEvent(t *testing.T, event <-chan struct{}, description string) {
 	t.Helper()
 	select {
 	case <-event:
-	case <-time.After(patience):
-		t.Fatalf("%s: nothing happened", what)
+	case <-time.After(awaitTimeout):
+		t.Fatalf("timed out waiting for %s", description)
 	}
 }
 
-func send(t *testing.T, front, raw string) net.Conn {
+func dialAndSend(t *testing.T, front, raw string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", front)
 	must.NoError(t, err)
@@ -62,12 +62,12 @@
 	return conn
 }
 
-func (r *Router) takesConfig(t *testing.T, text string) {
+func (r *Router) receiveConfig(t *testing.T, text string) {
 	t.Helper()
 	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, text, 2)}}))
 }
 
-func TestRunnerIsReleasedWhenTheClientLeaves(t *testing.T) {
+func TestRunnerConnectionIsClosedWhenClientDisconnects(t *testing.T) {
 	for _, tc := range []struct{ name, path, writes string }{
 		{"stream before its head", "/chat/", ""},
 		{"stream between events", "/chat/", streamHead + chunk("id: 1\ndata: a\n\n")},
@@ -81,26 +81,26 @@
 		} {
 			t.Run(tc.name+", "+name, func(t *testing.T) {
 				t.Parallel()
-				r, reached, ended := working(t, tc.writes)
+				r, reached, ended := newBlockingRunner(t, tc.writes)
 				c, front, _ := start(t, r)
-				c.takesConfig(t, unhurriedMenu)
-				conn := send(t, front, unhurried(tc.path))
-				awaited(t, reached, "the request at the runner")
+				c.receiveConfig(t, longCutoffConfig)
+				conn := dialAndSend(t, front, longRequest(tc.path))
+				awaitEvent(t, reached, "the request at the runner")
 				leave(conn)
-				awaited(t, ended, "the end of the runner's connection")
+				awaitEvent(t, ended, "the end of the runner's connection")
 				for c.inFlight.Load() > 0 {
 					time.Sleep(time.Millisecond)
 				}
-				must.Eq(t, 1, r.count(), must.Sprint("not sent once more"))
+				must.Eq(t, 1, r.requestCount(), must.Sprint("the request must not be retried"))
 				c.admissionMu.Lock()
 				defer c.admissionMu.Unlock()
-				must.NotNil(t, c.admission.TryNow(admission.Request{Service: "s", LeftUs: 1_000_000}, c.clock()), must.Sprint("no failure of the runner"))
+				must.NotNil(t, c.admission.TryNow(admission.Request{Service: "s", LeftUs: 1_000_000}, c.clock()), must.Sprint("it must not count as a failure of the runner"))
 			})
 		}
 	}
 }
 
-func TestRequestThatRunsOnceIsLeftToItsEnd(t *testing.T) {
+func TestRunOnceRequestFinishesAfterClientDisconnects(t *testing.T) {
 	finish := make(chan struct{})
 	r, ran := newRunner(t), make(chan bool, 1)
 	r.stream = func(write func(string), closed <-chan struct{}) {
@@ -114,9 +114,9 @@
 		}
 	}
 	c, front, _ := start(t, r)
-	c.takesConfig(t, unhurriedMenu)
-	conn := send(t, front, unhurried("/pay/"))
-	for r.count() == 0 {
+	c.receiveConfig(t, longCutoffConfig)
+	conn := dialAndSend(t, front, longRequest("/pay/"))
+	for r.requestCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	conn.Close()
@@ -125,29 +125,28 @@
 	must.True(t, <-ran)
 }
 
-func TestWaitingRequestLeavesTheQueueWithItsClient(t *testing.T) {
-	r, reached, ended := working(t, streamHead+chunk("id: 1\ndata: a\n\n"))
+func TestQueuedRequestIsDroppedWhenClientDisconnects(t *testing.T) {
+	r, reached, ended := newBlockingRunner(t, streamHead+chunk("id: 1\ndata: a\n\n"))
 	c, front, _ := start(t, r)
 	busy := fillUntilQueued(t, c, front, reached)
-	seen := r.count()
+	seen := r.requestCount()
 	busy[len(busy)-1].Close()
 	for c.slab.Len() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	busy[0].Close()
-	awaited(t, ended, "the end of the first stream")
-	send(t, front, unhurried("/chat/"))
-	awaited(t, reached, "the next request")
-	must.Eq(t, seen+1, r.count(), must.Sprint("the one that left was not sent"))
+	awaitEvent(t, ended, "the end of the first stream")
+	dialAndSend(t, front, longRequest("/chat/"))
+	awaitEvent(t, reached, "the next request")
+	must.Eq(t, seen+1, r.requestCount(), must.Sprint("the abandoned request must not be sent"))
 }
 
-// fillUntilQueued sends large streams until one waits in the queue, for as long as it
-// takes: the last of those that it returns.
+// fillUntilQueued sends large streams until one waits in the queue: the last of those it returns.
 func fillUntilQueued(t *testing.T, c *Router, front string, reached <-chan struct{}) (conns []net.Conn) {
 	t.Helper()
-	c.takesConfig(t, strings.Replace(unhurriedMenu, `"setpointMs":400`, `"setpointMs":3600000`, 1))
+	c.receiveConfig(t, strings.Replace(longCutoffConfig, `"setpointMs":400`, `"setpointMs":3600000`, 1))
 	for c.slab.Len() == 0 {
-		conns = append(conns, send(t, front, strings.Replace(unhurried("/chat/"), "20,5", "20,40000", 1)))
+		conns = append(conns, dialAndSend(t, front, strings.Replace(longRequest("/chat/"), "20,5", "20,40000", 1)))
 		select {
 		case <-reached:
 		case <-time.After(watchDelay):
@@ -156,8 +155,9 @@
 	return conns
 }
 
-// A client may send its next request before it has the answer to the last.
-func TestPipelinedRequestIsAnsweredInItsTurn(t *testing.T) {
+// A client may pipeline its next request. The watch for its disconnect must not consume those
+// bytes.
+func TestRequestPipelinedDuringWatchIsAnsweredNext(t *testing.T) {
 	r := newRunner(t)
 	free := make(chan struct{})
 	r.next = func() string {
@@ -165,7 +165,7 @@
 		return "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"
 	}
 	c, front, _ := start(t, r)
-	conn := send(t, front, request("/open/", "x"))
+	conn := dialAndSend(t, front, request("/open/", "x"))
 	for c.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -185,8 +185,9 @@
 	}
 }
 
-// A connection that served a long request is bounded as before.
-func TestConnectionIsReadAgainAfterAWatch(t *testing.T) {
+// A watch sets the read deadline of the connection; reads and watches after it must work as
+// before.
+func TestConnectionIsReadableAfterWatchStops(t *testing.T) {
 	ln, err := listenFront("127.0.0.1:0", fixedLimits(time.Minute))
 	must.NoError(t, err)
 	defer ln.Listener.Close()
@@ -199,14 +200,14 @@
 	watch := served.(*timedConn).watchClose(func() { left <- struct{}{} })
 	time.Sleep(2 * watchDelay)
 	watch.stop()
-	_, err = io.WriteString(client, wholeRequest)
+	_, err = io.WriteString(client, completeRequest)
 	must.NoError(t, err)
 	b := make([]byte, 64)
 	n, err := served.Read(b)
 	must.NoError(t, err)
-	must.Eq(t, wholeRequest, string(b[:n]))
+	must.Eq(t, completeRequest, string(b[:n]))
 	watch = served.(*timedConn).watchClose(func() { left <- struct{}{} })
 	client.Close()
-	awaited(t, left, "the client's close")
+	awaitEvent(t, left, "the client's close")
 	watch.stop()
 }
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -54,14 +54,14 @@
 	c, front, _ := start(t, newRunner(t))
 	s := startCore(t, c, 1)
 	s.set(func() { s.versions[0] = func() *messages.Versions { return nil } })
-	unknown := unknownRoute()
-	ans, _, err := say(t, front, unknown)
+	unknown := unknownRouteRequest()
+	ans, _, err := roundTrip(t, front, unknown)
 	must.NoError(t, err)
 	must.Eq(t, 503, ans.StatusCode)
 	must.NotEq(t, "", ans.Header.Get(hRetryAfter))
-	s.set(func() { s.versions[0] = func() *messages.Versions { return s.confirming(0, 1) } })
+	s.set(func() { s.versions[0] = func() *messages.Versions { return s.confirmedVersion(0, 1) } })
 	for ans.StatusCode == 503 {
-		ans, _, err = say(t, front, unknown)
+		ans, _, err = roundTrip(t, front, unknown)
 		must.NoError(t, err)
 	}
 	must.Eq(t, 404, ans.StatusCode)
--- a/internal/router/core_stub_test.go
+++ b/internal/router/core_stub_test.go
@@ -17,42 +17,44 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// coreStub is a core of controllers that say what they are told to say. All are
-// members of the configuration's register.
+// coreStub is a core of controllers with scripted responses. All are members of the configuration
+// register.
 type coreStub struct {
-	fetches atomic.Int64 // requests for missing state, at all of them
+	fetches atomic.Int64 // fetches of missing state, at all controllers
 
 	mu       sync.Mutex // guards what follows
 	group    []string
 	addrs    []string
-	versions [](func() *messages.Versions) // by controller; nil gives no answer
+	versions [](func() *messages.Versions) // by controller; a nil result fails the call
 	delta    func(messages.SyncState) messages.Feed
-	quota    func(i int, ask messages.QuotaAsk) messages.QuotaGrant // runs under the mutex; nil: nobody owns a count
+	quota    func(i int, ask messages.QuotaAsk) messages.QuotaGrant // called with mu held; nil: no controller owns a quota
 }
 
-// set changes what the controllers say.
+// set changes the scripted responses.
 func (s *coreStub) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// say gives the response of a controller; the functions of versions run under the mutex.
-func (s *coreStub) say(i int) *messages.Versions {
+// response returns the response of controller i. The functions in versions are called with mu
+// held.
+func (s *coreStub) response(i int) *messages.Versions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.versions[i]()
 }
 
-// confirming says that a version is the newest, and nothing newer is accepted.
-func (s *coreStub) confirming(i int, version int64) *messages.Versions {
+// confirmedVersion returns a response that reports version as committed, and nothing newer as
+// accepted.
+func (s *coreStub) confirmedVersion(i int, version int64) *messages.Versions {
 	return &messages.Versions{
 		Parts: []int64{version}, MemberID: s.group[i], ConfigGroup: s.group, ConfigCommitted: version,
 	}
 }
 
-// startCore runs size controllers beside a router and waits until it knows them.
-// At first each of them confirms version 1.
+// startCore runs size controllers and waits until the router has discovered them. Initially each
+// of them confirms version 1.
 func startCore(t *testing.T, c *Router, size int) *coreStub {
 	t.Helper()
 	s := &coreStub{versions: make([]func() *messages.Versions, size)}
@@ -60,7 +62,7 @@
 	t.Cleanup(cancel)
 	for i := range size {
 		s.group = append(s.group, fmt.Sprintf("member-%d", i))
-		s.versions[i] = func() *messages.Versions { return s.confirming(i, 1) }
+		s.versions[i] = func() *messages.Versions { return s.confirmedVersion(i, 1) }
 	}
 	for i := range size {
 		s.startMember(ctx, t, c, i)
@@ -79,7 +81,7 @@
 	must.NoError(t, err)
 	s.set(func() { s.addrs = append(s.addrs, station.Addr()) })
 	station.OnCall(transport.KindVersions, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
-		if m := s.say(i); m != nil {
+		if m := s.response(i); m != nil {
 			return m.MarshalMsg(nil)
 		}
 		return nil, transport.ErrRemote
@@ -93,7 +95,7 @@
 		s.mu.Lock()
 		delta := s.delta
 		s.mu.Unlock()
-		if delta == nil { // the test has not said yet what there is
+		if delta == nil { // not scripted yet
 			return nil, transport.ErrRemote
 		}
 		f := delta(h)
--- a/internal/router/forms_test.go
+++ b/internal/router/forms_test.go
@@ -13,9 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Clients write requests in many ways; each of them gets its answer. The forms themselves are
-// in the tests of package http1.
-func TestRarerFormsOfRequestsAreServed(t *testing.T) {
+// Valid but unusual request syntax is served. The parsing itself is tested in package http1.
+func TestUnusualRequestSyntaxIsServed(t *testing.T) {
 	r := newRunner(t)
 	_, front, _ := start(t, r)
 	good := request("/open/", "hello")
@@ -29,12 +28,12 @@
 		{"the attempt id in the list of Connection", strings.Replace(good, "Host", "Connection: Beechtide-Attempt-Id\r\nHost", 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			before := r.count()
-			ans, _, err := say(t, front, c.raw)
+			before := r.requestCount()
+			ans, _, err := roundTrip(t, front, c.raw)
 			must.NoError(t, err)
 			must.Eq(t, 200, ans.StatusCode)
-			must.Eq(t, before+1, r.count())
-			seen := r.last()
+			must.Eq(t, before+1, r.requestCount())
+			seen := r.lastRequest()
 			must.Eq(t, "id1", seen.Header.Get(hAttempt))
 			must.Eq(t, "/open/", seen.RequestURI)
 			must.Eq(t, int64(5), seen.ContentLength)
@@ -42,19 +41,19 @@
 	}
 }
 
-// What the system sets itself a client cannot send, in whatever letters.
-func TestClientCannotSendWhatTheSystemSets(t *testing.T) {
+// Headers set by the router cannot be sent by a client, in any letter case.
+func TestClientCannotSetRouterHeaders(t *testing.T) {
 	r := newRunner(t)
 	_, front, _ := start(t, r)
-	_, _, err := say(t, front, request("/open/", "x", "BEECHTIDE-TENANT: evil", "beechtide-cache-salt: evil", "bEECHTIDE-uRGENCY: 0", "Beechtide-CACHE-Source: 127.0.0.1:1", "beechtide-EXPECTED-version: 9"))
+	_, _, err := roundTrip(t, front, request("/open/", "x", "BEECHTIDE-TENANT: evil", "beechtide-cache-salt: evil", "bEECHTIDE-uRGENCY: 0", "Beechtide-CACHE-Source: 127.0.0.1:1", "beechtide-EXPECTED-version: 9"))
 	must.NoError(t, err)
-	for name, values := range r.last().Header {
+	for name, values := range r.lastRequest().Header {
 		for _, value := range values {
 			must.StrNotContains(t, value, "evil", must.Sprint(name))
 		}
 		must.Eq(t, 1, len(values), must.Sprint(name))
 	}
-	must.Eq(t, "", r.last().Header.Get(hSource))
+	must.Eq(t, "", r.lastRequest().Header.Get(hSource))
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
@@ -80,7 +79,7 @@
 	}
 }
 
-func TestClientIsToldToContinue(t *testing.T) {
+func TestExpectContinueGets100BeforeBody(t *testing.T) {
 	r := newRunner(t)
 	_, front, _ := start(t, r)
 	conn, err := net.Dial("tcp4", front)
@@ -94,20 +93,20 @@
 	ans, err := http.ReadResponse(in, nil)
 	must.NoError(t, err)
 	must.Eq(t, 100, ans.StatusCode)
-	must.Eq(t, 0, r.count())
+	must.Eq(t, 0, r.requestCount())
 	_, err = io.WriteString(conn, "hello")
 	must.NoError(t, err)
 	ans, err = http.ReadResponse(in, nil)
 	must.NoError(t, err)
 	must.Eq(t, 200, ans.StatusCode)
-	must.Eq(t, "", r.last().Header.Get("Expect"))
+	must.Eq(t, "", r.lastRequest().Header.Get("Expect"))
 }
 
-// A stream for a client of HTTP/1.0, which knows no chunks, ends with its connection.
-func TestStreamForHTTP10EndsWithItsConnection(t *testing.T) {
+// HTTP/1.0 has no chunked coding, so the end of the connection ends the stream.
+func TestStreamToHTTP10ClientEndsByClosingConnection(t *testing.T) {
 	r := newRunner(t, streamHead+chunk("id: 1\ndata: a\n\n")+chunk("id: 2\ndata: b\n\n")+"0\r\n\r\n")
 	_, front, _ := start(t, r)
-	ans, body, err := say(t, front, strings.Replace(request("/chat/", "x"), "HTTP/1.1", "HTTP/1.0", 1))
+	ans, body, err := roundTrip(t, front, strings.Replace(request("/chat/", "x"), "HTTP/1.1", "HTTP/1.0", 1))
 	must.NoError(t, err)
 	must.Eq(t, 200, ans.StatusCode)
 	must.Eq(t, 0, len(ans.TransferEncoding))
@@ -115,16 +114,16 @@
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", body)
 }
 
-// A refused client that goes on sending can still read why.
-func TestRefusedClientReadsTheAnswer(t *testing.T) {
+// A refused client that continues to send must receive the response, not a TCP reset.
+func TestRefusedClientStillSendingReadsResponse(t *testing.T) {
 	r := newRunner(t)
 	c, front, _ := start(t, r)
 	limit := c.frontLimits().sizes.BodyBytes
 	chunked := strings.Replace(request("/open/", "x"), "Content-Length: 1\r\n\r\nx", "Transfer-Encoding: chunked\r\n\r\n", 1)
 	piece := chunk(strings.Repeat("x", 1000))
-	ans, _, err := say(t, front, chunked+strings.Repeat(piece, int(limit)/1000+50))
+	ans, _, err := roundTrip(t, front, chunked+strings.Repeat(piece, int(limit)/1000+50))
 	must.NoError(t, err)
 	must.Eq(t, 413, ans.StatusCode)
-	must.Eq(t, 0, r.count())
+	must.Eq(t, 0, r.requestCount())
 	must.Eq(t, 1, c.front.Load().refusals.byStatus()[413])
 }
--- a/internal/router/hostile_test.go
+++ b/internal/router/hostile_test.go
@@ -14,69 +14,69 @@
 	"github.com/shoenig/test/must"
 )
 
-// crowdOf are runners that answer in every wrong way, drawn by seed, and that
-// note what they have run.
-type crowdOf struct {
+// faultyRunners are runners that respond with faults drawn from a seeded source, and that record
+// which requests they have run.
+type faultyRunners struct {
 	mu   sync.Mutex
 	rng  *rand.Rand
 	runs map[string]int
-	seen map[string]int // by way
+	seen map[string]int // draws, by name of the behavior
 }
 
-// way is how a runner treats one request: whether it runs it, what it writes
-// (ID stands for the request's id, LATE for the one before on the connection)
-// and whether it then ends the connection, or says nothing more.
-type way struct {
+// behavior is how a runner handles one request: whether it runs it, what it writes (ID stands for
+// the attempt id, LATE for that of the previous request on the connection), and whether it then
+// closes the connection or stays silent.
+type behavior struct {
 	name   string
 	runs   bool
 	raw    string
 	closes bool
-	mute   bool
+	silent bool
 }
 
 const (
-	fine  = "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nBODY "
-	stray = "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: LATE\r\nContent-Length: 5\r\n\r\nwrong"
+	goodResponse = "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nBODY "
+	lateResponse = "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: LATE\r\nContent-Length: 5\r\n\r\nwrong"
 )
 
-var ways = []way{
-	{name: "fine", runs: true, raw: fine},
-	{name: "fine", runs: true, raw: fine},
-	{name: "fine", runs: true, raw: fine},
-	{name: "forgets the connection", runs: true, raw: fine, closes: true},
+var behaviors = []behavior{
+	{name: "fine", runs: true, raw: goodResponse},
+	{name: "fine", runs: true, raw: goodResponse},
+	{name: "fine", runs: true, raw: goodResponse},
+	{name: "forgets the connection", runs: true, raw: goodResponse, closes: true},
 	{name: "no answer", runs: true, closes: true},
-	{name: "silence", runs: true, mute: true},
-	{name: "part of a head", runs: true, raw: fine[:30], closes: true},
-	{name: "part of a body", runs: true, raw: strings.TrimSuffix(fine, "Y "), closes: true},
-	{name: "part of a body, then silence", runs: true, raw: strings.TrimSuffix(fine, "Y "), mute: true},
-	{name: "a second answer", runs: true, raw: fine + fine},
-	{name: "a late answer first", runs: true, raw: stray + fine},
-	{name: "only a late answer", runs: true, raw: stray, closes: true},
-	{name: "bytes that are no answer", runs: true, raw: "\x00\x01\r\n\r\n" + fine},
-	{name: "an answer to nobody", runs: true, raw: strings.Replace(fine, "Beechtide-Attempt-Id: ID\r\n", "", 1)},
+	{name: "silence", runs: true, silent: true},
+	{name: "part of a head", runs: true, raw: goodResponse[:30], closes: true},
+	{name: "part of a body", runs: true, raw: strings.TrimSuffix(goodResponse, "Y "), closes: true},
+	{name: "part of a body, then silence", runs: true, raw: strings.TrimSuffix(goodResponse, "Y "), silent: true},
+	{name: "a second answer", runs: true, raw: goodResponse + goodResponse},
+	{name: "a late answer first", runs: true, raw: lateResponse + goodResponse},
+	{name: "only a late answer", runs: true, raw: lateResponse, closes: true},
+	{name: "bytes that are no answer", runs: true, raw: "\x00\x01\r\n\r\n" + goodResponse},
+	{name: "an answer to nobody", runs: true, raw: strings.Replace(goodResponse, "Beechtide-Attempt-Id: ID\r\n", "", 1)},
 	{name: "a promise that is none", runs: true, raw: "HTTP/1.1 503 Service Unavailable\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n"},
 	{name: "full", raw: "HTTP/1.1 503 Service Unavailable\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"},
 	{name: "another instance", raw: "HTTP/1.1 421 Misdirected Request\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n"},
 }
 
-func (h *crowdOf) draw(id string) way {
+func (h *faultyRunners) drawBehavior(id string) behavior {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w := ways[h.rng.IntN(len(ways))]
-	h.seen[w.name]++
-	if w.runs {
+	chosen := behaviors[h.rng.IntN(len(behaviors))]
+	h.seen[chosen.name]++
+	if chosen.runs {
 		h.runs[id]++
 	}
-	return w
+	return chosen
 }
 
-func (h *crowdOf) ran(id string) int {
+func (h *faultyRunners) ran(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.runs[id]
 }
 
-func (h *crowdOf) serve(c net.Conn) {
+func (h *faultyRunners) serve(c net.Conn) {
 	defer c.Close()
 	br, late := bufio.NewReader(c), "nobody"
 	for {
@@ -90,11 +90,11 @@
 			continue
 		}
 		id := q.Header.Get(hAttempt)
-		w := h.draw(id)
+		w := h.drawBehavior(id)
 		_, _ = io.WriteString(c, strings.NewReplacer("ID", id, "LATE", late, "BODY", id[len(id)-4:]).Replace(w.raw))
 		late = id
-		if w.mute {
-			_, _ = br.ReadByte() // until the router ends the connection
+		if w.silent {
+			_, _ = br.ReadByte() // until the router closes the connection
 			return
 		}
 		if w.closes {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (h *crowdOf) runner(t *testing.T) *runner {
+func (h *faultyRunners) runner(t *testing.T) *runner {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -120,12 +120,13 @@
 	return &runner{addr: ln.Addr().String()}
 }
 
-// TestAnswersOfBadRunnersReachTheirRequestsOnce sends requests to runners that
-// answer late, twice, in part, for others or not at all. What a client gets is its
-// own and whole; what may run once runs once; what was promised not to run has not.
-func TestAnswersOfBadRunnersReachTheirRequestsOnce(t *testing.T) {
+// TestFaultyRunnersCauseNoWrongResponseOrRepeatedRun sends requests to runners whose responses are
+// late, repeated, truncated, for another request, or missing. A client must only receive its own
+// complete response, a run-once request must run at most once, and a status that promises "not
+// executed" must be true.
+func TestFaultyRunnersCauseNoWrongResponseOrRepeatedRun(t *testing.T) {
 	for seed := range uint64(3) {
-		h := &crowdOf{rng: rand.New(rand.NewPCG(seed, 5)), runs: map[string]int{}, seen: map[string]int{}}
+		h := &faultyRunners{rng: rand.New(rand.NewPCG(seed, 5)), runs: map[string]int{}, seen: map[string]int{}}
 		_, front, cancel := start(t, h.runner(t), h.runner(t), h.runner(t), h.runner(t))
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -143,30 +144,30 @@
 		wg.Wait()
 		cancel()
 		must.Greater(t, 20, got[200], must.Sprint("seed", seed, got, h.seen))
-		must.Greater(t, len(ways)/2, len(h.seen), must.Sprint("seed", seed))
+		must.Greater(t, len(behaviors)/2, len(h.seen), must.Sprint("seed", seed))
 	}
 }
 
-// send makes one request and checks what came of it.
-func (h *crowdOf) send(t *testing.T, front, id string, repeatable bool) int {
-	path, most := "/pay/", 1
+// send makes one request and checks its response and its number of runs.
+func (h *faultyRunners) send(t *testing.T, front, id string, repeatable bool) int {
+	path, maxRuns := "/pay/", 1
 	if repeatable {
-		path, most = "/open/", 2
+		path, maxRuns = "/open/", 2
 	}
 	raw := strings.NewReplacer("id1", id, "2500", "120").Replace(request(path, "x"))
-	ans, body, err := say(t, front, raw)
+	ans, body, err := roundTrip(t, front, raw)
 	ran := h.ran(id)
-	if ran > most {
+	if ran > maxRuns {
 		t.Errorf("%s ran %d times", id, ran)
 	}
 	if err != nil {
 		return 0
 	}
 	if ans.StatusCode == 200 && body != id[len(id)-4:]+" " {
-		t.Errorf("%s got the body %q", id, body)
+		t.Errorf("%s received the body %q", id, body)
 	}
 	if impliesNotExecuted(ans.StatusCode) && ran > 0 {
-		t.Errorf("%s ran, and the answer was %d", id, ans.StatusCode)
+		t.Errorf("%s ran, but the status %d promises that it did not", id, ans.StatusCode)
 	}
 	return ans.StatusCode
 }
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -15,17 +15,18 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// visitAt makes a request of a router that runs nothing; its time is over at deadlineUs.
-func visitAt(nowUs, endUs int64) *exchange {
+// newExchangeAt returns a request with the given deadline at a router that is not running, whose
+// clock stands at nowUs.
+func newExchangeAt(nowUs, endUs int64) *exchange {
 	c := &Router{clock: func() int64 { return nowUs }}
 	return &exchange{router: c, rc: app.NewContext(0), deadlineUs: endUs, route: &routeconfig.Route{}}
 }
 
-func TestRequestThatIsDroppedViolatesInvariant(t *testing.T) {
+func TestDroppedRequestViolatesInvariant(t *testing.T) {
 	invarianttest.Expect(t, requestEnds)
 	for _, last := range []attempt.Result{attempt.NotSent, attempt.NotRun, attempt.Moving} {
 		before := requestEnds.Violations()
-		v := visitAt(1, 1_000_000)
+		v := newExchangeAt(1, 1_000_000)
 		v.sequence.Begin()
 		v.outcome, v.lastResult = compliance.Cut, last
 		v.recordEnd()
@@ -33,7 +34,7 @@
 	}
 }
 
-func TestRequestThatEndsForAReasonViolatesNothing(t *testing.T) {
+func TestExplainedEndOfRequestViolatesNoInvariant(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		ended    compliance.Step
@@ -50,7 +51,7 @@
 		{"answer not known", compliance.Cut, attempt.Unknown, 1, 1, cutRunner},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := visitAt(c.nowUs, 1_000_000)
+			v := newExchangeAt(c.nowUs, 1_000_000)
 			v.outcome = c.ended
 			for range c.attempts {
 				v.sequence.Begin()
@@ -70,14 +71,14 @@
 
 func TestAttemptAfterPossibleRunViolatesInvariant(t *testing.T) {
 	for _, end := range []attempt.Result{attempt.Unknown, attempt.BrokenOff} {
-		v := visitAt(1, 1_000_000)
+		v := newExchangeAt(1, 1_000_000)
 		v.sequence.Begin()
 		v.lastResult = end
 		v.route.Kind = api.Idempotent
 		v.checkRepeat()
 	}
 	invarianttest.Expect(t, noAttemptAfterRun)
-	v := visitAt(1, 1_000_000)
+	v := newExchangeAt(1, 1_000_000)
 	v.sequence.Begin()
 	v.lastResult = attempt.Unknown
 	v.route.Kind = api.Streaming
@@ -98,8 +99,9 @@
 	v.checkDenial(401)
 }
 
-// A stream that its runner broke off, and that found no other runner, has an explanation.
-func TestStreamBrokenOffByItsRunnerViolatesNothing(t *testing.T) {
+// The break by the first runner explains the truncated response, though the last attempt ended
+// with a rejection by the second runner.
+func TestStreamBrokenOffByRunnerViolatesNoInvariant(t *testing.T) {
 	for name, second := range map[string]string{
 		"second turns it away": "HTTP/1.1 503 Service Unavailable\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 		"second is another":    "HTTP/1.1 421 Misdirected Request\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n",
@@ -116,11 +118,11 @@
 			r.next, other.next = script, script
 			c, front, _ := start(t, r, other)
 			before := requestEnds.Violations()
-			_, _, _ = say(t, front, request("/sort/", "x"))
+			_, _, _ = roundTrip(t, front, request("/sort/", "x"))
 			for c.inFlight.Load() > 0 {
 				time.Sleep(time.Millisecond)
 			}
-			must.GreaterEq(t, 2, r.count()+other.count())
+			must.GreaterEq(t, 2, r.requestCount()+other.requestCount())
 			must.Eq(t, before, requestEnds.Violations())
 		})
 	}
--- a/internal/router/late_answer_test.go
+++ b/internal/router/late_answer_test.go
@@ -9,10 +9,10 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// A parent takes long over an answer, so that a change made after it arrives before
-// it. What the parent believed of a runner when it began the answer must not come
-// back: nothing would correct it until the runner changes again.
-func TestLateAnswerBringsBackNoOlderBelief(t *testing.T) {
+// A slow feed of the parent may arrive after a change made later. The parent's view of a runner in
+// that feed (lost or not) must not replace the newer one, as nothing would correct it until the
+// runner changes again.
+func TestLateFeedDoesNotRestoreOlderRunnerState(t *testing.T) {
 	c, _, _ := start(t)
 	parent := statesync.NewEntries()
 	parent.Begin(9, 0)
@@ -41,9 +41,9 @@
 	must.MapContainsKey(t, c.registry.Snapshot().ByID, "r")
 }
 
-// A feed of the parent that was left is still being taken in when the new parent's
-// list is there already. It may say what happened, not what its sender believes.
-func TestFeedOfAFormerParentBringsFactsOnly(t *testing.T) {
+// A feed of the former parent may be applied after the new parent's list. It may contribute what a
+// runner itself reported, but not the former parent's view of it (lost).
+func TestFeedOfFormerParentAppliesOnlyFacts(t *testing.T) {
 	c, _, _ := start(t)
 	feed := func(epoch int64, whole bool, n messages.RunnerRecord) messages.Feed {
 		s := statesync.NewEntries()
--- a/internal/router/listener_test.go
+++ b/internal/router/listener_test.go
@@ -18,24 +18,24 @@
 	return func() frontLimits { return frontLimits{idle: d, receive: d, sizes: testSizes} }
 }
 
-// testSizes are limits that no test's requests reach.
+// testSizes are size limits that no test request reaches.
 var testSizes = http1.Limits{HeadBytes: 4096, BodyBytes: 4096}
 
-// wholeRequest is a request in the form that the front's connections return.
-const wholeRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+// completeRequest is a request in the form that the front's connections return.
+const completeRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// raisedLimits are long ones; from the moment they are told to change, short ones once and
-// long ones from then on, like a configuration that comes while a connection waits.
-type raisedLimits struct{ short atomic.Bool }
+// switchingLimits returns long limits, except for one call after shortOnce is set, which gets
+// short ones. It simulates a configuration that raises the limits while a connection waits.
+type switchingLimits struct{ shortOnce atomic.Bool }
 
-func (r *raisedLimits) limits() frontLimits {
-	if r.short.Swap(false) {
+func (r *switchingLimits) limits() frontLimits {
+	if r.shortOnce.Swap(false) {
 		return frontLimits{idle: time.Millisecond, receive: time.Millisecond, sizes: testSizes}
 	}
 	return frontLimits{idle: time.Hour, receive: time.Hour, sizes: testSizes}
 }
 
-// scriptedListener accepts what it is given, one after the other, and is closed then.
+// scriptedListener returns the given results of Accept in order, and net.ErrClosed after them.
 type scriptedListener struct {
 	net.Listener
 	results []acceptResult
@@ -55,9 +55,9 @@
 	return next.conn, next.err
 }
 
-// A server that gets an error from Accept ends, and the process with all that is in
-// flight.
-func TestAcceptGoesOnAfterATemporaryError(t *testing.T) {
+// An error from Accept ends the HTTP server, and with it the process and all requests in flight.
+// Running out of file descriptors must not cause that.
+func TestAcceptContinuesAfterTemporaryError(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	outOfDescriptors := &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -66,49 +66,48 @@
 	must.NoError(t, err)
 	defer conn.Close()
 	_, err = ln.Accept()
-	must.True(t, errors.Is(err, net.ErrClosed), must.Sprint("a closed listener ends"))
+	must.True(t, errors.Is(err, net.ErrClosed), must.Sprint("a closed listener must return its error"))
 }
 
-// interruptedConn has a request whose bytes are read at the moment at which the
-// listener closes idle connections.
-type interruptedConn struct {
+// closeIdleDuringReadConn returns a request from a read during which the listener closes idle
+// connections.
+type closeIdleDuringReadConn struct {
 	net.Conn
 	ln *timedListener
 }
 
-func (c *interruptedConn) Read(b []byte) (int, error) {
+func (c *closeIdleDuringReadConn) Read(b []byte) (int, error) {
 	c.ln.closeIdle()
-	return copy(b, wholeRequest), nil
+	return copy(b, completeRequest), nil
 }
 
-// A request that has been read is served, whatever happens to idle connections
-// meanwhile.
-func TestRequestThatCrossesTheCloseOfIdleConnectionsIsNotDropped(t *testing.T) {
+// A request that has been read must be served, also if idle connections are closed at that moment.
+func TestRequestReadDuringCloseIdleIsServed(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	scripted := &scriptedListener{}
 	ln := newTimedListener(scripted, fixedLimits(time.Minute))
-	scripted.results = []acceptResult{{conn: &interruptedConn{ours, ln}}}
+	scripted.results = []acceptResult{{conn: &closeIdleDuringReadConn{ours, ln}}}
 	conn, err := ln.Accept()
 	must.NoError(t, err)
 	b := make([]byte, 64)
 	n, err := conn.Read(b)
 	must.NoError(t, err)
-	must.Eq(t, wholeRequest, string(b[:n]))
-	must.Eq(t, 1, ln.closeIdle(), must.Sprint("its connection is open"))
+	must.Eq(t, completeRequest, string(b[:n]))
+	must.Eq(t, 1, ln.closeIdle(), must.Sprint("its connection must stay open"))
 	must.NoError(t, conn.Close())
 	must.Eq(t, 0, ln.closeIdle())
 }
 
-// A limit that a new configuration raises holds for what waits already: before a request
-// begins, and in the middle of its head.
-func TestRaisedLimitsHoldForOpenConnections(t *testing.T) {
+// A limit raised by a new configuration applies to connections that are already waiting: before a
+// request begins, and within its head.
+func TestRaisedLimitsApplyToOpenConnections(t *testing.T) {
 	for _, begun := range []string{"", "GET"} {
 		t.Run("read before: "+begun, func(t *testing.T) {
 			ours, theirs := net.Pipe()
 			defer theirs.Close()
-			raised := &raisedLimits{}
-			raised.short.Store(begun == "")
+			raised := &switchingLimits{}
+			raised.shortOnce.Store(begun == "")
 			ln := newTimedListener(&scriptedListener{results: []acceptResult{{conn: ours}}}, raised.limits)
 			conn, err := ln.Accept()
 			must.NoError(t, err)
@@ -121,36 +120,36 @@
 			}()
 			_, err = io.WriteString(theirs, begun) // returns once it has been read
 			must.NoError(t, err)
-			raised.short.Store(begun != "")
+			raised.shortOnce.Store(begun != "")
 			if begun != "" {
-				_, err = io.WriteString(theirs, wholeRequest[len(begun):len(begun)+1])
+				_, err = io.WriteString(theirs, completeRequest[len(begun):len(begun)+1])
 				must.NoError(t, err)
-				begun = wholeRequest[:len(begun)+1]
+				begun = completeRequest[:len(begun)+1]
 			}
 			time.Sleep(20 * time.Millisecond)
-			_, err = io.WriteString(theirs, wholeRequest[len(begun):])
+			_, err = io.WriteString(theirs, completeRequest[len(begun):])
 			must.NoError(t, err)
-			must.Eq(t, wholeRequest, <-read)
+			must.Eq(t, completeRequest, <-read)
 		})
 	}
 }
 
-// deadlineCounter counts how often the write deadline is set.
-type deadlineCounter struct {
+// deadlineRecorder records the write deadline and how often it is set.
+type deadlineRecorder struct {
 	net.Conn
 	set int
 	by  time.Time
 }
 
-func (c *deadlineCounter) SetWriteDeadline(by time.Time) error {
+func (c *deadlineRecorder) SetWriteDeadline(by time.Time) error {
 	c.set, c.by = c.set+1, by
 	return nil
 }
 
-func (c *deadlineCounter) Write(b []byte) (int, error) { return len(b), nil }
+func (c *deadlineRecorder) Write(b []byte) (int, error) { return len(b), nil }
 
-func TestWriteDeadlineIsSetOnceForManyEventsAndNeverLaterThanWanted(t *testing.T) {
-	under := &deadlineCounter{}
+func TestWriteDeadlineIsSetOnceForManyEventsAndNeverTooLate(t *testing.T) {
+	under := &deadlineRecorder{}
 	conn := &timedConn{Conn: under}
 	write := func() {
 		_, err := conn.Write([]byte("event"))
@@ -166,9 +165,9 @@
 	for range 20 {
 		write()
 	}
-	must.Eq(t, 2, under.set, must.Sprint("a shorter time counts at once"))
+	must.Eq(t, 2, under.set, must.Sprint("an earlier deadline must apply at once"))
 	conn.setResponseDeadline(time.Now().Add(-time.Second))
 	write()
-	must.Eq(t, 3, under.set, must.Sprint("the last bytes of an answer that is late"))
-	must.True(t, under.by.After(time.Now()), must.Sprint("may still be written"))
+	must.Eq(t, 3, under.set, must.Sprint("a late response gets a new deadline"))
+	must.True(t, under.by.After(time.Now()), must.Sprint("its last bytes may still be written"))
 }
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -23,7 +23,7 @@
 	c, front, _ := start(t, newRunner(t, "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"))
 	withoutID := strings.Replace(request("/pay/x", ""), hAttempt, "X-Other", 1)
 	for _, raw := range []string{request("/pay/x", ""), withoutID} {
-		_, _, err := say(t, front, raw)
+		_, _, err := roundTrip(t, front, raw)
 		must.NoError(t, err)
 	}
 	text := ""
--- a/internal/router/missing_test.go
+++ b/internal/router/missing_test.go
@@ -54,8 +54,8 @@
 	a, b := newRunner(t), newRunner(t)
 	a.say(elsewhere)
 	c, front, _ := start(t, a, b)
-	for i := 0; a.count() == 0; i++ {
-		ans, body, err := say(t, front, fresh("/pay/", i))
+	for i := 0; a.requestCount() == 0; i++ {
+		ans, body, err := roundTrip(t, front, fresh("/pay/", i))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode, must.Sprint("a request that has not run goes on to the other"))
 		must.Eq(t, "ok", body)
@@ -65,18 +65,18 @@
 		must.True(t, missing(c))
 	}
 	for i := range 30 {
-		ans, _, err := say(t, front, fresh("/chat/", 100+i))
+		ans, _, err := roundTrip(t, front, fresh("/chat/", 100+i))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
-	must.Eq(t, 1, a.count()-a.probes())
+	must.Eq(t, 1, a.requestCount()-a.probes())
 
 	a.say("HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok")
 	back := messages.RunnerRecord{ID: "r0", Service: "s", Addr: a.addr, Zone: "a", Capacity: 9, Seq: 2, Models: []messages.Target{{Model: "m", Version: 4}}}
 	must.True(t, c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, back)}}))
 	must.False(t, missing(c), must.Sprint("a newer registration brings it back"))
-	for i := 0; a.count() == 1+a.probes(); i++ {
-		ans, _, err := say(t, front, fresh("/open/", 200+i))
+	for i := 0; a.requestCount() == 1+a.probes(); i++ {
+		ans, _, err := roundTrip(t, front, fresh("/open/", 200+i))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
@@ -87,8 +87,8 @@
 	a, b := newRunner(t), newRunner(t)
 	a.say(strings.Replace(elsewhere, "other", "r0", 1))
 	c, front, _ := start(t, a, b)
-	for i := 0; a.count() == 0; i++ {
-		ans, _, err := say(t, front, fresh("/pay/", i))
+	for i := 0; a.requestCount() == 0; i++ {
+		ans, _, err := roundTrip(t, front, fresh("/pay/", i))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
--- a/internal/router/move_test.go
+++ b/internal/router/move_test.go
@@ -14,31 +14,32 @@
 	"beechtide.org/beechtide/internal/prefixindex"
 )
 
-// gate lets a scripted runner hold its answer back until it is told to go on.
-type gate struct {
-	mu   sync.Mutex
-	open map[string]chan bool
+// signals synchronises a test with its scripted runners through channels that are created on first
+// use.
+type signals struct {
+	mu       sync.Mutex
+	channels map[string]chan bool
 }
 
-func (g *gate) at(name string) chan bool {
+func (g *signals) at(name string) chan bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.open == nil {
-		g.open = map[string]chan bool{}
+	if g.channels == nil {
+		g.channels = map[string]chan bool{}
 	}
-	if g.open[name] == nil {
-		g.open[name] = make(chan bool)
+	if g.channels[name] == nil {
+		g.channels[name] = make(chan bool)
 	}
-	return g.open[name]
+	return g.channels[name]
 }
 
-func relinquishing(version int64, zones string) string {
+func relinquishConfig(version int64, zones string) string {
 	s := strings.Replace(configText, `"version":3`, fmt.Sprintf(`"version":%d`, version), 1)
 	return strings.Replace(s, `"limits"`, `"relinquish":[`+zones+`],"limits"`, 1)
 }
 
-// sited puts runner i at zones[i].
-func (r *Router) sited(t *testing.T, zones ...string) {
+// setRunnerZones sets the zone of runner i to zones[i].
+func (r *Router) setRunnerZones(t *testing.T, zones ...string) {
 	t.Helper()
 	snap := r.registry.Snapshot()
 	var notes []messages.RunnerRecord
@@ -51,70 +52,70 @@
 	r.syncAdmission()
 }
 
-// A live stream that may be resumed goes on at the other zone from its last
-// whole event on; its old link is closed before the new request goes out, and
-// the client sees one answer, whole.
-func TestALiveStreamMovesToTheOtherSite(t *testing.T) {
-	for name, dies := range map[string]bool{"under ordinary load": false, "the zone fails": true} {
-		t.Run(name, func(t *testing.T) { moveStream(t, dies) })
+// A resumable live stream continues in the other zone after its last complete event. Its old
+// connection is closed before the new request is sent, and the client receives one complete
+// response.
+func TestLiveStreamMovesWhenItsZoneIsRelinquished(t *testing.T) {
+	for name, runnerFails := range map[string]bool{"under ordinary load": false, "the zone fails": true} {
+		t.Run(name, func(t *testing.T) { testStreamMove(t, runnerFails) })
 	}
 }
 
-// moveStream has a stream move while its runner would go on, or as it dies.
-func moveStream(t *testing.T, dies bool) {
+// testStreamMove moves a stream whose zone is relinquished, while its runner works or as it fails.
+func testStreamMove(t *testing.T, runnerFails bool) {
 	t.Helper()
-	var g gate
+	var events signals
 	a, b := newRunner(t), newRunner(t)
 	a.stream = func(write func(string), closed <-chan struct{}) {
 		write(streamHead + chunk("id: 1\ndata: a\n\n"))
-		<-g.at("declared")
-		if dies {
+		<-events.at("declared")
+		if runnerFails {
 			return
 		}
 		write(chunk("id: 2\ndata: b\n\nid: 3\nda"))
-		<-closed // the router hangs up first
-		close(g.at("left"))
+		<-closed // the router closes the old connection first
+		close(events.at("left"))
 	}
 	b.stream = func(write func(string), _ <-chan struct{}) {
-		if !dies {
-			<-g.at("left")
+		if !runnerFails {
+			<-events.at("left")
 		}
 		rest := chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n"
-		if b.last().Header.Get(hLastEvent) == "1" { // it may leave before the second event
+		if b.lastRequest().Header.Get(hLastEvent) == "1" { // the stream may move before the second event
 			rest = chunk("id: 2\ndata: b\n\n") + rest
 		}
 		write(streamHead + rest)
 	}
 	c, front, _ := start(t, a, b)
-	c.sited(t, "a", "b")
-	c.admissionMu.Lock() // the first choice is r0: it keeps the prompt
+	c.setRunnerZones(t, "a", "b")
+	c.admissionMu.Lock() // r0 is preferred, as it has the prompt cached
 	for _, p := range []string{"ab", "cd"} {
 		c.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
 	}
 	c.admissionMu.Unlock()
 	go func() {
-		for a.count() == 0 {
+		for a.requestCount() == 0 {
 			runtime.Gosched()
 		}
-		c.adopt(t, 2, 4, relinquishing(4, `{"zone":"a"}`))
-		close(g.at("declared"))
+		c.receiveConfigVersion(t, 2, 4, relinquishConfig(4, `{"zone":"a"}`))
+		close(events.at("declared"))
 	}()
-	ans, body, err := say(t, front, request("/sort/", "x"))
+	ans, body, err := roundTrip(t, front, request("/sort/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 200, ans.StatusCode)
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n", body)
-	must.Eq(t, 1, a.count())
-	must.Eq(t, 1, b.count())
+	must.Eq(t, 1, a.requestCount())
+	must.Eq(t, 1, b.requestCount())
 	must.NotEq(t, "", b.seen[0].Header.Get(hLastEvent))
 	must.Eq(t, "r1", b.seen[0].Header.Get(hTarget))
 	for c.inFlight.Load() > 0 {
 		runtime.Gosched()
 	}
-	c.holdsNothing(t)
+	c.requireNoCapacityHeld(t)
 }
 
-// holdsNothing checks that no capacity is reserved at any runner.
-func (r *Router) holdsNothing(t *testing.T) {
+// requireNoCapacityHeld checks that no capacity is reserved at any runner.
+func (r *Router) requireNoCapacityHeld(t *testing.T) {
 	t.Helper()
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
@@ -123,9 +124,9 @@
 	}
 }
 
-// A stream that may not be resumed ends where it runs; its session's next
-// request goes to the new home.
-func TestARunOnceStreamEndsWhereItRuns(t *testing.T) {
+// A stream that is not resumable ends where it runs; the next request of its session goes to the
+// new home zone.
+func TestNonResumableStreamEndsAtItsRunner(t *testing.T) {
 	declared := make(chan bool)
 	a, b := newRunner(t), newRunner(t)
 	a.stream = func(write func(string), _ <-chan struct{}) {
@@ -137,33 +138,33 @@
 		write(streamHead + chunk("id: 1\ndata: z\n\n") + "0\r\n\r\n")
 	}
 	c, front, _ := start(t, a, b)
-	c.sited(t, "a", "b")
+	c.setRunnerZones(t, "a", "b")
 	c.admissionMu.Lock()
 	for _, p := range []string{"ab", "cd"} {
 		c.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
 	}
 	c.admissionMu.Unlock()
 	go func() {
-		for a.count() == 0 {
+		for a.requestCount() == 0 {
 			runtime.Gosched()
 		}
-		c.adopt(t, 2, 4, relinquishing(4, `{"zone":"a"}`))
+		c.receiveConfigVersion(t, 2, 4, relinquishConfig(4, `{"zone":"a"}`))
 		close(declared)
 	}()
-	_, body, err := say(t, front, request("/chat/", "x"))
+	_, body, err := roundTrip(t, front, request("/chat/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", body)
-	must.Eq(t, 0, b.count())
-	_, body, err = say(t, front, request("/chat/", "x"))
+	must.Eq(t, 0, b.requestCount())
+	_, body, err = roundTrip(t, front, request("/chat/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, "id: 1\ndata: z\n\n", body)
-	must.Eq(t, 1, a.count())
-	must.Eq(t, 1, b.count())
+	must.Eq(t, 1, a.requestCount())
+	must.Eq(t, 1, b.requestCount())
 }
 
-// The context goes along: the new home takes the kept parts from the old one, as
-// many tokens as would have been found there, and reads only what is new.
-func TestTheContextGoesAlong(t *testing.T) {
+// When a zone is relinquished, the runner at the new home copies the cached prefix from the old
+// runner and prefills only the rest.
+func TestNewHomeCopiesCachedPrefixFromOldRunner(t *testing.T) {
 	d := admission.New(admission.Defaults, "b", 1)
 	notes := []messages.RunnerRecord{}
 	for i := range 6 {
@@ -185,11 +186,11 @@
 	d.SetRelinquished(map[string]int64{"a": 0}, 2_000_000)
 	after := d.Submit(ask, 2_000_000).Admit
 	must.NotEq(t, "a", after.Runner.Zone)
-	must.Eq(t, "r0:1", after.Source, must.Sprint("taken over from the old runner"))
+	must.Eq(t, "r0:1", after.Source, must.Sprint("copied from the old runner"))
 	d.FirstToken(after, 2_100_000)
 	d.Done(after, true, 2_200_000)
 	again := d.Submit(ask, 3_000_000).Admit
-	must.Eq(t, after.Runner.ID, again.Runner.ID, must.Sprint("it stays at its new home"))
+	must.Eq(t, after.Runner.ID, again.Runner.ID, must.Sprint("the session must stay at its new home"))
 	must.Eq(t, "", again.Source)
-	must.Eq(t, 6200, again.Cached, must.Sprint("and finds all of it there"))
+	must.Eq(t, 6200, again.Cached, must.Sprint("the whole prefix must be cached there"))
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -15,21 +15,21 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// limitedMenu gives the tenant a limit.
-var limitedMenu = strings.Replace(configText, `"isolated":true`, `"isolated":true,"ratePerS":10,"burst":10`, 1)
+// limitedConfig is configText with a rate limit for the tenant.
+var limitedConfig = strings.Replace(configText, `"isolated":true`, `"isolated":true,"ratePerS":10,"burst":10`, 1)
 
-// startLimited starts a router whose tenant has a limit, and a core that counts.
+// startLimited starts a router whose tenant has a rate limit, and a core of controllers.
 func startLimited(t *testing.T, controllers int, runners ...*runner) (*Router, *coreStub, string) {
 	t.Helper()
 	c, front, _ := start(t, runners...)
 	core := startCore(t, c, controllers)
-	must.True(t, c.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, limitedMenu, 2)}}))
+	must.True(t, c.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, limitedConfig, 2)}}))
 	return c, core, front
 }
 
-// granting has every controller own all counts, with so many tokens. It returns the count of
-// tokens that were taken.
-func (s *coreStub) granting(tokens int) *int {
+// grantTokens makes every controller own all quotas, with the given number of tokens in total. It
+// returns the number of tokens taken, to be read with readLocked.
+func (s *coreStub) grantTokens(tokens int) *int {
 	taken := new(int)
 	s.set(func() {
 		s.quota = func(_ int, ask messages.QuotaAsk) messages.QuotaGrant {
@@ -41,7 +41,7 @@
 	return taken
 }
 
-func (s *coreStub) read(n *int) int {
+func (s *coreStub) readLocked(n *int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return *n
@@ -50,41 +50,41 @@
 func TestRequestOverTheLimitGets429WithRetryAfter(t *testing.T) {
 	r := newRunner(t)
 	_, core, front := startLimited(t, 1, r)
-	core.granting(2)
+	core.grantTokens(2)
 	for range 2 {
-		a, _, err := say(t, front, request("/pay/1", ""))
+		a, _, err := roundTrip(t, front, request("/pay/1", ""))
 		must.NoError(t, err)
 		must.Eq(t, 200, a.StatusCode)
 	}
-	a, body, err := say(t, front, request("/pay/1", ""))
+	a, body, err := roundTrip(t, front, request("/pay/1", ""))
 	must.NoError(t, err)
 	must.Eq(t, 429, a.StatusCode)
 	must.Eq(t, "0.700", a.Header.Get(hRetryAfter))
 	must.Eq(t, string(rejectOverQuota)+"\n", body)
-	must.Eq(t, 2, r.count())
+	must.Eq(t, 2, r.requestCount())
 }
 
-func TestTenantWithoutALimitNeedsNoOwner(t *testing.T) {
+func TestTenantWithoutLimitNeedsNoQuotaOwner(t *testing.T) {
 	r := newRunner(t)
 	_, front, _ := start(t, r)
-	a, _, err := say(t, front, request("/pay/1", ""))
+	a, _, err := roundTrip(t, front, request("/pay/1", ""))
 	must.NoError(t, err)
 	must.Eq(t, 200, a.StatusCode)
 }
 
-func TestRequestIsRejectedWhereNoControllerOwnsTheCount(t *testing.T) {
+func TestRequestIsRejectedIfNoControllerOwnsTheQuota(t *testing.T) {
 	r := newRunner(t)
 	c, _, front := startLimited(t, 2, r)
-	a, body, err := say(t, front, request("/chat/1", ""))
+	a, body, err := roundTrip(t, front, request("/chat/1", ""))
 	must.NoError(t, err)
 	must.Eq(t, 503, a.StatusCode)
 	must.NotEq(t, "", a.Header.Get(hRetryAfter))
 	must.Eq(t, string(rejectQuotaUnavailable)+"\n", body)
-	must.Zero(t, r.count())
+	must.Zero(t, r.requestCount())
 	must.Eq(t, 1, c.quotas.Counts().Unknown)
 }
 
-func TestRouterFollowsTheHintToTheOwner(t *testing.T) {
+func TestRouterFollowsHintToQuotaOwner(t *testing.T) {
 	r := newRunner(t)
 	c, core, front := startLimited(t, 3, r)
 	owner := quota.Order(quota.ShardOf("t1"), c.wholeCore())[2]
@@ -98,7 +98,7 @@
 		}
 	})
 	must.Len(t, 3, addrs)
-	a, _, err := say(t, front, request("/pay/1", ""))
+	a, _, err := roundTrip(t, front, request("/pay/1", ""))
 	must.NoError(t, err)
 	must.Eq(t, 200, a.StatusCode)
 }
@@ -107,36 +107,36 @@
 	notRun := "HTTP/1.1 503 Busy\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	one, two := newRunner(t, notRun), newRunner(t, notRun)
 	_, core, front := startLimited(t, 1, one, two)
-	taken := core.granting(5)
-	_, _, err := say(t, front, request("/pay/1", ""))
+	taken := core.grantTokens(5)
+	_, _, err := roundTrip(t, front, request("/pay/1", ""))
 	must.NoError(t, err)
-	must.Eq(t, 2, one.count()+two.count())
-	must.Eq(t, 1, core.read(taken))
+	must.Eq(t, 2, one.requestCount()+two.requestCount())
+	must.Eq(t, 1, core.readLocked(taken))
 }
 
-func TestFurtherAttemptThatMayRunUsesAnotherToken(t *testing.T) {
+func TestRetryThatMayRunUsesAnotherToken(t *testing.T) {
 	one, two := newRunner(t, "CUT"), newRunner(t, "CUT")
 	_, core, front := startLimited(t, 1, one, two)
-	taken := core.granting(5)
-	_, _, err := say(t, front, request("/open/1", ""))
+	taken := core.grantTokens(5)
+	_, _, err := roundTrip(t, front, request("/open/1", ""))
 	must.NoError(t, err)
-	must.Zero(t, core.read(taken), must.Sprint("a route without a key has no tenant"))
-	before := one.count() + two.count()
-	_, _, _ = say(t, front, request("/sort/1", ""))
-	must.Eq(t, one.count()+two.count()-before, core.read(taken))
+	must.Zero(t, core.readLocked(taken), must.Sprint("a route without an API key has no tenant"))
+	before := one.requestCount() + two.requestCount()
+	_, _, _ = roundTrip(t, front, request("/sort/1", ""))
+	must.Eq(t, one.requestCount()+two.requestCount()-before, core.readLocked(taken))
 }
 
-func TestFurtherAttemptWithoutATokenIsNotMade(t *testing.T) {
+func TestRetryWithoutTokenIsNotSent(t *testing.T) {
 	one, two := newRunner(t, "CUT", "CUT"), newRunner(t, "CUT", "CUT")
 	_, core, front := startLimited(t, 1, one, two)
-	core.granting(1)
-	a, _, err := say(t, front, request("/sort/1", ""))
+	core.grantTokens(1)
+	a, _, err := roundTrip(t, front, request("/sort/1", ""))
 	must.NoError(t, err)
-	must.Eq(t, 502, a.StatusCode, must.Sprint("it may have run: no status promises that it has not"))
-	must.Eq(t, 1, one.count()+two.count())
+	must.Eq(t, 502, a.StatusCode, must.Sprint("the request may have run, so the status must not promise that it has not"))
+	must.Eq(t, 1, one.requestCount()+two.requestCount())
 }
 
-func TestRequestWaitsForATokenThatComesInTime(t *testing.T) {
+func TestRequestWaitsForToken(t *testing.T) {
 	r := newRunner(t)
 	_, core, front := startLimited(t, 1, r)
 	asked := 0
@@ -148,23 +148,24 @@
 			return messages.QuotaGrant{Owner: true, Granted: ask.Need}
 		}
 	})
-	a, _, err := say(t, front, request("/chat/1", ""))
+	a, _, err := roundTrip(t, front, request("/chat/1", ""))
 	must.NoError(t, err)
 	must.Eq(t, 200, a.StatusCode)
-	must.Eq(t, 2, core.read(&asked))
+	must.Eq(t, 2, core.readLocked(&asked))
 }
 
-// movedStream is a request of a limited tenant whose stream has begun and is on the move.
-func movedStream(c *Router, forUs int64) *exchange {
+// newMovingStream returns a request of the limited tenant whose stream has begun and moves, with
+// its deadline in timeoutUs.
+func newMovingStream(c *Router, timeoutUs int64) *exchange {
 	return &exchange{
 		router: c, rc: app.NewContext(0), route: &routeconfig.Route{}, tenant: &api.Tenant{Name: "t1"},
-		quotaLimit: quota.Limit{Version: 3, RatePerS: 10, Burst: 10}, deadlineUs: c.clock() + forUs,
+		quotaLimit: quota.Limit{Version: 3, RatePerS: 10, Burst: 10}, deadlineUs: c.clock() + timeoutUs,
 		stream: &responseStream{started: true},
 	}
 }
 
-// admitOne reserves capacity for a request.
-func (r *Router) admitOne(t *testing.T) *admission.Admission {
+// admitRequest reserves capacity for a request.
+func (r *Router) admitRequest(t *testing.T) *admission.Admission {
 	t.Helper()
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
@@ -173,9 +174,9 @@
 	return admitted
 }
 
-// The token with which a stream left its runner may expire before the next attempt is sent, and
-// in a zone that is cut off nobody may own the count then.
-func TestStreamOnTheMoveWaitsUntilTheCountHasAnOwner(t *testing.T) {
+// The token with which a stream left its runner may expire before the next attempt is sent. In a
+// zone that is cut off, the quota may have no owner at that time.
+func TestMovingStreamWaitsUntilQuotaHasAnOwner(t *testing.T) {
 	c, core, _ := startLimited(t, 1, newRunner(t))
 	core.set(func() {
 		core.quota = func(_ int, ask messages.QuotaAsk) messages.QuotaGrant {
@@ -185,15 +186,15 @@
 			return messages.QuotaGrant{Owner: true, Granted: ask.Need}
 		}
 	})
-	e := movedStream(c, (20 * time.Second).Microseconds())
-	must.True(t, e.acquireAttemptToken(c.admitOne(t)))
+	e := newMovingStream(c, (20 * time.Second).Microseconds())
+	must.True(t, e.acquireAttemptToken(c.admitRequest(t)))
 	must.True(t, e.quotaToken.Valid(c.clock()))
 }
 
-func TestStreamOnTheMoveWithoutATokenEndsWithItsTime(t *testing.T) {
+func TestMovingStreamWithoutTokenEndsAtDeadline(t *testing.T) {
 	c, _, _ := startLimited(t, 1, newRunner(t))
-	e := movedStream(c, (500 * time.Millisecond).Microseconds())
-	must.False(t, e.acquireAttemptToken(c.admitOne(t)))
+	e := newMovingStream(c, (500 * time.Millisecond).Microseconds())
+	must.False(t, e.acquireAttemptToken(c.admitRequest(t)))
 	must.True(t, e.timeExpired())
-	c.holdsNothing(t)
+	c.requireNoCapacityHeld(t)
 }
--- a/internal/router/recheck_test.go
+++ b/internal/router/recheck_test.go
@@ -12,26 +12,28 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// unknownRoute is a valid request for a route that configText does not have.
-func unknownRoute() string { return strings.Replace(request("/pay/", "x"), "/pay/", "/nothing/", 1) }
+// unknownRouteRequest returns a valid request for a route that configText does not have.
+func unknownRouteRequest() string {
+	return strings.Replace(request("/pay/", "x"), "/pay/", "/nothing/", 1)
+}
 
-// mustPutOff requires 503 with a time to come back, to a request that would be rejected
-// for good if the configuration were known to be the newest.
-func mustPutOff(t *testing.T, front, raw string) {
+// requireRetryLater requires 503 with Retry-After for a request that would be denied if the
+// configuration were confirmed as the newest.
+func requireRetryLater(t *testing.T, front, raw string) {
 	t.Helper()
-	ans, _, err := say(t, front, raw)
+	ans, _, err := roundTrip(t, front, raw)
 	must.NoError(t, err)
 	must.Eq(t, 503, ans.StatusCode)
 	must.NotEq(t, "", ans.Header.Get(hRetryAfter))
 }
 
-// A 404 or 401 needs a read of what a majority of the register's members has accepted:
-// that none of them has learned of anything newer is not enough, nor is a majority of
-// those that happen to be in view, nor that nobody is.
-func TestFinalRefusalNeedsAQuorumRead(t *testing.T) {
+// A 404 or 401 needs a read from a majority of the register's members that shows what they have
+// accepted. It is not enough that none of them has learned of a newer committed version, that a
+// majority of the controllers in view agrees, or that no controller is in view.
+func TestDenialNeedsQuorumRead(t *testing.T) {
 	const size = 5
 	accepted := func(s *coreStub, i int) *messages.Versions {
-		m := s.confirming(i, 1)
+		m := s.confirmedVersion(i, 1)
 		m.ConfigAccepted = 2
 		return m
 	}
@@ -50,7 +52,7 @@
 		{"identities that are not members answer", size, func(s *coreStub) {
 			for i := range size/2 + 1 {
 				s.versions[i] = func() *messages.Versions {
-					m := s.confirming(i, 1)
+					m := s.confirmedVersion(i, 1)
 					m.MemberID = "wiped"
 					return m
 				}
@@ -61,8 +63,8 @@
 			c, front, _ := start(t, newRunner(t))
 			s := startCore(t, c, test.size)
 			s.set(func() { test.arrange(s) })
-			mustPutOff(t, front, unknownRoute())
-			mustPutOff(t, front, strings.Replace(request("/pay/", "x"), "Token k1", "Token k9", 1))
+			requireRetryLater(t, front, unknownRouteRequest())
+			requireRetryLater(t, front, strings.Replace(request("/pay/", "x"), "Token k1", "Token k9", 1))
 		})
 	}
 	t.Run("a minority has accepted a newer version", func(t *testing.T) {
@@ -73,21 +75,21 @@
 				s.versions[i] = func() *messages.Versions { return accepted(s, i) }
 			}
 		})
-		ans, _, err := say(t, front, unknownRoute())
+		ans, _, err := roundTrip(t, front, unknownRouteRequest())
 		must.NoError(t, err)
 		must.Eq(t, 404, ans.StatusCode)
 	})
 }
 
-// A router that is behind and asked for unknown routes fetches what it lacks once, from
-// one controller, however many requests wait and however many controllers have it.
-func TestMissingStateIsFetchedOnceFromOnePeer(t *testing.T) {
+// A router that is behind fetches the missing state once, from one controller, however many
+// requests for unknown routes wait and however many controllers have it.
+func TestConcurrentDenialChecksFetchMissingStateOnce(t *testing.T) {
 	const size, clients = 5, 8
 	c, front, _ := start(t, newRunner(t))
 	s := startCore(t, c, size)
 	newer := strings.Replace(strings.Replace(configText, `"version":3`, `"version":4`, 1), `"/open/"`, `"/nothing/"`, 1)
 	change := configSnapshot(t, newer, 2)
-	var asked atomic.Int64 // controllers that have named the newer version
+	var asked atomic.Int64 // responses that named the newer version
 	gate := make(chan struct{})
 	s.set(func() {
 		s.delta = func(messages.SyncState) messages.Feed {
@@ -97,14 +99,14 @@
 		for i := range size {
 			s.versions[i] = func() *messages.Versions {
 				asked.Add(1)
-				return s.confirming(i, 2)
+				return s.confirmedVersion(i, 2)
 			}
 		}
 	})
 	var requests sync.WaitGroup
 	for range clients {
 		requests.Go(func() {
-			ans, _, err := say(t, front, unknownRoute())
+			ans, _, err := roundTrip(t, front, unknownRouteRequest())
 			must.NoError(t, err)
 			must.Eq(t, 200, ans.StatusCode)
 		})
@@ -112,18 +114,18 @@
 	for asked.Load() < size || s.fetches.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(20 * time.Millisecond) // for further requests to come, if there were any
+	time.Sleep(20 * time.Millisecond) // time for further fetches, which must not occur
 	close(gate)
 	requests.Wait()
 	must.Eq(t, int64(1), s.fetches.Load())
 }
 
-// A confirmation from before this process stood still is none.
+// A confirmation from before a pause of the process must not justify a denial.
 func TestConfirmationExpires(t *testing.T) {
 	c, _, _ := start(t, newRunner(t))
-	must.False(t, c.confirmationValid(), must.Sprint("nothing was ever confirmed"))
+	must.False(t, c.confirmationValid(), must.Sprint("nothing has been confirmed yet"))
 	limitUs := confirmationTTLUs + c.recheckTimeout().Microseconds()
-	c.majorityUs.Store(c.clock() + 10*limitUs) // ahead, so that a slow test does not outlast it
+	c.majorityUs.Store(c.clock() + 10*limitUs) // in the future, so that it does not expire during a slow test
 	must.True(t, c.confirmationValid())
 	c.majorityUs.Store(c.clock() - limitUs - 1)
 	must.False(t, c.confirmationValid())
--- a/internal/router/request_rules_test.go
+++ b/internal/router/request_rules_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestOneTryUsesNoMoreRunnersThanItsRouteAllows(t *testing.T) {
+func TestRequestReachesAtMostAsManyRunnersAsTries(t *testing.T) {
 	const (
 		ok      = "Beechtide-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n"
 		failure = "HTTP/1.1 500 Internal Server Error\r\n" + ok
@@ -22,14 +22,15 @@
 		for _, script := range []string{"CUT", failure, full, wrong} {
 			t.Run(path, func(t *testing.T) {
 				t.Parallel()
-				must.Between(t, 1, attemptsOf(t, path, script), most, must.Sprint(script))
+				must.Between(t, 1, countAttempts(t, path, script), most, must.Sprint(script))
 			})
 		}
 	}
 }
 
-// attemptsOf counts the runners that one try is sent to where all answer alike.
-func attemptsOf(t *testing.T, path, script string) (sent int) {
+// countAttempts returns how many attempts one request makes at runners that all respond with
+// script.
+func countAttempts(t *testing.T, path, script string) (sent int) {
 	t.Helper()
 	var runners []*runner
 	for range 4 {
@@ -37,9 +38,9 @@
 		r.next = func() string { return script }
 		runners = append(runners, r)
 	}
-	refused := &runner{addr: closedAddress(t)} // nothing is sent to it, and it does not count
+	refused := &runner{addr: closedAddress(t)} // refuses connections; nothing is sent to it, and it does not count as an attempt
 	_, front, _ := start(t, append([]*runner{refused}, runners...)...)
-	_, _, err := say(t, front, request(path, "x"))
+	_, _, err := roundTrip(t, front, request(path, "x"))
 	must.NoError(t, err)
 	for _, r := range runners {
 		for _, q := range r.requests() {
@@ -65,7 +66,7 @@
 	return append([]*http.Request{}, r.seen...)
 }
 
-func TestHeadersOfThePromptReachTheRunnerUnchanged(t *testing.T) {
+func TestPromptHeadersReachRunnerUnchanged(t *testing.T) {
 	for _, tc := range []struct{ model, tokens, prefix string }{
 		{"m", "20,5", "ab:15,cd:5"},
 		{"m", "20, 5", "ab:15, cd:5"},
@@ -75,23 +76,23 @@
 		r := newRunner(t)
 		_, front, _ := start(t, r)
 		raw := strings.NewReplacer("20,5", tc.tokens, "ab:15,cd:5", tc.prefix, "Beechtide-Token-Count", "beechtide-token-count").Replace(request("/chat/", "x"))
-		a, _, err := say(t, front, raw)
+		a, _, err := roundTrip(t, front, raw)
 		must.NoError(t, err)
 		must.Eq(t, 200, a.StatusCode, must.Sprint(tc))
 		for name, value := range map[string]string{hModel: tc.model, hTokens: tc.tokens, hPrefix: tc.prefix} {
-			must.Eq(t, []string{value}, r.last().Header.Values(name), must.Sprint(tc))
+			must.Eq(t, []string{value}, r.lastRequest().Header.Values(name), must.Sprint(tc))
 		}
 	}
 }
 
-// A busy machine, too, says at once that it is leaving.
-func TestMachineThatLeavesIsNotReadyWhileItsRequestsEnd(t *testing.T) {
-	r, reached, ended := working(t, streamHead+chunk("id: 1\ndata: a\n\n"))
+// A router reports not ready as soon as it drains, also while requests are in flight.
+func TestDrainingRouterIsNotReadyWithRequestsInFlight(t *testing.T) {
+	r, reached, ended := newBlockingRunner(t, streamHead+chunk("id: 1\ndata: a\n\n"))
 	c, front, cancel := start(t, r)
 	c.informed.Store(true)
-	c.takesConfig(t, unhurriedMenu)
-	send(t, front, unhurried("/chat/"))
-	awaited(t, reached, "the request at the runner")
+	c.receiveConfig(t, longCutoffConfig)
+	dialAndSend(t, front, longRequest("/chat/"))
+	awaitEvent(t, reached, "the request at the runner")
 	ready := func() int {
 		a, err := http.Get("http://" + c.set.Listen.Ready + "/api/ready")
 		must.NoError(t, err)
@@ -107,12 +108,12 @@
 	must.Eq(t, 1, c.inFlight.Load())
 	select {
 	case <-ended:
-		t.Fatal("a request was ended by the beginning of the end")
+		t.Fatal("the start of the drain ended a request")
 	default:
 	}
 }
 
-func TestNodeWithoutAConfigurationAnswers503(t *testing.T) {
+func TestRouterWithoutConfigurationAnswers503(t *testing.T) {
 	c := &Router{clock: func() int64 { return 1 }}
 	rc := app.NewContext(0)
 	rc.Request.Header.SetMethod("POST")
@@ -123,8 +124,8 @@
 	must.NotEq(t, "", rc.Response.Header.Get(hRetryAfter))
 }
 
-// A runner's seal never goes out with a status that the runner did not give.
-func TestSealKeepsTheStatusOfItsRunner(t *testing.T) {
+// A runner's seal must not be forwarded with a status other than the one the runner sent.
+func TestSealIsForwardedOnlyWithItsStatus(t *testing.T) {
 	for line, want := range map[string]int{
 		"400 Bad Request": 400, "404 Not Found": 404, "500 Internal Server Error": 500, "504 Gateway Timeout": 504,
 		"429 Too Many Requests": 502, "503 Service Unavailable": 502, "421 Misdirected Request": 503,
@@ -136,7 +137,7 @@
 				return "HTTP/1.1 " + line + "\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Server-Seal: seal\r\nContent-Length: 2\r\n\r\nno"
 			}
 			_, front, _ := start(t, r)
-			a, _, err := say(t, front, request("/pay/", "x"))
+			a, _, err := roundTrip(t, front, request("/pay/", "x"))
 			must.NoError(t, err)
 			must.Eq(t, want, a.StatusCode)
 			must.Eq(t, strings.HasPrefix(line, a.Status[:3]), a.Header.Get("Beechtide-Server-Seal") != "")
--- a/internal/router/retired_test.go
+++ b/internal/router/retired_test.go
@@ -47,22 +47,22 @@
 	old, renewed := newRunner(t), newRunner(t)
 	c, front, _ := start(t, old)
 	c.listBoth(t, old, renewed)
-	for old.count() == 0 {
+	for old.requestCount() == 0 {
 		c.load(2_000)
-		_, _, err := say(t, front, request("/pay/1", ""))
+		_, _, err := roundTrip(t, front, request("/pay/1", ""))
 		must.NoError(t, err)
 	}
-	before, others := old.count(), renewed.count()
+	before, others := old.requestCount(), renewed.requestCount()
 	c.load(0)
 	c.retire(t, 2)
 	for range 8 {
-		a, _, err := say(t, front, request("/pay/1", ""))
+		a, _, err := roundTrip(t, front, request("/pay/1", ""))
 		must.NoError(t, err)
 		must.Eq(t, 200, a.StatusCode)
 	}
-	must.Eq(t, before, old.count())
-	must.Eq(t, others+8, renewed.count())
-	must.Eq(t, "w5/t1", renewed.last().Header.Get(hSalt))
+	must.Eq(t, before, old.requestCount())
+	must.Eq(t, others+8, renewed.requestCount())
+	must.Eq(t, "w5/t1", renewed.lastRequest().Header.Get(hSalt))
 }
 
 // A configuration that comes late, from before, does not bring retired weights back.
@@ -71,10 +71,10 @@
 	c, front, _ := start(t, old)
 	c.retire(t, 2)
 	c.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, configText, 1)}})
-	a, _, err := say(t, front, strings.Replace(request("/chat/1", ""), "2500", "300", 1))
+	a, _, err := roundTrip(t, front, strings.Replace(request("/chat/1", ""), "2500", "300", 1))
 	must.NoError(t, err)
 	must.Eq(t, 503, a.StatusCode)
-	must.Zero(t, old.count())
+	must.Zero(t, old.requestCount())
 }
 
 func TestStreamInFlightOnRetiredWeightsIsAnsweredOnce(t *testing.T) {
@@ -85,8 +85,8 @@
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	}
 	c, front, _ := start(t, old)
-	answer := sayLater(t, front, request("/sort/", "x"))
-	for c.begun() == 0 {
+	answer := roundTripAsync(t, front, request("/sort/", "x"))
+	for c.begunRequests() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	renewed := newRunner(t)
@@ -97,7 +97,7 @@
 	a := <-answer
 	must.NoError(t, a.err)
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", a.body)
-	must.Zero(t, renewed.count())
+	must.Zero(t, renewed.requestCount())
 }
 
 // A request that waits at a runner with retired weights goes to another one, if it may run
@@ -117,7 +117,7 @@
 				}
 			}
 			router, front, _ := start(t, old)
-			answer := sayLater(t, front, request(c.path, "x"))
+			answer := roundTripAsync(t, front, request(c.path, "x"))
 			awaitRequest(old)
 			renewed := newRunner(t)
 			router.listBoth(t, old, renewed)
@@ -129,8 +129,8 @@
 			a := <-answer
 			must.NoError(t, a.err)
 			must.Eq(t, 200, a.StatusCode)
-			must.Eq(t, c.moves, renewed.count() == 1)
-			must.Eq(t, 1, old.count())
+			must.Eq(t, c.moves, renewed.requestCount() == 1)
+			must.Eq(t, 1, old.requestCount())
 		})
 	}
 }
@@ -145,6 +145,6 @@
 	must.Eq(t, "m", list[0].Model)
 	must.Eq(t, 5, list[0].Before)
 	must.Eq(t, 1, list[0].Runners)
-	c.join(t, "r0", old, 5)
+	c.addRunner(t, "r0", old, 5)
 	must.Zero(t, c.condition().Retired[0].Runners)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -31,10 +31,9 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// runner is our stand-in for a runner: it answers each request with the next
-// of its scripts, raw bytes as they go over the wire. ID in a script stands for
-// the request's id. A script that ends in CUT closes the connection, one in RESET
-// resets it.
+// runner is a scripted runner. It responds to each request with the next of its scripts, raw bytes
+// as they are written to the connection. ID in a script stands for the attempt id. A script that
+// ends in CUT closes the connection, one that ends in RESET resets it.
 type runner struct {
 	addr    string
 	mu      sync.Mutex
@@ -43,7 +42,7 @@
 	bodies  []string
 	next    func() string
 	conns   int
-	stream  func(write func(string), closed <-chan struct{}) // instead of scripts: writes as it likes, then the link ends
+	stream  func(write func(string), closed <-chan struct{}) // replaces the scripts: writes the response itself, then the connection is closed
 }
 
 func newRunner(t *testing.T, scripts ...string) *runner {
@@ -76,19 +75,19 @@
 			return
 		}
 		b, _ := io.ReadAll(q.Body)
-		script := r.scriptFor(q, string(b))
+		script := r.nextScript(q, string(b))
 		if r.stream != nil {
 			r.streamTo(c, br, q)
 			return
 		}
-		if !answerBy(c, q, script) {
+		if !writeScript(c, q, script) {
 			return
 		}
 	}
 }
 
-// scriptFor notes a request and returns the script of its answer.
-func (r *runner) scriptFor(q *http.Request, body string) string {
+// nextScript records a request and returns the script of its response.
+func (r *runner) nextScript(q *http.Request, body string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seen, r.bodies = append(r.seen, q), append(r.bodies, body)
@@ -103,7 +102,7 @@
 	return "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"
 }
 
-// streamTo has the runner's stream write the answer.
+// streamTo lets the runner's stream function write the response.
 func (r *runner) streamTo(c net.Conn, br *bufio.Reader, q *http.Request) {
 	closed := make(chan struct{})
 	go func() {
@@ -115,8 +114,8 @@
 	}, closed)
 }
 
-// answerBy writes the answer of a script. It reports whether the connection stays open.
-func answerBy(c net.Conn, q *http.Request, script string) bool {
+// writeScript writes the response of a script. It reports whether the connection stays open.
+func writeScript(c net.Conn, q *http.Request, script string) bool {
 	script, reset := strings.CutSuffix(script, "RESET")
 	script, cut := strings.CutSuffix(script, "CUT")
 	_, _ = io.WriteString(c, strings.ReplaceAll(script, "ID", q.Header.Get(hAttempt)))
@@ -126,13 +125,13 @@
 	return !cut && !reset
 }
 
-func (r *runner) last() *http.Request {
+func (r *runner) lastRequest() *http.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.seen[len(r.seen)-1]
 }
 
-func (r *runner) count() int {
+func (r *runner) requestCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.seen)
@@ -156,17 +155,16 @@
  "limits":{"headerBytes":4096,"bodyBytes":65536,"headerMs":200,"idleMs":5000},
  "tenants":[{"name":"t1","apiKeys":["k1"],"isolated":true}]}`
 
-// ports finds free ports, below those that connections take for themselves.
-// Ports of tests: pairs from a range, of which no pair is given twice in a run, so that
-// what still dials the node of an earlier test does not meet the node of a later one.
+// Ports of tests: pairs from a range below the ephemeral ports. No pair is used twice in a run, so
+// that a connection attempt to the node of an earlier test does not reach a later node.
 const (
 	firstTestPort = 21000
 	testPortPairs = 4500
 )
 
 var (
-	testPortsStart = rand.Int64N(testPortPairs) // apart from those of other runs on the machine
-	testPortsTaken atomic.Int64
+	testPortsStart = rand.Int64N(testPortPairs) // random, to differ from other runs on the machine
+	testPortsUsed  atomic.Int64
 )
 
 // ports returns n free ports of the loopback; the port after each of them is free too.
@@ -174,7 +172,7 @@
 	t.Helper()
 	var out []int
 	for len(out) < n {
-		pair := (testPortsStart + testPortsTaken.Add(1)) % testPortPairs
+		pair := (testPortsStart + testPortsUsed.Add(1)) % testPortPairs
 		if p := firstTestPort + 2*int(pair); isFree(p) && isFree(p+1) {
 			out = append(out, p)
 		}
@@ -198,14 +196,14 @@
 	return c, front, run.cancel
 }
 
-// running is the run of a router: cancel tells it to end, and ended has what it returned.
-type running struct {
+// routerRun is a running router: cancel makes it end, and ended receives the result of Run.
+type routerRun struct {
 	cancel context.CancelFunc
 	ended  <-chan error
 }
 
 // startWithGrace starts a router whose platform kills it graceS seconds after SIGTERM.
-func startWithGrace(t *testing.T, graceS float64, runners ...*runner) (*Router, string, running) {
+func startWithGrace(t *testing.T, graceS float64, runners ...*runner) (*Router, string, routerRun) {
 	t.Helper()
 	p := ports(t, 3)
 	addr := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", p[i]) }
@@ -234,7 +232,7 @@
 			break
 		}
 	}
-	return c, set.Listen.Front, running{cancel, ended}
+	return c, set.Listen.Front, routerRun{cancel, ended}
 }
 
 func configSnapshot(t *testing.T, text string, version int64) messages.EntryChange {
@@ -268,8 +266,8 @@
 		strings.Join(append(extra, ""), "\r\n") + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// say sends raw bytes and gives the whole of what comes back on the connection.
-func say(t *testing.T, front, raw string) (*http.Response, string, error) {
+// roundTrip sends raw bytes on a new connection and returns the response with its complete body.
+func roundTrip(t *testing.T, front, raw string) (*http.Response, string, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp4", front)
 	must.NoError(t, err)
@@ -285,10 +283,10 @@
 	return r, string(b), err
 }
 
-func TestStreamIsPassedOnUnchanged(t *testing.T) {
+func TestStreamIsForwardedUnchanged(t *testing.T) {
 	r := newRunner(t, streamHead+chunk("id: 1\ndata: a\n\n")+chunk("id: 2\ndata: b\n\n")+"0\r\n\r\n")
 	_, front, _ := start(t, r)
-	a, body, err := say(t, front, request("/chat/a%2Fb//c?q=%20x", "hello", "Connection: keep-alive, X-Hop", "X-Hop: 1", "X-Other: 2", "Beechtide-Tenant: evil", "Beechtide-Cache-Salt: evil"))
+	a, body, err := roundTrip(t, front, request("/chat/a%2Fb//c?q=%20x", "hello", "Connection: keep-alive, X-Hop", "X-Hop: 1", "X-Other: 2", "Beechtide-Tenant: evil", "Beechtide-Cache-Salt: evil"))
 	must.NoError(t, err)
 	must.Eq(t, 200, a.StatusCode)
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", body)
@@ -306,30 +304,30 @@
 	must.Eq(t, "", q.Header.Get(hAuth))
 }
 
-func TestChunkedRequestsArriveWhole(t *testing.T) {
+func TestChunkedRequestIsForwardedCompletely(t *testing.T) {
 	r := newRunner(t)
 	_, front, _ := start(t, r)
 	raw := strings.Replace(request("/pay/1", ""), "Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", 1)
-	a, body, err := say(t, front, raw)
+	a, body, err := roundTrip(t, front, raw)
 	must.NoError(t, err)
 	must.Eq(t, 200, a.StatusCode)
 	must.Eq(t, "ok", body)
 	must.Eq(t, "abcde", r.bodies[0])
 }
 
-func TestTruncatedStreamIsSeenAsTruncated(t *testing.T) {
+func TestStreamTruncatedByRunnerIsTruncatedForClient(t *testing.T) {
 	r := newRunner(t, streamHead+chunk("id: 1\ndata: a\n\n")+"CUT")
 	_, front, _ := start(t, r)
-	_, body, err := say(t, front, request("/chat/", ""))
+	_, body, err := roundTrip(t, front, request("/chat/", ""))
 	must.Error(t, err)
 	must.StrHasPrefix(t, "id: 1", body)
-	must.Eq(t, 1, r.count())
+	must.Eq(t, 1, r.requestCount())
 }
 
-func TestResumableStreamGoesOnAtAnotherRunner(t *testing.T) {
+func TestResumableStreamContinuesAtAnotherRunner(t *testing.T) {
 	one := streamHead + chunk("id: 1\ndata: a\n\n") + chunk("id: 2\nda") + "CUT"
 	two := streamHead + chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n"
-	// whichever runner is asked first breaks off, the one asked next goes on
+	// the runner of the first attempt breaks off, the other one continues the stream
 	var turn sync.Mutex
 	shared := []string{one, two}
 	a, b := newRunner(t), newRunner(t)
@@ -342,7 +340,7 @@
 	}
 	a.next, b.next = next, next
 	_, front, _ := start(t, a, b)
-	ans, body, err := say(t, front, request("/sort/", ""))
+	ans, body, err := roundTrip(t, front, request("/sort/", ""))
 	must.NoError(t, err)
 	must.Eq(t, 200, ans.StatusCode)
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", body)
@@ -357,58 +355,58 @@
 	must.Eq(t, "1", last)
 }
 
-func TestEffectfulRunsOnceWhenTheAnswerIsLost(t *testing.T) {
+func TestEffectfulRequestIsNotRetriedAfterLostResponse(t *testing.T) {
 	a, b := newRunner(t, "CUT"), newRunner(t, "CUT")
 	_, front, _ := start(t, a, b)
-	ans, _, err := say(t, front, request("/pay/", "x"))
+	ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 502, ans.StatusCode)
-	must.Eq(t, 1, a.count()+b.count())
+	must.Eq(t, 1, a.requestCount()+b.requestCount())
 }
 
-func TestNotExecutedMayGoElsewhere(t *testing.T) {
+func TestNotExecutedRequestIsRetriedWithinTries(t *testing.T) {
 	full := "HTTP/1.1 503 Service Unavailable\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	a, b := newRunner(t, full), newRunner(t, full)
 	_, front, _ := start(t, a, b)
-	ans, _, err := say(t, front, request("/pay/", "x"))
+	ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 503, ans.StatusCode)
 	must.NotEq(t, "", ans.Header.Get(hRetryAfter))
-	must.Eq(t, 1, a.count())
-	must.Eq(t, 1, b.count())
+	must.Eq(t, 1, a.requestCount())
+	must.Eq(t, 1, b.requestCount())
 	a.scripts, b.scripts = []string{full}, []string{full}
-	ans, _, err = say(t, front, request("/chat/", "x"))
+	ans, _, err = roundTrip(t, front, request("/chat/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 503, ans.StatusCode)
-	must.Eq(t, 3, a.count()+b.count(), must.Sprint("one try means one runner"))
+	must.Eq(t, 3, a.requestCount()+b.requestCount(), must.Sprint("one try must use one runner"))
 }
 
-func TestIdempotentIsTriedAgain(t *testing.T) {
+func TestIdempotentRequestIsRetried(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	_, front, _ := start(t, a, b)
 	a.scripts, b.scripts = []string{"CUT"}, nil
 	for range 4 {
-		ans, body, err := say(t, front, request("/open/", "x"))
+		ans, body, err := roundTrip(t, front, request("/open/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 		must.Eq(t, "ok", body)
 	}
 }
 
-func TestSurplusAnswerInThePlaceOfTheNextIsPassedOver(t *testing.T) {
+func TestResponseToAnotherAttemptIsSkipped(t *testing.T) {
 	late := "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: other\r\nContent-Length: 5\r\n\r\nwrong"
 	r := newRunner(t, late+"HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nright")
 	_, front, _ := start(t, r)
-	ans, body, err := say(t, front, request("/pay/", "x"))
+	ans, body, err := roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 200, ans.StatusCode)
 	must.Eq(t, "right", body)
 }
 
-func TestBadInputIsRejectedAndNeverReachesARunner(t *testing.T) {
+func TestInvalidRequestIsRejectedAndNotForwarded(t *testing.T) {
 	r := newRunner(t)
 	router, front, _ := start(t, r)
-	startCore(t, router, 1) // a refusal for good needs a core that confirms it
+	startCore(t, router, 1) // a denial needs a core that confirms the configuration
 	good := request("/pay/", "x")
 	for _, c := range []struct {
 		name, raw string
@@ -427,32 +425,32 @@
 		{"body too large", strings.Replace(good, "Content-Length: 1\r\n\r\nx", "Content-Length: 70000\r\n\r\n"+strings.Repeat("x", 70000), 1), 413},
 		{"head too large", strings.Replace(good, "Beechtide-Model", "X-Long: "+strings.Repeat("y", 8000)+"\r\nBeechtide-Model", 1), 431},
 	} {
-		a, _, err := say(t, front, c.raw)
+		a, _, err := roundTrip(t, front, c.raw)
 		must.NoError(t, err, must.Sprint(c.name))
 		must.Eq(t, c.status, a.StatusCode, must.Sprint(c.name))
 	}
-	must.Eq(t, 0, r.count())
-	a, _, err := say(t, front, good)
+	must.Eq(t, 0, r.requestCount())
+	a, _, err := roundTrip(t, front, good)
 	must.NoError(t, err)
 	must.Eq(t, 200, a.StatusCode)
 }
 
-func TestDrainingRunnerGetsNothingMore(t *testing.T) {
+func TestDrainingRunnerReceivesNoRequests(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	c, front, _ := start(t, a, b)
 	n := c.registry.Snapshot().ByID["r0"]
 	n.Seq, n.Draining = 2, true
 	must.True(t, c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, n)}}))
 	for range 6 {
-		ans, _, err := say(t, front, request("/pay/", "x"))
+		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
-	must.Eq(t, 0, a.count())
-	must.Eq(t, 6, b.count())
+	must.Eq(t, 0, a.requestCount())
+	must.Eq(t, 6, b.requestCount())
 }
 
-func TestLeavingMarksAnswersAndFinishesThem(t *testing.T) {
+func TestDrainingRouterServesRequestsAndClosesConnections(t *testing.T) {
 	r := newRunner(t)
 	c, front, run := startWithGrace(t, 60, r)
 	cancel := run.cancel
@@ -463,13 +461,13 @@
 		runtime.Gosched()
 	}
 	must.False(t, c.ready())
-	a, body, err := say(t, front, request("/pay/", "x"))
+	a, body, err := roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, "ok", body)
 	must.True(t, a.Close)
 }
 
-func TestLeavingClosesOnlyConnectionsWithoutARequest(t *testing.T) {
+func TestCloseIdleKeepsConnectionsWithRequests(t *testing.T) {
 	ln, err := listenFront("127.0.0.1:0", fixedLimits(time.Minute))
 	must.NoError(t, err)
 	defer ln.Listener.Close()
@@ -487,7 +485,7 @@
 		ended <- err
 	}()
 	c, busy := dial()
-	_, err = io.WriteString(c, wholeRequest)
+	_, err = io.WriteString(c, completeRequest)
 	must.NoError(t, err)
 	_, err = busy.Read(make([]byte, 8))
 	must.NoError(t, err)
@@ -497,57 +495,57 @@
 	must.Error(t, <-ended)
 	_, err = io.WriteString(busy, "HTTP/1.1 200 OK\r\n\r\n")
 	must.NoError(t, err)
-	must.Eq(t, 1, ln.closeIdle(), must.Sprint("an answer under way is not idle"))
+	must.Eq(t, 1, ln.closeIdle(), must.Sprint("a connection with a response in progress is not idle"))
 	busy.Close()
 	must.Eq(t, 0, ln.closeIdle())
 }
 
-// regulated is the configuration with a regime that only runner r1 is certified for.
-func regulated(version int, runners string) string {
+// regulatedConfig is configText with a regime for which only the given runners are certified.
+func regulatedConfig(version int, runners string) string {
 	s := strings.Replace(configText, `"version":3`, fmt.Sprintf(`"version":%d`, version), 1)
 	s = strings.Replace(s, `"isolated":true}`, `"isolated":true,"regime":"allergen"},{"name":"t2","apiKeys":["k2"]}`, 1)
 	return strings.Replace(s, `"limits"`, `"regimes":[{"name":"allergen"}],"certificates":[{"regime":"allergen","runners":[`+runners+`]}],"limits"`, 1)
 }
 
-func (r *Router) adopt(t *testing.T, streamVersion, version int64, text string) {
+func (r *Router) receiveConfigVersion(t *testing.T, streamVersion, version int64, text string) {
 	t.Helper()
 	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, text, streamVersion)}}))
 	must.Eq(t, version, r.table.Load().Version)
 }
 
-func TestRegulatedRequestsGoToCertifiedRunnersOnly(t *testing.T) {
+func TestRegulatedRequestsReachOnlyCertifiedRunners(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	c, front, _ := start(t, a, b)
-	c.adopt(t, 2, 4, regulated(4, `"r1"`))
+	c.receiveConfigVersion(t, 2, 4, regulatedConfig(4, `"r1"`))
 	for range 6 {
-		ans, _, err := say(t, front, request("/pay/", "x"))
+		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
-	must.Eq(t, 0, a.count())
-	must.Eq(t, 6, b.count())
+	must.Eq(t, 0, a.requestCount())
+	must.Eq(t, 6, b.requestCount())
 	must.Eq(t, "w4~allergen/t1", b.seen[0].Header.Get(hSalt))
 	other := strings.Replace(request("/pay/", "x", "X-Other: 1"), "Token k1", "Token k2", 1)
-	ans, _, err := say(t, front, other)
+	ans, _, err := roundTrip(t, front, other)
 	must.NoError(t, err)
 	must.Eq(t, 200, ans.StatusCode)
 
-	// the certificate moves; the next request follows it
-	c.adopt(t, 3, 5, regulated(5, `"r0"`))
-	was := a.count()
-	ans, _, err = say(t, front, request("/pay/", "x"))
+	// the certificate moves to the other runner; the next request goes there
+	c.receiveConfigVersion(t, 3, 5, regulatedConfig(5, `"r0"`))
+	was := a.requestCount()
+	ans, _, err = roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 200, ans.StatusCode)
-	must.Eq(t, was+1, a.count())
+	must.Eq(t, was+1, a.requestCount())
 
-	// nobody is certified: rejected with a time to come back, sent nowhere
-	c.adopt(t, 4, 6, regulated(6, `"r9"`))
-	sum := a.count() + b.count()
-	ans, _, err = say(t, front, request("/pay/", "x"))
+	// no runner is certified: rejected with Retry-After, sent nowhere
+	c.receiveConfigVersion(t, 4, 6, regulatedConfig(6, `"r9"`))
+	sum := a.requestCount() + b.requestCount()
+	ans, _, err = roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, 503, ans.StatusCode)
 	must.NotEq(t, "", ans.Header.Get(hRetryAfter))
-	must.Eq(t, sum, a.count()+b.count())
+	must.Eq(t, sum, a.requestCount()+b.requestCount())
 
 	var out strings.Builder
 	must.NoError(t, c.trail.Write(&out))
@@ -555,43 +553,43 @@
 	must.NoError(t, err)
 	var menus []api.Configuration
 	for v, who := range map[int]string{4: `"r1"`, 5: `"r0"`, 6: `"r9"`} {
-		m, err := routeconfig.Parse([]byte(regulated(v, who)))
+		m, err := routeconfig.Parse([]byte(regulatedConfig(v, who)))
 		must.NoError(t, err)
 		menus = append(menus, m)
 	}
 	for i := range list {
-		list[i].Attempt = fmt.Sprint(i / 3) // the stand-in client repeats one id
+		list[i].Attempt = fmt.Sprint(i / 3) // the test client repeats one id
 	}
 	must.SliceEmpty(t, compliance.CheckTrail(list, menus))
 	must.Len(t, 7*3+2, list)
 }
 
-func TestOldRunnerIsRefusedAtTheMomentOfSending(t *testing.T) {
+func TestCertificateIsCheckedAgainBeforeSending(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	c, _, _ := start(t, a, b)
-	c.adopt(t, 2, 4, regulated(4, `"r1"`))
+	c.receiveConfigVersion(t, 2, 4, regulatedConfig(4, `"r1"`))
 	v := &exchange{router: c, tenant: c.table.Load().Tenant("k1"), id: "x"}
 	v.request.Regime = "allergen"
 	snap := c.registry.Snapshot()
 	must.True(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r1"]}))
 	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r0"]}))
-	c.adopt(t, 3, 5, regulated(5, `"r0"`))
-	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r1"]}), must.Sprint("admitted before the certificate went"))
+	c.receiveConfigVersion(t, 3, 5, regulatedConfig(5, `"r0"`))
+	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r1"]}), must.Sprint("admitted before the certificate was withdrawn"))
 	v.request.Regime = ""
-	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r0"]}), must.Sprint("the regime came while it waited"))
+	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r0"]}), must.Sprint("the regime was set after admission"))
 	must.Eq(t, "allergen", v.request.Regime)
 }
 
-func TestOlderNewsNeverComesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	c, _, _ := start(t, newRunner(t))
 	older := strings.Replace(configText, `"version":3`, `"version":2`, 1)
 	must.True(t, c.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, older, 0)}}))
 	must.Eq(t, int64(3), c.table.Load().Version)
 }
 
-// A change that is damaged, builds on what is not held, or cannot be read ends
-// nothing and changes nothing; the whole repairs it.
-func TestBadChangesOfTheConfigurationAreRepairedByAWhole(t *testing.T) {
+// A delta that is damaged, based on a version that is not held, or unreadable changes nothing, and
+// a later valid one applies.
+func TestInvalidConfigurationChangeIsIgnored(t *testing.T) {
 	c, _, _ := start(t, newRunner(t))
 	s := statesync.NewEntries()
 	m, err := routeconfig.Parse([]byte(configText))
@@ -625,12 +623,12 @@
 	must.Eq(t, int64(4), c.table.Load().Version)
 	must.Eq(t, "t1", c.table.Load().Tenant("k9").Name)
 	must.Nil(t, c.table.Load().Tenant("k1"))
-	must.True(t, c.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{good}}), must.Sprint("twice does nothing"))
+	must.True(t, c.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{good}}), must.Sprint("applying it twice must change nothing"))
 }
 
-// A controller that has just started and knows no runner does not make a router
-// ready.
-func TestReadyNeedsAConfigurationAndARunner(t *testing.T) {
+// A controller that has just started may send an empty list of runners, which must not make a
+// router ready.
+func TestReadyNeedsConfigurationAndRunner(t *testing.T) {
 	c, _, _ := start(t)
 	must.True(t, c.applyFeed("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 4, Snapshot: true, Entries: []messages.Entry{}}}}))
 	must.False(t, c.ready())
--- a/internal/router/runner_leaves_test.go
+++ b/internal/router/runner_leaves_test.go
@@ -22,8 +22,8 @@
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	}
 	c, front, _ := start(t, a)
-	c.takesConfig(t, unhurriedMenu)
-	conn := send(t, front, unhurried("/chat/"))
+	c.receiveConfig(t, longCutoffConfig)
+	conn := dialAndSend(t, front, longRequest("/chat/"))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	must.NoError(t, err)
 	other := messages.RunnerRecord{ID: "r1", Service: "s", Addr: b.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: 4}}}
@@ -38,12 +38,12 @@
 	tell("", late)
 	tell("p", late, other)
 	for range 6 {
-		ans, _, err := say(t, front, request("/pay/", "x"))
+		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
-	must.Eq(t, 1, a.count())
-	must.Eq(t, 6, b.count())
+	must.Eq(t, 1, a.requestCount())
+	must.Eq(t, 6, b.requestCount())
 	close(finish)
 	body, err := io.ReadAll(answer.Body)
 	must.NoError(t, err)
--- a/internal/router/time_limit_test.go
+++ b/internal/router/time_limit_test.go
@@ -15,22 +15,23 @@
 	"github.com/shoenig/test/must"
 )
 
-// shortCutoff is the cutoff of the tests, and much how many times of it a busy
-// machine may need. A request may be taken back from its runner a little before its
-// end, so that the closing is there by then, but a silent runner is waited for.
+// shortCutoff is the cutoff of the tests, and maxCutoffs the multiple of it within which a busy
+// machine must end a request. An attempt is withdrawn slightly before the deadline, so that the
+// runner sees the close in time, but not before minElapsed.
 const (
 	shortCutoff = 400 * time.Millisecond
-	notBefore   = shortCutoff - shortCutoff/8
-	much        = 4
+	minElapsed  = shortCutoff - shortCutoff/8
+	maxCutoffs  = 4
 )
 
-// cutoffMenu is the unhurried configuration with another cutoff.
-func cutoffMenu(version int, cutoff time.Duration) string {
-	return strings.NewReplacer(`"version":4`, fmt.Sprintf(`"version":%d`, version), `"cutoffMs":7200000`, fmt.Sprintf(`"cutoffMs":%d`, cutoff.Milliseconds())).Replace(unhurriedMenu)
+// cutoffConfig is longCutoffConfig with the given version and cutoff.
+func cutoffConfig(version int, cutoff time.Duration) string {
+	return strings.NewReplacer(`"version":4`, fmt.Sprintf(`"version":%d`, version), `"cutoffMs":7200000`, fmt.Sprintf(`"cutoffMs":%d`, cutoff.Milliseconds())).Replace(longCutoffConfig)
 }
 
-// endless writes first, and then the same again and again until its connection ends.
-func endless(t *testing.T, first, again string) (r *runner, ended chan struct{}) {
+// newEndlessRunner returns a runner that writes first, and then repeated until its connection is
+// closed.
+func newEndlessRunner(t *testing.T, first, repeated string) (r *runner, ended chan struct{}) {
 	t.Helper()
 	r, ended = newRunner(t), make(chan struct{}, 8)
 	r.stream = func(write func(string), closed <-chan struct{}) {
@@ -41,7 +42,7 @@
 			case <-closed:
 				return
 			case <-time.After(shortCutoff / 40):
-				write(again)
+				write(repeated)
 			}
 		}
 	}
@@ -53,7 +54,7 @@
 	event := chunk("id: 1\ndata: a\n\n")
 	for _, tc := range []struct {
 		name, path, first, again string
-		begun                    bool // a part of the answer has gone out
+		begun                    bool // the client has received a part of the response
 	}{
 		{"silent, run once", "/pay/", "", "", false},
 		{"silent, repeatable", "/open/", "", "", false},
@@ -70,16 +71,16 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			r, ended := endless(t, tc.first, tc.again)
+			r, ended := newEndlessRunner(t, tc.first, tc.again)
 			c, front, _ := start(t, r)
-			c.adopt(t, 2, 5, cutoffMenu(5, shortCutoff))
+			c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 			began := time.Now()
-			a, _, err := say(t, front, unhurried(tc.path))
+			a, _, err := roundTrip(t, front, longRequest(tc.path))
 			took := time.Since(began)
-			awaited(t, ended, "the withdrawal from the runner")
-			must.Between(t, notBefore, took, much*shortCutoff)
+			awaitEvent(t, ended, "the withdrawal from the runner")
+			must.Between(t, minElapsed, took, maxCutoffs*shortCutoff)
 			if tc.begun {
-				must.Error(t, err, must.Sprint("a cut stream must not appear complete"))
+				must.Error(t, err, must.Sprint("a truncated stream must not appear complete"))
 				return
 			}
 			must.NoError(t, err)
@@ -88,8 +89,8 @@
 	}
 }
 
-// A client that reads nothing holds its request no longer than another.
-func TestStreamToAClientThatDoesNotReadEndsAtItsCutoff(t *testing.T) {
+// A client that does not read must not extend its request past the cutoff.
+func TestStreamToNonReadingClientEndsAtCutoff(t *testing.T) {
 	r, ended := newRunner(t), make(chan struct{})
 	r.stream = func(write func(string), closed <-chan struct{}) {
 		defer close(ended)
@@ -105,47 +106,48 @@
 		}
 	}
 	c, front, _ := start(t, r)
-	c.adopt(t, 2, 5, cutoffMenu(5, shortCutoff))
+	c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 	began := time.Now()
-	send(t, front, unhurried("/chat/"))
+	dialAndSend(t, front, longRequest("/chat/"))
 	for c.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for c.inFlight.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	must.Between(t, notBefore, time.Since(began), much*shortCutoff)
-	awaited(t, ended, "the withdrawal from the runner")
+	must.Between(t, minElapsed, time.Since(began), maxCutoffs*shortCutoff)
+	awaitEvent(t, ended, "the withdrawal from the runner")
 }
 
-func TestCutoffIsThatOfTheConfigurationAtTheBeginning(t *testing.T) {
-	r, reached, _ := working(t, "")
+func TestCutoffIsFixedWhenRequestBegins(t *testing.T) {
+	r, reached, _ := newBlockingRunner(t, "")
 	c, front, _ := start(t, r)
-	c.adopt(t, 2, 5, cutoffMenu(5, shortCutoff))
+	c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 	answered := make(chan int, 1)
 	go func() {
 		status := 0
-		if a, _, err := say(t, front, unhurried("/pay/")); err == nil {
+		if a, _, err := roundTrip(t, front, longRequest("/pay/")); err == nil {
 			status = a.StatusCode
 		}
 		answered <- status
 	}()
-	awaited(t, reached, "the request at the runner")
-	c.adopt(t, 3, 6, cutoffMenu(6, time.Hour))
+	awaitEvent(t, reached, "the request at the runner")
+	c.receiveConfigVersion(t, 3, 6, cutoffConfig(6, time.Hour))
 	must.Eq(t, 504, <-answered)
 
-	conn := send(t, front, unhurried("/chat/"))
-	awaited(t, reached, "the request at the runner")
-	c.adopt(t, 4, 7, cutoffMenu(7, shortCutoff))
-	a, _, err := say(t, front, unhurried("/pay/"))
+	conn := dialAndSend(t, front, longRequest("/chat/"))
+	awaitEvent(t, reached, "the request at the runner")
+	c.receiveConfigVersion(t, 4, 7, cutoffConfig(7, shortCutoff))
+	a, _, err := roundTrip(t, front, longRequest("/pay/"))
 	must.NoError(t, err)
 	must.Eq(t, 504, a.StatusCode)
-	must.Eq(t, 1, c.inFlight.Load(), must.Sprint("the one that began with hours goes on"))
+	must.Eq(t, 1, c.inFlight.Load(), must.Sprint("the request that began under the long cutoff must continue"))
 	conn.Close()
 }
 
-// timesLeft lists what the runners were handed, in the order of arrival.
-func timesLeft(t *testing.T, runners ...*runner) []time.Duration {
+// receivedTimesLeft returns the remaining times that the runners received, in order of arrival at
+// each.
+func receivedTimesLeft(t *testing.T, runners ...*runner) []time.Duration {
 	t.Helper()
 	var out []time.Duration
 	for _, r := range runners {
@@ -160,7 +162,7 @@
 	return out
 }
 
-func TestRunnerIsHandedTheTimeThatIsLeft(t *testing.T) {
+func TestRunnerReceivesRemainingTime(t *testing.T) {
 	for _, tc := range []struct {
 		header string
 		most   time.Duration
@@ -175,58 +177,58 @@
 	} {
 		r := newRunner(t)
 		_, front, _ := start(t, r)
-		a, _, err := say(t, front, strings.Replace(request("/pay/", "x"), "Beechtide-Time-Left: 2500\r\n", tc.header, 1))
+		a, _, err := roundTrip(t, front, strings.Replace(request("/pay/", "x"), "Beechtide-Time-Left: 2500\r\n", tc.header, 1))
 		must.NoError(t, err)
 		must.Eq(t, 200, a.StatusCode, must.Sprint(tc.header))
-		must.Len(t, 1, r.last().Header.Values(hTimeLeft))
-		must.Between(t, tc.most/2, timesLeft(t, r)[0], tc.most)
+		must.Len(t, 1, r.lastRequest().Header.Values(hTimeLeft))
+		must.Between(t, tc.most/2, receivedTimesLeft(t, r)[0], tc.most)
 	}
 }
 
-func TestFurtherAttemptEndsWithTheFirst(t *testing.T) {
-	const held = 300 * time.Millisecond
+func TestRetryReceivesTimeLeftAfterFirstAttempt(t *testing.T) {
+	const delay = 300 * time.Millisecond
 	for _, first := range []string{"CUT", "HTTP/1.1 503 Service Unavailable\r\nBeechtide-Attempt-Id: ID\r\nBeechtide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"} {
 		a, b := newRunner(t), newRunner(t)
 		turns := make(chan string, 2)
 		turns <- first
 		turns <- "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"
 		next := func() string {
-			time.Sleep(held)
+			time.Sleep(delay)
 			return <-turns
 		}
 		a.next, b.next = next, next
 		_, front, _ := start(t, a, b)
-		ans, _, err := say(t, front, request("/open/", "x"))
+		ans, _, err := roundTrip(t, front, request("/open/", "x"))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
-		left := timesLeft(t, a, b)
+		left := receivedTimesLeft(t, a, b)
 		must.Len(t, 2, left)
-		must.LessEq(t, 2500*time.Millisecond-held, min(left[0], left[1]), must.Sprint(left))
+		must.LessEq(t, 2500*time.Millisecond-delay, min(left[0], left[1]), must.Sprint(left))
 	}
 }
 
-// The time in which a request arrives is its client's, too.
+// The time that a request takes to arrive counts against its time limit.
 func TestTimeLeftCountsFromTheFirstByte(t *testing.T) {
 	const pause = 150 * time.Millisecond // within the limit on the time to send a request
 	r := newRunner(t)
 	c, front, _ := start(t, r)
 	raw := request("/pay/", "some")
-	conn := send(t, front, "")
+	conn := dialAndSend(t, front, "")
 	c.awaitIdle(conn, true)
 	_, err := io.WriteString(conn, raw[:len(raw)-2])
 	must.NoError(t, err)
-	c.awaitIdle(conn, false) // the router has read, and looked at its clock
+	c.awaitIdle(conn, false) // the router has read the first bytes and recorded the time
 	time.Sleep(pause)
 	_, err = io.WriteString(conn, raw[len(raw)-2:])
 	must.NoError(t, err)
 	a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	must.NoError(t, err)
 	must.Eq(t, 200, a.StatusCode)
-	must.LessEq(t, 2500*time.Millisecond-pause, timesLeft(t, r)[0])
+	must.LessEq(t, 2500*time.Millisecond-pause, receivedTimesLeft(t, r)[0])
 }
 
-// awaitIdle waits until the router's side of a client's connection waits for a request, or has
-// read a part of one.
+// awaitIdle waits until the router's end of a client's connection waits for a request (idle), or
+// has read a part of one (not idle).
 func (r *Router) awaitIdle(client net.Conn, idle bool) {
 	for {
 		front := r.front.Load()
@@ -245,9 +247,9 @@
 	}
 }
 
-// muteAddress is an address that takes no more connections and says nothing: its
-// queue of connections is full.
-func muteAddress(t *testing.T) string {
+// unresponsiveAddress returns an address that does not respond to connects: its accept queue is
+// full.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	must.NoError(t, err)
@@ -264,18 +266,18 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 	}
-	t.Fatal("the queue of connections does not fill")
+	t.Fatal("the accept queue does not fill")
 	return ""
 }
 
-// A runner whose address takes no connection is given up with the request's time.
-func TestConnectingEndsAtTheCutoff(t *testing.T) {
-	c, front, _ := start(t, &runner{addr: muteAddress(t)})
-	c.adopt(t, 2, 5, cutoffMenu(5, shortCutoff))
+// Connecting to a runner that does not respond ends at the request's deadline.
+func TestConnectEndsAtCutoff(t *testing.T) {
+	c, front, _ := start(t, &runner{addr: unresponsiveAddress(t)})
+	c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 	began := time.Now()
-	a, _, err := say(t, front, unhurried("/pay/"))
+	a, _, err := roundTrip(t, front, longRequest("/pay/"))
 	must.NoError(t, err)
 	must.Eq(t, 503, a.StatusCode)
 	must.NotEq(t, "", a.Header.Get(hRetryAfter))
-	must.Between(t, notBefore, time.Since(began), much*shortCutoff)
+	must.Between(t, minElapsed, time.Since(began), maxCutoffs*shortCutoff)
 }
--- a/internal/router/version_read_test.go
+++ b/internal/router/version_read_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestVersionReadRestsOnWhatAMajorityOfTheMembersHasAccepted(t *testing.T) {
+func TestVersionReadNeedsMajorityWithoutNewerAcceptedVersion(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	response := func(id string, committed, accepted int64) messages.Versions {
 		return messages.Versions{MemberID: id, ConfigGroup: group, ConfigCommitted: committed, ConfigAccepted: accepted}
--- a/internal/router/zones_test.go
+++ b/internal/router/zones_test.go
@@ -17,7 +17,7 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// listInZones has the router know a runner in its own zone and one in another.
+// listInZones makes the router receive a runner in its own zone and one in another.
 func (r *Router) listInZones(t *testing.T, near, far *runner) {
 	t.Helper()
 	r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(
@@ -27,21 +27,21 @@
 	)}})
 }
 
-func TestRunnersOfAnUnreachableZoneGetNothing(t *testing.T) {
+func TestRunnersOfUnreachableZoneReceiveNoRequests(t *testing.T) {
 	near, far := newRunner(t), newRunner(t)
 	c, front, _ := start(t, near)
 	c.listInZones(t, near, far)
 	c.admissionMu.Lock()
 	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
 	c.admissionMu.Unlock()
-	before := far.count()
+	before := far.requestCount()
 	for range 12 {
-		a, _, err := say(t, front, request("/pay/1", ""))
+		a, _, err := roundTrip(t, front, request("/pay/1", ""))
 		must.NoError(t, err)
 		must.Eq(t, 200, a.StatusCode)
 	}
-	must.Eq(t, before, far.count())
-	must.GreaterEq(t, 12, near.count())
+	must.Eq(t, before, far.requestCount())
+	must.GreaterEq(t, 12, near.requestCount())
 }
 
 func TestPingIsAnswered(t *testing.T) {
@@ -73,47 +73,47 @@
 	}
 }
 
-// cutOff has a request wait at a runner of another zone until that zone is unreachable, while a
-// runner of the own zone joins.
-func cutOff(t *testing.T, path string) (near *runner, c *Router, answer chan answered) {
+// requestAcrossPartition makes a request wait at a runner of another zone until that zone is
+// unreachable, while a runner of the router's zone joins.
+func requestAcrossPartition(t *testing.T, path string) (near *runner, c *Router, answer chan requestResult) {
 	t.Helper()
-	far, _ := silent(t)
+	far, _ := newSilentRunner(t)
 	c, front, _ := start(t)
 	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
-	answer = sayLater(t, front, request(path, "x"))
+	answer = roundTripAsync(t, front, request(path, "x"))
 	awaitRequest(far)
 	near = newRunner(t)
-	c.join(t, "near", near, 1)
+	c.addRunner(t, "near", near, 1)
 	c.admissionMu.Lock()
 	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
 	c.admissionMu.Unlock()
 	return near, c, answer
 }
 
-func TestRequestBeyondACutGoesToTheOwnSideWhereItMayBeRepeated(t *testing.T) {
+func TestRepeatableRequestLeavesUnreachableZone(t *testing.T) {
 	for _, path := range []string{"/open/", "/sort/"} {
-		near, _, answer := cutOff(t, path)
+		near, _, answer := requestAcrossPartition(t, path)
 		a := <-answer
 		must.NoError(t, a.err)
 		must.Eq(t, 200, a.StatusCode)
-		must.Eq(t, 1, near.count())
+		must.Eq(t, 1, near.requestCount())
 	}
 }
 
-func TestRequestBeyondACutThatMayRunOnceStays(t *testing.T) {
-	near, c, answer := cutOff(t, "/pay/1")
+func TestRunOnceRequestStaysInUnreachableZone(t *testing.T) {
+	near, c, answer := requestAcrossPartition(t, "/pay/1")
 	time.Sleep(4 * withdrawInterval)
-	must.Eq(t, 0, near.count())
+	must.Eq(t, 0, near.requestCount())
 	must.Len(t, 1, c.sent.snapshot())
-	a := <-answer // its time is over
-	must.Eq(t, 0, near.count())
-	must.NotEq(t, 503, a.StatusCode, must.Sprint("it may have run"))
+	a := <-answer // at its deadline
+	must.Eq(t, 0, near.requestCount())
+	must.NotEq(t, 503, a.StatusCode, must.Sprint("the request may have run"))
 }
 
-// A stream that may be resumed goes on at the own side of a cut, after its last event.
-func TestResumableStreamLeavesARunnerBeyondACut(t *testing.T) {
+// A resumable stream continues at a reachable runner after its last event.
+func TestResumableStreamLeavesUnreachableRunner(t *testing.T) {
 	const first, second = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
-	far := newRunner(t, streamHead+chunk(first)) // and then nothing, on an open connection
+	far := newRunner(t, streamHead+chunk(first)) // then silent, with the connection open
 	c, front, _ := start(t)
 	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
 	conn, err := net.Dial("tcp4", front)
@@ -128,30 +128,31 @@
 	must.NoError(t, err)
 	must.Eq(t, first, string(begun))
 	near := newRunner(t, streamHead+chunk(second)+"0\r\n\r\n")
-	c.join(t, "near", near, 1)
+	c.addRunner(t, "near", near, 1)
 	c.admissionMu.Lock()
 	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
 	c.admissionMu.Unlock()
 	rest, err := io.ReadAll(answer.Body)
 	must.NoError(t, err)
 	must.Eq(t, second, string(rest))
-	must.Eq(t, "1", near.last().Header.Get(hLastEvent))
+	must.Eq(t, "1", near.lastRequest().Header.Get(hLastEvent))
 }
 
-// streamAcrossACut has a runner of another zone begin a stream, cuts that zone off, and returns what
-// the client has got by the end. The stream goes on as more says.
-func streamAcrossACut(t *testing.T, join func(c *Router), more func(write func(string))) (c *Router, body string) {
+// streamAcrossPartition makes a runner of another zone begin a stream, makes that zone
+// unreachable, and returns the body that the client receives. continueStream writes the rest of
+// the stream at that runner.
+func streamAcrossPartition(t *testing.T, join func(c *Router), continueStream func(write func(string))) (c *Router, body string) {
 	t.Helper()
 	cut := make(chan bool)
 	far := newRunner(t)
 	far.stream = func(write func(string), _ <-chan struct{}) {
 		write(streamHead + chunk("id: 1\ndata: a\n\n"))
 		<-cut
-		more(write)
+		continueStream(write)
 	}
 	c, front, _ := start(t)
 	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
-	answer := sayLater(t, front, request("/sort/", "x"))
+	answer := roundTripAsync(t, front, request("/sort/", "x"))
 	awaitRequest(far)
 	join(c)
 	c.admissionMu.Lock()
@@ -163,14 +164,14 @@
 	return c, a.body
 }
 
-func TestStreamBeyondACutStaysWhereThereIsNoOtherPlace(t *testing.T) {
+func TestStreamStaysAtUnreachableRunnerWithoutAlternative(t *testing.T) {
 	gone, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, gone.Close())
 	join := func(c *Router) {
 		c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "gone", Service: "s", Addr: gone.Addr().String(), Zone: "a", Capacity: 8, Seq: 1})}})
 	}
-	c, body := streamAcrossACut(t, join, func(write func(string)) {
+	c, body := streamAcrossPartition(t, join, func(write func(string)) {
 		time.Sleep(3 * minStreamSilence)
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	})
@@ -179,7 +180,7 @@
 	must.Zero(t, c.counters.streamsLeft.Load())
 }
 
-func TestOnlySilentStreamsAreTakenFromTheirRunners(t *testing.T) {
+func TestOnlySilentStreamsLeaveUnreachableRunners(t *testing.T) {
 	far := newRunner(t)
 	c, _, _ := start(t)
 	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
@@ -187,19 +188,19 @@
 	admitted := c.admission.Submit(admission.Request{Service: "s", LeftUs: 1_000_000}, c.clock()).Admit
 	c.admissionMu.Unlock()
 	must.NotNil(t, admitted)
-	c.join(t, "near", newRunner(t), 1)
+	c.addRunner(t, "near", newRunner(t), 1)
 	c.admissionMu.Lock()
 	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
 	c.admissionMu.Unlock()
-	link, err := upstream.Connect(t.Context(), far.addr)
+	conn, err := upstream.Connect(t.Context(), far.addr)
 	must.NoError(t, err)
-	defer link.Close()
+	defer conn.Close()
 	streams := &c.movableStreams
-	stream := streams.add(admitted, link, true)
+	stream := streams.add(admitted, conn, true)
 	c.abandonUnreachable()
-	taken := streams.clearWithdrawal(stream)
-	must.True(t, !taken || link.SilentFor() >= minStreamSilence, must.Sprint("it has just been heard of"))
-	for link.SilentFor() < minStreamSilence {
+	withdrawn := streams.clearWithdrawal(stream)
+	must.True(t, !withdrawn || conn.SilentFor() >= minStreamSilence, must.Sprint("a connection with recent data must not be left"))
+	for conn.SilentFor() < minStreamSilence {
 		time.Sleep(minStreamSilence / 10)
 	}
 	for !streams.clearWithdrawal(stream) {
