--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -16,39 +16,39 @@
 
 // newAdmittedExchange returns a run-once request that has been admitted and connected to a runner,
 // with its deadline in timeoutUs.
-func newAdmittedExchange(t *testing.T, c *Router, timeoutUs int64) (*exchange, *admission.Admission, *upstream.Conn) {
+func newAdmittedExchange(t *testing.T, router *Router, timeoutUs int64) (*exchange, *admission.Admission, *upstream.Conn) {
 	t.Helper()
-	v := &exchange{router: c, rc: app.NewContext(0), id: "id1", route: &routeconfig.Route{}, service: "s"}
-	v.rc.Request.Header.SetMethod("POST")
-	v.rc.Request.SetRequestURI("/pay/")
-	v.request = admission.Request{Service: "s", LeftUs: 1_000_000}
-	v.deadlineUs = c.clock() + timeoutUs
-	c.admissionMu.Lock()
-	adm := c.admission.Submit(v.request, c.clock()).Admit
-	c.admissionMu.Unlock()
+	e := &exchange{router: router, rc: app.NewContext(0), id: "id1", route: &routeconfig.Route{}, service: "s"}
+	e.rc.Request.Header.SetMethod("POST")
+	e.rc.Request.SetRequestURI("/pay/")
+	e.request = admission.Request{Service: "s", LeftUs: 1_000_000}
+	e.deadlineUs = router.clock() + timeoutUs
+	router.admissionMu.Lock()
+	adm := router.admission.Submit(e.request, router.clock()).Admit
+	router.admissionMu.Unlock()
 	must.NotNil(t, adm)
-	link, err := upstream.Connect(context.Background(), adm.Runner.Addr)
+	conn, err := upstream.Connect(context.Background(), adm.Runner.Addr)
 	must.NoError(t, err)
-	t.Cleanup(link.Close)
-	return v, adm, link
+	t.Cleanup(conn.Close)
+	return e, adm, conn
 }
 
 // The process may be paused between admission and sending.
 func TestWriteRequestAfterDeadlineSendsNothing(t *testing.T) {
 	r := newRunner(t)
-	c, _, _ := start(t, r)
-	v, adm, link := newAdmittedExchange(t, c, -1)
-	end := v.writeRequest(adm, link, nil)
+	router, _, _ := start(t, r)
+	e, adm, conn := newAdmittedExchange(t, router, -1)
+	end := e.writeRequest(adm, conn, nil)
 	must.Eq(t, attempt.NotSent, end)
-	link.Close()
+	conn.Close()
 	must.Eq(t, 0, r.requestCount())
 }
 
 func TestWriteRequestOnClosedConnectionIsNotSent(t *testing.T) {
-	c, _, _ := start(t, newRunner(t))
-	v, adm, link := newAdmittedExchange(t, c, 1_000_000)
-	link.Close()
-	end := v.writeRequest(adm, link, nil)
+	router, _, _ := start(t, newRunner(t))
+	e, adm, conn := newAdmittedExchange(t, router, 1_000_000)
+	conn.Close()
+	end := e.writeRequest(adm, conn, nil)
 	must.Eq(t, attempt.NotSent, end)
 }
 
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -143,31 +143,31 @@
 // queued. If the queue is full, by requests or by tokens, it sheds a queued request of lower
 // priority and submits once more.
 func (e *exchange) admit() admission.Decision {
-	c := e.router
+	router := e.router
 	ch := make(chan admission.Decision, 1)
-	e.request.Ref = c.slab.Put(func(r admission.Decision) { ch <- r })
-	now := c.clock()
+	e.request.Ref = router.slab.Put(func(r admission.Decision) { ch <- r })
+	now := router.clock()
 	e.request.LeftUs = e.deadlineUs - now
-	c.admissionMu.Lock()
-	e.request.Canary = e.sequence.IsFirst() && (e.request.Canary || c.admission.DrawCanary(e.service))
-	r := c.admission.Submit(e.request, now)
+	router.admissionMu.Lock()
+	e.request.Canary = e.sequence.IsFirst() && (e.request.Canary || router.admission.DrawCanary(e.service))
+	r := router.admission.Submit(e.request, now)
 	if r.Reject == admission.RejectQueue || r.Reject == admission.RejectTokens {
-		if shed, ok := c.admission.ShedFor(e.request, now); ok {
-			defer c.slab.Resume(shed.Ref, shed)
-			r = c.admission.Submit(e.request, now)
+		if shed, ok := router.admission.ShedFor(e.request, now); ok {
+			defer router.slab.Resume(shed.Ref, shed)
+			r = router.admission.Submit(e.request, now)
 		}
 	}
-	fresh := c.admission.HasFresh()
-	c.admissionMu.Unlock()
+	fresh := router.admission.HasFresh()
+	router.admissionMu.Unlock()
 	if fresh {
-		signal(c.prefixesPending)
+		signal(router.prefixesPending)
 	}
-	signal(c.loadsChanged)
+	signal(router.loadsChanged)
 	if !r.Hold {
-		c.slab.Drop(e.request.Ref)
+		router.slab.Drop(e.request.Ref)
 		return r
 	}
-	c.wakeQueue()
+	router.wakeQueue()
 	return e.awaitDecision(ch)
 }
 
@@ -197,12 +197,12 @@
 // abandon removes the request from the queue, as its client has left or the router shuts down. If
 // it has already been decided on, that decision is returned.
 func (e *exchange) abandon(decision <-chan admission.Decision, reason admission.Reason) admission.Decision {
-	c := e.router
-	if !c.slab.Drop(e.request.Ref) {
+	router := e.router
+	if !router.slab.Drop(e.request.Ref) {
 		return <-decision
 	}
-	c.admissionMu.Lock()
-	c.admission.Abandon(e.request)
-	c.admissionMu.Unlock()
+	router.admissionMu.Lock()
+	router.admission.Abandon(e.request)
+	router.admissionMu.Unlock()
 	return admission.Decision{Ref: e.request.Ref, Status: 503, Reject: reason, AgainUs: drainRetryAfterUs}
 }
--- a/internal/router/client_watch_test.go
+++ b/internal/router/client_watch_test.go
@@ -30,17 +30,17 @@
 
 // newBlockingRunner returns a runner that writes output and then waits until its connection is
 // closed. It signals when a request arrives and when its connection ends.
-func newBlockingRunner(t *testing.T, output string) (r *runner, reached, ended chan struct{}) {
+func newBlockingRunner(t *testing.T, output string) (r *runner, arrived, ended chan struct{}) {
 	t.Helper()
-	reached, ended = make(chan struct{}, 8), make(chan struct{}, 8)
+	arrived, ended = make(chan struct{}, 8), make(chan struct{}, 8)
 	r = newRunner(t)
 	r.stream = func(write func(string), closed <-chan struct{}) {
 		write(output)
-		reached <- struct{}{}
+		arrived <- struct{}{}
 		<-closed
 		ended <- struct{}{}
 	}
-	return r, reached, ended
+	return r, arrived, ended
 }
 
 func awaitEvent(t *testing.T, event <-chan struct{}, description string) {
@@ -82,19 +82,19 @@
 			t.Run(tc.name+", "+name, func(t *testing.T) {
 				t.Parallel()
 				r, reached, ended := newBlockingRunner(t, tc.writes)
-				c, front, _ := start(t, r)
-				c.receiveConfig(t, longCutoffConfig)
+				router, front, _ := start(t, r)
+				router.receiveConfig(t, longCutoffConfig)
 				conn := dialAndSend(t, front, longRequest(tc.path))
 				awaitEvent(t, reached, "the request at the runner")
 				leave(conn)
 				awaitEvent(t, ended, "the end of the runner's connection")
-				for c.inFlight.Load() > 0 {
+				for router.inFlight.Load() > 0 {
 					time.Sleep(time.Millisecond)
 				}
 				must.Eq(t, 1, r.requestCount(), must.Sprint("the request must not be retried"))
-				c.admissionMu.Lock()
-				defer c.admissionMu.Unlock()
-				must.NotNil(t, c.admission.TryNow(admission.Request{Service: "s", LeftUs: 1_000_000}, c.clock()), must.Sprint("it must not count as a failure of the runner"))
+				router.admissionMu.Lock()
+				defer router.admissionMu.Unlock()
+				must.NotNil(t, router.admission.TryNow(admission.Request{Service: "s", LeftUs: 1_000_000}, router.clock()), must.Sprint("it must not count as a failure of the runner"))
 			})
 		}
 	}
@@ -113,8 +113,8 @@
 			ran <- true
 		}
 	}
-	c, front, _ := start(t, r)
-	c.receiveConfig(t, longCutoffConfig)
+	router, front, _ := start(t, r)
+	router.receiveConfig(t, longCutoffConfig)
 	conn := dialAndSend(t, front, longRequest("/pay/"))
 	for r.requestCount() == 0 {
 		time.Sleep(time.Millisecond)
@@ -127,11 +127,11 @@
 
 func TestQueuedRequestIsDroppedWhenClientDisconnects(t *testing.T) {
 	r, reached, ended := newBlockingRunner(t, streamHead+chunk("id: 1\ndata: a\n\n"))
-	c, front, _ := start(t, r)
-	busy := fillUntilQueued(t, c, front, reached)
+	router, front, _ := start(t, r)
+	busy := fillUntilQueued(t, router, front, reached)
 	seen := r.requestCount()
 	busy[len(busy)-1].Close()
-	for c.slab.Len() > 0 {
+	for router.slab.Len() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	busy[0].Close()
@@ -142,13 +142,13 @@
 }
 
 // fillUntilQueued sends large streams until one waits in the queue: the last of those it returns.
-func fillUntilQueued(t *testing.T, c *Router, front string, reached <-chan struct{}) (conns []net.Conn) {
+func fillUntilQueued(t *testing.T, router *Router, front string, arrived <-chan struct{}) (conns []net.Conn) {
 	t.Helper()
-	c.receiveConfig(t, strings.Replace(longCutoffConfig, `"setpointMs":400`, `"setpointMs":3600000`, 1))
-	for c.slab.Len() == 0 {
+	router.receiveConfig(t, strings.Replace(longCutoffConfig, `"setpointMs":400`, `"setpointMs":3600000`, 1))
+	for router.slab.Len() == 0 {
 		conns = append(conns, dialAndSend(t, front, strings.Replace(longRequest("/chat/"), "20,5", "20,40000", 1)))
 		select {
-		case <-reached:
+		case <-arrived:
 		case <-time.After(watchDelay):
 		}
 	}
@@ -164,9 +164,9 @@
 		<-free
 		return "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"
 	}
-	c, front, _ := start(t, r)
+	router, front, _ := start(t, r)
 	conn := dialAndSend(t, front, request("/open/", "x"))
-	for c.inFlight.Load() == 0 {
+	for router.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(2 * watchDelay)
--- a/internal/router/core_stub_test.go
+++ b/internal/router/core_stub_test.go
@@ -55,7 +55,7 @@
 
 // startCore runs size controllers and waits until the router has discovered them. Initially each
 // of them confirms version 1.
-func startCore(t *testing.T, c *Router, size int) *coreStub {
+func startCore(t *testing.T, router *Router, size int) *coreStub {
 	t.Helper()
 	s := &coreStub{versions: make([]func() *messages.Versions, size)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -65,15 +65,15 @@
 		s.versions[i] = func() *messages.Versions { return s.confirmedVersion(i, 1) }
 	}
 	for i := range size {
-		s.startMember(ctx, t, c, i)
+		s.startMember(ctx, t, router, i)
 	}
-	for len(c.wholeCore()) < size {
+	for len(router.wholeCore()) < size {
 		time.Sleep(time.Millisecond)
 	}
 	return s
 }
 
-func (s *coreStub) startMember(ctx context.Context, t *testing.T, c *Router, i int) {
+func (s *coreStub) startMember(ctx context.Context, t *testing.T, router *Router, i int) {
 	t.Helper()
 	pool, err := ants.NewPool(64, ants.WithNonblocking(true))
 	must.NoError(t, err)
@@ -116,5 +116,5 @@
 	})
 	station.Run(ctx)
 	self := messages.Peer{Addr: station.Addr(), Role: messages.Controller, Zone: "a", Node: fmt.Sprintf("c%d", i), MemberID: s.group[i], Counted: true}
-	go membership.NewMonitor(station, self, c.clock, func() []string { return []string{c.transport.Addr()} }).Run(ctx)
+	go membership.NewMonitor(station, self, router.clock, func() []string { return []string{router.transport.Addr()} }).Run(ctx)
 }
--- a/internal/router/cut_streams.go
+++ b/internal/router/cut_streams.go
@@ -64,19 +64,19 @@
 // staysAtRunner is called when reading from an unreachable runner is interrupted. It reserves
 // another runner and returns false; if there is none, the stream stays and it returns true.
 func (e *exchange) staysAtRunner(attempt *sentAttempt, stream *responseStream) bool {
-	c := e.router
-	if !c.movableStreams.clearWithdrawal(attempt) {
+	router := e.router
+	if !router.movableStreams.clearWithdrawal(attempt) {
 		return false // interrupted for another reason, which ends the attempt
 	}
 	resumable := !stream.started || stream.splitter.LastID != ""
-	mustLeave := func(admission.Request) bool { return c.admission.LeavesUnreachable(attempt.adm) }
-	accepts := func(next *admission.Admission) bool { return !c.admission.OutOfReach(next) }
+	mustLeave := func(admission.Request) bool { return router.admission.LeavesUnreachable(attempt.adm) }
+	accepts := func(next *admission.Admission) bool { return !router.admission.OutOfReach(next) }
 	if resumable && e.reserveAttempt(attempt.adm, mustLeave, accepts) {
-		c.counters.streamsLeft.Add(1)
+		router.counters.streamsLeft.Add(1)
 		return false
 	}
-	c.counters.streamsStayed.Add(1)
-	attempt.nextMoveUs.Store(c.clock() + moveRetryUs)
+	router.counters.streamsStayed.Add(1)
+	attempt.nextMoveUs.Store(router.clock() + moveRetryUs)
 	attempt.conn.Resume(e.deadlineTime(lateReadUs))
 	return true
 }
--- a/internal/router/forms_test.go
+++ b/internal/router/forms_test.go
@@ -22,10 +22,10 @@
 		{"names in capitals", strings.NewReplacer("Beechtide-Attempt-Id", "BEECHTIDE-ATTEMPT-ID", "Authorization: Token", "AUTHORIZATION:TOKEN  ", "Host", "HOST").Replace(good)},
 		{"chunk extensions and trailers", strings.Replace(good, "Content-Length: 5\r\n\r\nhello", "transfer-encoding: Chunked\r\n\r\n05;part=1\r\nhello\r\n0\r\nX-Sum: 1\r\n\r\n", 1)},
 		{"an absolute target", strings.Replace(good, "/open/", "http://h.example/open/", 1)},
-		{"an empty line ahead", "\r\n" + good},
+		{"empty line before the request", "\r\n" + good},
 		{"HTTP/1.0", strings.Replace(good, "HTTP/1.1", "HTTP/1.0", 1)},
 		{"close", strings.Replace(good, "Host", "connection: CLOSE\r\nHost", 1)},
-		{"the attempt id in the list of Connection", strings.Replace(good, "Host", "Connection: Beechtide-Attempt-Id\r\nHost", 1)},
+		{"Connection header names the attempt id", strings.Replace(good, "Host", "Connection: Beechtide-Attempt-Id\r\nHost", 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			before := r.requestCount()
@@ -117,13 +117,13 @@
 // A refused client that continues to send must receive the response, not a TCP reset.
 func TestRefusedClientStillSendingReadsResponse(t *testing.T) {
 	r := newRunner(t)
-	c, front, _ := start(t, r)
-	limit := c.frontLimits().sizes.BodyBytes
+	router, front, _ := start(t, r)
+	limit := router.frontLimits().sizes.BodyBytes
 	chunked := strings.Replace(request("/open/", "x"), "Content-Length: 1\r\n\r\nx", "Transfer-Encoding: chunked\r\n\r\n", 1)
 	piece := chunk(strings.Repeat("x", 1000))
 	ans, _, err := roundTrip(t, front, chunked+strings.Repeat(piece, int(limit)/1000+50))
 	must.NoError(t, err)
 	must.Eq(t, 413, ans.StatusCode)
 	must.Eq(t, 0, r.requestCount())
-	must.Eq(t, 1, c.front.Load().refusals.byStatus()[413])
+	must.Eq(t, 1, router.front.Load().refusals.byStatus()[413])
 }
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -26,12 +26,12 @@
 
 // checkDenial checks that a denial is based on a confirmed configuration.
 func (e *exchange) checkDenial(status int) {
-	c := e.router
+	router := e.router
 	if !isDenial(status) {
 		return
 	}
-	if !c.confirmationValid() {
-		denialConfirmed.Violated("request", e.id, "status", status, "confirmedUs", c.majorityUs.Load(), "nowUs", c.clock())
+	if !router.confirmationValid() {
+		denialConfirmed.Violated("request", e.id, "status", status, "confirmedUs", router.majorityUs.Load(), "nowUs", router.clock())
 	}
 }
 
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -27,9 +27,9 @@
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
 			r := newRunner(t)
-			c, front, cancel := start(t, r)
-			c.receiveConfig(t, longCutoffConfig)
-			c.beginDrain(cancel)
+			router, front, cancel := start(t, r)
+			router.receiveConfig(t, longCutoffConfig)
+			router.beginDrain(cancel)
 			answer, _, err := roundTrip(t, front, longRequest(path))
 			must.NoError(t, err)
 			must.Eq(t, http.StatusServiceUnavailable, answer.StatusCode)
@@ -44,10 +44,10 @@
 // forwarded when capacity becomes free.
 func TestDrainingRouterRejectsQueuedRequestThatMayOutlastIt(t *testing.T) {
 	r, reached, ended := newBlockingRunner(t, streamHead+chunk("id: 1\ndata: a\n\n"))
-	c, front, run := startWithGrace(t, 120, r)
-	busy := fillUntilQueued(t, c, front, reached)
+	router, front, run := startWithGrace(t, 120, r)
+	busy := fillUntilQueued(t, router, front, reached)
 	seen := r.requestCount()
-	c.beginDrain(run.cancel)
+	router.beginDrain(run.cancel)
 	waiting := busy[len(busy)-1]
 	for _, conn := range busy[:len(busy)-1] {
 		conn.Close()
@@ -64,20 +64,20 @@
 // At the end of the grace period, a request of whose response the client has received nothing must
 // get an error response; its connection must not just be closed.
 func TestEndOfGraceAnswersUndeliveredRequestsWith504(t *testing.T) {
-	partOfBody := "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 90000\r\n\r\n" + strings.Repeat("a", 20000)
+	truncatedBody := "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 90000\r\n\r\n" + strings.Repeat("a", 20000)
 	for _, tc := range []struct{ name, path, writes string }{
 		{"stream without a head", "/chat/", ""},
 		{"effectful without a head", "/pay/", ""},
 		{"idempotent without a head", "/open/", ""},
 		{"stream without an event", "/chat/", streamHead},
-		{"effectful with a part of its body", "/pay/", partOfBody},
-		{"idempotent with a part of its body", "/open/", partOfBody},
+		{"effectful with a part of its body", "/pay/", truncatedBody},
+		{"idempotent with a part of its body", "/open/", truncatedBody},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			r, reached, _ := newBlockingRunner(t, tc.writes)
-			c, front, cancel := start(t, r)
-			c.receiveConfig(t, longCutoffConfig)
+			router, front, cancel := start(t, r)
+			router.receiveConfig(t, longCutoffConfig)
 			conn := dialAndSend(t, front, longRequest(tc.path))
 			awaitEvent(t, reached, "the request at the runner")
 			cancel()
@@ -94,8 +94,8 @@
 // A request that is still queued at the end of the grace period has not run, so it gets 503.
 func TestEndOfGraceRejectsQueuedRequest(t *testing.T) {
 	r, reached, _ := newBlockingRunner(t, streamHead+chunk("id: 1\ndata: a\n\n"))
-	c, front, cancel := start(t, r)
-	conns := fillUntilQueued(t, c, front, reached)
+	router, front, cancel := start(t, r)
+	conns := fillUntilQueued(t, router, front, reached)
 	seen := r.requestCount()
 	cancel()
 	queued := conns[len(conns)-1]
@@ -117,9 +117,9 @@
 		<-finish
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	}
-	c, front, run := startWithGrace(t, 120, r)
-	c.receiveConfig(t, longCutoffConfig)
-	c.beginDrain(run.cancel)
+	router, front, run := startWithGrace(t, 120, r)
+	router.receiveConfig(t, longCutoffConfig)
+	router.beginDrain(run.cancel)
 	conn := dialAndSend(t, front, strings.Replace(request("/chat/", "x"), "Time-Left: 2500", "Time-Left: 60000", 1))
 	must.NoError(t, conn.SetReadDeadline(time.Now().Add(awaitTimeout)))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -148,13 +148,13 @@
 		<-finish
 		return "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"
 	}
-	c, front, run := startWithGrace(t, 120, r)
-	c.receiveConfig(t, longCutoffConfig)
+	router, front, run := startWithGrace(t, 120, r)
+	router.receiveConfig(t, longCutoffConfig)
 	first := strings.Replace(request("/open/", "x"), "Time-Left: 2500", "Time-Left: 60000", 1)
 	second := strings.Replace(first, "id1", "id2", 1)
 	conn := dialAndSend(t, front, first+second)
 	awaitEvent(t, reached, "the first request at the runner")
-	c.beginDrain(run.cancel)
+	router.beginDrain(run.cancel)
 	awaitClosed(t, front)
 	close(finish)
 	in := bufio.NewReader(conn)
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -22,17 +22,17 @@
 // reserveMove reports whether the stream leaves its runner now, because its session's zone has
 // been relinquished. If so, the next attempt has been reserved.
 func (e *exchange) reserveMove(adm *admission.Admission, stream *responseStream) bool {
-	c := e.router
-	table := c.table.Load()
+	router := e.router
+	table := router.table.Load()
 	if _, relinquished := table.Relinquished[adm.Runner.Zone]; !relinquished || !stream.isEventStream || stream.splitter.LastID == "" {
 		return false
 	}
-	now := c.clock()
+	now := router.clock()
 	if now < e.nextMoveCheckUs {
 		return false
 	}
 	e.nextMoveCheckUs = now + moveRetryUs
-	mustLeave := func(request admission.Request) bool { return c.admission.Leaves(request, adm.Runner.Zone, now) }
+	mustLeave := func(request admission.Request) bool { return router.admission.Leaves(request, adm.Runner.Zone, now) }
 	return e.reserveAttempt(adm, mustLeave, func(next *admission.Admission) bool { return next.Runner.Zone != adm.Runner.Zone })
 }
 
@@ -41,37 +41,37 @@
 // mustLeave and then accepts, for the admission found, are called with the admission mutex held;
 // if either returns false nothing is reserved.
 func (e *exchange) reserveAttempt(adm *admission.Admission, mustLeave func(admission.Request) bool, accepts func(*admission.Admission) bool) bool {
-	c := e.router
+	router := e.router
 	if !e.sequence.MayRepeat(e.retryPolicy()) {
 		return false
 	}
-	now := c.clock()
+	now := router.clock()
 	request := e.request
 	request.LeftUs = e.deadlineUs - now
 	request.Avoid = append(append([]string{}, request.Avoid...), adm.Runner.ID)
-	c.admissionMu.Lock()
+	router.admissionMu.Lock()
 	if !mustLeave(request) {
-		c.admissionMu.Unlock()
+		router.admissionMu.Unlock()
 		return false
 	}
-	next := c.admission.TryNow(request, now)
+	next := router.admission.TryNow(request, now)
 	accepted := next != nil && accepts(next)
-	c.admissionMu.Unlock()
+	router.admissionMu.Unlock()
 	if next == nil {
 		return false
 	}
 	if !accepted {
-		c.releaseCapacity(next, true)
+		router.releaseCapacity(next, true)
 		return false
 	}
 	conn, err := e.connect(next)
 	if err != nil {
-		c.releaseCapacity(next, false)
+		router.releaseCapacity(next, false)
 		return false
 	}
 	if !e.spendRetry() || e.acquireToken(false, moveQuotaWaitUs).Outcome != quotaclient.Granted {
 		conn.Close()
-		c.releaseCapacity(next, true)
+		router.releaseCapacity(next, true)
 		return false
 	}
 	e.request.Avoid = request.Avoid
--- a/internal/router/move_test.go
+++ b/internal/router/move_test.go
@@ -42,13 +42,13 @@
 func (r *Router) setRunnerZones(t *testing.T, zones ...string) {
 	t.Helper()
 	snap := r.registry.Snapshot()
-	var notes []messages.RunnerRecord
+	var records []messages.RunnerRecord
 	for i, zone := range zones {
 		n := snap.ByID[fmt.Sprint("r", i)]
 		n.Zone, n.Seq, n.Capacity = zone, 2, 9
-		notes = append(notes, n)
+		records = append(records, n)
 	}
-	must.True(t, r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, notes...)}}))
+	must.True(t, r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, records...)}}))
 	r.syncAdmission()
 }
 
@@ -86,18 +86,18 @@
 		}
 		write(streamHead + rest)
 	}
-	c, front, _ := start(t, a, b)
-	c.setRunnerZones(t, "a", "b")
-	c.admissionMu.Lock() // r0 is preferred, as it has the prompt cached
+	router, front, _ := start(t, a, b)
+	router.setRunnerZones(t, "a", "b")
+	router.admissionMu.Lock() // r0 is preferred, as it has the prompt cached
 	for _, p := range []string{"ab", "cd"} {
-		c.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
+		router.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
 	}
-	c.admissionMu.Unlock()
+	router.admissionMu.Unlock()
 	go func() {
 		for a.requestCount() == 0 {
 			runtime.Gosched()
 		}
-		c.receiveConfigVersion(t, 2, 4, relinquishConfig(4, `{"zone":"a"}`))
+		router.receiveConfigVersion(t, 2, 4, relinquishConfig(4, `{"zone":"a"}`))
 		close(events.at("declared"))
 	}()
 	ans, body, err := roundTrip(t, front, request("/sort/", "x"))
@@ -108,10 +108,10 @@
 	must.Eq(t, 1, b.requestCount())
 	must.NotEq(t, "", b.seen[0].Header.Get(hLastEvent))
 	must.Eq(t, "r1", b.seen[0].Header.Get(hTarget))
-	for c.inFlight.Load() > 0 {
+	for router.inFlight.Load() > 0 {
 		runtime.Gosched()
 	}
-	c.requireNoCapacityHeld(t)
+	router.requireNoCapacityHeld(t)
 }
 
 // requireNoCapacityHeld checks that no capacity is reserved at any runner.
@@ -137,18 +137,18 @@
 	b.stream = func(write func(string), _ <-chan struct{}) {
 		write(streamHead + chunk("id: 1\ndata: z\n\n") + "0\r\n\r\n")
 	}
-	c, front, _ := start(t, a, b)
-	c.setRunnerZones(t, "a", "b")
-	c.admissionMu.Lock()
+	router, front, _ := start(t, a, b)
+	router.setRunnerZones(t, "a", "b")
+	router.admissionMu.Lock()
 	for _, p := range []string{"ab", "cd"} {
-		c.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
+		router.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
 	}
-	c.admissionMu.Unlock()
+	router.admissionMu.Unlock()
 	go func() {
 		for a.requestCount() == 0 {
 			runtime.Gosched()
 		}
-		c.receiveConfigVersion(t, 2, 4, relinquishConfig(4, `{"zone":"a"}`))
+		router.receiveConfigVersion(t, 2, 4, relinquishConfig(4, `{"zone":"a"}`))
 		close(declared)
 	}()
 	_, body, err := roundTrip(t, front, request("/chat/", "x"))
@@ -166,11 +166,11 @@
 // runner and prefills only the rest.
 func TestNewHomeCopiesCachedPrefixFromOldRunner(t *testing.T) {
 	d := admission.New(admission.Defaults, "b", 1)
-	notes := []messages.RunnerRecord{}
+	records := []messages.RunnerRecord{}
 	for i := range 6 {
-		notes = append(notes, messages.RunnerRecord{ID: fmt.Sprint("r", i), Service: "s", Addr: fmt.Sprint("r", i, ":1"), Zone: []string{"a", "b", "c"}[i%3], Capacity: 8, Models: []messages.Target{{Model: "m", Version: 1}}})
+		records = append(records, messages.RunnerRecord{ID: fmt.Sprint("r", i), Service: "s", Addr: fmt.Sprint("r", i, ":1"), Zone: []string{"a", "b", "c"}[i%3], Capacity: 8, Models: []messages.Target{{Model: "m", Version: 1}}})
 	}
-	d.SetService("s", notes, 100_000, 0.01)
+	d.SetService("s", records, 100_000, 0.01)
 	ask := admission.Request{
 		Service: "s", Tenant: "t", Model: "m", TokensIn: 6200, TokensOut: 20, SetpointUs: 800_000, LeftUs: 5_000_000,
 		Parts: []prefixindex.Part{{ID: "top", Tokens: 2500}, {ID: "deep", Tokens: 3500}, {ID: "own", Tokens: 200}},
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -21,10 +21,10 @@
 // startLimited starts a router whose tenant has a rate limit, and a core of controllers.
 func startLimited(t *testing.T, controllers int, runners ...*runner) (*Router, *coreStub, string) {
 	t.Helper()
-	c, front, _ := start(t, runners...)
-	core := startCore(t, c, controllers)
-	must.True(t, c.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, limitedConfig, 2)}}))
-	return c, core, front
+	router, front, _ := start(t, runners...)
+	core := startCore(t, router, controllers)
+	must.True(t, router.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, limitedConfig, 2)}}))
+	return router, core, front
 }
 
 // grantTokens makes every controller own all quotas, with the given number of tokens in total. It
@@ -74,21 +74,21 @@
 
 func TestRequestIsRejectedIfNoControllerOwnsTheQuota(t *testing.T) {
 	r := newRunner(t)
-	c, _, front := startLimited(t, 2, r)
+	router, _, front := startLimited(t, 2, r)
 	a, body, err := roundTrip(t, front, request("/chat/1", ""))
 	must.NoError(t, err)
 	must.Eq(t, 503, a.StatusCode)
 	must.NotEq(t, "", a.Header.Get(hRetryAfter))
 	must.Eq(t, string(rejectQuotaUnavailable)+"\n", body)
 	must.Zero(t, r.requestCount())
-	must.Eq(t, 1, c.quotas.Counts().Unknown)
+	must.Eq(t, 1, router.quotas.Counts().Unknown)
 }
 
 func TestRouterFollowsHintToQuotaOwner(t *testing.T) {
 	r := newRunner(t)
-	c, core, front := startLimited(t, 3, r)
-	owner := quota.Order(quota.ShardOf("t1"), c.wholeCore())[2]
-	addrs := c.wholeCore()
+	router, core, front := startLimited(t, 3, r)
+	owner := quota.Order(quota.ShardOf("t1"), router.wholeCore())[2]
+	addrs := router.wholeCore()
 	core.set(func() {
 		core.quota = func(i int, ask messages.QuotaAsk) messages.QuotaGrant {
 			if core.addrs[i] == owner {
@@ -156,10 +156,10 @@
 
 // newMovingStream returns a request of the limited tenant whose stream has begun and moves, with
 // its deadline in timeoutUs.
-func newMovingStream(c *Router, timeoutUs int64) *exchange {
+func newMovingStream(router *Router, timeoutUs int64) *exchange {
 	return &exchange{
-		router: c, rc: app.NewContext(0), route: &routeconfig.Route{}, tenant: &api.Tenant{Name: "t1"},
-		quotaLimit: quota.Limit{Version: 3, RatePerS: 10, Burst: 10}, deadlineUs: c.clock() + timeoutUs,
+		router: router, rc: app.NewContext(0), route: &routeconfig.Route{}, tenant: &api.Tenant{Name: "t1"},
+		quotaLimit: quota.Limit{Version: 3, RatePerS: 10, Burst: 10}, deadlineUs: router.clock() + timeoutUs,
 		stream: &responseStream{started: true},
 	}
 }
@@ -177,24 +177,24 @@
 // The token with which a stream left its runner may expire before the next attempt is sent. In a
 // zone that is cut off, the quota may have no owner at that time.
 func TestMovingStreamWaitsUntilQuotaHasAnOwner(t *testing.T) {
-	c, core, _ := startLimited(t, 1, newRunner(t))
+	router, core, _ := startLimited(t, 1, newRunner(t))
 	core.set(func() {
 		core.quota = func(_ int, ask messages.QuotaAsk) messages.QuotaGrant {
-			if c.quotas.Counts().Unknown < 2 {
+			if router.quotas.Counts().Unknown < 2 {
 				return messages.QuotaGrant{}
 			}
 			return messages.QuotaGrant{Owner: true, Granted: ask.Need}
 		}
 	})
-	e := newMovingStream(c, (20 * time.Second).Microseconds())
-	must.True(t, e.acquireAttemptToken(c.admitRequest(t)))
-	must.True(t, e.quotaToken.Valid(c.clock()))
+	e := newMovingStream(router, (20 * time.Second).Microseconds())
+	must.True(t, e.acquireAttemptToken(router.admitRequest(t)))
+	must.True(t, e.quotaToken.Valid(router.clock()))
 }
 
 func TestMovingStreamWithoutTokenEndsAtDeadline(t *testing.T) {
-	c, _, _ := startLimited(t, 1, newRunner(t))
-	e := newMovingStream(c, (500 * time.Millisecond).Microseconds())
-	must.False(t, e.acquireAttemptToken(c.admitRequest(t)))
+	router, _, _ := startLimited(t, 1, newRunner(t))
+	e := newMovingStream(router, (500 * time.Millisecond).Microseconds())
+	must.False(t, e.acquireAttemptToken(router.admitRequest(t)))
 	must.True(t, e.timeExpired())
-	c.requireNoCapacityHeld(t)
+	router.requireNoCapacityHeld(t)
 }
--- a/internal/router/recheck_test.go
+++ b/internal/router/recheck_test.go
@@ -43,7 +43,7 @@
 		arrange func(s *coreStub)
 	}{
 		{"no controller is known", 0, func(*coreStub) {}},
-		{"a majority has accepted a newer version and not learned of it", size, func(s *coreStub) {
+		{"a majority has accepted a newer version without learning that it is committed", size, func(s *coreStub) {
 			for i := range size/2 + 1 {
 				s.versions[i] = func() *messages.Versions { return accepted(s, i) }
 			}
@@ -60,16 +60,16 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, front, _ := start(t, newRunner(t))
-			s := startCore(t, c, test.size)
+			router, front, _ := start(t, newRunner(t))
+			s := startCore(t, router, test.size)
 			s.set(func() { test.arrange(s) })
 			requireRetryLater(t, front, unknownRouteRequest())
 			requireRetryLater(t, front, strings.Replace(request("/pay/", "x"), "Token k1", "Token k9", 1))
 		})
 	}
 	t.Run("a minority has accepted a newer version", func(t *testing.T) {
-		c, front, _ := start(t, newRunner(t))
-		s := startCore(t, c, size)
+		router, front, _ := start(t, newRunner(t))
+		s := startCore(t, router, size)
 		s.set(func() {
 			for i := range size / 2 {
 				s.versions[i] = func() *messages.Versions { return accepted(s, i) }
@@ -85,8 +85,8 @@
 // requests for unknown routes wait and however many controllers have it.
 func TestConcurrentDenialChecksFetchMissingStateOnce(t *testing.T) {
 	const size, clients = 5, 8
-	c, front, _ := start(t, newRunner(t))
-	s := startCore(t, c, size)
+	router, front, _ := start(t, newRunner(t))
+	s := startCore(t, router, size)
 	newer := strings.Replace(strings.Replace(configText, `"version":3`, `"version":4`, 1), `"/open/"`, `"/nothing/"`, 1)
 	change := configSnapshot(t, newer, 2)
 	var asked atomic.Int64 // responses that named the newer version
@@ -122,11 +122,11 @@
 
 // A confirmation from before a pause of the process must not justify a denial.
 func TestConfirmationExpires(t *testing.T) {
-	c, _, _ := start(t, newRunner(t))
-	must.False(t, c.confirmationValid(), must.Sprint("nothing has been confirmed yet"))
-	limitUs := confirmationTTLUs + c.recheckTimeout().Microseconds()
-	c.majorityUs.Store(c.clock() + 10*limitUs) // in the future, so that it does not expire during a slow test
-	must.True(t, c.confirmationValid())
-	c.majorityUs.Store(c.clock() - limitUs - 1)
-	must.False(t, c.confirmationValid())
+	router, _, _ := start(t, newRunner(t))
+	must.False(t, router.confirmationValid(), must.Sprint("nothing has been confirmed yet"))
+	limitUs := confirmationTTLUs + router.recheckTimeout().Microseconds()
+	router.majorityUs.Store(router.clock() + 10*limitUs) // in the future, so that it does not expire during a slow test
+	must.True(t, router.confirmationValid())
+	router.majorityUs.Store(router.clock() - limitUs - 1)
+	must.False(t, router.confirmationValid())
 }
--- a/internal/router/request_rules_test.go
+++ b/internal/router/request_rules_test.go
@@ -88,24 +88,24 @@
 // A router reports not ready as soon as it drains, also while requests are in flight.
 func TestDrainingRouterIsNotReadyWithRequestsInFlight(t *testing.T) {
 	r, reached, ended := newBlockingRunner(t, streamHead+chunk("id: 1\ndata: a\n\n"))
-	c, front, cancel := start(t, r)
-	c.informed.Store(true)
-	c.receiveConfig(t, longCutoffConfig)
+	router, front, cancel := start(t, r)
+	router.informed.Store(true)
+	router.receiveConfig(t, longCutoffConfig)
 	dialAndSend(t, front, longRequest("/chat/"))
 	awaitEvent(t, reached, "the request at the runner")
 	ready := func() int {
-		a, err := http.Get("http://" + c.set.Listen.Ready + "/api/ready")
+		a, err := http.Get("http://" + router.set.Listen.Ready + "/api/ready")
 		must.NoError(t, err)
 		a.Body.Close()
 		return a.StatusCode
 	}
 	must.Eq(t, 200, ready())
 	cancel()
-	for !c.draining() {
+	for !router.draining() {
 		time.Sleep(time.Millisecond)
 	}
 	must.Eq(t, 503, ready())
-	must.Eq(t, 1, c.inFlight.Load())
+	must.Eq(t, 1, router.inFlight.Load())
 	select {
 	case <-ended:
 		t.Fatal("the start of the drain ended a request")
@@ -114,12 +114,12 @@
 }
 
 func TestRouterWithoutConfigurationAnswers503(t *testing.T) {
-	c := &Router{clock: func() int64 { return 1 }}
+	router := &Router{clock: func() int64 { return 1 }}
 	rc := app.NewContext(0)
 	rc.Request.Header.SetMethod("POST")
 	rc.Request.SetRequestURI("/chat/")
 	rc.Request.Header.Set(hAttempt, "id1")
-	c.serve(t.Context(), rc)
+	router.serve(t.Context(), rc)
 	must.Eq(t, 503, rc.Response.StatusCode())
 	must.NotEq(t, "", rc.Response.Header.Get(hRetryAfter))
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -191,9 +191,9 @@
 
 func start(t *testing.T, runners ...*runner) (*Router, string, context.CancelFunc) {
 	t.Helper()
-	c, front, run := startWithGrace(t, 1, runners...)
+	router, front, run := startWithGrace(t, 1, runners...)
 	t.Cleanup(func() { run.cancel(); <-run.ended })
-	return c, front, run.cancel
+	return router, front, run.cancel
 }
 
 // routerRun is a running router: cancel makes it end, and ended receives the result of Run.
@@ -213,18 +213,18 @@
 	pool, err := ants.NewPool(64, ants.WithNonblocking(true))
 	must.NoError(t, err)
 	began := time.Now()
-	c, err := New(set, pool, func() int64 { return time.Since(began).Microseconds() + 1 }, logr.Discard())
+	router, err := New(set, pool, func() int64 { return time.Since(began).Microseconds() + 1 }, logr.Discard())
 	must.NoError(t, err)
 	feed := messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, configText, 1)}}
-	var notes []messages.RunnerRecord
+	var records []messages.RunnerRecord
 	for i, r := range runners {
-		notes = append(notes, messages.RunnerRecord{ID: fmt.Sprintf("r%d", i), Service: "s", Addr: r.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: 4}}})
+		records = append(records, messages.RunnerRecord{ID: fmt.Sprintf("r%d", i), Service: "s", Addr: r.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: 4}}})
 	}
-	feed.Registry = []messages.EntryChange{runnerEntries(t, notes...)}
-	must.True(t, c.applyFeed("", feed))
+	feed.Registry = []messages.EntryChange{runnerEntries(t, records...)}
+	must.True(t, router.applyFeed("", feed))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- c.Run(ctx) }()
+	go func() { ended <- router.Run(ctx) }()
 	for {
 		conn, err := net.Dial("tcp4", set.Listen.Front)
 		if err == nil {
@@ -232,7 +232,7 @@
 			break
 		}
 	}
-	return c, set.Listen.Front, routerRun{cancel, ended}
+	return router, set.Listen.Front, routerRun{cancel, ended}
 }
 
 func configSnapshot(t *testing.T, text string, version int64) messages.EntryChange {
@@ -249,10 +249,10 @@
 	return statesync.EncodeEntries(ch)
 }
 
-func runnerEntries(t *testing.T, notes ...messages.RunnerRecord) messages.EntryChange {
+func runnerEntries(t *testing.T, records ...messages.RunnerRecord) messages.EntryChange {
 	t.Helper()
 	out := messages.EntryChange{Epoch: 9, Snapshot: true}
-	for _, n := range notes {
+	for _, n := range records {
 		b, err := n.MarshalMsg(nil)
 		must.NoError(t, err)
 		out.Entries = append(out.Entries, messages.Entry{Key: n.ID, Body: b})
@@ -419,7 +419,7 @@
 		{"no id", strings.Replace(good, "Beechtide-Attempt-Id: id1\r\n", "", 1), 400},
 		{"garbage", "NONSENSE\r\n\r\n", 400},
 		{"two lengths", strings.Replace(good, "Content-Length: 1\r\n", "Content-Length: 2\r\nContent-Length: 1\r\n", 1), 400},
-		{"more promised than sent", strings.Replace(good, "Content-Length: 1\r\n", "Content-Length: 1\r\nContent-Length: 2\r\n", 1), 400},
+		{"two lengths, the second too long", strings.Replace(good, "Content-Length: 1\r\n", "Content-Length: 1\r\nContent-Length: 2\r\n", 1), 400},
 		{"slow head", good[:40], 408},
 		{"length and chunks", strings.Replace(good, "Content-Length: 1\r\n", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", 1), 400},
 		{"body too large", strings.Replace(good, "Content-Length: 1\r\n\r\nx", "Content-Length: 70000\r\n\r\n"+strings.Repeat("x", 70000), 1), 413},
@@ -437,10 +437,10 @@
 
 func TestDrainingRunnerReceivesNoRequests(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
-	c, front, _ := start(t, a, b)
-	n := c.registry.Snapshot().ByID["r0"]
+	router, front, _ := start(t, a, b)
+	n := router.registry.Snapshot().ByID["r0"]
 	n.Seq, n.Draining = 2, true
-	must.True(t, c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, n)}}))
+	must.True(t, router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, n)}}))
 	for range 6 {
 		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
@@ -452,15 +452,15 @@
 
 func TestDrainingRouterServesRequestsAndClosesConnections(t *testing.T) {
 	r := newRunner(t)
-	c, front, run := startWithGrace(t, 60, r)
+	router, front, run := startWithGrace(t, 60, r)
 	cancel := run.cancel
 	defer func() { must.NoError(t, <-run.ended) }()
-	must.True(t, c.ready())
+	must.True(t, router.ready())
 	cancel()
-	for !c.draining() {
+	for !router.draining() {
 		runtime.Gosched()
 	}
-	must.False(t, c.ready())
+	must.False(t, router.ready())
 	a, body, err := roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
 	must.Eq(t, "ok", body)
@@ -515,8 +515,8 @@
 
 func TestRegulatedRequestsReachOnlyCertifiedRunners(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
-	c, front, _ := start(t, a, b)
-	c.receiveConfigVersion(t, 2, 4, regulatedConfig(4, `"r1"`))
+	router, front, _ := start(t, a, b)
+	router.receiveConfigVersion(t, 2, 4, regulatedConfig(4, `"r1"`))
 	for range 6 {
 		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
@@ -531,7 +531,7 @@
 	must.Eq(t, 200, ans.StatusCode)
 
 	// the certificate moves to the other runner; the next request goes there
-	c.receiveConfigVersion(t, 3, 5, regulatedConfig(5, `"r0"`))
+	router.receiveConfigVersion(t, 3, 5, regulatedConfig(5, `"r0"`))
 	was := a.requestCount()
 	ans, _, err = roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
@@ -539,7 +539,7 @@
 	must.Eq(t, was+1, a.requestCount())
 
 	// no runner is certified: rejected with Retry-After, sent nowhere
-	c.receiveConfigVersion(t, 4, 6, regulatedConfig(6, `"r9"`))
+	router.receiveConfigVersion(t, 4, 6, regulatedConfig(6, `"r9"`))
 	sum := a.requestCount() + b.requestCount()
 	ans, _, err = roundTrip(t, front, request("/pay/", "x"))
 	must.NoError(t, err)
@@ -548,49 +548,49 @@
 	must.Eq(t, sum, a.requestCount()+b.requestCount())
 
 	var out strings.Builder
-	must.NoError(t, c.trail.Write(&out))
+	must.NoError(t, router.trail.Write(&out))
 	list, err := compliance.ReadTrail(strings.NewReader(out.String()))
 	must.NoError(t, err)
-	var menus []api.Configuration
+	var configurations []api.Configuration
 	for v, who := range map[int]string{4: `"r1"`, 5: `"r0"`, 6: `"r9"`} {
 		m, err := routeconfig.Parse([]byte(regulatedConfig(v, who)))
 		must.NoError(t, err)
-		menus = append(menus, m)
+		configurations = append(configurations, m)
 	}
 	for i := range list {
 		list[i].Attempt = fmt.Sprint(i / 3) // the test client repeats one id
 	}
-	must.SliceEmpty(t, compliance.CheckTrail(list, menus))
+	must.SliceEmpty(t, compliance.CheckTrail(list, configurations))
 	must.Len(t, 7*3+2, list)
 }
 
 func TestCertificateIsCheckedAgainBeforeSending(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
-	c, _, _ := start(t, a, b)
-	c.receiveConfigVersion(t, 2, 4, regulatedConfig(4, `"r1"`))
-	v := &exchange{router: c, tenant: c.table.Load().Tenant("k1"), id: "x"}
-	v.request.Regime = "allergen"
-	snap := c.registry.Snapshot()
-	must.True(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r1"]}))
-	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r0"]}))
-	c.receiveConfigVersion(t, 3, 5, regulatedConfig(5, `"r0"`))
-	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r1"]}), must.Sprint("admitted before the certificate was withdrawn"))
-	v.request.Regime = ""
-	must.False(t, v.recheckPolicy(&admission.Admission{Runner: snap.ByID["r0"]}), must.Sprint("the regime was set after admission"))
-	must.Eq(t, "allergen", v.request.Regime)
+	router, _, _ := start(t, a, b)
+	router.receiveConfigVersion(t, 2, 4, regulatedConfig(4, `"r1"`))
+	e := &exchange{router: router, tenant: router.table.Load().Tenant("k1"), id: "x"}
+	e.request.Regime = "allergen"
+	snap := router.registry.Snapshot()
+	must.True(t, e.recheckPolicy(&admission.Admission{Runner: snap.ByID["r1"]}))
+	must.False(t, e.recheckPolicy(&admission.Admission{Runner: snap.ByID["r0"]}))
+	router.receiveConfigVersion(t, 3, 5, regulatedConfig(5, `"r0"`))
+	must.False(t, e.recheckPolicy(&admission.Admission{Runner: snap.ByID["r1"]}), must.Sprint("admitted before the certificate was withdrawn"))
+	e.request.Regime = ""
+	must.False(t, e.recheckPolicy(&admission.Admission{Runner: snap.ByID["r0"]}), must.Sprint("the regime was set after admission"))
+	must.Eq(t, "allergen", e.request.Regime)
 }
 
 func TestOlderConfigurationIsIgnored(t *testing.T) {
-	c, _, _ := start(t, newRunner(t))
+	router, _, _ := start(t, newRunner(t))
 	older := strings.Replace(configText, `"version":3`, `"version":2`, 1)
-	must.True(t, c.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, older, 0)}}))
-	must.Eq(t, int64(3), c.table.Load().Version)
+	must.True(t, router.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, older, 0)}}))
+	must.Eq(t, int64(3), router.table.Load().Version)
 }
 
 // A delta that is damaged, based on a version that is not held, or unreadable changes nothing, and
 // a later valid one applies.
 func TestInvalidConfigurationChangeIsIgnored(t *testing.T) {
-	c, _, _ := start(t, newRunner(t))
+	router, _, _ := start(t, newRunner(t))
 	s := statesync.NewEntries()
 	m, err := routeconfig.Parse([]byte(configText))
 	must.NoError(t, err)
@@ -615,23 +615,23 @@
 		bad := good
 		bad.Entries = append([]messages.Entry{}, good.Entries...)
 		spoil(&bad)
-		must.False(t, c.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{bad}}), must.Sprint(name))
-		must.Eq(t, int64(3), c.table.Load().Version, must.Sprint(name))
+		must.False(t, router.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{bad}}), must.Sprint(name))
+		must.Eq(t, int64(3), router.table.Load().Version, must.Sprint(name))
 	}
-	must.False(t, c.applyFeed("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 1, Snapshot: true, Digest: 1, Entries: []messages.Entry{{Key: "x", Body: []byte("junk")}}}}}))
-	must.True(t, c.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{good}}))
-	must.Eq(t, int64(4), c.table.Load().Version)
-	must.Eq(t, "t1", c.table.Load().Tenant("k9").Name)
-	must.Nil(t, c.table.Load().Tenant("k1"))
-	must.True(t, c.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{good}}), must.Sprint("applying it twice must change nothing"))
+	must.False(t, router.applyFeed("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 1, Snapshot: true, Digest: 1, Entries: []messages.Entry{{Key: "x", Body: []byte("junk")}}}}}))
+	must.True(t, router.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{good}}))
+	must.Eq(t, int64(4), router.table.Load().Version)
+	must.Eq(t, "t1", router.table.Load().Tenant("k9").Name)
+	must.Nil(t, router.table.Load().Tenant("k1"))
+	must.True(t, router.applyFeed("p", messages.Feed{Configuration: []messages.EntryChange{good}}), must.Sprint("applying it twice must change nothing"))
 }
 
 // A controller that has just started may send an empty list of runners, which must not make a
 // router ready.
 func TestReadyNeedsConfigurationAndRunner(t *testing.T) {
-	c, _, _ := start(t)
-	must.True(t, c.applyFeed("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 4, Snapshot: true, Entries: []messages.Entry{}}}}))
-	must.False(t, c.ready())
-	must.True(t, c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r", Service: "s", Models: []messages.Target{}})}}))
-	must.True(t, c.ready())
+	router, _, _ := start(t)
+	must.True(t, router.applyFeed("p", messages.Feed{Registry: []messages.EntryChange{{Epoch: 4, Snapshot: true, Entries: []messages.Entry{}}}}))
+	must.False(t, router.ready())
+	must.True(t, router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r", Service: "s", Models: []messages.Target{}})}}))
+	must.True(t, router.ready())
 }
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -20,22 +20,22 @@
 // send sends the request to the admitted runner and forwards the response. However it ends, the
 // capacity of the admission has been released when it returns.
 func (e *exchange) send(adm *admission.Admission, stream *responseStream) (attempt.Result, *responseStream) {
-	c := e.router
+	router := e.router
 	e.sequence.Begin()
 	conn, err := e.acquireConn(adm)
 	if err != nil {
-		c.releaseCapacity(adm, e.client.isGone())
+		router.releaseCapacity(adm, e.client.isGone())
 		return attempt.NotSent, stream
 	}
 	defer e.client.attachConn(nil)
 	if result := e.checkBeforeSending(adm, conn); result != attempt.Sent {
 		conn.Close()
-		c.releaseCapacity(adm, true)
+		router.releaseCapacity(adm, true)
 		return result, stream
 	}
-	sent := c.sent.add(adm, conn, e.sequence.MayRepeat(e.retryPolicy()))
-	sent.sentUs = c.clock()
-	defer c.sent.remove(sent)
+	sent := router.sent.add(adm, conn, e.sequence.MayRepeat(e.retryPolicy()))
+	sent.sentUs = router.clock()
+	defer router.sent.remove(sent)
 	e.spendToken()
 	result := e.writeRequest(adm, conn, stream)
 	if result == attempt.Sent {
@@ -74,12 +74,12 @@
 // receive reads the response to an attempt that has been sent, and forwards it unless the runner
 // rejected the request.
 func (e *exchange) receive(sent *sentAttempt, stream *responseStream) (attempt.Result, *responseStream) {
-	c, adm, conn := e.router, sent.adm, sent.conn
+	router, adm, conn := e.router, sent.adm, sent.conn
 	r := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(r)
 	if err := e.readHead(sent, r); err != nil {
 		if errors.Is(err, errWithdrawn) {
-			c.releaseCapacity(adm, true)
+			router.releaseCapacity(adm, true)
 		} else {
 			e.releaseFailedAttempt(adm, conn, false) // a missing response counts as a failure of the runner
 		}
@@ -90,8 +90,8 @@
 		return result, stream
 	}
 	if stream == nil {
-		e.undelivered = c.undelivered.add(adm, conn, false)
-		defer c.undelivered.remove(e.undelivered)
+		e.undelivered = router.undelivered.add(adm, conn, false)
+		defer router.undelivered.remove(e.undelivered)
 	}
 	if e.isStreamed(r) {
 		if stream == nil {
@@ -108,25 +108,25 @@
 // that it has not run, and those whose status implies it without the header that states it. It
 // returns attempt.Answered for any other response.
 func (e *exchange) receiveRejection(adm *admission.Admission, conn *upstream.Conn, r *protocol.Response) attempt.Result {
-	c, status := e.router, r.StatusCode()
+	router, status := e.router, r.StatusCode()
 	switch {
 	case status == statusWrongInstance:
-		c.discardResponse(adm, conn, r)
-		c.wrongInstance(adm, otherWeights(adm, r))
+		router.discardResponse(adm, conn, r)
+		router.wrongInstance(adm, otherWeights(adm, r))
 		e.refundToken()
 		return attempt.NotRun
 	case r.Header.Get(hNotRun) != "":
-		c.discardResponse(adm, conn, r)
-		c.admissionMu.Lock()
-		c.admission.Full(adm, c.clock())
-		c.admissionMu.Unlock()
+		router.discardResponse(adm, conn, r)
+		router.admissionMu.Lock()
+		router.admission.Full(adm, router.clock())
+		router.admissionMu.Unlock()
 		e.refundToken()
 		return attempt.NotRun
 	case impliesNotExecuted(status):
 		// without the header the request may have run, whatever the status implies
 		_, err := upstream.ReadBody(r, maxDiscardedBody)
-		c.recordAttemptOutcome(adm, conn, status < 500, true)
-		c.releaseCapacityAndConn(adm, conn, r, err == nil)
+		router.recordAttemptOutcome(adm, conn, status < 500, true)
+		router.releaseCapacityAndConn(adm, conn, r, err == nil)
 		return attempt.Unknown
 	}
 	return attempt.Answered
@@ -145,10 +145,10 @@
 // writeRequest writes the request. If that fails it releases the capacity and returns
 // attempt.NotSent if no byte can have reached the runner, attempt.Unknown otherwise.
 func (e *exchange) writeRequest(adm *admission.Admission, conn *upstream.Conn, stream *responseStream) attempt.Result {
-	c := e.router
-	leftUs := e.deadlineUs - c.clock()
+	router := e.router
+	leftUs := e.deadlineUs - router.clock()
 	if leftUs <= withdrawLeadUs { // for example after this process was paused
-		c.releaseCapacity(adm, true)
+		router.releaseCapacity(adm, true)
 		return attempt.NotSent
 	}
 	sent, err := conn.Send(e.attemptHeader(adm, leftUs, stream), e.rc.Request.Body(), e.deadlineTime(-withdrawLeadUs))
--- a/internal/router/time_limit_test.go
+++ b/internal/router/time_limit_test.go
@@ -72,8 +72,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			r, ended := newEndlessRunner(t, tc.first, tc.again)
-			c, front, _ := start(t, r)
-			c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
+			router, front, _ := start(t, r)
+			router.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 			began := time.Now()
 			a, _, err := roundTrip(t, front, longRequest(tc.path))
 			took := time.Since(began)
@@ -105,14 +105,14 @@
 			}
 		}
 	}
-	c, front, _ := start(t, r)
-	c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
+	router, front, _ := start(t, r)
+	router.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 	began := time.Now()
 	dialAndSend(t, front, longRequest("/chat/"))
-	for c.inFlight.Load() == 0 {
+	for router.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	for c.inFlight.Load() > 0 {
+	for router.inFlight.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	must.Between(t, minElapsed, time.Since(began), maxCutoffs*shortCutoff)
@@ -121,8 +121,8 @@
 
 func TestCutoffIsFixedWhenRequestBegins(t *testing.T) {
 	r, reached, _ := newBlockingRunner(t, "")
-	c, front, _ := start(t, r)
-	c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
+	router, front, _ := start(t, r)
+	router.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 	answered := make(chan int, 1)
 	go func() {
 		status := 0
@@ -132,16 +132,16 @@
 		answered <- status
 	}()
 	awaitEvent(t, reached, "the request at the runner")
-	c.receiveConfigVersion(t, 3, 6, cutoffConfig(6, time.Hour))
+	router.receiveConfigVersion(t, 3, 6, cutoffConfig(6, time.Hour))
 	must.Eq(t, 504, <-answered)
 
 	conn := dialAndSend(t, front, longRequest("/chat/"))
 	awaitEvent(t, reached, "the request at the runner")
-	c.receiveConfigVersion(t, 4, 7, cutoffConfig(7, shortCutoff))
+	router.receiveConfigVersion(t, 4, 7, cutoffConfig(7, shortCutoff))
 	a, _, err := roundTrip(t, front, longRequest("/pay/"))
 	must.NoError(t, err)
 	must.Eq(t, 504, a.StatusCode)
-	must.Eq(t, 1, c.inFlight.Load(), must.Sprint("the request that began under the long cutoff must continue"))
+	must.Eq(t, 1, router.inFlight.Load(), must.Sprint("the request that began under the long cutoff must continue"))
 	conn.Close()
 }
 
@@ -211,13 +211,13 @@
 func TestTimeLeftCountsFromTheFirstByte(t *testing.T) {
 	const pause = 150 * time.Millisecond // within the limit on the time to send a request
 	r := newRunner(t)
-	c, front, _ := start(t, r)
+	router, front, _ := start(t, r)
 	raw := request("/pay/", "some")
 	conn := dialAndSend(t, front, "")
-	c.awaitIdle(conn, true)
+	router.awaitIdle(conn, true)
 	_, err := io.WriteString(conn, raw[:len(raw)-2])
 	must.NoError(t, err)
-	c.awaitIdle(conn, false) // the router has read the first bytes and recorded the time
+	router.awaitIdle(conn, false) // the router has read the first bytes and recorded the time
 	time.Sleep(pause)
 	_, err = io.WriteString(conn, raw[len(raw)-2:])
 	must.NoError(t, err)
@@ -272,8 +272,8 @@
 
 // Connecting to a runner that does not respond ends at the request's deadline.
 func TestConnectEndsAtCutoff(t *testing.T) {
-	c, front, _ := start(t, &runner{addr: unresponsiveAddress(t)})
-	c.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
+	router, front, _ := start(t, &runner{addr: unresponsiveAddress(t)})
+	router.receiveConfigVersion(t, 2, 5, cutoffConfig(5, shortCutoff))
 	began := time.Now()
 	a, _, err := roundTrip(t, front, longRequest("/pay/"))
 	must.NoError(t, err)
--- a/internal/router/version_read_test.go
+++ b/internal/router/version_read_test.go
@@ -25,8 +25,8 @@
 		{"two of three", []messages.Versions{response("a", 4, 0), response("b", 4, 0)}, 4, true},
 		{"one has accepted the next", []messages.Versions{response("a", 4, 0), response("b", 4, 5)}, 4, false},
 		{"one has accepted it, the others have not", []messages.Versions{response("a", 4, 0), response("b", 4, 5), response("c", 4, 0)}, 4, true},
-		{"what one has accepted another knows as committed", []messages.Versions{response("a", 4, 5), response("b", 5, 0)}, 5, true},
-		{"one is no member", []messages.Versions{response("a", 4, 0), response("x", 4, 0)}, 4, false},
+		{"one has accepted a version that another reports as committed", []messages.Versions{response("a", 4, 5), response("b", 5, 0)}, 5, true},
+		{"one is not a member", []messages.Versions{response("a", 4, 0), response("x", 4, 0)}, 4, false},
 		{"an earlier release", []messages.Versions{{MemberID: "a"}, {MemberID: "b"}, {MemberID: "c"}}, 0, false},
 	} {
 		var read versionRead
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -63,28 +63,28 @@
 
 // withdrawAtBound makes a request wait at a runner with old weights until the version bound
 // passes, while a runner with the target weights joins.
-func withdrawAtBound(t *testing.T, path string) (c *Router, renewed *runner, a requestResult) {
+func withdrawAtBound(t *testing.T, path string) (router *Router, renewed *runner, a requestResult) {
 	t.Helper()
 	old, closedAfter := newSilentRunner(t)
-	c, front, _ := start(t, old)
+	router, front, _ := start(t, old)
 	answer := roundTripAsync(t, front, request(path, "x"))
 	awaitRequest(old)
 	renewed = newRunner(t)
-	c.addRunner(t, "new", renewed, 5)
-	c.setTargetWeights(5)
+	router.addRunner(t, "new", renewed, 5)
+	router.setTargetWeights(5)
 	<-closedAfter
 	a = <-answer
 	must.NoError(t, a.err)
-	return c, renewed, a
+	return router, renewed, a
 }
 
 func TestQueuedRequestWithdrawnAtBound(t *testing.T) {
 	for _, path := range []string{"/open/", "/sort/"} {
-		c, renewed, a := withdrawAtBound(t, path)
+		router, renewed, a := withdrawAtBound(t, path)
 		must.Eq(t, 200, a.StatusCode)
 		must.Eq(t, 1, renewed.requestCount())
 		must.Eq(t, "5", renewed.lastRequest().Header.Get(hExpected))
-		must.MapEmpty(t, c.sent.items)
+		must.MapEmpty(t, router.sent.items)
 	}
 }
 
@@ -101,14 +101,14 @@
 		<-named
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	}
-	c, front, _ := start(t, old)
+	router, front, _ := start(t, old)
 	answer := roundTripAsync(t, front, request("/sort/", "x"))
-	for c.begunRequests() == 0 {
+	for router.begunRequests() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c.addRunner(t, "new", newRunner(t), 5)
-	c.setTargetWeights(5)
-	c.withdrawFromOldWeights()
+	router.addRunner(t, "new", newRunner(t), 5)
+	router.setTargetWeights(5)
+	router.withdrawFromOldWeights()
 	close(named)
 	a := <-answer
 	must.NoError(t, a.err)
@@ -130,15 +130,15 @@
 
 func TestRequestIsNotSentToOldWeightsPastTheBound(t *testing.T) {
 	old := newRunner(t)
-	c, _, _ := start(t, old)
-	v, _, _ := newAdmittedExchange(t, c, 1_000_000)
-	v.request.Model = "m"
-	adm := c.admission.Submit(v.request, c.clock()).Admit
+	router, _, _ := start(t, old)
+	e, _, _ := newAdmittedExchange(t, router, 1_000_000)
+	e.request.Model = "m"
+	adm := router.admission.Submit(e.request, router.clock()).Admit
 	must.NotNil(t, adm)
-	must.True(t, c.stillAllowed(adm))
-	c.setTargetWeights(5)
-	must.False(t, c.stillAllowed(adm))
-	end, _ := v.send(adm, nil)
+	must.True(t, router.stillAllowed(adm))
+	router.setTargetWeights(5)
+	must.False(t, router.stillAllowed(adm))
+	end, _ := e.send(adm, nil)
 	must.Eq(t, attempt.NotSent, end)
 	must.Eq(t, 0, old.requestCount())
 }
@@ -175,12 +175,12 @@
 		}
 		return "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"
 	}
-	c, front, _ := start(t, a, b)
+	router, front, _ := start(t, a, b)
 	for i := 0; a.requestCount() == 0; i++ {
 		ans, _, err := roundTrip(t, front, fresh("/pay/", i))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
-	must.False(t, missing(c))
+	must.False(t, missing(router))
 	must.Eq(t, 0, a.probes())
 }
--- a/internal/router/zones_test.go
+++ b/internal/router/zones_test.go
@@ -29,11 +29,11 @@
 
 func TestRunnersOfUnreachableZoneReceiveNoRequests(t *testing.T) {
 	near, far := newRunner(t), newRunner(t)
-	c, front, _ := start(t, near)
-	c.listInZones(t, near, far)
-	c.admissionMu.Lock()
-	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
-	c.admissionMu.Unlock()
+	router, front, _ := start(t, near)
+	router.listInZones(t, near, far)
+	router.admissionMu.Lock()
+	router.admission.SetUnreachable(map[string]int64{"b": 1}, router.clock())
+	router.admissionMu.Unlock()
 	before := far.requestCount()
 	for range 12 {
 		a, _, err := roundTrip(t, front, request("/pay/1", ""))
@@ -45,8 +45,8 @@
 }
 
 func TestPingIsAnswered(t *testing.T) {
-	c, _, _ := start(t, newRunner(t))
-	trans, err := transport.New("127.0.0.1:0", nil, c.log)
+	router, _, _ := start(t, newRunner(t))
+	trans, err := transport.New("127.0.0.1:0", nil, router.log)
 	must.NoError(t, err)
 	defer trans.Close()
 	answered := make(chan int64, 1)
@@ -63,7 +63,7 @@
 	defer cancel()
 	trans.Run(ctx)
 	for {
-		trans.SendDatagram(c.transport.Addr(), transport.KindReachPing, &messages.ReachPing{Seq: 7})
+		trans.SendDatagram(router.transport.Addr(), transport.KindReachPing, &messages.ReachPing{Seq: 7})
 		select {
 		case seq := <-answered:
 			must.Eq(t, 7, seq)
@@ -75,19 +75,19 @@
 
 // requestAcrossPartition makes a request wait at a runner of another zone until that zone is
 // unreachable, while a runner of the router's zone joins.
-func requestAcrossPartition(t *testing.T, path string) (near *runner, c *Router, answer chan requestResult) {
+func requestAcrossPartition(t *testing.T, path string) (near *runner, router *Router, answer chan requestResult) {
 	t.Helper()
 	far, _ := newSilentRunner(t)
-	c, front, _ := start(t)
-	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
+	router, front, _ := start(t)
+	router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
 	answer = roundTripAsync(t, front, request(path, "x"))
 	awaitRequest(far)
 	near = newRunner(t)
-	c.addRunner(t, "near", near, 1)
-	c.admissionMu.Lock()
-	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
-	c.admissionMu.Unlock()
-	return near, c, answer
+	router.addRunner(t, "near", near, 1)
+	router.admissionMu.Lock()
+	router.admission.SetUnreachable(map[string]int64{"b": 1}, router.clock())
+	router.admissionMu.Unlock()
+	return near, router, answer
 }
 
 func TestRepeatableRequestLeavesUnreachableZone(t *testing.T) {
@@ -114,8 +114,8 @@
 func TestResumableStreamLeavesUnreachableRunner(t *testing.T) {
 	const first, second = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
 	far := newRunner(t, streamHead+chunk(first)) // then silent, with the connection open
-	c, front, _ := start(t)
-	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
+	router, front, _ := start(t)
+	router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
 	conn, err := net.Dial("tcp4", front)
 	must.NoError(t, err)
 	defer conn.Close()
@@ -128,10 +128,10 @@
 	must.NoError(t, err)
 	must.Eq(t, first, string(begun))
 	near := newRunner(t, streamHead+chunk(second)+"0\r\n\r\n")
-	c.addRunner(t, "near", near, 1)
-	c.admissionMu.Lock()
-	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
-	c.admissionMu.Unlock()
+	router.addRunner(t, "near", near, 1)
+	router.admissionMu.Lock()
+	router.admission.SetUnreachable(map[string]int64{"b": 1}, router.clock())
+	router.admissionMu.Unlock()
 	rest, err := io.ReadAll(answer.Body)
 	must.NoError(t, err)
 	must.Eq(t, second, string(rest))
@@ -141,7 +141,7 @@
 // streamAcrossPartition makes a runner of another zone begin a stream, makes that zone
 // unreachable, and returns the body that the client receives. continueStream writes the rest of
 // the stream at that runner.
-func streamAcrossPartition(t *testing.T, join func(c *Router), continueStream func(write func(string))) (c *Router, body string) {
+func streamAcrossPartition(t *testing.T, join func(router *Router), continueStream func(write func(string))) (router *Router, body string) {
 	t.Helper()
 	cut := make(chan bool)
 	far := newRunner(t)
@@ -150,61 +150,61 @@
 		<-cut
 		continueStream(write)
 	}
-	c, front, _ := start(t)
-	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
+	router, front, _ := start(t)
+	router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
 	answer := roundTripAsync(t, front, request("/sort/", "x"))
 	awaitRequest(far)
-	join(c)
-	c.admissionMu.Lock()
-	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
-	c.admissionMu.Unlock()
+	join(router)
+	router.admissionMu.Lock()
+	router.admission.SetUnreachable(map[string]int64{"b": 1}, router.clock())
+	router.admissionMu.Unlock()
 	close(cut)
 	a := <-answer
 	must.NoError(t, a.err)
-	return c, a.body
+	return router, a.body
 }
 
 func TestStreamStaysAtUnreachableRunnerWithoutAlternative(t *testing.T) {
 	gone, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, gone.Close())
-	join := func(c *Router) {
-		c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "gone", Service: "s", Addr: gone.Addr().String(), Zone: "a", Capacity: 8, Seq: 1})}})
+	join := func(router *Router) {
+		router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "gone", Service: "s", Addr: gone.Addr().String(), Zone: "a", Capacity: 8, Seq: 1})}})
 	}
-	c, body := streamAcrossPartition(t, join, func(write func(string)) {
+	router, body := streamAcrossPartition(t, join, func(write func(string)) {
 		time.Sleep(3 * minStreamSilence)
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	})
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", body)
-	must.Positive(t, c.counters.streamsStayed.Load())
-	must.Zero(t, c.counters.streamsLeft.Load())
+	must.Positive(t, router.counters.streamsStayed.Load())
+	must.Zero(t, router.counters.streamsLeft.Load())
 }
 
 func TestOnlySilentStreamsLeaveUnreachableRunners(t *testing.T) {
 	far := newRunner(t)
-	c, _, _ := start(t)
-	c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
-	c.admissionMu.Lock()
-	admitted := c.admission.Submit(admission.Request{Service: "s", LeftUs: 1_000_000}, c.clock()).Admit
-	c.admissionMu.Unlock()
+	router, _, _ := start(t)
+	router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
+	router.admissionMu.Lock()
+	admitted := router.admission.Submit(admission.Request{Service: "s", LeftUs: 1_000_000}, router.clock()).Admit
+	router.admissionMu.Unlock()
 	must.NotNil(t, admitted)
-	c.addRunner(t, "near", newRunner(t), 1)
-	c.admissionMu.Lock()
-	c.admission.SetUnreachable(map[string]int64{"b": 1}, c.clock())
-	c.admissionMu.Unlock()
+	router.addRunner(t, "near", newRunner(t), 1)
+	router.admissionMu.Lock()
+	router.admission.SetUnreachable(map[string]int64{"b": 1}, router.clock())
+	router.admissionMu.Unlock()
 	conn, err := upstream.Connect(t.Context(), far.addr)
 	must.NoError(t, err)
 	defer conn.Close()
-	streams := &c.movableStreams
+	streams := &router.movableStreams
 	stream := streams.add(admitted, conn, true)
-	c.abandonUnreachable()
+	router.abandonUnreachable()
 	withdrawn := streams.clearWithdrawal(stream)
 	must.True(t, !withdrawn || conn.SilentFor() >= minStreamSilence, must.Sprint("a connection with recent data must not be left"))
 	for conn.SilentFor() < minStreamSilence {
 		time.Sleep(minStreamSilence / 10)
 	}
 	for !streams.clearWithdrawal(stream) {
-		c.abandonUnreachable()
+		router.abandonUnreachable()
 	}
 	streams.remove(stream)
 }
