--- a/internal/router/answers_test.go
+++ b/internal/router/answers_test.go
@@ -21,10 +21,10 @@
 	e := &exchange{router: router, rc: app.NewContext(0), id: "id1", route: &routeconfig.Route{}, service: "s"}
 	e.rc.Request.Header.SetMethod("POST")
 	e.rc.Request.SetRequestURI("/pay/")
-	e.request = admission.Request{Service: "s", LeftUs: 1_000_000}
+	e.request = admission.Request{Service: "s", TimeLeftUs: 1_000_000}
 	e.deadlineUs = router.clock() + timeoutUs
 	router.admissionMu.Lock()
-	adm := router.admission.Submit(e.request, router.clock()).Admit
+	adm := router.admission.Submit(e.request, router.clock()).Admission
 	router.admissionMu.Unlock()
 	must.NotNil(t, adm)
 	conn, err := upstream.Connect(context.Background(), adm.Runner.Addr)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -31,16 +31,16 @@
 // makeAttempt makes the next attempt. It reports whether another one follows.
 func (e *exchange) makeAttempt() bool {
 	decision := e.nextDecision()
-	if decision.Admit == nil {
+	if decision.Admission == nil {
 		e.rejectNotAdmitted(decision)
 		return false
 	}
-	if !e.acquireAttemptToken(decision.Admit) {
+	if !e.acquireAttemptToken(decision.Admission) {
 		return false
 	}
 	e.checkRepeat()
 	var result attempt.Result
-	result, e.stream = e.send(decision.Admit, e.stream)
+	result, e.stream = e.send(decision.Admission, e.stream)
 	if result != attempt.Answered && e.client.isGone() {
 		result = attempt.ClientGone
 	}
@@ -58,7 +58,7 @@
 		e.closeClientConn()
 		return false
 	}
-	if !e.shouldRetry(result, decision.Admit.Runner.ID) {
+	if !e.shouldRetry(result, decision.Admission.Runner.ID) {
 		e.rejectFailed()
 		return false
 	}
@@ -69,7 +69,7 @@
 // the admission control on the next attempt.
 func (e *exchange) nextDecision() admission.Decision {
 	if e.reserved != nil {
-		return admission.Decision{Admit: e.reserved.adm}
+		return admission.Decision{Admission: e.reserved.adm}
 	}
 	return e.admit()
 }
@@ -81,7 +81,7 @@
 	}
 	next := e.sequence.Failed(e.retryPolicy(), result, e.timeExpired(), retryBudget{e})
 	if next.Avoid {
-		e.request.Avoid = append(e.request.Avoid, runnerID)
+		e.request.ExcludedRunners = append(e.request.ExcludedRunners, runnerID)
 	}
 	return next.Retry
 }
@@ -103,9 +103,9 @@
 	switch {
 	case e.stream != nil:
 	case e.sequence.MayHaveRun():
-		e.reject(e.sequence.EndStatus(e.router.clock() >= e.deadlineUs), decision.Reject, 0)
+		e.reject(e.sequence.EndStatus(e.router.clock() >= e.deadlineUs), decision.Reason, 0)
 	default:
-		e.reject(decision.Status, decision.Reject, decision.AgainUs)
+		e.reject(decision.Status, decision.Reason, decision.RetryAfterUs)
 	}
 }
 
@@ -147,23 +147,23 @@
 	ch := make(chan admission.Decision, 1)
 	e.request.Ref = router.slab.Put(func(r admission.Decision) { ch <- r })
 	now := router.clock()
-	e.request.LeftUs = e.deadlineUs - now
+	e.request.TimeLeftUs = e.deadlineUs - now
 	router.admissionMu.Lock()
 	e.request.Canary = e.sequence.IsFirst() && (e.request.Canary || router.admission.DrawCanary(e.service))
 	r := router.admission.Submit(e.request, now)
-	if r.Reject == admission.RejectQueue || r.Reject == admission.RejectTokens {
-		if shed, ok := router.admission.ShedFor(e.request, now); ok {
+	if r.Reason == admission.RejectQueue || r.Reason == admission.RejectTokens {
+		if shed, ok := router.admission.ShedLowerPriority(e.request, now); ok {
 			defer router.slab.Resume(shed.Ref, shed)
 			r = router.admission.Submit(e.request, now)
 		}
 	}
-	fresh := router.admission.HasFresh()
+	fresh := router.admission.HasExpectedPrefixes()
 	router.admissionMu.Unlock()
 	if fresh {
 		signal(router.prefixesPending)
 	}
 	signal(router.loadsChanged)
-	if !r.Hold {
+	if !r.Queued {
 		router.slab.Drop(e.request.Ref)
 		return r
 	}
@@ -204,5 +204,5 @@
 	router.admissionMu.Lock()
 	router.admission.Abandon(e.request)
 	router.admissionMu.Unlock()
-	return admission.Decision{Ref: e.request.Ref, Status: 503, Reject: reason, AgainUs: drainRetryAfterUs}
+	return admission.Decision{Ref: e.request.Ref, Status: 503, Reason: reason, RetryAfterUs: drainRetryAfterUs}
 }
--- a/internal/router/client_watch_test.go
+++ b/internal/router/client_watch_test.go
@@ -94,7 +94,7 @@
 				must.Eq(t, 1, r.requestCount(), must.Sprint("the request must not be retried"))
 				router.admissionMu.Lock()
 				defer router.admissionMu.Unlock()
-				must.NotNil(t, router.admission.TryNow(admission.Request{Service: "s", LeftUs: 1_000_000}, router.clock()), must.Sprint("it must not count as a failure of the runner"))
+				must.NotNil(t, router.admission.TryAdmit(admission.Request{Service: "s", TimeLeftUs: 1_000_000}, router.clock()), must.Sprint("it must not count as a failure of the runner"))
 			})
 		}
 	}
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -214,7 +214,7 @@
 	tokensOut, _ := strconv.Atoi(strings.TrimSpace(out))
 	e.request = admission.Request{
 		Service: e.service, Rank: e.route.Rank, TokensIn: max(tokensIn, 0), TokensOut: max(tokensOut, 0),
-		Class: classOf(e.route), Model: headerValue(e.rc, hModel), Parts: prefixindex.ParseParts(headerValue(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, LeftUs: e.deadlineUs - e.router.clock(),
+		Class: classOf(e.route), Model: headerValue(e.rc, hModel), Parts: prefixindex.ParseParts(headerValue(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, TimeLeftUs: e.deadlineUs - e.router.clock(),
 	}
 	var tenantHomes []string
 	if e.tenant != nil {
@@ -225,7 +225,7 @@
 		e.request.Regime = t.RegimeOf(e.tenant.Name)
 		e.quotaLimit = quota.Limit{Version: t.Version, RatePerS: e.tenant.RatePerS, Burst: e.tenant.Burst}
 	}
-	e.request.Homes, e.request.Bound = admission.Homes(e.route.Homes, tenantHomes)
+	e.request.HomeRegions, e.request.RegionRestricted = admission.CombineHomeRegions(e.route.Homes, tenantHomes)
 }
 
 // onAccept returns the context in which the requests of a connection are served. It carries the
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -32,7 +32,9 @@
 		return false
 	}
 	e.nextMoveCheckUs = now + moveRetryUs
-	mustLeave := func(request admission.Request) bool { return router.admission.Leaves(request, adm.Runner.Zone, now) }
+	mustLeave := func(request admission.Request) bool {
+		return router.admission.SessionLeaves(request, adm.Runner.Zone, now)
+	}
 	return e.reserveAttempt(adm, mustLeave, func(next *admission.Admission) bool { return next.Runner.Zone != adm.Runner.Zone })
 }
 
@@ -47,14 +49,14 @@
 	}
 	now := router.clock()
 	request := e.request
-	request.LeftUs = e.deadlineUs - now
-	request.Avoid = append(append([]string{}, request.Avoid...), adm.Runner.ID)
+	request.TimeLeftUs = e.deadlineUs - now
+	request.ExcludedRunners = append(append([]string{}, request.ExcludedRunners...), adm.Runner.ID)
 	router.admissionMu.Lock()
 	if !mustLeave(request) {
 		router.admissionMu.Unlock()
 		return false
 	}
-	next := router.admission.TryNow(request, now)
+	next := router.admission.TryAdmit(request, now)
 	accepted := next != nil && accepts(next)
 	router.admissionMu.Unlock()
 	if next == nil {
@@ -74,7 +76,7 @@
 		router.releaseCapacity(next, true)
 		return false
 	}
-	e.request.Avoid = request.Avoid
+	e.request.ExcludedRunners = request.ExcludedRunners
 	e.reserved = &reservedAttempt{next, conn}
 	return true
 }
--- a/internal/router/move_test.go
+++ b/internal/router/move_test.go
@@ -119,7 +119,7 @@
 	t.Helper()
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	for id, l := range r.admission.Own(r.clock()) {
+	for id, l := range r.admission.OwnLoads(r.clock()) {
 		must.Eq(t, 0, l.Count, must.Sprint(id))
 	}
 }
@@ -172,25 +172,25 @@
 	}
 	d.SetService("s", records, 100_000, 0.01)
 	ask := admission.Request{
-		Service: "s", Tenant: "t", Model: "m", TokensIn: 6200, TokensOut: 20, SetpointUs: 800_000, LeftUs: 5_000_000,
+		Service: "s", Tenant: "t", Model: "m", TokensIn: 6200, TokensOut: 20, SetpointUs: 800_000, TimeLeftUs: 5_000_000,
 		Parts: []prefixindex.Part{{ID: "top", Tokens: 2500}, {ID: "deep", Tokens: 3500}, {ID: "own", Tokens: 200}},
 	}
-	keys := prefixindex.Keys(d.Salt("t", false, "", 1), "m", ask.Parts)
+	keys := prefixindex.Keys(d.CacheSalt("t", false, "", 1), "m", ask.Parts)
 	for i, k := range keys[:2] {
 		d.Index.Put("r0", k, int32(ask.Parts[i].Tokens))
 	}
-	before := d.Submit(ask, 1_000_000).Admit
+	before := d.Submit(ask, 1_000_000).Admission
 	must.Eq(t, "r0", before.Runner.ID)
-	must.Eq(t, 6000, before.Cached)
-	d.Done(before, true, 1_500_000)
+	must.Eq(t, 6000, before.CachedTokens)
+	d.Release(before, true, 1_500_000)
 	d.SetRelinquished(map[string]int64{"a": 0}, 2_000_000)
-	after := d.Submit(ask, 2_000_000).Admit
+	after := d.Submit(ask, 2_000_000).Admission
 	must.NotEq(t, "a", after.Runner.Zone)
 	must.Eq(t, "r0:1", after.Source, must.Sprint("copied from the old runner"))
-	d.FirstToken(after, 2_100_000)
-	d.Done(after, true, 2_200_000)
-	again := d.Submit(ask, 3_000_000).Admit
+	d.RecordFirstToken(after, 2_100_000)
+	d.Release(after, true, 2_200_000)
+	again := d.Submit(ask, 3_000_000).Admission
 	must.Eq(t, after.Runner.ID, again.Runner.ID, must.Sprint("the session must stay at its new home"))
 	must.Eq(t, "", again.Source)
-	must.Eq(t, 6200, again.Cached, must.Sprint("the whole prefix must be cached there"))
+	must.Eq(t, 6200, again.CachedTokens, must.Sprint("the whole prefix must be cached there"))
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -80,7 +80,7 @@
 		addrs = append(addrs, peer.Addr)
 	}
 	r.admissionMu.Lock()
-	r.admission.SeeNodes(addrs, r.clock())
+	r.admission.RecordVisibleNodes(addrs, r.clock())
 	r.admissionMu.Unlock()
 	r.quotas.Sweep(addrs)
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -169,7 +169,7 @@
 	t.Helper()
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	admitted := r.admission.Submit(admission.Request{Service: "s", LeftUs: 1_000_000}, r.clock()).Admit
+	admitted := r.admission.Submit(admission.Request{Service: "s", TimeLeftUs: 1_000_000}, r.clock()).Admission
 	must.NotNil(t, admitted)
 	return admitted
 }
--- a/internal/router/request_head.go
+++ b/internal/router/request_head.go
@@ -41,7 +41,7 @@
 		h.Set(hTenant, e.tenant.Name)
 	}
 	if e.request.Model != "" {
-		h.Set(hSalt, adm.Salt)
+		h.Set(hSalt, adm.CacheSalt)
 		h.Set(hUrgency, strconv.Itoa(urgency(e)))
 		setCacheHeaders(h, adm)
 	}
@@ -60,8 +60,8 @@
 	if adm.Sink != "" {
 		h.Set(hSink, adm.Sink)
 	}
-	if adm.Version > 0 {
-		h.Set(hExpected, strconv.FormatInt(adm.Version, 10))
+	if adm.WeightsVersion > 0 {
+		h.Set(hExpected, strconv.FormatInt(adm.WeightsVersion, 10))
 	}
 }
 
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -76,7 +76,7 @@
 // recordFirstToken reports to the admission control that the attempt has produced output.
 func (r *Router) recordFirstToken(adm *admission.Admission) {
 	r.admissionMu.Lock()
-	r.admission.FirstToken(adm, r.clock())
+	r.admission.RecordFirstToken(adm, r.clock())
 	r.admissionMu.Unlock()
 	signal(r.loadsChanged)
 	r.wakeQueue()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -203,14 +203,14 @@
 // newAdmitter returns the admission control of a router with these settings.
 func newAdmitter(set settings.Settings, nowUs int64) *admission.Admitter {
 	admitter := admission.New(admission.Defaults, set.Zone, rand.Uint64())
-	admitter.Bound = admission.WeightsBound{
+	admitter.WeightsBound = admission.WeightsBound{
 		VersionUs:     int64(set.Bounds.VersionMs) * usPerMs,
 		ContactLossUs: int64(set.Bounds.ContactMs) * usPerMs,
 	}
-	admitter.Contact(nowUs)
+	admitter.RecordContact(nowUs)
 	warmup := admission.WarmupBounds{Overshoot: set.Bounds.ColdOvershoot, Slack: set.Bounds.ColdSlack}
 	admitter.SetWarmup(set.RouterAddr(), warmup, nowUs)
-	admitter.SetReturnCold(returnColdBeats * int64(set.BeatPeriodMs) * usPerMs)
+	admitter.SetReturnWarmup(returnColdBeats * int64(set.BeatPeriodMs) * usPerMs)
 	admitter.SetRegions(set.Zones)
 	return admitter
 }
@@ -338,8 +338,8 @@
 			}
 		}
 		r.admission.SetService(service, notes, tokens, moveUs)
-		r.admission.SetWarmups(service, coldPerS, r.clock())
-		r.admission.SetLinks(service, links)
+		r.admission.SetWarmupRate(service, coldPerS, r.clock())
+		r.admission.SetConnectionLimit(service, links)
 		r.admission.SetStores(service, storesFor(t, service))
 		r.admission.SetCertified(service, certified(t, notes))
 	}
@@ -389,7 +389,7 @@
 	var out []admission.Store
 	for _, box := range t.Stores {
 		if box.LinkMbps > 0 {
-			out = append(out, admission.Store{ID: box.CacheStore, Addr: box.CacheStore, Zone: box.Zone, MoveUs: float64(s.Engine.TokenBytes) * 8 / float64(box.LinkMbps)})
+			out = append(out, admission.Store{ID: box.CacheStore, Addr: box.CacheStore, Zone: box.Zone, TransferUsPerToken: float64(s.Engine.TokenBytes) * 8 / float64(box.LinkMbps)})
 		}
 	}
 	return out
@@ -432,7 +432,7 @@
 func (r *Router) tick() {
 	r.admissionMu.Lock()
 	decisions := r.admission.Tick(r.clock())
-	fresh := r.admission.HasFresh()
+	fresh := r.admission.HasExpectedPrefixes()
 	r.admissionMu.Unlock()
 	if fresh {
 		signal(r.prefixesPending)
@@ -441,11 +441,11 @@
 		signal(r.loadsChanged)
 	}
 	for _, decision := range decisions {
-		if r.slab.Resume(decision.Ref, decision) || decision.Admit == nil {
+		if r.slab.Resume(decision.Ref, decision) || decision.Admission == nil {
 			continue
 		}
 		r.admissionMu.Lock()
-		r.admission.Done(decision.Admit, true, r.clock())
+		r.admission.Release(decision.Admission, true, r.clock())
 		r.admissionMu.Unlock()
 	}
 }
--- a/internal/router/withdraw.go
+++ b/internal/router/withdraw.go
@@ -93,7 +93,7 @@
 	now := r.clock()
 	r.admissionMu.Lock()
 	for _, a := range attempts {
-		if r.admission.MustWithdraw(a.adm, now) || a.retryable && (r.admission.Retired(a.adm) || r.admission.OutOfReach(a.adm)) {
+		if r.admission.MustWithdraw(a.adm, now) || a.retryable && (r.admission.HasRetiredWeights(a.adm) || r.admission.InUnreachableZone(a.adm)) {
 			due = append(due, a)
 		}
 	}
@@ -137,5 +137,5 @@
 	}
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	return !r.admission.Evacuated(adm.Runner.Zone) && r.admission.VersionAllowed(adm) && !r.admission.Absent(adm) && r.admission.WeightsAllowed(adm, r.clock())
+	return !r.admission.ZoneEvacuated(adm.Runner.Zone) && r.admission.VersionAllowed(adm) && !r.admission.RunnerAbsent(adm) && r.admission.WeightsAllowed(adm, r.clock())
 }
