--- a/internal/lease/contact.go
+++ b/internal/lease/contact.go
@@ -1,66 +1,67 @@
 // The contact lease of a member with a majority of its group. The member sends
 // requests to the others and holds the lease while the requests that a majority has
-// answered were sent less than ContactUs ago. The time counts from the sending of a
-// request: when the other member handled it is not known here, only that it was later.
-// Nothing has to arrive for the lease to expire, so a member that is partitioned or was
-// paused finds it expired when it next reads its clock.
+// answered were sent less than ContactUs ago. The lease is measured from the time a
+// request was sent, because the sender does not observe when the other member handled
+// it, only that this happened later. No message is needed for the lease to expire, so a
+// member that was partitioned or paused finds it expired when it next reads its clock.
 //
 // The guarantee: if Holds is true at t, a majority of the group, counting the member
 // itself, has handled a request of this member since t-ContactUs. If MayAnswer is true
-// at t, so is Holds, and the work behind the answer began after t-ContactUs: where that
-// work is a read or change by a majority, the answer includes everything that was
+// at t, so is Holds, and the work that produced the answer began after t-ContactUs: if
+// that work is a read or change by a majority, the answer includes everything that was
 // committed before t-ContactUs.
 
 package lease
 
 // ContactUs is the duration of the contact lease, in microseconds. Round trips start
-// every 500 ms and take 450 ms at most, so that one of them may be lost. Machines count
-// as connected 3 s after the core was last unstable: a partitioned member notices
-// within half of that, and the nodes below it have the other half to leave it.
+// every 500 ms and take at most 450 ms, so the lease survives the loss of one. Machines
+// count as connected 3 s after the core was last unstable: a partitioned member detects
+// the partition within half of that, and the nodes connected to it have the other half
+// to switch to another member.
 const ContactUs = int64(1_500_000)
 
-// Contact is one member's contact lease. Times are microseconds of the member's own
-// monotonic clock; zero is before its start.
+// Contact holds the state of one member's contact lease. Times are microseconds of the
+// member's own monotonic clock, which is above zero from the start of the process on.
 type Contact struct {
 	Self string // the member's identity
 
-	sentUs    map[string]int64 // by member: when the newest request it answered was sent
-	vouchedUs int64            // when the newest work that a majority took part in began
+	answeredSentUs  map[string]int64 // by member: send time of the newest request that it answered
+	majorityBegunUs int64            // start of the newest work that a majority took part in; 0: none
 }
 
 // Answered records that a member has answered a request that was sent at sentUs.
 func (c *Contact) Answered(member string, sentUs int64) {
-	if c.sentUs == nil {
-		c.sentUs = map[string]int64{}
+	if c.answeredSentUs == nil {
+		c.answeredSentUs = map[string]int64{}
 	}
-	for other, earlierUs := range c.sentUs {
-		if sentUs-earlierUs > ContactUs {
-			delete(c.sentUs, other)
+	for other, otherSentUs := range c.answeredSentUs {
+		if sentUs-otherSentUs > ContactUs {
+			delete(c.answeredSentUs, other)
 		}
 	}
-	c.sentUs[member] = max(c.sentUs[member], sentUs)
+	c.answeredSentUs[member] = max(c.answeredSentUs[member], sentUs)
 }
 
 // Vouched records that a majority took part in work that began at begunUs.
-func (c *Contact) Vouched(begunUs int64) { c.vouchedUs = max(c.vouchedUs, begunUs) }
+func (c *Contact) Vouched(begunUs int64) { c.majorityBegunUs = max(c.majorityBegunUs, begunUs) }
 
 // Holds reports whether the member holds the lease at nowUs.
 func (c *Contact) Holds(group []string, nowUs int64) bool {
-	if c.vouchedUs > 0 && nowUs-c.vouchedUs < ContactUs {
+	if c.majorityBegunUs > 0 && nowUs-c.majorityBegunUs < ContactUs {
 		return true
 	}
 	return Majority(group, func(member string) bool {
 		if member == c.Self {
 			return true
 		}
-		sentUs, answered := c.sentUs[member]
+		sentUs, answered := c.answeredSentUs[member]
 		return answered && nowUs-sentUs < ContactUs
 	})
 }
 
-// MayAnswer reports whether an answer may be sent at nowUs when the work behind it
-// began at begunUs. The lease alone is not enough: a process that was paused in between
-// may hold a new lease before the answer of the old work is sent.
+// MayAnswer reports whether an answer may be sent at nowUs if the work that produced it
+// began at begunUs. Holding the lease is not sufficient: a process that was paused in
+// between may have a new lease by the time it sends the answer of the old work.
 func (c *Contact) MayAnswer(group []string, begunUs, nowUs int64) bool {
 	return nowUs-begunUs < ContactUs && c.Holds(group, nowUs)
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -9,15 +9,15 @@
 var times = Times{LeaseUs: 3_000_000, ActUs: 400_000, SpareUs: 800_000}
 
 // confirmedUntil reports whether a holder that is cut off at cutUs confirms its lease
-// at nowUs: it does so once every 100 ms.
+// at nowUs: it confirms once every 100 ms until then.
 func confirmedUntil(cutUs, nowUs int64) bool { return nowUs < cutUs && nowUs%100_000 < 10_000 }
 
-// handOver plays a holder that is cut off at cutUs and a successor that acquires the
-// lease half a second later. It returns when the holder last acted and when the
-// successor first did; 0 where it never did.
-func handOver(cutUs int64) (lastOldUs, firstNewUs int64) {
+// simulateTakeover simulates a holder that is cut off at cutUs and a successor that acquires the
+// lease 500 ms later. It returns when the holder last acted and when the successor first
+// acted; 0 if it never did.
+func simulateTakeover(cutUs int64) (lastOldUs, firstNewUs int64) {
 	holder, successor := &Lease{T: times}, &Lease{T: times}
-	holder.Acquired(1, Nobody, 1)
+	holder.Acquired(1, NoPredecessor, 1)
 	for now := int64(1); now < 12_000_000; now += 10_000 {
 		if confirmedUntil(cutUs, now) {
 			holder.Confirmed(1, now)
@@ -26,7 +26,7 @@
 			lastOldUs = now
 		}
 		if now >= cutUs+500_000 && successor.Fence() == 0 {
-			successor.Acquired(2, Another, now)
+			successor.Acquired(2, OtherHolder, now)
 		}
 		if successor.Fence() == 2 {
 			successor.Confirmed(2, now)
@@ -38,10 +38,11 @@
 	return lastOldUs, firstNewUs
 }
 
-// Two holders never act within LeaseUs of each other, whenever the first is cut off.
+// Two holders never act within LeaseUs of each other, for any time at which the first
+// is cut off.
 func TestHoldersNeverActWithinLeaseTime(t *testing.T) {
 	for cutUs := int64(0); cutUs < 3_000_000; cutUs += 37_000 {
-		lastOldUs, firstNewUs := handOver(cutUs)
+		lastOldUs, firstNewUs := simulateTakeover(cutUs)
 		must.Greater(t, 0, firstNewUs)
 		must.GreaterEq(t, lastOldUs+times.LeaseUs, firstNewUs)
 	}
@@ -49,7 +50,7 @@
 
 func TestLeaseWaitsAfterAcquireAndIgnoresOtherFences(t *testing.T) {
 	l := &Lease{T: times}
-	l.Acquired(4, Another, 1)
+	l.Acquired(4, OtherHolder, 1)
 	l.Confirmed(4, 2)
 	must.False(t, l.MayAct(3))
 	l.Confirmed(4, 4_300_000)
@@ -62,7 +63,7 @@
 
 func TestAcquireAfterOwnRestartWaitsForInFlightMessagesOnly(t *testing.T) {
 	l := &Lease{T: times}
-	l.Acquired(5, Itself, 1)
+	l.Acquired(5, SameHolder, 1)
 	must.Eq(t, times.SpareUs, l.ReadyInUs(1))
 	l.Confirmed(5, times.SpareUs)
 	must.False(t, l.MayAct(times.SpareUs))
--- a/internal/lease/predecessor_test.go
+++ b/internal/lease/predecessor_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestAcquireWaitsFullLeaseWhenFenceUnused(t *testing.T) {
-	must.Eq(t, Nobody, PredecessorOf("", "a", false))
-	must.Eq(t, Itself, PredecessorOf("a", "a", true))
-	must.Eq(t, Another, PredecessorOf("a", "a", false))
-	must.Eq(t, Another, PredecessorOf("b", "a", true))
+	must.Eq(t, NoPredecessor, PredecessorOf("", "a", false))
+	must.Eq(t, SameHolder, PredecessorOf("a", "a", true))
+	must.Eq(t, OtherHolder, PredecessorOf("a", "a", false))
+	must.Eq(t, OtherHolder, PredecessorOf("b", "a", true))
 }
--- a/internal/lease/rank.go
+++ b/internal/lease/rank.go
@@ -10,7 +10,7 @@
 )
 
 // Rank returns the position of a controller among the candidates for a lease, by
-// rendezvous hashing, and whether it is one of them. The order differs with each fencing
+// rendezvous hashing, and whether it is one of them. The order depends on the fencing
 // token, so that the same controller is not always first.
 func Rank(candidates []string, self string, l messages.Lease) (rank int, found bool) {
 	key := fmt.Sprint(l.Holder, " ", l.Fence)
--- a/internal/lease/rank_test.go
+++ b/internal/lease/rank_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestRankIsAPermutationOfCandidates(t *testing.T) {
+func TestRankIsPermutationOfCandidates(t *testing.T) {
 	addrs := []string{"a", "b", "c", "d", "e"}
 	firsts := map[string]bool{}
 	for fence := range int64(40) {
@@ -23,7 +23,7 @@
 		}
 		must.MapLen(t, len(addrs), ranks)
 	}
-	must.MapLen(t, len(addrs), firsts, must.Sprint("each is first under some fence"))
+	must.MapLen(t, len(addrs), firsts, must.Sprint("each candidate is first under some fencing token"))
 	_, found := Rank(addrs, "z", messages.Lease{})
 	must.False(t, found)
 }
