--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,33 +6,36 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// The successor's reserve is half of the bucket while the bucket is nearly full, and
-// nothing once it is emptier, so that it changes seldom.
+// The successor's reserve is reserveFraction of the bucket's capacity. It is set once the
+// bucket is filled to reserveAboveFraction and dropped when the level falls below
+// releaseBelowFraction; the gap between the two keeps changes rare.
 const (
-	reservePart     = 0.5
-	reserveFromPart = 0.85
-	reserveDownPart = 0.65
+	reserveFraction      = 0.5
+	reserveAboveFraction = 0.85
+	releaseBelowFraction = 0.65
 )
 
-// account is one tenant's count at the owner.
+// account holds the token bucket and the counters of one tenant at the owner of its shard.
 type account struct {
 	limit  Limit
 	bucket bucket
-	// reserve is how many tokens the successor may grant if it takes over.
+	// reserve is how many tokens of the bucket are set aside for the successor: it may
+	// grant them if it takes over.
 	reserve float64
-	// releasing is the version of the copy that no longer has the reserve; the tokens may
-	// be granted once the successor has it, or at releasedUs at the latest.
-	releasing  int64
-	releasedUs int64
-	granted    int64
-	denied     int64
-	usedUs     int64
+	// releasingVersion is the first version of the copy without the reserve; 0: the
+	// reserve is not being released. This member may grant the reserved tokens again once
+	// the successor has acknowledged that version, or at releaseByUs at the latest.
+	releasingVersion int64
+	releaseByUs      int64
+	granted          int64
+	denied           int64
+	lastUsedUs       int64
 }
 
-// newAccount returns an account with some tokens.
+// newAccount returns an account with level tokens, or the capacity if that is less.
 func newAccount(bounds Bounds, limit Limit, level float64, nowUs int64) *account {
-	a := &account{limit: limit, usedUs: nowUs}
-	a.bucket.atUs = nowUs
+	a := &account{limit: limit, lastUsedUs: nowUs}
+	a.bucket.levelAtUs = nowUs
 	a.setLimit(bounds, limit)
 	a.bucket.level = math.Min(level, a.bucket.capacity)
 	return a
@@ -40,61 +43,64 @@
 
 func (a *account) setLimit(bounds Bounds, limit Limit) {
 	a.limit = limit
-	a.bucket.set(limit.RatePerS, max(limit.Burst+bounds.Allowance(limit).Extra, 1))
+	a.bucket.setLimit(limit.RatePerS, max(limit.Burst+bounds.Allowance(limit).Extra, 1))
 }
 
-// grant takes tokens: those that are needed if they are there, and of the others some
-// where the bucket is rather full.
+// grant consumes up to need tokens from the bucket. If the bucket covers need, it adds
+// further tokens up to want, at most a quarter of those above releaseBelowFraction of the
+// capacity. It returns how many it granted.
 func (a *account) grant(need, want int, nowUs int64) int {
-	a.usedUs = nowUs
-	taken := a.bucket.take(need, a.reserve)
-	if taken < need {
-		a.denied += int64(need - taken)
-	} else if spare := a.bucket.level - a.bucket.capacity*reserveDownPart; want > need && spare > 0 {
-		taken += a.bucket.take(min(want-need, int(spare/4)), a.reserve)
+	a.lastUsedUs = nowUs
+	granted := a.bucket.consume(need, a.reserve)
+	if granted < need {
+		a.denied += int64(need - granted)
+	} else if spare := a.bucket.level - a.bucket.capacity*releaseBelowFraction; want > need && spare > 0 {
+		granted += a.bucket.consume(min(want-need, int(spare/4)), a.reserve)
 	}
-	a.granted += int64(taken)
-	return taken
+	a.granted += int64(granted)
+	return granted
 }
 
-// copied is the accounts' reserves as the successor has them or is being told.
-type copied struct {
+// successorCopy tracks the copy of a shard's reserves at the successor.
+type successorCopy struct {
 	addr    string // of the successor; empty: there is none
-	version int64  // of the reserves that it should have
-	acked   int64
-	// quietUs is when an earlier successor's copy has expired.
-	quietUs int64
+	version int64  // newest version of the reserves, which the successor should have
+	acked   int64  // newest version that the successor has acknowledged
+	// noReserveUntilUs is when an earlier successor's copy has expired; no reserve is set
+	// before that.
+	noReserveUntilUs int64
 }
 
-// reserveFor changes the reserve of an account as its bucket asks for. It reports whether the
-// copy has a new version then.
-func (c *copied) reserveFor(a *account, nowUs int64) bool {
-	switch full := a.bucket.level / a.bucket.capacity; {
-	case a.reserve == 0 && a.releasing == 0 && full >= reserveFromPart && c.addr != "" && nowUs >= c.quietUs:
-		a.reserve = math.Floor(a.bucket.capacity * reservePart)
+// updateReserve sets the reserve of an account, or starts to release it, according to the
+// level of its bucket. It reports whether the copy needs a new version.
+func (c *successorCopy) updateReserve(a *account, nowUs int64) bool {
+	switch fill := a.bucket.level / a.bucket.capacity; {
+	case a.reserve == 0 && a.releasingVersion == 0 && fill >= reserveAboveFraction && c.addr != "" && nowUs >= c.noReserveUntilUs:
+		a.reserve = math.Floor(a.bucket.capacity * reserveFraction)
 		return a.reserve > 0
-	case a.reserve > 0 && a.releasing == 0 && (full < reserveDownPart || c.addr == "" || a.reserve > a.bucket.capacity*reservePart):
-		a.releasing, a.releasedUs = c.version+1, nowUs+copyLifeUs+leaseGuardUs
+	case a.reserve > 0 && a.releasingVersion == 0 && (fill < releaseBelowFraction || c.addr == "" || a.reserve > a.bucket.capacity*reserveFraction):
+		a.releasingVersion, a.releaseByUs = c.version+1, nowUs+copyLifetimeUs+leaseMarginUs
 		return true
 	}
 	return false
 }
 
-// settle frees the reserve of an account once no copy has it.
-func (c *copied) settle(a *account, nowUs int64) {
-	if a.releasing == 0 {
+// finishRelease drops a reserve that is being released once no valid copy contains it.
+func (c *successorCopy) finishRelease(a *account, nowUs int64) {
+	if a.releasingVersion == 0 {
 		return
 	}
-	if nowUs >= a.releasedUs || c.acked >= a.releasing && nowUs >= c.quietUs {
-		a.reserve, a.releasing = 0, 0
+	if nowUs >= a.releaseByUs || c.acked >= a.releasingVersion && nowUs >= c.noReserveUntilUs {
+		a.reserve, a.releasingVersion = 0, 0
 	}
 }
 
-// reserves lists what the copy should have.
-func reserves(accounts map[string]*account) []messages.QuotaReserve {
+// activeReserves returns the reserves that the newest version of the copy contains: those
+// that are not being released.
+func activeReserves(accounts map[string]*account) []messages.QuotaReserve {
 	out := []messages.QuotaReserve{}
 	for tenant, a := range accounts {
-		if a.reserve > 0 && a.releasing == 0 {
+		if a.reserve > 0 && a.releasingVersion == 0 {
 			out = append(out, messages.QuotaReserve{Tenant: tenant, Tokens: a.reserve})
 		}
 	}
--- a/internal/quota/claim.go
+++ b/internal/quota/claim.go
@@ -8,40 +8,41 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// claim is a member's claim of the lease of a shard. The zero claim is none.
+// claim is this member's claim to the lease of a shard. The zero claim is inactive.
 type claim struct {
-	active  bool
-	begunUs int64
-	sentUs  map[string]int64 // by member: when the newest claim was sent that it voted for
-	held    bool             // it was held when it was last looked at
-	heldUs  int64            // since when
-	backUs  int64            // no new claim before then
-	awayUs  int64            // since when another member comes first in the order; 0: it does not
+	active           bool
+	begunUs          int64
+	votedSentUs      map[string]int64 // by member: send time of the newest claim that it voted for
+	wasHeld          bool             // a majority had voted for it at the last check
+	heldSinceUs      int64            // since when it has been held
+	retryAtUs        int64            // earliest time of a new claim
+	outrankedSinceUs int64            // since when another member has been first in the order; 0: none
 }
 
 func (c *claim) begin(nowUs int64) {
-	*c = claim{active: true, begunUs: nowUs, sentUs: map[string]int64{}, backUs: c.backUs}
+	*c = claim{active: true, begunUs: nowUs, votedSentUs: map[string]int64{}, retryAtUs: c.retryAtUs}
 }
 
-func (c *claim) end(nowUs int64) { *c = claim{backUs: nowUs} }
+func (c *claim) end(nowUs int64) { *c = claim{retryAtUs: nowUs} }
 
-// voted records that a member voted for a claim that was sent at sentUs.
-func (c *claim) voted(member string, sentUs int64) {
+// recordVote records that a member voted for a claim that was sent at sentUs.
+func (c *claim) recordVote(member string, sentUs int64) {
 	if c.active && sentUs >= c.begunUs {
-		c.sentUs[member] = max(c.sentUs[member], sentUs)
+		c.votedSentUs[member] = max(c.votedSentUs[member], sentUs)
 	}
 }
 
-// holds reports whether a majority of each group has votes for it that have not expired.
-// The time counts from when the claim was sent, so it ends here before it does at the voters.
+// holds reports whether unexpired votes of a majority of each group support the claim.
+// The time counts from when the claim was sent, so a vote expires here before it expires
+// at the voter.
 func (c *claim) holds(groups [][]string, leaseUs, nowUs int64) bool {
 	if !c.active {
 		return false
 	}
 	for _, group := range groups {
 		majority := lease.Majority(group, func(member string) bool {
-			sentUs, voted := c.sentUs[member]
-			return voted && nowUs-sentUs < leaseUs-leaseGuardUs
+			sentUs, voted := c.votedSentUs[member]
+			return voted && nowUs-sentUs < leaseUs-leaseMarginUs
 		})
 		if !majority {
 			return false
@@ -50,8 +51,8 @@
 	return len(groups) > 0
 }
 
-// Order returns the members in the order in which they should own a shard: rendezvous
-// hashing, so that the loss of one changes the owner of its shards only.
+// Order returns the members in the order of preference as owners of a shard, by rendezvous
+// hashing, so that the loss of a member changes the owner of only that member's shards.
 func Order(shard int, members []string) []string {
 	out := slices.Clone(members)
 	weight := func(member string) uint64 { return statesync.Mix(statesync.HashText("shard", member) + uint64(shard)) }
--- a/internal/quota/grantee_test.go
+++ b/internal/quota/grantee_test.go
@@ -9,7 +9,7 @@
 
 var testLimit = Limit{Version: 1, RatePerS: 40, Burst: 40}
 
-func TestTokensExpire(t *testing.T) {
+func TestTokensExpireAfterAllowedDelay(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
 	g.Granted("tenant", testLimit, 2, second, second)
 	delayUs := testBounds.Allowance(testLimit).DelayUs
@@ -20,7 +20,7 @@
 	must.False(t, ok)
 }
 
-func TestReturnedTokenIsUsedAgainWhileItIsValid(t *testing.T) {
+func TestReturnedTokenIsReusedWhileValid(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
 	g.Granted("tenant", testLimit, 1, second, second)
 	token, _ := g.Take("tenant", second)
@@ -33,7 +33,7 @@
 	must.False(t, ok)
 }
 
-func TestABusyRouterAsksAhead(t *testing.T) {
+func TestWantIncludesExpectedRequestsOfBusyRouter(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
 	must.Eq(t, 1, g.Want("tenant", testLimit, 1, second))
 	for nowUs := second; nowUs < 5*second; nowUs += 20 * ms {
@@ -42,8 +42,8 @@
 	must.Greater(t, 3, g.Want("tenant", testLimit, 1, 5*second))
 }
 
-// All routers of a fleet together lend no more than is allowed in a window.
-func TestLendersStayWithinTheAllowanceTogether(t *testing.T) {
+// All routers of a fleet together lend at most Allowance.Unowned in a window.
+func TestLendersTogetherStayWithinUnownedAllowance(t *testing.T) {
 	var routers []string
 	for i := range 60 {
 		routers = append(routers, fmt.Sprintf("r%d", i))
@@ -64,15 +64,15 @@
 	must.LessEq(t, testBounds.Allowance(testLimit).Unowned, float64(lent))
 }
 
-func TestARouterThatHasJustStartedLendsNothing(t *testing.T) {
+func TestNewlyStartedRouterLendsNothing(t *testing.T) {
 	g := NewGrantee("r1", testBounds, second)
-	must.False(t, g.Lend("tenant", testLimit, 20*second), must.Sprint("it knows nobody"))
+	must.False(t, g.Lend("tenant", testLimit, 20*second), must.Sprint("no owner has answered yet"))
 	g.Granted("tenant", testLimit, 0, second, second)
 	must.False(t, g.Lend("tenant", testLimit, 5*second))
 	must.True(t, g.Lend("tenant", testLimit, 20*second))
 }
 
-func TestRouterThatIsNotSeenAnyMoreRemainsALender(t *testing.T) {
+func TestUnseenRouterRemainsLenderUntilForgotten(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
 	g.SetRouters([]string{"r1", "r2", "r3", "r4", "r5"}, second)
 	before := g.Lenders("tenant")
@@ -82,8 +82,8 @@
 	must.Eq(t, []string{"r1"}, g.Lenders("tenant"))
 }
 
-// The parts of the excess never exceed it, whatever the limit.
-func TestAllowanceFitsTheExcess(t *testing.T) {
+// The parts into which Allowance divides the excess never exceed it, for any limit.
+func TestAllowanceSumStaysWithinExcess(t *testing.T) {
 	for _, rate := range []float64{0.1, 1, 4, 14, 73, 500, 10_000} {
 		limit := Limit{RatePerS: rate, Burst: rate}
 		a := testBounds.Allowance(limit)
--- a/internal/quota/member_test.go
+++ b/internal/quota/member_test.go
@@ -15,17 +15,17 @@
 
 var testBounds = NewBounds(5, 0.1, 20)
 
-// cluster is members that reach each other at once, unless they are down.
+// cluster is a set of members that exchange messages without delay, unless they are down.
 type cluster struct {
 	t       *testing.T
 	nowUs   int64
 	group   Group
 	members map[string]*Member
-	lives   map[string]int
+	starts  map[string]int // by address: number of processes started
 }
 
 func newCluster(t *testing.T, addrs ...string) *cluster {
-	c := &cluster{t: t, nowUs: second, group: Group{Version: 1, Members: addrs}, members: map[string]*Member{}, lives: map[string]int{}}
+	c := &cluster{t: t, nowUs: second, group: Group{Version: 1, Members: addrs}, members: map[string]*Member{}, starts: map[string]int{}}
 	for _, addr := range addrs {
 		c.start(addr)
 	}
@@ -33,11 +33,11 @@
 }
 
 func (c *cluster) start(addr string) {
-	c.lives[addr]++
-	c.members[addr] = NewMember(Config{Self: addr + "/" + string(rune('0'+c.lives[addr])), Bounds: testBounds, StartUs: c.nowUs})
+	c.starts[addr]++
+	c.members[addr] = NewMember(Config{Self: addr + "/" + string(rune('0'+c.starts[addr])), Bounds: testBounds, StartUs: c.nowUs})
 }
 
-// run has all members tick for a while.
+// run advances the time by forUs and calls Tick on all members every TickUs.
 func (c *cluster) run(forUs int64) {
 	for untilUs := c.nowUs + forUs; c.nowUs < untilUs; c.nowUs += TickUs {
 		for _, addr := range c.group.Members {
@@ -68,20 +68,20 @@
 		if m == nil || !m.Owns(shard, c.nowUs) {
 			continue
 		}
-		must.Eq(c.t, "", owner, must.Sprint("two owners"))
+		must.Eq(c.t, "", owner, must.Sprint("a shard has two owners"))
 		owner = addr
 	}
 	return owner
 }
 
-func (c *cluster) ask(tenant string, need int, limit Limit) messages.QuotaGrant {
+func (c *cluster) requestTokens(tenant string, need int, limit Limit) messages.QuotaGrant {
 	c.t.Helper()
 	owner := c.owner(ShardOf(tenant))
 	must.NotEq(c.t, "", owner)
-	return c.members[owner].HandleAsk(askFor(tenant, need, limit), c.nowUs)
+	return c.members[owner].HandleAsk(quotaAsk(tenant, need, limit), c.nowUs)
 }
 
-func askFor(tenant string, need int, limit Limit) messages.QuotaAsk {
+func quotaAsk(tenant string, need int, limit Limit) messages.QuotaAsk {
 	return messages.QuotaAsk{Tenant: tenant, Need: need, Want: need, RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version}
 }
 
@@ -93,15 +93,15 @@
 		owned[c.owner(shard)]++
 	}
 	must.MapNotContainsKey(t, owned, "")
-	must.Greater(t, 1, len(owned), must.Sprint("one member owns all"))
+	must.Greater(t, 1, len(owned), must.Sprint("one member owns all shards"))
 }
 
-func TestAMemberThatIsNotTheOwnerNamesIt(t *testing.T) {
+func TestNonOwnerReturnsOwnerAsHint(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(2 * second)
 	owner := c.owner(ShardOf("tenant"))
 	for addr, m := range c.members {
-		grant := m.HandleAsk(askFor("tenant", 1, Limit{RatePerS: 10, Burst: 10}), c.nowUs)
+		grant := m.HandleAsk(quotaAsk("tenant", 1, Limit{RatePerS: 10, Burst: 10}), c.nowUs)
 		must.Eq(t, addr == owner, grant.Owner)
 		if addr != owner {
 			must.Eq(t, owner, grant.Hint)
@@ -110,50 +110,50 @@
 	}
 }
 
-func TestNoMoreThanTheBucketIsGranted(t *testing.T) {
+func TestOwnerGrantsAtMostBucketContent(t *testing.T) {
 	c := newCluster(t, "a")
 	c.run(20 * second)
 	limit := Limit{Version: 1, RatePerS: 10, Burst: 10}
 	most := int(limit.Burst + testBounds.Allowance(limit).Extra)
-	grant := c.ask("tenant", 1000, limit)
+	grant := c.requestTokens("tenant", 1000, limit)
 	must.Eq(t, most, grant.Granted)
 	must.Greater(t, 0, grant.WaitUs)
 	c.run(second)
-	must.Between(t, 9, c.ask("tenant", 1000, limit).Granted, 11)
+	must.Between(t, 9, c.requestTokens("tenant", 1000, limit).Granted, 11)
 }
 
-func TestSuccessorTakesOverWithTheReserve(t *testing.T) {
+func TestSuccessorStartsWithReserve(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(120 * second)
 	limit := Limit{Version: 1, RatePerS: 1, Burst: 100}
-	c.ask("tenant", 1, limit)
+	c.requestTokens("tenant", 1, limit)
 	c.run(2 * second) // the bucket is nearly full, and the successor has a reserve
 	owner := c.owner(ShardOf("tenant"))
 	c.members[owner] = nil
 	c.run(LeaseUs + 4*TickUs)
 	must.NotEq(t, owner, c.owner(ShardOf("tenant")))
-	granted := c.ask("tenant", 1000, limit).Granted
+	granted := c.requestTokens("tenant", 1000, limit).Granted
 	most := limit.Burst + testBounds.Allowance(limit).Extra
-	must.Between(t, int(most*reservePart)-1, granted, int(most*reservePart)+2)
+	must.Between(t, int(most*reserveFraction)-1, granted, int(most*reserveFraction)+2)
 }
 
-func TestOwnerThatHasSpentItsBucketLeavesNoReserve(t *testing.T) {
+func TestOwnerWithSpentBucketLeavesNoReserve(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(120 * second)
 	limit := Limit{Version: 1, RatePerS: 1, Burst: 100}
 	spent := 0
 	for range 40 {
-		spent += c.ask("tenant", 1000, limit).Granted
+		spent += c.requestTokens("tenant", 1000, limit).Granted
 		c.run(TickUs)
 	}
 	c.members[c.owner(ShardOf("tenant"))] = nil
 	c.run(LeaseUs + 4*TickUs)
-	spent += c.ask("tenant", 1000, limit).Granted
+	spent += c.requestTokens("tenant", 1000, limit).Granted
 	allowance := testBounds.Allowance(limit)
 	must.Less(t, limit.Burst+allowance.Extra+allowance.Initial+40, float64(spent))
 }
 
-func TestMemberThatLeavesHandsOverAtOnce(t *testing.T) {
+func TestLeavingMemberReleasesShardsAtOnce(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(2 * second)
 	shard := ShardOf("tenant")
@@ -164,7 +164,7 @@
 	must.NotEq(t, "", c.owner(shard))
 }
 
-func TestMemberThatComesBackGetsItsShardsBack(t *testing.T) {
+func TestRestartedMemberRegainsItsShards(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(2 * second)
 	shard := ShardOf("tenant")
@@ -173,11 +173,11 @@
 	c.run(3 * second)
 	must.NotEq(t, first, c.owner(shard))
 	c.start(first)
-	c.run(returnUs + 2*second)
+	c.run(failbackDelayUs + 2*second)
 	must.Eq(t, first, c.owner(shard))
 }
 
-func TestOwnerWithoutAMajorityGrantsNothing(t *testing.T) {
+func TestOwnerWithoutMajorityGrantsNothing(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(2 * second)
 	owner := c.owner(ShardOf("tenant"))
@@ -188,21 +188,21 @@
 	}
 	c.run(LeaseUs + TickUs)
 	must.Eq(t, "", c.owner(ShardOf("tenant")))
-	must.False(t, c.members[owner].HandleAsk(askFor("tenant", 1, Limit{RatePerS: 10, Burst: 10}), c.nowUs).Owner)
+	must.False(t, c.members[owner].HandleAsk(quotaAsk("tenant", 1, Limit{RatePerS: 10, Burst: 10}), c.nowUs).Owner)
 }
 
-func TestLowerLimitOfANewerVersionBindsAtOnce(t *testing.T) {
+func TestLowerLimitOfNewerVersionAppliesAtOnce(t *testing.T) {
 	c := newCluster(t, "a")
 	c.run(20 * second)
-	c.ask("tenant", 1, Limit{Version: 1, RatePerS: 100, Burst: 100})
+	c.requestTokens("tenant", 1, Limit{Version: 1, RatePerS: 100, Burst: 100})
 	c.run(20 * second)
 	lower := Limit{Version: 2, RatePerS: 1, Burst: 1}
-	must.Between(t, 1, c.ask("tenant", 1000, lower).Granted, 1+int(testBounds.Allowance(lower).Extra)+1)
+	must.Between(t, 1, c.requestTokens("tenant", 1000, lower).Granted, 1+int(testBounds.Allowance(lower).Extra)+1)
 	earlier := Limit{Version: 1, RatePerS: 100, Burst: 100}
-	must.Zero(t, c.ask("tenant", 1000, earlier).Granted, must.Sprint("a router that is behind"))
+	must.Zero(t, c.requestTokens("tenant", 1000, earlier).Granted, must.Sprint("an older version of the limit does not replace a newer one"))
 }
 
-func TestOwnershipGoesOnThroughAChangeOfTheGroup(t *testing.T) {
+func TestOwnershipSurvivesGroupChange(t *testing.T) {
 	c := newCluster(t, "a", "b", "c", "d", "e")
 	c.run(2 * second)
 	var owners [Shards]string
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestClaimFromAnOlderGroupIsRefused(t *testing.T) {
+func TestClaimFromOlderGroupIsRefused(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(2 * second)
 	m := c.members["a"]
@@ -230,7 +230,7 @@
 	must.SliceEmpty(t, m.HandleClaim(old, c.nowUs+2*LeaseUs).Granted)
 }
 
-func TestClaimThatIsOvertakenByItsReleaseGetsNoVote(t *testing.T) {
+func TestClaimReceivedAfterItsReleaseGetsNoVote(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	m := c.members["a"]
 	m.Tick(c.group, c.nowUs)
@@ -240,17 +240,17 @@
 	must.SliceEmpty(t, m.HandleClaim(messages.QuotaClaim{From: "b/1", Seq: 2, Shards: []int{0}, GroupVersion: 1, GroupHash: c.group.hash()}, c.nowUs).Granted)
 }
 
-// A successor that does not answer is not asked again with every question.
-func TestUrgentClaimsAreLimited(t *testing.T) {
+// A successor that does not answer must not receive a claim for every token request.
+func TestUrgentClaimsAreRateLimited(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(120 * second)
 	limit := Limit{Version: 1, RatePerS: 1, Burst: 100}
-	c.ask("tenant", 1, limit)
+	c.requestTokens("tenant", 1, limit)
 	c.run(2 * second)
 	owner := c.members[c.owner(ShardOf("tenant"))]
 	urgent := 0
 	for range 100 {
-		owner.HandleAsk(askFor("tenant", 1, limit), c.nowUs)
+		owner.HandleAsk(quotaAsk("tenant", 1, limit), c.nowUs)
 		if owner.Urgent() {
 			urgent++
 			owner.Tick(c.group, c.nowUs)
@@ -260,14 +260,15 @@
 	must.Between(t, 1, urgent, 4)
 }
 
-// A reserve that is larger than what a lowered limit leaves does not keep the tenant out.
-func TestReserveFollowsALowerLimit(t *testing.T) {
+// A reserve that exceeds the capacity left by a lowered limit must not prevent grants to
+// the tenant.
+func TestReserveShrinksWithLowerLimit(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(120 * second)
-	c.ask("tenant", 1, Limit{Version: 1, RatePerS: 100, Burst: 100})
+	c.requestTokens("tenant", 1, Limit{Version: 1, RatePerS: 100, Burst: 100})
 	c.run(2 * second)
 	lower := Limit{Version: 2, RatePerS: 20, Burst: 20}
-	c.ask("tenant", 1, lower)
+	c.requestTokens("tenant", 1, lower)
 	c.run(second)
-	must.Positive(t, c.ask("tenant", 1, lower).Granted)
+	must.Positive(t, c.requestTokens("tenant", 1, lower).Granted)
 }
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -1,4 +1,5 @@
-// What a member does as the owner of shards: it counts, and tells its successor.
+// The owner of a shard counts the requests of its tenants and sends the reserves to its
+// successor.
 
 package quota
 
@@ -9,24 +10,26 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// ownedShard is the counts of a shard that this member owns.
+// ownedShard is the state of a shard that this member owns.
 type ownedShard struct {
-	accounts  map[string]*account
-	inherited map[string]float64 // tokens that the predecessor has left
-	copied    copied
+	accounts      map[string]*account
+	inherited     map[string]float64 // by tenant: tokens that the predecessor has reserved
+	successorCopy successorCopy
 }
 
-// stepOwned looks after a shard that is owned.
-func (m *Member) stepOwned(shard int, order []string, nowUs int64) {
+// maintainOwned updates the successor and the reserves of a shard that this member owns
+// and deletes idle accounts. It releases the shard if another member has been first in
+// the order for failbackDelayUs.
+func (m *Member) maintainOwned(shard int, order []string, nowUs int64) {
 	c, s := &m.claims[shard], &m.owned[shard]
 	if order[0] == m.addr {
-		c.awayUs = 0
-	} else if c.awayUs == 0 {
-		c.awayUs = nowUs
+		c.outrankedSinceUs = 0
+	} else if c.outrankedSinceUs == 0 {
+		c.outrankedSinceUs = nowUs
 	}
-	if c.awayUs > 0 && nowUs-c.awayUs >= returnUs {
-		m.giveUp(shard, nowUs)
-		c.backUs = nowUs + m.config.LeaseUs
+	if c.outrankedSinceUs > 0 && nowUs-c.outrankedSinceUs >= failbackDelayUs {
+		m.releaseShard(shard, nowUs)
+		c.retryAtUs = nowUs + m.config.LeaseUs
 		return
 	}
 	successor := ""
@@ -40,89 +43,91 @@
 	changed := false
 	for tenant, a := range s.accounts {
 		a.bucket.refill(nowUs)
-		changed = s.copied.reserveFor(a, nowUs) || changed
-		s.copied.settle(a, nowUs)
-		if nowUs-a.usedUs > idleUs && a.reserve == 0 && a.bucket.level >= a.bucket.capacity {
+		changed = s.successorCopy.updateReserve(a, nowUs) || changed
+		s.successorCopy.finishRelease(a, nowUs)
+		if nowUs-a.lastUsedUs > accountIdleUs && a.reserve == 0 && a.bucket.level >= a.bucket.capacity {
 			delete(s.accounts, tenant)
 		}
 	}
 	if changed {
-		s.copied.version++
+		s.successorCopy.version++
 	}
 }
 
-// setSuccessor names who gets the copy. The reserves of an earlier one are free again once
-// its copy has expired; there are no new ones before.
+// setSuccessor sets the member that receives the copy. The reserves of an earlier
+// successor are released once its copy has expired; no new reserve is set before that.
 func (s *ownedShard) setSuccessor(addr string, nowUs int64) {
-	c := &s.copied
+	c := &s.successorCopy
 	if c.addr == addr {
 		return
 	}
 	c.version++
 	for _, a := range s.accounts {
-		if a.reserve > 0 && a.releasing == 0 {
-			a.releasing, a.releasedUs = c.version, nowUs+copyLifeUs+leaseGuardUs
+		if a.reserve > 0 && a.releasingVersion == 0 {
+			a.releasingVersion, a.releaseByUs = c.version, nowUs+copyLifetimeUs+leaseMarginUs
 		}
 	}
 	if c.addr != "" {
-		c.quietUs = nowUs + copyLifeUs + leaseGuardUs
+		c.noReserveUntilUs = nowUs + copyLifetimeUs + leaseMarginUs
 	}
 	c.addr, c.acked = addr, 0
 }
 
-func (s *ownedShard) copyFor(shard int) messages.QuotaCopy {
-	out := messages.QuotaCopy{Shard: shard, Version: s.copied.version}
-	if s.copied.acked < s.copied.version {
-		out.Whole, out.Reserves = true, reserves(s.accounts)
+func (s *ownedShard) buildCopy(shard int) messages.QuotaCopy {
+	out := messages.QuotaCopy{Shard: shard, Version: s.successorCopy.version}
+	if s.successorCopy.acked < s.successorCopy.version {
+		out.Whole, out.Reserves = true, activeReserves(s.accounts)
 	}
 	return out
 }
 
-// HandleAsk grants tokens, if this member owns the tenant's count.
-func (m *Member) HandleAsk(ask messages.QuotaAsk, nowUs int64) messages.QuotaGrant {
-	shard := ShardOf(ask.Tenant)
-	if !m.Owns(shard, nowUs) || !m.claims[shard].held {
-		return messages.QuotaGrant{Hint: m.hint(shard, nowUs)}
+// HandleAsk grants tokens if this member owns the tenant's shard. Otherwise it returns the
+// owner's address as a hint.
+func (m *Member) HandleAsk(request messages.QuotaAsk, nowUs int64) messages.QuotaGrant {
+	shard := ShardOf(request.Tenant)
+	if !m.Owns(shard, nowUs) || !m.claims[shard].wasHeld {
+		return messages.QuotaGrant{Hint: m.ownerHint(shard, nowUs)}
 	}
 	s := &m.owned[shard]
-	a := m.account(shard, ask, nowUs)
+	a := m.account(shard, request, nowUs)
 	a.bucket.refill(nowUs)
-	s.copied.settle(a, nowUs)
-	if s.copied.reserveFor(a, nowUs) {
-		s.copied.version++
+	s.successorCopy.finishRelease(a, nowUs)
+	if s.successorCopy.updateReserve(a, nowUs) {
+		s.successorCopy.version++
 	}
-	need := max(ask.Need, 0)
-	granted := a.grant(need, max(ask.Want, need), nowUs)
-	if s.copied.reserveFor(a, nowUs) {
-		s.copied.version++
+	need := max(request.Need, 0)
+	granted := a.grant(need, max(request.Want, need), nowUs)
+	if s.successorCopy.updateReserve(a, nowUs) {
+		s.successorCopy.version++
 	}
-	if a.releasing > s.copied.acked && nowUs-m.urgentUs >= urgentEveryUs {
-		m.urgent, m.urgentUs = true, nowUs
+	if a.releasingVersion > s.successorCopy.acked && nowUs-m.lastUrgentUs >= minUrgentIntervalUs {
+		m.urgent, m.lastUrgentUs = true, nowUs
 	}
 	return messages.QuotaGrant{Owner: true, Granted: granted, WaitUs: a.bucket.waitUs(a.reserve)}
 }
 
-// hint is the address of a shard's owner, as far as this member knows.
-func (m *Member) hint(shard int, nowUs int64) string {
+// ownerHint returns the address of the member that has this member's vote for a shard;
+// empty if that is this member or none.
+func (m *Member) ownerHint(shard int, nowUs int64) string {
 	if holder := m.voter.holder(shard, nowUs); !strings.HasPrefix(holder, m.addr+"/") {
 		return AddrOf(holder)
 	}
 	return ""
 }
 
-// account returns a tenant's account, with the limit of the newest configuration that is
-// known of. What the tenant used before this member owned the shard is not known: a new
-// account has what was inherited and what has come in since.
-func (m *Member) account(shard int, ask messages.QuotaAsk, nowUs int64) *account {
+// account returns a tenant's account, with the limit of the newest configuration version
+// received. This member has no record of what the tenant used before it owned the shard:
+// a new account starts with the inherited or initial tokens and those accrued since.
+func (m *Member) account(shard int, request messages.QuotaAsk, nowUs int64) *account {
 	s := &m.owned[shard]
-	limit := Limit{Version: ask.Version, RatePerS: ask.RatePerS, Burst: ask.Burst}
-	a := s.accounts[ask.Tenant]
+	limit := Limit{Version: request.Version, RatePerS: request.RatePerS, Burst: request.Burst}
+	a := s.accounts[request.Tenant]
 	if a == nil {
-		sinceS := float64(nowUs-m.claims[shard].heldUs) / 1e6
-		first := max(s.inherited[ask.Tenant], m.config.Bounds.Allowance(limit).Initial)
-		a = newAccount(m.config.Bounds, limit, first+limit.RatePerS*sinceS, nowUs)
-		s.accounts[ask.Tenant] = a
-		delete(s.inherited, ask.Tenant)
+		sinceS := float64(nowUs-m.claims[shard].heldSinceUs) / 1e6
+		initial := max(s.inherited[request.Tenant], m.config.Bounds.Allowance(limit).Initial)
+		a = newAccount(m.config.Bounds, limit, initial+limit.RatePerS*sinceS, nowUs)
+		s.accounts[request.Tenant] = a
+		delete(s.inherited, request.Tenant)
 		return a
 	}
 	if limit.Version > a.limit.Version {
@@ -132,7 +137,8 @@
 	return a
 }
 
-// Conditions returns the accounts of the shards that this member owns.
+// Conditions returns the state of the accounts of all shards that this member owns, by
+// tenant.
 func (m *Member) Conditions(nowUs int64) []messages.QuotaCondition {
 	var out []messages.QuotaCondition
 	for shard := range Shards {
@@ -143,7 +149,7 @@
 		for tenant, a := range s.accounts {
 			a.bucket.refill(nowUs)
 			out = append(out, messages.QuotaCondition{
-				Tenant: tenant, Successor: s.copied.addr, RatePerS: a.limit.RatePerS, Level: a.bucket.level, Granted: a.granted, Denied: a.denied,
+				Tenant: tenant, Successor: s.successorCopy.addr, RatePerS: a.limit.RatePerS, Level: a.bucket.level, Granted: a.granted, Denied: a.denied,
 			})
 		}
 	}
--- a/internal/quota/successor.go
+++ b/internal/quota/successor.go
@@ -1,45 +1,47 @@
-// What a member does as the successor of a shard's owner.
+// The successor of a shard's owner stores a copy of the reserves and starts with them if
+// it becomes the owner.
 
 package quota
 
 import "beechtide.org/beechtide/internal/messages"
 
-// heldCopy is what this member has as the successor of a shard's owner.
-type heldCopy struct {
-	owner    string
-	version  int64
-	heardUs  int64
-	reserves map[string]float64
+// receivedCopy is the copy of a shard's reserves that this member stores as the successor
+// of its owner.
+type receivedCopy struct {
+	owner      string
+	version    int64
+	receivedUs int64              // when the owner last sent or confirmed this version
+	reserves   map[string]float64 // by tenant
 }
 
-// takeCopy keeps the reserves of a shard. It reports whether this version is here.
-func (m *Member) takeCopy(owner string, copied messages.QuotaCopy, nowUs int64) bool {
-	held := &m.copies[copied.Shard]
-	if held.owner == owner && copied.Version < held.version {
-		return false // overtaken by a later one
+// storeCopy stores the reserves of a shard. It reports whether it now has this version.
+func (m *Member) storeCopy(owner string, copied messages.QuotaCopy, nowUs int64) bool {
+	stored := &m.receivedCopies[copied.Shard]
+	if stored.owner == owner && copied.Version < stored.version {
+		return false // received after a newer version
 	}
 	if !copied.Whole {
-		if held.owner != owner || held.version != copied.Version {
-			*held = heldCopy{}
+		if stored.owner != owner || stored.version != copied.Version {
+			*stored = receivedCopy{}
 			return false
 		}
-		held.heardUs = nowUs
+		stored.receivedUs = nowUs
 		return true
 	}
-	*held = heldCopy{owner: owner, version: copied.Version, heardUs: nowUs, reserves: map[string]float64{}}
+	*stored = receivedCopy{owner: owner, version: copied.Version, receivedUs: nowUs, reserves: map[string]float64{}}
 	for _, r := range copied.Reserves {
-		held.reserves[r.Tenant] = r.Tokens
+		stored.reserves[r.Tenant] = r.Tokens
 	}
 	return true
 }
 
-// inherit begins to own a shard, with the reserves of its predecessor if this member has
-// been its successor until a short while ago.
-func (m *Member) inherit(shard int, nowUs int64) {
-	held := &m.copies[shard]
+// beginOwnership resets the state of a shard that this member starts to own. It inherits
+// the predecessor's reserves if the copy was confirmed within copyLifetimeUs.
+func (m *Member) beginOwnership(shard int, nowUs int64) {
+	stored := &m.receivedCopies[shard]
 	m.owned[shard] = ownedShard{accounts: map[string]*account{}}
-	if nowUs-held.heardUs <= copyLifeUs && held.owner != m.config.Self {
-		m.owned[shard].inherited = held.reserves
+	if nowUs-stored.receivedUs <= copyLifetimeUs && stored.owner != m.config.Self {
+		m.owned[shard].inherited = stored.reserves
 	}
-	*held = heldCopy{}
+	*stored = receivedCopy{}
 }
--- a/internal/quota/voter.go
+++ b/internal/quota/voter.go
@@ -2,20 +2,21 @@
 
 import "strings"
 
-// voter is a controller's votes for the owners of shards. Votes are not kept on disk: a
-// new process votes only once those of an earlier one have expired.
+// voter holds a controller's votes for the owners of shards. Votes are not stored on disk:
+// a new process votes only once those of an earlier one have expired.
 type voter struct {
 	leaseUs int64
 	startUs int64
 	votes   [Shards]vote
 }
 
+// vote is the vote for the owner of one shard.
 type vote struct {
-	holder  string // ADDRESS/PROCESS; empty: nobody
-	last    string // who had it last
-	seq     int64  // of the newest claim or release of that one
-	untilUs int64
-	freeUs  int64 // since when there is no vote
+	holder      string // claimant that has the vote, ADDRESS/PROCESS; empty: none
+	lastHolder  string // claimant that got the vote last
+	seq         int64  // of the newest claim or release of lastHolder
+	expiresUs   int64  // when the vote expires
+	freeSinceUs int64  // since when no claimant has had the vote
 }
 
 // AddrOf returns the address of a claimant.
@@ -24,54 +25,55 @@
 	return addr
 }
 
-// ready reports whether the votes of an earlier process have expired.
+// ready reports whether all votes of an earlier process have expired.
 func (v *voter) ready(nowUs int64) bool { return nowUs-v.startUs >= v.leaseUs }
 
-// grant votes for a claimant, unless another has the vote.
+// grant votes for a claimant, unless another has the vote. It reports whether it did.
 func (v *voter) grant(shard int, claimant string, seq, nowUs int64) bool {
 	if !v.ready(nowUs) {
 		return false
 	}
-	held := &v.votes[shard]
-	v.expire(held, nowUs)
-	if held.holder != "" && held.holder != claimant {
+	current := &v.votes[shard]
+	v.expire(current, nowUs)
+	if current.holder != "" && current.holder != claimant {
 		return false
 	}
-	if held.last == claimant && seq < held.seq {
-		return false // overtaken by a later claim or by its release
+	if current.lastHolder == claimant && seq < current.seq {
+		return false // received after a newer claim or the release
 	}
-	held.holder, held.last, held.seq, held.untilUs = claimant, claimant, seq, nowUs+v.leaseUs
+	current.holder, current.lastHolder, current.seq, current.expiresUs = claimant, claimant, seq, nowUs+v.leaseUs
 	return true
 }
 
-// release takes a vote back that the claimant gives up. A claim that was sent before and
-// comes later does not get it again.
+// release withdraws the vote for a claimant that has released the shard. A claim that was
+// sent before the release and received after it does not get the vote again.
 func (v *voter) release(shard int, claimant string, seq, nowUs int64) {
-	held := &v.votes[shard]
-	v.expire(held, nowUs)
-	if held.holder == claimant && seq > held.seq {
-		held.holder, held.seq, held.freeUs = "", seq, nowUs
+	current := &v.votes[shard]
+	v.expire(current, nowUs)
+	if current.holder == claimant && seq > current.seq {
+		current.holder, current.seq, current.freeSinceUs = "", seq, nowUs
 	}
 }
 
-func (v *voter) expire(held *vote, nowUs int64) {
-	if held.holder != "" && nowUs >= held.untilUs {
-		held.freeUs = held.untilUs
-		held.holder = ""
+func (v *voter) expire(current *vote, nowUs int64) {
+	if current.holder != "" && nowUs >= current.expiresUs {
+		current.freeSinceUs = current.expiresUs
+		current.holder = ""
 	}
 }
 
-// holder returns who has the vote for a shard; empty: nobody.
+// holder returns the claimant that has the vote for a shard; empty: none.
 func (v *voter) holder(shard int, nowUs int64) string {
-	held := &v.votes[shard]
-	v.expire(held, nowUs)
-	return held.holder
+	current := &v.votes[shard]
+	v.expire(current, nowUs)
+	return current.holder
 }
 
-// freeForUs returns for how long nobody has had the vote; 0 where somebody has it.
+// freeForUs returns how long no claimant has had the vote; 0 if one has it or the voter is
+// not ready.
 func (v *voter) freeForUs(shard int, nowUs int64) int64 {
 	if v.holder(shard, nowUs) != "" || !v.ready(nowUs) {
 		return 0
 	}
-	return nowUs - max(v.votes[shard].freeUs, v.startUs+v.leaseUs) + 1
+	return nowUs - max(v.votes[shard].freeSinceUs, v.startUs+v.leaseUs) + 1
 }
