--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,8 +1,9 @@
 // Package targets records, for every model, the target versions of its weights that
-// were named recently, and how long ago each was acknowledged.
+// were named recently, and how long ago each was acknowledged. To name a version is to
+// commit it as the target that the model's runners have to load.
 //
-// A version may be named while the previous one is still being rolled out. Each has a
-// bound of its own, so a runner's weights are judged by the earliest acknowledged
+// A version may be named while the previous one is still being rolled out. Each has its
+// own bound, so the age of a runner's weights is measured from the earliest acknowledged
 // version that is newer than them (Table.OutdatedUs). Nodes exchange the time of an
 // acknowledgement as an age, because the monotonic clocks of two machines are
 // unrelated; the receiver converts the age to its own clock. Transit time can only make
@@ -26,7 +27,7 @@
 // UnknownAgeUs is sent in place of an age that the sender does not know.
 const UnknownAgeUs = -1
 
-// certainty says how the time of an acknowledgement is known. An entry of a higher
+// certainty is how reliably the time of an acknowledgement is known. An entry of a higher
 // certainty replaces one of a lower certainty.
 type certainty int
 
@@ -44,7 +45,7 @@
 }
 
 // AgeUs returns how long ago the version was acknowledged, in microseconds;
-// math.MaxInt64 where that is unknown.
+// math.MaxInt64 if that is unknown.
 func (t Target) AgeUs(nowUs int64) int64 {
 	if t.certainty == unknown {
 		return math.MaxInt64
@@ -70,11 +71,11 @@
 // Newest returns the newest named version of a model; the zero Target if none was
 // named.
 func (t *Table) Newest(model string) Target {
-	list := t.byModel[model]
-	if len(list) == 0 {
+	targets := t.byModel[model]
+	if len(targets) == 0 {
 		return Target{}
 	}
-	return list[len(list)-1]
+	return targets[len(targets)-1]
 }
 
 // Models returns the sorted names of the models that have a version.
@@ -94,8 +95,9 @@
 	return us
 }
 
-// Assume records a version that came without an age, as from a node that sends an
-// earlier format. Its age counts from nowUs until another node's age is observed.
+// Assume records a version that was received without an age, for example from a node that
+// sends an earlier format. Its age counts from nowUs until an age from another node is
+// observed.
 func (t *Table) Assume(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, namedAtUs: nowUs, certainty: assumed}, nowUs)
 }
@@ -111,7 +113,7 @@
 	t.merge(model, Target{Version: version, certainty: unknown}, nowUs)
 }
 
-// Observe merges the ages that another node has sent.
+// Observe merges the ages received from another node.
 func (t *Table) Observe(ages []messages.TargetAge, nowUs int64) {
 	for _, age := range ages {
 		if age.AgeUs < 0 {
@@ -122,21 +124,22 @@
 	}
 }
 
-// merge inserts a target whose version is not in the table. Of two targets of one
-// version the more certain one stays, and among equals the one named earlier.
+// merge inserts a target whose version is not in the table. Of two targets of the same
+// version it keeps the one with the higher certainty, and among equals the one named
+// earlier.
 func (t *Table) merge(model string, received Target, nowUs int64) {
 	if t.byModel == nil {
 		t.byModel = map[string][]Target{}
 	}
-	list := t.byModel[model]
-	i, found := slices.BinarySearchFunc(list, received.Version, func(target Target, version int64) int {
+	targets := t.byModel[model]
+	i, found := slices.BinarySearchFunc(targets, received.Version, func(target Target, version int64) int {
 		return cmp.Compare(target.Version, version)
 	})
 	switch {
 	case !found:
-		t.byModel[model] = prune(slices.Insert(list, i, received), nowUs)
-	case supersedes(received, list[i]):
-		list[i] = received
+		t.byModel[model] = prune(slices.Insert(targets, i, received), nowUs)
+	case supersedes(received, targets[i]):
+		targets[i] = received
 	}
 }
 
@@ -149,19 +152,19 @@
 }
 
 // prune drops the oldest versions that are redundant or exceed maxVersions.
-func prune(list []Target, nowUs int64) []Target {
-	for len(list) > 1 && (len(list) > maxVersions || list[1].certainty != unknown && list[1].AgeUs(nowUs) > retentionUs) {
-		list = slices.Delete(list, 0, 1)
+func prune(targets []Target, nowUs int64) []Target {
+	for len(targets) > 1 && (len(targets) > maxVersions || targets[1].certainty != unknown && targets[1].AgeUs(nowUs) > retentionUs) {
+		targets = slices.Delete(targets, 0, 1)
 	}
-	return list
+	return targets
 }
 
 // Ages returns the ages at nowUs of all versions in the table, to be sent to another
 // node, sorted by model and version. Assumed ages are left out.
 func (t *Table) Ages(nowUs int64) []messages.TargetAge {
 	var out []messages.TargetAge
-	for model, list := range t.byModel {
-		for _, target := range list {
+	for model, targets := range t.byModel {
+		for _, target := range targets {
 			age := messages.TargetAge{Model: model, Version: target.Version, AgeUs: UnknownAgeUs}
 			switch target.certainty {
 			case assumed:
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -22,7 +22,7 @@
 	must.Eq(t, 800_000, router.Newest("m").AgeUs(9_000_000), must.Sprint("the relay adds the time since it received the age"))
 }
 
-func TestDelayedMessageNeverLowersAge(t *testing.T) {
+func TestDelayedMessageDoesNotLowerAge(t *testing.T) {
 	var table Table
 	table.Observe(ageOf("m", 2, 400_000), 1_000_000)
 	table.Observe(ageOf("m", 2, 100_000), 1_100_000)
@@ -32,7 +32,7 @@
 	must.Eq(t, 2_000_000, table.Newest("m").AgeUs(1_500_000))
 }
 
-func TestOutdatedCountsFromEarliestNewerVersion(t *testing.T) {
+func TestOutdatedUsCountsFromEarliestNewerVersion(t *testing.T) {
 	var table Table
 	table.Named("m", 2, 0)
 	table.Named("m", 3, 5_000_000)
@@ -45,7 +45,7 @@
 	var router Table
 	router.Assume("m", 4, 1)
 	router.Observe(table.Ages(6_000_000), 1)
-	must.Eq(t, 6_000_000, router.OutdatedUs("m", 1, 1), must.Sprint("a node that only knew version 4 learns the others"))
+	must.Eq(t, 6_000_000, router.OutdatedUs("m", 1, 1), must.Sprint("a node that had only version 4 receives the others"))
 }
 
 func TestRedundantVersionsArePruned(t *testing.T) {
@@ -77,7 +77,7 @@
 	must.Eq(t, 1_100_000, table.Newest("m").AgeUs(3_100_000), must.Sprint("an unknown age does not replace a known one"))
 }
 
-func TestAssumedAgeIsNotSentAndYieldsToObservedAge(t *testing.T) {
+func TestAssumedAgeIsNotSentAndIsReplacedByObservedAge(t *testing.T) {
 	var table Table
 	table.Assume("m", 2, 5_000_000)
 	must.SliceEmpty(t, table.Ages(6_000_000))
