--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,11 +1,11 @@
 // Package placement chooses the runner for an admitted request among the
-// candidates that the admission control left.
+// candidates that the admission control has not excluded.
 //
-// It takes the runner where the first token can be expected soonest: the cost of
-// a candidate weighs its cached prefix of the prompt against its backlog. Where
-// no candidate has a useful part of the prompt in its cache, rendezvous hashing
-// of the prompt's shared prefix decides, so that all routers send the same
-// prefix to the same runner without coordination.
+// It chooses the runner with the lowest expected time to the first token: the
+// cost of a candidate weighs its cached prefix of the prompt against its backlog.
+// If no candidate has a useful part of the prompt in its cache, rendezvous hashing
+// of the prompt's shared prefix decides, so that all routers send the same prefix
+// to the same runner without coordination.
 //
 // All functions are pure: equal arguments, the state of the random source included,
 // give equal results. The package keeps no state and starts no goroutine.
@@ -19,82 +19,84 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// AgainUs is the cost in microseconds, beyond the time it takes, of each token
-// that a candidate prefills although another runner has it in its cache.
+// AgainUs is the additional cost in microseconds, beyond the prefill time, of each
+// token that a candidate prefills although another runner has it in its cache.
 const AgainUs = 100.0
 
-// Weights of the parts of a candidate's cost, in microseconds where the name
+// Weights of the components of a candidate's cost, in microseconds if the name
 // ends with Us.
 const (
 	otherZoneUs = 2_000  // the candidate is in another zone
-	occupancyUs = 20_000 // all of its slots are in use
-	notHomeUs   = 60_000 // rendezvous hashing gives the prefix to another candidate
-	fullCacheUs = 80_000 // all of its memory is in use; grows with the square
+	occupancyUs = 20_000 // all of its slots are in use; proportional to the share in use
+	notHomeUs   = 60_000 // rendezvous hashing assigns the prefix to another candidate
+	fullCacheUs = 80_000 // all of its memory is in use; grows with the square of the share
 
-	// prefillDelayShare weighs the delay that a prefill brings to each active
+	// prefillDelayShare weighs the delay that a prefill causes for each active
 	// request, as a share of the prefill's time.
 	prefillDelayShare = 0.3
 
-	// slowDecodeUs is the cost of each token of output where the candidate
-	// spends all of its time on prefill.
+	// slowDecodeUs is the cost of each token of output if the candidate spends
+	// all of its time on prefill.
 	slowDecodeUs = 8_000
 )
 
-// minRate is the lowest prefill rate taken for a candidate, in tokens a
-// microsecond.
-const minRate = 0.002
+// minPrefillRate is the lower limit of the prefill rate used for a candidate, in tokens
+// per microsecond.
+const minPrefillRate = 0.002
 
-// A candidate with less than one part in usefulCacheDivisor of the prompt in its
-// cache bears notHomeUs.
+// usefulCacheDivisor: a candidate other than the home of the prefix is charged
+// notHomeUs if it has less than 1/usefulCacheDivisor of the prompt in its cache.
 const usefulCacheDivisor = 4
 
-// randomChoices is how many random candidates a sample has.
+// randomChoices is the number of random candidates in a sample.
 const randomChoices = 2
 
-// minSampled is the number of candidates up to which all of them are compared.
-const minSampled = randomChoices + 1
+// maxFullComparison is the number of candidates up to which all of them are compared
+// instead of a sample.
+const maxFullComparison = randomChoices + 1
 
-// Candidate is a runner that may take the request, as the admission control
-// sees it.
+// Candidate is a runner that may receive the request, with its state in the view
+// of the admission control.
 type Candidate struct {
 	ID       string
 	NearSite bool    // in the router's zone
 	Cached   int     // tokens of the prompt in its cache
-	Moved    int     // tokens that it could transfer from another runner's cache
+	Moved    int     // tokens of the prompt that it could transfer from another runner's cache
 	MoveUs   float64 // how long the transfer takes
 	From     string  // address of that other runner
 	Again    int     // shared tokens it would prefill although another runner has them cached
 	Prefill  int     // tokens waiting for prefill
 	Active   int     // requests in progress
-	Capacity int     // most requests at once; 0: not known
+	Capacity int     // maximum number of concurrent requests; 0: unknown
 	Used     float64 // share of its memory in use, 0 to 1
-	Rate     float64 // prefill rate, tokens a microsecond
-	DoubtUs  float64 // penalty for suspected bad health
+	Rate     float64 // prefill rate, tokens per microsecond
+	DoubtUs  float64 // cost added for suspected bad health
 	Reading  float64 // share of its time spent on prefill, 0 to 1
 }
 
-// uncached is the number of prompt tokens that the candidate must prefill.
+// uncached returns the number of prompt tokens that the candidate must prefill.
 func (c *Candidate) uncached(p Prompt) int { return max(p.Tokens-c.Cached-c.Moved, 0) }
 
 // Prompt describes the request.
 type Prompt struct {
 	Tokens int
-	Out    int    // most tokens of output
+	Out    int    // maximum number of output tokens
 	Shared uint64 // hash of the deepest shared prefix; 0 without one
 }
 
 // Match returns the index of the candidate with the lowest cost, or -1 without any.
 //
-// With a nil random all candidates are compared, and the first of equals wins: right for
-// a router that knows the backlogs exactly. Where many routers share the runners, each
-// learns late of what the others send. If all compared all candidates, they would send
-// everything to the few that were idle a moment ago, until the next news of loads. So
-// with random only a sample is compared: the home of the prefix, one candidate with the
-// longest cached prefix, and randomChoices others ("power of two choices": Mitzenmacher,
-// "How Useful Is Old Information?", 2000).
+// With a nil random, all candidates are compared, and the first of equals is chosen. This
+// suits a router that has the exact backlogs. If many routers share the runners, each
+// receives the load caused by the others with a delay. If every router compared all
+// candidates, they would all send to the few that were idle a moment ago, until the next
+// load update. So with random, only a sample is compared: the home of the prefix (the
+// candidate that rendezvous hashing assigns it to), one candidate with the longest cached
+// prefix, and randomChoices others ("power of two choices": Mitzenmacher, "How Useful Is
+// Old Information?", 2000).
 func Match(p Prompt, candidates []Candidate, random *rand.Rand) int {
 	best, bestUs := -1, 0.0
-	home := rendezvous(p.Shared, candidates)
+	home := homeIndex(p.Shared, candidates)
 	compare := func(i int) {
 		c := &candidates[i]
 		us := costUs(p, c)
@@ -105,7 +107,7 @@
 			best, bestUs = i, us
 		}
 	}
-	if random == nil || len(candidates) <= minSampled {
+	if random == nil || len(candidates) <= maxFullComparison {
 		for i := range candidates {
 			compare(i)
 		}
@@ -124,26 +126,26 @@
 }
 
 // longestPrefix returns a random one of the candidates with the most cached tokens of
-// the prompt, or -1 where none has any.
+// the prompt, or -1 if none has any.
 func longestPrefix(candidates []Candidate, random *rand.Rand) int {
-	longest, tokens, equals := -1, 0, 0
+	best, bestTokens, ties := -1, 0, 0
 	for i := range candidates {
-		switch kept := candidates[i].Cached; {
-		case kept > tokens:
-			longest, tokens, equals = i, kept, 1
-		case kept == tokens && kept > 0:
-			if equals++; random.IntN(equals) == 0 {
-				longest = i
+		switch cached := candidates[i].Cached; {
+		case cached > bestTokens:
+			best, bestTokens, ties = i, cached, 1
+		case cached == bestTokens && cached > 0:
+			if ties++; random.IntN(ties) == 0 {
+				best = i
 			}
 		}
 	}
-	return longest
+	return best
 }
 
 // costUs estimates the time to the first token at a candidate, with penalties
-// for what the request costs others.
+// for the delay that the request causes for other requests.
 func costUs(p Prompt, c *Candidate) float64 {
-	rate := max(c.Rate, minRate)
+	rate := max(c.Rate, minPrefillRate)
 	us := float64(c.Prefill+c.uncached(p))/rate + c.MoveUs
 	us += AgainUs * float64(c.Again)
 	us += prefillDelayShare * float64(c.uncached(p)) / rate * float64(c.Active)
@@ -159,11 +161,11 @@
 	return us
 }
 
-// rendezvous returns the index of the candidate with the highest hash of prefix
+// homeIndex returns the index of the candidate with the highest hash of prefix
 // and ID (Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous",
 // 1996), or -1 without a prefix or candidates. When a candidate leaves, only its
 // own prefixes move to others.
-func rendezvous(prefix uint64, candidates []Candidate) int {
+func homeIndex(prefix uint64, candidates []Candidate) int {
 	if prefix == 0 {
 		return -1
 	}
@@ -176,13 +178,14 @@
 	return best
 }
 
-// rendezvousScore must be the same on all routers: changing it moves prefixes
-// away from the caches that hold them.
+// rendezvousScore returns the weight of a runner for a prefix. It must be the same on
+// all routers: a change of the function moves prefixes away from the caches that hold
+// them.
 func rendezvousScore(prefix uint64, id string) uint64 {
 	h := fnv.New64a()
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], prefix)
 	_, _ = h.Write(b[:])
 	_, _ = h.Write([]byte(id))
-	return statesync.Mix(h.Sum64()) // FNV alone spreads short inputs too little over the high bits
+	return statesync.Mix(h.Sum64()) // FNV alone distributes short inputs poorly over the high bits
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// idleCandidates gives three candidates that are equal but for their IDs.
+// idleCandidates returns three candidates that differ only in their IDs.
 func idleCandidates() []Candidate {
 	var candidates []Candidate
 	for _, id := range []string{"a", "b", "c"} {
@@ -15,7 +15,7 @@
 	return candidates
 }
 
-func TestMatchPrefersCachedPrefixUntilBacklogOutweighsIt(t *testing.T) {
+func TestChoosePrefersCachedPrefixUntilBacklogOutweighsIt(t *testing.T) {
 	candidates := idleCandidates()
 	candidates[1].Cached = 6000
 	p := Prompt{Tokens: 9000, Shared: 1}
@@ -24,14 +24,14 @@
 	must.NotEq(t, 1, Match(p, candidates, nil))
 }
 
-func TestMatchTakesIdleRunnerWhenPrefixCanBeTransferred(t *testing.T) {
+func TestChooseReturnsIdleRunnerWhenPrefixCanBeTransferred(t *testing.T) {
 	candidates := idleCandidates()
 	candidates[1].Cached, candidates[1].Prefill = 6000, 5000
 	candidates[2].Moved, candidates[2].MoveUs, candidates[2].From = 6000, 20_000, "b"
 	must.Eq(t, 2, Match(Prompt{Tokens: 9000, Shared: 1}, candidates, nil))
 }
 
-func TestMatchChargesDuplicatePrefill(t *testing.T) {
+func TestChoosePenalizesDuplicatePrefill(t *testing.T) {
 	candidates := idleCandidates()
 	candidates[0].Prefill = 3000
 	candidates[0].Cached = 2500
@@ -39,11 +39,11 @@
 	must.Eq(t, 0, Match(Prompt{Tokens: 5000, Shared: 1}, candidates, nil))
 }
 
-func TestMatchSpreadsUncachedPrefixesByRendezvousHash(t *testing.T) {
+func TestChooseSpreadsUncachedPrefixesByRendezvousHash(t *testing.T) {
 	matches := map[int]int{}
 	for prefix := uint64(1); prefix < 300; prefix++ {
 		i := Match(Prompt{Tokens: 5000, Shared: prefix}, idleCandidates(), nil)
-		must.Eq(t, rendezvous(prefix, idleCandidates()), i)
+		must.Eq(t, homeIndex(prefix, idleCandidates()), i)
 		matches[i]++
 	}
 	for i := range idleCandidates() {
@@ -52,7 +52,8 @@
 	must.Eq(t, -1, Match(Prompt{}, nil, nil))
 }
 
-// All routers of a fleet must agree, whichever release they run.
+// All routers of a fleet must compute the same scores, also if they run different
+// releases.
 func TestRendezvousScoreIsStable(t *testing.T) {
 	must.Eq(t, uint64(0xdea13a43162696b9), rendezvousScore(1, "a"))
 	must.Eq(t, uint64(0x372f9746cc5dcf1c), rendezvousScore(0xfedcba9876543210, "runner-7"))
