--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -1,16 +1,16 @@
-// Package prefixindex is the index of cached prefixes: which runner has which blocks
-// of which prompts in its cache.
+// Package prefixindex implements the index of cached prefixes: which runner has which
+// parts of which prompts in its cache. A part is a block of a prompt.
 //
-// A block is found by a key of salt, model and block id (Key). Salts keep tenants,
-// regimes and weights versions apart, so a wrong entry costs time and never breaks
-// isolation. The index is fed by the cache events of the runners and lists after a gap
-// (CachedPrefixes, Apply), and by what this node expects of its own requests (Expect,
-// Put, Forget). DeltasSince returns the changes that another node needs.
+// A part is identified by a key computed from salt, model and part id (Key). Salts
+// separate tenants, regimes and weights versions, so a wrong entry costs time and never
+// breaks isolation. The input of the index is the cache events of the runners, with full
+// lists after a gap (CachedPrefixes, Apply), and the parts that this node expects to be
+// cached because of its own requests (Expect, Put, Forget). DeltasSince returns the
+// changes that another node needs.
 //
-// The index may be wrong at any time: a runner evicts blocks before its event arrives.
-// An Index is not safe for concurrent use; the router guards its own with the mutex of
-// the admitter, the controller with a mutex beside it. The package starts no
-// goroutine.
+// The index may be wrong at any time: a runner evicts parts before its event arrives.
+// An Index is not safe for concurrent use: the router guards its Index with the mutex of
+// the admitter, the controller with a separate mutex. The package starts no goroutine.
 package prefixindex
 
 import (
@@ -21,17 +21,18 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// maxParts bounds the parts that are recorded of one runner from own requests.
-const maxParts = 16384
+// maxObservedParts limits the parts that are recorded for one runner from this node's own
+// requests.
+const maxObservedParts = 16384
 
-// Part is a part of a prompt: the id of a block and its length in tokens.
+// Part is a block of a prompt: its id and its length in tokens.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// ParseParts reads the header that names the parts of a prompt, as "id:tokens" separated
-// by commas. The list ends before the first item that is malformed.
+// ParseParts parses the header that lists the parts of a prompt as "id:tokens" separated
+// by commas. The result ends before the first malformed item.
 func ParseParts(s string) []Part {
 	if s == "" {
 		return nil
@@ -69,20 +70,20 @@
 	return out
 }
 
-// CachedPrefixes is the stream of the parts that a runner reports as cached, with their
-// tokens by key. Epoch and versions are those of the runner's events, so that whichever
-// node reads the runner next continues where the last one stopped.
+// CachedPrefixes is the stream of the parts that a runner reports as cached: their
+// lengths in tokens, by key. Epoch and versions are those of the runner's events, so that
+// the next node that reads from the runner continues where the previous one stopped.
 type CachedPrefixes = statesync.Stream[uint64, int32]
 
 func hashPart(k uint64, tokens int32) uint64 {
 	return statesync.Mix(k ^ statesync.Mix(uint64(tokens)+1))
 }
 
-// observation is what this node concludes from its own requests until the runner reports
-// the part: it has been read there (read), or it is about to be.
+// observation is the state of a part at a runner that this node infers from its own
+// requests until the runner reports the part.
 type observation struct {
-	tokens int32
-	read   bool
+	tokens    int32
+	prefilled bool // the runner has prefilled it; otherwise it is expected to
 }
 
 // Index is the index of cached prefixes by runner. It is not safe for concurrent use.
@@ -91,7 +92,7 @@
 	observed map[string]map[uint64]observation
 }
 
-// NewIndex makes an empty index.
+// NewIndex returns an empty index.
 func NewIndex() *Index {
 	return &Index{cached: map[string]*CachedPrefixes{}, observed: map[string]map[uint64]observation{}}
 }
@@ -106,8 +107,8 @@
 	return s
 }
 
-// Encode converts a change of a runner's cached prefixes to its message. A part of 0
-// tokens is deleted.
+// Encode converts a change of a runner's cached prefixes to its message, which represents
+// a deleted part as a part of 0 tokens.
 func Encode(runner string, c statesync.Change[uint64, int32]) messages.CachedChange {
 	out := messages.CachedChange{ID: runner, Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest, Parts: make([]messages.CachedPart, 0, len(c.Puts))}
 	for _, p := range c.Puts {
@@ -120,8 +121,8 @@
 	return out
 }
 
-// Apply applies a change of a runner's cached prefixes. Its parts replace what this node
-// concluded from its own requests.
+// Apply applies a change of a runner's cached prefixes. Its parts replace those that this
+// node inferred from its own requests.
 func (x *Index) Apply(c messages.CachedChange) statesync.Result {
 	in := statesync.Change[uint64, int32]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest, Puts: make([]statesync.Put[uint64, int32], 0, len(c.Parts))}
 	for _, p := range c.Parts {
@@ -148,30 +149,30 @@
 	return out
 }
 
-// DeltasSince returns the changes that a receiver with these cursors needs, of the runners
-// for which pick is true.
-func (x *Index) DeltasSince(cursors []messages.Cursor, pick func(runner string) bool) []messages.CachedChange {
+// DeltasSince returns the changes that a receiver with these cursors needs, for the
+// runners for which pick returns true.
+func (x *Index) DeltasSince(cursors []messages.Cursor, include func(runner string) bool) []messages.CachedChange {
 	known := make(map[string]messages.Cursor, len(cursors))
-	for _, h := range cursors {
-		known[h.ID] = h
+	for _, cursor := range cursors {
+		known[cursor.ID] = cursor
 	}
 	var out []messages.CachedChange
 	for id, s := range x.cached {
-		if s.Epoch == 0 || !pick(id) {
+		if s.Epoch == 0 || !include(id) {
 			continue
 		}
-		h := known[id]
-		if h.Epoch == s.Epoch && h.Version > s.Version {
+		cursor := known[id]
+		if cursor.Epoch == s.Epoch && cursor.Version > s.Version {
 			continue
 		}
-		if c, behind := s.DeltaSince(h.Epoch, h.Version); behind {
+		if c, behind := s.DeltaSince(cursor.Epoch, cursor.Version); behind {
 			out = append(out, Encode(id, c))
 		}
 	}
 	return out
 }
 
-// Size is how many parts a runner has reported as cached.
+// Size returns the number of parts that a runner has reported as cached.
 func (x *Index) Size(runner string) int {
 	if s := x.cached[runner]; s != nil {
 		return s.Len()
@@ -185,34 +186,36 @@
 	delete(x.observed, runner)
 }
 
-func (x *Index) record(runner string, key uint64, o observation) {
-	m := x.observed[runner]
-	if m == nil {
-		m = map[uint64]observation{}
-		x.observed[runner] = m
+// recordObservation stores an observation. All observations of a runner are dropped when
+// their number reaches maxObservedParts.
+func (x *Index) recordObservation(runner string, key uint64, o observation) {
+	observed := x.observed[runner]
+	if observed == nil {
+		observed = map[uint64]observation{}
+		x.observed[runner] = observed
 	}
-	if len(m) >= maxParts {
-		clear(m)
+	if len(observed) >= maxObservedParts {
+		clear(observed)
 	}
-	m[key] = o
+	observed[key] = o
 }
 
-// Expect records a part that a runner will have cached once it has read it.
+// Expect records a part that a runner will have cached once it has prefilled it.
 func (x *Index) Expect(runner string, key uint64, tokens int32) {
-	if old := x.observed[runner][key]; !old.read {
-		x.record(runner, key, observation{tokens, false})
+	if old := x.observed[runner][key]; !old.prefilled {
+		x.recordObservation(runner, key, observation{tokens, false})
 	}
 }
 
-// Forget takes back what Expect recorded.
+// Forget deletes a part that Expect recorded, unless Put has recorded it since.
 func (x *Index) Forget(runner string, key uint64) {
-	if m := x.observed[runner]; !m[key].read {
+	if m := x.observed[runner]; !m[key].prefilled {
 		delete(m, key)
 	}
 }
 
-// Put records that a runner has read a part, as this node saw it; 0 tokens delete that. A
-// report of the runner itself that has as many tokens takes precedence.
+// Put records that a runner has prefilled a part, as this node observed; 0 tokens delete
+// the observation. A report of the runner with at least as many tokens takes precedence.
 func (x *Index) Put(runner string, key uint64, tokens int32) {
 	if tokens <= 0 {
 		delete(x.observed[runner], key)
@@ -224,17 +227,17 @@
 			return
 		}
 	}
-	x.record(runner, key, observation{tokens, true})
+	x.recordObservation(runner, key, observation{tokens, true})
 }
 
-// Cached counts the tokens of a prompt that a runner need not read again: complete parts
-// from the first on, and the cached beginning of the next.
+// Cached returns the number of tokens of a prompt that a runner does not have to prefill
+// again: complete parts from the first on, and the cached beginning of the next.
 func (x *Index) Cached(runner string, keys []uint64, parts []Part) int {
 	cached, _ := x.CachedAndExpected(runner, keys, parts)
 	return cached
 }
 
-// Expected counts like Cached, with the parts that Expect recorded.
+// Expected returns the same number as Cached, but includes the parts that Expect recorded.
 func (x *Index) Expected(runner string, keys []uint64, parts []Part) int {
 	_, expected := x.CachedAndExpected(runner, keys, parts)
 	return expected
@@ -248,31 +251,31 @@
 	}
 	contiguous := true
 	for i, k := range keys {
-		have := int32(0)
+		expectedTokens := int32(0)
 		if s != nil {
-			have, _ = s.Get(k)
+			expectedTokens, _ = s.Get(k)
 		}
-		certain := have
-		if n, ok := m[k]; ok {
-			have = max(have, n.tokens)
-			if n.read {
-				certain = have
+		cachedTokens := expectedTokens
+		if o, ok := m[k]; ok {
+			expectedTokens = max(expectedTokens, o.tokens)
+			if o.prefilled {
+				cachedTokens = expectedTokens
 			}
 		}
-		want := parts[i].Tokens
+		partTokens := parts[i].Tokens
 		if contiguous {
-			cached += min(int(certain), want)
-			contiguous = int(certain) >= want
+			cached += min(int(cachedTokens), partTokens)
+			contiguous = int(cachedTokens) >= partTokens
 		}
-		expected += min(int(have), want)
-		if int(have) < want {
+		expected += min(int(expectedTokens), partTokens)
+		if int(expectedTokens) < partTokens {
 			break
 		}
 	}
 	return cached, expected
 }
 
-// Retain deletes the entries of runners for which keep is false.
+// Retain deletes the entries of runners for which keep returns false.
 func (x *Index) Retain(keep func(runner string) bool) {
 	for r := range x.cached {
 		if !keep(r) {
--- a/internal/prefixindex/sharing.go
+++ b/internal/prefixindex/sharing.go
@@ -2,18 +2,20 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// maxSharedKeys bounds each of the two generations of SharedKeys: some 1 MB.
+// maxSharedKeys limits each of the two generations of SharedKeys, to about 1 MB.
 const maxSharedKeys = 32_768
 
-// SharedKeys are the keys of parts that prompts may have in common: those that routers have announced
-// when they sent a prompt to a runner. The last part of a prompt is its own and is not announced;
-// no other request finds it, so other nodes need not hear that a runner has it cached.
+// SharedKeys is the set of keys of parts that prompts may have in common: those that routers
+// announced when they sent a prompt to a runner. The last part of a prompt is specific to it and
+// is not announced; no other request looks it up, so other nodes do not need the information that
+// a runner has it cached.
 //
-// Of two generations the older is dropped when the newer is full. A part that is read again after
-// that has been announced again. The zero value is empty; it is not safe for concurrent use.
+// Keys are stored in two generations; when the newer one is full, the older one is dropped. A part
+// that is prefilled again after that has been announced again. The zero value is empty. It is not
+// safe for concurrent use.
 type SharedKeys struct {
 	newer, older map[uint64]struct{}
-	changed      bool // since the last Record
+	changed      bool // keys were added since the last Record
 }
 
 // Announce adds the keys of announced prefixes.
@@ -44,6 +46,6 @@
 	if _, known := s.older[key]; !known {
 		return false
 	}
-	s.add(key) // it is in use
+	s.add(key) // the key is in use: move it to the newer generation
 	return true
 }
--- a/internal/prefixindex/sharing_record.go
+++ b/internal/prefixindex/sharing_record.go
@@ -11,15 +11,15 @@
 
 const keyBytes = 8
 
-// ErrSharedRecord means that a record of SharedKeys cannot be read: its version is unknown, or it
-// was cut short.
-var ErrSharedRecord = errors.New("prefixindex: not a record of shared keys")
+// ErrInvalidSharedRecord means that a record of SharedKeys cannot be decoded: its version is
+// unknown or it is truncated.
+var ErrInvalidSharedRecord = errors.New("prefixindex: decode record of shared keys: unknown version or truncated")
 
-// Changed reports whether keys have been added since the last Record, or generations have changed.
+// Changed reports whether keys have been added to the newer generation since the last Record.
 func (s *SharedKeys) Changed() bool { return s.changed }
 
-// Record returns the keys for a file. At most 2 * maxSharedKeys keys are recorded, the newer ones
-// last, so that they stay longest where the record is read.
+// Record encodes the keys for a file: at most 2 * maxSharedKeys, the newer generation last, so
+// that Restore adds it last and its keys are retained longest.
 func (s *SharedKeys) Record() []byte {
 	s.changed = false
 	record := make([]byte, 1, 1+keyBytes*(len(s.newer)+len(s.older)))
@@ -32,10 +32,10 @@
 	return record
 }
 
-// Restore adds the keys of a record.
+// Restore adds the keys of a record that Record has encoded.
 func (s *SharedKeys) Restore(record []byte) error {
 	if len(record) == 0 || record[0] != sharedRecordVersion || (len(record)-1)%keyBytes != 0 {
-		return ErrSharedRecord
+		return ErrInvalidSharedRecord
 	}
 	for keys := record[1:]; len(keys) > 0; keys = keys[keyBytes:] {
 		s.add(binary.LittleEndian.Uint64(keys))
--- a/internal/prefixindex/sharing_test.go
+++ b/internal/prefixindex/sharing_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestSharedKeysKeepWhatIsInUse(t *testing.T) {
+func TestSharedKeysRetainKeysInUse(t *testing.T) {
 	var keys SharedKeys
 	must.False(t, keys.Has(1))
 	keys.Announce([]messages.CachedPrefixes{{ID: "r", Parts: []messages.CachedPart{{Key: 1, Tokens: 10}, {Key: 2, Tokens: 10}}}})
@@ -18,14 +18,14 @@
 			next++
 			keys.add(next)
 		}
-		must.True(t, keys.Has(1), must.Sprint("it is asked for in each generation"))
+		must.True(t, keys.Has(1), must.Sprint("the key is looked up in each generation"))
 	}
-	must.False(t, keys.Has(2), must.Sprint("it was not"))
+	must.False(t, keys.Has(2), must.Sprint("the key was not looked up"))
 	must.LessEq(t, maxSharedKeys, len(keys.newer))
 	must.LessEq(t, maxSharedKeys, len(keys.older))
 }
 
-func TestSharedKeysAreRestoredFromTheirRecord(t *testing.T) {
+func TestSharedKeysAreRestoredFromRecord(t *testing.T) {
 	var shared SharedKeys
 	must.False(t, shared.Changed())
 	shared.Announce([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: 1}, {Key: 1 << 63}}}})
@@ -41,7 +41,7 @@
 	must.False(t, restored.Changed())
 }
 
-func TestRecordOfSharedKeysIsBounded(t *testing.T) {
+func TestSharedKeysRecordIsBounded(t *testing.T) {
 	var shared SharedKeys
 	for key := range uint64(5 * maxSharedKeys) {
 		shared.add(key)
@@ -53,9 +53,9 @@
 	must.True(t, restored.Has(5*maxSharedKeys-1))
 }
 
-func TestRecordOfSharedKeysThatCannotBeReadIsRefused(t *testing.T) {
+func TestRestoreRejectsInvalidSharedKeysRecord(t *testing.T) {
 	for _, record := range [][]byte{nil, {2}, {1, 0, 0, 0}} {
 		var shared SharedKeys
-		must.ErrorIs(t, shared.Restore(record), ErrSharedRecord)
+		must.ErrorIs(t, shared.Restore(record), ErrInvalidSharedRecord)
 	}
 }
--- a/internal/prefixindex/size_test.go
+++ b/internal/prefixindex/size_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// fillIndex makes an index of 50 runners with the given number of parts each.
+// fillIndex returns an index of 50 runners with the given number of parts each.
 func fillIndex(parts int) *Index {
 	x := NewIndex()
 	for r := range 50 {
@@ -22,8 +22,8 @@
 	return x
 }
 
-// BenchmarkCachedPart measures the memory that a cached part takes at a node, and of a
-// change of one the bytes on the wire and the time to apply it.
+// BenchmarkCachedPart measures the memory that a node uses for a cached part and, for a
+// change of one, the bytes on the wire and the time to apply it.
 func BenchmarkCachedPart(b *testing.B) {
 	for _, n := range []int{100, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -42,7 +42,7 @@
 }
 
 // applyChanges applies changes of eight parts each for as long as the benchmark runs. It
-// returns the bytes and the parts that they had on the wire.
+// returns the number of encoded bytes and of parts.
 func applyChanges(b *testing.B, x *Index, n int) (bytes, parts int) {
 	b.Helper()
 	s := NewIndex().CachedPrefixes("r0")
