--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,17 +1,17 @@
-// Package attempt decides what follows an attempt of a request at a runner: another
-// attempt, or an end and with which status.
+// Package attempt decides what follows a failed attempt of a request at a runner: another
+// attempt, or the end of the request with an error status.
 //
-// A Sequence is the attempts of one request. The caller makes the attempts and tells how
-// each one ended; the package does no input or output and reads no clock.
+// A Sequence represents the attempts of one request. The caller makes the attempts and
+// reports how each one ended; the package does no input or output and reads no clock.
 //
-// # What it guarantees
+// # Guarantees
 //
-//   - A request that may not be repeated is sent again only where nothing of it reached a
-//     runner, or the runner said that it has not run it.
-//   - A status that promises that the request has not run (503) is given only where no
-//     attempt of it may have run.
-//   - At most Request.Tries attempts reach a runner, and each one after the first is paid
-//     for from the retry budget.
+//   - A request that is not repeatable is sent again only if nothing of it reached a
+//     runner, or the runner reported that it has not run it.
+//   - The status that means that the request has not run (503) is returned only if no
+//     attempt may have run.
+//   - At most Request.Tries attempts reach a runner, and each one after an attempt that
+//     may have reached a runner is charged to the retry budget.
 //
 // A Sequence is not safe for concurrent use.
 package attempt
@@ -21,106 +21,106 @@
 
 // Results of an attempt.
 const (
-	Answered   Result = iota // the client has the whole answer
+	Answered   Result = iota // the client has received the complete answer
 	NotSent                  // nothing reached the runner
-	Outdated                 // nothing was sent, as the request itself is to be decided on anew
-	NotRun                   // the runner said that it has not run the request
-	Unknown                  // it was sent, and may have run
-	BrokenOff                // it was broken off after a part of the answer had been passed on
-	ClientGone               // the client has left
-	Moving                   // it goes on at another runner, where capacity is reserved
-	Sent                     // it has been sent, and the answer is still to be read
+	Outdated                 // nothing was sent, because the request must be admitted again
+	NotRun                   // the runner reported that it has not run the request
+	Unknown                  // it was sent and may have run
+	BrokenOff                // the answer ended after a part of it had been forwarded
+	ClientGone               // the client has disconnected
+	Moving                   // it continues at another runner, where capacity is reserved
+	Sent                     // it has been sent, and the answer has not been read yet
 )
 
-// MaxUnsent bounds the attempts of a request of which nothing reaches a runner.
+// MaxUnsent limits the attempts of a request of which nothing reaches a runner.
 const MaxUnsent = 4
 
-// Request is what the decisions go by.
+// Request holds the properties of a request that the decisions depend on.
 type Request struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Tries is how many attempts may reach a runner; at least one may.
+	// Tries is the maximum number of attempts that reach a runner; values below 1 mean 1.
 	Tries int
 }
 
-// Budget pays for attempts beyond the first.
+// Budget limits the number of retries.
 type Budget interface {
-	// Spend takes one retry, and reports whether there was one.
+	// Spend consumes one retry and reports whether one was available.
 	Spend() bool
 }
 
-// Sequence is the attempts of one request. The zero Sequence has none.
+// Sequence represents the attempts of one request. The zero Sequence has none.
 type Sequence struct {
-	sent   int // attempts of which something may have reached a runner, the present one included
-	unsent int
-	ran    bool
+	sent       int  // attempts, including the current one, without those in unsent
+	unsent     int  // attempts of which nothing reached a runner
+	mayHaveRun bool // an attempt may have run
 }
 
 // Begin starts an attempt.
 func (s *Sequence) Begin() { s.sent++ }
 
-// Sent returns how many attempts have begun, without those of which nothing reached a runner.
+// Sent returns the number of attempts, without those of which nothing reached a runner.
 func (s *Sequence) Sent() int { return s.sent }
 
 // IsFirst reports whether no attempt has failed so far.
 func (s *Sequence) IsFirst() bool { return s.sent == 0 && s.unsent == 0 }
 
 // MayHaveRun reports whether a runner may have run the request.
-func (s *Sequence) MayHaveRun() bool { return s.ran }
+func (s *Sequence) MayHaveRun() bool { return s.mayHaveRun }
 
-// MayRepeat reports whether another attempt could follow one that may have run, as far as
-// the request itself allows.
+// MayRepeat reports whether the request allows another attempt after one that may have
+// run. It does not check the time or the budget.
 func (s *Sequence) MayRepeat(r Request) bool { return r.Repeatable && s.sent < max(r.Tries, 1) }
 
-// Next is what follows an attempt that failed.
+// Next is the decision after an attempt that failed.
 type Next struct {
-	// Retry reports whether another attempt follows.
+	// Retry is whether another attempt follows.
 	Retry bool
-	// Avoid reports whether the next attempt is to go to another runner.
+	// Avoid is whether the next attempt must use another runner.
 	Avoid bool
 }
 
-// Failed records how an attempt ended that has not answered the request, and decides what
-// follows. timeOver reports whether the request's time is over.
-func (s *Sequence) Failed(r Request, result Result, timeOver bool, budget Budget) Next {
+// Failed records the result of an attempt that has not answered the request, and decides
+// what follows. deadlineExceeded is whether the request's time limit has passed.
+func (s *Sequence) Failed(r Request, result Result, deadlineExceeded bool, budget Budget) Next {
 	if result == NotSent || result == Outdated {
-		return s.failedUnsent(result, timeOver)
+		return s.failedUnsent(result, deadlineExceeded)
 	}
 	if result != NotRun {
-		s.ran = true
+		s.mayHaveRun = true
 		if !r.Repeatable {
 			return Next{Avoid: true}
 		}
 	}
-	return Next{Retry: s.sent < max(r.Tries, 1) && !timeOver && budget.Spend(), Avoid: true}
+	return Next{Retry: s.sent < max(r.Tries, 1) && !deadlineExceeded && budget.Spend(), Avoid: true}
 }
 
-// Moved records that the newest attempt ended as its response goes on at another runner. It may
-// have run, as every attempt that was sent.
-func (s *Sequence) Moved() { s.ran = true }
+// Moved records that the newest attempt ended because its response continues at another
+// runner. Like every attempt that was sent, it may have run.
+func (s *Sequence) Moved() { s.mayHaveRun = true }
 
-// failedUnsent is the same for an attempt of which nothing reached the runner: it counts
-// neither as a try nor against the budget.
-func (s *Sequence) failedUnsent(result Result, timeOver bool) Next {
+// failedUnsent implements Failed for an attempt of which nothing reached the runner. The
+// attempt counts against neither Request.Tries nor the budget.
+func (s *Sequence) failedUnsent(result Result, deadlineExceeded bool) Next {
 	s.sent--
 	s.unsent++
-	return Next{Retry: s.unsent < MaxUnsent && !timeOver, Avoid: result == NotSent}
+	return Next{Retry: s.unsent < MaxUnsent && !deadlineExceeded, Avoid: result == NotSent}
 }
 
-// Statuses of a request that ends without a runner's answer.
+// HTTP statuses of a request that ends without a runner's answer.
 const (
 	statusBadGateway     = 502
 	statusUnavailable    = 503
 	statusGatewayTimeout = 504
 )
 
-// EndStatus is the status with which a request ends after its last attempt failed. What may
-// have run gets none that promises that it has not.
-func (s *Sequence) EndStatus(timeOver bool) int {
+// EndStatus returns the HTTP status with which a request ends after its last attempt failed.
+// A request that may have run never gets the status that means that it has not run.
+func (s *Sequence) EndStatus(deadlineExceeded bool) int {
 	switch {
-	case !s.ran:
+	case !s.mayHaveRun:
 		return statusUnavailable
-	case timeOver:
+	case deadlineExceeded:
 		return statusGatewayTimeout
 	}
 	return statusBadGateway
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -6,31 +6,31 @@
 	"github.com/shoenig/test/must"
 )
 
-// limited is a budget of so many retries.
-type limited int
+// countedBudget is a Budget with this number of retries left.
+type countedBudget int
 
-func (l *limited) Spend() bool {
+func (l *countedBudget) Spend() bool {
 	*l--
 	return *l >= 0
 }
 
-func plenty() *limited {
-	l := limited(100)
+func largeBudget() *countedBudget {
+	l := countedBudget(100)
 	return &l
 }
 
-func TestOnceOnlyRequestIsNotSentAgainAfterItMayHaveRun(t *testing.T) {
+func TestNonRepeatableRequestIsNotRetriedAfterItMayHaveRun(t *testing.T) {
 	for _, result := range []Result{Unknown, BrokenOff} {
 		var s Sequence
 		s.Begin()
-		must.Eq(t, Next{Avoid: true}, s.Failed(Request{Tries: 3}, result, false, plenty()))
+		must.Eq(t, Next{Avoid: true}, s.Failed(Request{Tries: 3}, result, false, largeBudget()))
 		must.True(t, s.MayHaveRun())
 		must.Eq(t, 502, s.EndStatus(false))
 		must.Eq(t, 504, s.EndStatus(true))
 	}
 }
 
-func TestRequestThatHasNotRunIsSentAgain(t *testing.T) {
+func TestRequestThatHasNotRunIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		result Result
 		next   Next
@@ -42,49 +42,49 @@
 	} {
 		var s Sequence
 		s.Begin()
-		must.Eq(t, c.next, s.Failed(Request{Tries: 2}, c.result, false, plenty()))
+		must.Eq(t, c.next, s.Failed(Request{Tries: 2}, c.result, false, largeBudget()))
 		must.Eq(t, c.sent, s.Sent())
 		must.False(t, s.MayHaveRun())
 		must.Eq(t, 503, s.EndStatus(true))
 	}
 }
 
-func TestTriesBoundAttemptsThatReachARunner(t *testing.T) {
+func TestMaxAttemptsLimitsAttemptsThatReachRunner(t *testing.T) {
 	var s Sequence
 	request := Request{Repeatable: true, Tries: 2}
 	s.Begin()
 	must.True(t, s.MayRepeat(request))
-	must.True(t, s.Failed(request, Unknown, false, plenty()).Retry)
+	must.True(t, s.Failed(request, Unknown, false, largeBudget()).Retry)
 	s.Begin()
 	must.False(t, s.MayRepeat(request))
-	must.False(t, s.Failed(request, Unknown, false, plenty()).Retry)
+	must.False(t, s.Failed(request, Unknown, false, largeBudget()).Retry)
 }
 
-func TestRetryNeedsBudgetAndTime(t *testing.T) {
+func TestRetryRequiresBudgetAndTime(t *testing.T) {
 	request := Request{Repeatable: true, Tries: 5}
-	var none limited
+	var none countedBudget
 	var s Sequence
 	s.Begin()
 	must.False(t, s.Failed(request, Unknown, false, &none).Retry)
 	s = Sequence{}
 	s.Begin()
-	budget := plenty()
+	budget := largeBudget()
 	must.False(t, s.Failed(request, Unknown, true, budget).Retry)
-	must.Eq(t, 100, int(*budget), must.Sprint("a retry that is not made is not paid for"))
+	must.Eq(t, 100, int(*budget), must.Sprint("a retry that is not made is not charged to the budget"))
 }
 
-func TestAttemptsThatReachNobodyAreBounded(t *testing.T) {
+func TestUnsentAttemptsAreBounded(t *testing.T) {
 	var s Sequence
 	for range MaxUnsent - 1 {
 		s.Begin()
-		must.True(t, s.Failed(Request{}, NotSent, false, plenty()).Retry)
+		must.True(t, s.Failed(Request{}, NotSent, false, largeBudget()).Retry)
 	}
 	s.Begin()
-	must.False(t, s.Failed(Request{}, NotSent, false, plenty()).Retry)
+	must.False(t, s.Failed(Request{}, NotSent, false, largeBudget()).Retry)
 	must.Eq(t, 0, s.Sent())
 }
 
-func TestAttemptThatMovedMayHaveRun(t *testing.T) {
+func TestMovedAttemptMayHaveRun(t *testing.T) {
 	var s Sequence
 	s.Begin()
 	s.Moved()
