--- a/internal/inflight/slab.go
+++ b/internal/inflight/slab.go
@@ -1,8 +1,8 @@
-// Package inflight keeps the continuations of requests that wait for a decision.
+// Package inflight stores the continuations of requests that wait for a decision.
 //
-// A Slab gives each continuation a reference of slot and generation. A slot is
-// reused once its continuation has been taken, under the next generation, so
-// that a late decision finds another generation and does nothing: no request
+// A Slab assigns each continuation a reference of slot and generation. A slot is
+// reused after its continuation has been removed, under the next generation, so
+// that a late decision finds another generation and has no effect: no request
 // gets a decision meant for another. A continuation runs at most once.
 //
 // A Slab is safe for concurrent use. Continuations run on the goroutine that
@@ -11,14 +11,14 @@
 
 import "sync"
 
-// Ref names a continuation in a Slab. The zero Ref names none.
+// Ref identifies a continuation in a Slab. The zero Ref identifies none.
 type Ref struct {
 	slot       uint32
-	generation uint32 // from 1 on
+	generation uint32 // starts at 1
 }
 
-// Slab holds continuations that take a T. The zero Slab is empty and ready to
-// use.
+// Slab stores continuations with a parameter of type T. The zero Slab is empty and
+// ready to use.
 type Slab[T any] struct {
 	mu    sync.Mutex // guards the fields below
 	slots []slot[T]
@@ -26,11 +26,11 @@
 }
 
 type slot[T any] struct {
-	generation   uint32
-	continuation func(T) // nil where the slot is free
+	generation   uint32  // of the newest continuation stored in the slot; 0: none yet
+	continuation func(T) // nil if the slot is free
 }
 
-// Put stores a continuation.
+// Put stores a continuation and returns its reference.
 func (s *Slab[T]) Put(continuation func(T)) Ref {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	return Ref{slot: index, generation: s.slots[index].generation}
 }
 
-// allocate gives the index of a free slot. It is called with mu held.
+// allocate returns the index of a free slot. It is called with mu held.
 func (s *Slab[T]) allocate() uint32 {
 	if last := len(s.free) - 1; last >= 0 {
 		index := s.free[last]
@@ -52,9 +52,9 @@
 }
 
 // Resume removes the continuation and runs it with value. It returns false, and
-// does nothing, where the continuation has been taken before.
+// does nothing, if the continuation has already been removed.
 func (s *Slab[T]) Resume(r Ref, value T) bool {
-	continuation := s.take(r)
+	continuation := s.remove(r)
 	if continuation == nil {
 		return false
 	}
@@ -62,19 +62,20 @@
 	return true
 }
 
-// Drop removes the continuation without running it. It returns false where it
-// has been taken before.
-func (s *Slab[T]) Drop(r Ref) bool { return s.take(r) != nil }
+// Drop removes the continuation without running it. It returns false if it has
+// already been removed.
+func (s *Slab[T]) Drop(r Ref) bool { return s.remove(r) != nil }
 
-// Len counts the continuations held.
+// Len returns the number of stored continuations.
 func (s *Slab[T]) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.slots) - len(s.free)
 }
 
-// take removes a continuation and frees its slot; nil if it is not there.
-func (s *Slab[T]) take(r Ref) func(T) {
+// remove removes a continuation, frees its slot and returns the continuation; nil if
+// it is not stored.
+func (s *Slab[T]) remove(r Ref) func(T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.generation == 0 || int(r.slot) >= len(s.slots) {
--- a/internal/inflight/slab_test.go
+++ b/internal/inflight/slab_test.go
@@ -23,7 +23,7 @@
 	must.Eq(t, 0, slab.Len())
 }
 
-func TestDropReturnsFalseForUnknownAndTakenRefs(t *testing.T) {
+func TestDropReturnsFalseForUnknownAndRemovedRefs(t *testing.T) {
 	var slab Slab[int]
 	must.False(t, slab.Drop(Ref{}))
 	must.False(t, slab.Drop(Ref{slot: 5, generation: 1}))
