--- a/internal/rendezvous/nodes.go
+++ b/internal/rendezvous/nodes.go
@@ -1,6 +1,8 @@
-// Package rendezvous lets nodes that do not ask each other choose the same few among them, by
-// rendezvous hashing (Thaler and Ravishankar, 1998). A Nodes is the set that one node has seen.
-// It is pure and not safe for concurrent use.
+// Package rendezvous chooses a few nodes for a key by rendezvous hashing (Thaler and
+// Ravishankar, 1998), so that all nodes choose the same ones without communication if they
+// have seen the same nodes. A Nodes is the set of nodes that one node has seen, itself
+// included. Routers use it. Everything here is pure: times are microseconds of the caller's
+// monotonic clock, given as arguments. A Nodes is not safe for concurrent use.
 package rendezvous
 
 import (
@@ -11,50 +13,53 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// rememberUs is for how long a node counts that is not seen any more, in microseconds: it may
-// still serve, and all should choose the same ones.
-const rememberUs = int64(60_000_000)
+// retentionUs is how long after it was last seen a node remains in the set, in microseconds: it
+// may still serve, and all nodes should choose the same ones.
+const retentionUs = int64(60_000_000)
 
-// Nodes is the nodes that were seen a while ago, dead ones too.
+// Nodes is the set of nodes that were seen within retentionUs, including nodes that have died
+// since.
 type Nodes struct {
 	self   string
 	seenUs map[string]int64 // when each was last seen
 }
 
-// NewNodes returns a set that holds the node itself, for ever.
+// NewNodes returns a set of the node itself, which is never removed.
 func NewNodes(self string, nowUs int64) *Nodes {
 	return &Nodes{self: self, seenUs: map[string]int64{self: nowUs}}
 }
 
-// See records that nodes were seen, and forgets those that were not for long.
+// See records that nodes were seen at nowUs, and removes those not seen for more than
+// retentionUs.
 func (n *Nodes) See(addrs []string, nowUs int64) {
 	for _, addr := range addrs {
 		n.seenUs[addr] = nowUs
 	}
-	for addr, atUs := range n.seenUs {
-		if nowUs-atUs > rememberUs && addr != n.self {
+	for addr, lastSeenUs := range n.seenUs {
+		if nowUs-lastSeenUs > retentionUs && addr != n.self {
 			delete(n.seenUs, addr)
 		}
 	}
 }
 
-// Len returns how many nodes there are.
+// Len returns the number of nodes in the set.
 func (n *Nodes) Len() int { return len(n.seenUs) }
 
-// Top returns the nodes for a key, count of them at most, in an order that depends on the key.
+// Top returns the first nodes for a key, at most count of them, in an order that depends on
+// the key.
 func (n *Nodes) Top(key string, count int) []string {
 	weight := func(addr string) uint64 { return statesync.HashText(key, addr) }
-	all := slices.SortedFunc(maps.Keys(n.seenUs), func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
-	return all[:min(count, len(all))]
+	ordered := slices.SortedFunc(maps.Keys(n.seenUs), func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
+	return ordered[:min(count, len(ordered))]
 }
 
-// Among reports whether the node itself is among the first nodes for a key.
+// Among reports whether the node itself is one of the first count nodes for a key.
 func (n *Nodes) Among(key string, count int) bool {
-	own, before := statesync.HashText(key, n.self), 0
+	selfWeight, higher := statesync.HashText(key, n.self), 0
 	for addr := range n.seenUs {
-		if statesync.HashText(key, addr) > own {
-			before++
+		if statesync.HashText(key, addr) > selfWeight {
+			higher++
 		}
 	}
-	return before < count
+	return higher < count
 }
--- a/internal/rendezvous/nodes_test.go
+++ b/internal/rendezvous/nodes_test.go
@@ -16,7 +16,7 @@
 	return addrs
 }
 
-func TestNodesThatSawTheSameChooseTheSame(t *testing.T) {
+func TestNodesWithEqualViewsChooseEqualNodes(t *testing.T) {
 	addrs := addresses(9)
 	for key := range 20 {
 		name := fmt.Sprint("key", key)
@@ -39,11 +39,11 @@
 	}
 }
 
-func TestNodesAreRememberedForAWhile(t *testing.T) {
+func TestUnseenNodesAreRetainedUntilTimeout(t *testing.T) {
 	nodes := NewNodes("self", 0)
 	nodes.See([]string{"other"}, 0)
-	nodes.See(nil, rememberUs)
+	nodes.See(nil, retentionUs)
 	must.Eq(t, 2, nodes.Len())
-	nodes.See(nil, rememberUs+1)
+	nodes.See(nil, retentionUs+1)
 	must.Eq(t, []string{"self"}, nodes.Top("key", 2))
 }
