--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -5,8 +5,8 @@
 // separate tenants, regimes and weights versions, so a wrong entry costs time and never
 // breaks isolation. The input of the index is the cache events of the runners, with full
 // lists after a gap (CachedPrefixes, Apply), and the parts that this node expects to be
-// cached because of its own requests (Expect, Put, Forget). DeltasSince returns the
-// changes that another node needs.
+// cached because of its own requests (Index.Expect, Index.Put, Index.Forget). DeltasSince
+// returns the changes that another node needs.
 //
 // The index may be wrong at any time: a runner evicts parts before its event arrives.
 // An Index is not safe for concurrent use: the router guards its Index with the mutex of
@@ -207,7 +207,7 @@
 	}
 }
 
-// Forget deletes a part that Expect recorded, unless Put has recorded it since.
+// Forget deletes a part that Index.Expect recorded, unless Index.Put has recorded it since.
 func (x *Index) Forget(runner string, key uint64) {
 	if m := x.observed[runner]; !m[key].prefilled {
 		delete(m, key)
@@ -237,13 +237,14 @@
 	return cached
 }
 
-// Expected returns the same number as Cached, but includes the parts that Expect recorded.
+// Expected returns the same number as Index.Cached, but includes the parts that
+// Index.Expect recorded.
 func (x *Index) Expected(runner string, keys []uint64, parts []Part) int {
 	_, expected := x.CachedAndExpected(runner, keys, parts)
 	return expected
 }
 
-// CachedAndExpected returns Cached and Expected in one pass.
+// CachedAndExpected returns Index.Cached and Index.Expected in one pass.
 func (x *Index) CachedAndExpected(runner string, keys []uint64, parts []Part) (cached, expected int) {
 	s, m := x.cached[runner], x.observed[runner]
 	if s == nil && len(m) == 0 {
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -34,7 +34,7 @@
 	must.Eq(t, 0, x.Cached("r", Keys("w1", "n", parts), parts))
 }
 
-func TestPutAndForgetRemoveExpectedParts(t *testing.T) {
+func TestExpectedPartsAreRemovedWhenDeletedOrCancelled(t *testing.T) {
 	parts := ParseParts("a:100")
 	keys := Keys("s", "m", parts)
 	x := NewIndex()
--- a/internal/quota/grantee.go
+++ b/internal/quota/grantee.go
@@ -76,7 +76,7 @@
 	return s.takeToken(nowUs)
 }
 
-// Take returns a token for a request that Arrive has counted, if one is available.
+// Take returns a token for a request that Grantee.Arrive has counted, if one is available.
 func (g *Grantee) Take(tenant string, nowUs int64) (Token, bool) {
 	return g.tenantState(tenant, nowUs).takeToken(nowUs)
 }
--- a/internal/quota/grantee_test.go
+++ b/internal/quota/grantee_test.go
@@ -33,7 +33,7 @@
 	must.False(t, ok)
 }
 
-func TestWantIncludesExpectedRequestsOfBusyRouter(t *testing.T) {
+func TestBusyRouterRequestsTokensForExpectedRequests(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
 	must.Eq(t, 1, g.Want("tenant", testLimit, 1, second))
 	for nowUs := second; nowUs < 5*second; nowUs += 20 * ms {
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -79,8 +79,8 @@
 )
 
 // Allowance divides the excess of a limit. In any window at most
-// rate x (window + DelayUs) + burst + Extra requests run with tokens of one owner, Initial
-// more for each change of the owner, and Unowned without tokens.
+// rate x (window + Allowance.DelayUs) + burst + Extra requests run with tokens of one owner,
+// Initial more for each change of the owner, and Unowned without tokens.
 func (b Bounds) Allowance(limit Limit) Allowance {
 	windowS := float64(b.WindowUs) / 1e6
 	excess := b.Overshoot*(limit.RatePerS*windowS+limit.Burst) + b.Slack
