--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -10,8 +10,8 @@
 //     runner, or the runner reported that it has not run it.
 //   - The status that means that the request has not run (503) is returned only if no
 //     attempt may have run.
-//   - At most Request.Tries attempts reach a runner, and each one after an attempt that
-//     may have reached a runner is charged to the retry budget.
+//   - At most Request.Tries attempts reach a runner, and each one after an attempt
+//     that may have reached a runner is charged to the retry budget.
 //
 // A Sequence is not safe for concurrent use.
 package attempt
@@ -39,7 +39,7 @@
 type Request struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Tries is the maximum number of attempts that reach a runner; values below 1 mean 1.
+	// Tries is the maximum number of attempts that reach a runner; below 1 means 1.
 	Tries int
 }
 
@@ -72,7 +72,7 @@
 // run. It does not check the time or the budget.
 func (s *Sequence) MayRepeat(r Request) bool { return r.Repeatable && s.sent < max(r.Tries, 1) }
 
-// Next is the decision after an attempt that failed.
+// Next defines what follows an attempt that failed.
 type Next struct {
 	// Retry is whether another attempt follows.
 	Retry bool
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -19,8 +19,9 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// AgainUs is the additional cost in microseconds, beyond the prefill time, of each
-// token that a candidate prefills although another runner has it in its cache.
+// AgainUs is the additional cost in microseconds, beyond the prefill
+// time, of each token that a candidate prefills although another runner has it in
+// its cache.
 const AgainUs = 100.0
 
 // Weights of the components of a candidate's cost, in microseconds if the name
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -5,8 +5,9 @@
 // separate tenants, regimes and weights versions, so a wrong entry costs time and never
 // breaks isolation. The input of the index is the cache events of the runners, with full
 // lists after a gap (CachedPrefixes, Apply), and the parts that this node expects to be
-// cached because of its own requests (Index.Expect, Index.Put, Index.Forget). DeltasSince
-// returns the changes that another node needs.
+// cached because of its own requests
+// (Index.Expect, Index.Put, Index.Forget).
+// DeltasSince returns the changes that another node needs.
 //
 // The index may be wrong at any time: a runner evicts parts before its event arrives.
 // An Index is not safe for concurrent use: the router guards its Index with the mutex of
@@ -207,15 +208,17 @@
 	}
 }
 
-// Forget deletes a part that Index.Expect recorded, unless Index.Put has recorded it since.
+// Forget deletes a part that Index.Expect recorded, unless
+// Index.Put has recorded it since.
 func (x *Index) Forget(runner string, key uint64) {
 	if m := x.observed[runner]; !m[key].prefilled {
 		delete(m, key)
 	}
 }
 
-// Put records that a runner has prefilled a part, as this node observed; 0 tokens delete
-// the observation. A report of the runner with at least as many tokens takes precedence.
+// Put records that a runner has prefilled a part, as this node observed; 0 tokens
+// delete the observation. A report of the runner with at least as many tokens takes
+// precedence.
 func (x *Index) Put(runner string, key uint64, tokens int32) {
 	if tokens <= 0 {
 		delete(x.observed[runner], key)
@@ -230,8 +233,8 @@
 	x.recordObservation(runner, key, observation{tokens, true})
 }
 
-// Cached returns the number of tokens of a prompt that a runner does not have to prefill
-// again: complete parts from the first on, and the cached beginning of the next.
+// Cached returns the number of tokens of a prompt that a runner does not have to
+// prefill again: complete parts from the first on, and the cached beginning of the next.
 func (x *Index) Cached(runner string, keys []uint64, parts []Part) int {
 	cached, _ := x.CachedAndExpected(runner, keys, parts)
 	return cached
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -2,10 +2,9 @@
 //
 // Each tenant's requests are counted by one controller, the owner of the tenant's shard. A
 // router requests tokens from the owner, and sends a request to a runner only with a token
-// that was requested less than Allowance.DelayUs ago. A Member implements the controller's
-// side: it claims shards, votes for the claims of other members, counts requests as an
-// owner and stores copies of reserves as a successor. A Grantee implements the router's
-// side.
+// that has not expired (see Allowance). A Member implements the controller's side: it
+// claims shards, votes for the claims of other members, counts requests as an owner and
+// stores copies of reserves as a successor. A Grantee implements the router's side.
 //
 // # Guarantees
 //
--- a/internal/quota/grantee.go
+++ b/internal/quota/grantee.go
@@ -68,7 +68,8 @@
 	return s
 }
 
-// Arrive counts a new request of a tenant and returns a token for it if one is available.
+// Arrive counts a new request of a tenant and returns a token for it if one is
+// available.
 func (g *Grantee) Arrive(tenant string, nowUs int64) (Token, bool) {
 	s := g.tenantState(tenant, nowUs)
 	s.decay(nowUs)
@@ -76,7 +77,8 @@
 	return s.takeToken(nowUs)
 }
 
-// Take returns a token for a request that Grantee.Arrive has counted, if one is available.
+// Take returns a token, if one is available, for a request that Grantee.Arrive
+// has counted.
 func (g *Grantee) Take(tenant string, nowUs int64) (Token, bool) {
 	return g.tenantState(tenant, nowUs).takeToken(nowUs)
 }
@@ -105,8 +107,8 @@
 	}
 }
 
-// Want returns how many tokens to request while need requests wait: need, and one for each
-// request that is expected within half of Allowance.DelayUs.
+// Want returns how many tokens to request while need requests wait: need, and one
+// for each request that is expected within half of Allowance.DelayUs.
 func (g *Grantee) Want(tenant string, limit Limit, need int, nowUs int64) int {
 	s := g.tenantState(tenant, nowUs)
 	s.decay(nowUs)
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -6,7 +6,8 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Shards is the number of shards, each with its own lease, over which tenants are spread.
+// Shards is the number of shards, each with its own lease, over which tenants are
+// spread.
 const Shards = 16
 
 // ShardOf returns the shard of a tenant.
@@ -66,26 +67,26 @@
 // second change of the owner in a window, and a successor's reserve that both the owner
 // and the successor have granted.
 const (
-	extraFraction   = 0.15
-	initialFraction = 0.08
-	delayFraction   = 0.30
-	outageFraction  = 0.60 // for tokens that are used late and for requests without a token
+	extraFraction    = 0.15
+	initialFraction  = 0.08
+	lifetimeFraction = 0.30
+	outageFraction   = 0.60 // for tokens that are used late and for requests without a token
 )
 
 // Bounds of Allowance.DelayUs.
 const (
-	minDelayUs = int64(50_000)
-	maxDelayUs = int64(500_000)
+	minTokenLifetimeUs = int64(50_000)
+	maxTokenLifetimeUs = int64(500_000)
 )
 
 // Allowance divides the excess of a limit. In any window at most
-// rate x (window + Allowance.DelayUs) + burst + Extra requests run with tokens of one owner,
-// Initial more for each change of the owner, and Unowned without tokens.
+// rate x (window + Allowance.DelayUs) + burst + Extra requests run with tokens
+// of one owner, Initial more for each change of the owner, and Unowned without tokens.
 func (b Bounds) Allowance(limit Limit) Allowance {
 	windowS := float64(b.WindowUs) / 1e6
 	excess := b.Overshoot*(limit.RatePerS*windowS+limit.Burst) + b.Slack
-	delayUs := int64(math.Min(delayFraction*excess/max(limit.RatePerS, 1e-6)*1e6, float64(maxDelayUs)))
-	delayUs = max(delayUs, minDelayUs)
-	late := limit.RatePerS * float64(delayUs) / 1e6
-	return Allowance{Extra: extraFraction * excess, Initial: initialFraction * excess, DelayUs: delayUs, Unowned: max(outageFraction*excess-late, 0)}
+	lifetimeUs := int64(math.Min(lifetimeFraction*excess/max(limit.RatePerS, 1e-6)*1e6, float64(maxTokenLifetimeUs)))
+	lifetimeUs = max(lifetimeUs, minTokenLifetimeUs)
+	late := limit.RatePerS * float64(lifetimeUs) / 1e6
+	return Allowance{Extra: extraFraction * excess, Initial: initialFraction * excess, DelayUs: lifetimeUs, Unowned: max(outageFraction*excess-late, 0)}
 }
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -13,8 +13,8 @@
 	// LeaseUs is how long a vote lasts: a successor takes over this long after the voters
 	// received the last claim of its predecessor.
 	LeaseUs = int64(500_000)
-	// TickUs is the interval at which claims are renewed; a lease survives the loss of two
-	// renewals in a row.
+	// TickUs is the interval at which claims are renewed; a lease survives the loss
+	// of two renewals in a row.
 	TickUs = int64(125_000)
 	// leaseMarginUs is how much earlier an owner's lease expires than the votes for it. Clock
 	// drift during a lease is far smaller.
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -95,9 +95,9 @@
 	return us
 }
 
-// Assume records a version that was received without an age, for example from a node that
-// sends an earlier format. Its age counts from nowUs until an age from another node is
-// observed.
+// Assume records a version that was received without an age, for example from a
+// node that sends an earlier format. Its age counts from nowUs until an age from another
+// node is merged.
 func (t *Table) Assume(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, namedAtUs: nowUs, certainty: assumed}, nowUs)
 }
