--- a/internal/admission/absent_test.go
+++ b/internal/admission/absent_test.go
@@ -46,7 +46,7 @@
 
 func TestRunnerIsExcludedAfterFirst421(t *testing.T) {
 	admitter := newAdmitter("x", "y", "z", "w", "v", "u")
-	admitter.Index.Put("x", 7, 100)
+	admitter.Index.RecordPrefilled("x", 7, 100)
 	must.Eq(t, 1, submitWithEndedInstance(t, admitter, "x"))
 	must.Eq(t, 0, admitter.Index.CachedPrefixes("x").Len(), must.Sprint("cached prefixes of the absent runner must be cleared"))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,7 +30,7 @@
 var refs inflight.Slab[int]
 
 func newRequest(tokensIn, tokensOut int) Request {
-	return Request{Ref: refs.Put(func(int) {}), Service: "s", Tenant: "t", TokensIn: tokensIn, TokensOut: tokensOut, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: tokensIn}}, SetpointUs: 400_000, TimeLeftUs: 6_000_000}
+	return Request{Ref: refs.Store(func(int) {}), Service: "s", Tenant: "t", TokensIn: tokensIn, TokensOut: tokensOut, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: tokensIn}}, SetpointUs: 400_000, TimeLeftUs: 6_000_000}
 }
 
 func TestFreeRunnerAdmits(t *testing.T) {
@@ -360,17 +360,17 @@
 	request := newRequest(16, 1)
 	request.Parts = []prefixindex.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 16}}
 	request.TokensIn = 1016
-	admitter.Index.Put("x", prefixindex.Key("w1", "m", "shared"), 1000)
+	admitter.Index.RecordPrefilled("x", prefixindex.Key("w1", "m", "shared"), 1000)
 	for _, c := range admitter.Candidates(request, 1) {
-		must.Eq(t, "", c.From)
+		must.Eq(t, "", c.TransferFrom)
 	}
 	admitter.SetService("s", []messages.RunnerRecord{testRecord("x"), testRecord("y")}, testMemoryTokens, 2)
 	found := false
 	for _, c := range admitter.Candidates(request, 1) {
 		if c.ID == "y" {
 			found = true
-			must.Eq(t, "x:1", c.From)
-			must.Eq(t, 1000, c.Moved)
+			must.Eq(t, "x:1", c.TransferFrom)
+			must.Eq(t, 1000, c.TransferableTokens)
 		}
 	}
 	must.True(t, found)
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -62,18 +62,18 @@
 		return nil
 	}
 	candidates, runners := a.findCandidates(request, p, nowUs)
-	prompt := placement.Prompt{Tokens: request.TokensIn, Out: request.TokensOut}
+	prompt := placement.Prompt{Tokens: request.TokensIn, MaxOutputTokens: request.TokensOut}
 	if n := len(request.Parts); n > 1 {
-		prompt.Shared = prefixindex.Key("", request.Model, request.Parts[n-2].ID)
+		prompt.SharedPrefix = prefixindex.Key("", request.Model, request.Parts[n-2].ID)
 	}
-	i := placement.Match(prompt, candidates, a.sampling())
+	i := placement.Choose(prompt, candidates, a.sampling())
 	if i < 0 {
 		return nil
 	}
 	r, c := runners[i], candidates[i]
 	version := weightsVersion(r.record, request.Model)
 	salt := a.CacheSalt(request.Tenant, request.Isolated, request.Regime, version)
-	adm := &Admission{Runner: r.record, CacheSalt: salt, WeightsVersion: version, CachedTokens: c.Cached, Source: c.From, admittedUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
+	adm := &Admission{Runner: r.record, CacheSalt: salt, WeightsVersion: version, CachedTokens: c.CachedTokens, Source: c.TransferFrom, admittedUs: nowUs, tenant: request.Tenant, service: request.Service, model: request.Model, tokensIn: request.TokensIn, class: request.Class, Parts: request.Parts, Keys: prefixindex.Keys(salt, request.Model, request.Parts), prefilling: true}
 	blockTokens := a.Tuning.BlockTokens
 	partTokens := 0
 	for j, k := range adm.Keys {
@@ -86,11 +86,11 @@
 	}
 	adm.blocks = (max(request.TokensIn-partTokens, 0) + request.TokensOut + blockTokens - 1) / blockTokens
 	r.ownLoad.blocks += adm.blocks
-	if a.recordExpected(adm, len(request.Parts)-1) && c.Moved < minTransferTokens {
+	if a.recordExpected(adm, len(request.Parts)-1) && c.TransferableTokens < minTransferTokens {
 		adm.Sink = p.sink(request, adm.Keys)
 	}
-	adm.prefillAhead = c.Prefill
-	adm.prefillTokens = max(request.TokensIn-c.Cached-c.Moved, 0)
+	adm.prefillAhead = c.QueuedPrefillTokens
+	adm.prefillTokens = max(request.TokensIn-c.CachedTokens-c.TransferableTokens, 0)
 	r.ownLoad.prefill += adm.prefillTokens
 	r.recordSent(adm.prefillTokens, nowUs)
 	r.ownLoad.count++
@@ -98,7 +98,7 @@
 	r.recentRequests = append(r.recentRequests, recentRequest{nowUs, adm.blocks + adm.prefillTokens/blockTokens})
 	r.trimRecentRequests(nowUs)
 	t.admitted++
-	t.hitTokens += float64(c.Cached + c.Moved)
+	t.hitTokens += float64(c.CachedTokens + c.TransferableTokens)
 	t.promptTokens += float64(request.TokensIn)
 	return adm
 }
@@ -123,8 +123,8 @@
 	expected := messages.CachedPrefixes{ID: adm.Runner.ID, Parts: []messages.CachedPart{}}
 	for i := range max(shared, 0) {
 		k, n := adm.Keys[i], int32(adm.Parts[i].Tokens)
-		if a.Index.Cached(expected.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
-			a.Index.Expect(expected.ID, k, n)
+		if a.Index.CachedTokens(expected.ID, adm.Keys[i:i+1], adm.Parts[i:i+1]) < int(n) {
+			a.Index.ExpectCached(expected.ID, k, n)
 			adm.expectedKeys = append(adm.expectedKeys, k)
 			expected.Parts = append(expected.Parts, messages.CachedPart{Key: k, Tokens: n})
 		}
@@ -157,7 +157,7 @@
 		}
 	}
 	for i, k := range adm.Keys {
-		a.Index.Put(r.record.ID, k, int32(adm.Parts[i].Tokens))
+		a.Index.RecordPrefilled(r.record.ID, k, int32(adm.Parts[i].Tokens))
 	}
 }
 
@@ -174,7 +174,7 @@
 		adm.prefilling = false
 		r.ownLoad.prefill -= adm.prefillTokens
 		for _, k := range adm.expectedKeys {
-			a.Index.Forget(r.record.ID, k)
+			a.Index.CancelExpected(r.record.ID, k)
 		}
 	}
 	for _, k := range adm.pins {
--- a/internal/admission/candidates.go
+++ b/internal/admission/candidates.go
@@ -103,15 +103,15 @@
 		return placement.Candidate{}, false
 	}
 	id := r.record.ID
-	cached := a.Index.Expected(id, s.keysOf(weightsVersion(r.record, s.request.Model)), s.request.Parts)
+	cached := a.Index.ExpectedTokens(id, s.keysOf(weightsVersion(r.record, s.request.Model)), s.request.Parts)
 	a.hasCapacity = true
 	if r.blocks > 0 && active > 0 && memoryUse+float64(s.blocks-cached/a.Tuning.BlockTokens)/float64(r.blocks) > maxUseAfter {
 		return placement.Candidate{}, false
 	}
 	return placement.Candidate{
-		ID: id, NearSite: r.record.Zone == s.preferredZone, Cached: cached, Prefill: r.prefill(),
-		Active: active, Capacity: r.capacity, Used: memoryUse, Rate: r.prefillRate(&a.Tuning),
-		Reading: r.prefillLoad(&a.Tuning, s.nowUs), DoubtUs: r.health.slowStartCostUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
+		ID: id, SameZone: r.record.Zone == s.preferredZone, CachedTokens: cached, QueuedPrefillTokens: r.prefill(),
+		ActiveRequests: active, Capacity: r.capacity, MemoryUsed: memoryUse, PrefillRate: r.prefillRate(&a.Tuning),
+		PrefillShare: r.prefillLoad(&a.Tuning, s.nowUs), HealthPenaltyUs: r.health.slowStartCostUs(s.nowUs) + a.returnCostUs(r.record.Zone, s.nowUs),
 	}, true
 }
 
@@ -213,7 +213,7 @@
 		if !a.mayFetchFrom(s, r) || a.WeightsRetired(request.Model, version) {
 			continue
 		}
-		cachedTokens, expected := a.Index.CachedAndExpected(id, s.keysOf(version), request.Parts)
+		cachedTokens, expected := a.Index.CachedAndExpectedTokens(id, s.keysOf(version), request.Parts)
 		a.addSource(&sources, blockSource{addr: r.record.Addr, zone: r.record.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: p.transferUsPerToken})
 		sources.sharedTokens[version] = max(sources.sharedTokens[version], min(sharedTokens, expected))
 	}
@@ -222,7 +222,7 @@
 			continue
 		}
 		for version := range sources.sharedTokens {
-			if cachedTokens := a.Index.Cached(store.ID, s.keysOf(version), request.Parts); cachedTokens >= minTransferTokens {
+			if cachedTokens := a.Index.CachedTokens(store.ID, s.keysOf(version), request.Parts); cachedTokens >= minTransferTokens {
 				a.addSource(&sources, blockSource{addr: store.Addr, zone: store.Zone, version: version, cachedTokens: cachedTokens, transferUsPerToken: store.TransferUsPerToken})
 				sources.sharedTokens[version] = max(sources.sharedTokens[version], min(sharedTokens, cachedTokens))
 			}
@@ -239,7 +239,7 @@
 		c := &candidates[i]
 		version := weightsVersion(runners[i].record, s.request.Model)
 		sources.chooseTransfer(c, runners[i], version)
-		c.Again = max(sources.sharedTokens[version]-c.Cached-c.Moved, 0)
+		c.DuplicateTokens = max(sources.sharedTokens[version]-c.CachedTokens-c.TransferableTokens, 0)
 	}
 }
 
@@ -248,7 +248,7 @@
 func (s *blockSources) chooseTransfer(c *placement.Candidate, r *runner, version int64) {
 	bestGain := 0.0
 	for _, source := range s.sources {
-		gainTokens := source.cachedTokens - c.Cached
+		gainTokens := source.cachedTokens - c.CachedTokens
 		if source.addr == r.record.Addr || source.version != version || gainTokens < minTransferTokens {
 			continue
 		}
@@ -256,9 +256,9 @@
 		if source.zone != r.record.Zone {
 			transferUs *= crossZoneFactor
 		}
-		if gain := float64(gainTokens)*(1/c.Rate+placement.AgainUs) - transferUs; gain > bestGain {
+		if gain := float64(gainTokens)*(1/c.PrefillRate+placement.DuplicatePrefillUs) - transferUs; gain > bestGain {
 			bestGain = gain
-			c.Moved, c.MoveUs, c.From = gainTokens, transferUs, source.addr
+			c.TransferableTokens, c.TransferUs, c.TransferFrom = gainTokens, transferUs, source.addr
 		}
 	}
 }
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -48,7 +48,7 @@
 	ejectionEnd := now + ejectionUs
 	must.True(t, candidateIDs(admitter, ejectionEnd)["r3"])
 	for _, c := range admitter.Candidates(newRequest(16, 1), ejectionEnd+1) {
-		must.Eq(t, c.ID == "r3", c.DoubtUs > 0)
+		must.Eq(t, c.ID == "r3", c.HealthPenaltyUs > 0)
 	}
 	now = ejectionEnd + outcomeWindowUs
 	for _, id := range ids {
--- a/internal/admission/loads.go
+++ b/internal/admission/loads.go
@@ -27,7 +27,7 @@
 func (a *Admitter) ExpectPrefixes(prefixes []messages.CachedPrefixes) {
 	for _, n := range prefixes {
 		for _, part := range n.Parts {
-			a.Index.Expect(n.ID, part.Key, part.Tokens)
+			a.Index.ExpectCached(n.ID, part.Key, part.Tokens)
 		}
 	}
 }
--- a/internal/admission/retired.go
+++ b/internal/admission/retired.go
@@ -27,7 +27,7 @@
 		for _, r := range p.runners {
 			if hasModel(r.record, model) && a.WeightsRetired(model, weightsVersion(r.record, model)) {
 				runners++
-				parts += a.Index.Size(r.record.ID)
+				parts += a.Index.ReportedParts(r.record.ID)
 			}
 		}
 	}
--- a/internal/admission/retired_test.go
+++ b/internal/admission/retired_test.go
@@ -34,7 +34,7 @@
 	admitter.SetRetired(testRetired)
 	request := newRequest(16, 1)
 	for i, key := range admitter.keysOf(request)(1) {
-		admitter.Index.Put("x", key, int32(request.Parts[i].Tokens))
+		admitter.Index.RecordPrefilled("x", key, int32(request.Parts[i].Tokens))
 	}
 	must.SliceEmpty(t, admitter.Candidates(request, testSecondUs))
 	must.Nil(t, admitter.Submit(request, testSecondUs).Admission)
@@ -63,7 +63,7 @@
 	request := newRequest(16, 1)
 	for _, version := range []int64{1, 2} {
 		for i, key := range admitter.keysOf(request)(version) {
-			admitter.Index.Put("x", key, int32(request.Parts[i].Tokens))
+			admitter.Index.RecordPrefilled("x", key, int32(request.Parts[i].Tokens))
 		}
 	}
 	adm := admitter.Submit(request, testSecondUs).Admission
--- a/internal/admission/session_test.go
+++ b/internal/admission/session_test.go
@@ -130,7 +130,7 @@
 	admitter.SetService("s", records, testMemoryTokens, 0.01)
 	request := sessionRequest(7)
 	for i, k := range prefixindex.Keys(admitter.CacheSalt(request.Tenant, false, "", 1), "m", request.Parts) {
-		admitter.Index.Put("r0", k, int32(request.Parts[i].Tokens))
+		admitter.Index.RecordPrefilled("r0", k, int32(request.Parts[i].Tokens))
 	}
 	adm := admitter.Submit(request, 30).Admission
 	must.Eq(t, "r1", adm.Runner.ID)
--- a/internal/admission/unreachable_test.go
+++ b/internal/admission/unreachable_test.go
@@ -55,12 +55,12 @@
 	a.SetService("s", runnersInZones("a", "b"), testMemoryTokens, 2)
 	request := newRequest(600, 1)
 	for i, key := range a.keysOf(request)(1) {
-		a.Index.Put("r1", key, int32(request.Parts[i].Tokens))
+		a.Index.RecordPrefilled("r1", key, int32(request.Parts[i].Tokens))
 	}
 	source := func() string {
 		for _, c := range a.Candidates(request, testSecondUs) {
 			if c.ID == "r0" {
-				return c.From
+				return c.TransferFrom
 			}
 		}
 		return "no candidate"
--- a/internal/admission/warmup.go
+++ b/internal/admission/warmup.go
@@ -106,7 +106,7 @@
 // recently.
 func (a *Admitter) RecordVisibleNodes(addrs []string, nowUs int64) {
 	if a.warmups.nodes != nil {
-		a.warmups.nodes.See(addrs, nowUs)
+		a.warmups.nodes.MarkSeen(addrs, nowUs)
 	}
 }
 
@@ -144,7 +144,7 @@
 	if w.senderCheckedUs == 0 || nowUs-w.senderCheckedUs >= senderCheckPeriodUs {
 		w.senderCheckedUs = nowUs
 		w.isSender = a.warmups.nodes != nil && nowUs-a.warmups.startUs >= senderStartDelayUs &&
-			a.warmups.nodes.Among(r.record.ID, p.warmupShare.senders)
+			a.warmups.nodes.SelfInTop(r.record.ID, p.warmupShare.senders)
 	}
 	return w.isSender
 }
--- a/internal/admission/weights.go
+++ b/internal/admission/weights.go
@@ -34,12 +34,12 @@
 
 // AssumeTarget records a target version that was received without its age.
 func (a *Admitter) AssumeTarget(model string, version, nowUs int64) {
-	a.targets.Assume(model, version, nowUs)
+	a.targets.RecordAssumedAge(model, version, nowUs)
 }
 
 // ObserveTargets merges the ages of target versions received from another node.
 func (a *Admitter) ObserveTargets(ages []messages.TargetAge, nowUs int64) {
-	a.targets.Observe(ages, nowUs)
+	a.targets.MergeAges(ages, nowUs)
 }
 
 // TargetAges returns the ages of the target versions, to be sent to other nodes.
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -10,7 +10,7 @@
 //     runner, or the runner reported that it has not run it.
 //   - The status that means that the request has not run (503) is returned only if no
 //     attempt may have run.
-//   - At most Request.Tries attempts reach a runner, and each one after an attempt
+//   - At most Request.MaxAttempts attempts reach a runner, and each one after an attempt
 //     that may have reached a runner is charged to the retry budget.
 //
 // A Sequence is not safe for concurrent use.
@@ -21,15 +21,15 @@
 
 // Results of an attempt.
 const (
-	Answered   Result = iota // the client has received the complete answer
-	NotSent                  // nothing reached the runner
-	Outdated                 // nothing was sent, because the request must be admitted again
-	NotRun                   // the runner reported that it has not run the request
-	Unknown                  // it was sent and may have run
-	BrokenOff                // the answer ended after a part of it had been forwarded
-	ClientGone               // the client has disconnected
-	Moving                   // it continues at another runner, where capacity is reserved
-	Sent                     // it has been sent, and the answer has not been read yet
+	Answered          Result = iota // the client has received the complete answer
+	NotSent                         // nothing reached the runner
+	AdmissionOutdated               // nothing was sent, because the request must be admitted again
+	NotExecuted                     // the runner reported that it has not run the request
+	Unknown                         // it was sent and may have run
+	Interrupted                     // the answer ended after a part of it had been forwarded
+	ClientGone                      // the client has disconnected
+	Moving                          // it continues at another runner, where capacity is reserved
+	Sent                            // it has been sent, and the answer has not been read yet
 )
 
 // MaxUnsent limits the attempts of a request of which nothing reaches a runner.
@@ -39,8 +39,8 @@
 type Request struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Tries is the maximum number of attempts that reach a runner; below 1 means 1.
-	Tries int
+	// MaxAttempts is the maximum number of attempts that reach a runner; below 1 means 1.
+	MaxAttempts int
 }
 
 // Budget limits the number of retries.
@@ -70,29 +70,29 @@
 
 // MayRepeat reports whether the request allows another attempt after one that may have
 // run. It does not check the time or the budget.
-func (s *Sequence) MayRepeat(r Request) bool { return r.Repeatable && s.sent < max(r.Tries, 1) }
+func (s *Sequence) MayRepeat(r Request) bool { return r.Repeatable && s.sent < max(r.MaxAttempts, 1) }
 
-// Next defines what follows an attempt that failed.
-type Next struct {
+// Decision defines what follows an attempt that failed.
+type Decision struct {
 	// Retry is whether another attempt follows.
 	Retry bool
-	// Avoid is whether the next attempt must use another runner.
-	Avoid bool
+	// AvoidRunner is whether the next attempt must use another runner.
+	AvoidRunner bool
 }
 
 // Failed records the result of an attempt that has not answered the request, and decides
 // what follows. deadlineExceeded is whether the request's time limit has passed.
-func (s *Sequence) Failed(r Request, result Result, deadlineExceeded bool, budget Budget) Next {
-	if result == NotSent || result == Outdated {
+func (s *Sequence) Failed(r Request, result Result, deadlineExceeded bool, budget Budget) Decision {
+	if result == NotSent || result == AdmissionOutdated {
 		return s.failedUnsent(result, deadlineExceeded)
 	}
-	if result != NotRun {
+	if result != NotExecuted {
 		s.mayHaveRun = true
 		if !r.Repeatable {
-			return Next{Avoid: true}
+			return Decision{AvoidRunner: true}
 		}
 	}
-	return Next{Retry: s.sent < max(r.Tries, 1) && !deadlineExceeded && budget.Spend(), Avoid: true}
+	return Decision{Retry: s.sent < max(r.MaxAttempts, 1) && !deadlineExceeded && budget.Spend(), AvoidRunner: true}
 }
 
 // Moved records that the newest attempt ended because its response continues at another
@@ -100,11 +100,11 @@
 func (s *Sequence) Moved() { s.mayHaveRun = true }
 
 // failedUnsent implements Failed for an attempt of which nothing reached the runner. The
-// attempt counts against neither Request.Tries nor the budget.
-func (s *Sequence) failedUnsent(result Result, deadlineExceeded bool) Next {
+// attempt counts against neither Request.MaxAttempts nor the budget.
+func (s *Sequence) failedUnsent(result Result, deadlineExceeded bool) Decision {
 	s.sent--
 	s.unsent++
-	return Next{Retry: s.unsent < MaxUnsent && !deadlineExceeded, Avoid: result == NotSent}
+	return Decision{Retry: s.unsent < MaxUnsent && !deadlineExceeded, AvoidRunner: result == NotSent}
 }
 
 // HTTP statuses of a request that ends without a runner's answer.
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -20,10 +20,10 @@
 }
 
 func TestNonRepeatableRequestIsNotRetriedAfterItMayHaveRun(t *testing.T) {
-	for _, result := range []Result{Unknown, BrokenOff} {
+	for _, result := range []Result{Unknown, Interrupted} {
 		var s Sequence
 		s.Begin()
-		must.Eq(t, Next{Avoid: true}, s.Failed(Request{Tries: 3}, result, false, largeBudget()))
+		must.Eq(t, Decision{AvoidRunner: true}, s.Failed(Request{MaxAttempts: 3}, result, false, largeBudget()))
 		must.True(t, s.MayHaveRun())
 		must.Eq(t, 502, s.EndStatus(false))
 		must.Eq(t, 504, s.EndStatus(true))
@@ -33,16 +33,16 @@
 func TestRequestThatHasNotRunIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		result Result
-		next   Next
+		next   Decision
 		sent   int
 	}{
-		{NotRun, Next{Retry: true, Avoid: true}, 1},
-		{NotSent, Next{Retry: true, Avoid: true}, 0},
-		{Outdated, Next{Retry: true}, 0},
+		{NotExecuted, Decision{Retry: true, AvoidRunner: true}, 1},
+		{NotSent, Decision{Retry: true, AvoidRunner: true}, 0},
+		{AdmissionOutdated, Decision{Retry: true}, 0},
 	} {
 		var s Sequence
 		s.Begin()
-		must.Eq(t, c.next, s.Failed(Request{Tries: 2}, c.result, false, largeBudget()))
+		must.Eq(t, c.next, s.Failed(Request{MaxAttempts: 2}, c.result, false, largeBudget()))
 		must.Eq(t, c.sent, s.Sent())
 		must.False(t, s.MayHaveRun())
 		must.Eq(t, 503, s.EndStatus(true))
@@ -51,7 +51,7 @@
 
 func TestMaxAttemptsLimitsAttemptsThatReachRunner(t *testing.T) {
 	var s Sequence
-	request := Request{Repeatable: true, Tries: 2}
+	request := Request{Repeatable: true, MaxAttempts: 2}
 	s.Begin()
 	must.True(t, s.MayRepeat(request))
 	must.True(t, s.Failed(request, Unknown, false, largeBudget()).Retry)
@@ -61,7 +61,7 @@
 }
 
 func TestRetryRequiresBudgetAndTime(t *testing.T) {
-	request := Request{Repeatable: true, Tries: 5}
+	request := Request{Repeatable: true, MaxAttempts: 5}
 	var none countedBudget
 	var s Sequence
 	s.Begin()
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -26,13 +26,13 @@
 func (c *contact) answered(member string, sentUs int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lease.Answered(member, sentUs)
+	c.lease.RecordAnswer(member, sentUs)
 }
 
 func (c *contact) vouched(begunUs int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lease.Vouched(begunUs)
+	c.lease.RecordMajorityWork(begunUs)
 }
 
 func (c *contact) holds(group []string, nowUs int64) bool {
--- a/internal/controller/quotaowner/service.go
+++ b/internal/controller/quotaowner/service.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	tickInterval = time.Duration(quota.TickUs) * time.Microsecond
+	tickInterval = time.Duration(quota.ClaimIntervalUs) * time.Microsecond
 	// claimTimeout bounds a claim: an answer that comes later renews next to nothing.
 	claimTimeout = 300 * time.Millisecond
 )
@@ -109,7 +109,7 @@
 	}
 	group := s.config.Group()
 	s.mu.Lock()
-	var claims []quota.Outgoing
+	var claims []quota.OutgoingClaim
 	if !s.left {
 		claims = s.member.Tick(group, s.config.Clock())
 		s.logOwnership()
@@ -123,7 +123,7 @@
 // logOwnership logs that this controller owns other shards than before. The caller holds the
 // mutex.
 func (s *Service) logOwnership() {
-	owned := s.member.Owned(s.config.Clock())
+	owned := s.member.OwnedShards(s.config.Clock())
 	if !slices.Equal(owned, s.owned) {
 		s.config.Log.Info("owns the count of shards", "shards", owned, "before", s.owned)
 		s.owned = owned
@@ -131,7 +131,7 @@
 }
 
 // send sends a claim and takes the votes. A claim without a response has no votes.
-func (s *Service) send(ctx context.Context, claim quota.Outgoing) {
+func (s *Service) send(ctx context.Context, claim quota.OutgoingClaim) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	sentUs := s.config.Clock()
@@ -230,5 +230,5 @@
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Counts{OwnedShards: len(s.member.Owned(s.config.Clock())), Questions: s.asked, Referred: s.referred}
+	return Counts{OwnedShards: len(s.member.OwnedShards(s.config.Clock())), Questions: s.asked, Referred: s.referred}
 }
--- a/internal/controller/quotaowner/service_test.go
+++ b/internal/controller/quotaowner/service_test.go
@@ -49,7 +49,7 @@
 	must.Zero(t, s.Counts().OwnedShards)
 	limited = true
 	s.tick(t.Context())
-	must.Eq(t, quota.Shards, s.Counts().OwnedShards)
+	must.Eq(t, quota.ShardCount, s.Counts().OwnedShards)
 }
 
 func TestQuestionsAreCounted(t *testing.T) {
@@ -68,7 +68,7 @@
 	_, err = grant.UnmarshalMsg(answer)
 	must.NoError(t, err)
 	must.True(t, grant.Owner)
-	must.Eq(t, Counts{OwnedShards: quota.Shards, Questions: 2, Referred: 1}, s.Counts())
+	must.Eq(t, Counts{OwnedShards: quota.ShardCount, Questions: 2, Referred: 1}, s.Counts())
 	must.Len(t, 1, s.Conditions())
 	s.Leave()
 	must.False(t, s.Owns(quota.ShardOf("t1")))
--- a/internal/controller/runnerreader/cache_reader_test.go
+++ b/internal/controller/runnerreader/cache_reader_test.go
@@ -23,7 +23,7 @@
 func partKey(part string) uint64 { return prefixindex.Key("w1", "m", part) }
 
 func announce(shared *prefixindex.SharedKeys, part string) {
-	shared.Announce([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: partKey(part), Tokens: 1}}}})
+	shared.AddAnnounced([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: partKey(part), Tokens: 1}}}})
 }
 
 // cacheFollower is what another node knows of the runner's cache.
--- a/internal/controller/runnerreader/readers.go
+++ b/internal/controller/runnerreader/readers.go
@@ -195,7 +195,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sharedKeys.Announce(announced)
+	r.sharedKeys.AddAnnounced(announced)
 }
 
 // Applied is what became of a change that another controller has read.
--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -109,7 +109,7 @@
 		busy:    map[int]bool{},
 		used:    map[int]int64{},
 	}
-	times := lease.Times{LeaseUs: config.LeaseUs, ActUs: ActUs, SpareUs: spareUs}
+	times := lease.Times{LeaseUs: config.LeaseUs, ActUs: ActUs, InFlightUs: spareUs}
 	for part := 1; part < consensus.Parts; part++ {
 		l.roles[part] = lease.NewRole(times)
 	}
@@ -131,7 +131,7 @@
 func (l *Leases) Refuse(part int, fence int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roles[part].Refuse(fence)
+	l.roles[part].RecordRefusal(fence)
 }
 
 // MayCall reports whether a call may leave now under a fence. It is asked as the call
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -31,9 +31,9 @@
 			continue
 		}
 		if starting {
-			n.table.Recall(t.Model, t.Version, nowUs)
+			n.table.RecordUnknownAge(t.Model, t.Version, nowUs)
 		} else {
-			n.table.Named(t.Model, t.Version, nowUs)
+			n.table.RecordNamed(t.Model, t.Version, nowUs)
 		}
 	}
 }
@@ -42,14 +42,14 @@
 func (n *namedTargets) named(model string, version, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Named(model, version, nowUs)
+	n.table.RecordNamed(model, version, nowUs)
 }
 
 // observe takes the ages that another node has sent.
 func (n *namedTargets) observe(ages []messages.TargetAge, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Observe(ages, nowUs)
+	n.table.MergeAges(ages, nowUs)
 }
 
 // ages are those of all targets now, for other nodes.
--- a/internal/inflight/slab.go
+++ b/internal/inflight/slab.go
@@ -30,8 +30,8 @@
 	continuation func(T) // nil if the slot is free
 }
 
-// Put stores a continuation and returns its reference.
-func (s *Slab[T]) Put(continuation func(T)) Ref {
+// Store stores a continuation and returns its reference.
+func (s *Slab[T]) Store(continuation func(T)) Ref {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	index := s.allocate()
--- a/internal/inflight/slab_test.go
+++ b/internal/inflight/slab_test.go
@@ -9,11 +9,11 @@
 func TestResumeIgnoresStaleRefWhenSlotIsReused(t *testing.T) {
 	var slab Slab[int]
 	got := 0
-	first := slab.Put(func(n int) { got = n })
+	first := slab.Store(func(n int) { got = n })
 	must.True(t, slab.Resume(first, 1))
 	must.Eq(t, 1, got)
 	other := 0
-	second := slab.Put(func(n int) { other = n })
+	second := slab.Store(func(n int) { other = n })
 	must.Eq(t, first.slot, second.slot)
 	must.False(t, slab.Resume(first, 2))
 	must.Eq(t, 0, other)
@@ -27,7 +27,7 @@
 	var slab Slab[int]
 	must.False(t, slab.Drop(Ref{}))
 	must.False(t, slab.Drop(Ref{slot: 5, generation: 1}))
-	ref := slab.Put(func(int) {})
+	ref := slab.Store(func(int) {})
 	must.Eq(t, 1, slab.Len())
 	must.True(t, slab.Drop(ref))
 	must.False(t, slab.Drop(ref))
--- a/internal/lease/contact.go
+++ b/internal/lease/contact.go
@@ -29,8 +29,8 @@
 	majorityBegunUs int64            // start of the newest work that a majority took part in; 0: none
 }
 
-// Answered records that a member has answered a request that was sent at sentUs.
-func (c *Contact) Answered(member string, sentUs int64) {
+// RecordAnswer records that a member has answered a request that was sent at sentUs.
+func (c *Contact) RecordAnswer(member string, sentUs int64) {
 	if c.answeredSentUs == nil {
 		c.answeredSentUs = map[string]int64{}
 	}
@@ -42,8 +42,10 @@
 	c.answeredSentUs[member] = max(c.answeredSentUs[member], sentUs)
 }
 
-// Vouched records that a majority took part in work that began at begunUs.
-func (c *Contact) Vouched(begunUs int64) { c.majorityBegunUs = max(c.majorityBegunUs, begunUs) }
+// RecordMajorityWork records that a majority took part in work that began at begunUs.
+func (c *Contact) RecordMajorityWork(begunUs int64) {
+	c.majorityBegunUs = max(c.majorityBegunUs, begunUs)
+}
 
 // Holds reports whether the member holds the lease at nowUs.
 func (c *Contact) Holds(group []string, nowUs int64) bool {
--- a/internal/lease/contact_test.go
+++ b/internal/lease/contact_test.go
@@ -129,7 +129,7 @@
 				return // the call has timed out, though after a pause the answer may be handled before the timer
 			}
 			m.recordHandled(i, to, handledUs)
-			m.nodes[i].lease.Answered(m.group[to], sentUs)
+			m.nodes[i].lease.RecordAnswer(m.group[to], sentUs)
 			m.checkLease(i)
 		})
 	}
@@ -187,7 +187,7 @@
 				return
 			}
 			answered = true
-			m.nodes[i].lease.Vouched(begunUs)
+			m.nodes[i].lease.RecordMajorityWork(begunUs)
 			m.schedule(m.nowUs+m.r.Int64N(300_000), i, func() { m.answer(i, begunUs, newest) })
 		})
 	}
@@ -326,9 +326,9 @@
 
 func TestContactIgnoresAnswersOfOtherIncarnations(t *testing.T) {
 	c := Contact{Self: "a/0"}
-	c.Answered("b/new", 5)
+	c.RecordAnswer("b/new", 5)
 	must.False(t, c.Holds([]string{"a/0", "b/0", "c/0"}, 6))
-	c.Answered("b/0", 5)
+	c.RecordAnswer("b/0", 5)
 	must.True(t, c.Holds([]string{"a/0", "b/0", "c/0"}, 6))
 	must.False(t, c.Holds([]string{"a/0", "b/0", "c/0"}, 5+ContactUs))
 }
@@ -338,7 +338,7 @@
 func TestMayAnswerRequiresContactLeaseForRecentWork(t *testing.T) {
 	c, group := Contact{Self: "a"}, []string{"a", "b", "c"}
 	must.False(t, c.MayAnswer(group, 5, 6))
-	c.Vouched(5)
+	c.RecordMajorityWork(5)
 	must.True(t, c.MayAnswer(group, 5, 6))
 	must.False(t, c.MayAnswer(group, 5, 5+ContactUs))
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -18,15 +18,15 @@
 
 // Times are the durations of a lease, in microseconds.
 type Times struct {
-	LeaseUs int64 // minimum time between the actions of two holders
-	ActUs   int64 // how long a holder may act after a confirmation was requested
-	SpareUs int64 // allowance for messages that were sent and have not arrived yet
+	LeaseUs    int64 // minimum time between the actions of two holders
+	ActUs      int64 // how long a holder may act after a confirmation was requested
+	InFlightUs int64 // allowance for messages that were sent and have not arrived yet
 }
 
 // Lease is one controller's state of the lease on one singleton role. A zero fencing
 // token means that the controller does not hold the lease.
 type Lease struct {
-	T           Times
+	Times       Times
 	fence       int64
 	notBeforeUs int64 // earliest time at which the holder may act
 	confirmUs   int64 // when the last successful confirmation was requested
@@ -51,9 +51,9 @@
 	l.notBeforeUs = nowUs
 	switch predecessor {
 	case SameHolder:
-		l.notBeforeUs += l.T.SpareUs
+		l.notBeforeUs += l.Times.InFlightUs
 	case OtherHolder:
-		l.notBeforeUs += l.T.LeaseUs + l.T.ActUs + l.T.SpareUs
+		l.notBeforeUs += l.Times.LeaseUs + l.Times.ActUs + l.Times.InFlightUs
 	}
 }
 
@@ -70,12 +70,12 @@
 
 // MayAct reports whether the holder may act at nowUs.
 func (l *Lease) MayAct(nowUs int64) bool {
-	return l.fence > 0 && nowUs >= l.notBeforeUs && l.confirmUs > 0 && nowUs-l.confirmUs < l.T.ActUs
+	return l.fence > 0 && nowUs >= l.notBeforeUs && l.confirmUs > 0 && nowUs-l.confirmUs < l.Times.ActUs
 }
 
 // ActUntilUs returns the time from which MayAct is false unless the lease is confirmed
 // again.
-func (l *Lease) ActUntilUs() int64 { return l.confirmUs + l.T.ActUs }
+func (l *Lease) ActUntilUs() int64 { return l.confirmUs + l.Times.ActUs }
 
 // Fence returns the fencing token of the lease; 0 while this controller does not hold it.
 func (l *Lease) Fence() int64 { return l.fence }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-var times = Times{LeaseUs: 3_000_000, ActUs: 400_000, SpareUs: 800_000}
+var times = Times{LeaseUs: 3_000_000, ActUs: 400_000, InFlightUs: 800_000}
 
 // confirmedUntil reports whether a holder that is cut off at cutUs confirms its lease
 // at nowUs: it confirms once every 100 ms until then.
@@ -16,7 +16,7 @@
 // lease 500 ms later. It returns when the holder last acted and when the successor first
 // acted; 0 if it never did.
 func simulateTakeover(cutUs int64) (lastOldUs, firstNewUs int64) {
-	holder, successor := &Lease{T: times}, &Lease{T: times}
+	holder, successor := &Lease{Times: times}, &Lease{Times: times}
 	holder.Acquired(1, NoPredecessor, 1)
 	for now := int64(1); now < 12_000_000; now += 10_000 {
 		if confirmedUntil(cutUs, now) {
@@ -49,7 +49,7 @@
 }
 
 func TestLeaseWaitsAfterAcquireAndIgnoresOtherFences(t *testing.T) {
-	l := &Lease{T: times}
+	l := &Lease{Times: times}
 	l.Acquired(4, OtherHolder, 1)
 	l.Confirmed(4, 2)
 	must.False(t, l.MayAct(3))
@@ -62,10 +62,10 @@
 }
 
 func TestAcquireAfterOwnRestartWaitsForInFlightMessagesOnly(t *testing.T) {
-	l := &Lease{T: times}
+	l := &Lease{Times: times}
 	l.Acquired(5, SameHolder, 1)
-	must.Eq(t, times.SpareUs, l.ReadyInUs(1))
-	l.Confirmed(5, times.SpareUs)
-	must.False(t, l.MayAct(times.SpareUs))
-	must.True(t, l.MayAct(times.SpareUs+1))
+	must.Eq(t, times.InFlightUs, l.ReadyInUs(1))
+	l.Confirmed(5, times.InFlightUs)
+	must.False(t, l.MayAct(times.InFlightUs))
+	must.True(t, l.MayAct(times.InFlightUs+1))
 }
--- a/internal/lease/role.go
+++ b/internal/lease/role.go
@@ -51,7 +51,7 @@
 }
 
 // NewRole returns a role that this controller does not hold.
-func NewRole(times Times) *Role { return &Role{lease: Lease{T: times}} }
+func NewRole(times Times) *Role { return &Role{lease: Lease{Times: times}} }
 
 // RecordInitialHolder records that this process has acquired a lease that had no holder
 // before.
@@ -77,7 +77,7 @@
 		return RoleStep{Acquire: v.InContact}
 	}
 	grant := Grant{Fence: r.lease.Fence(), MayAct: r.lease.MayAct(v.NowUs), ReadyInUs: r.lease.ReadyInUs(v.NowUs)}
-	return RoleStep{Confirm: !grant.MayAct || r.lease.ActUntilUs()-v.NowUs < r.lease.T.ActUs/2, Grant: grant}
+	return RoleStep{Confirm: !grant.MayAct || r.lease.ActUntilUs()-v.NowUs < r.lease.Times.ActUs/2, Grant: grant}
 }
 
 // MayCall reports whether a call may be sent at nowUs under a fencing token. It is called
@@ -88,8 +88,8 @@
 }
 
 // takeoverView returns the input of Takeover.Due.
-func (v RoleView) takeoverView() HolderView {
-	return HolderView{Holder: v.Lease.Holder, Fence: v.Lease.Fence, Gone: v.HolderGone, InContact: v.InContact, Needed: v.Needed, Rank: v.Rank}
+func (v RoleView) takeoverView() TakeoverView {
+	return TakeoverView{Holder: v.Lease.Holder, Fence: v.Lease.Fence, Gone: v.HolderGone, InContact: v.InContact, Needed: v.Needed, Rank: v.Rank}
 }
 
 // release releases the lease if the current one is newer.
@@ -126,10 +126,10 @@
 	r.lease.Confirmed(current.Fence, requestedUs)
 }
 
-// Refuse records that a receiver of calls has refused a fencing token because it has
+// RecordRefusal records that a receiver of calls has refused a fencing token because it has
 // received a call of a later holder. This controller may act again only under a newly
 // acquired token.
-func (r *Role) Refuse(fence int64) { r.refusedFence = max(r.refusedFence, fence) }
+func (r *Role) RecordRefusal(fence int64) { r.refusedFence = max(r.refusedFence, fence) }
 
 // Refused reports whether this fencing token or a higher one has been refused.
 func (r *Role) Refused(fence int64) bool { return fence <= r.refusedFence }
--- a/internal/lease/takeover.go
+++ b/internal/lease/takeover.go
@@ -18,8 +18,8 @@
 	ReacquireDelayUs = int64(8_000_000)
 )
 
-// HolderView is a controller's view of a lease that another controller may hold.
-type HolderView struct {
+// TakeoverView is a controller's view of a lease that another controller may hold.
+type TakeoverView struct {
 	Holder    string // member identity; empty if the lease was never held
 	Fence     int64
 	Gone      bool // the holder is dead or does not answer this controller
@@ -42,7 +42,7 @@
 func (t *Takeover) Lost(nowUs int64) { t.lostUs, t.everLost = nowUs, true }
 
 // Due reports whether to try to acquire the lease now.
-func (t *Takeover) Due(v HolderView, nowUs int64) bool {
+func (t *Takeover) Due(v TakeoverView, nowUs int64) bool {
 	if v.Holder == "" {
 		return v.InContact && v.Needed && t.waited(v, TakeoverDelayUs, nowUs)
 	}
@@ -62,7 +62,7 @@
 
 // waited reports whether the lease has been in this state for waitUs plus the delay for
 // this controller's rank.
-func (t *Takeover) waited(v HolderView, waitUs, nowUs int64) bool {
+func (t *Takeover) waited(v TakeoverView, waitUs, nowUs int64) bool {
 	if t.goneSinceUs == 0 || t.fence != v.Fence {
 		t.fence, t.goneSinceUs = v.Fence, nowUs
 	}
--- a/internal/lease/takeover_test.go
+++ b/internal/lease/takeover_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func goneHolder() HolderView {
-	return HolderView{Holder: "a", Fence: 3, Gone: true, InContact: true, Needed: true}
+func goneHolder() TakeoverView {
+	return TakeoverView{Holder: "a", Fence: 3, Gone: true, InContact: true, Needed: true}
 }
 
 func TestTakeoverWaitsByRankAndForContact(t *testing.T) {
@@ -72,7 +72,7 @@
 		c.lease.Released()
 		c.takeover.Lost(nowUs)
 	}
-	view := HolderView{Holder: r.holder, Fence: r.fence, Gone: nowUs > 1_000_000, InContact: true, Needed: true}
+	view := TakeoverView{Holder: r.holder, Fence: r.fence, Gone: nowUs > 1_000_000, InContact: true, Needed: true}
 	if c.takeover.Due(view, nowUs) {
 		r.fence++
 		r.holder, c.holds = c.name, true
@@ -84,8 +84,8 @@
 // Two controllers that cannot reach each other see each other as gone. They must not act
 // within LeaseUs of one another, and each must eventually act.
 func TestPartitionedCandidatesNeverActWithinLeaseTime(t *testing.T) {
-	a := &candidate{name: "a", lease: Lease{T: times}, holds: true}
-	b := &candidate{name: "b", lease: Lease{T: times}}
+	a := &candidate{name: "a", lease: Lease{Times: times}, holds: true}
+	b := &candidate{name: "b", lease: Lease{Times: times}}
 	lease := &register{holder: "a", fence: 1}
 	a.lease.Acquired(1, NoPredecessor, 1)
 	for now := int64(1); now < 60_000_000; now += 50_000 {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -19,10 +19,10 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// AgainUs is the additional cost in microseconds, beyond the prefill
+// DuplicatePrefillUs is the additional cost in microseconds, beyond the prefill
 // time, of each token that a candidate prefills although another runner has it in
 // its cache.
-const AgainUs = 100.0
+const DuplicatePrefillUs = 100.0
 
 // Weights of the components of a candidate's cost, in microseconds if the name
 // ends with Us.
@@ -59,33 +59,35 @@
 // Candidate is a runner that may receive the request, with its state in the view
 // of the admission control.
 type Candidate struct {
-	ID       string
-	NearSite bool    // in the router's zone
-	Cached   int     // tokens of the prompt in its cache
-	Moved    int     // tokens of the prompt that it could transfer from another runner's cache
-	MoveUs   float64 // how long the transfer takes
-	From     string  // address of that other runner
-	Again    int     // shared tokens it would prefill although another runner has them cached
-	Prefill  int     // tokens waiting for prefill
-	Active   int     // requests in progress
-	Capacity int     // maximum number of concurrent requests; 0: unknown
-	Used     float64 // share of its memory in use, 0 to 1
-	Rate     float64 // prefill rate, tokens per microsecond
-	DoubtUs  float64 // cost added for suspected bad health
-	Reading  float64 // share of its time spent on prefill, 0 to 1
+	ID                  string
+	SameZone            bool    // in the router's zone
+	CachedTokens        int     // tokens of the prompt in its cache
+	TransferableTokens  int     // tokens of the prompt that it could transfer from another runner's cache
+	TransferUs          float64 // how long the transfer takes
+	TransferFrom        string  // address of that other runner
+	DuplicateTokens     int     // shared tokens it would prefill although another runner has them cached
+	QueuedPrefillTokens int     // tokens waiting for prefill
+	ActiveRequests      int     // requests in progress
+	Capacity            int     // maximum number of concurrent requests; 0: unknown
+	MemoryUsed          float64 // share of its memory in use, 0 to 1
+	PrefillRate         float64 // prefill rate, tokens per microsecond
+	HealthPenaltyUs     float64 // cost added for suspected bad health
+	PrefillShare        float64 // share of its time spent on prefill, 0 to 1
 }
 
 // uncached returns the number of prompt tokens that the candidate must prefill.
-func (c *Candidate) uncached(p Prompt) int { return max(p.Tokens-c.Cached-c.Moved, 0) }
+func (c *Candidate) uncached(p Prompt) int {
+	return max(p.Tokens-c.CachedTokens-c.TransferableTokens, 0)
+}
 
 // Prompt describes the request.
 type Prompt struct {
-	Tokens int
-	Out    int    // maximum number of output tokens
-	Shared uint64 // hash of the deepest shared prefix; 0 without one
+	Tokens          int
+	MaxOutputTokens int    // maximum number of output tokens
+	SharedPrefix    uint64 // hash of the deepest shared prefix; 0 without one
 }
 
-// Match returns the index of the candidate with the lowest cost, or -1 without any.
+// Choose returns the index of the candidate with the lowest cost, or -1 without any.
 //
 // With a nil random, all candidates are compared, and the first of equals is chosen. This
 // suits a router that has the exact backlogs. If many routers share the runners, each
@@ -95,13 +97,13 @@
 // candidate that rendezvous hashing assigns it to), one candidate with the longest cached
 // prefix, and randomChoices others ("power of two choices": Mitzenmacher, "How Useful Is
 // Old Information?", 2000).
-func Match(p Prompt, candidates []Candidate, random *rand.Rand) int {
+func Choose(p Prompt, candidates []Candidate, random *rand.Rand) int {
 	best, bestUs := -1, 0.0
-	home := homeIndex(p.Shared, candidates)
+	home := homeIndex(p.SharedPrefix, candidates)
 	compare := func(i int) {
 		c := &candidates[i]
 		us := costUs(p, c)
-		if p.Shared != 0 && i != home && c.Cached+c.Moved < p.Tokens/usefulCacheDivisor {
+		if p.SharedPrefix != 0 && i != home && c.CachedTokens+c.TransferableTokens < p.Tokens/usefulCacheDivisor {
 			us += notHomeUs
 		}
 		if best < 0 || us < bestUs {
@@ -131,7 +133,7 @@
 func longestPrefix(candidates []Candidate, random *rand.Rand) int {
 	best, bestTokens, ties := -1, 0, 0
 	for i := range candidates {
-		switch cached := candidates[i].Cached; {
+		switch cached := candidates[i].CachedTokens; {
 		case cached > bestTokens:
 			best, bestTokens, ties = i, cached, 1
 		case cached == bestTokens && cached > 0:
@@ -146,19 +148,19 @@
 // costUs estimates the time to the first token at a candidate, with penalties
 // for the delay that the request causes for other requests.
 func costUs(p Prompt, c *Candidate) float64 {
-	rate := max(c.Rate, minPrefillRate)
-	us := float64(c.Prefill+c.uncached(p))/rate + c.MoveUs
-	us += AgainUs * float64(c.Again)
-	us += prefillDelayShare * float64(c.uncached(p)) / rate * float64(c.Active)
-	us += slowDecodeUs * float64(p.Out) * min(c.Reading, 1)
+	rate := max(c.PrefillRate, minPrefillRate)
+	us := float64(c.QueuedPrefillTokens+c.uncached(p))/rate + c.TransferUs
+	us += DuplicatePrefillUs * float64(c.DuplicateTokens)
+	us += prefillDelayShare * float64(c.uncached(p)) / rate * float64(c.ActiveRequests)
+	us += slowDecodeUs * float64(p.MaxOutputTokens) * min(c.PrefillShare, 1)
 	if c.Capacity > 0 {
-		us += occupancyUs * float64(c.Active) / float64(c.Capacity)
+		us += occupancyUs * float64(c.ActiveRequests) / float64(c.Capacity)
 	}
-	us += fullCacheUs * c.Used * c.Used
-	if !c.NearSite {
+	us += fullCacheUs * c.MemoryUsed * c.MemoryUsed
+	if !c.SameZone {
 		us += otherZoneUs
 	}
-	us += c.DoubtUs
+	us += c.HealthPenaltyUs
 	return us
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,46 +10,46 @@
 func idleCandidates() []Candidate {
 	var candidates []Candidate
 	for _, id := range []string{"a", "b", "c"} {
-		candidates = append(candidates, Candidate{ID: id, NearSite: true, Rate: 0.03, Capacity: 64})
+		candidates = append(candidates, Candidate{ID: id, SameZone: true, PrefillRate: 0.03, Capacity: 64})
 	}
 	return candidates
 }
 
 func TestChoosePrefersCachedPrefixUntilBacklogOutweighsIt(t *testing.T) {
 	candidates := idleCandidates()
-	candidates[1].Cached = 6000
-	p := Prompt{Tokens: 9000, Shared: 1}
-	must.Eq(t, 1, Match(p, candidates, nil))
-	candidates[1].Prefill = 40_000
-	must.NotEq(t, 1, Match(p, candidates, nil))
+	candidates[1].CachedTokens = 6000
+	p := Prompt{Tokens: 9000, SharedPrefix: 1}
+	must.Eq(t, 1, Choose(p, candidates, nil))
+	candidates[1].QueuedPrefillTokens = 40_000
+	must.NotEq(t, 1, Choose(p, candidates, nil))
 }
 
 func TestChooseReturnsIdleRunnerWhenPrefixCanBeTransferred(t *testing.T) {
 	candidates := idleCandidates()
-	candidates[1].Cached, candidates[1].Prefill = 6000, 5000
-	candidates[2].Moved, candidates[2].MoveUs, candidates[2].From = 6000, 20_000, "b"
-	must.Eq(t, 2, Match(Prompt{Tokens: 9000, Shared: 1}, candidates, nil))
+	candidates[1].CachedTokens, candidates[1].QueuedPrefillTokens = 6000, 5000
+	candidates[2].TransferableTokens, candidates[2].TransferUs, candidates[2].TransferFrom = 6000, 20_000, "b"
+	must.Eq(t, 2, Choose(Prompt{Tokens: 9000, SharedPrefix: 1}, candidates, nil))
 }
 
 func TestChoosePenalizesDuplicatePrefill(t *testing.T) {
 	candidates := idleCandidates()
-	candidates[0].Prefill = 3000
-	candidates[0].Cached = 2500
-	candidates[1].Again, candidates[2].Again = 2500, 2500
-	must.Eq(t, 0, Match(Prompt{Tokens: 5000, Shared: 1}, candidates, nil))
+	candidates[0].QueuedPrefillTokens = 3000
+	candidates[0].CachedTokens = 2500
+	candidates[1].DuplicateTokens, candidates[2].DuplicateTokens = 2500, 2500
+	must.Eq(t, 0, Choose(Prompt{Tokens: 5000, SharedPrefix: 1}, candidates, nil))
 }
 
 func TestChooseSpreadsUncachedPrefixesByRendezvousHash(t *testing.T) {
 	matches := map[int]int{}
 	for prefix := uint64(1); prefix < 300; prefix++ {
-		i := Match(Prompt{Tokens: 5000, Shared: prefix}, idleCandidates(), nil)
+		i := Choose(Prompt{Tokens: 5000, SharedPrefix: prefix}, idleCandidates(), nil)
 		must.Eq(t, homeIndex(prefix, idleCandidates()), i)
 		matches[i]++
 	}
 	for i := range idleCandidates() {
 		must.Greater(t, 60, matches[i])
 	}
-	must.Eq(t, -1, Match(Prompt{}, nil, nil))
+	must.Eq(t, -1, Choose(Prompt{}, nil, nil))
 }
 
 // All routers of a fleet must compute the same scores, also if they run different
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -6,7 +6,7 @@
 // breaks isolation. The input of the index is the cache events of the runners, with full
 // lists after a gap (CachedPrefixes, Apply), and the parts that this node expects to be
 // cached because of its own requests
-// (Index.Expect, Index.Put, Index.Forget).
+// (Index.ExpectCached, Index.RecordPrefilled, Index.CancelExpected).
 // DeltasSince returns the changes that another node needs.
 //
 // The index may be wrong at any time: a runner evicts parts before its event arrives.
@@ -173,8 +173,8 @@
 	return out
 }
 
-// Size returns the number of parts that a runner has reported as cached.
-func (x *Index) Size(runner string) int {
+// ReportedParts returns the number of parts that a runner has reported as cached.
+func (x *Index) ReportedParts(runner string) int {
 	if s := x.cached[runner]; s != nil {
 		return s.Len()
 	}
@@ -201,25 +201,25 @@
 	observed[key] = o
 }
 
-// Expect records a part that a runner will have cached once it has prefilled it.
-func (x *Index) Expect(runner string, key uint64, tokens int32) {
+// ExpectCached records a part that a runner will have cached once it has prefilled it.
+func (x *Index) ExpectCached(runner string, key uint64, tokens int32) {
 	if old := x.observed[runner][key]; !old.prefilled {
 		x.recordObservation(runner, key, observation{tokens, false})
 	}
 }
 
-// Forget deletes a part that Index.Expect recorded, unless
-// Index.Put has recorded it since.
-func (x *Index) Forget(runner string, key uint64) {
+// CancelExpected deletes a part that Index.ExpectCached recorded, unless
+// Index.RecordPrefilled has recorded it since.
+func (x *Index) CancelExpected(runner string, key uint64) {
 	if m := x.observed[runner]; !m[key].prefilled {
 		delete(m, key)
 	}
 }
 
-// Put records that a runner has prefilled a part, as this node observed; 0 tokens
+// RecordPrefilled records that a runner has prefilled a part, as this node observed; 0 tokens
 // delete the observation. A report of the runner with at least as many tokens takes
 // precedence.
-func (x *Index) Put(runner string, key uint64, tokens int32) {
+func (x *Index) RecordPrefilled(runner string, key uint64, tokens int32) {
 	if tokens <= 0 {
 		delete(x.observed[runner], key)
 		return
@@ -233,22 +233,22 @@
 	x.recordObservation(runner, key, observation{tokens, true})
 }
 
-// Cached returns the number of tokens of a prompt that a runner does not have to
+// CachedTokens returns the number of tokens of a prompt that a runner does not have to
 // prefill again: complete parts from the first on, and the cached beginning of the next.
-func (x *Index) Cached(runner string, keys []uint64, parts []Part) int {
-	cached, _ := x.CachedAndExpected(runner, keys, parts)
+func (x *Index) CachedTokens(runner string, keys []uint64, parts []Part) int {
+	cached, _ := x.CachedAndExpectedTokens(runner, keys, parts)
 	return cached
 }
 
-// Expected returns the same number as Index.Cached, but includes the parts that
-// Index.Expect recorded.
-func (x *Index) Expected(runner string, keys []uint64, parts []Part) int {
-	_, expected := x.CachedAndExpected(runner, keys, parts)
+// ExpectedTokens returns the same number as Index.CachedTokens, but includes the parts that
+// Index.ExpectCached recorded.
+func (x *Index) ExpectedTokens(runner string, keys []uint64, parts []Part) int {
+	_, expected := x.CachedAndExpectedTokens(runner, keys, parts)
 	return expected
 }
 
-// CachedAndExpected returns Index.Cached and Index.Expected in one pass.
-func (x *Index) CachedAndExpected(runner string, keys []uint64, parts []Part) (cached, expected int) {
+// CachedAndExpectedTokens returns Index.CachedTokens and Index.ExpectedTokens in one pass.
+func (x *Index) CachedAndExpectedTokens(runner string, keys []uint64, parts []Part) (cached, expected int) {
 	s, m := x.cached[runner], x.observed[runner]
 	if s == nil && len(m) == 0 {
 		return 0, 0
--- a/internal/prefixindex/sharing.go
+++ b/internal/prefixindex/sharing.go
@@ -18,8 +18,8 @@
 	changed      bool // keys were added since the last Record
 }
 
-// Announce adds the keys of announced prefixes.
-func (s *SharedKeys) Announce(announced []messages.CachedPrefixes) {
+// AddAnnounced adds the keys of announced prefixes.
+func (s *SharedKeys) AddAnnounced(announced []messages.CachedPrefixes) {
 	for _, prefixes := range announced {
 		for _, part := range prefixes.Parts {
 			s.add(part.Key)
--- a/internal/prefixindex/sharing_test.go
+++ b/internal/prefixindex/sharing_test.go
@@ -11,7 +11,7 @@
 func TestSharedKeysRetainKeysInUse(t *testing.T) {
 	var keys SharedKeys
 	must.False(t, keys.Has(1))
-	keys.Announce([]messages.CachedPrefixes{{ID: "r", Parts: []messages.CachedPart{{Key: 1, Tokens: 10}, {Key: 2, Tokens: 10}}}})
+	keys.AddAnnounced([]messages.CachedPrefixes{{ID: "r", Parts: []messages.CachedPart{{Key: 1, Tokens: 10}, {Key: 2, Tokens: 10}}}})
 	next := uint64(100)
 	for range 3 {
 		for range maxSharedKeys {
@@ -28,7 +28,7 @@
 func TestSharedKeysAreRestoredFromRecord(t *testing.T) {
 	var shared SharedKeys
 	must.False(t, shared.Changed())
-	shared.Announce([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: 1}, {Key: 1 << 63}}}})
+	shared.AddAnnounced([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: 1}, {Key: 1 << 63}}}})
 	must.True(t, shared.Changed())
 	record := shared.Record()
 	must.False(t, shared.Changed())
--- a/internal/quota/claim.go
+++ b/internal/quota/claim.go
@@ -51,10 +51,10 @@
 	return len(groups) > 0
 }
 
-// Order returns the members in the order of preference as owners of a shard, by
+// OwnerOrder returns the members in the order of preference as owners of a shard, by
 // rendezvous hashing, so that the loss of a member changes the owner of only that member's
 // shards.
-func Order(shard int, members []string) []string {
+func OwnerOrder(shard int, members []string) []string {
 	out := slices.Clone(members)
 	weight := func(member string) uint64 { return statesync.Mix(statesync.HashText("shard", member) + uint64(shard)) }
 	slices.SortFunc(out, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
--- a/internal/quota/grantee.go
+++ b/internal/quota/grantee.go
@@ -53,7 +53,7 @@
 func (g *Grantee) Allowance(limit Limit) Allowance { return g.bounds.Allowance(limit) }
 
 // SetRouters records the routers that are visible at nowUs.
-func (g *Grantee) SetRouters(addrs []string, nowUs int64) { g.routers.See(addrs, nowUs) }
+func (g *Grantee) SetRouters(addrs []string, nowUs int64) { g.routers.MarkSeen(addrs, nowUs) }
 
 // Lenders returns the routers that share Allowance.Unowned of a tenant.
 func (g *Grantee) Lenders(tenant string) []string { return g.routers.Top(tenant, lenderCount) }
@@ -68,18 +68,18 @@
 	return s
 }
 
-// Arrive counts a new request of a tenant and returns a token for it if one is
+// CountAndAcquire counts a new request of a tenant and returns a token for it if one is
 // available.
-func (g *Grantee) Arrive(tenant string, nowUs int64) (Token, bool) {
+func (g *Grantee) CountAndAcquire(tenant string, nowUs int64) (Token, bool) {
 	s := g.tenantState(tenant, nowUs)
 	s.decay(nowUs)
 	s.demand++
 	return s.takeToken(nowUs)
 }
 
-// Take returns a token, if one is available, for a request that Grantee.Arrive
+// Acquire returns a token, if one is available, for a request that Grantee.CountAndAcquire
 // has counted.
-func (g *Grantee) Take(tenant string, nowUs int64) (Token, bool) {
+func (g *Grantee) Acquire(tenant string, nowUs int64) (Token, bool) {
 	return g.tenantState(tenant, nowUs).takeToken(nowUs)
 }
 
@@ -107,20 +107,20 @@
 	}
 }
 
-// Want returns how many tokens to request while need requests wait: need, and one
-// for each request that is expected within half of Allowance.DelayUs.
-func (g *Grantee) Want(tenant string, limit Limit, need int, nowUs int64) int {
+// RequestSize returns how many tokens to request while need requests wait: need, and one
+// for each request that is expected within half of Allowance.TokenLifetimeUs.
+func (g *Grantee) RequestSize(tenant string, limit Limit, need int, nowUs int64) int {
 	s := g.tenantState(tenant, nowUs)
 	s.decay(nowUs)
-	expected := s.demand * float64(g.bounds.Allowance(limit).DelayUs) / float64(2*demandWindowUs)
+	expected := s.demand * float64(g.bounds.Allowance(limit).TokenLifetimeUs) / float64(2*demandWindowUs)
 	return need + int(expected)
 }
 
-// Granted adds tokens that were requested at askedUs.
-func (g *Grantee) Granted(tenant string, limit Limit, count int, requestedUs, nowUs int64) {
+// AddGranted adds tokens that were requested at askedUs.
+func (g *Grantee) AddGranted(tenant string, limit Limit, count int, requestedUs, nowUs int64) {
 	g.ownerAnswered = true
 	s := g.tenantState(tenant, nowUs)
-	expires := requestedUs + g.bounds.Allowance(limit).DelayUs
+	expires := requestedUs + g.bounds.Allowance(limit).TokenLifetimeUs
 	for range count {
 		s.tokens = append(s.tokens, Token{ExpiresUs: expires})
 	}
--- a/internal/quota/grantee_test.go
+++ b/internal/quota/grantee_test.go
@@ -11,35 +11,35 @@
 
 func TestTokensExpireAfterAllowedDelay(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
-	g.Granted("tenant", testLimit, 2, second, second)
-	delayUs := testBounds.Allowance(testLimit).DelayUs
-	token, ok := g.Take("tenant", second+delayUs-1)
+	g.AddGranted("tenant", testLimit, 2, second, second)
+	delayUs := testBounds.Allowance(testLimit).TokenLifetimeUs
+	token, ok := g.Acquire("tenant", second+delayUs-1)
 	must.True(t, ok)
 	must.True(t, token.Valid(second+delayUs-1))
-	_, ok = g.Take("tenant", second+delayUs)
+	_, ok = g.Acquire("tenant", second+delayUs)
 	must.False(t, ok)
 }
 
 func TestReturnedTokenIsReusedWhileValid(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
-	g.Granted("tenant", testLimit, 1, second, second)
-	token, _ := g.Take("tenant", second)
+	g.AddGranted("tenant", testLimit, 1, second, second)
+	token, _ := g.Acquire("tenant", second)
 	g.Return("tenant", token, second+10*ms)
-	again, ok := g.Take("tenant", second+20*ms)
+	again, ok := g.Acquire("tenant", second+20*ms)
 	must.True(t, ok)
 	must.Eq(t, token, again)
 	g.Return("tenant", token, 3*second)
-	_, ok = g.Take("tenant", 3*second)
+	_, ok = g.Acquire("tenant", 3*second)
 	must.False(t, ok)
 }
 
 func TestBusyRouterRequestsTokensForExpectedRequests(t *testing.T) {
 	g := NewGrantee("r1", testBounds, 0)
-	must.Eq(t, 1, g.Want("tenant", testLimit, 1, second))
+	must.Eq(t, 1, g.RequestSize("tenant", testLimit, 1, second))
 	for nowUs := second; nowUs < 5*second; nowUs += 20 * ms {
-		g.Arrive("tenant", nowUs)
+		g.CountAndAcquire("tenant", nowUs)
 	}
-	must.Greater(t, 3, g.Want("tenant", testLimit, 1, 5*second))
+	must.Greater(t, 3, g.RequestSize("tenant", testLimit, 1, 5*second))
 }
 
 // All routers of a fleet together lend at most Allowance.Unowned in a window.
@@ -52,7 +52,7 @@
 	for _, self := range routers {
 		g := NewGrantee(self, testBounds, 0)
 		g.SetRouters(routers, second)
-		g.Granted("tenant", testLimit, 0, second, second)
+		g.AddGranted("tenant", testLimit, 0, second, second)
 		must.Len(t, lenderCount, g.Lenders("tenant"))
 		for nowUs := 10 * second; nowUs < 15*second; nowUs += 50 * ms {
 			if g.Lend("tenant", testLimit, nowUs) {
@@ -67,7 +67,7 @@
 func TestNewlyStartedRouterLendsNothing(t *testing.T) {
 	g := NewGrantee("r1", testBounds, second)
 	must.False(t, g.Lend("tenant", testLimit, 20*second), must.Sprint("no owner has answered yet"))
-	g.Granted("tenant", testLimit, 0, second, second)
+	g.AddGranted("tenant", testLimit, 0, second, second)
 	must.False(t, g.Lend("tenant", testLimit, 5*second))
 	must.True(t, g.Lend("tenant", testLimit, 20*second))
 }
@@ -88,8 +88,8 @@
 		limit := Limit{RatePerS: rate, Burst: rate}
 		a := testBounds.Allowance(limit)
 		excess := testBounds.Overshoot*(rate*5+rate) + testBounds.Slack
-		late := rate * float64(a.DelayUs) / 1e6
+		late := rate * float64(a.TokenLifetimeUs) / 1e6
 		must.LessEq(t, 0.95*excess, a.Extra+a.Initial+late+a.Unowned, must.Sprintf("rate %v", rate))
-		must.Positive(t, a.DelayUs)
+		must.Positive(t, a.TokenLifetimeUs)
 	}
 }
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -6,12 +6,12 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Shards is the number of shards, each with its own lease, over which tenants are
+// ShardCount is the number of shards, each with its own lease, over which tenants are
 // spread.
-const Shards = 16
+const ShardCount = 16
 
 // ShardOf returns the shard of a tenant.
-func ShardOf(tenant string) int { return int(statesync.HashText("quota", tenant) % Shards) }
+func ShardOf(tenant string) int { return int(statesync.HashText("quota", tenant) % ShardCount) }
 
 // Limit is a tenant's limit in one version of the configuration.
 type Limit struct {
@@ -56,8 +56,8 @@
 	// Initial is how many tokens a new owner starts with if its predecessor has reserved
 	// fewer for it.
 	Initial float64
-	// DelayUs is how long after it was requested a token may be used.
-	DelayUs int64
+	// TokenLifetimeUs is how long after it was requested a token may be used.
+	TokenLifetimeUs int64
 	// Unowned is how many requests in a window all routers together may run without a
 	// token while no owner answers.
 	Unowned float64
@@ -73,14 +73,14 @@
 	outageFraction   = 0.60 // for tokens that are used late and for requests without a token
 )
 
-// Bounds of Allowance.DelayUs.
+// Bounds of Allowance.TokenLifetimeUs.
 const (
 	minTokenLifetimeUs = int64(50_000)
 	maxTokenLifetimeUs = int64(500_000)
 )
 
 // Allowance divides the excess of a limit. In any window at most
-// rate x (window + Allowance.DelayUs) + burst + Extra requests run with tokens
+// rate x (window + Allowance.TokenLifetimeUs) + burst + Extra requests run with tokens
 // of one owner, Initial more for each change of the owner, and Unowned without tokens.
 func (b Bounds) Allowance(limit Limit) Allowance {
 	windowS := float64(b.WindowUs) / 1e6
@@ -88,5 +88,5 @@
 	lifetimeUs := int64(math.Min(lifetimeFraction*excess/max(limit.RatePerS, 1e-6)*1e6, float64(maxTokenLifetimeUs)))
 	lifetimeUs = max(lifetimeUs, minTokenLifetimeUs)
 	late := limit.RatePerS * float64(lifetimeUs) / 1e6
-	return Allowance{Extra: extraFraction * excess, Initial: initialFraction * excess, DelayUs: lifetimeUs, Unowned: max(outageFraction*excess-late, 0)}
+	return Allowance{Extra: extraFraction * excess, Initial: initialFraction * excess, TokenLifetimeUs: lifetimeUs, Unowned: max(outageFraction*excess-late, 0)}
 }
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -13,9 +13,9 @@
 	// LeaseUs is how long a vote lasts: a successor takes over this long after the voters
 	// received the last claim of its predecessor.
 	LeaseUs = int64(500_000)
-	// TickUs is the interval at which claims are renewed; a lease survives the loss
+	// ClaimIntervalUs is the interval at which claims are renewed; a lease survives the loss
 	// of two renewals in a row.
-	TickUs = int64(125_000)
+	ClaimIntervalUs = int64(125_000)
 	// leaseMarginUs is how much earlier an owner's lease expires than the votes for it. Clock
 	// drift during a lease is far smaller.
 	leaseMarginUs = int64(30_000)
@@ -23,10 +23,10 @@
 	// reserves: the time until it has acquired the lease, with a margin.
 	copyLifetimeUs = int64(1_200_000)
 	// unreachableAfterUs is how long after its last answer a member counts as unreachable.
-	unreachableAfterUs = 3 * TickUs
+	unreachableAfterUs = 3 * ClaimIntervalUs
 	// claimTimeoutUs is how long a claim without a majority is renewed before it is
 	// released.
-	claimTimeoutUs = 2 * TickUs
+	claimTimeoutUs = 2 * ClaimIntervalUs
 	// failbackDelayUs is how long a member must be reachable again before it regains its
 	// shards.
 	failbackDelayUs = int64(4_000_000)
@@ -55,14 +55,14 @@
 }
 
 // Member is a controller as a claimant, voter, owner and successor of shards. The caller
-// calls Tick every TickUs and delivers the claims and votes.
+// calls Tick every ClaimIntervalUs and delivers the claims and votes.
 type Member struct {
 	config          Config
 	addr            string
 	voter           voter
-	claims          [Shards]claim
-	owned           [Shards]ownedShard
-	receivedCopies  [Shards]receivedCopy
+	claims          [ShardCount]claim
+	owned           [ShardCount]ownedShard
+	receivedCopies  [ShardCount]receivedCopy
 	group           Group
 	previousMembers []string         // members of the previous group
 	previousUntilUs int64            // until when a majority of them is required as well
@@ -84,8 +84,8 @@
 
 func (g Group) contains(member string) bool { return slices.Contains(g.Members, member) }
 
-// Outgoing is a claim to be sent to another member.
-type Outgoing struct {
+// OutgoingClaim is a claim to be sent to another member.
+type OutgoingClaim struct {
 	To    string
 	Claim messages.QuotaClaim
 }
@@ -117,10 +117,10 @@
 	return [][]string{m.group.Members}
 }
 
-// Owned returns the shards that this member owns now.
-func (m *Member) Owned(nowUs int64) []int {
+// OwnedShards returns the shards that this member owns now.
+func (m *Member) OwnedShards(nowUs int64) []int {
 	var out []int
-	for shard := range Shards {
+	for shard := range ShardCount {
 		if m.Owns(shard, nowUs) {
 			out = append(out, shard)
 		}
@@ -134,7 +134,7 @@
 // Tick renews the claims of the shards that this member owns, claims shards without an
 // owner, and releases shards that another member should own. It returns the claims to
 // send to the other members of the group.
-func (m *Member) Tick(group Group, nowUs int64) []Outgoing {
+func (m *Member) Tick(group Group, nowUs int64) []OutgoingClaim {
 	m.urgent = false
 	m.setGroup(group, nowUs)
 	if !m.group.contains(m.addr) {
@@ -142,8 +142,8 @@
 		return nil
 	}
 	reachable := m.reachable(nowUs)
-	for shard := range Shards {
-		m.updateClaim(shard, Order(shard, reachable), nowUs)
+	for shard := range ShardCount {
+		m.updateClaim(shard, OwnerOrder(shard, reachable), nowUs)
 	}
 	m.seq++
 	own := m.buildClaim(m.addr, nowUs)
@@ -155,13 +155,13 @@
 
 // buildClaims builds the claims for the other members, including those of the previous
 // group while its majority is required.
-func (m *Member) buildClaims(nowUs int64) []Outgoing {
-	var out []Outgoing
+func (m *Member) buildClaims(nowUs int64) []OutgoingClaim {
+	var out []OutgoingClaim
 	for _, group := range m.groups(nowUs) {
 		for _, member := range group {
-			known := slices.ContainsFunc(out, func(o Outgoing) bool { return o.To == member })
+			known := slices.ContainsFunc(out, func(o OutgoingClaim) bool { return o.To == member })
 			if member != m.addr && !known {
-				out = append(out, Outgoing{To: member, Claim: m.buildClaim(member, nowUs)})
+				out = append(out, OutgoingClaim{To: member, Claim: m.buildClaim(member, nowUs)})
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 
 // releaseAll ends all claims of this member after it has been removed from the group.
 func (m *Member) releaseAll(nowUs int64) {
-	for shard := range Shards {
+	for shard := range ShardCount {
 		m.releaseShard(shard, nowUs)
 	}
 	m.released = nil
@@ -212,8 +212,8 @@
 		m.maintainOwned(shard, order, nowUs)
 	case c.active && (c.wasHeld || nowUs-c.begunUs >= claimTimeoutUs):
 		m.releaseShard(shard, nowUs)
-		c.retryAtUs = nowUs + TickUs*int64(slices.Index(order, m.addr))
-	case !c.active && nowUs >= c.retryAtUs && m.voter.freeForUs(shard, nowUs) > TickUs*int64(slices.Index(order, m.addr)):
+		c.retryAtUs = nowUs + ClaimIntervalUs*int64(slices.Index(order, m.addr))
+	case !c.active && nowUs >= c.retryAtUs && m.voter.freeForUs(shard, nowUs) > ClaimIntervalUs*int64(slices.Index(order, m.addr)):
 		c.begin(nowUs)
 	}
 }
@@ -231,8 +231,8 @@
 
 // Leave releases all shards before the process ends. It returns the claims to send to the
 // other members.
-func (m *Member) Leave(nowUs int64) []Outgoing {
-	for shard := range Shards {
+func (m *Member) Leave(nowUs int64) []OutgoingClaim {
+	for shard := range ShardCount {
 		m.releaseShard(shard, nowUs)
 	}
 	m.seq++
@@ -244,7 +244,7 @@
 // buildClaim builds the claim for a member, with the copies for which it is the successor.
 func (m *Member) buildClaim(member string, nowUs int64) messages.QuotaClaim {
 	out := messages.QuotaClaim{From: m.config.Self, Seq: m.seq, Released: m.released, GroupVersion: m.group.Version, GroupHash: m.group.hash()}
-	for shard := range Shards {
+	for shard := range ShardCount {
 		if !m.claims[shard].active {
 			continue
 		}
@@ -294,7 +294,7 @@
 	return true
 }
 
-func validShard(shard int) bool { return shard >= 0 && shard < Shards }
+func validShard(shard int) bool { return shard >= 0 && shard < ShardCount }
 
 // HandleVotes applies the answer of a member to the claim that was sent to it at sentUs.
 func (m *Member) HandleVotes(member string, votes messages.QuotaVotes, sentUs, nowUs int64) {
--- a/internal/quota/member_test.go
+++ b/internal/quota/member_test.go
@@ -37,9 +37,9 @@
 	c.members[addr] = NewMember(Config{Self: addr + "/" + string(rune('0'+c.starts[addr])), Bounds: testBounds, StartUs: c.nowUs})
 }
 
-// run advances the time by forUs and calls Tick on all members every TickUs.
+// run advances the time by forUs and calls Tick on all members every ClaimIntervalUs.
 func (c *cluster) run(forUs int64) {
-	for untilUs := c.nowUs + forUs; c.nowUs < untilUs; c.nowUs += TickUs {
+	for untilUs := c.nowUs + forUs; c.nowUs < untilUs; c.nowUs += ClaimIntervalUs {
 		for _, addr := range c.group.Members {
 			if m := c.members[addr]; m != nil {
 				c.deliver(addr, m.Tick(c.group, c.nowUs))
@@ -48,7 +48,7 @@
 	}
 }
 
-func (c *cluster) deliver(from string, out []Outgoing) {
+func (c *cluster) deliver(from string, out []OutgoingClaim) {
 	for _, o := range out {
 		to, sender := c.members[o.To], c.members[from]
 		if to == nil {
@@ -89,7 +89,7 @@
 	c := newCluster(t, "a", "b", "c")
 	c.run(2 * second)
 	owned := map[string]int{}
-	for shard := range Shards {
+	for shard := range ShardCount {
 		owned[c.owner(shard)]++
 	}
 	must.MapNotContainsKey(t, owned, "")
@@ -130,7 +130,7 @@
 	c.run(2 * second) // the bucket is nearly full, and the successor has a reserve
 	owner := c.owner(ShardOf("tenant"))
 	c.members[owner] = nil
-	c.run(LeaseUs + 4*TickUs)
+	c.run(LeaseUs + 4*ClaimIntervalUs)
 	must.NotEq(t, owner, c.owner(ShardOf("tenant")))
 	granted := c.requestTokens("tenant", 1000, limit).Granted
 	most := limit.Burst + testBounds.Allowance(limit).Extra
@@ -144,10 +144,10 @@
 	spent := 0
 	for range 40 {
 		spent += c.requestTokens("tenant", 1000, limit).Granted
-		c.run(TickUs)
+		c.run(ClaimIntervalUs)
 	}
 	c.members[c.owner(ShardOf("tenant"))] = nil
-	c.run(LeaseUs + 4*TickUs)
+	c.run(LeaseUs + 4*ClaimIntervalUs)
 	spent += c.requestTokens("tenant", 1000, limit).Granted
 	allowance := testBounds.Allowance(limit)
 	must.Less(t, limit.Burst+allowance.Extra+allowance.Initial+40, float64(spent))
@@ -160,7 +160,7 @@
 	owner := c.owner(shard)
 	c.deliver(owner, c.members[owner].Leave(c.nowUs))
 	c.members[owner] = nil
-	c.run(3 * TickUs)
+	c.run(3 * ClaimIntervalUs)
 	must.NotEq(t, "", c.owner(shard))
 }
 
@@ -186,7 +186,7 @@
 			c.members[addr] = nil
 		}
 	}
-	c.run(LeaseUs + TickUs)
+	c.run(LeaseUs + ClaimIntervalUs)
 	must.Eq(t, "", c.owner(ShardOf("tenant")))
 	must.False(t, c.members[owner].HandleAsk(quotaAsk("tenant", 1, Limit{RatePerS: 10, Burst: 10}), c.nowUs).Owner)
 }
@@ -205,15 +205,15 @@
 func TestOwnershipSurvivesGroupChange(t *testing.T) {
 	c := newCluster(t, "a", "b", "c", "d", "e")
 	c.run(2 * second)
-	var owners [Shards]string
-	for shard := range Shards {
+	var owners [ShardCount]string
+	for shard := range ShardCount {
 		owners[shard] = c.owner(shard)
 	}
 	c.start("f")
 	c.group = Group{Version: 2, Members: []string{"a", "b", "c", "d", "f"}}
 	for range 10 {
-		c.run(TickUs)
-		for shard := range Shards {
+		c.run(ClaimIntervalUs)
+		for shard := range ShardCount {
 			if owners[shard] != "e" {
 				must.NotEq(t, "", c.owner(shard), must.Sprintf("shard %d", shard))
 			}
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -141,7 +141,7 @@
 // tenant.
 func (m *Member) Conditions(nowUs int64) []messages.QuotaCondition {
 	var out []messages.QuotaCondition
-	for shard := range Shards {
+	for shard := range ShardCount {
 		if !m.Owns(shard, nowUs) {
 			continue
 		}
--- a/internal/quota/voter.go
+++ b/internal/quota/voter.go
@@ -7,7 +7,7 @@
 type voter struct {
 	leaseUs int64
 	startUs int64
-	votes   [Shards]vote
+	votes   [ShardCount]vote
 }
 
 // vote is the vote for the owner of one shard.
--- a/internal/rendezvous/nodes.go
+++ b/internal/rendezvous/nodes.go
@@ -29,9 +29,9 @@
 	return &Nodes{self: self, seenUs: map[string]int64{self: nowUs}}
 }
 
-// See records that nodes were seen at nowUs, and removes those not seen for more than
+// MarkSeen records that nodes were seen at nowUs, and removes those not seen for more than
 // retentionUs.
-func (n *Nodes) See(addrs []string, nowUs int64) {
+func (n *Nodes) MarkSeen(addrs []string, nowUs int64) {
 	for _, addr := range addrs {
 		n.seenUs[addr] = nowUs
 	}
@@ -53,8 +53,8 @@
 	return ordered[:min(count, len(ordered))]
 }
 
-// Among reports whether the node itself is one of the first count nodes for a key.
-func (n *Nodes) Among(key string, count int) bool {
+// SelfInTop reports whether the node itself is one of the first count nodes for a key.
+func (n *Nodes) SelfInTop(key string, count int) bool {
 	selfWeight, higher := statesync.HashText(key, n.self), 0
 	for addr := range n.seenUs {
 		if statesync.HashText(key, addr) > selfWeight {
--- a/internal/rendezvous/nodes_test.go
+++ b/internal/rendezvous/nodes_test.go
@@ -24,14 +24,14 @@
 		var first []string
 		for _, self := range addrs {
 			nodes := NewNodes(self, 0)
-			nodes.See(addrs, 1)
+			nodes.MarkSeen(addrs, 1)
 			top := nodes.Top(name, 3)
 			if first == nil {
 				first = top
 			}
 			must.Eq(t, first, top)
-			must.Eq(t, slices.Contains(top, self), nodes.Among(name, 3))
-			if nodes.Among(name, 3) {
+			must.Eq(t, slices.Contains(top, self), nodes.SelfInTop(name, 3))
+			if nodes.SelfInTop(name, 3) {
 				chosen++
 			}
 		}
@@ -41,9 +41,9 @@
 
 func TestUnseenNodesAreRetainedUntilTimeout(t *testing.T) {
 	nodes := NewNodes("self", 0)
-	nodes.See([]string{"other"}, 0)
-	nodes.See(nil, retentionUs)
+	nodes.MarkSeen([]string{"other"}, 0)
+	nodes.MarkSeen(nil, retentionUs)
 	must.Eq(t, 2, nodes.Len())
-	nodes.See(nil, retentionUs+1)
+	nodes.MarkSeen(nil, retentionUs+1)
 	must.Eq(t, []string{"self"}, nodes.Top("key", 2))
 }
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -13,7 +13,7 @@
 	boundUs = 5_500 * ms
 )
 
-var testTimes = lease.Times{LeaseUs: 3 * second, ActUs: 400 * ms, SpareUs: 800 * ms}
+var testTimes = lease.Times{LeaseUs: 3 * second, ActUs: 400 * ms, InFlightUs: 800 * ms}
 
 // testRunner is a runner that handles orders as the protocol defines: once ordered it
 // begins no request, lets the running ones finish, and loads the weights.
--- a/internal/rollout/shard_test.go
+++ b/internal/rollout/shard_test.go
@@ -42,7 +42,7 @@
 // Answered hands an answer over as the controller does.
 func (h holder) Answered(model string, o Order, fence int64, answer Answer, nowUs int64) {
 	if answer == FenceRefused {
-		h.Refuse(fence)
+		h.RecordRefusal(fence)
 	}
 	h.shard.Answered(model, o, answer, nowUs)
 }
@@ -86,7 +86,7 @@
 	must.Eq(t, messages.Lease{Holder: "a", Fence: 4}, v.Lease)
 	s.Acquired(was, v.Lease, false, v.NowUs)
 	waited := orderedAfter(t, s, v)
-	full := testTimes.LeaseUs + testTimes.ActUs + testTimes.SpareUs
+	full := testTimes.LeaseUs + testTimes.ActUs + testTimes.InFlightUs
 	must.Between(t, full, waited, full+3*stepUs)
 }
 
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -77,10 +77,10 @@
 // shouldRetry reports whether another attempt follows one that failed with result.
 func (e *exchange) shouldRetry(result attempt.Result, runnerID string) bool {
 	if result == attempt.NotSent && e.regimeChanged {
-		e.regimeChanged, result = false, attempt.Outdated
+		e.regimeChanged, result = false, attempt.AdmissionOutdated
 	}
 	next := e.sequence.Failed(e.retryPolicy(), result, e.timeExpired(), retryBudget{e})
-	if next.Avoid {
+	if next.AvoidRunner {
 		e.request.ExcludedRunners = append(e.request.ExcludedRunners, runnerID)
 	}
 	return next.Retry
@@ -88,7 +88,7 @@
 
 // retryPolicy returns the route's limits on repeated attempts.
 func (e *exchange) retryPolicy() attempt.Request {
-	return attempt.Request{Repeatable: e.route.Repeatable(), Tries: e.route.Tries}
+	return attempt.Request{Repeatable: e.route.Repeatable(), MaxAttempts: e.route.Tries}
 }
 
 // retryBudget adapts the retry budget of the request's service to attempt.Budget.
@@ -145,7 +145,7 @@
 func (e *exchange) admit() admission.Decision {
 	router := e.router
 	ch := make(chan admission.Decision, 1)
-	e.request.Ref = router.slab.Put(func(r admission.Decision) { ch <- r })
+	e.request.Ref = router.slab.Store(func(r admission.Decision) { ch <- r })
 	now := router.clock()
 	e.request.TimeLeftUs = e.deadlineUs - now
 	router.admissionMu.Lock()
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -37,7 +37,7 @@
 
 // attemptNames are the results of attempts, in the order of the type attempt.Result.
 var attemptNames = [...]string{
-	attempt.Answered: "answered", attempt.NotSent: "not_sent", attempt.NotRun: "not_run", attempt.Unknown: "unknown", attempt.BrokenOff: "broke_off",
+	attempt.Answered: "answered", attempt.NotSent: "not_sent", attempt.NotExecuted: "not_run", attempt.Unknown: "unknown", attempt.Interrupted: "broke_off",
 	attempt.ClientGone: "client_gone", attempt.Moving: "moved",
 }
 
@@ -120,7 +120,7 @@
 // recordAttempt counts an attempt that has ended.
 func (e *exchange) recordAttempt(end attempt.Result) {
 	e.lastResult = end
-	e.brokenOff = e.brokenOff || end == attempt.BrokenOff
+	e.brokenOff = e.brokenOff || end == attempt.Interrupted
 	e.router.counters.attempts[end].Add(1)
 }
 
--- a/internal/router/evening_test.go
+++ b/internal/router/evening_test.go
@@ -135,7 +135,7 @@
 
 func (e *evening) offer(g *guest) {
 	n := g.node
-	g.ask.Ref = n.slab.Put(func(r admission.Decision) { e.ruled(g, r) })
+	g.ask.Ref = n.slab.Store(func(r admission.Decision) { e.ruled(g, r) })
 	r := n.admission.Submit(g.ask, e.nowUs)
 	if !r.Queued {
 		n.slab.Resume(g.ask.Ref, r)
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -38,7 +38,7 @@
 // checkRepeat checks, before an attempt, that no earlier attempt can have run, unless the route is
 // repeatable.
 func (e *exchange) checkRepeat() {
-	mayHaveRun := e.sequence.MayHaveRun() || e.sequence.Sent() > 0 && (e.lastResult == attempt.Unknown || e.lastResult == attempt.BrokenOff)
+	mayHaveRun := e.sequence.MayHaveRun() || e.sequence.Sent() > 0 && (e.lastResult == attempt.Unknown || e.lastResult == attempt.Interrupted)
 	if mayHaveRun && !e.route.Repeatable() {
 		noAttemptAfterRun.Violated("request", e.id, "attempts", e.sequence.Sent(), "route", e.route.Name)
 	}
--- a/internal/router/move_test.go
+++ b/internal/router/move_test.go
@@ -90,7 +90,7 @@
 	router.setRunnerZones(t, "a", "b")
 	router.admissionMu.Lock() // r0 is preferred, as it has the prompt cached
 	for _, p := range []string{"ab", "cd"} {
-		router.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
+		router.admission.Index.RecordPrefilled("r0", prefixindex.Key("w4/t1", "m", p), 15)
 	}
 	router.admissionMu.Unlock()
 	go func() {
@@ -141,7 +141,7 @@
 	router.setRunnerZones(t, "a", "b")
 	router.admissionMu.Lock()
 	for _, p := range []string{"ab", "cd"} {
-		router.admission.Index.Put("r0", prefixindex.Key("w4/t1", "m", p), 15)
+		router.admission.Index.RecordPrefilled("r0", prefixindex.Key("w4/t1", "m", p), 15)
 	}
 	router.admissionMu.Unlock()
 	go func() {
@@ -177,7 +177,7 @@
 	}
 	keys := prefixindex.Keys(d.CacheSalt("t", false, "", 1), "m", ask.Parts)
 	for i, k := range keys[:2] {
-		d.Index.Put("r0", k, int32(ask.Parts[i].Tokens))
+		d.Index.RecordPrefilled("r0", k, int32(ask.Parts[i].Tokens))
 	}
 	before := d.Submit(ask, 1_000_000).Admission
 	must.Eq(t, "r0", before.Runner.ID)
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -87,7 +87,7 @@
 func TestRouterFollowsHintToQuotaOwner(t *testing.T) {
 	r := newRunner(t)
 	router, core, front := startLimited(t, 3, r)
-	owner := quota.Order(quota.ShardOf("t1"), router.wholeCore())[2]
+	owner := quota.OwnerOrder(quota.ShardOf("t1"), router.wholeCore())[2]
 	addrs := router.wholeCore()
 	core.set(func() {
 		core.quota = func(i int, ask messages.QuotaAsk) messages.QuotaGrant {
--- a/internal/router/quotaclient/client.go
+++ b/internal/router/quotaclient/client.go
@@ -135,9 +135,9 @@
 	c.mu.Lock()
 	token, ok := quota.Token{}, false
 	if arrives {
-		token, ok = c.grantee.Arrive(tenant, nowUs)
+		token, ok = c.grantee.CountAndAcquire(tenant, nowUs)
 	} else {
-		token, ok = c.grantee.Take(tenant, nowUs)
+		token, ok = c.grantee.Acquire(tenant, nowUs)
 	}
 	if ok {
 		c.mu.Unlock()
@@ -188,7 +188,7 @@
 	if c.borrow(tenant, limit) {
 		c.unowned.Add(1)
 		nowUs := c.config.Clock()
-		return Answer{Outcome: Granted, Token: quota.Token{ExpiresUs: nowUs + c.grantee.Allowance(limit).DelayUs}}
+		return Answer{Outcome: Granted, Token: quota.Token{ExpiresUs: nowUs + c.grantee.Allowance(limit).TokenLifetimeUs}}
 	}
 	c.unknown.Add(1)
 	return Answer{Outcome: Unknown, WaitUs: noOwnerRetryUs}
@@ -205,7 +205,7 @@
 			return
 		}
 		limit := t.limit
-		want := c.grantee.Want(tenant, limit, need, c.config.Clock())
+		want := c.grantee.RequestSize(tenant, limit, need, c.config.Clock())
 		c.mu.Unlock()
 		ask := messages.QuotaAsk{Tenant: tenant, Need: need, Want: want, RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version}
 		if !c.askRound(tenant, t, &ask) {
@@ -250,7 +250,7 @@
 
 // candidates is the controllers that may own a shard, the most likely first.
 func (c *Client) candidates(shard int) []string {
-	out := quota.Order(shard, c.config.Controllers())
+	out := quota.OwnerOrder(shard, c.config.Controllers())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if owner := c.owners[shard]; owner != "" {
@@ -301,10 +301,10 @@
 		t.silentUs = 0
 	}
 	c.granted.Add(int64(grant.Granted))
-	c.grantee.Granted(tenant, t.limit, grant.Granted, askedUs, nowUs)
+	c.grantee.AddGranted(tenant, t.limit, grant.Granted, askedUs, nowUs)
 	served := 0
 	for len(t.waiting) > 0 {
-		token, ok := c.grantee.Take(tenant, nowUs)
+		token, ok := c.grantee.Acquire(tenant, nowUs)
 		if !ok {
 			break
 		}
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -63,7 +63,7 @@
 	e.router.recordAttemptOutcome(adm, conn, status < 500, true)
 	e.router.releaseCapacityAndConn(adm, conn, r, true)
 	if stream != nil && stream.started {
-		return attempt.BrokenOff
+		return attempt.Interrupted
 	}
 	if status >= 500 && e.sequence.MayRepeat(e.retryPolicy()) {
 		return attempt.Unknown
@@ -146,7 +146,7 @@
 	conn.Close()
 	e.releaseFailedAttempt(adm, conn, true)
 	if stream.started {
-		return attempt.BrokenOff, stream
+		return attempt.Interrupted, stream
 	}
 	return attempt.Unknown, nil
 }
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -114,14 +114,14 @@
 		router.discardResponse(adm, conn, r)
 		router.wrongInstance(adm, otherWeights(adm, r))
 		e.refundToken()
-		return attempt.NotRun
+		return attempt.NotExecuted
 	case r.Header.Get(hNotRun) != "":
 		router.discardResponse(adm, conn, r)
 		router.admissionMu.Lock()
 		router.admission.RecordRejection(adm, router.clock())
 		router.admissionMu.Unlock()
 		e.refundToken()
-		return attempt.NotRun
+		return attempt.NotExecuted
 	case impliesNotExecuted(status):
 		// without the header the request may have run, whatever the status implies
 		_, err := upstream.ReadBody(r, maxDiscardedBody)
--- a/internal/simulation/contact.go
+++ b/internal/simulation/contact.go
@@ -79,13 +79,13 @@
 // vouch notes work on the configuration's register that a majority took part in.
 func (c *Controller) vouch(part int, begunUs int64, err error) {
 	if err == nil && part == configPart {
-		c.contact.Vouched(begunUs)
+		c.contact.RecordMajorityWork(begunUs)
 	}
 }
 
 // answeredBy renews the lease with the response of a member.
 func (c *Controller) answeredBy(request messages.ConsensusRequest, r messages.ConsensusResponse, sentUs int64) {
 	if request.To != "" && request.Step != messages.Commit && r.Verdict != messages.Stranger {
-		c.contact.Answered(request.To, sentUs)
+		c.contact.RecordAnswer(request.To, sentUs)
 	}
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -74,7 +74,7 @@
 func (c *Controller) boot(founding bool) {
 	c.process.Start()
 	c.heard, c.direct, c.dutyBusy, c.actedAs = map[string]peer{}, map[string]int64{}, false, 0
-	c.duty = lease.Lease{T: dutyTimes}
+	c.duty = lease.Lease{Times: dutyTimes}
 	c.takeover = lease.Takeover{}
 	c.synced = false
 	c.shutdown, c.contact, c.handledUs = shutdown{}, lease.Contact{}, map[string]int64{}
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -39,7 +39,7 @@
 	c.pinged = func(other *leaseMember) func() {
 		ages := c.targets.Ages(c.nowUs())
 		there := h.coordinators[other.index]
-		return func() { there.targets.Observe(ages, there.nowUs()) }
+		return func() { there.targets.MergeAges(ages, there.nowUs()) }
 	}
 	return c
 }
@@ -61,9 +61,9 @@
 		switch {
 		case t.Version <= c.targets.Newest(t.Model).Version:
 		case c.nowUs()-c.startUs < contactUs:
-			c.targets.Recall(t.Model, t.Version, c.nowUs())
+			c.targets.RecordUnknownAge(t.Model, t.Version, c.nowUs())
 		default:
-			c.targets.Named(t.Model, t.Version, c.nowUs())
+			c.targets.RecordNamed(t.Model, t.Version, c.nowUs())
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		if !answered {
 			answered = true
 			if a == rollout.FenceRefused {
-				c.role.Refuse(step.Fence)
+				c.role.RecordRefusal(step.Fence)
 			}
 			c.shard.Answered(rolloutModel, o, a, c.nowUs())
 		}
--- a/internal/simulation/distribution_source.go
+++ b/internal/simulation/distribution_source.go
@@ -155,7 +155,7 @@
 		s.d.call(s.process, s.addr, other.process, other.addr, catchUpWaitUs, func() func() {
 			known := other.known
 			return func() {
-				s.contact.Answered(other.addr, sentUs)
+				s.contact.RecordAnswer(other.addr, sentUs)
 				if known > s.known {
 					s.learn(s.d.releases[known-1])
 				}
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -18,7 +18,7 @@
 )
 
 // dutyTimes are those the controllers use.
-var dutyTimes = lease.Times{LeaseUs: 3 * Second, ActUs: 400 * Millisecond, SpareUs: 800 * Millisecond}
+var dutyTimes = lease.Times{LeaseUs: 3 * Second, ActUs: 400 * Millisecond, InFlightUs: 800 * Millisecond}
 
 var errNoChange = errors.New("simulation: nothing to change")
 
@@ -75,7 +75,7 @@
 		}
 	}
 	rank, found := lease.Rank(candidates, c.addr, held)
-	view := lease.HolderView{Holder: held.Holder, Fence: held.Fence, Gone: !hasMember(alive, held.Holder), InContact: found, Needed: true, Rank: rank}
+	view := lease.TakeoverView{Holder: held.Holder, Fence: held.Fence, Gone: !hasMember(alive, held.Holder), InContact: found, Needed: true, Rank: rank}
 	if c.takeover.Due(view, now) {
 		c.takeDuty(held)
 	}
--- a/internal/simulation/lease_group.go
+++ b/internal/simulation/lease_group.go
@@ -120,7 +120,7 @@
 			there()
 		}, func() {
 			m.reached[other.addr] = m.nowUs()
-			m.contact.Answered(other.member(), sentUs)
+			m.contact.RecordAnswer(other.member(), sentUs)
 		})
 	}
 }
--- a/internal/simulation/pings.go
+++ b/internal/simulation/pings.go
@@ -50,7 +50,7 @@
 				c.handledBy(member, life)
 				net.Send(to.addr, c.addr, c.process.inLifeOf(life, func() {
 					c.direct[to.addr] = max(c.direct[to.addr], sentUs)
-					c.contact.Answered(member, sentUs)
+					c.contact.RecordAnswer(member, sentUs)
 				}))
 			}
 		})
--- a/internal/simulation/quota_actors.go
+++ b/internal/simulation/quota_actors.go
@@ -30,7 +30,7 @@
 
 func (m *quotaMember) tick() {
 	m.claim()
-	m.process.After(quota.TickUs+m.history.kernel.Between(0, 10*Millisecond), m.tick)
+	m.process.After(quota.ClaimIntervalUs+m.history.kernel.Between(0, 10*Millisecond), m.tick)
 }
 
 func (m *quotaMember) claim() {
@@ -46,7 +46,7 @@
 	return m.known
 }
 
-func (m *quotaMember) send(o quota.Outgoing) {
+func (m *quotaMember) send(o quota.OutgoingClaim) {
 	net, sentUs := m.history.network, m.process.NowUs()
 	other := m.history.memberAt(o.To)
 	var votes messages.QuotaVotes
@@ -132,7 +132,7 @@
 
 // arrive takes a request of a client.
 func (r *quotaRouter) arrive(t *quotaTenant, limit quota.Limit) {
-	token, ok := r.grantee.Arrive(t.name, r.process.NowUs())
+	token, ok := r.grantee.CountAndAcquire(t.name, r.process.NowUs())
 	r.acquire(t, limit, token, ok, func(token quota.Token, denied bool) {
 		if token == (quota.Token{}) {
 			r.history.checks.rejected(t, denied)
@@ -151,7 +151,7 @@
 			r.history.checks.ran(t)
 			return
 		}
-		token, ok := r.grantee.Take(t.name, r.process.NowUs())
+		token, ok := r.grantee.Acquire(t.name, r.process.NowUs())
 		r.acquire(t, limit, token, ok, func(token quota.Token, _ bool) {
 			if token == (quota.Token{}) {
 				r.history.checks.rejectedLate(t)
@@ -202,7 +202,7 @@
 		}
 		ended = true
 		if lent {
-			request.decide(quota.Token{ExpiresUs: r.process.NowUs() + r.grantee.Allowance(request.limit).DelayUs}, false)
+			request.decide(quota.Token{ExpiresUs: r.process.NowUs() + r.grantee.Allowance(request.limit).TokenLifetimeUs}, false)
 		} else {
 			r.borrow(request, lenders[1:])
 		}
@@ -286,7 +286,7 @@
 	}
 	limit, need := r.limit(t), len(r.waiting[t])
 	ask := messages.QuotaAsk{
-		Tenant: t.name, Need: need, Want: r.grantee.Want(t.name, limit, need, askedUs),
+		Tenant: t.name, Need: need, Want: r.grantee.RequestSize(t.name, limit, need, askedUs),
 		RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version,
 	}
 	var grant messages.QuotaGrant
@@ -319,10 +319,10 @@
 func (r *quotaRouter) settle(addr string, t *quotaTenant, limit quota.Limit, need int, grant messages.QuotaGrant, askedUs int64) {
 	nowUs := r.process.NowUs()
 	r.owners[quota.ShardOf(t.name)] = addr
-	r.grantee.Granted(t.name, limit, grant.Granted, askedUs, nowUs)
+	r.grantee.AddGranted(t.name, limit, grant.Granted, askedUs, nowUs)
 	served := 0
 	for len(r.waiting[t]) > 0 {
-		token, ok := r.grantee.Take(t.name, nowUs)
+		token, ok := r.grantee.Acquire(t.name, nowUs)
 		if !ok {
 			break
 		}
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -165,7 +165,7 @@
 
 // rules are what the route of a request says of repeats.
 func (c *requestClient) rules() attempt.Request {
-	return attempt.Request{Repeatable: c.kind != effectfulRequest, Tries: c.tries}
+	return attempt.Request{Repeatable: c.kind != effectfulRequest, MaxAttempts: c.tries}
 }
 
 // plan draws the faults of a history.
--- a/internal/simulation/requests_checks.go
+++ b/internal/simulation/requests_checks.go
@@ -11,7 +11,7 @@
 // part of its answer may have gone out.
 func unknownOrBroken(e *requestExchange) attempt.Result {
 	if e.stream.Len() > 0 {
-		return attempt.BrokenOff
+		return attempt.Interrupted
 	}
 	return attempt.Unknown
 }
--- a/internal/simulation/requests_router.go
+++ b/internal/simulation/requests_router.go
@@ -197,13 +197,13 @@
 	if e.in.ended {
 		return
 	}
-	if e.conn != nil && result != attempt.NotRun {
+	if e.conn != nil && result != attempt.NotExecuted {
 		e.conn.close()
 	}
 	e.conn = nil
 	e.events.Cut()
 	next := e.sequence.Failed(e.rules(), result, e.isOver(), e)
-	if next.Avoid {
+	if next.AvoidRunner {
 		e.avoid = append(e.avoid, e.runner)
 	}
 	if !next.Retry {
@@ -267,7 +267,7 @@
 		e.receivedEvent(a.event)
 	case a.notRun:
 		e.release(conn)
-		e.failed(attempt.NotRun)
+		e.failed(attempt.NotExecuted)
 	case a.status >= 500 && e.sequence.MayRepeat(e.rules()):
 		e.failed(attempt.Unknown)
 	default:
--- a/internal/simulation/traffic/runner.go
+++ b/internal/simulation/traffic/runner.go
@@ -125,7 +125,7 @@
 		tokens := int32(q.Parts[i].Tokens)
 		f.kernel.After(eventDelayUs, func() {
 			for _, a := range f.routers {
-				a.Index.Put(r.id, key, tokens)
+				a.Index.RecordPrefilled(r.id, key, tokens)
 			}
 		})
 	}
--- a/internal/simulation/traffic/traffic.go
+++ b/internal/simulation/traffic/traffic.go
@@ -195,7 +195,7 @@
 	return &request{
 		class: class, router: f.random.IntN(f.options.Routers), arrivedUs: f.kernel.NowUs(),
 		Request: admission.Request{
-			Ref: f.slab.Put(func(admission.Decision) {}), Service: service, Model: model,
+			Ref: f.slab.Store(func(admission.Decision) {}), Service: service, Model: model,
 			Tenant:   fmt.Sprint("tenant-", f.random.IntN(tenants)),
 			TokensIn: c.HeadTokens + c.BodyTokens + own, TokensOut: c.OutTokens,
 			SetpointUs: c.Aim.Microseconds(), TimeLeftUs: c.Deadline.Microseconds(),
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -73,7 +73,7 @@
 	h.platform = &platform{history: h, holders: map[int64]string{}, accepted: map[int64]map[string]int64{}, lastUs: map[string]int64{}}
 	h.group = &leaseGroup{kernel: k, network: h.network, times: dutyTimes}
 	if defects.ActWithoutWaiting {
-		h.group.times.LeaseUs, h.group.times.SpareUs = 0, 0
+		h.group.times.LeaseUs, h.group.times.InFlightUs = 0, 0
 	}
 	for i := range reporters {
 		p := &reporter{history: h, leaseMember: h.group.add(fmt.Sprintf("c%d", i+1), NewProcess(k))}
@@ -253,7 +253,7 @@
 	p.process.After(3*Second, func() { answer(false) })
 	p.history.platform.call(p, window, fence, func(status int) {
 		if status == statusRefused {
-			p.role.Refuse(fence)
+			p.role.RecordRefusal(fence)
 		}
 		answer(status == statusAccepted)
 	})
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -81,8 +81,8 @@
 // Models returns the sorted names of the models that have a version.
 func (t *Table) Models() []string { return slices.Sorted(maps.Keys(t.byModel)) }
 
-// Of returns the versions kept for a model, oldest first.
-func (t *Table) Of(model string) []Target { return slices.Clone(t.byModel[model]) }
+// Targets returns the versions kept for a model, oldest first.
+func (t *Table) Targets(model string) []Target { return slices.Clone(t.byModel[model]) }
 
 // OutdatedUs returns for how long a newer version than the given one has been named,
 // in microseconds; 0 if none has.
@@ -95,29 +95,29 @@
 	return us
 }
 
-// Assume records a version that was received without an age, for example from a
+// RecordAssumedAge records a version that was received without an age, for example from a
 // node that sends an earlier format. Its age counts from nowUs until an age from another
 // node is merged.
-func (t *Table) Assume(model string, version, nowUs int64) {
+func (t *Table) RecordAssumedAge(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, namedAtUs: nowUs, certainty: assumed}, nowUs)
 }
 
-// Named records that a version was committed at nowUs.
-func (t *Table) Named(model string, version, nowUs int64) {
+// RecordNamed records that a version was committed at nowUs.
+func (t *Table) RecordNamed(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, namedAtUs: nowUs, certainty: known}, nowUs)
 }
 
-// Recall records a version that was named before this process started. Its age is
+// RecordUnknownAge records a version that was named before this process started. Its age is
 // unknown.
-func (t *Table) Recall(model string, version, nowUs int64) {
+func (t *Table) RecordUnknownAge(model string, version, nowUs int64) {
 	t.merge(model, Target{Version: version, certainty: unknown}, nowUs)
 }
 
-// Observe merges the ages received from another node.
-func (t *Table) Observe(ages []messages.TargetAge, nowUs int64) {
+// MergeAges merges the ages received from another node.
+func (t *Table) MergeAges(ages []messages.TargetAge, nowUs int64) {
 	for _, age := range ages {
 		if age.AgeUs < 0 {
-			t.Recall(age.Model, age.Version, nowUs)
+			t.RecordUnknownAge(age.Model, age.Version, nowUs)
 		} else {
 			t.merge(age.Model, Target{Version: age.Version, namedAtUs: nowUs - age.AgeUs, certainty: known}, nowUs)
 		}
