--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -2,13 +2,13 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Acceptor is the Paxos acceptor of one register under one identity: the value that
-// it knows to be committed, the ballot that it has promised for the next version
-// and what it has accepted there. It is a pure state machine; its driver makes
-// a changed record durable before the response is sent.
+// Acceptor is the Paxos acceptor of one register under one identity. Its record has
+// the newest committed value that it has learned, the ballot that it has promised for
+// the next version and the value that it has accepted there. It is a pure state
+// machine; its driver makes a changed record durable before the response is sent.
 type Acceptor struct {
-	ID  string          // the identity that votes are given under
-	Rec messages.Record // what has to survive a restart
+	ID  string          // the identity that it votes under
+	Rec messages.Record // the state that must survive a restart
 }
 
 // Less orders ballots: by number, then by proposer.
@@ -19,8 +19,8 @@
 	return a.Who < b.Who
 }
 
-// Learn merges a committed value and reports whether it is newer than the known
-// one. The promise and the accepted value of the older version are dropped.
+// Learn merges a committed value and reports whether it is newer than the one in the
+// record. If it is, the promise and the accepted value are discarded.
 func (a *Acceptor) Learn(v messages.Value) bool {
 	known := len(a.Rec.Committed.Group) > 0
 	if len(v.Group) == 0 || known && v.Version <= a.Rec.Committed.Version {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Handle answers a read, prepare or accept request. changed says that the record
+// Handle responds to a read, prepare or accept request. changed reports that the record
 // has changed and must be on disk before the response is sent.
 func (a *Acceptor) Handle(request messages.ConsensusRequest) (response messages.ConsensusResponse, changed bool) {
 	if request.Step == messages.Read {
@@ -45,8 +45,9 @@
 	return a.accept(request.Ballot, request.Value)
 }
 
-// read answers a read: with the committed value only if it is at or above the
-// requested version, and with whether a value is accepted but not known as committed.
+// read responds to a read. The response has the committed value only if that is at or
+// above the requested version, and reports whether a value is accepted and not known to
+// be committed.
 func (a *Acceptor) read(request messages.ConsensusRequest) messages.ConsensusResponse {
 	version := a.Rec.Committed.Version
 	if request.To != "" && request.To != a.ID {
@@ -79,8 +80,8 @@
 	return messages.ConsensusResponse{}, true
 }
 
-// prepare promises a ballot and reports what has been accepted under a lower one: by the
-// reference that the proposer has sent, if that is to the accepted value.
+// prepare promises a ballot and reports the value accepted under a lower one: by
+// reference, if the proposer has sent the reference to that value.
 func (a *Acceptor) prepare(ballot messages.Ballot, reference messages.Value) (response messages.ConsensusResponse, changed bool) {
 	changed = a.Rec.Promised != ballot
 	a.Rec.Promised = ballot
@@ -98,9 +99,9 @@
 	}, changed
 }
 
-// accept accepts a value, which promises its ballot too. A reference stands for the value
-// that is accepted already; one to another value is rejected as if a higher ballot were
-// promised, and changes nothing.
+// accept accepts a value, and thereby promises its ballot. A reference is resolved to
+// the value that is accepted already. A reference to another value is rejected with the
+// same verdict as a lower ballot, and changes nothing.
 func (a *Acceptor) accept(ballot messages.Ballot, v messages.Value) (response messages.ConsensusResponse, changed bool) {
 	version := a.Rec.Committed.Version
 	if isReference(v) {
--- a/internal/consensus/atomic_files.go
+++ b/internal/consensus/atomic_files.go
@@ -19,21 +19,20 @@
 	checksumSize    = 4 // bytes of the CRC-32 in front of a file's content
 )
 
-// atomicFiles writes the files of one directory so that each is replaced as a whole: to
-// a temporary file, which is synced and renamed, and the directory is synced. A file
-// under its final name was complete and synced before it got that name. So a torn
-// write leaves a temporary file, which never counts, and a file under a final name
-// that fails its checksum was damaged after it was durable. It is safe for
-// concurrent use.
+// atomicFiles replaces files of one directory atomically: it writes and syncs a temporary
+// file, renames it and syncs the directory. A file is complete and synced before it is
+// renamed to its final name. So a torn write leaves only a temporary file, which is
+// ignored, and a file under a final name that fails its checksum was damaged after it was
+// durable. It is safe for concurrent use.
 type atomicFiles struct {
 	files           filesystem.FileSystem
-	directorySynced atomic.Bool // names found at the start are durable
+	directorySynced atomic.Bool // file names found at startup are durable
 
 	closeLock sync.RWMutex // held for reading by each write; guards closed
 	closed    bool
 
 	mu    sync.Mutex             // guards locks
-	locks map[string]*sync.Mutex // by file name: one replace at a time
+	locks map[string]*sync.Mutex // by file name: held by replace
 }
 
 // openAtomicFiles removes the temporary files of interrupted writes.
@@ -66,8 +65,8 @@
 	return names, nil
 }
 
-// read returns the content of a file. The error wraps ErrDamaged if the file is not
-// what was written, fs.ErrNotExist if there is none, and ErrStore otherwise.
+// read returns the content of a file. The error wraps ErrDamaged if the file can't be read
+// or fails its checksum, fs.ErrNotExist if it does not exist, and ErrStore otherwise.
 func (a *atomicFiles) read(name string) ([]byte, error) {
 	b, err := a.files.Read(name)
 	switch {
@@ -78,13 +77,13 @@
 	case err != nil:
 		return nil, errors.Wrap(ErrStore, err.Error())
 	case len(b) <= checksumSize || crc32.ChecksumIEEE(b[checksumSize:]) != binary.BigEndian.Uint32(b):
-		return nil, errors.Wrapf(ErrDamaged, "%s: checksum", name)
+		return nil, errors.Wrapf(ErrDamaged, "%s: checksum mismatch", name)
 	}
 	return b[checksumSize:], nil
 }
 
-// replace writes a file that several goroutines may write: as they use one temporary
-// file, they take turns.
+// replace writes a file that several goroutines may write concurrently. It serializes
+// them, because they use the same temporary file.
 func (a *atomicFiles) replace(name string, content []byte) error {
 	lock := a.lockOf(name)
 	lock.Lock()
@@ -101,13 +100,13 @@
 	return a.locks[name]
 }
 
-// write returns once the content is durable under the name. Where it fails, the file
-// may have either content, and no temporary file remains if the disk allows that.
+// write returns once the content is durable under the name. If it fails, the file may
+// have the old or the new content, and the temporary file is removed if possible.
 func (a *atomicFiles) write(name string, content []byte) error {
 	a.closeLock.RLock()
 	defer a.closeLock.RUnlock()
 	if a.closed {
-		return errors.Wrap(ErrStore, "closed")
+		return errors.Wrap(ErrStore, "write after the store was closed")
 	}
 	temporary := name + temporarySuffix
 	if err := a.writeTemporary(temporary, withChecksum(content)); err != nil {
@@ -121,7 +120,8 @@
 	return a.syncDirectory()
 }
 
-// writeTemporary writes and syncs a temporary file, in place of one left behind.
+// writeTemporary writes and syncs a temporary file, and replaces one left by an earlier
+// write.
 func (a *atomicFiles) writeTemporary(name string, encoded []byte) error {
 	f, err := a.files.Create(name)
 	if errors.Is(err, fs.ErrExist) {
@@ -155,8 +155,9 @@
 	return nil
 }
 
-// syncDirectoryOnce syncs the directory unless that was done since the start: a
-// process that was killed may have left a name that a loss of power would take.
+// syncDirectoryOnce syncs the directory unless this process has done so: an earlier
+// process may have been killed between a rename and the sync of the directory, and a loss
+// of power would undo that rename.
 func (a *atomicFiles) syncDirectoryOnce() error {
 	if a.directorySynced.Load() {
 		return nil
--- a/internal/consensus/attempt.go
+++ b/internal/consensus/attempt.go
@@ -4,39 +4,41 @@
 
 // Attempt is the proposer of one change: it runs one Round after another, each under
 // a higher ballot or on a newer base, until the change is committed or rejected. It
-// is pure; its driver sends the requests of the rounds, learns the values that they
-// return, and may give up at any time, after which the change may still be committed.
+// is a pure state machine. Its driver sends the requests of the rounds, learns the
+// values that they return, and may abandon the attempt at any time, after which the
+// change may still be committed.
 //
-// A rejection is final, for three reasons. The round had promises from a majority
-// of the base's group, none of which had accepted a value: so nothing was committed
-// on top of the base when the last of them promised, and the rejection holds for the
-// newest state, however old the base was for its node. A change depends on nothing but
-// the base, so every earlier attempt of the same order was rejected on it too; where
-// that is not certain, SealRefusal closes the version first. And what a change
-// rejects on one value, it rejects on every later value.
+// A rejection is final, for three reasons. First, a majority of the base's group has
+// promised the round's ballot and none of these members had accepted a value: so nothing
+// was committed on top of the base when the last of them promised, and the rejection
+// holds for the newest state, even if this node had learned the base long before.
+// Second, a change depends on nothing but the base, so every earlier attempt at the same
+// request was rejected on it too; where that is not certain, SealRefusal closes the
+// version first. Third, a change that is rejected on one value is rejected on every
+// later value.
 type Attempt struct {
 	part          int
 	stamp         string
 	change        Change
-	highestBallot messages.Ballot // the highest ballot met on the current base
+	highestBallot messages.Ballot // the highest ballot seen on the current base
 }
 
-// NewAttempt starts an attempt. The stamp identifies what it proposes and must be
-// unique over all attempts of all members.
+// NewAttempt starts an attempt. The stamp identifies its proposals and must be unique
+// over all attempts of all members.
 func NewAttempt(part int, stamp string, change Change) *Attempt {
 	return &Attempt{part: part, stamp: stamp, change: change}
 }
 
-// Round starts the next round on top of the newest committed value known.
+// Round starts the next round on top of the newest committed value that was learned.
 func (a *Attempt) Round(base messages.Value) *Round {
 	ballot := messages.Ballot{N: a.highestBallot.N + 1, Who: a.stamp}
 	return NewRound(a.part, base, ballot, a.stamp, a.change)
 }
 
-// Progress is how an attempt proceeds after a round.
+// Progress is the next action of an attempt after a round.
 type Progress int
 
-// What to do after a round.
+// Next actions after a round.
 const (
 	Finished  Progress = iota // the change is committed, or rejected with Err of the round
 	NextRound                 // another value was committed first: start a round on top of it
@@ -56,7 +58,7 @@
 	return "unknown"
 }
 
-// Finish records a round that has ended or was abandoned, and returns how to proceed.
+// Finish records a round that has ended or was abandoned, and returns the next action.
 func (a *Attempt) Finish(round *Round) Progress {
 	switch round.End {
 	case Rejected:
--- a/internal/consensus/catchup.go
+++ b/internal/consensus/catchup.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// chunkTimeout bounds one response. A chunk is small, so a longer silence is a
-	// broken link or a sender that is gone, not a slow one.
+	// chunkTimeout bounds the wait for one response. A chunk is small, so a longer wait
+	// means a broken link or a failed sender, not a slow one.
 	chunkTimeout = 1500 * time.Millisecond
-	// maxUselessResponses is how many responses in a row may be missing or of no use
-	// before a transfer is given up.
+	// maxUselessResponses is how many responses in a row may be missing or unusable
+	// before a transfer is abandoned.
 	maxUselessResponses = 3
-	// transferTimePerByte is the time that a byte of a large value adds to a timeout.
+	// transferTimePerByte is the time that each byte of a large value adds to a timeout.
 	transferTimePerByte = 4 * time.Microsecond
 )
 
-// isLarge reports whether a value is sent in chunks to nodes that lack it.
+// isLarge reports whether a value is sent in chunks to nodes that do not have it.
 func isLarge(v messages.Value) bool { return len(v.Body) > statesync.ChunkBytes }
 
-// transferAllowance is what a round trip with a large value may take longer.
+// transferAllowance returns how much longer a round trip with a value may take, which is
+// zero for a small value.
 func transferAllowance(v messages.Value) time.Duration {
 	if !isLarge(v) {
 		return 0
@@ -32,11 +33,11 @@
 	return time.Duration(len(v.Body)) * transferTimePerByte
 }
 
-// Pull is the catch-up: it learns what the controller at addr has committed, a small
-// value in one response, a large one in chunks. It does nothing while another
-// catch-up from there, or a transfer of this register, is under way. After
-// ErrTransferStalled what has arrived is kept, and the next catch-up, from any
-// controller, resumes there.
+// Pull catches up with the controller at addr: it fetches and learns the committed value
+// of a register, a small value in one response, a large one in chunks. It does nothing
+// while another catch-up from that address, or a transfer of this register, is in
+// progress. After ErrTransferStalled the chunks received are retained, and the next
+// catch-up, from any controller, resumes after them.
 func (r *Registers) Pull(ctx context.Context, addr string, part int) error {
 	transfers := r.registers[part].transfers
 	if !transfers.startFetch(addr) {
@@ -84,8 +85,8 @@
 	}
 }
 
-// fetchNextChunk repeats a fetch until there is a response, or too many in a row were
-// missing or of no use. It returns the count of those.
+// fetchNextChunk retries a fetch until there is a response, or too many in a row were
+// missing or unusable. It returns their count.
 func (r *Registers) fetchNextChunk(ctx context.Context, addr string, part, useless int) (messages.ConsensusResponse, int, error) {
 	for ; useless < maxUselessResponses; useless++ {
 		response, err := r.fetchChunk(ctx, addr, part)
@@ -99,8 +100,8 @@
 	return messages.ConsensusResponse{}, useless, ErrTransferStalled
 }
 
-// fetchChunk asks for the next chunk of the value being received, or for any value
-// newer than the committed one.
+// fetchChunk requests the next chunk of the value being received, or else any value newer
+// than the committed one.
 func (r *Registers) fetchChunk(ctx context.Context, addr string, part int) (messages.ConsensusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
@@ -120,8 +121,9 @@
 	return nil
 }
 
-// serveCommitted answers a catch-up with the committed value, or a chunk of it. It
-// never waits for a disk: a committed value is true whoever has it.
+// serveCommitted responds to a catch-up with the committed value, or a chunk of it. It
+// does not wait for the disk: a committed value never changes, so a node may serve it
+// before it has stored it.
 func (r *Registers) serveCommitted(request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
 	register := r.registers[request.Part]
 	v := register.committed.Load()
@@ -141,12 +143,12 @@
 	}, nil
 }
 
-// ForgetTransfers drops encoded values that nobody fetches any more.
+// ForgetTransfers frees the encoded values that no node fetches any more.
 func (r *Registers) ForgetTransfers() {
 	for _, register := range r.registers {
 		register.transfers.expire(r.uptimeUs())
 	}
 }
 
-// uptimeUs is the time since this process opened the registers, in microseconds.
+// uptimeUs returns the time since Open, in microseconds.
 func (r *Registers) uptimeUs() int64 { return time.Since(r.started).Microseconds() }
--- a/internal/consensus/change.go
+++ b/internal/consensus/change.go
@@ -15,27 +15,28 @@
 	roundTimeout = 500 * time.Millisecond
 	// commitTimeout bounds a commit message where values are small.
 	commitTimeout = time.Second
-	// sealTimeout is how long a sealed rejection waits for the members that have
-	// not promised yet, before the version is closed without them.
+	// sealTimeout is how long a sealed rejection waits for the members that have not
+	// promised yet, before the version is closed by committing a sealing value.
 	sealTimeout = 150 * time.Millisecond
 
-	// A backoff is drawn from zero to backoffBaseMs, and backoffStepMs more for each
-	// attempt so far, of which backoffMaxSteps count.
+	// A backoff is drawn at random between zero and a limit: backoffBaseMs, plus
+	// backoffStepMs for each retry so far, of which at most backoffMaxSteps count.
 	backoffBaseMs   = 10
 	backoffStepMs   = 20
 	backoffMaxSteps = 8
 
-	// spreadPerByte is the time that a byte of a large value adds to a backoff.
+	// spreadPerByte is the time that a byte of a large value adds to the limit of a
+	// backoff.
 	spreadPerByte = 2 * time.Microsecond
 
-	// responseBuffer holds the responses of both phases and their repeats, so that
-	// senders rarely wait for the round.
+	// responseBuffer has room for the responses of both phases and for repeated ones, so
+	// that senders rarely block.
 	responseBuffer = 64
 )
 
-// Change runs rounds until the change is committed or rejects itself, or until ctx
-// ends. It returns the committed value, or the error of the change. After ErrUnsure
-// the change may still be committed.
+// Change runs rounds until the change is committed or rejected, or until ctx ends. It
+// returns the committed value, or the error of the change. After ErrUnsure the change
+// may still be committed.
 func (r *Registers) Change(ctx context.Context, part int, change Change) (messages.Value, error) {
 	attempt := NewAttempt(part, r.incarnation+Random(), change)
 	for retries := 0; ; retries++ {
@@ -67,15 +68,16 @@
 	}
 }
 
-// backoff waits a random time that grows with the retries and with the values that every
-// vote writes to disk, so that proposers that preempt each other get out of step.
+// backoff waits a random time, so that proposers that preempt each other do not retry
+// at the same time. Its limit grows with the retries and with the size of the values
+// that every vote writes to disk.
 func backoff(ctx context.Context, retries int, values ...messages.Value) {
 	limit := time.Duration(backoffBaseMs+backoffStepMs*min(retries, backoffMaxSteps)) * time.Millisecond
 	pause(ctx, limit+spread(values...))
 }
 
-// spread is the time over which proposers of a large value begin, so that one of them
-// comes to its end before the next begins.
+// spread returns the interval over which proposers of a large value start at random, so
+// that one of them finishes before the next starts. It is zero for small values.
 func spread(values ...messages.Value) time.Duration {
 	bytes := 0
 	for _, v := range values {
@@ -95,8 +97,8 @@
 	}
 }
 
-// broadcastCommit learns a committed value and sends it to the members of the old
-// and the new group. Nothing waits for that: a member that misses it catches up later.
+// broadcastCommit learns a committed value and sends it to the members of the old and
+// the new group without waiting: a member that misses it catches up later.
 func (r *Registers) broadcastCommit(part int, v messages.Value, old []messages.Member) {
 	r.Learn(part, v)
 	for _, m := range unionOf(old, v.Group) {
@@ -104,7 +106,7 @@
 			continue
 		}
 		go func() {
-			// The commit outlives the request that made the change.
+			// Not derived from the context of Change, which may end before the commit is sent.
 			ctx, cancel := context.WithTimeout(context.Background(), commitTimeout+transferAllowance(v))
 			defer cancel()
 			r.sendCommit(ctx, part, m, v)
@@ -112,8 +114,8 @@
 	}
 }
 
-// sendCommit sends a member a committed value; a large one only if the member has not
-// accepted it, and so cannot tell it by a reference.
+// sendCommit sends a committed value to a member. Of a large value it sends the reference
+// first, and the value itself only if the member has not accepted it.
 func (r *Registers) sendCommit(ctx context.Context, part int, m messages.Member, v messages.Value) {
 	request := messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
 	if isLarge(v) {
@@ -127,7 +129,7 @@
 	_, _ = r.send(ctx, m, request)
 }
 
-// memberResponse is a member's response to a request of a step, or the error of
+// memberResponse is a member's response to a request of the given step, or the error of
 // the call.
 type memberResponse struct {
 	member   messages.Member
@@ -136,14 +138,15 @@
 	err      error
 }
 
-// roundDriver carries the requests of one round to the members and their responses
-// back. All but its sending goroutines belong to the goroutine that calls run.
+// roundDriver sends the requests of one round to the members and passes their responses
+// to the round. Apart from the goroutines that send, it runs in the goroutine that calls
+// run.
 type roundDriver struct {
 	registers *Registers
 	round     *Round
 	responses chan memberResponse
-	// referencedTo has the members that were sent a reference to the base in place
-	// of the base, as that is large.
+	// referencedTo has the members that were sent a reference to the base instead of the
+	// base itself, because the base is large.
 	referencedTo map[string]bool
 }
 
@@ -156,8 +159,8 @@
 	}
 }
 
-// run returns once the round has ended, or with the round in progress at the timeout of
-// its phase. A large value that is proposed has the time to reach the members.
+// run returns once the round has ended, or at the timeout of its phase with the round
+// still in progress. The timeout of the accept phase is longer for a large value.
 func (d *roundDriver) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -189,8 +192,8 @@
 	}
 }
 
-// send sends requests, those to one member one after the other and those to different
-// members at once.
+// send sends requests to different members concurrently, and those to one member one
+// after the other.
 func (d *roundDriver) send(ctx context.Context, requests []Request) {
 	byMember := map[string][]Request{}
 	for _, request := range requests {
@@ -203,9 +206,9 @@
 	}
 }
 
-// replaceLargeBase puts a reference to a large base in place of the base. It reports
-// false for a member that had one before: that one fetches the base in chunks, and
-// votes once it has it.
+// replaceLargeBase replaces a large base in a commit request by a reference to it. It
+// returns false for a member that was sent one before: that member lacks the base,
+// fetches it in chunks, and votes once it has it.
 func (d *roundDriver) replaceLargeBase(id string, list []Request) (send bool) {
 	if !isLarge(d.round.Base) || list[0].Body.Step != messages.Commit {
 		return true
@@ -222,7 +225,7 @@
 	for _, request := range list {
 		response, err := d.registers.send(ctx, request.To, request.Body)
 		if request.Body.Step == messages.Commit && err == nil {
-			continue // what matters is the response to the request that follows
+			continue // the round only needs the response to the request that follows
 		}
 		select {
 		case d.responses <- memberResponse{request.To, request.Body.Step, response, err}:
--- a/internal/consensus/confirm.go
+++ b/internal/consensus/confirm.go
@@ -6,10 +6,10 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Confirm asks a member whether it has the committed value v, or a newer one, on
-// disk. It is the first of the two steps of a join: only members that confirmed are
-// proposed. The value is sent only to a member that does not have it. A member whose
-// build does not know the question never confirms, and so never joins.
+// Confirm requests a confirmation that a member has the committed value v, or a newer
+// one, on disk. It is the first of the two steps of a join: only members that confirmed
+// are proposed. The value is sent only to a member that does not have it. A member whose
+// build does not support confirmations never confirms, and so never joins.
 func (r *Registers) Confirm(ctx context.Context, part int, m messages.Member, v messages.Value) (bool, error) {
 	request := messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Commit, Slot: v.Version, Flush: true}
 	response, err := r.send(ctx, m, request)
@@ -17,18 +17,18 @@
 		return response.Durable, err
 	}
 	if isLarge(v) {
-		return false, nil // the member fetches it in chunks and is asked again
+		return false, nil // the member fetches it in chunks, and the caller retries
 	}
 	request.Value = v
 	response, err = r.send(ctx, m, request)
 	return response.Durable, err
 }
 
-// Retire makes this member refuse to join any group from now on, since its process
-// is shutting down. In groups that it belongs to it goes on voting.
+// Retire prevents this member from joining any further group, because its process is
+// shutting down. It continues to vote in the groups that it belongs to.
 func (r *Registers) Retire() { r.retired.Store(true) }
 
-// confirmDurable answers a Confirm once the committed value is on disk.
+// confirmDurable responds to a Confirm once the committed value is on disk.
 func (r *Registers) confirmDurable(ctx context.Context, request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
 	if request.To != r.id {
 		return messages.ConsensusResponse{Verdict: messages.Stranger}, nil
--- a/internal/consensus/counts.go
+++ b/internal/consensus/counts.go
@@ -1,4 +1,4 @@
-// Counts of rounds and reads, for the metrics.
+// Counters of rounds and reads, for the metrics.
 
 package consensus
 
@@ -8,18 +8,18 @@
 	"beechtide.org/beechtide/internal/histogram"
 )
 
-// Counts counts the rounds and reads that a member has run. It is safe for concurrent
-// use, and the zero value is ready for use.
+// Counts counts the rounds and quorum reads that a member has run. It is safe for
+// concurrent use, and the zero value is ready for use.
 type Counts struct {
-	// RoundDurations is how long rounds took, whatever their outcome.
+	// RoundDurations are the durations of rounds with any outcome.
 	RoundDurations histogram.Durations
 
 	rounds [Rejected + 1]atomic.Int64
 	reads  [Undecided + 1]atomic.Int64
 }
 
-// Rounds is how many rounds ended, by outcome. A round that is still in progress had
-// no quorum in time.
+// Rounds returns the number of rounds by outcome. A round that was still in progress at
+// its timeout is counted as "no quorum".
 func (c *Counts) Rounds() map[string]int64 {
 	out := map[string]int64{}
 	for outcome := range c.rounds {
@@ -32,8 +32,7 @@
 	return out
 }
 
-// Reads is how often the members of a group were asked for the newest value, by
-// result.
+// Reads returns the number of quorum reads by result.
 func (c *Counts) Reads() map[string]int64 {
 	out := map[string]int64{}
 	for result := range c.reads {
@@ -42,5 +41,5 @@
 	return out
 }
 
-// Counts returns the counts of this member.
+// Counts returns the counters of this member.
 func (r *Registers) Counts() *Counts { return &r.counts }
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -20,17 +20,17 @@
 	recordSuffix = ".rec"
 )
 
-// DiskStore is a Store in a directory: the identity in one file, and each saved record
-// in a file of its own, named by register and sequence number. Older files of the
-// register are removed once the new one is durable.
+// DiskStore is a Store in a directory. The identity is in one file, and each saved record
+// in a file of its own, named by register and sequence number. Older files of a register
+// are removed once the new one is durable.
 type DiskStore struct {
 	files *atomicFiles
 
 	mu           sync.Mutex    // guards lastSequence
-	lastSequence map[int]int64 // by register: of the newest record file
+	lastSequence map[int]int64 // by register: sequence number of the newest record file
 }
 
-// NewDiskStore uses the directory dir, which is made if it is missing.
+// NewDiskStore opens a store in the directory dir, which is created if it is missing.
 func NewDiskStore(dir string) (*DiskStore, error) {
 	files, err := filesystem.Open(dir)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return OpenDiskStore(files)
 }
 
-// OpenDiskStore uses a directory, and removes temporary files of interrupted writes.
+// OpenDiskStore opens a store in a directory, and removes the temporary files of
+// interrupted writes.
 func OpenDiskStore(files filesystem.FileSystem) (*DiskStore, error) {
 	opened, err := openAtomicFiles(files)
 	if err != nil {
@@ -51,7 +52,7 @@
 // Close waits for the writes in progress; later ones fail.
 func (d *DiskStore) Close() { d.files.close() }
 
-// Identity reads the identity; a damaged or empty file counts as none.
+// Identity reads the identity; a damaged or empty file counts as missing.
 func (d *DiskStore) Identity() (string, bool, error) {
 	content, err := d.files.read(identityFile)
 	switch {
@@ -63,7 +64,7 @@
 	return string(content), true, nil
 }
 
-// Empty reports whether there is no file, temporary ones aside.
+// Empty reports whether the directory has no files other than temporary ones.
 func (d *DiskStore) Empty() (bool, error) {
 	names, err := d.files.list()
 	if err != nil {
@@ -77,8 +78,8 @@
 	return true, nil
 }
 
-// ResetIdentity empties the identity file, erases the votes, and then writes the new identity.
-// If it is interrupted there is no identity, and the next start begins it again.
+// ResetIdentity empties the identity file, erases the votes, and then writes the new
+// identity. If it is interrupted, no identity is stored, and the next start runs it again.
 func (d *DiskStore) ResetIdentity(id string) error {
 	empty, err := d.Empty()
 	if err != nil {
@@ -100,7 +101,7 @@
 	return d.Keep(identityFile, []byte(id))
 }
 
-// eraseVotes saves a record without its votes, or removes it if it is damaged.
+// eraseVotes saves a register's record without its votes, or removes it if it is damaged.
 func (d *DiskStore) eraseVotes(part int) error {
 	record, ok, err := d.Load(part)
 	switch {
@@ -125,20 +126,20 @@
 	return nil
 }
 
-// Sync syncs the directory once: a process that was killed may have left a name
-// that would not outlast a loss of power.
+// Sync syncs the directory once per process: an earlier process may have been killed
+// after a rename that would not survive a loss of power yet.
 func (d *DiskStore) Sync() error { return d.files.syncDirectoryOnce() }
 
-// Note reads a file that Keep wrote, and false if it is missing or damaged.
+// Note reads a file that Keep has written. It returns false if that is missing or damaged.
 func (d *DiskStore) Note(name string) ([]byte, bool) {
 	content, err := d.files.read(name)
 	return content, err == nil
 }
 
-// Keep makes a small file durable under a name, in place of its earlier content.
+// Keep atomically replaces the content of a small file, and returns once it is durable.
 func (d *DiskStore) Keep(name string, content []byte) error { return d.files.replace(name, content) }
 
-// recordFile is a file that holds a record.
+// recordFile is a file with a record of a register.
 type recordFile struct {
 	sequence int64
 	name     string
@@ -167,8 +168,8 @@
 	return out, nil
 }
 
-// Load returns the newest record of a register. If its file is damaged, the file before
-// it does not count: that would be a member that has forgotten a vote.
+// Load returns the newest record of a register. If its file is damaged, it does not fall
+// back to an older file, which lacks votes that the member has given since.
 func (d *DiskStore) Load(part int) (messages.Record, bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,7 +188,7 @@
 	}
 	var record messages.Record
 	if _, err := record.UnmarshalMsg(content); err != nil {
-		return messages.Record{}, false, errors.Wrapf(ErrStore, "%s: intact, but not a record that this version reads: %s", newest.name, err)
+		return messages.Record{}, false, errors.Wrapf(ErrStore, "%s: checksum matches, but this version can't decode the record: %s", newest.name, err)
 	}
 	return record, true, nil
 }
@@ -202,12 +203,12 @@
 	sequence := d.nextSequence(part)
 	name := fmt.Sprintf("%s%d%s", recordPrefix(part), sequence, recordSuffix)
 	if err := d.files.write(name, encoded); err != nil {
-		_ = d.files.remove(name) // it may have been renamed and not be durable
+		_ = d.files.remove(name) // it may have been renamed without being durable
 		return err
 	}
 	files, err := d.recordFiles(part)
 	if err != nil {
-		return nil // the record is durable; the next Save removes what is older
+		return nil // the record is durable; the next Save removes the older files
 	}
 	for _, file := range files {
 		if file.sequence < sequence {
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -5,14 +5,14 @@
 var (
 	// ErrUnsure means that a change may or may not have been committed.
 	ErrUnsure = errors.New("consensus: no majority answered; the change may or may not have been made")
-	// ErrNoGroup means that this node does not know any group yet.
+	// ErrNoGroup means that this node has not learned any group yet.
 	ErrNoGroup = errors.New("consensus: no group known yet")
-	// ErrTransferStalled means that a transfer of a value stopped; what has arrived
-	// of it is kept.
-	ErrTransferStalled = errors.New("consensus: the sender of a value fell silent")
+	// ErrTransferStalled means that the transfer of a value was interrupted. The chunks
+	// received so far are retained, and the next transfer resumes after them.
+	ErrTransferStalled = errors.New("consensus: value transfer stalled: no usable response from the sender")
 	// ErrStore is wrapped by every error of a store.
 	ErrStore = errors.New("consensus: store")
-	// ErrDamaged means that a record was on disk and can't be read now: its votes
-	// are lost.
+	// ErrDamaged means that a record was written to disk and can no longer be read: its
+	// votes are lost.
 	ErrDamaged = errors.New("consensus: damaged record")
 )
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -7,20 +7,21 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// maxGroupSize bounds the members of one register.
+// maxGroupSize is the maximum number of members of the group of a register.
 const maxGroupSize = 9
 
 // Status is a controller's view of the other controllers.
 type Status struct {
 	Ready   []messages.Member            // alive and eligible, with their current identities
-	GoneFor func(addr string) (us int64) // how long a controller has not answered, 0 if it is alive
-	GoneUs  int64                        // how long a member must be gone to be replaced or removed
+	GoneFor func(addr string) (us int64) // how long a controller has been unreachable, 0 if it is alive
+	GoneUs  int64                        // how long a member must be unreachable to be replaced or removed
 }
 
-// Stand makes a Status from the live controllers. Where some of them are counted
-// (the number that fails at once is bounded), only they are eligible as members: any
-// number of the others may go at once, so an uncounted member is treated as gone
-// and replaced once a counted controller is ready.
+// Stand returns the Status for a set of live controllers. Controllers are counted if the
+// number of them that fail at once is bounded. If any live controller is counted, only
+// counted ones are eligible as members: any number of the others may fail at once, so an
+// uncounted member is treated as unreachable and replaced once a counted controller is
+// ready.
 func Stand(alive []messages.Peer, goneFor func(addr string) int64, goneUs int64) Status {
 	counted := false
 	for _, peer := range alive {
@@ -44,10 +45,11 @@
 	return status
 }
 
-// RepairGroup returns the next group of a register, and false if it should stay as it
-// is. It makes one change: a wiped member is replaced by its new identity, else a
-// member that is gone by a candidate or, in a group of even size, removed, else the
-// group grows, unless it would stay at an even size for lack of a second candidate.
+// RepairGroup returns the next group of a register, and false if the group should not
+// change. It makes at most one change, the first that applies: a wiped member is replaced
+// by its new identity; an unreachable member is replaced by a candidate or, in a group of
+// even size without a candidate, removed; a candidate is added, unless the group would
+// stay at an even size for lack of a second candidate.
 func RepairGroup(group []messages.Member, s Status) ([]messages.Member, bool) {
 	candidates := Newcomers(group, s)
 	if next, wiped := replaceWiped(group, candidates); wiped {
@@ -65,7 +67,7 @@
 	return nil, false
 }
 
-// replaceWiped replaces the first member that has come back under a new identity.
+// replaceWiped replaces the first member that has restarted under a new identity.
 func replaceWiped(group, candidates []messages.Member) ([]messages.Member, bool) {
 	for _, candidate := range candidates {
 		for i, m := range group {
@@ -77,7 +79,7 @@
 	return nil, false
 }
 
-// firstGone returns the index of the first member that is gone.
+// firstGone returns the index of the first member that has been unreachable for GoneUs.
 func firstGone(group []messages.Member, s Status) (int, bool) {
 	for i, m := range group {
 		if s.GoneFor(m.Addr) >= s.GoneUs {
@@ -96,9 +98,9 @@
 	return len(group)%2 == 0 || len(candidates) > 1
 }
 
-// HandOver returns the group in which a member that shuts down is replaced by a candidate,
-// and false if there is none. A candidate at the address of a member is that member
-// after a loss of its disk: it is for RepairGroup to take it in.
+// HandOver returns the group in which a member that is shutting down is replaced by a
+// candidate, and false if there is no candidate. A candidate at the address of a member
+// is that member after the loss of its disk, which only RepairGroup replaces.
 func HandOver(group []messages.Member, self string, s Status) ([]messages.Member, bool) {
 	for _, candidate := range Newcomers(group, s) {
 		if memberAt(group, candidate.Addr).ID != "" {
@@ -113,8 +115,8 @@
 	return nil, false
 }
 
-// Newcomers returns the candidates, the ready controllers that are not members, sorted by
-// identity.
+// Newcomers returns the candidates for membership: the ready controllers that are not
+// members, sorted by identity.
 func Newcomers(group []messages.Member, s Status) []messages.Member {
 	var out []messages.Member
 	for _, m := range s.Ready {
--- a/internal/consensus/handler.go
+++ b/internal/consensus/handler.go
@@ -12,14 +12,14 @@
 // handleTimeout bounds the handling of a request, which may wait for the disk.
 const handleTimeout = 2 * time.Second
 
-// Handle answers a request that came over the transport.
+// Handle responds to a request that was received over the transport.
 func (r *Registers) Handle(ctx context.Context, body []byte) ([]byte, error) {
 	var request messages.ConsensusRequest
 	if _, err := request.UnmarshalMsg(body); err != nil {
 		return nil, errors.Wrap(err, "consensus: decode request")
 	}
 	if request.Part < 0 || request.Part >= Parts {
-		return nil, errors.New("consensus: no such part")
+		return nil, errors.New("consensus: handle request: register index out of range")
 	}
 	ctx, cancel := context.WithTimeout(ctx, handleTimeout)
 	defer cancel()
@@ -40,8 +40,8 @@
 	return r.handleVote(ctx, request)
 }
 
-// handleCommit learns a committed value, or what was accepted if the request carries
-// a reference to it. With Flush set it answers once the value is on disk.
+// handleCommit learns a committed value, or the accepted value if the request has a
+// reference to it. With Flush set, it responds once the value is on disk.
 func (r *Registers) handleCommit(ctx context.Context, request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
 	if isReference(request.Value) {
 		return r.commitReferenced(ctx, request)
@@ -53,8 +53,8 @@
 	return messages.ConsensusResponse{Verdict: messages.Granted}, nil
 }
 
-// handleVote answers a read, prepare or accept as acceptor. The changed record is on
-// disk when it returns; if the write fails, the record is as it was before.
+// handleVote passes a read, prepare or accept request to the acceptor. A changed record
+// is on disk when it returns; if the write fails, the change is rolled back.
 func (r *Registers) handleVote(ctx context.Context, request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
 	register := r.registers[request.Part]
 	if err := register.lock(ctx); err != nil {
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -14,7 +14,7 @@
 	return n > len(group)/2
 }
 
-// unionOf lists the members of both groups, those of the first one first.
+// unionOf returns the members of both groups, those of the first one first.
 func unionOf(a, b []messages.Member) []messages.Member {
 	out := append([]messages.Member{}, a...)
 	for _, m := range b {
@@ -25,7 +25,7 @@
 	return out
 }
 
-// addedMembers lists who is in the group after and not in the group before.
+// addedMembers returns the members of the group after that are not in the group before.
 func addedMembers(before, after []messages.Member) []messages.Member {
 	var out []messages.Member
 	for _, m := range after {
@@ -61,8 +61,8 @@
 	return messages.Member{}
 }
 
-// replaceMember returns a group without its member at index i, and with by in that
-// place unless it is nil.
+// replaceMember returns a copy of a group in which the member at index i is replaced by
+// another, or removed if that is nil.
 func replaceMember(group []messages.Member, i int, by *messages.Member) []messages.Member {
 	out := append([]messages.Member{}, group[:i]...)
 	if by != nil {
--- a/internal/consensus/memory_store.go
+++ b/internal/consensus/memory_store.go
@@ -6,7 +6,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// MemoryStore is a Store that ends with the process, for machines without a disk. The
+// MemoryStore is a Store in the memory of the process, for machines without a disk. The
 // zero value is empty and ready for use.
 type MemoryStore struct {
 	mu      sync.Mutex // guards all below
@@ -28,7 +28,7 @@
 	return m.id == "" && len(m.records) == 0, nil
 }
 
-// ResetIdentity adopts another identity and erases the votes.
+// ResetIdentity stores another identity and erases the votes.
 func (m *MemoryStore) ResetIdentity(id string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// Load returns the record that was saved last.
+// Load returns the most recently saved record.
 func (m *MemoryStore) Load(part int) (messages.Record, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,5 +58,5 @@
 	return nil
 }
 
-// Sync does nothing: a power loss ends the process too.
+// Sync does nothing: a loss of power loses all of the store in any case.
 func (m *MemoryStore) Sync() error { return nil }
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -6,13 +6,13 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// persistRetryInterval is the wait before a write that the disk refused is repeated.
+// persistRetryInterval is the wait before a failed write is retried.
 const persistRetryInterval = 300 * time.Millisecond
 
-// persistInBackground writes the committed value to disk in a goroutine, one a
-// register. Agreement does not need that, but after a membership change the old group
-// may be gone: then the members of the new group must know it from their own disks,
-// after a loss of power too.
+// persistInBackground writes the committed value to disk in a goroutine, at most one per
+// register. Safety does not depend on that, but after a membership change the old group
+// may no longer exist: after a loss of power the members of the new group must then find
+// it on their own disks.
 func (r *Registers) persistInBackground(part int) {
 	register := r.registers[part]
 	if !register.persisting.CompareAndSwap(false, true) {
@@ -29,7 +29,7 @@
 				continue
 			}
 			register.persisting.Store(false)
-			// A value learned before the flag was cleared started no goroutine of its own.
+			// No goroutine was started for a value that was learned before the flag was cleared.
 			if register.committed.Load() == v || !register.persisting.CompareAndSwap(false, true) {
 				return
 			}
@@ -37,8 +37,8 @@
 	}()
 }
 
-// persistLocked learns a committed value into the record and saves it, unless it is
-// on disk already. The caller holds the register's recordLock.
+// persistLocked merges a committed value into the record and saves the record, unless the
+// value is on disk already. The caller holds the register's recordLock.
 func (r *Registers) persistLocked(part int, v messages.Value) error {
 	register := r.registers[part]
 	before := register.acceptor.Rec
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// saveRecord writes a record to the store and keeps how that went for LastSave. The
-// caller holds the register's recordLock.
+// saveRecord writes a record to the store and records the result for LastSave. The caller
+// holds the register's recordLock.
 func (r *Registers) saveRecord(part int, record messages.Record) error {
 	began := time.Now()
 	err := r.store.Save(part, record)
@@ -64,7 +64,8 @@
 	return err
 }
 
-// recordSaveResult keeps the result of a write, and logs the first of several failures.
+// recordSaveResult stores the result of a write for LastSave, and logs the first of
+// several consecutive failures.
 func (r *Registers) recordSaveResult(took time.Duration, err error) {
 	r.lastSaveUs.Store(took.Microseconds())
 	fault := ""
@@ -72,12 +73,12 @@
 		fault = err.Error()
 	}
 	if old := r.lastSaveFault.Swap(&fault); err != nil && (old == nil || *old == "") {
-		r.log.Error(err, "the store refuses writes; this member gives no votes meanwhile")
+		r.log.Error(err, "store write failed: this member does not vote until a write succeeds")
 	}
 }
 
-// LastSave returns how many microseconds the last write to the store took, and its
-// error, which is empty where it succeeded.
+// LastSave returns the duration of the last write to the store in microseconds, and its
+// error, which is empty if it succeeded.
 func (r *Registers) LastSave() (us int64, fault string) {
 	if f := r.lastSaveFault.Load(); f != nil {
 		fault = *f
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// readTimeout bounds one question to the group.
+	// readTimeout bounds one read from the group.
 	readTimeout = 400 * time.Millisecond
-	// readRetryInterval is the wait before a read that found no quorum is repeated.
+	// readRetryInterval is the wait before a read without a quorum is retried.
 	readRetryInterval = 30 * time.Millisecond
 )
 
-// ErrNoChange is what a Change returns where there is nothing to change. It also ends the round that
-// a read runs to finish an accepted value.
+// ErrNoChange is returned by a Change that has nothing to change. The round that a read
+// runs to finish an accepted value ends with it if no value is accepted.
 var ErrNoChange = errors.New("consensus: no change")
 
-// Read is a linearizable read: it gives the newest value committed when it began.
-// It retries until ctx ends, and returns ErrUnsure then. A value that is accepted and
-// may be committed is brought to an end first.
+// Read is a linearizable read: the value that it returns is at least as new as any that
+// was committed when it began. It retries until ctx ends, and then returns ErrUnsure. If
+// a value is accepted and may be committed, Read finishes its round first.
 func (r *Registers) Read(ctx context.Context, part int) (messages.Value, error) {
 	waited := false
 	for ctx.Err() == nil {
@@ -42,7 +42,7 @@
 		case Undecided:
 			if limit := spread(r.accepted(ctx, part)); limit > 0 && !waited {
 				waited = true
-				pause(ctx, limit) // another member may bring it to its end meanwhile
+				pause(ctx, limit) // another member may finish the round first
 				continue
 			}
 			if err := r.finishAccepted(ctx, part); err != nil {
@@ -58,8 +58,8 @@
 	return messages.Value{}, ErrUnsure
 }
 
-// finishAccepted runs a change that proposes nothing of its own: its round commits
-// what a member has accepted, and is rejected where nothing is accepted.
+// finishAccepted runs a change that has no value of its own: its round commits the value
+// that a member has accepted, and is rejected if no member has accepted one.
 func (r *Registers) finishAccepted(ctx context.Context, part int) error {
 	noChange := func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, ErrNoChange }
 	if _, err := r.Change(ctx, part, noChange); err != nil && !errors.Is(err, ErrNoChange) {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// readFromGroup asks the members of the base's group once, and returns as soon as
-// the result can't change any more.
+// readFromGroup sends a read to each member of the base's group, and returns as soon as
+// further responses can't change the result.
 func (r *Registers) readFromGroup(ctx context.Context, part int, base messages.Value) *Reading {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/consensus/reading.go
+++ b/internal/consensus/reading.go
@@ -2,19 +2,20 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Reading is a linearizable read: it asks the members of the group what they have
-// committed and accepted. Where a majority has accepted nothing on top of the base,
-// nothing newer was committed when the read began. It is pure.
+// Reading is the state of a linearizable read by quorum: the members of the group
+// report what they have committed and accepted. If a majority has accepted nothing on
+// top of the base, nothing newer was committed when the read began. It is a pure state
+// machine.
 type Reading struct {
 	Base  messages.Value
-	Newer messages.Value // a later committed value, if a member knows one
+	Newer messages.Value // a newer committed value, if a member reported one
 
 	responded  map[string]bool
 	responses  int
 	unaccepted int // members that have accepted nothing on top of the base
 }
 
-// NewReading starts a read on top of the newest committed value known.
+// NewReading starts a read on top of the newest committed value that was learned.
 func NewReading(base messages.Value) *Reading {
 	return &Reading{Base: base, responded: map[string]bool{}}
 }
@@ -24,10 +25,10 @@
 
 // Results of a read.
 const (
-	NoQuorum  Finding = iota // too few members answered
+	NoQuorum  Finding = iota // too few members responded
 	Current                  // the base is the newest committed value
-	Newer                    // a member knows a newer one
-	Undecided                // a value is accepted and may be committed: finish it, then read again
+	Newer                    // a member reported a newer one
+	Undecided                // a value is accepted and may be committed: finish its round, then read again
 )
 
 // String names the result for logs and test failures.
@@ -45,7 +46,7 @@
 	return "unknown"
 }
 
-// Receive records a member's response; a repeated one counts once.
+// Receive records a member's response; repeated responses of a member are ignored.
 func (r *Reading) Receive(from messages.Member, response messages.ConsensusResponse) {
 	if response.Verdict != messages.Granted || r.responded[from.ID] {
 		return
@@ -63,7 +64,7 @@
 	}
 }
 
-// Result returns the result as far as responses have come in.
+// Result returns the result of the responses received so far.
 func (r *Reading) Result() Finding {
 	half := len(r.Base.Group) / 2
 	switch {
--- a/internal/consensus/references.go
+++ b/internal/consensus/references.go
@@ -1,7 +1,7 @@
-// References to large values: a member that has accepted a value needs to be told which
-// it is, not all of it again. After a loss of power at all members, every one of them
-// brings the same accepted value to its end; with the value in each response their rounds
-// would take so long that they preempt one another for seconds.
+// References to large values: a member that has accepted a value needs only its digest to
+// identify it, not all of it again. After a loss of power at all members, each of them
+// runs a round to finish the same accepted value; with the value in each response these
+// rounds would take so long that they preempt one another for seconds.
 
 package consensus
 
@@ -13,16 +13,16 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// referenceTo stands for a large value that the receiver has probably accepted: it has no
-// group, and a digest in place of the body. A receiver that has not accepted the value
-// ignores it, as does a build that knows no references.
+// referenceTo returns a reference to a large value that the receiver has probably
+// accepted. A reference has no group, and a digest in place of the body. A receiver that
+// has not accepted the value ignores it, as does a build without support for references.
 func referenceTo(v messages.Value) messages.Value {
 	encoded, _ := v.MarshalMsg(nil)
 	digest := sha256.Sum256(encoded)
 	return messages.Value{Version: v.Version, Body: digest[:], Stamp: v.Stamp}
 }
 
-// isReference reports whether a value was made by referenceTo.
+// isReference reports whether a value is a reference, as returned by referenceTo.
 func isReference(v messages.Value) bool { return len(v.Group) == 0 && len(v.Body) > 0 }
 
 // refersTo reports whether a reference is to a value.
@@ -35,8 +35,8 @@
 	return a.Version == b.Version && a.Stamp == b.Stamp && bytes.Equal(a.Body, b.Body)
 }
 
-// commitReferenced learns the value that this member has accepted, if the request
-// refers to it. The response has the version that it knows to be committed then.
+// commitReferenced learns the value that this member has accepted, if the request refers
+// to it. The response has the newest committed version that it has learned by then.
 func (r *Registers) commitReferenced(ctx context.Context, request messages.ConsensusRequest) (messages.ConsensusResponse, error) {
 	register := r.registers[request.Part]
 	if err := register.lock(ctx); err != nil {
@@ -51,7 +51,7 @@
 	return messages.ConsensusResponse{Verdict: messages.Granted, Version: known.Version}, nil
 }
 
-// accepted returns the value that this member has accepted itself, if there is one.
+// accepted returns the value that this member has accepted itself, or the zero Value.
 func (r *Registers) accepted(ctx context.Context, part int) messages.Value {
 	register := r.registers[part]
 	if register.lock(ctx) != nil {
--- a/internal/consensus/registers.go
+++ b/internal/consensus/registers.go
@@ -14,8 +14,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Parts is the number of registers: that of the configuration and those that
-// services are hashed to.
+// Parts is the number of registers: one for the configuration, and those that services
+// are hashed to.
 const Parts = 5
 
 // ConfigPart is the register that holds the configuration.
@@ -29,13 +29,13 @@
 // register is this member's state of one register.
 type register struct {
 	// recordLock guards acceptor and durableVersion, and is held while the record is
-	// written. It is a channel of one slot so that waiting for it ends with a context.
+	// written. It is a channel of capacity one so that lock returns when its context ends.
 	recordLock     chan struct{}
 	acceptor       Acceptor
 	durableVersion int64 // the committed version on disk, or notOnDisk
 
-	committed  atomic.Pointer[messages.Value] // the newest known, which may be ahead of the acceptor
-	persisting atomic.Bool                    // a goroutine writes committed to disk
+	committed  atomic.Pointer[messages.Value] // the newest learned, which may be ahead of the acceptor
+	persisting atomic.Bool                    // a goroutine is writing committed to disk
 	transfers  *transfers
 }
 
@@ -46,17 +46,17 @@
 	return &register{recordLock: make(chan struct{}, 1), durableVersion: notOnDisk, transfers: newTransfers()}
 }
 
-// lock waits for the record until ctx ends.
+// lock acquires recordLock, or fails once ctx ends.
 func (r *register) lock(ctx context.Context) error {
 	select {
 	case r.recordLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrap(ErrStore, "busy")
+		return errors.Wrap(ErrStore, "acquire record lock: an earlier write has not finished in time")
 	}
 }
 
-// tryLock takes the record if nobody holds it.
+// tryLock acquires recordLock if it is free.
 func (r *register) tryLock() bool {
 	select {
 	case r.recordLock <- struct{}{}:
@@ -71,13 +71,13 @@
 // Registers is one member's view of all registers: acceptor, proposer and learner.
 type Registers struct {
 	id, addr    string
-	kind        int // the kind of message that requests are sent under
+	kind        int // the transport's message kind for requests
 	caller      Caller
 	store       Store
 	log         logr.Logger
 	registers   [Parts]*register
 	onCommit    func(part int, v messages.Value)
-	incarnation string // tells the proposals of this process from those of others
+	incarnation string // random, the prefix of the stamps of this process's proposals
 	started     time.Time
 
 	lastSaveUs    atomic.Int64
@@ -86,7 +86,7 @@
 	counts        Counts
 }
 
-// PartOf returns the register that a service belongs to: FNV-1a over its name.
+// PartOf returns the register that a service is hashed to, by FNV-1a over its name.
 func PartOf(service string) int {
 	const offsetBasis, prime = 2166136261, 16777619
 	hash := uint32(offsetBasis)
@@ -96,20 +96,20 @@
 	return 1 + int(hash%(Parts-1))
 }
 
-// FirstID is the identity of a seed member at its very first start.
+// FirstID returns the identity of a seed member at its first start.
 func FirstID(addr string) string { return addr + "/0" }
 
-// randomBytes is the length of what Random encodes.
+// randomBytes is the number of random bytes that Random encodes.
 const randomBytes = 6
 
-// Random returns a short random text in hexadecimal digits.
+// Random returns a short random string of hexadecimal digits.
 func Random() string {
 	b := make([]byte, randomBytes)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
 }
 
-// Genesis is the value before the first change: the seeds form the group.
+// Genesis returns the value before the first change: version 0 with the seeds as group.
 func Genesis(seeds []string) messages.Value {
 	var v messages.Value
 	for _, seed := range seeds {
@@ -118,9 +118,9 @@
 	return v
 }
 
-// Open loads what the store holds. With bootstrap set, a member with an empty store
-// takes part in founding the group made of the seeds. onCommit, which may be nil,
-// is called with each committed value that is newer than the one before.
+// Open restores this member from its store. With bootstrap set, a member with an empty
+// store is one of the founders of the group of seeds. onCommit, which may be nil, is
+// called with each committed value that is newer than the one before.
 func Open(addr string, kind int, bootstrap bool, seeds []string, caller Caller, store Store, log logr.Logger, onCommit func(int, messages.Value)) (*Registers, error) {
 	bootstrapID := ""
 	if bootstrap {
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	if len(restored.Damaged) > 0 {
-		log.Error(ErrDamaged, "votes are lost; this member goes on under a new identity", "parts", restored.Damaged, "id", restored.ID)
+		log.Error(ErrDamaged, "votes lost: this member continues under a new identity", "parts", restored.Damaged, "id", restored.ID)
 	}
 	registers := &Registers{
 		id: restored.ID, addr: addr, kind: kind, caller: caller, store: store, log: log,
@@ -147,16 +147,16 @@
 	return registers, nil
 }
 
-// load puts a restored record in place. A founder without a committed value starts
-// from the group of the seeds.
+// load initializes a register from its restored record. A founder without a committed
+// value starts from the group of the seeds.
 func (r *Registers) load(part int, record messages.Record, founder bool, seeds []string) {
 	register := r.registers[part]
 	if len(record.Committed.Group) > 0 {
 		register.durableVersion = record.Committed.Version
 	} else if founder {
-		// All founders may restart before the first change: they have to know their
-		// group from disk. A founder whose disk refuses the write learns the group
-		// from the others; saveRecord logs it.
+		// All founders may restart before the first change, so each must have the group
+		// on its own disk. A founder whose write fails learns the group from the others;
+		// saveRecord logs the failure.
 		record.Committed = Genesis(seeds)
 		_ = r.saveRecord(part, record)
 	}
@@ -170,8 +170,8 @@
 // ID returns this member's identity.
 func (r *Registers) ID() string { return r.id }
 
-// Committed returns the newest committed value that this node knows, and false where it
-// knows none. It takes no lock and may be stale.
+// Committed returns the newest committed value that this node has learned, and false if
+// it has learned none. It acquires no lock, and the value may be stale.
 func (r *Registers) Committed(part int) (messages.Value, bool) {
 	v := r.registers[part].committed.Load()
 	if v == nil {
@@ -180,8 +180,8 @@
 	return *v, true
 }
 
-// Learn merges a committed value and has it written to disk in the background. Values
-// that are not newer than the known one are ignored.
+// Learn merges a committed value and starts writing it to disk in the background. Values
+// that are not newer than the current one are ignored.
 func (r *Registers) Learn(part int, v messages.Value) {
 	if part < 0 || part >= Parts || len(v.Group) == 0 {
 		return
--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -156,7 +156,7 @@
 	must.ErrorIs(t, err, ErrStore)
 	_, fault := nodes.at("a").LastSave()
 	must.StrContains(t, fault, "full")
-	must.Eq(t, 1, strings.Count(out.String(), "refuses writes"))
+	must.Eq(t, 1, strings.Count(out.String(), "store write failed"))
 }
 
 // callerFunc is a Caller made of a function on encoded requests.
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -4,13 +4,13 @@
 
 // Delays of a repair, in microseconds.
 const (
-	// RankDelayUs is how much longer each rank waits than the one before it.
+	// RankDelayUs is how much longer a controller waits than the one ranked before it.
 	RankDelayUs = 600_000
-	// ConfirmTimeoutUs is how long a member may take to confirm that it has the value,
-	// before other candidates are preferred or the change goes on without it.
+	// ConfirmTimeoutUs is how long a member may take to confirm that it has the value on
+	// disk, before other candidates are preferred or the change proceeds without it.
 	ConfirmTimeoutUs = 1_500_000
-	// MaxStepGapUs is how long a coordinator may go without a call of Step. After a longer
-	// gap the process was suspended: what it saw is old, and others had time to act.
+	// MaxStepGapUs is the longest interval between two calls of Step. After a longer one
+	// the process was suspended: its view is stale, and others had time to act.
 	MaxStepGapUs = 3_000_000
 )
 
@@ -20,40 +20,41 @@
 	Base      messages.Value // the newest committed value known
 	Status    Status
 	Contact   bool // a majority of the group is reachable
-	DiskFault bool // this controller's disk refused the last write
+	DiskFault bool // this controller's last write to disk failed
 	Leaving   bool // this process is shutting down
 }
 
-// RepairStep is what to do next: ask members to confirm that they have the base on
+// RepairStep is the next action: request confirmations that members have the base on
 // disk, or propose a group on top of the base.
 type RepairStep struct {
-	Confirm []messages.Member
-	Propose []messages.Member
-	Version int64 // of the base
+	Confirm []messages.Member // to request confirmations from
+	Propose []messages.Member // the group to propose
+	Version int64             // of the base
 }
 
 // RepairCoordinator decides when this controller changes the group of one register,
-// and to what. It is a pure state machine: time and the view come in as arguments,
-// and the next step comes back. It is not safe for concurrent use. The zero value is
-// ready.
+// and to which group. It is a pure state machine: its input are the time and the view,
+// its output is the next step. It is not safe for concurrent use. The zero value is
+// ready for use.
 //
-// Every counted controller runs one. A controller that reaches a majority and sees the
-// need for a change acts after a delay by its rank, so that one that can't act holds
-// up nobody; if two act at once, consensus decides between them. A group is proposed
-// only once each member that joins, and a majority of both the current and the next
-// group, have confirmed that they have the base of the change on disk.
+// Every counted controller runs one. A controller that reaches a majority and finds
+// that the group must change acts after a delay by its rank, so that a controller that
+// can't act does not block the others; if two act at once, consensus decides between
+// them. A group is proposed only once each member that joins, and a majority of both the
+// current and the next group, have confirmed that they have the base of the change on
+// disk.
 type RepairCoordinator struct {
 	group    []messages.Member // of the newest base seen
 	version  int64             // of that base
-	proposed []messages.Member // the group that was proposed here on that base
+	proposed []messages.Member // the group that this controller proposed on that base
 	joining  []messages.Member // joined by the last membership change, not confirmed yet
 
-	proposedHere  bool  // the last membership change was proposed here
-	needed        bool  // a change is needed
-	neededSinceUs int64 // when the need was first seen
-	lastStepUs    int64 // when Step was called last
+	proposedHere  bool  // the last membership change was proposed by this controller
+	needed        bool  // a membership change is needed
+	neededSinceUs int64 // when the change was first found to be needed
+	lastStepUs    int64 // when Step was last called
 
-	confirmed      map[string]bool  // identities that have version on disk
+	confirmed      map[string]bool  // identities that have confirmed the version on disk
 	waitingSinceUs map[string]int64 // by identity: since when a confirmation is outstanding
 }
 
@@ -65,9 +66,9 @@
 	}
 }
 
-// Complete reports whether the change that led to this group is complete: if it was
-// proposed here, the members that joined have confirmed that they have its outcome
-// on disk.
+// Complete reports whether the change that led to this group is complete. If this
+// controller proposed it, that requires that the members that joined have confirmed the
+// resulting value on disk.
 func (c *RepairCoordinator) Complete(group []messages.Member) bool {
 	return sameGroup(c.group, group) && (!c.proposedHere || len(c.withoutConfirmed(c.joining)) == 0)
 }
@@ -82,7 +83,7 @@
 	return out
 }
 
-// withoutConfirmed lists the members that have not confirmed.
+// withoutConfirmed returns the members that have not confirmed.
 func (c *RepairCoordinator) withoutConfirmed(list []messages.Member) []messages.Member {
 	var out []messages.Member
 	for _, m := range list {
@@ -93,7 +94,7 @@
 	return out
 }
 
-// Step returns what to do now, and false if there is nothing to do.
+// Step returns the next action, and false if there is none at this time.
 func (c *RepairCoordinator) Step(nowUs int64, v RepairView) (RepairStep, bool) {
 	suspended := c.lastStepUs > 0 && nowUs-c.lastStepUs > MaxStepGapUs
 	c.lastStepUs = nowUs
@@ -121,8 +122,8 @@
 	return RepairStep{Propose: target, Version: c.version}, true
 }
 
-// observe adopts a newer base. Confirmations of an older one no longer count, and
-// a change of the group restarts the delay by rank.
+// observe adopts a newer base. Confirmations of an older base are discarded, and a
+// change of the group restarts the delay by rank.
 func (c *RepairCoordinator) observe(v RepairView) {
 	if c.confirmed == nil || c.version != v.Base.Version {
 		c.version, c.confirmed = v.Base.Version, map[string]bool{}
@@ -138,8 +139,8 @@
 	c.group, c.proposed, c.needed = v.Base.Group, nil, false
 }
 
-// targetGroup is the group that is needed. A candidate that has not confirmed in time is
-// passed over if there is another one.
+// targetGroup returns the group to change to, and false if no change is needed. A
+// candidate that has not confirmed in time is skipped if there is another one.
 func (c *RepairCoordinator) targetGroup(nowUs int64, v RepairView) ([]messages.Member, bool) {
 	if len(c.waitingSinceUs) > 0 {
 		if target, needed := targetGroupFor(v, c.withoutUnresponsive(nowUs, v)); needed {
@@ -156,7 +157,7 @@
 	return RepairGroup(v.Base.Group, s)
 }
 
-// withoutUnresponsive is the status without the candidates that have not confirmed
+// withoutUnresponsive returns the status without the candidates that have not confirmed
 // in time.
 func (c *RepairCoordinator) withoutUnresponsive(nowUs int64, v RepairView) Status {
 	status := v.Status
@@ -172,16 +173,17 @@
 	}
 	status.GoneFor = func(addr string) int64 {
 		if unresponsive[addr] {
-			return status.GoneUs // the member that was there has lost its identity
+			return status.GoneUs // the member at this address was wiped and has a new identity
 		}
 		return v.Status.GoneFor(addr)
 	}
 	return status
 }
 
-// dueUs is when this controller may act on the need, by its rank among the ready
-// controllers in the order of addresses, and false if it may not act. A controller
-// whose disk is at fault comes after all others; one that shuts down acts at once.
+// dueUs returns when this controller may act on the needed change, by its rank among
+// the ready controllers in the order of addresses, and false if it may not act. A
+// controller with a disk fault ranks after all others; one that is shutting down acts at
+// once.
 func (c *RepairCoordinator) dueUs(v RepairView) (int64, bool) {
 	if !v.Contact {
 		return 0, false
@@ -202,10 +204,10 @@
 	return c.neededSinceUs + int64(rank)*RankDelayUs, eligible
 }
 
-// missingConfirmations returns the members that are still to be asked, and reports whether
-// the change may be proposed: each member that joins and a majority of both groups
-// have confirmed, and so have those that joined by the last change, unless they are
-// gone or timedOut is set.
+// missingConfirmations returns the members whose confirmation is still to be requested,
+// and reports whether the change may be proposed: each member that joins and a majority
+// of both groups have confirmed, and so have the members that joined by the last change,
+// unless they are not ready or timedOut is set.
 func (c *RepairCoordinator) missingConfirmations(target []messages.Member, v RepairView, timedOut bool) (missing []messages.Member, ready bool) {
 	joining := addedMembers(v.Base.Group, target)
 	for _, m := range c.withoutConfirmed(unionOf(v.Base.Group, target)) {
@@ -224,8 +226,8 @@
 	return nil, true
 }
 
-// confirmJoining asks the members that joined by the last change, if that was proposed
-// here, until each has confirmed that it has the outcome on disk.
+// confirmJoining requests confirmations from the members that joined by the last change,
+// if this controller proposed it, until each has confirmed the resulting value on disk.
 func (c *RepairCoordinator) confirmJoining(nowUs int64, v RepairView) (RepairStep, bool) {
 	c.joining = c.withoutConfirmed(c.joining)
 	if !c.proposedHere || len(c.joining) == 0 {
@@ -244,7 +246,8 @@
 	return c.requestConfirmation(nowUs, alive)
 }
 
-// requestConfirmation asks members to confirm the base, and starts their timeouts.
+// requestConfirmation returns the step that requests a confirmation of the base from
+// members, and starts their timeouts.
 func (c *RepairCoordinator) requestConfirmation(nowUs int64, list []messages.Member) (RepairStep, bool) {
 	for _, m := range list {
 		if _, waiting := c.waitingSinceUs[m.ID]; !waiting {
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -8,13 +8,14 @@
 
 // Change computes the next group and body from the committed value; an empty group
 // keeps the current one. An error rejects the change and is returned to the caller
-// as it is. A Change must depend on nothing but the value and the order that it
-// stands for: a rejection is final only because no earlier attempt of the same order
-// can have decided otherwise on the same value. Where it may have (an earlier version
-// of the program had other checks), the change returns SealRefusal(err).
+// unchanged. A Change must be a pure function of the value and of the client request
+// that it implements: a rejection is final only because every earlier attempt at the
+// same request was rejected on the same value too. Where an earlier attempt may have
+// been accepted (an earlier version of the program had other checks), the change returns
+// SealRefusal(err).
 type Change func(cur messages.Value) (group []messages.Member, body []byte, err error)
 
-// Request is a request with the member that it is sent to.
+// Request is a request and the member that it is addressed to.
 type Request struct {
 	To   messages.Member
 	Body messages.ConsensusRequest
@@ -27,8 +28,8 @@
 const (
 	InProgress Outcome = iota
 	Chosen             // Value is committed
-	Superseded         // a member knows a newer committed value: Value
-	Preempted          // so many members promised a higher ballot that no quorum is left
+	Superseded         // a member reported a newer committed value: Value
+	Preempted          // too many members promised a higher ballot for a quorum to be reached
 	Rejected           // the change returned an error: Err
 )
 
@@ -49,20 +50,21 @@
 	return "unknown"
 }
 
-// Round is the two phases of Paxos under one ballot. It prepares the version after
-// its base, proposes again what a member may already have accepted there, else what
-// the change computes, and ends once a majority of the old and of the new group has
-// accepted that. It is a pure state machine: responses come in, requests go out.
+// Round runs the two phases of Paxos under one ballot. It prepares the version after
+// its base, proposes the value that a member has already accepted for that version,
+// or else the one that the change computes, and ends once a majority of the old group
+// and one of the new group have accepted it. It is a pure state machine: its input are
+// responses, its output are requests.
 type Round struct {
 	Part   int
 	Base   messages.Value
 	Ballot messages.Ballot
 	Stamp  string
 	End    Outcome
-	Value  messages.Value // what is proposed, or what Superseded the base
-	Mine   bool           // Value is what the change of this round computed
-	// Err is why the change was rejected: with Rejected, or with Chosen where the
-	// rejection was sealed.
+	Value  messages.Value // the proposed value, or with Superseded the newer committed one
+	Mine   bool           // Value was computed by this round's change
+	// Err is the reason why the change was rejected. It is set with Rejected, and with
+	// Chosen if the rejection was sealed.
 	Err           error
 	HighestBallot messages.Ballot // the highest ballot that preempted this one
 
@@ -74,8 +76,8 @@
 	highestAccepted messages.Ballot // the ballot of that value
 	held            messages.Value  // a large value that this node has accepted itself
 	heldReference   messages.Value  // the reference to it
-	holds           map[string]bool // members that have reported held by its reference
-	sealPending     bool            // rejected by a majority's promises, waiting for the other members
+	holds           map[string]bool // members that reported the same value by its reference
+	sealPending     bool            // the change was rejected after a majority promised; the other members have not all promised yet
 }
 
 // NewRound starts a round on top of a committed value.
@@ -86,16 +88,16 @@
 	}
 }
 
-// Hold tells the round, before its first request, what this node has accepted itself.
-// Members that have accepted the same large value report it, and are sent it, by
-// reference.
+// Hold sets the value that this node has accepted itself, and must be called before the
+// first request is sent. With a large value, members that have accepted the same one
+// report it by reference, and are sent it by reference.
 func (r *Round) Hold(accepted messages.Value) {
 	if isLarge(accepted) && accepted.Version == r.Base.Version+1 {
 		r.held, r.heldReference = accepted, referenceTo(accepted)
 	}
 }
 
-// Requests returns the requests of the current phase, one a member.
+// Requests returns the requests of the current phase, one per member.
 func (r *Round) Requests() []Request {
 	var out []Request
 	for _, m := range r.group() {
@@ -104,7 +106,7 @@
 	return out
 }
 
-// group is who takes part in the current phase.
+// group returns the members that requests of the current phase are sent to.
 func (r *Round) group() []messages.Member {
 	if !r.accepting {
 		return r.Base.Group
@@ -120,7 +122,8 @@
 	return request
 }
 
-// valueFor returns what a member is sent to accept.
+// valueFor returns the value of the accept request to a member: a reference if the
+// member has reported that it has accepted the value.
 func (r *Round) valueFor(m messages.Member) messages.Value {
 	if r.holds[m.ID] {
 		return r.heldReference
@@ -160,14 +163,15 @@
 	return nil
 }
 
-// catchUp sends a member the base and then the request of this phase again.
+// catchUp returns the requests for a member that lacks the base: a commit of the base,
+// then the request of this phase again.
 func (r *Round) catchUp(m messages.Member) []Request {
 	commit := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Commit, Slot: r.Base.Version, Value: r.Base}
 	return []Request{{To: m, Body: commit}, {To: m, Body: r.requestFor(m)}}
 }
 
 // preempt records a member that has promised a higher ballot, and ends the round once
-// the others are no majority of the base's group.
+// the remaining members are less than a majority of the base's group.
 func (r *Round) preempt(from messages.Member, promised messages.Ballot) {
 	if Less(r.HighestBallot, promised) {
 		r.HighestBallot = promised
@@ -184,8 +188,8 @@
 	}
 }
 
-// resolve puts the held value in place of the reference to it. It returns false for a
-// reference to another value, which nobody sends.
+// resolve replaces a reference in a promise by the local accepted value. It returns
+// false for a reference to another value, which no correct member sends.
 func (r *Round) resolve(from messages.Member, promise *messages.ConsensusResponse) bool {
 	if !promise.HasAccepted || !isReference(promise.Value) {
 		return true
@@ -198,8 +202,8 @@
 	return true
 }
 
-// receivePromise keeps the accepted value with the highest ballot, and goes on to
-// the accept phase once a majority has promised.
+// receivePromise retains the accepted value with the highest ballot, and starts the
+// accept phase once a majority has promised.
 func (r *Round) receivePromise(promise messages.ConsensusResponse) []Request {
 	if promise.HasAccepted && (!r.hasAccepted || Less(r.highestAccepted, promise.AcceptedAt)) {
 		r.hasAccepted, r.highestAccepted, r.Value = true, promise.AcceptedAt, promise.Value
@@ -219,8 +223,8 @@
 	}
 }
 
-// propose starts the accept phase with the value that a member has accepted, else
-// with what the change computes.
+// propose starts the accept phase with the accepted value that was reported under the
+// highest ballot, or else with the value that the change computes.
 func (r *Round) propose() []Request {
 	if r.hasAccepted {
 		r.Err = nil
@@ -256,8 +260,8 @@
 // hasQuorum reports whether a majority of a group has granted the current phase.
 func (r *Round) hasQuorum(group []messages.Member) bool { return isMajority(group, r.granted) }
 
-// SealPending reports whether a sealed rejection waits for the members that have not
-// promised yet: one of them may have accepted an earlier attempt.
+// SealPending reports whether a sealed rejection is waiting for members that have not
+// promised yet: one of them may have accepted the value of an earlier attempt.
 func (r *Round) SealPending() bool { return r.End == InProgress && r.sealPending }
 
 // rejectIfAllPromised ends a sealed rejection once every member has promised and
@@ -268,9 +272,9 @@
 	}
 }
 
-// Seal ends the wait for the members that have not promised: the base is proposed
-// again for the next version, so that no earlier attempt can be committed there.
-// Once that is chosen, the rejection stands.
+// Seal ends the wait for the members that have not promised: it proposes the content of
+// the base for the next version, so that no earlier attempt can be committed there. Once
+// that is chosen, the rejection is final.
 func (r *Round) Seal() []Request {
 	if !r.SealPending() {
 		return nil
@@ -280,10 +284,11 @@
 }
 
 // sealStampSuffix makes the stamp of a sealing value differ from that of the change:
-// a later round that meets the sealing value must not take the change for committed.
+// otherwise a later round that finds the sealing value would report the change as
+// committed.
 const sealStampSuffix = "/seal"
 
-// sealedRefusal marks a rejection that needs its version closed.
+// sealedRefusal is a rejection that is final only once its version is closed.
 type sealedRefusal struct{ cause error }
 
 // Error returns the text of the cause.
@@ -292,7 +297,7 @@
 // Unwrap returns the cause.
 func (s *sealedRefusal) Unwrap() error { return s.cause }
 
-// SealRefusal marks a rejection that an earlier attempt of the same order may not
-// have met: the round returns it only once no such attempt can be committed at its
-// version.
+// SealRefusal wraps the error of a rejection where an earlier attempt at the same
+// request may have been accepted: the round returns the rejection only once no earlier
+// attempt can be committed at its version.
 func SealRefusal(cause error) error { return &sealedRefusal{cause} }
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -6,40 +6,40 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Store keeps what a member must not forget: its identity and one record a register.
-// Votes belong to an identity: a member that can't show all its votes takes a new
-// one (Restore) and never votes under the earlier one again. A Store is safe for
-// concurrent use.
+// Store is the durable state of a member: its identity and one record per register. Votes
+// belong to an identity: a member that has lost any of its votes adopts a new identity
+// (Restore) and never votes under the earlier one again. A Store is safe for concurrent
+// use.
 type Store interface {
 	// Identity returns the stored identity, if there is one and it is readable.
 	Identity() (id string, known bool, err error)
 	// Empty reports whether nothing was ever stored here.
 	Empty() (bool, error)
-	// ResetIdentity stores another identity and erases every vote of the earlier one: of
-	// readable records the committed value stays, damaged ones are removed. Wherever
-	// it is interrupted, votes of one identity are never found under another.
+	// ResetIdentity stores another identity and erases every vote of the earlier one:
+	// readable records retain their committed value, damaged ones are removed. Votes of
+	// one identity are never found under another, even if it is interrupted at any point.
 	ResetIdentity(id string) error
 	// Load returns the record of a register, if one was saved. The error wraps ErrDamaged
 	// if the newest one is damaged; it never falls back to an older one.
 	Load(part int) (messages.Record, bool, error)
 	// Save returns once a record is durable.
 	Save(part int, record messages.Record) error
-	// Sync makes durable what Identity and Load returned. A member gives no vote
-	// that rests on it before.
+	// Sync makes the results of Identity and Load durable. A member gives no vote that
+	// depends on them before.
 	Sync() error
 }
 
-// Restored is the state that a member starts from.
+// Restored is the state of a member as read from its store at startup.
 type Restored struct {
 	ID      string
 	Records [Parts]messages.Record
 	Damaged []int // registers whose records were damaged
 }
 
-// Restore reads a store. bootstrapID is the identity of a member that takes part in
-// founding the group, or empty. It is used only if the store is empty, so that a
-// member that has lost anything never founds a group again. newID makes a fresh
-// identity, which replaces the stored one if any record is damaged.
+// Restore reads a store. bootstrapID is the identity of a founder of the group, or empty.
+// It is used only if the store is empty, so that a member that has lost part of its state
+// is never a founder again. newID returns a fresh identity, which replaces the stored one
+// if any record is damaged.
 func Restore(store Store, bootstrapID string, newID func() string) (Restored, error) {
 	out, err := loadIdentity(store, bootstrapID, newID)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	again, err := out.loadRecords(store)
 	if err == nil && len(again) > 0 {
-		err = errors.Wrap(ErrDamaged, "still there under a new identity")
+		err = errors.Wrap(ErrDamaged, "reset identity: a damaged record was not removed")
 	}
 	return out, err
 }
@@ -80,7 +80,8 @@
 	return Restored{ID: id}, store.ResetIdentity(id)
 }
 
-// loadRecords reads the records of all registers and lists the damaged ones.
+// loadRecords reads the records of all registers and returns the registers whose records
+// are damaged.
 func (r *Restored) loadRecords(store Store) (damaged []int, err error) {
 	for part := range r.Records {
 		record, _, err := store.Load(part)
@@ -96,7 +97,7 @@
 	return damaged, nil
 }
 
-// withoutVotes returns what remains of a record under another identity.
+// withoutVotes returns the part of a record that is valid under another identity.
 func withoutVotes(record messages.Record) messages.Record {
 	return messages.Record{Committed: record.Committed}
 }
--- a/internal/consensus/transfers.go
+++ b/internal/consensus/transfers.go
@@ -7,20 +7,20 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// transfers are the two ends of the transfers of one register's large values: what
-// this node serves and what it receives. It is safe for concurrent use.
+// transfers is the state of the transfers of one register's large values, both those that
+// this node serves and the one that it receives. It is safe for concurrent use.
 type transfers struct {
 	mu           sync.Mutex          // guards all below
-	server       statesync.Server    // encoded values that others fetch
-	incoming     statesync.Transfer  // what has arrived of the value being fetched
-	transferring bool                // a catch-up receives chunks
-	fetching     map[string]struct{} // addresses that a catch-up is under way from
+	server       statesync.Server    // encoded values that other nodes fetch
+	incoming     statesync.Transfer  // the chunks received of the value being fetched
+	transferring bool                // a catch-up is receiving chunks
+	fetching     map[string]struct{} // addresses from which a catch-up is in progress
 }
 
 func newTransfers() *transfers { return &transfers{fetching: map[string]struct{}{}} }
 
-// startFetch allows one catch-up at a time from an address, and none while chunks are
-// being received.
+// startFetch marks a catch-up from an address as in progress. It returns false if there
+// is one already, or while chunks are being received.
 func (t *transfers) startFetch(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,7 +37,8 @@
 	delete(t.fetching, addr)
 }
 
-// startTransfer makes the caller the one that receives chunks.
+// startTransfer marks the caller as the one receiver of chunks. It returns false if there
+// is another one.
 func (t *transfers) startTransfer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,15 +55,15 @@
 	t.transferring = false
 }
 
-// nextChunk returns the version being received, zero for none, and the offset in bytes
-// from which it is wanted.
+// nextChunk returns the version being received, zero for none, and the offset in bytes of
+// its next chunk.
 func (t *transfers) nextChunk() (version, offset int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.incoming.Next()
 }
 
-// receive takes in a chunk. It returns the encoded value once all of it is there.
+// receive adds a chunk, and returns the encoded value once it is complete.
 func (t *transfers) receive(response messages.ConsensusResponse) ([]byte, statesync.AddResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,8 +76,8 @@
 	})
 }
 
-// serve returns the chunk of a value that a request asks for. nowUs is the time since
-// the start of the process, by which encoded values are forgotten.
+// serve returns the requested chunk of a value. nowUs is the time since the process
+// opened the registers, by which encoded values expire.
 func (t *transfers) serve(request messages.ConsensusRequest, v *messages.Value, nowUs int64) (statesync.Chunk, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +85,7 @@
 	return t.server.ReadChunk(request.Slot, request.Offset, nowUs, v.Version, encode)
 }
 
-// expire forgets encoded values that nobody fetches any more.
+// expire frees the encoded values that no node fetches any more.
 func (t *transfers) expire(nowUs int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -1,12 +1,12 @@
-// Unfinished rounds: a member has accepted a value and receives nothing more about it.
-// The value may have been committed, and its proposer have acknowledged the change,
-// before the proposer ended, froze or was cut off.
+// Unfinished rounds: a member has accepted a value and received no commit for it. The
+// value may have been committed, and the change acknowledged, before the proposer
+// crashed, was suspended or was partitioned.
 
 package consensus
 
-// Unfinished returns the slot for which this member has accepted a value that it
-// does not know to be committed; false where there is none, or while the record is
-// in use. A Read brings such a round to its end.
+// Unfinished returns the version for which this member has accepted a value without
+// having learned that it is committed. It returns false if there is none, or while the
+// record is locked. A Read finishes such a round.
 func (r *Registers) Unfinished(part int) (slot int64, unfinished bool) {
 	register := r.registers[part]
 	if !register.tryLock() {
@@ -21,13 +21,14 @@
 	return slot, record.HasAccepted
 }
 
-// MayHaveAccepted returns the version for which this member has accepted a value that it
-// does not know to be committed, or for which it may be accepting one now; 0 for none.
-// Committed, when it is called afterwards, is not older than what this rests on.
+// MayHaveAccepted returns the version for which this member has accepted a value without
+// having learned that it is committed, or for which it may be accepting one now; 0 for
+// none. A later call of Committed returns a value at least as new as the one that this
+// result is based on.
 func (r *Registers) MayHaveAccepted(part int) int64 {
 	register := r.registers[part]
 	if !register.tryLock() {
-		return r.nextVersion(part) // the record is in use, perhaps by an accept
+		return r.nextVersion(part) // the record is locked, possibly by an accept
 	}
 	record := register.acceptor.Rec
 	register.unlock()
@@ -37,7 +38,7 @@
 	return record.Committed.Version + 1
 }
 
-// nextVersion is the version after the newest one known to be committed.
+// nextVersion returns the version after the newest committed one that was learned.
 func (r *Registers) nextVersion(part int) int64 {
 	v, _ := r.Committed(part)
 	return v.Version + 1
