--- a/internal/consensus/acceptor_test.go
+++ b/internal/consensus/acceptor_test.go
@@ -8,8 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// An acceptor under a new identity answers neither a prepare nor a read that names
-// the old one.
+// An acceptor under a new identity rejects a prepare and a read addressed to the old one.
 func TestWipedAcceptorRejectsRequestsForOldIdentity(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	a := Acceptor{ID: "a/new", Rec: messages.Record{Committed: g}}
--- a/internal/consensus/catchup_test.go
+++ b/internal/consensus/catchup_test.go
@@ -23,9 +23,9 @@
 	return messages.Value{Version: version, Group: group, Body: bytes.Repeat([]byte{byte(version)}, size), Stamp: "s"}
 }
 
-// openBehind returns a node without any value that catches up from a, over a link
-// that loses the responses for which lose returns true, with the bytes that it
-// received in all and in the largest response.
+// openBehind returns a node without any value that can catch up from a, over a link that
+// loses the responses for which lose returns true. It also returns counters: the bytes of
+// all responses, and those of the largest one.
 func openBehind(t *testing.T, a *Registers, lose func() bool) (registers *Registers, carried, largest *atomic.Int64) {
 	t.Helper()
 	carried, largest = &atomic.Int64{}, &atomic.Int64{}
@@ -62,9 +62,9 @@
 	}
 }
 
-// A value of 2 MB is fetched over a link that loses half of all responses, so that
-// most catch-ups are interrupted, while the value changes at every tenth one. It
-// arrives in small chunks, and few bytes are sent twice.
+// A value of 2 MB is fetched over a link that loses half of all responses, so that most
+// catch-ups are interrupted, and a new value is committed before every tenth catch-up. It
+// is received in small chunks, and few bytes are sent twice.
 func TestCatchUpFetchesLargeValueOverLossyLink(t *testing.T) {
 	const size = 2 << 20
 	for seed := range uint64(5) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// A small value takes one call, as for nodes of a version that does not know
+// A small value takes one call, as required by nodes of a version without support for
 // chunks.
 func TestCatchUpFetchesSmallValueInOneResponse(t *testing.T) {
 	a := openRegisters(t, "a")
@@ -106,7 +106,7 @@
 	must.Eq(t, int64(4), v.Version)
 }
 
-// blockingStore is a store whose writes hang until they are unblocked.
+// blockingStore is a store whose writes block until unblock is closed.
 type blockingStore struct {
 	MemoryStore
 	started, unblock chan struct{}
@@ -118,7 +118,7 @@
 	return b.MemoryStore.Save(part, record)
 }
 
-// A node whose disk hangs still serves its committed value.
+// A node whose write to disk hangs still serves its committed value.
 func TestCatchUpIsServedWhileDiskHangs(t *testing.T) {
 	store := &blockingStore{started: make(chan struct{}), unblock: make(chan struct{})}
 	a, err := Open("a", 1, false, nil, nil, store, logr.Discard(), nil)
@@ -132,8 +132,8 @@
 	close(store.unblock)
 }
 
-// Two of three members have accepted a large value, and one has missed the commit:
-// the next round sends it a reference, and both vote at once. A member that has
+// Two of three members have accepted a large value, and one of them has missed the commit:
+// the next round sends it a reference, and both vote within that round. A member that has
 // accepted another value ignores the reference.
 func TestLargeBaseIsCommittedByReference(t *testing.T) {
 	nodes := map[string]*Registers{}
@@ -164,9 +164,9 @@
 	must.Eq(t, int64(2), second.Version)
 }
 
-// Members that have accepted a large value are told by a reference that it is committed:
-// the value crosses their links once. The member that the majority does not need may get
-// the reference before the value, and then gets the value again.
+// Members that have accepted a large value are sent the commit as a reference, so the value
+// is sent to them once. The member that is not needed for the majority may receive the
+// reference before the accept request with the value, and is then sent the value again.
 func TestLargeValueIsCommittedByReferenceWhereAccepted(t *testing.T) {
 	nodes := map[string]*Registers{}
 	var carried atomic.Int64
@@ -186,8 +186,8 @@
 	must.Less(t, int64(3*size+size/2), carried.Load())
 }
 
-// A large value that takes longer to reach the members than a round with small values
-// may take is committed in one round: each further one would send it again.
+// A large value whose transmission takes longer than the timeout of a round with small
+// values is committed in one round: each further round would send it again.
 func TestLargeProposalHasTimeToReachTheMembers(t *testing.T) {
 	nodes := map[string]*Registers{}
 	var accepts atomic.Int64
--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -6,7 +6,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// persist writes the committed values to disk.
+// persist writes the committed values to the disk of a node.
 func (n *clusterNode) persist() {
 	for part := range n.acceptors {
 		if n.acceptors[part].Learn(n.known[part]) {
@@ -15,8 +15,8 @@
 	}
 }
 
-// crash loses what is not on the disk of a node, and the operations that it worked
-// on.
+// crash stops a node, which loses the state that is not on its disk and the operations in
+// progress at it.
 func (c *cluster) crash(node *clusterNode) {
 	node.up = false
 	for part := range node.acceptors {
@@ -32,7 +32,7 @@
 	c.operations = left
 }
 
-// wipe takes the disk of a node, which comes back under a new identity.
+// wipe erases the disk of a node and assigns it a new identity.
 func (c *cluster) wipe(node *clusterNode) {
 	node.incarnation++
 	id := fmt.Sprintf("%s/w%d", node.addr, node.incarnation)
@@ -69,8 +69,8 @@
 	node.up = true
 }
 
-// changeGroup lets a node propose another group: with the new identity of a wiped
-// member, or with the spare node in place of a member that is taken for gone.
+// changeGroup starts a membership change at a random node: to the new identity of a wiped
+// member, or to the spare node in place of a member that is considered unreachable.
 func (c *cluster) changeGroup() {
 	at := c.anyNode()
 	if at == nil {
@@ -92,7 +92,8 @@
 	}
 }
 
-// statusWithout is the view in which a node is gone and all others that are up are ready.
+// statusWithout returns the status in which one node is unreachable and all others that
+// are up are ready.
 func (c *cluster) statusWithout(gone string, part int) Status {
 	status := Status{GoneUs: 1, GoneFor: func(addr string) int64 {
 		if addr == gone {
@@ -108,8 +109,8 @@
 	return status
 }
 
-// upgrade restarts every node with a version of the program whose validation is
-// strict, or lax again.
+// upgrade restarts every node with a version of the program that has the other kind of
+// validation, strict or lax.
 func (c *cluster) upgrade() {
 	c.strictValidation = !c.strictValidation
 	c.hist.Note("all nodes restart, strict validation: %v", c.strictValidation)
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -11,12 +11,12 @@
 	"beechtide.org/beechtide/internal/simulation/history"
 )
 
-// client is an operator with the order that it repeats until it gets a final
+// client is an operator, with the submission that it retries until it receives a final
 // answer.
 type client struct {
 	order        order
 	hasOrder     bool
-	knownVersion int64 // the newest version that it knows to be committed
+	knownVersion int64 // the newest committed version that it has received
 }
 
 // order is a configuration that an operator submits.
@@ -27,8 +27,8 @@
 	disputed bool
 }
 
-// changeFor is the change that an order asks for, by the rules of the product: a rejection
-// that an earlier attempt may not have met is sealed.
+// changeFor returns the change for a submission as in the product: a rejection is sealed
+// if an earlier attempt may have been accepted.
 func (c *cluster) changeFor(wanted order) Change {
 	configOrder := wanted.configOrder(c.strictValidation)
 	apply := applyOrder(configOrder)
@@ -41,12 +41,12 @@
 	}
 }
 
-// configOrder is the order as the product represents it. Strict validation rejects
-// a disputed one.
+// configOrder converts a submission to the type of the product. Strict validation rejects
+// a disputed submission.
 func (o order) configOrder(strict bool) routeconfig.Submission {
 	out := routeconfig.Submission{Raw: []byte(o.digest), Version: o.version, Base: o.base}
 	if strict && o.disputed {
-		out.Fault = &routeconfig.Invalid{Field: "routes", Reason: "refused since the last version of the program"}
+		out.Fault = &routeconfig.Invalid{Field: "routes", Reason: "rejected by strict validation"}
 	}
 	return out
 }
@@ -66,7 +66,7 @@
 	return n
 }
 
-var errNotHigher = errors.New("a higher version is set")
+var errNotHigher = errors.New("the same or a higher weights version is set")
 
 func weights(n int64) Change {
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
@@ -91,8 +91,8 @@
 	return up[c.rnd.IntN(len(up))]
 }
 
-// step lets an operator act: submit its order, mostly the same one until that has a
-// final answer, read, or set weights.
+// step runs one operation of an operator: a read, a change of weights, or a submission,
+// which is retried until it has a final answer.
 func (c *cluster) step(i int) {
 	at := c.anyNode()
 	if at == nil {
@@ -113,14 +113,14 @@
 			operator.order, operator.hasOrder = c.drawOrder(operator.knownVersion), true
 		}
 		c.replace(i, at, operator.order)
-		if other := c.anyNode(); c.chance(2) { // a second node at the same time
+		if other := c.anyNode(); c.chance(2) { // concurrently at a second node
 			c.replace(i, other, operator.order)
 		}
 	}
 }
 
-// drawOrder makes an order: at times on a base that is not committed yet, at times
-// under a version that others use too.
+// drawOrder returns a random submission. Its base may be a version that is not committed
+// yet, and other clients may use the same version.
 func (c *cluster) drawOrder(believes int64) order {
 	c.serial++
 	wanted := order{digest: fmt.Sprintf("c%d", c.serial), base: believes, disputed: c.chance(3)}
@@ -131,7 +131,7 @@
 	return wanted
 }
 
-// replace submits an order at a node.
+// replace sends a submission to a node.
 func (c *cluster) replace(i int, at *clusterNode, wanted order) {
 	call := history.Call{Kind: history.Replace, Digest: wanted.digest, Version: wanted.version, Base: wanted.base, Disputed: wanted.disputed}
 	id := c.hist.Begin(i, call)
@@ -154,7 +154,7 @@
 	c.startRead(op)
 }
 
-// answer ends an operation; the answer may be lost on its way to the operator.
+// answer completes an operation; the answer to the operator may be lost.
 func (c *cluster) answer(op *operation, a history.Answer) {
 	c.remove(op)
 	if op.id < 0 {
@@ -171,7 +171,7 @@
 	c.clients[op.client].receive(a, op)
 }
 
-// receive takes note of an answer.
+// receive updates the client with an answer.
 func (c *client) receive(a history.Answer, op *operation) {
 	if op.part != ConfigPart || a.Verdict == history.Unclear {
 		return
@@ -186,7 +186,7 @@
 	c.hasOrder = false
 }
 
-// finishChange turns the end of an attempt into the answer of the product.
+// finishChange maps the result of an attempt to the answer that the product returns.
 func (c *cluster) finishChange(op *operation) {
 	var bad *routeconfig.Invalid
 	err := op.round.Err
@@ -204,7 +204,7 @@
 	}
 }
 
-// answerRead answers a read with its base.
+// answerRead completes a read with its base.
 func (c *cluster) answerRead(op *operation) {
 	if op.part == weightsPart {
 		c.answer(op, history.Answer{Verdict: history.Taken, Version: weightsOf(op.read.Base)})
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -16,9 +16,9 @@
 	weightsPart = 1
 )
 
-// cluster is eight operators and a group of nodes that lose messages, crash, lose
-// their disks, change their group and get versions of the program with other
-// validation, in an order drawn from a seed.
+// cluster simulates eight operators and a group of nodes. Messages are lost, nodes crash,
+// lose their disks, change their group and are upgraded to versions of the program with
+// other validation, in an order determined by a seed.
 type cluster struct {
 	rnd              *rand.Rand
 	hist             history.History
@@ -26,35 +26,35 @@
 	inFlight         []envelope
 	operations       []*operation
 	clients          [operators]client
-	newest           [2]messages.Value // what was chosen last, by register
-	serial           int
-	healed           bool // no faults any more
-	committedOrders  int  // orders that were acknowledged
-	strictValidation bool // the program rejects disputed orders at present
+	newest           [2]messages.Value // the newest chosen value, by register
+	serial           int               // number of stamps and submissions so far
+	healed           bool              // no further faults are injected
+	committedOrders  int               // submissions that were acknowledged
+	strictValidation bool              // the current version of the program rejects disputed submissions
 }
 
 // clusterNode is a node with its two registers.
 type clusterNode struct {
 	addr        string
-	incarnation int // counts identities
+	incarnation int // number of identities so far
 	up          bool
 	acceptors   [2]Acceptor
 	disk        [2]messages.Record
 	known       [2]messages.Value
 }
 
-// envelope is a request, or the response to it, on its way.
+// envelope is a request, or the response to it, in flight.
 type envelope struct {
 	op       *operation
-	exchange any // the Round or Reading that it belongs to
+	exchange any // the *Round or *Reading that it belongs to
 	request  Request
 	reply    bool
 	response messages.ConsensusResponse
 }
 
-// operation is a change or read that a node works on.
+// operation is a change or read in progress at a node.
 type operation struct {
-	id      int // in the history, -1 for repairs
+	id      int // of the call in the history, -1 for repairs
 	client  int
 	node    *clusterNode
 	part    int
@@ -63,14 +63,14 @@
 	read    *Reading // nil for a change
 }
 
-// chance is true once in n times.
+// chance returns true with probability 1/n.
 func (c *cluster) chance(n int) bool { return c.rnd.IntN(n) == 0 }
 
-// faulty is true once in n times until faults are over.
+// faulty returns true with probability 1/n while faults are injected.
 func (c *cluster) faulty(n int) bool { return !c.healed && c.chance(n) }
 
-// newCluster founds a group of three or five nodes, by the seed, and adds a spare
-// node.
+// newCluster returns a cluster with a group of three or five nodes, depending on the seed,
+// and a spare node.
 func newCluster(seed uint64) *cluster {
 	cluster := &cluster{rnd: rand.New(rand.NewPCG(seed, 12))}
 	var seeds []string
@@ -93,7 +93,7 @@
 	return cluster
 }
 
-// startRead asks the group of the newest value that the node knows.
+// startRead starts a quorum read on the newest committed value that the node has learned.
 func (c *cluster) startRead(op *operation) {
 	op.attempt, op.round = nil, nil
 	op.read = NewReading(op.node.known[op.part])
@@ -103,7 +103,7 @@
 	}
 }
 
-// start begins an attempt.
+// start starts an attempt at a change.
 func (c *cluster) start(op *operation, change Change) {
 	c.serial++
 	op.attempt = NewAttempt(op.part, fmt.Sprintf("s%d", c.serial), change)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// deliver delivers a random message, or loses it.
+// deliver delivers or loses a random message.
 func (c *cluster) deliver() {
 	i := c.rnd.IntN(len(c.inFlight))
 	envelope := c.inFlight[i]
@@ -160,8 +160,8 @@
 	}
 }
 
-// handleRequest lets the acceptor of the receiver answer. The response may be lost
-// to a failed write or a crash, or be delivered twice.
+// handleRequest passes a request to the acceptor of the receiver. There may be no response
+// because of a failed write or a crash, or the response may be duplicated.
 func (c *cluster) handleRequest(envelope envelope) {
 	node, part := c.nodeAt(envelope.request.To.Addr), envelope.request.Body.Part
 	if !node.up {
@@ -192,8 +192,8 @@
 	}
 }
 
-// receiveResponse takes a response to the operation that asked. One to an earlier
-// round or read is ignored.
+// receiveResponse passes a response to its operation. A response to an earlier round or
+// read of the operation is ignored.
 func (c *cluster) receiveResponse(envelope envelope) {
 	op := envelope.op
 	if !c.isOpen(op) {
@@ -217,10 +217,10 @@
 	}
 }
 
-// isOpen reports whether an operation has not been answered or lost.
+// isOpen reports whether an operation is still in progress: neither answered nor lost.
 func (c *cluster) isOpen(op *operation) bool { return slices.Contains(c.operations, op) }
 
-// finishRound goes on after a round, as Registers.Change does.
+// finishRound continues an operation after a round, as Registers.Change does.
 func (c *cluster) finishRound(op *operation) {
 	round := op.round
 	switch round.End {
@@ -236,7 +236,7 @@
 	c.nextRound(op)
 }
 
-// recordChosen records a chosen value and sends the commits.
+// recordChosen records the chosen value of a round and sends the commits.
 func (c *cluster) recordChosen(op *operation) {
 	v := op.round.Value
 	if v.Version > c.newest[op.part].Version {
@@ -252,7 +252,7 @@
 
 var errNothingToChange = errors.New("nothing to change")
 
-// timeOut times out a random operation, or its round or read.
+// timeOut expires a random operation, or only its current round or read.
 func (c *cluster) timeOut() {
 	if len(c.operations) == 0 {
 		return
--- a/internal/consensus/confirm_test.go
+++ b/internal/consensus/confirm_test.go
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// openAlone returns a node whose peers do not answer.
+// openAlone returns a node whose peers are unreachable.
 func openAlone(t *testing.T, store Store) *Registers {
 	t.Helper()
 	nobody := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
@@ -21,15 +21,15 @@
 	return registers
 }
 
-// committedValue returns a value of the group a, b, c.
+// committedValue returns a value with the group a, b, c.
 func committedValue(version int64) messages.Value {
 	v := Genesis([]string{"a", "b", "c"})
 	v.Version, v.Body, v.Stamp = version, []byte("x"), "s"
 	return v
 }
 
-// A member confirms under its own identity and once the value is on disk, and never
-// if it is retired and would join.
+// A member confirms only for its own identity and once the value is on disk, and does not
+// confirm if it is retired and not in the group.
 func TestConfirmOnlyWhatIsOnDisk(t *testing.T) {
 	ctx := context.Background()
 	store := &MemoryStore{}
@@ -41,10 +41,10 @@
 	record, _, _ := store.Load(1)
 	must.Eq(t, int64(4), record.Committed.Version)
 	confirmed, _ = registers.Confirm(ctx, 1, messages.Member{ID: "d/other", Addr: "d"}, committedValue(4))
-	must.False(t, confirmed, must.Sprint("the disk of another identity"))
+	must.False(t, confirmed, must.Sprint("a member must not confirm for another identity"))
 	registers.Retire()
 	confirmed, _ = registers.Confirm(ctx, 1, self, committedValue(5))
-	must.False(t, confirmed, must.Sprint("a retired member joins no group"))
+	must.False(t, confirmed, must.Sprint("a retired member must not join a group"))
 
 	registers = openAlone(t, &failingStore{})
 	confirmed, err = registers.Confirm(ctx, 1, messages.Member{ID: registers.ID(), Addr: "d"}, committedValue(4))
@@ -52,8 +52,8 @@
 	must.False(t, confirmed)
 }
 
-// A learned value reaches the disk also if a request has merged it into the record
-// in memory before.
+// A learned value is written to disk even if a request has merged it into the record in
+// memory before.
 func TestLearnedValueIsPersistedAfterAcceptorLearnedIt(t *testing.T) {
 	store := &MemoryStore{}
 	registers := openAlone(t, store)
@@ -69,8 +69,8 @@
 	must.Eq(t, int64(3), record.Committed.Version)
 }
 
-// A member of the old format grants a commit without saying that the value is on
-// disk: that is no confirmation.
+// A member of a build without confirmations responds to a commit with Granted but without
+// Durable, which must not count as a confirmation.
 func TestConfirmIgnoresResponseOfOldFormat(t *testing.T) {
 	earlier := msgp.AppendMapHeader(nil, 2)
 	earlier = msgp.AppendString(msgp.AppendString(earlier, "d"), string(messages.Granted))
--- a/internal/consensus/disk_model_test.go
+++ b/internal/consensus/disk_model_test.go
@@ -11,7 +11,8 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// recordWithVote is a record that shows how many votes were given up to it.
+// recordWithVote returns a record whose promised ballot number is n, the serial number of
+// the vote.
 func recordWithVote(n int64) messages.Record {
 	return messages.Record{
 		Committed: messages.Value{Version: n / 3, Group: []messages.Member{{ID: "x", Addr: "y"}}, Body: make([]byte, n%50), Stamp: "s"},
@@ -19,7 +20,7 @@
 	}
 }
 
-// numberedIDs makes identities that are numbered in order.
+// numberedIDs returns a generator of identities with consecutive numbers.
 func numberedIDs(addr string) func() string {
 	n := 0
 	return func() string {
@@ -28,8 +29,8 @@
 	}
 }
 
-// diskModel is one member on a simulated disk, with the votes that others may have
-// seen.
+// diskModel simulates one member on a simulated disk, and records the votes that other
+// members may have received.
 type diskModel struct {
 	t            *testing.T
 	rnd          *rand.Rand
@@ -37,14 +38,14 @@
 	store        *DiskStore
 	newID        func() string
 	id           string
-	currentVotes [Parts]int64 // votes of the running process
+	currentVotes [Parts]int64 // votes of the current process
 	sentVotes    [Parts]int64 // votes that may have been sent
 	identitySent bool         // the identity may have been sent
-	identityLost bool         // a file was damaged: the identity may change
+	identityLost bool         // a file was damaged, so the identity may change
 	serial       int64
 }
 
-// start opens the store; a process that is killed meanwhile is started again.
+// start opens the store, and restarts the process if it is killed meanwhile.
 func (d *diskModel) start() {
 	for {
 		store, err := OpenDiskStore(d.disk)
@@ -65,23 +66,23 @@
 	}
 }
 
-// begin checks what a start has restored against what was sent before.
+// begin checks the restored state against the identity and votes that were sent before.
 func (d *diskModel) begin(store *DiskStore, restored Restored) {
 	if restored.ID != d.id {
-		must.True(d.t, d.identityLost || !d.identitySent, must.Sprint("the identity changed without need"))
+		must.True(d.t, d.identityLost || !d.identitySent, must.Sprint("the identity changed although no file was damaged"))
 		for part, record := range restored.Records {
-			must.Eq(d.t, messages.Ballot{}, record.Promised, must.Sprintf("part %d: a vote of an earlier identity", part))
+			must.Eq(d.t, messages.Ballot{}, record.Promised, must.Sprintf("part %d: restored a vote of an earlier identity", part))
 		}
 		d.sentVotes = [Parts]int64{}
 	}
 	d.id, d.store, d.identityLost, d.identitySent = restored.ID, store, false, false
 	for part, record := range restored.Records {
-		must.GreaterEq(d.t, d.sentVotes[part], record.Promised.N, must.Sprintf("part %d: an older record under the same identity", part))
+		must.GreaterEq(d.t, d.sentVotes[part], record.Promised.N, must.Sprintf("part %d: restored an older record under the same identity", part))
 		d.currentVotes[part] = record.Promised.N
 	}
 }
 
-// step casts a vote, repeats one without a write, or injects a fault.
+// step saves a vote, repeats one without a write, or injects a fault.
 func (d *diskModel) step() {
 	part := d.rnd.IntN(Parts)
 	switch k := d.rnd.IntN(40); {
@@ -109,7 +110,8 @@
 	}
 }
 
-// endProcess ends the process, and may kill the next one while it starts.
+// endProcess terminates the process and starts another, which may be killed during its
+// start.
 func (d *diskModel) endProcess(how func()) {
 	d.disk.SetFull(false)
 	how()
@@ -119,7 +121,7 @@
 	d.start()
 }
 
-// damage corrupts a file in use; the process finds that at its next start.
+// damage corrupts a file in use and restarts the process, which must detect that.
 func (d *diskModel) damage() {
 	d.disk.Restart()
 	name := identityFile
@@ -129,19 +131,19 @@
 	d.identityLost = d.disk.Damage(name) || d.identityLost
 	d.disk.SetFull(false)
 	calm := d.rnd.IntN(2) == 0
-	if !calm { // ResetIdentity is interrupted; a name that was never synced may be lost, and the damage with it
+	if !calm { // ResetIdentity may be interrupted; a file name that was never synced may be lost, and the damaged file with it
 		d.disk.StopAfter(d.rnd.IntN(30))
 	}
 	was := d.id
 	d.start()
 	if calm {
-		must.NotEq(d.t, was, d.id, must.Sprint("the damage was not noticed"))
+		must.NotEq(d.t, was, d.id, must.Sprint("the damage was not detected"))
 	}
 }
 
-// Every vote that others may have seen is on disk, or the identity has changed:
-// with processes killed and power lost at any operation, full disks, names lost one
-// by one, and corruption of durable files.
+// After every restart, each vote that may have been sent is restored, or the identity has
+// changed. Processes are killed and power is lost at any operation of the disk, disks are
+// full, single file names are lost, and durable files are corrupted.
 func TestVotesSurviveUnderSameIdentity(t *testing.T) {
 	histories := uint64(4000)
 	if testing.Short() {
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -15,8 +15,8 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// A write that is interrupted at any operation leaves a temporary file: neither the
-// record before it nor the identity is lost.
+// A write that is interrupted at any operation leaves at most a temporary file: neither
+// the earlier record nor the identity is lost.
 func TestTornTemporaryFileIsIgnored(t *testing.T) {
 	for seed := range uint64(100) {
 		for cut := range 6 {
@@ -38,9 +38,9 @@
 	}
 }
 
-// A process is killed after a record was renamed and before the directory was
-// synced. The next process finds the record and repeats its vote without a write.
-// It syncs the directory first, or a loss of power would take the vote back.
+// A process is killed after a record was renamed and before the directory was synced. The
+// next process loads the record and repeats its vote without a write. It must sync the
+// directory first, or a loss of power would undo the vote.
 func TestDirectoryIsSyncedBeforeFirstVoteAfterKill(t *testing.T) {
 	for seed := range uint64(20) {
 		d := disk.New(seed)
@@ -77,9 +77,9 @@
 	return store
 }
 
-// A record that is damaged after it was durable means lost votes: the record before
-// it does not come back, the member gets a new identity in all registers, founds no
-// group even if bootstrap is set, and can save again.
+// A record that is damaged after it was durable means lost votes: no older record is
+// restored, the member adopts a new identity in all registers, is not a founder even if
+// bootstrap is set, and can save again.
 func TestDamagedRecordChangesIdentity(t *testing.T) {
 	dir := t.TempDir()
 	store := openTestStore(t, dir)
@@ -111,12 +111,12 @@
 
 	restored, err = Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("b"))
 	must.NoError(t, err)
-	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("the identity changes once"))
+	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("the identity must change only once"))
 	must.Eq(t, int64(9), restored.Records[2].Promised.N)
 }
 
-// A member without its identity gets a new one, also where it would found a group:
-// the identity that follows from the seeds has voted.
+// A member whose identity file is lost adopts a new identity, even if bootstrap is set: it
+// may have voted under the bootstrap identity.
 func TestLostIdentityIsNotBootstrappedAgain(t *testing.T) {
 	for _, spoil := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
 		dir := t.TempDir()
@@ -129,11 +129,11 @@
 		must.NoError(t, err)
 		must.Eq(t, "a/fresh1", restored.ID)
 		must.Eq(t, messages.Ballot{}, restored.Records[1].Promised)
-		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("the committed value stays"))
+		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("the committed value must be retained"))
 	}
 }
 
-// Failed writes to a full disk leave no files; once there is space the next write
+// Failed writes to a full disk leave no files, and once there is space the next write
 // succeeds.
 func TestFailedSaveLeavesNoFiles(t *testing.T) {
 	d := disk.New(3)
@@ -155,7 +155,7 @@
 	must.Eq(t, int64(99), record.Promised.N)
 }
 
-// After 2,000 changes the disk has one file for each register and the identity.
+// Over 2,000 saves the disk has at most one file per register and the identity.
 func TestOldRecordFilesAreRemoved(t *testing.T) {
 	d := disk.New(4)
 	store := openSimulated(t, d)
@@ -171,7 +171,8 @@
 	}
 }
 
-// The runner list and fencing tokens may be written by several goroutines at once.
+// Several goroutines may write the same file concurrently, as they do with the runner list
+// and fencing tokens.
 func TestConcurrentWritesOfSameFile(t *testing.T) {
 	d, err := NewDiskStore(t.TempDir())
 	must.NoError(t, err)
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// RepairGroup replaces wiped and gone members, and grows a group only if it can reach
-// an odd size.
+// RepairGroup replaces wiped and unreachable members, and grows a group only if it can
+// reach an odd size.
 func TestRepairGroup(t *testing.T) {
 	member := func(id string) messages.Member { return messages.Member{ID: id, Addr: id[:1]} }
 	members := func(ids ...string) (out []messages.Member) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// If some controllers are counted, only they become members.
+// If some controllers are counted, only counted ones become members.
 func TestRepairGroupPrefersCountedControllers(t *testing.T) {
 	alive := func(string) int64 { return 0 }
 	peer := func(addr string, counted bool) messages.Peer {
@@ -66,7 +66,7 @@
 	must.True(t, containsMember(next, FirstID("c")))
 	must.False(t, containsMember(next, FirstID("x")))
 	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("x", false)}, alive, 10))
-	must.False(t, want, must.Sprint("no candidate"))
+	must.False(t, want, must.Sprint("there is no counted candidate"))
 	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", false), peer("b", false), peer("x", false), peer("y", false)}, alive, 10))
 	must.False(t, want, must.Sprint("if none is counted, all are eligible"))
 }
--- a/internal/consensus/linearizability_test.go
+++ b/internal/consensus/linearizability_test.go
@@ -9,11 +9,11 @@
 )
 
 var (
-	operatorSeeds = flag.Uint64("operator-seeds", 200, "how many histories of operators to play")
-	operatorFirst = flag.Uint64("operator-first", 0, "the first seed of them")
+	operatorSeeds = flag.Uint64("operator-seeds", 200, "number of histories to simulate")
+	operatorFirst = flag.Uint64("operator-first", 0, "seed of the first history")
 )
 
-// checkLimit bounds the search for a linearization.
+// checkLimit bounds the duration of the search for a linearization.
 const checkLimit = 30 * time.Second
 
 const (
@@ -21,7 +21,7 @@
 	upgradeEvery = 350
 )
 
-// play runs a history: with faults first, and then until every operator has an
+// play simulates a history: first with faults, then without, until every operator has an
 // answer.
 func (c *cluster) play() {
 	for step := range steps {
@@ -53,8 +53,8 @@
 	c.heal()
 }
 
-// heal ends the faults. Every order without an answer is submitted again, and at
-// last the configuration and the weights are read.
+// heal stops the injection of faults. Every submission without an answer is retried, and
+// finally the configuration and the weights are read.
 func (c *cluster) heal() {
 	c.healed = true
 	for _, node := range c.nodes {
@@ -75,8 +75,8 @@
 	}
 }
 
-// drain delivers messages until no operation is open; one that makes no progress is
-// given up.
+// drain delivers messages until no operation is in progress. Operations still open after
+// 4,000 steps are abandoned.
 func (c *cluster) drain() {
 	for range 4000 {
 		switch {
@@ -91,19 +91,19 @@
 	c.operations, c.inFlight = nil, nil
 }
 
-// Eight operators at once, with repeats at any node, one order at two nodes, lost
-// answers, crashes, lost disks, membership changes, and versions of the program
-// with strict and lax validation in turn: the answers are those of one linearizable
-// register.
+// Eight concurrent operators observe one linearizable register. They retry at any node and
+// submit to two nodes at once, while answers are lost, nodes crash and lose their disks,
+// the group changes, and versions of the program with strict and lax validation alternate.
 func TestOperatorHistoriesAreLinearizable(t *testing.T) {
 	taken := 0
 	for seed := *operatorFirst; seed < *operatorFirst+*operatorSeeds; seed++ {
 		taken += playCluster(t, seed)
 	}
-	must.Greater(t, 3*int(*operatorSeeds), taken, must.Sprint("too few orders were committed"))
+	must.Greater(t, 3*int(*operatorSeeds), taken, must.Sprint("too few submissions were committed"))
 }
 
-// regressionSeeds need a mechanism that few histories need: 380 the seal.
+// regressionSeeds are histories that fail without a mechanism that few histories depend
+// on: 380 fails without sealed rejections.
 var regressionSeeds = []uint64{380}
 
 func TestRegressionSeedsAreLinearizable(t *testing.T) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// playCluster plays and checks one history, and returns how many orders were
-// committed.
+// playCluster simulates and checks one history, and returns the number of committed
+// submissions.
 func playCluster(t *testing.T, seed uint64) int {
 	t.Helper()
 	cluster := newCluster(seed)
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -12,31 +12,31 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// paxosModel plays messages, crashes, failed writes and disk losses against the
-// state machines, in an order drawn from a seed. It checks that no two values are
+// paxosModel simulates acceptors and rounds with lost messages, crashes, failed writes and
+// disk losses, in an order determined by a seed. It checks that no two values are
 // committed under one version and that no acknowledged change is lost.
 type paxosModel struct {
 	t            *testing.T
 	rnd          *rand.Rand
 	nodes        map[string]*node // by address
 	inFlight     []message
-	chosen       map[int64]string
-	acknowledged int64
-	serial       int
+	chosen       map[int64]string // by version: the stamp of the chosen value
+	acknowledged int64            // the newest chosen version
+	serial       int              // number of stamps and identities so far
 	rounds       []*Round
-	padding      string // makes the values large
+	padding      string // appended to bodies to make values large
 }
 
-// node is a member of the model.
+// node is a simulated member.
 type node struct {
 	addr     string
 	acceptor Acceptor
-	disk     messages.Record // what survives a crash
+	disk     messages.Record // the record that survives a crash
 	up       bool
 	known    messages.Value
 }
 
-// message is a request, or the response to it, on its way.
+// message is a request, or the response to it, in flight.
 type message struct {
 	round    *Round
 	request  Request
@@ -44,7 +44,7 @@
 	response messages.ConsensusResponse
 }
 
-// newPaxosModel founds a group of size nodes.
+// newPaxosModel returns a model with a group of size nodes.
 func newPaxosModel(t *testing.T, seed uint64, size int) *paxosModel {
 	t.Helper()
 	model := &paxosModel{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*node{}, chosen: map[int64]string{}}
@@ -59,10 +59,10 @@
 	return model
 }
 
-// recordChosen checks that a version has one value.
+// recordChosen records a chosen value and checks that its version has no other one.
 func (p *paxosModel) recordChosen(v messages.Value) {
 	if old, ok := p.chosen[v.Version]; ok {
-		must.Eq(p.t, old, v.Stamp, must.Sprintf("two values under version %d", v.Version))
+		must.Eq(p.t, old, v.Stamp, must.Sprintf("two values chosen for version %d", v.Version))
 	}
 	p.chosen[v.Version] = v.Stamp
 	p.acknowledged = max(p.acknowledged, v.Version)
@@ -74,7 +74,7 @@
 	}
 }
 
-// startRound starts a round under a random ballot.
+// startRound starts a round under a random ballot at a node.
 func (p *paxosModel) startRound(n *node, change Change) {
 	p.serial++
 	stamp := fmt.Sprintf("s%d", p.serial)
@@ -88,7 +88,7 @@
 	}
 }
 
-// deliver delivers a message or loses it.
+// deliver delivers or loses a message.
 func (p *paxosModel) deliver(i int) {
 	m := p.inFlight[i]
 	p.inFlight = append(p.inFlight[:i:i], p.inFlight[i+1:]...)
@@ -101,8 +101,8 @@
 	}
 }
 
-// handleRequest lets the acceptor of the receiver answer. The response may be lost to a
-// failed write or a crash, or be duplicated.
+// handleRequest passes a request to the acceptor of the receiver. There may be no response
+// because of a failed write or a crash, or the response may be duplicated.
 func (p *paxosModel) handleRequest(m message) {
 	n := p.nodes[m.request.To.Addr]
 	if n == nil || !n.up {
@@ -134,7 +134,7 @@
 	}
 }
 
-// receiveResponse takes a response to its round. Some nodes learn the value that the
+// receiveResponse passes a response to its round. Some nodes learn the value that the
 // round ends with.
 func (p *paxosModel) receiveResponse(m message) {
 	before := m.round.End
@@ -153,7 +153,7 @@
 	}
 }
 
-// learnWhere lets the nodes for which receives is true learn a value.
+// learnWhere delivers a committed value to the nodes for which receives returns true.
 func (p *paxosModel) learnWhere(v messages.Value, receives func(n *node) bool) {
 	for _, n := range p.nodes {
 		if receives(n) {
@@ -162,14 +162,14 @@
 	}
 }
 
-// crash loses what is not on disk.
+// crash stops a node, which loses the state that is not on disk.
 func (p *paxosModel) crash(n *node) {
 	n.up = false
 	n.acceptor.Rec = n.disk
 	n.known = n.disk.Committed
 }
 
-// wipeDisk takes the disk of a node, which comes back under a new identity.
+// wipeDisk erases the disk of a node and assigns it a new identity.
 func (p *paxosModel) wipeDisk(n *node) {
 	p.serial++
 	n.disk = messages.Record{}
@@ -177,12 +177,12 @@
 	n.known = messages.Value{}
 }
 
-// setBody is a change that sets the body and keeps the group.
+// setBody returns a change that sets the body and does not change the group.
 func setBody(s string) Change {
 	return func(messages.Value) ([]messages.Member, []byte, error) { return nil, []byte(s), nil }
 }
 
-// pickLive returns a random node that is up and knows its group, or nil.
+// pickLive returns a random node that is up and has learned the group, or nil.
 func (p *paxosModel) pickLive() *node {
 	var list []*node
 	for i := range len(p.nodes) {
@@ -218,11 +218,11 @@
 			newest = round.Value
 		}
 	}
-	p.t.Fatalf("no majority after everything came back")
+	p.t.Fatalf("no change committed although all nodes are up and no message is lost")
 	return newest
 }
 
-// newestKnown returns the newest committed value that a node knows.
+// newestKnown returns the newest committed value that any node has learned.
 func (p *paxosModel) newestKnown() messages.Value {
 	newest := messages.Value{}
 	for _, n := range p.nodes {
@@ -233,7 +233,8 @@
 	return newest
 }
 
-// deliverInOrder plays a round without loss. voted is called after each vote.
+// deliverInOrder runs a round without loss. voted is called with each node that has
+// handled a request.
 func (p *paxosModel) deliverInOrder(round *Round, voted func(n *node)) {
 	requests := round.Requests()
 	for len(requests) > 0 && round.End == InProgress {
@@ -254,7 +255,7 @@
 	}
 }
 
-// step starts a change, crashes a node, restarts all or delivers a message.
+// step starts a change, crashes a node, restarts all nodes or delivers a message.
 func (p *paxosModel) step() {
 	switch k := p.rnd.IntN(100); {
 	case k < 6:
@@ -278,7 +279,7 @@
 	}
 }
 
-// Rounds of random ballots run at once while messages are lost and duplicated and
+// Rounds with random ballots run concurrently while messages are lost and duplicated and
 // nodes crash.
 func TestOneValueCommittedPerVersionInRandomOrders(t *testing.T) {
 	for seed := range uint64(400) {
@@ -293,7 +294,8 @@
 	}
 }
 
-// The same with values so large that members report and accept them by reference.
+// As TestOneValueCommittedPerVersionInRandomOrders, with values so large that members
+// report and accept them by reference.
 func TestOneLargeValueCommittedPerVersionInRandomOrders(t *testing.T) {
 	references := 0
 	for seed := range uint64(40) {
@@ -314,8 +316,7 @@
 	must.Positive(t, references)
 }
 
-// One disk is lost at a time; the new identity replaces the old one before the next
-// loss.
+// One disk is lost at a time, and the new identity joins the group before the next loss.
 func TestAcknowledgedChangeSurvivesDiskLoss(t *testing.T) {
 	for seed := range uint64(200) {
 		model := newPaxosModel(t, seed, 3)
@@ -337,7 +338,7 @@
 	}
 }
 
-// loseTwoDisks wipes two random nodes while all others lose power.
+// loseTwoDisks wipes two random nodes and crashes all others.
 func (p *paxosModel) loseTwoDisks(size int) (lost []*node) {
 	first := p.rnd.IntN(size)
 	second := (first + 1 + p.rnd.IntN(size-1)) % size
@@ -353,9 +354,8 @@
 	return lost
 }
 
-// In groups of five and seven two disks are lost at once while all other members
-// lose power. Acknowledged changes survive, and the new identities join one after
-// the other.
+// In groups of five and seven, two disks are lost at once while all other members lose
+// power. Acknowledged changes survive, and the new identities join one after the other.
 func TestAcknowledgedChangeSurvivesTwoSimultaneousDiskLosses(t *testing.T) {
 	for seed := range uint64(200) {
 		size := 5 + 2*int(seed%2)
@@ -384,8 +384,8 @@
 	}
 }
 
-// playChanges delivers messages in random order, and starts a change at every twelfth
-// step on average.
+// playChanges delivers messages in random order, and starts a change in one of twelve
+// steps on average.
 func (p *paxosModel) playChanges(steps int) {
 	for range steps {
 		if p.rnd.IntN(12) == 0 {
@@ -406,10 +406,10 @@
 	return out
 }
 
-// changeGroup commits a membership change without loss.
+// changeGroup commits a membership change without loss of messages.
 func (p *paxosModel) changeGroup(base messages.Value, group []messages.Member) {
 	change := func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil }
-	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", change)
+	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "group-change"}, "group-change", change)
 	p.deliverInOrder(round, func(n *node) { n.disk = n.acceptor.Rec })
 	must.Eq(p.t, Chosen, round.End)
 	p.recordChosen(round.Value)
--- a/internal/consensus/reading_test.go
+++ b/internal/consensus/reading_test.go
@@ -8,8 +8,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A repeated response counts once, and a member that has accepted a value does not
-// count as clean.
+// A repeated response counts once, and a member that has accepted a value does not count
+// towards a current result.
 func TestReadingCountsEachMemberOnce(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	quorumRead := NewReading(g)
@@ -20,5 +20,5 @@
 	quorumRead.Receive(g.Group[1], messages.ConsensusResponse{Verdict: messages.Granted, HasAccepted: true})
 	must.Eq(t, Undecided, quorumRead.Result())
 	quorumRead.Receive(g.Group[2], clean)
-	must.Eq(t, Current, quorumRead.Result(), must.Sprint("a majority has accepted nothing: what one accepted was not chosen"))
+	must.Eq(t, Current, quorumRead.Result(), must.Sprint("a majority has accepted nothing, so the value that one accepted was not chosen"))
 }
--- a/internal/consensus/references_test.go
+++ b/internal/consensus/references_test.go
@@ -10,8 +10,8 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// unfinishedCluster is three acceptors that have all accepted a large value of a proposer
-// that ended before it committed it.
+// unfinishedCluster returns three acceptors that have all accepted a large value, whose
+// proposer failed before it sent any commit.
 func unfinishedCluster(t *testing.T) (base, accepted messages.Value, acceptors map[string]*Acceptor) {
 	t.Helper()
 	base = Genesis([]string{"a", "b", "c"})
@@ -28,8 +28,8 @@
 	return base, round.Value, acceptors
 }
 
-// play delivers the requests of a round in order, and returns the bytes of all requests
-// and responses.
+// play delivers the requests of a round in order, and returns the number of bytes of all
+// requests and responses.
 func play(t *testing.T, round *Round, acceptors map[string]*Acceptor) (total int) {
 	t.Helper()
 	requests := round.Requests()
@@ -47,7 +47,7 @@
 	return total
 }
 
-// finishing is a round that brings an accepted value to its end.
+// finishing returns a round that commits an accepted value and has no value of its own.
 func finishing(base messages.Value) *Round {
 	return NewRound(0, base, messages.Ballot{N: 2, Who: "second"}, "second", func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, ErrNoChange })
 }
@@ -70,7 +70,7 @@
 	must.GreaterEq(t, 2, again)
 }
 
-// A proposer that has not accepted the value itself is given all of it.
+// A proposer that has not accepted the value itself receives the value, not a reference.
 func TestAcceptedLargeValueIsReportedToAProposerWithoutIt(t *testing.T) {
 	base, accepted, acceptors := unfinishedCluster(t)
 	round := finishing(base)
@@ -79,7 +79,7 @@
 	must.Eq(t, accepted, round.Value)
 }
 
-// A member that has not accepted the value is sent all of it.
+// A member that has not accepted the value is sent the value, not a reference.
 func TestMemberWithoutAcceptedLargeValueIsSentAllOfIt(t *testing.T) {
 	base, accepted, acceptors := unfinishedCluster(t)
 	for id, a := range acceptors {
@@ -93,7 +93,7 @@
 	play(t, round, acceptors)
 	must.Eq(t, Chosen, round.End)
 	for _, a := range acceptors {
-		must.True(t, !a.Rec.HasAccepted || len(a.Rec.Accepted.Group) == 3, must.Sprint("no reference is ever stored"))
+		must.True(t, !a.Rec.HasAccepted || len(a.Rec.Accepted.Group) == 3, must.Sprint("an acceptor must not store a reference"))
 	}
 }
 
--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -19,8 +19,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// testNodes are nodes that call each other, with stores that survive a restart. A call
-// to a node that is stopped fails.
+// testNodes are nodes that call each other, with stores that survive a restart. A call to
+// a stopped node fails.
 type testNodes struct {
 	t      *testing.T
 	seeds  []string
@@ -35,7 +35,7 @@
 	return &testNodes{t: t, seeds: seeds, log: logr.Discard(), stores: map[string]Store{}, nodes: map[string]*Registers{}}
 }
 
-// start starts a node on its store, which is a new one at the first start.
+// start starts a node with its store, which is created at the first start.
 func (n *testNodes) start(addr string, bootstrap bool) {
 	n.t.Helper()
 	if n.stores[addr] == nil {
@@ -64,7 +64,7 @@
 func (n *testNodes) handle(ctx context.Context, addr string, body []byte) ([]byte, error) {
 	node := n.at(addr)
 	if node == nil {
-		return nil, errors.New("stopped")
+		return nil, errors.New("node is stopped")
 	}
 	return node.Handle(ctx, body)
 }
@@ -80,8 +80,8 @@
 	}
 }
 
-// A member is replaced, then every node loses power and another one its disk: the new
-// group knows from its own disks that it is the group
+// A member is replaced, then every node loses power and another one its disk: the members
+// of the new group restore the group from their own disks
 // (docs/incidents/group-forgot-itself.md).
 func TestNewGroupRecoversFromDiskAfterPowerLoss(t *testing.T) {
 	ctx := context.Background()
@@ -117,8 +117,8 @@
 	must.NoError(t, err)
 }
 
-// All founders restart before the first change of a register: they still know its group
-// (docs/incidents/founders-forgot-their-group.md).
+// All founders restart before the first change of a register: they restore its group from
+// disk (docs/incidents/founders-forgot-their-group.md).
 func TestBootstrapGroupSurvivesRestartBeforeFirstChange(t *testing.T) {
 	nodes := newTestNodes(t, "a", "b", "c")
 	for _, bootstrap := range []bool{true, false} {
@@ -135,8 +135,8 @@
 
 func (*failingStore) Save(int, messages.Record) error { return errors.Wrap(ErrStore, "full") }
 
-// A member whose disk refuses writes gives no vote, logs that once, and does not
-// keep the others from committing.
+// A member whose writes fail gives no vote, logs the failure once, and does not prevent
+// the other members from committing.
 func TestFailingStoreGivesNoVoteAndLogsOnce(t *testing.T) {
 	var out bytes.Buffer
 	nodes := newTestNodes(t, "a", "b", "c")
@@ -159,7 +159,7 @@
 	must.Eq(t, 1, strings.Count(out.String(), "store write failed"))
 }
 
-// callerFunc is a Caller made of a function on encoded requests.
+// callerFunc is a Caller that passes encoded requests to a function.
 type callerFunc func(ctx context.Context, addr string, body []byte) ([]byte, error)
 
 func (c callerFunc) Call(ctx context.Context, addr string, _ int, m msgp.Marshaler) ([]byte, error) {
@@ -184,7 +184,7 @@
 	return s.MemoryStore.Save(part, record)
 }
 
-// A promise that could not be written was not made: after the disk has recovered, a
+// A promise that could not be written does not count: after the disk has recovered, a
 // lower ballot is still granted.
 func TestFailedWriteRollsBackPromise(t *testing.T) {
 	store := &switchableStore{}
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -16,37 +16,37 @@
 const (
 	tickUs      = 100_000
 	detectUs    = 1_000_000
-	catchUpUs   = 4_000_000 // within which a replaced member votes again
-	roundUs     = 500_000   // after which a round times out
-	changeEvery = 3         // ticks, on average
-	oneLostIn   = 40        // of so many messages one is lost
+	catchUpUs   = 4_000_000 // maximum time until a group is repaired
+	roundUs     = 500_000   // timeout of a round
+	changeEvery = 3         // ticks per operator change, on average
+	oneLostIn   = 40        // messages per lost message, on average
 )
 
-// repairModel plays repairs: every node runs a coordinator, and time advances in
-// ticks in which messages are delivered in random order, some of them lost. It
-// checks the preconditions of every membership change.
+// repairModel simulates the repair of groups: every node runs a coordinator, and time
+// advances in ticks in which messages are delivered in random order, some of them lost.
+// It checks the preconditions of every membership change.
 type repairModel struct {
 	*paxosModel
 	seed     uint64
 	nowUs    int64
 	size     int
 	machines map[string]*machine
-	serials  int
-	onStep   func(m *machine, s RepairStep)
-	busy     map[string]*Round // the round that a machine runs, by address
+	serials  int                            // number of machines that were added
+	onStep   func(m *machine, s RepairStep) // if set, called before each step is executed
+	busy     map[string]*Round              // by address: the latest round of a machine
 }
 
-// machine is a node with its faults.
+// machine is a node with its coordinator and its faults.
 type machine struct {
 	*node
 	coordinator   RepairCoordinator
-	downUs        int64 // since when it is down, 0 if it is up
-	removed       bool  // for good
+	downUs        int64 // when it went down, 0 if it is up
+	removed       bool  // it is down permanently
 	partitioned   bool  // health checks reach it, but messages do not
-	diskFull      bool  // writes fail
-	leaving       bool
-	roundBeganUs  int64 // when its last round began
-	joinedVersion int64 // version of the change by which it joined last
+	diskFull      bool  // its writes fail
+	leaving       bool  // it is shutting down
+	roundBeganUs  int64 // when its latest round started
+	joinedVersion int64 // version of the change by which it last joined
 }
 
 func newRepairModel(t *testing.T, seed uint64, size int) *repairModel {
@@ -58,8 +58,7 @@
 	return model
 }
 
-// sortedMachines returns the machines by address, so that a seed plays the same each
-// time.
+// sortedMachines returns the machines sorted by address, so that a seed is reproducible.
 func (r *repairModel) sortedMachines() []*machine {
 	var out []*machine
 	for _, m := range r.machines {
@@ -79,19 +78,19 @@
 	return r.machines[addr]
 }
 
-// remove takes a machine away for good.
+// remove shuts a machine down permanently.
 func (r *repairModel) remove(m *machine) {
 	m.up, m.removed, m.downUs = false, true, r.nowUs
 	delete(r.busy, m.addr)
 }
 
-// loseDisk takes the disk of a machine, which is back at once under a new identity.
+// loseDisk erases the disk of a machine, which restarts at once under a new identity.
 func (r *repairModel) loseDisk(m *machine) {
 	r.wipeDisk(m.node)
 	r.restart(m)
 }
 
-// losePower loses what is not on disk; the machine is back at once.
+// losePower restarts a machine, which loses the state that is not on disk.
 func (r *repairModel) losePower(m *machine) {
 	if m.removed {
 		return
@@ -140,8 +139,8 @@
 	}
 }
 
-// tick advances time: values are learned and reach disks, coordinators step, and
-// messages are delivered.
+// tick advances time by tickUs: values are learned and persisted, coordinators run a
+// step, and messages are delivered.
 func (r *repairModel) tick() {
 	r.nowUs += tickUs
 	list := r.sortedMachines()
@@ -165,7 +164,8 @@
 	}
 }
 
-// gossip lets some machines learn from others, and some values reach the disks.
+// gossip delivers the committed values of random machines to others, and persists the
+// values of some.
 func (r *repairModel) gossip(list []*machine) {
 	for _, m := range list {
 		from := list[r.rnd.IntN(len(list))]
@@ -183,7 +183,7 @@
 	m.disk = m.acceptor.Rec
 }
 
-// execute carries out a step of a coordinator.
+// execute performs a step of a machine's coordinator.
 func (r *repairModel) execute(m *machine, step RepairStep) {
 	if !m.up {
 		return
@@ -198,19 +198,19 @@
 	}
 	r.propose(m, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		if cur.Version != step.Version {
-			return nil, nil, errors.New("the base has changed")
+			return nil, nil, errors.New("another value was committed since the step was returned")
 		}
 		return step.Propose, cur.Body, nil
 	})
 }
 
-// inRound reports whether a machine has a round that may still end.
+// inRound reports whether a machine has a round in progress that has not timed out.
 func (r *repairModel) inRound(m *machine) bool {
 	round := r.busy[m.addr]
 	return round != nil && round.End == InProgress && r.nowUs-m.roundBeganUs < roundUs
 }
 
-// propose starts a round with a ballot above all earlier ones.
+// propose starts a round at a machine, with a ballot above all earlier ones.
 func (r *repairModel) propose(m *machine, change Change) {
 	r.serial++
 	stamp := fmt.Sprintf("s%d", r.serial)
@@ -221,7 +221,7 @@
 	}
 }
 
-// confirm sends a member the base and reports whether it has that on disk.
+// confirm sends the base to a member and reports whether the member has it on disk.
 func (r *repairModel) confirm(m *machine, to messages.Member) bool {
 	other := r.machines[to.Addr]
 	if !r.reaches(m, to.Addr) || other.acceptor.ID != to.ID {
@@ -234,7 +234,7 @@
 	return len(other.disk.Committed.Group) > 0 && other.disk.Committed.Version >= m.known.Version
 }
 
-// deliverOne delivers a message or loses it.
+// deliverOne delivers or loses a message.
 func (r *repairModel) deliverOne(i int) {
 	m := r.inFlight[i]
 	r.inFlight = append(r.inFlight[:i:i], r.inFlight[i+1:]...)
@@ -264,7 +264,8 @@
 	r.inFlight = append(r.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
 }
 
-// proposer is the machine that runs a round, or nil.
+// proposer returns the machine that runs a round, or nil if it is down or has abandoned
+// the round.
 func (r *repairModel) proposer(round *Round) *machine {
 	for _, m := range r.machines {
 		if r.busy[m.addr] == round && m.up {
@@ -274,7 +275,7 @@
 	return nil
 }
 
-// receive takes a response to a round.
+// receive passes a response to its round.
 func (r *repairModel) receive(m *machine, msg message) {
 	round := msg.round
 	before := round.End
@@ -291,14 +292,14 @@
 	r.learn(m.node, round.Value)
 }
 
-// checkJoining checks a membership change: each member that joins had the base on
-// disk, and those that joined by the change before, as far as they are alive, had
-// its outcome.
+// checkJoining checks a chosen membership change: each member that joins has the base on
+// disk, and each live member that joined by the change before has the result of that
+// change on disk.
 func (r *repairModel) checkJoining(round *Round) {
 	for _, g := range addedMembers(round.Base.Group, round.Value.Group) {
 		m := r.machines[g.Addr]
 		if m.acceptor.ID != g.ID {
-			continue // lost since
+			continue // wiped since
 		}
 		must.GreaterEq(r.t, round.Base.Version, m.disk.Committed.Version, must.Sprintf("seed %d: %s joined without the base on disk", r.seed, g.ID))
 		must.SliceNotEmpty(r.t, m.disk.Committed.Group, must.Sprintf("seed %d: %s joined without the base on disk", r.seed, g.ID))
@@ -310,12 +311,12 @@
 	for _, g := range round.Base.Group {
 		m := r.machines[g.Addr]
 		if m.up && m.acceptor.ID == g.ID && m.joinedVersion > 0 && m.joinedVersion <= round.Base.Version && !m.diskFull {
-			must.GreaterEq(r.t, m.joinedVersion, m.disk.Committed.Version, must.Sprintf("seed %d: the next change began before %s had its outcome on disk", r.seed, g.ID))
+			must.GreaterEq(r.t, m.joinedVersion, m.disk.Committed.Version, must.Sprintf("seed %d: the next change was chosen before %s had the result of the last one on disk", r.seed, g.ID))
 		}
 	}
 }
 
-// play runs some ticks, with changes by operators.
+// play runs a number of ticks, with changes by operators.
 func (r *repairModel) play(ticks int) {
 	for range ticks {
 		if r.rnd.IntN(changeEvery) == 0 {
@@ -325,7 +326,7 @@
 	}
 }
 
-// operatorChange starts a change at a random machine that is free.
+// operatorChange starts a change at a random machine, unless that has a round in progress.
 func (r *repairModel) operatorChange() {
 	list := r.sortedMachines()
 	m := list[r.rnd.IntN(len(list))]
@@ -335,7 +336,7 @@
 	r.propose(m, setBody(fmt.Sprint(r.serial)))
 }
 
-// newest is the newest value that a live machine knows.
+// newest returns the newest committed value that a live machine has learned.
 func (r *repairModel) newest() messages.Value {
 	var v messages.Value
 	for _, m := range r.sortedMachines() {
@@ -346,8 +347,9 @@
 	return v
 }
 
-// isRepaired reports whether the group has the wanted size, all of it is alive under
-// its identities, and the last change is complete for all who know of it.
+// isRepaired reports whether the group has the target size, all its members are up under
+// their current identities, and the last change is complete at every machine that has
+// learned it.
 func (r *repairModel) isRepaired() bool {
 	v := r.newest()
 	for _, g := range v.Group {
@@ -363,7 +365,7 @@
 	return len(v.Group) == r.size
 }
 
-// waitRepaired plays until the group is repaired, and fails if that takes too long.
+// waitRepaired runs ticks until the group is repaired, and fails the test after catchUpUs.
 func (r *repairModel) waitRepaired() {
 	r.t.Helper()
 	beganUs := r.nowUs
@@ -384,8 +386,8 @@
 	return out
 }
 
-// checkNothingLost checks that no acknowledged change is lost and that another one
-// can be committed.
+// checkNothingLost checks that no acknowledged change is lost and that another change can
+// be committed.
 func (r *repairModel) checkNothingLost() {
 	r.t.Helper()
 	acked := r.acknowledged
@@ -410,7 +412,7 @@
 	}
 }
 
-// members are the machines of the group, in its order.
+// members returns the machines of the group, in the order of the group.
 func (r *repairModel) members() []*machine {
 	var out []*machine
 	for _, g := range r.newest().Group {
@@ -421,7 +423,7 @@
 	return out
 }
 
-// othersLosePower is a loss of power at all machines but these.
+// othersLosePower restarts all machines except the given ones by a loss of power.
 func (r *repairModel) othersLosePower(but ...*machine) {
 	for _, m := range r.sortedMachines() {
 		spared := false
@@ -434,7 +436,8 @@
 	}
 }
 
-// forEachModel plays a history with groups of 3, 5 and 7, by seed.
+// forEachModel runs a history with groups of 3, 5 and 7 members and with each seed, and
+// checks at its end that no acknowledged change is lost.
 func forEachModel(t *testing.T, seeds uint64, history func(model *repairModel)) {
 	t.Helper()
 	for _, size := range []int{3, 5, 7} {
@@ -447,18 +450,19 @@
 	}
 }
 
-// tolerableLosses is how many simultaneous losses a group survives.
+// tolerableLosses returns the number of simultaneous disk losses to simulate, which a
+// group of this size must survive.
 func (r *repairModel) tolerableLosses() int { return min(2, r.size/2) }
 
-// pickRandom gives n different machines.
+// pickRandom returns n different machines.
 func pickRandom(r *rand.Rand, list []*machine, n int) []*machine {
 	list = append([]*machine{}, list...)
 	r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:n]
 }
 
-// As many disks as tolerable are lost at once while all others lose power; once
-// that is repaired, it happens again.
+// As many disks as tolerable are lost at once while all other machines lose power, three
+// times, each time after the group is repaired.
 func TestRepairAfterSimultaneousDiskLosses(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		for range 3 {
@@ -474,7 +478,7 @@
 	})
 }
 
-// The newest member is lost right after it joined, and all others lose power.
+// The newest member loses its disk right after it joined, and all others lose power.
 func TestRepairAfterNewestMemberIsLost(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		for range 3 {
@@ -491,8 +495,8 @@
 	})
 }
 
-// The proposer of the repair is lost in the middle of it, or loses power if only
-// one loss is tolerable.
+// The proposer of a repair fails permanently while it runs the repair, or loses power if
+// only one loss is tolerable.
 func TestRepairAfterProposerFails(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		struck := false
@@ -515,8 +519,8 @@
 	})
 }
 
-// The machine of the first rank is partitioned, though health checks reach it, or
-// its disk is full: another one repairs.
+// The machine of the first rank is partitioned although health checks reach it, or its
+// disk is full: another machine repairs the group.
 func TestRepairWhenFirstRankIsPartitionedOrDiskFull(t *testing.T) {
 	for _, size := range []int{5, 7} {
 		for seed := range uint64(60) {
@@ -532,7 +536,7 @@
 	}
 }
 
-// A candidate whose disk refuses writes never joins; another one does.
+// A candidate whose writes fail never joins, and another candidate does.
 func TestRepairSkipsCandidateWithFailingDisk(t *testing.T) {
 	forEachModel(t, 30, func(model *repairModel) {
 		bad, good := model.join(), model.join()
@@ -547,9 +551,9 @@
 	})
 }
 
-// A leaving member has one of the two replicas of an acknowledged change. A
-// candidate takes its place first, so that the other replica may be lost. If lost
-// messages prevent that within the bound, the group is repaired afterwards.
+// A leaving member has one of the two replicas of an acknowledged change. A candidate
+// replaces it before it leaves, so that the change survives the loss of the other replica.
+// If lost messages prevent that within the time limit, the group is repaired afterwards.
 func TestHandOverCompletesBeforeLeaving(t *testing.T) {
 	const histories, boundUs = 100, 2_500_000
 	late := 0
@@ -582,8 +586,8 @@
 	must.LessEq(t, histories/50, late)
 }
 
-// As many disks as tolerable are lost at any moment of a hand-over, while all
-// others lose power, the leaving member included.
+// As many disks as tolerable are lost at a random time during a hand-over, while all
+// others lose power, including the leaving member.
 func TestRepairAfterDiskLossesDuringHandOver(t *testing.T) {
 	forEachModel(t, 60, func(model *repairModel) {
 		leaver := pickRandom(model.rnd, model.members(), 1)[0]
@@ -609,8 +613,8 @@
 	})
 }
 
-// playWithout plays until a condition holds, while a member is down for too short a
-// time to be replaced.
+// playWithout runs ticks until a condition holds, with a member down but never long enough
+// to be replaced.
 func (r *repairModel) playWithout(absent *machine, until func() bool) {
 	for !until() {
 		r.play(1)
@@ -618,13 +622,14 @@
 	}
 }
 
-// handedOver reports whether a leaving machine has nothing left to hand over.
+// handedOver reports whether the hand-over of a leaving machine is complete or not
+// possible.
 func (r *repairModel) handedOver(leaver *machine) bool {
 	_, may := HandOver(leaver.known.Group, leaver.addr, r.status())
 	return !may && leaver.coordinator.Complete(leaver.known.Group)
 }
 
-// A member that comes back after a short restart is not replaced.
+// A member that restarts before the timeout is not replaced.
 func TestRestartDoesNotChangeGroup(t *testing.T) {
 	model := newRepairModel(t, 3, 3)
 	model.join()
--- a/internal/consensus/repair_test.go
+++ b/internal/consensus/repair_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Without a candidate there is nothing to hand over and no step to take.
+// Without a candidate a leaving member has no hand-over and no step.
 func TestHandOverIsSkippedWithoutCandidate(t *testing.T) {
 	model := newRepairModel(t, 1, 3)
 	m := model.machines["10.0.0.2:1"]
@@ -19,9 +19,9 @@
 	must.False(t, due)
 }
 
-// Rank decides when a controller acts. One without contact to a majority never
-// acts, one with a disk fault only after all others, and a change of the group
-// restarts the delay.
+// The rank of a controller determines when it acts. A controller that does not reach a
+// majority never acts, one with a disk fault only after all others, and a change of the
+// group restarts the delay.
 func TestStepIsDelayedByRank(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	status := Status{
@@ -58,7 +58,7 @@
 	v = view("b")
 	v.Base.Version, v.Base.Group = 1, append([]messages.Member{{ID: "e/1", Addr: "e"}}, g.Group[1:]...)
 	_, due = c.Step(1+RankDelayUs, v)
-	must.False(t, due, must.Sprint("the group has just changed"))
+	must.False(t, due, must.Sprint("a change of the group must restart the delay"))
 
 	c = RepairCoordinator{}
 	calm := view("a")
@@ -66,13 +66,13 @@
 	_, due = c.Step(1, calm)
 	must.False(t, due)
 	_, due = c.Step(2+MaxStepGapUs, view("a"))
-	must.False(t, due, must.Sprint("after a suspension the view is old"))
+	must.False(t, due, must.Sprint("after a suspension the view is stale"))
 	_, due = c.Step(2+MaxStepGapUs+RankDelayUs, view("a"))
 	must.True(t, due)
 }
 
-// The next change waits for the confirmation of the member that the last one took
-// in, up to a timeout.
+// The next change waits, up to a timeout, for the confirmation of the member that joined
+// by the last one.
 func TestNextChangeWaitsForJoiningMember(t *testing.T) {
 	before := Genesis([]string{"a", "b", "c", "d", "e"})
 	after := before
--- a/internal/consensus/round_seal_test.go
+++ b/internal/consensus/round_seal_test.go
@@ -11,13 +11,13 @@
 
 var errStrictValidation = errors.New("rejected by strict validation")
 
-// rejectSealed is a change that other validation may have let pass.
+// rejectSealed is a change that is rejected, where other validation may have accepted it.
 func rejectSealed(messages.Value) ([]messages.Member, []byte, error) {
 	return nil, nil, SealRefusal(errStrictValidation)
 }
 
-// threeAcceptors gives three acceptors, of which the last has accepted an earlier
-// attempt.
+// threeAcceptors returns three acceptors, of which only c has accepted the value of an
+// earlier attempt.
 func threeAcceptors() (g messages.Value, accs map[string]*Acceptor, earlier *Round) {
 	g = Genesis([]string{"a", "b", "c"})
 	accs = map[string]*Acceptor{}
@@ -30,8 +30,8 @@
 	return g, accs, earlier
 }
 
-// exchange sends requests to the acceptors named, takes their responses, and
-// returns the requests that follow.
+// exchange delivers requests to the given acceptors and their responses to the round, and
+// returns the resulting requests.
 func exchange(round *Round, accs map[string]*Acceptor, requests []Request, to ...string) []Request {
 	var next []Request
 	for _, addr := range to {
@@ -45,9 +45,9 @@
 	return next
 }
 
-// An attempt that was accepted by a member that has not answered can still be
-// committed: a sealed rejection closes the version first, where a plain one would
-// be overturned.
+// The value of an earlier attempt that was accepted by a member that has not responded can
+// still be committed. A sealed rejection closes the version first; without a seal, the
+// rejected change could be committed later.
 func TestSealClosesVersionToEarlierAttempt(t *testing.T) {
 	g, accs, _ := threeAcceptors()
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
@@ -61,11 +61,11 @@
 	must.Eq(t, Finished, NewAttempt(0, "strict", rejectSealed).Finish(round))
 	later := NewRound(0, g, messages.Ballot{N: 3, Who: "later"}, "later", setBody("x"))
 	exchange(later, accs, later.Requests(), "b", "c")
-	must.Eq(t, round.Value.Stamp, later.Value.Stamp, must.Sprint("the seal is committed, not the earlier attempt"))
+	must.Eq(t, round.Value.Stamp, later.Value.Stamp, must.Sprint("the sealing value must be committed, not the earlier attempt"))
 }
 
-// If the member answers before the version is closed, its accepted value is
-// proposed, and the rejection is dropped.
+// If the member responds before the version is closed, its accepted value is proposed and
+// the rejection is discarded.
 func TestSealedRejectionAdoptsAcceptedValue(t *testing.T) {
 	g, accs, earlier := threeAcceptors()
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
@@ -76,10 +76,10 @@
 	must.Eq(t, Chosen, round.End)
 	must.Eq(t, earlier.Value.Stamp, round.Value.Stamp)
 	must.NoError(t, round.Err)
-	must.Eq(t, NextRound, NewAttempt(0, "strict", rejectSealed).Finish(round), must.Sprint("the change is computed again"))
+	must.Eq(t, NextRound, NewAttempt(0, "strict", rejectSealed).Finish(round), must.Sprint("the change must be computed again"))
 }
 
-// If every member has promised, no value has to be written.
+// If every member has promised, no sealing value has to be written.
 func TestSealedRejectionWritesNothingWhenAllPromised(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
--- a/internal/consensus/round_test.go
+++ b/internal/consensus/round_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A change can reject only once a majority has promised.
+// A change is computed, and can be rejected, only once a majority has promised.
 func TestRejectionNeedsPromisesFromMajority(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
 	no := errors.New("no")
--- a/internal/consensus/storage_growth_test.go
+++ b/internal/consensus/storage_growth_test.go
@@ -15,14 +15,14 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// The number of files stays as at the start over 2,260 changes of a configuration.
-// The bytes on disk and in a round grow by 26 a change until the digests of earlier
-// versions reach their bound (2,048), and are constant from then on.
+// The number of files is bounded over 2,260 changes of a configuration. The bytes on disk
+// and in a round grow by 26 per change until the digests of earlier versions reach their
+// limit (2,048), and are constant from then on.
 func TestStorageStaysBoundedOver2000Changes(t *testing.T) {
 	const changes, flatFrom = 2260, 2180 // 2,048 digests, and the last of the 127 whose version takes one byte is dropped
 	const mostFiles = 1 + 1 + 2          // the identity, the record, one just written and one just replaced
 	nodes, disks := map[string]*Registers{}, map[string]*disk.Disk{}
-	var accept atomic.Int64 // bytes of the newest accept request
+	var accept atomic.Int64 // bytes of the latest accept request
 	net := callerFunc(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
 		var request messages.ConsensusRequest
 		if _, err := request.UnmarshalMsg(b); err == nil && request.Step == messages.Accept {
@@ -58,10 +58,10 @@
 	t.Logf("accept request: %d bytes at change 10, %d at 1000, %d at 2000, %d at %d; largest disk %d bytes", rounds[9], rounds[999], rounds[1999], rounds[changes-1], changes, most)
 	must.Between(t, 25*990, rounds[999]-rounds[9], 28*990)
 	must.Eq(t, rounds[flatFrom], rounds[changes-1])
-	must.Less(t, 6*rounds[changes-1], int64(most), must.Sprint("a record holds two values, and for a moment there are three files"))
+	must.Less(t, 6*rounds[changes-1], int64(most), must.Sprint("a record has two values, and there are up to three files at a time"))
 }
 
-// applyOrder is the change of a configuration that an order asks for.
+// applyOrder returns the change that applies a submission to the configuration.
 func applyOrder(order routeconfig.Submission) Change {
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
 		next, err := order.Apply(bodyOf(cur))
--- a/internal/consensus/stored_files_test.go
+++ b/internal/consensus/stored_files_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// The directory was written by the code of commit b77aa1a.
+// The directory in testdata was written by the code of commit b77aa1a.
 func TestStoreReadsRecordOfCommitB77aa1a(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.CopyFS(dir, os.DirFS("testdata/written-by-b77aa1a")))
@@ -26,9 +26,9 @@
 	}, restored.Records[0])
 }
 
-// The directory was written by the code of commit 611e145: every kind of file that
-// a controller keeps on disk (identity, one record a register, the highest fencing
-// token used, the runner list).
+// The directory in testdata was written by the code of commit 611e145. It has every kind of
+// file that a controller stores on disk: the identity, one record per register, the highest
+// fencing token used, and the runner list.
 func TestStoreReadsEveryKindOfFileOfCommit611e145(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.CopyFS(dir, os.DirFS("testdata/written-by-611e145")))
