--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -11,8 +11,8 @@
 	Rec messages.Record // the state that must survive a restart
 }
 
-// Less orders ballots: by number, then by proposer.
-func Less(a, b messages.Ballot) bool {
+// ballotLess orders ballots: by number, then by proposer.
+func ballotLess(a, b messages.Ballot) bool {
 	if a.N != b.N {
 		return a.N < b.N
 	}
@@ -74,7 +74,7 @@
 		return messages.ConsensusResponse{Verdict: messages.Ahead, Version: version, Value: a.Rec.Committed}, false
 	case !known || request.Slot > version+1:
 		return messages.ConsensusResponse{Verdict: messages.Behind, Version: version}, false
-	case Less(request.Ballot, a.Rec.Promised):
+	case ballotLess(request.Ballot, a.Rec.Promised):
 		return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Rec.Promised}, false
 	}
 	return messages.ConsensusResponse{}, true
--- a/internal/consensus/atomic_files.go
+++ b/internal/consensus/atomic_files.go
@@ -85,13 +85,13 @@
 // replace writes a file that several goroutines may write concurrently. It serializes
 // them, because they use the same temporary file.
 func (a *atomicFiles) replace(name string, content []byte) error {
-	lock := a.lockOf(name)
+	lock := a.fileLock(name)
 	lock.Lock()
 	defer lock.Unlock()
 	return a.write(name, content)
 }
 
-func (a *atomicFiles) lockOf(name string) *sync.Mutex {
+func (a *atomicFiles) fileLock(name string) *sync.Mutex {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.locks[name] == nil {
--- a/internal/consensus/attempt.go
+++ b/internal/consensus/attempt.go
@@ -17,7 +17,7 @@
 // version first. Third, a change that is rejected on one value is rejected on every
 // later value.
 type Attempt struct {
-	part          int
+	registerIndex int
 	stamp         string
 	change        Change
 	highestBallot messages.Ballot // the highest ballot seen on the current base
@@ -25,14 +25,14 @@
 
 // NewAttempt starts an attempt. The stamp identifies its proposals and must be unique
 // over all attempts of all members.
-func NewAttempt(part int, stamp string, change Change) *Attempt {
-	return &Attempt{part: part, stamp: stamp, change: change}
+func NewAttempt(index int, stamp string, change Change) *Attempt {
+	return &Attempt{registerIndex: index, stamp: stamp, change: change}
 }
 
 // Round starts the next round on top of the newest committed value that was learned.
 func (a *Attempt) Round(base messages.Value) *Round {
 	ballot := messages.Ballot{N: a.highestBallot.N + 1, Who: a.stamp}
-	return NewRound(a.part, base, ballot, a.stamp, a.change)
+	return NewRound(a.registerIndex, base, ballot, a.stamp, a.change)
 }
 
 // Progress is the next action of an attempt after a round.
@@ -77,7 +77,7 @@
 		return NextRound
 	}
 	for _, ballot := range []messages.Ballot{round.HighestBallot, round.Ballot} {
-		if Less(a.highestBallot, ballot) {
+		if ballotLess(a.highestBallot, ballot) {
 			a.highestBallot = ballot
 		}
 	}
--- a/internal/consensus/catchup.go
+++ b/internal/consensus/catchup.go
@@ -14,9 +14,9 @@
 	// chunkTimeout bounds the wait for one response. A chunk is small, so a longer wait
 	// means a broken link or a failed sender, not a slow one.
 	chunkTimeout = 1500 * time.Millisecond
-	// maxUselessResponses is how many responses in a row may be missing or unusable
+	// maxFailedResponses is how many responses in a row may be missing or unusable
 	// before a transfer is abandoned.
-	maxUselessResponses = 3
+	maxFailedResponses = 3
 	// transferTimePerByte is the time that each byte of a large value adds to a timeout.
 	transferTimePerByte = 4 * time.Microsecond
 )
@@ -38,48 +38,48 @@
 // while another catch-up from that address, or a transfer of this register, is in
 // progress. After ErrTransferStalled the chunks received are retained, and the next
 // catch-up, from any controller, resumes after them.
-func (r *Registers) Pull(ctx context.Context, addr string, part int) error {
-	transfers := r.registers[part].transfers
+func (r *Registers) Pull(ctx context.Context, addr string, index int) error {
+	transfers := r.registers[index].transfers
 	if !transfers.startFetch(addr) {
 		return nil
 	}
 	defer transfers.endFetch(addr)
-	response, err := r.fetchChunk(ctx, addr, part)
+	response, err := r.fetchChunk(ctx, addr, index)
 	switch {
 	case ctx.Err() != nil:
 		return errors.Wrap(ErrTransferStalled, ctx.Err().Error())
 	case err != nil:
 		return err
 	case len(response.Piece) == 0:
-		r.Learn(part, response.Value)
+		r.Learn(index, response.Value)
 		return nil
 	}
 	if !transfers.startTransfer() {
 		return nil
 	}
 	defer transfers.endTransfer()
-	return r.receiveChunks(ctx, addr, part, response)
+	return r.receiveChunks(ctx, addr, index, response)
 }
 
 // receiveChunks stores the first chunk of a large value and fetches the others.
-func (r *Registers) receiveChunks(ctx context.Context, addr string, part int, response messages.ConsensusResponse) error {
-	transfers := r.registers[part].transfers
-	for useless := 0; ; {
-		encoded, taken := transfers.receive(response)
-		switch taken {
+func (r *Registers) receiveChunks(ctx context.Context, addr string, index int, response messages.ConsensusResponse) error {
+	transfers := r.registers[index].transfers
+	for failures := 0; ; {
+		encoded, result := transfers.receive(response)
+		switch result {
 		case statesync.Complete:
-			return r.learnEncoded(part, encoded)
+			return r.learnEncoded(index, encoded)
 		case statesync.Ignored, statesync.Corrupt:
-			useless++
+			failures++
 		default:
-			useless = 0
+			failures = 0
 		}
 		var err error
-		if response, useless, err = r.fetchNextChunk(ctx, addr, part, useless); err != nil {
+		if response, failures, err = r.fetchNextChunk(ctx, addr, index, failures); err != nil {
 			return err
 		}
 		if len(response.Piece) == 0 {
-			r.Learn(part, response.Value)
+			r.Learn(index, response.Value)
 			return nil
 		}
 	}
@@ -87,37 +87,37 @@
 
 // fetchNextChunk retries a fetch until there is a response, or too many in a row were
 // missing or unusable. It returns their count.
-func (r *Registers) fetchNextChunk(ctx context.Context, addr string, part, useless int) (messages.ConsensusResponse, int, error) {
-	for ; useless < maxUselessResponses; useless++ {
-		response, err := r.fetchChunk(ctx, addr, part)
+func (r *Registers) fetchNextChunk(ctx context.Context, addr string, index, failures int) (messages.ConsensusResponse, int, error) {
+	for ; failures < maxFailedResponses; failures++ {
+		response, err := r.fetchChunk(ctx, addr, index)
 		if ctx.Err() != nil {
-			return response, useless, errors.Wrap(ErrTransferStalled, ctx.Err().Error())
+			return response, failures, errors.Wrap(ErrTransferStalled, ctx.Err().Error())
 		}
 		if err == nil {
-			return response, useless, nil
+			return response, failures, nil
 		}
 	}
-	return messages.ConsensusResponse{}, useless, ErrTransferStalled
+	return messages.ConsensusResponse{}, failures, ErrTransferStalled
 }
 
 // fetchChunk requests the next chunk of the value being received, or else any value newer
 // than the committed one.
-func (r *Registers) fetchChunk(ctx context.Context, addr string, part int) (messages.ConsensusResponse, error) {
+func (r *Registers) fetchChunk(ctx context.Context, addr string, index int) (messages.ConsensusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
-	version, offset := r.registers[part].transfers.nextChunk()
-	if known, ok := r.Committed(part); ok && version == 0 {
+	version, offset := r.registers[index].transfers.nextChunk()
+	if known, ok := r.Committed(index); ok && version == 0 {
 		version = known.Version + 1
 	}
-	return r.send(ctx, messages.Member{Addr: addr}, messages.ConsensusRequest{Part: part, Step: messages.Read, Slot: version, Offset: offset, Pieces: true})
+	return r.send(ctx, messages.Member{Addr: addr}, messages.ConsensusRequest{Part: index, Step: messages.Read, Slot: version, Offset: offset, Pieces: true})
 }
 
-func (r *Registers) learnEncoded(part int, encoded []byte) error {
+func (r *Registers) learnEncoded(index int, encoded []byte) error {
 	var v messages.Value
 	if _, err := v.UnmarshalMsg(encoded); err != nil {
 		return errors.Wrap(err, "consensus: decode value")
 	}
-	r.Learn(part, v)
+	r.Learn(index, v)
 	return nil
 }
 
--- a/internal/consensus/catchup_test.go
+++ b/internal/consensus/catchup_test.go
@@ -23,16 +23,16 @@
 	return messages.Value{Version: version, Group: group, Body: bytes.Repeat([]byte{byte(version)}, size), Stamp: "s"}
 }
 
-// openBehind returns a node without any value that can catch up from a, over a link that
+// openLaggingNode returns a node without any value that can catch up from a, over a link that
 // loses the responses for which lose returns true. It also returns counters: the bytes of
 // all responses, and those of the largest one.
-func openBehind(t *testing.T, a *Registers, lose func() bool) (registers *Registers, carried, largest *atomic.Int64) {
+func openLaggingNode(t *testing.T, a *Registers, lose func() bool) (registers *Registers, receivedBytes, largestResponse *atomic.Int64) {
 	t.Helper()
-	carried, largest = &atomic.Int64{}, &atomic.Int64{}
+	receivedBytes, largestResponse = &atomic.Int64{}, &atomic.Int64{}
 	link := callerFunc(func(ctx context.Context, _ string, body []byte) ([]byte, error) {
 		b, err := a.Handle(ctx, body)
-		carried.Add(int64(len(b)))
-		largest.Store(max(largest.Load(), int64(len(b))))
+		receivedBytes.Add(int64(len(b)))
+		largestResponse.Store(max(largestResponse.Load(), int64(len(b))))
 		if lose() {
 			return nil, errors.New("lost")
 		}
@@ -40,11 +40,11 @@
 	})
 	registers, err := Open("b", 1, false, nil, link, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
-	return registers, carried, largest
+	return registers, receivedBytes, largestResponse
 }
 
-// openRegisters returns a node that has no peers.
-func openRegisters(t *testing.T, addr string) *Registers {
+// openSingleNode returns a node that has no peers.
+func openSingleNode(t *testing.T, addr string) *Registers {
 	t.Helper()
 	registers, err := Open(addr, 1, false, nil, nil, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
@@ -69,36 +69,36 @@
 	const size = 2 << 20
 	for seed := range uint64(5) {
 		rnd := rand.New(rand.NewPCG(seed, 6))
-		a := openRegisters(t, "a")
-		b, carried, largest := openBehind(t, a, func() bool { return rnd.IntN(2) == 0 })
+		a := openSingleNode(t, "a")
+		b, receivedBytes, largestResponse := openLaggingNode(t, a, func() bool { return rnd.IntN(2) == 0 })
 		version := int64(1)
 		a.Learn(0, valueOfSize(version, size))
-		pulls := 0
+		attempts := 0
 		for {
 			if _, ok := b.Committed(0); ok {
 				break
 			}
-			if pulls++; pulls%10 == 0 {
+			if attempts++; attempts%10 == 0 {
 				version++
 				a.Learn(0, valueOfSize(version, size))
 			}
-			must.Less(t, 400, pulls, must.Sprintf("seed %d", seed))
+			must.Less(t, 400, attempts, must.Sprintf("seed %d", seed))
 			_ = b.Pull(context.Background(), "a", 0)
 		}
 		v, _ := b.Committed(0)
 		must.True(t, bytes.Equal(valueOfSize(v.Version, size).Body, v.Body))
-		must.Less(t, 3*size, carried.Load())
-		must.Less(t, int64(statesync.ChunkBytes+1024), largest.Load())
+		must.Less(t, 3*size, receivedBytes.Load())
+		must.Less(t, int64(statesync.ChunkBytes+1024), largestResponse.Load())
 	}
 }
 
 // A small value takes one call, as required by nodes of a version without support for
 // chunks.
 func TestCatchUpFetchesSmallValueInOneResponse(t *testing.T) {
-	a := openRegisters(t, "a")
+	a := openSingleNode(t, "a")
 	a.Learn(0, valueOfSize(4, 1000))
 	calls := 0
-	b, _, _ := openBehind(t, a, func() bool { calls++; return false })
+	b, _, _ := openLaggingNode(t, a, func() bool { calls++; return false })
 	must.NoError(t, b.Pull(context.Background(), "a", 0))
 	must.Eq(t, 1, calls)
 	v, ok := b.Committed(0)
@@ -112,10 +112,10 @@
 	started, unblock chan struct{}
 }
 
-func (b *blockingStore) Save(part int, record messages.Record) error {
+func (b *blockingStore) Save(index int, record messages.Record) error {
 	b.started <- struct{}{}
 	<-b.unblock
-	return b.MemoryStore.Save(part, record)
+	return b.MemoryStore.Save(index, record)
 }
 
 // A node whose write to disk hangs still serves its committed value.
@@ -125,7 +125,7 @@
 	must.NoError(t, err)
 	a.Learn(0, valueOfSize(1, 10))
 	<-store.started
-	b, _, _ := openBehind(t, a, func() bool { return false })
+	b, _, _ := openLaggingNode(t, a, func() bool { return false })
 	must.NoError(t, b.Pull(context.Background(), "a", 0))
 	_, ok := b.Committed(0)
 	must.True(t, ok)
@@ -137,12 +137,12 @@
 // accepted another value ignores the reference.
 func TestLargeBaseIsCommittedByReference(t *testing.T) {
 	nodes := map[string]*Registers{}
-	var inSecond atomic.Bool // the first change's commits are lost
+	var secondChange atomic.Bool // the first change's commits are lost
 	net := callerFunc(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
 		var request messages.ConsensusRequest
 		_, err := request.UnmarshalMsg(b)
 		must.NoError(t, err)
-		if addr == "c" || request.Step == messages.Commit && (!inSecond.Load() || len(request.Value.Group) > 0) {
+		if addr == "c" || request.Step == messages.Commit && (!secondChange.Load() || len(request.Value.Group) > 0) {
 			return nil, errors.New("lost")
 		}
 		return nodes[addr].Handle(ctx, b)
@@ -156,7 +156,7 @@
 	must.NoError(t, err)
 	v, _ := nodes["b"].Committed(0)
 	must.Eq(t, int64(0), v.Version)
-	inSecond.Store(true)
+	secondChange.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*roundTimeout)
 	defer cancel()
 	second, err := nodes["a"].Change(ctx, 0, setBody("small"))
@@ -169,21 +169,21 @@
 // reference before the accept request with the value, and is then sent the value again.
 func TestLargeValueIsCommittedByReferenceWhereAccepted(t *testing.T) {
 	nodes := map[string]*Registers{}
-	var carried atomic.Int64
+	var sentBytes atomic.Int64
 	net := callerFunc(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
-		carried.Add(int64(len(b)))
+		sentBytes.Add(int64(len(b)))
 		return nodes[addr].Handle(ctx, b)
 	})
 	openGroup(t, nodes, net)
 	const size = 4 * statesync.ChunkBytes
 	_, err := nodes["a"].Change(t.Context(), 0, setBody(string(bytes.Repeat([]byte("x"), size))))
 	must.NoError(t, err)
-	for s := range nodes {
-		for v, _ := nodes[s].Committed(0); v.Version == 0; v, _ = nodes[s].Committed(0) {
+	for addr := range nodes {
+		for v, _ := nodes[addr].Committed(0); v.Version == 0; v, _ = nodes[addr].Committed(0) {
 			runtime.Gosched()
 		}
 	}
-	must.Less(t, int64(3*size+size/2), carried.Load())
+	must.Less(t, int64(3*size+size/2), sentBytes.Load())
 }
 
 // A large value whose transmission takes longer than the timeout of a round with small
--- a/internal/consensus/change.go
+++ b/internal/consensus/change.go
@@ -25,9 +25,9 @@
 	backoffStepMs   = 20
 	backoffMaxSteps = 8
 
-	// spreadPerByte is the time that a byte of a large value adds to the limit of a
+	// jitterPerByte is the time that a byte of a large value adds to the limit of a
 	// backoff.
-	spreadPerByte = 2 * time.Microsecond
+	jitterPerByte = 2 * time.Microsecond
 
 	// responseBuffer has room for the responses of both phases and for repeated ones, so
 	// that senders rarely block.
@@ -37,27 +37,27 @@
 // Change runs rounds until the change is committed or rejected, or until ctx ends. It
 // returns the committed value, or the error of the change. After ErrUnsure the change
 // may still be committed.
-func (r *Registers) Change(ctx context.Context, part int, change Change) (messages.Value, error) {
-	attempt := NewAttempt(part, r.incarnation+Random(), change)
+func (r *Registers) Change(ctx context.Context, index int, change Change) (messages.Value, error) {
+	attempt := NewAttempt(index, r.stampPrefix+randomHex(), change)
 	for retries := 0; ; retries++ {
 		if ctx.Err() != nil {
 			return messages.Value{}, ErrUnsure
 		}
-		base, ok := r.Committed(part)
+		base, ok := r.Committed(index)
 		if !ok {
 			return messages.Value{}, ErrNoGroup
 		}
 		round := attempt.Round(base)
-		round.Hold(r.accepted(ctx, part))
-		begun := time.Now()
+		round.Hold(r.acceptedValue(ctx, index))
+		start := time.Now()
 		newRoundDriver(r, round).run(ctx)
-		r.counts.RoundDurations.Observe(time.Since(begun))
+		r.counts.RoundDurations.Observe(time.Since(start))
 		r.counts.rounds[round.End].Add(1)
 		switch round.End {
 		case Chosen:
-			r.broadcastCommit(part, round.Value, round.Base.Group)
+			r.broadcastCommit(index, round.Value, round.Base.Group)
 		case Superseded:
-			r.Learn(part, round.Value)
+			r.Learn(index, round.Value)
 		}
 		switch attempt.Finish(round) {
 		case Finished:
@@ -73,23 +73,23 @@
 // that every vote writes to disk.
 func backoff(ctx context.Context, retries int, values ...messages.Value) {
 	limit := time.Duration(backoffBaseMs+backoffStepMs*min(retries, backoffMaxSteps)) * time.Millisecond
-	pause(ctx, limit+spread(values...))
+	sleepJitter(ctx, limit+jitterLimit(values...))
 }
 
-// spread returns the interval over which proposers of a large value start at random, so
+// jitterLimit returns the interval over which proposers of a large value start at random, so
 // that one of them finishes before the next starts. It is zero for small values.
-func spread(values ...messages.Value) time.Duration {
+func jitterLimit(values ...messages.Value) time.Duration {
 	bytes := 0
 	for _, v := range values {
 		if isLarge(v) {
 			bytes = max(bytes, len(v.Body))
 		}
 	}
-	return time.Duration(bytes) * spreadPerByte
+	return time.Duration(bytes) * jitterPerByte
 }
 
-// pause waits a random time up to a limit, or until ctx ends.
-func pause(ctx context.Context, limit time.Duration) {
+// sleepJitter waits a random time up to a limit, or until ctx ends.
+func sleepJitter(ctx context.Context, limit time.Duration) {
 	n, _ := rand.Int(rand.Reader, big.NewInt(int64(limit)+1))
 	select {
 	case <-time.After(time.Duration(n.Int64())):
@@ -99,9 +99,9 @@
 
 // broadcastCommit learns a committed value and sends it to the members of the old and
 // the new group without waiting: a member that misses it catches up later.
-func (r *Registers) broadcastCommit(part int, v messages.Value, old []messages.Member) {
-	r.Learn(part, v)
-	for _, m := range unionOf(old, v.Group) {
+func (r *Registers) broadcastCommit(index int, v messages.Value, oldGroup []messages.Member) {
+	r.Learn(index, v)
+	for _, m := range unionOf(oldGroup, v.Group) {
 		if m.Addr == r.addr {
 			continue
 		}
@@ -109,15 +109,15 @@
 			// Not derived from the context of Change, which may end before the commit is sent.
 			ctx, cancel := context.WithTimeout(context.Background(), commitTimeout+transferAllowance(v))
 			defer cancel()
-			r.sendCommit(ctx, part, m, v)
+			r.sendCommit(ctx, index, m, v)
 		}()
 	}
 }
 
 // sendCommit sends a committed value to a member. Of a large value it sends the reference
 // first, and the value itself only if the member has not accepted it.
-func (r *Registers) sendCommit(ctx context.Context, part int, m messages.Member, v messages.Value) {
-	request := messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
+func (r *Registers) sendCommit(ctx context.Context, index int, m messages.Member, v messages.Value) {
+	request := messages.ConsensusRequest{Part: index, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
 	if isLarge(v) {
 		request.Value = referenceTo(v)
 		response, err := r.send(ctx, m, request)
@@ -145,17 +145,17 @@
 	registers *Registers
 	round     *Round
 	responses chan memberResponse
-	// referencedTo has the members that were sent a reference to the base instead of the
+	// sentReference has the members that were sent a reference to the base instead of the
 	// base itself, because the base is large.
-	referencedTo map[string]bool
+	sentReference map[string]bool
 }
 
 func newRoundDriver(registers *Registers, round *Round) *roundDriver {
 	return &roundDriver{
-		registers:    registers,
-		round:        round,
-		responses:    make(chan memberResponse, responseBuffer),
-		referencedTo: map[string]bool{},
+		registers:     registers,
+		round:         round,
+		responses:     make(chan memberResponse, responseBuffer),
+		sentReference: map[string]bool{},
 	}
 }
 
@@ -199,9 +199,9 @@
 	for _, request := range requests {
 		byMember[request.To.ID] = append(byMember[request.To.ID], request)
 	}
-	for id, list := range byMember {
-		if d.replaceLargeBase(id, list) {
-			go d.sendInOrder(ctx, list)
+	for id, memberRequests := range byMember {
+		if d.replaceLargeBase(id, memberRequests) {
+			go d.sendInOrder(ctx, memberRequests)
 		}
 	}
 }
@@ -209,20 +209,20 @@
 // replaceLargeBase replaces a large base in a commit request by a reference to it. It
 // returns false for a member that was sent one before: that member lacks the base,
 // fetches it in chunks, and votes once it has it.
-func (d *roundDriver) replaceLargeBase(id string, list []Request) (send bool) {
-	if !isLarge(d.round.Base) || list[0].Body.Step != messages.Commit {
+func (d *roundDriver) replaceLargeBase(id string, requests []Request) (send bool) {
+	if !isLarge(d.round.Base) || requests[0].Body.Step != messages.Commit {
 		return true
 	}
-	if d.referencedTo[id] {
+	if d.sentReference[id] {
 		return false
 	}
-	d.referencedTo[id] = true
-	list[0].Body.Value = referenceTo(d.round.Base)
+	d.sentReference[id] = true
+	requests[0].Body.Value = referenceTo(d.round.Base)
 	return true
 }
 
-func (d *roundDriver) sendInOrder(ctx context.Context, list []Request) {
-	for _, request := range list {
+func (d *roundDriver) sendInOrder(ctx context.Context, requests []Request) {
+	for _, request := range requests {
 		response, err := d.registers.send(ctx, request.To, request.Body)
 		if request.Body.Step == messages.Commit && err == nil {
 			continue // the round only needs the response to the request that follows
--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -8,9 +8,9 @@
 
 // persist writes the committed values to the disk of a node.
 func (n *clusterNode) persist() {
-	for part := range n.acceptors {
-		if n.acceptors[part].Learn(n.known[part]) {
-			n.disk[part] = n.acceptors[part].Rec
+	for index := range n.acceptors {
+		if n.acceptors[index].Learn(n.known[index]) {
+			n.disk[index] = n.acceptors[index].Rec
 		}
 	}
 }
@@ -19,17 +19,17 @@
 // progress at it.
 func (c *cluster) crash(node *clusterNode) {
 	node.up = false
-	for part := range node.acceptors {
-		node.acceptors[part].Rec = node.disk[part]
-		node.known[part] = node.disk[part].Committed
+	for index := range node.acceptors {
+		node.acceptors[index].Rec = node.disk[index]
+		node.known[index] = node.disk[index].Committed
 	}
-	var left []*operation
+	var remaining []*operation
 	for _, op := range c.operations {
 		if op.node != node {
-			left = append(left, op)
+			remaining = append(remaining, op)
 		}
 	}
-	c.operations = left
+	c.operations = remaining
 }
 
 // wipe erases the disk of a node and assigns it a new identity.
@@ -43,10 +43,10 @@
 // fullyReplicated reports whether every member of both groups has the newest value on
 // disk: only then may another disk be lost.
 func (c *cluster) fullyReplicated() bool {
-	for part, v := range c.newest {
+	for index, v := range c.newest {
 		for _, m := range v.Group {
-			at := c.nodeAt(m.Addr)
-			if at.acceptors[part].ID != m.ID || at.disk[part].Committed.Version != v.Version {
+			node := c.nodeAt(m.Addr)
+			if node.acceptors[index].ID != m.ID || node.disk[index].Committed.Version != v.Version {
 				return false
 			}
 		}
@@ -72,19 +72,19 @@
 // changeGroup starts a membership change at a random node: to the new identity of a wiped
 // member, or to the spare node in place of a member that is considered unreachable.
 func (c *cluster) changeGroup() {
-	at := c.anyNode()
-	if at == nil {
+	node := c.randomNode()
+	if node == nil {
 		return
 	}
-	var gone string
-	if c.chance(3) {
-		gone = c.nodes[c.rnd.IntN(len(c.nodes))].addr
+	var unreachable string
+	if c.oneIn(3) {
+		unreachable = c.nodes[c.rnd.IntN(len(c.nodes))].addr
 	}
-	for part := range at.acceptors {
-		status := c.statusWithout(gone, part)
-		c.start(&operation{id: -1, node: at, part: part}, func(cur messages.Value) ([]messages.Member, []byte, error) {
-			group, want := RepairGroup(cur.Group, status)
-			if !want {
+	for index := range node.acceptors {
+		status := c.statusWithout(unreachable, index)
+		c.startChange(&operation{id: -1, node: node, register: index}, func(cur messages.Value) ([]messages.Member, []byte, error) {
+			group, needed := RepairGroup(cur.Group, status)
+			if !needed {
 				return nil, nil, errNothingToChange
 			}
 			return group, cur.Body, nil
@@ -94,16 +94,16 @@
 
 // statusWithout returns the status in which one node is unreachable and all others that
 // are up are ready.
-func (c *cluster) statusWithout(gone string, part int) Status {
+func (c *cluster) statusWithout(unreachable string, index int) Status {
 	status := Status{GoneUs: 1, GoneFor: func(addr string) int64 {
-		if addr == gone {
+		if addr == unreachable {
 			return 1
 		}
 		return 0
 	}}
 	for _, node := range c.nodes {
-		if node.up && node.addr != gone {
-			status.Ready = append(status.Ready, messages.Member{ID: node.acceptors[part].ID, Addr: node.addr})
+		if node.up && node.addr != unreachable {
+			status.Ready = append(status.Ready, messages.Member{ID: node.acceptors[index].ID, Addr: node.addr})
 		}
 	}
 	return status
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -14,13 +14,13 @@
 // client is an operator, with the submission that it retries until it receives a final
 // answer.
 type client struct {
-	order        order
-	hasOrder     bool
-	knownVersion int64 // the newest committed version that it has received
+	submission    submission
+	hasSubmission bool
+	knownVersion  int64 // the newest committed version that it has received
 }
 
-// order is a configuration that an operator submits.
-type order struct {
+// submission is a configuration that an operator submits.
+type submission struct {
 	digest   string
 	version  int64
 	base     int64
@@ -29,23 +29,23 @@
 
 // changeFor returns the change for a submission as in the product: a rejection is sealed
 // if an earlier attempt may have been accepted.
-func (c *cluster) changeFor(wanted order) Change {
-	configOrder := wanted.configOrder(c.strictValidation)
-	apply := applyOrder(configOrder)
+func (c *cluster) changeFor(requested submission) Change {
+	converted := requested.toRouteConfig(c.strictValidation)
+	apply := applySubmission(converted)
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
 		group, body, err := apply(cur)
-		if err != nil && configOrder.Contested(bodyOf(cur)) {
+		if err != nil && converted.Contested(bodyOf(cur)) {
 			return nil, nil, SealRefusal(err)
 		}
 		return group, body, err
 	}
 }
 
-// configOrder converts a submission to the type of the product. Strict validation rejects
+// toRouteConfig converts a submission to the type of the product. Strict validation rejects
 // a disputed submission.
-func (o order) configOrder(strict bool) routeconfig.Submission {
-	out := routeconfig.Submission{Raw: []byte(o.digest), Version: o.version, Base: o.base}
-	if strict && o.disputed {
+func (s submission) toRouteConfig(strict bool) routeconfig.Submission {
+	out := routeconfig.Submission{Raw: []byte(s.digest), Version: s.version, Base: s.base}
+	if strict && s.disputed {
 		out.Fault = &routeconfig.Invalid{Field: "routes", Reason: "rejected by strict validation"}
 	}
 	return out
@@ -68,7 +68,7 @@
 
 var errNotHigher = errors.New("the same or a higher weights version is set")
 
-func weights(n int64) Change {
+func setWeights(n int64) Change {
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
 		if weightsOf(cur) >= n {
 			return nil, nil, errNotHigher
@@ -77,8 +77,8 @@
 	}
 }
 
-// anyNode returns a random node that is up and knows both groups, or nil.
-func (c *cluster) anyNode() *clusterNode {
+// randomNode returns a random node that is up and knows both groups, or nil.
+func (c *cluster) randomNode() *clusterNode {
 	var up []*clusterNode
 	for _, node := range c.nodes {
 		if node.up && len(node.known[0].Group) > 0 && len(node.known[1].Group) > 0 {
@@ -91,89 +91,89 @@
 	return up[c.rnd.IntN(len(up))]
 }
 
-// step runs one operation of an operator: a read, a change of weights, or a submission,
+// operatorStep runs one operation of an operator: a read, a change of weights, or a submission,
 // which is retried until it has a final answer.
-func (c *cluster) step(i int) {
-	at := c.anyNode()
-	if at == nil {
+func (c *cluster) operatorStep(i int) {
+	node := c.randomNode()
+	if node == nil {
 		return
 	}
 	operator := &c.clients[i]
 	switch k := c.rnd.IntN(10); {
 	case k < 2:
-		c.read(i, at, ConfigPart)
+		c.read(i, node, ConfigPart)
 	case k < 3:
-		c.read(i, at, weightsPart)
+		c.read(i, node, weightsRegister)
 	case k < 4:
 		n := int64(1 + c.rnd.IntN(20))
 		call := history.Call{Kind: history.NameWeights, Model: "m", Version: n}
-		c.start(&operation{id: c.hist.Begin(i, call), client: i, node: at, part: weightsPart}, weights(n))
+		c.startChange(&operation{id: c.hist.Begin(i, call), client: i, node: node, register: weightsRegister}, setWeights(n))
 	default:
-		if !operator.hasOrder {
-			operator.order, operator.hasOrder = c.drawOrder(operator.knownVersion), true
+		if !operator.hasSubmission {
+			operator.submission, operator.hasSubmission = c.newSubmission(operator.knownVersion), true
 		}
-		c.replace(i, at, operator.order)
-		if other := c.anyNode(); c.chance(2) { // concurrently at a second node
-			c.replace(i, other, operator.order)
+		c.submit(i, node, operator.submission)
+		if other := c.randomNode(); c.oneIn(2) { // concurrently at a second node
+			c.submit(i, other, operator.submission)
 		}
 	}
 }
 
-// drawOrder returns a random submission. Its base may be a version that is not committed
+// newSubmission returns a random submission. Its base may be a version that is not committed
 // yet, and other clients may use the same version.
-func (c *cluster) drawOrder(believes int64) order {
+func (c *cluster) newSubmission(knownVersion int64) submission {
 	c.serial++
-	wanted := order{digest: fmt.Sprintf("c%d", c.serial), base: believes, disputed: c.chance(3)}
-	if other := c.clients[c.rnd.IntN(operators)]; other.hasOrder && c.chance(2) {
-		wanted.base = other.order.version
+	drawn := submission{digest: fmt.Sprintf("c%d", c.serial), base: knownVersion, disputed: c.oneIn(3)}
+	if other := c.clients[c.rnd.IntN(operatorCount)]; other.hasSubmission && c.oneIn(2) {
+		drawn.base = other.submission.version
 	}
-	wanted.version = wanted.base + 1 + int64(c.rnd.IntN(2))
-	return wanted
+	drawn.version = drawn.base + 1 + int64(c.rnd.IntN(2))
+	return drawn
 }
 
-// replace sends a submission to a node.
-func (c *cluster) replace(i int, at *clusterNode, wanted order) {
-	call := history.Call{Kind: history.Replace, Digest: wanted.digest, Version: wanted.version, Base: wanted.base, Disputed: wanted.disputed}
+// submit sends a submission to a node.
+func (c *cluster) submit(i int, node *clusterNode, requested submission) {
+	call := history.Call{Kind: history.Replace, Digest: requested.digest, Version: requested.version, Base: requested.base, Disputed: requested.disputed}
 	id := c.hist.Begin(i, call)
-	c.hist.Note("call %d is at %s", id, at.addr)
-	if wanted.configOrder(c.strictValidation).AcceptedIn(bodyOf(at.known[ConfigPart])) {
+	c.hist.Note("call %d is at %s", id, node.addr)
+	if requested.toRouteConfig(c.strictValidation).AcceptedIn(bodyOf(node.known[ConfigPart])) {
 		c.answer(&operation{id: id, client: i}, history.Answer{Verdict: history.Taken})
 		return
 	}
-	c.start(&operation{id: id, client: i, node: at, part: ConfigPart}, c.changeFor(wanted))
+	c.startChange(&operation{id: id, client: i, node: node, register: ConfigPart}, c.changeFor(requested))
 }
 
 // read starts a linearizable read at a node.
-func (c *cluster) read(i int, at *clusterNode, part int) {
+func (c *cluster) read(i int, node *clusterNode, index int) {
 	call := history.Call{Kind: history.Read}
-	if part == weightsPart {
+	if index == weightsRegister {
 		call = history.Call{Kind: history.ReadWeights, Model: "m"}
 	}
-	op := &operation{id: c.hist.Begin(i, call), client: i, node: at, part: part}
+	op := &operation{id: c.hist.Begin(i, call), client: i, node: node, register: index}
 	c.operations = append(c.operations, op)
 	c.startRead(op)
 }
 
 // answer completes an operation; the answer to the operator may be lost.
 func (c *cluster) answer(op *operation, a history.Answer) {
-	c.remove(op)
+	c.removeOperation(op)
 	if op.id < 0 {
 		return
 	}
-	if c.faulty(6) {
+	if c.faultOneIn(6) {
 		c.hist.Note("call %d: %s, lost", op.id, a)
 		return
 	}
 	c.hist.End(op.id, a)
 	if op.read == nil && a.Verdict == history.Taken {
-		c.committedOrders++
+		c.committedSubmissions++
 	}
 	c.clients[op.client].receive(a, op)
 }
 
 // receive updates the client with an answer.
 func (c *client) receive(a history.Answer, op *operation) {
-	if op.part != ConfigPart || a.Verdict == history.Unclear {
+	if op.register != ConfigPart || a.Verdict == history.Unclear {
 		return
 	}
 	if op.read != nil {
@@ -181,14 +181,14 @@
 		return
 	}
 	if a.Verdict == history.Taken {
-		c.knownVersion = max(c.knownVersion, c.order.version)
+		c.knownVersion = max(c.knownVersion, c.submission.version)
 	}
-	c.hasOrder = false
+	c.hasSubmission = false
 }
 
 // finishChange maps the result of an attempt to the answer that the product returns.
 func (c *cluster) finishChange(op *operation) {
-	var bad *routeconfig.Invalid
+	var invalid *routeconfig.Invalid
 	err := op.round.Err
 	switch {
 	case op.read != nil: // the round that a read ran to finish an accepted value
@@ -197,7 +197,7 @@
 		c.answer(op, history.Answer{Verdict: history.Taken})
 	case errors.Is(err, routeconfig.ErrVersionConflict):
 		c.answer(op, history.Answer{Verdict: history.Overtaken})
-	case errors.As(err, &bad):
+	case errors.As(err, &invalid):
 		c.answer(op, history.Answer{Verdict: history.Invalid})
 	default:
 		c.answer(op, history.Answer{})
@@ -206,7 +206,7 @@
 
 // answerRead completes a read with its base.
 func (c *cluster) answerRead(op *operation) {
-	if op.part == weightsPart {
+	if op.register == weightsRegister {
 		c.answer(op, history.Answer{Verdict: history.Taken, Version: weightsOf(op.read.Base)})
 		return
 	}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	operators   = 8
-	weightsPart = 1
+	operatorCount   = 8
+	weightsRegister = 1
 )
 
 // cluster simulates eight operators and a group of nodes. Messages are lost, nodes crash,
 // lose their disks, change their group and are upgraded to versions of the program with
 // other validation, in an order determined by a seed.
 type cluster struct {
-	rnd              *rand.Rand
-	hist             history.History
-	nodes            []*clusterNode
-	inFlight         []envelope
-	operations       []*operation
-	clients          [operators]client
-	newest           [2]messages.Value // the newest chosen value, by register
-	serial           int               // number of stamps and submissions so far
-	healed           bool              // no further faults are injected
-	committedOrders  int               // submissions that were acknowledged
-	strictValidation bool              // the current version of the program rejects disputed submissions
+	rnd                  *rand.Rand
+	hist                 history.History
+	nodes                []*clusterNode
+	inFlight             []envelope
+	operations           []*operation
+	clients              [operatorCount]client
+	newest               [2]messages.Value // the newest chosen value, by register
+	serial               int               // number of stamps and submissions so far
+	healed               bool              // no further faults are injected
+	committedSubmissions int               // submissions that were acknowledged
+	strictValidation     bool              // the current version of the program rejects disputed submissions
 }
 
 // clusterNode is a node with its two registers.
@@ -54,65 +54,65 @@
 
 // operation is a change or read in progress at a node.
 type operation struct {
-	id      int // of the call in the history, -1 for repairs
-	client  int
-	node    *clusterNode
-	part    int
-	attempt *Attempt
-	round   *Round
-	read    *Reading // nil for a change
+	id       int // of the call in the history, -1 for repairs
+	client   int
+	node     *clusterNode
+	register int
+	attempt  *Attempt
+	round    *Round
+	read     *Reading // nil for a change
 }
 
-// chance returns true with probability 1/n.
-func (c *cluster) chance(n int) bool { return c.rnd.IntN(n) == 0 }
+// oneIn returns true with probability 1/n.
+func (c *cluster) oneIn(n int) bool { return c.rnd.IntN(n) == 0 }
 
-// faulty returns true with probability 1/n while faults are injected.
-func (c *cluster) faulty(n int) bool { return !c.healed && c.chance(n) }
+// faultOneIn returns true with probability 1/n while faults are injected.
+func (c *cluster) faultOneIn(n int) bool { return !c.healed && c.oneIn(n) }
 
 // newCluster returns a cluster with a group of three or five nodes, depending on the seed,
 // and a spare node.
 func newCluster(seed uint64) *cluster {
-	cluster := &cluster{rnd: rand.New(rand.NewPCG(seed, 12))}
+	c := &cluster{rnd: rand.New(rand.NewPCG(seed, 12))}
 	var seeds []string
 	for i := range 3 + 2*int(seed%2) {
 		seeds = append(seeds, fmt.Sprintf("n%d", i))
 	}
 	for _, s := range seeds {
 		node := &clusterNode{addr: s, up: true}
-		for part := range node.acceptors {
-			node.disk[part] = messages.Record{Committed: Genesis(seeds)}
-			node.acceptors[part] = Acceptor{ID: FirstID(s), Rec: node.disk[part]}
-			node.known[part] = node.disk[part].Committed
+		for index := range node.acceptors {
+			node.disk[index] = messages.Record{Committed: Genesis(seeds)}
+			node.acceptors[index] = Acceptor{ID: FirstID(s), Rec: node.disk[index]}
+			node.known[index] = node.disk[index].Committed
 		}
-		cluster.nodes = append(cluster.nodes, node)
+		c.nodes = append(c.nodes, node)
 	}
 	spare := &clusterNode{addr: "spare", up: true}
-	cluster.wipe(spare)
-	cluster.nodes = append(cluster.nodes, spare)
-	cluster.newest = cluster.nodes[0].known
-	return cluster
+	c.wipe(spare)
+	c.nodes = append(c.nodes, spare)
+	c.newest = c.nodes[0].known
+	return c
 }
 
 // startRead starts a quorum read on the newest committed value that the node has learned.
 func (c *cluster) startRead(op *operation) {
 	op.attempt, op.round = nil, nil
-	op.read = NewReading(op.node.known[op.part])
+	op.read = NewReading(op.node.known[op.register])
 	for _, m := range op.read.Base.Group {
-		request := messages.ConsensusRequest{Part: op.part, To: m.ID, Step: messages.Read, Slot: op.read.Base.Version + 1}
+		request := messages.ConsensusRequest{Part: op.register, To: m.ID, Step: messages.Read, Slot: op.read.Base.Version + 1}
 		c.inFlight = append(c.inFlight, envelope{op: op, exchange: op.read, request: Request{To: m, Body: request}})
 	}
 }
 
-// start starts an attempt at a change.
-func (c *cluster) start(op *operation, change Change) {
+// startChange starts an attempt at a change.
+func (c *cluster) startChange(op *operation, change Change) {
 	c.serial++
-	op.attempt = NewAttempt(op.part, fmt.Sprintf("s%d", c.serial), change)
+	op.attempt = NewAttempt(op.register, fmt.Sprintf("s%d", c.serial), change)
 	c.operations = append(c.operations, op)
-	c.nextRound(op)
+	c.startRound(op)
 }
 
-func (c *cluster) nextRound(op *operation) {
-	op.round = op.attempt.Round(op.node.known[op.part])
+func (c *cluster) startRound(op *operation) {
+	op.round = op.attempt.Round(op.node.known[op.register])
 	c.send(op, op.round.Requests())
 }
 
@@ -122,7 +122,7 @@
 	}
 }
 
-func (c *cluster) remove(op *operation) {
+func (c *cluster) removeOperation(op *operation) {
 	for i := range c.operations {
 		if c.operations[i] == op {
 			c.operations = append(c.operations[:i:i], c.operations[i+1:]...)
@@ -131,9 +131,9 @@
 	}
 }
 
-func (n *clusterNode) learn(part int, v messages.Value) {
-	if v.Version > n.known[part].Version || len(n.known[part].Group) == 0 {
-		n.known[part] = v
+func (n *clusterNode) learn(index int, v messages.Value) {
+	if v.Version > n.known[index].Version || len(n.known[index].Group) == 0 {
+		n.known[index] = v
 	}
 }
 
@@ -149,69 +149,69 @@
 // deliver delivers or loses a random message.
 func (c *cluster) deliver() {
 	i := c.rnd.IntN(len(c.inFlight))
-	envelope := c.inFlight[i]
+	e := c.inFlight[i]
 	c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 	switch {
-	case c.faulty(12):
-	case envelope.reply:
-		c.receiveResponse(envelope)
+	case c.faultOneIn(12):
+	case e.reply:
+		c.receiveResponse(e)
 	default:
-		c.handleRequest(envelope)
+		c.handleRequest(e)
 	}
 }
 
 // handleRequest passes a request to the acceptor of the receiver. There may be no response
 // because of a failed write or a crash, or the response may be duplicated.
-func (c *cluster) handleRequest(envelope envelope) {
-	node, part := c.nodeAt(envelope.request.To.Addr), envelope.request.Body.Part
+func (c *cluster) handleRequest(e envelope) {
+	node, index := c.nodeAt(e.request.To.Addr), e.request.Body.Part
 	if !node.up {
 		return
 	}
-	if envelope.request.Body.Step == messages.Commit {
-		node.learn(part, envelope.request.Body.Value)
+	if e.request.Body.Step == messages.Commit {
+		node.learn(index, e.request.Body.Value)
 		return
 	}
-	node.acceptors[part].Learn(node.known[part])
-	before := node.acceptors[part].Rec
-	response, changed := node.acceptors[part].Handle(envelope.request.Body)
-	if changed && c.faulty(15) { // the write fails: no response
-		node.acceptors[part].Rec = before
+	node.acceptors[index].Learn(node.known[index])
+	before := node.acceptors[index].Rec
+	response, changed := node.acceptors[index].Handle(e.request.Body)
+	if changed && c.faultOneIn(15) { // the write fails: no response
+		node.acceptors[index].Rec = before
 		return
 	}
 	if changed {
-		node.disk[part] = node.acceptors[part].Rec
+		node.disk[index] = node.acceptors[index].Rec
 	}
-	if changed && c.faulty(25) { // crash after the write, before the response
+	if changed && c.faultOneIn(25) { // crash after the write, before the response
 		c.crash(node)
 		return
 	}
-	envelope.reply, envelope.response = true, response
-	c.inFlight = append(c.inFlight, envelope)
-	if c.chance(15) {
-		c.inFlight = append(c.inFlight, envelope)
+	e.reply, e.response = true, response
+	c.inFlight = append(c.inFlight, e)
+	if c.oneIn(15) {
+		c.inFlight = append(c.inFlight, e)
 	}
 }
 
 // receiveResponse passes a response to its operation. A response to an earlier round or
 // read of the operation is ignored.
-func (c *cluster) receiveResponse(envelope envelope) {
-	op := envelope.op
+func (c *cluster) receiveResponse(e envelope) {
+	op := e.op
 	if !c.isOpen(op) {
 		return
 	}
-	switch envelope.exchange {
+	switch e.exchange {
 	case op.round:
-		c.send(op, op.round.Receive(envelope.request.To, envelope.request.Body.Step, envelope.response))
+		c.send(op, op.round.Receive(e.request.To, e.request.Body.Step, e.response))
 		if op.round.End != InProgress {
 			c.finishRound(op)
 		}
 	case op.read:
-		op.read.Receive(envelope.request.To, envelope.response)
+		op.read.Receive(e.request.To, e.response)
 		switch op.read.Result() {
 		case Current:
 			c.answerRead(op)
 		case Newer:
-			op.node.learn(op.part, op.read.Newer)
+			op.node.learn(op.register, op.read.Newer)
 			c.startRead(op)
 		}
 	}
@@ -227,25 +227,25 @@
 	case Chosen:
 		c.recordChosen(op)
 	case Superseded:
-		op.node.learn(op.part, round.Value)
+		op.node.learn(op.register, round.Value)
 	}
 	if op.attempt.Finish(round) == Finished {
 		c.finishChange(op)
 		return
 	}
-	c.nextRound(op)
+	c.startRound(op)
 }
 
 // recordChosen records the chosen value of a round and sends the commits.
 func (c *cluster) recordChosen(op *operation) {
 	v := op.round.Value
-	if v.Version > c.newest[op.part].Version {
-		c.newest[op.part] = v
+	if v.Version > c.newest[op.register].Version {
+		c.newest[op.register] = v
 	}
-	op.node.learn(op.part, v)
-	c.hist.Note("part %d version %d chosen at %s: %s", op.part, v.Version, op.node.addr, v.Stamp)
+	op.node.learn(op.register, v)
+	c.hist.Note("register %d version %d chosen at %s: %s", op.register, v.Version, op.node.addr, v.Stamp)
 	for _, m := range unionOf(op.round.Base.Group, v.Group) {
-		request := messages.ConsensusRequest{Part: op.part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
+		request := messages.ConsensusRequest{Part: op.register, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
 		c.inFlight = append(c.inFlight, envelope{op: op, request: Request{To: m, Body: request}})
 	}
 }
@@ -259,17 +259,17 @@
 	}
 	op := c.operations[c.rnd.IntN(len(c.operations))]
 	switch {
-	case c.faulty(3):
+	case c.faultOneIn(3):
 		c.hist.Note("call %d: no answer", op.id)
-		c.remove(op)
+		c.removeOperation(op)
 	case op.round != nil && op.round.SealPending():
 		c.send(op, op.round.Seal())
 	case op.round != nil:
 		c.finishRound(op)
 	case op.read.Result() == Undecided:
 		c.serial++
-		op.attempt = NewAttempt(op.part, fmt.Sprintf("s%d", c.serial), func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errNothingToChange })
-		c.nextRound(op)
+		op.attempt = NewAttempt(op.register, fmt.Sprintf("s%d", c.serial), func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errNothingToChange })
+		c.startRound(op)
 	default:
 		c.startRead(op)
 	}
--- a/internal/consensus/confirm.go
+++ b/internal/consensus/confirm.go
@@ -10,8 +10,8 @@
 // one, on disk. It is the first of the two steps of a join: only members that confirmed
 // are proposed. The value is sent only to a member that does not have it. A member whose
 // build does not support confirmations never confirms, and so never joins.
-func (r *Registers) Confirm(ctx context.Context, part int, m messages.Member, v messages.Value) (bool, error) {
-	request := messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Commit, Slot: v.Version, Flush: true}
+func (r *Registers) Confirm(ctx context.Context, index int, m messages.Member, v messages.Value) (bool, error) {
+	request := messages.ConsensusRequest{Part: index, To: m.ID, Step: messages.Commit, Slot: v.Version, Flush: true}
 	response, err := r.send(ctx, m, request)
 	if err != nil || response.Durable || response.Verdict != messages.Granted {
 		return response.Durable, err
--- a/internal/consensus/confirm_test.go
+++ b/internal/consensus/confirm_test.go
@@ -12,11 +12,11 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// openAlone returns a node whose peers are unreachable.
-func openAlone(t *testing.T, store Store) *Registers {
+// openWithUnreachablePeers returns a node whose peers are unreachable.
+func openWithUnreachablePeers(t *testing.T, store Store) *Registers {
 	t.Helper()
-	nobody := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
-	registers, err := Open("d", 1, false, nil, nobody, store, logr.Discard(), nil)
+	unreachablePeers := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
+	registers, err := Open("d", 1, false, nil, unreachablePeers, store, logr.Discard(), nil)
 	must.NoError(t, err)
 	return registers
 }
@@ -30,10 +30,10 @@
 
 // A member confirms only for its own identity and once the value is on disk, and does not
 // confirm if it is retired and not in the group.
-func TestConfirmOnlyWhatIsOnDisk(t *testing.T) {
+func TestConfirmRequiresValueOnDisk(t *testing.T) {
 	ctx := context.Background()
 	store := &MemoryStore{}
-	registers := openAlone(t, store)
+	registers := openWithUnreachablePeers(t, store)
 	self := messages.Member{ID: registers.ID(), Addr: "d"}
 	confirmed, err := registers.Confirm(ctx, 1, self, committedValue(4))
 	must.NoError(t, err)
@@ -46,7 +46,7 @@
 	confirmed, _ = registers.Confirm(ctx, 1, self, committedValue(5))
 	must.False(t, confirmed, must.Sprint("a retired member must not join a group"))
 
-	registers = openAlone(t, &failingStore{})
+	registers = openWithUnreachablePeers(t, &failingStore{})
 	confirmed, err = registers.Confirm(ctx, 1, messages.Member{ID: registers.ID(), Addr: "d"}, committedValue(4))
 	must.ErrorIs(t, err, ErrStore)
 	must.False(t, confirmed)
@@ -56,7 +56,7 @@
 // memory before.
 func TestLearnedValueIsPersistedAfterAcceptorLearnedIt(t *testing.T) {
 	store := &MemoryStore{}
-	registers := openAlone(t, store)
+	registers := openWithUnreachablePeers(t, store)
 	register := registers.registers[2]
 	register.recordLock <- struct{}{}
 	registers.Learn(2, committedValue(3))
@@ -72,11 +72,11 @@
 // A member of a build without confirmations responds to a commit with Granted but without
 // Durable, which must not count as a confirmation.
 func TestConfirmIgnoresResponseOfOldFormat(t *testing.T) {
-	earlier := msgp.AppendMapHeader(nil, 2)
-	earlier = msgp.AppendString(msgp.AppendString(earlier, "d"), string(messages.Granted))
-	earlier = msgp.AppendInt64(msgp.AppendString(earlier, "m"), 4)
-	old := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return earlier, nil })
-	registers, err := Open("d", 1, false, nil, old, &MemoryStore{}, logr.Discard(), nil)
+	encoded := msgp.AppendMapHeader(nil, 2)
+	encoded = msgp.AppendString(msgp.AppendString(encoded, "d"), string(messages.Granted))
+	encoded = msgp.AppendInt64(msgp.AppendString(encoded, "m"), 4)
+	caller := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return encoded, nil })
+	registers, err := Open("d", 1, false, nil, caller, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
 	confirmed, err := registers.Confirm(context.Background(), 1, messages.Member{ID: "e/1", Addr: "e"}, committedValue(4))
 	must.NoError(t, err)
--- a/internal/consensus/disk_model_test.go
+++ b/internal/consensus/disk_model_test.go
@@ -32,17 +32,17 @@
 // diskModel simulates one member on a simulated disk, and records the votes that other
 // members may have received.
 type diskModel struct {
-	t            *testing.T
-	rnd          *rand.Rand
-	disk         *disk.Disk
-	store        *DiskStore
-	newID        func() string
-	id           string
-	currentVotes [Parts]int64 // votes of the current process
-	sentVotes    [Parts]int64 // votes that may have been sent
-	identitySent bool         // the identity may have been sent
-	identityLost bool         // a file was damaged, so the identity may change
-	serial       int64
+	t                 *testing.T
+	rnd               *rand.Rand
+	disk              *disk.Disk
+	store             *DiskStore
+	newID             func() string
+	id                string
+	currentVotes      [Parts]int64 // votes of the current process
+	sentVotes         [Parts]int64 // votes that may have been sent
+	identitySent      bool         // the identity may have been sent
+	identityMayChange bool         // a file was damaged, so the identity may change
+	serial            int64
 }
 
 // start opens the store, and restarts the process if it is killed meanwhile.
@@ -52,7 +52,7 @@
 		if err == nil {
 			var restored Restored
 			if restored, err = Restore(store, "", d.newID); err == nil {
-				d.begin(store, restored)
+				d.checkRestored(store, restored)
 				return
 			}
 		}
@@ -66,34 +66,34 @@
 	}
 }
 
-// begin checks the restored state against the identity and votes that were sent before.
-func (d *diskModel) begin(store *DiskStore, restored Restored) {
+// checkRestored checks the restored state against the identity and votes that were sent before.
+func (d *diskModel) checkRestored(store *DiskStore, restored Restored) {
 	if restored.ID != d.id {
-		must.True(d.t, d.identityLost || !d.identitySent, must.Sprint("the identity changed although no file was damaged"))
-		for part, record := range restored.Records {
-			must.Eq(d.t, messages.Ballot{}, record.Promised, must.Sprintf("part %d: restored a vote of an earlier identity", part))
+		must.True(d.t, d.identityMayChange || !d.identitySent, must.Sprint("the identity changed although no file was damaged"))
+		for index, record := range restored.Records {
+			must.Eq(d.t, messages.Ballot{}, record.Promised, must.Sprintf("register %d: restored a vote of an earlier identity", index))
 		}
 		d.sentVotes = [Parts]int64{}
 	}
-	d.id, d.store, d.identityLost, d.identitySent = restored.ID, store, false, false
-	for part, record := range restored.Records {
-		must.GreaterEq(d.t, d.sentVotes[part], record.Promised.N, must.Sprintf("part %d: restored an older record under the same identity", part))
-		d.currentVotes[part] = record.Promised.N
+	d.id, d.store, d.identityMayChange, d.identitySent = restored.ID, store, false, false
+	for index, record := range restored.Records {
+		must.GreaterEq(d.t, d.sentVotes[index], record.Promised.N, must.Sprintf("register %d: restored an older record under the same identity", index))
+		d.currentVotes[index] = record.Promised.N
 	}
 }
 
 // step saves a vote, repeats one without a write, or injects a fault.
 func (d *diskModel) step() {
-	part := d.rnd.IntN(Parts)
+	index := d.rnd.IntN(Parts)
 	switch k := d.rnd.IntN(40); {
 	case k < 26:
 		d.serial++
-		if d.store.Save(part, recordWithVote(d.serial)) == nil {
-			d.currentVotes[part], d.sentVotes[part], d.identitySent = d.serial, d.serial, true
+		if d.store.Save(index, recordWithVote(d.serial)) == nil {
+			d.currentVotes[index], d.sentVotes[index], d.identitySent = d.serial, d.serial, true
 		}
 	case k < 30:
 		if d.store.Sync() == nil {
-			d.sentVotes[part], d.identitySent = d.currentVotes[part], true
+			d.sentVotes[index], d.identitySent = d.currentVotes[index], true
 		}
 	case k < 31:
 		d.disk.SetFull(true)
@@ -106,38 +106,38 @@
 	case k < 39:
 		d.endProcess(d.disk.LosePower)
 	default:
-		d.damage()
+		d.corruptFile()
 	}
 }
 
 // endProcess terminates the process and starts another, which may be killed during its
 // start.
-func (d *diskModel) endProcess(how func()) {
+func (d *diskModel) endProcess(terminate func()) {
 	d.disk.SetFull(false)
-	how()
+	terminate()
 	if d.rnd.IntN(3) == 0 {
 		d.disk.StopAfter(d.rnd.IntN(30))
 	}
 	d.start()
 }
 
-// damage corrupts a file in use and restarts the process, which must detect that.
-func (d *diskModel) damage() {
+// corruptFile corrupts a file in use and restarts the process, which must detect that.
+func (d *diskModel) corruptFile() {
 	d.disk.Restart()
 	name := identityFile
-	if list, _ := d.store.recordFiles(d.rnd.IntN(Parts)); len(list) > 0 && d.rnd.IntN(4) > 0 {
-		name = list[0].name
+	if files, _ := d.store.recordFiles(d.rnd.IntN(Parts)); len(files) > 0 && d.rnd.IntN(4) > 0 {
+		name = files[0].name
 	}
-	d.identityLost = d.disk.Damage(name) || d.identityLost
+	d.identityMayChange = d.disk.Damage(name) || d.identityMayChange
 	d.disk.SetFull(false)
-	calm := d.rnd.IntN(2) == 0
-	if !calm { // ResetIdentity may be interrupted; a file name that was never synced may be lost, and the damaged file with it
+	uninterrupted := d.rnd.IntN(2) == 0
+	if !uninterrupted { // ResetIdentity may be interrupted; a file name that was never synced may be lost, and the damaged file with it
 		d.disk.StopAfter(d.rnd.IntN(30))
 	}
-	was := d.id
+	previousID := d.id
 	d.start()
-	if calm {
-		must.NotEq(d.t, was, d.id, must.Sprint("the damage was not detected"))
+	if uninterrupted {
+		must.NotEq(d.t, previousID, d.id, must.Sprint("the damage was not detected"))
 	}
 }
 
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -90,8 +90,8 @@
 			return err
 		}
 	}
-	for part := range Parts {
-		if err := d.eraseVotes(part); err != nil {
+	for index := range Parts {
+		if err := d.eraseVotes(index); err != nil {
 			return err
 		}
 	}
@@ -102,19 +102,19 @@
 }
 
 // eraseVotes saves a register's record without its votes, or removes it if it is damaged.
-func (d *DiskStore) eraseVotes(part int) error {
-	record, ok, err := d.Load(part)
+func (d *DiskStore) eraseVotes(index int) error {
+	record, ok, err := d.Load(index)
 	switch {
 	case errors.Is(err, ErrDamaged):
-		return d.removeRecords(part)
+		return d.removeRecords(index)
 	case err != nil || !ok || record.Promised == messages.Ballot{} && !record.HasAccepted:
 		return err
 	}
-	return d.Save(part, withoutVotes(record))
+	return d.Save(index, withoutVotes(record))
 }
 
-func (d *DiskStore) removeRecords(part int) error {
-	files, err := d.recordFiles(part)
+func (d *DiskStore) removeRecords(index int) error {
+	files, err := d.recordFiles(index)
 	if err != nil {
 		return err
 	}
@@ -145,17 +145,17 @@
 	name     string
 }
 
-func recordPrefix(part int) string { return fmt.Sprintf("part-%d-", part) }
+func recordPrefix(index int) string { return fmt.Sprintf("part-%d-", index) }
 
 // recordFiles lists the record files of a register, the newest first.
-func (d *DiskStore) recordFiles(part int) ([]recordFile, error) {
+func (d *DiskStore) recordFiles(index int) ([]recordFile, error) {
 	names, err := d.files.list()
 	if err != nil {
 		return nil, err
 	}
 	var out []recordFile
 	for _, name := range names {
-		rest, isPart := strings.CutPrefix(name, recordPrefix(part))
+		rest, isPart := strings.CutPrefix(name, recordPrefix(index))
 		number, isRecord := strings.CutSuffix(rest, recordSuffix)
 		if !isPart || !isRecord {
 			continue
@@ -170,15 +170,15 @@
 
 // Load returns the newest record of a register. If its file is damaged, it does not fall
 // back to an older file, which lacks votes that the member has given since.
-func (d *DiskStore) Load(part int) (messages.Record, bool, error) {
+func (d *DiskStore) Load(index int) (messages.Record, bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	files, err := d.recordFiles(part)
+	files, err := d.recordFiles(index)
 	if err != nil || len(files) == 0 {
 		return messages.Record{}, false, err
 	}
 	newest := files[0]
-	d.lastSequence[part] = max(d.lastSequence[part], newest.sequence)
+	d.lastSequence[index] = max(d.lastSequence[index], newest.sequence)
 	content, err := d.files.read(newest.name)
 	if errors.Is(err, fs.ErrNotExist) {
 		err = errors.Wrap(ErrStore, err.Error())
@@ -195,18 +195,18 @@
 
 // Save writes a record to a new file, and removes the older files of the register
 // once that is durable.
-func (d *DiskStore) Save(part int, record messages.Record) error {
+func (d *DiskStore) Save(index int, record messages.Record) error {
 	encoded, err := record.MarshalMsg(nil)
 	if err != nil {
 		return errors.Wrap(ErrStore, err.Error())
 	}
-	sequence := d.nextSequence(part)
-	name := fmt.Sprintf("%s%d%s", recordPrefix(part), sequence, recordSuffix)
+	sequence := d.nextSequence(index)
+	name := fmt.Sprintf("%s%d%s", recordPrefix(index), sequence, recordSuffix)
 	if err := d.files.write(name, encoded); err != nil {
 		_ = d.files.remove(name) // it may have been renamed without being durable
 		return err
 	}
-	files, err := d.recordFiles(part)
+	files, err := d.recordFiles(index)
 	if err != nil {
 		return nil // the record is durable; the next Save removes the older files
 	}
@@ -218,9 +218,9 @@
 	return nil
 }
 
-func (d *DiskStore) nextSequence(part int) int64 {
+func (d *DiskStore) nextSequence(index int) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lastSequence[part]++
-	return d.lastSequence[part]
+	d.lastSequence[index]++
+	return d.lastSequence[index]
 }
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -51,8 +51,8 @@
 		d.Restart()
 		registers, err := Open("m", 1, false, nil, nil, openSimulated(t, d), logr.Discard(), nil)
 		must.NoError(t, err)
-		again := messages.ConsensusRequest{Part: 2, To: "me", Step: messages.Prepare, Slot: 3, Ballot: recordWithVote(8).Promised}
-		response, err := registers.handleRequest(context.Background(), again)
+		repeated := messages.ConsensusRequest{Part: 2, To: "me", Step: messages.Prepare, Slot: 3, Ballot: recordWithVote(8).Promised}
+		response, err := registers.handleRequest(context.Background(), repeated)
 		must.NoError(t, err)
 		must.Eq(t, messages.Granted, response.Verdict)
 		d.LosePower()
@@ -90,24 +90,24 @@
 		must.NoError(t, store.Save(2, recordWithVote(n+1)))
 		must.NoError(t, store.Save(3, recordWithVote(n+1)))
 	}
-	list, err := store.recordFiles(2)
+	files, err := store.recordFiles(2)
 	must.NoError(t, err)
-	path := filepath.Join(dir, list[0].name)
-	whole, err := os.ReadFile(path)
+	path := filepath.Join(dir, files[0].name)
+	content, err := os.ReadFile(path)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(path, whole[:len(whole)/2], 0o644))
+	must.NoError(t, os.WriteFile(path, content[:len(content)/2], 0o644))
 
-	again := openTestStore(t, dir)
-	_, _, err = again.Load(2)
+	reopened := openTestStore(t, dir)
+	_, _, err = reopened.Load(2)
 	must.ErrorIs(t, err, ErrDamaged)
-	restored, err = Restore(again, FirstID("a"), numberedIDs("a"))
+	restored, err = Restore(reopened, FirstID("a"), numberedIDs("a"))
 	must.NoError(t, err)
 	must.Eq(t, []int{2}, restored.Damaged)
 	must.Eq(t, "a/fresh1", restored.ID)
 	must.Eq(t, messages.Record{}, restored.Records[2])
 	must.Eq(t, withoutVotes(recordWithVote(5)).Committed.Version, restored.Records[3].Committed.Version)
 	must.Eq(t, messages.Ballot{}, restored.Records[3].Promised)
-	must.NoError(t, again.Save(2, recordWithVote(9)))
+	must.NoError(t, reopened.Save(2, recordWithVote(9)))
 
 	restored, err = Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("b"))
 	must.NoError(t, err)
@@ -118,13 +118,13 @@
 // A member whose identity file is lost adopts a new identity, even if bootstrap is set: it
 // may have voted under the bootstrap identity.
 func TestLostIdentityIsNotBootstrappedAgain(t *testing.T) {
-	for _, spoil := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
+	for _, damage := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
 		dir := t.TempDir()
 		store := openTestStore(t, dir)
 		_, err := Restore(store, FirstID("a"), numberedIDs("a"))
 		must.NoError(t, err)
 		must.NoError(t, store.Save(1, recordWithVote(4)))
-		must.NoError(t, spoil(filepath.Join(dir, identityFile)))
+		must.NoError(t, damage(filepath.Join(dir, identityFile)))
 		restored, err := Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("a"))
 		must.NoError(t, err)
 		must.Eq(t, "a/fresh1", restored.ID)
@@ -173,23 +173,23 @@
 
 // Several goroutines may write the same file concurrently, as they do with the runner list
 // and fencing tokens.
-func TestConcurrentWritesOfSameFile(t *testing.T) {
-	d, err := NewDiskStore(t.TempDir())
+func TestConcurrentWritesOfSameFileAreSerialized(t *testing.T) {
+	store, err := NewDiskStore(t.TempDir())
 	must.NoError(t, err)
 	var group sync.WaitGroup
-	faults := make(chan error, 400)
+	errs := make(chan error, 400)
 	for range 8 {
 		group.Go(func() {
 			for range 50 {
-				faults <- d.Keep("note", []byte("kept"))
+				errs <- store.Keep("note", []byte("kept"))
 			}
 		})
 	}
 	group.Wait()
-	for range cap(faults) {
-		must.NoError(t, <-faults)
+	for range cap(errs) {
+		must.NoError(t, <-errs)
 	}
-	kept, ok := d.Note("note")
+	content, ok := store.Note("note")
 	must.True(t, ok)
-	must.Eq(t, "kept", string(kept))
+	must.Eq(t, "kept", string(content))
 }
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -55,13 +55,13 @@
 	if next, wiped := replaceWiped(group, candidates); wiped {
 		return next, true
 	}
-	gone, isGone := firstGone(group, s)
+	unreachableIndex, isUnreachable := firstUnreachable(group, s)
 	switch {
-	case isGone && len(candidates) > 0:
-		return replaceMember(group, gone, &candidates[0]), true
-	case isGone && len(group)%2 == 0:
-		return replaceMember(group, gone, nil), true
-	case !isGone && canGrow(group, candidates):
+	case isUnreachable && len(candidates) > 0:
+		return replaceMember(group, unreachableIndex, &candidates[0]), true
+	case isUnreachable && len(group)%2 == 0:
+		return replaceMember(group, unreachableIndex, nil), true
+	case !isUnreachable && canGrow(group, candidates):
 		return append(append([]messages.Member{}, group...), candidates[0]), true
 	}
 	return nil, false
@@ -79,8 +79,8 @@
 	return nil, false
 }
 
-// firstGone returns the index of the first member that has been unreachable for GoneUs.
-func firstGone(group []messages.Member, s Status) (int, bool) {
+// firstUnreachable returns the index of the first member that has been unreachable for GoneUs.
+func firstUnreachable(group []messages.Member, s Status) (int, bool) {
 	for i, m := range group {
 		if s.GoneFor(m.Addr) >= s.GoneUs {
 			return i, true
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -19,33 +19,33 @@
 		}
 		return out
 	}
-	const goneUs = 10
+	const timeoutUs = 10
 	for _, test := range []struct {
-		name       string
-		group      []messages.Member
-		candidates []messages.Member
-		gone       string // address
-		want       []messages.Member
+		name        string
+		group       []messages.Member
+		candidates  []messages.Member
+		unreachable string // address
+		want        []messages.Member
 	}{
 		{name: "no candidate", group: members("a/0", "b/0", "c/0")},
 		{name: "odd group, one candidate", group: members("a/0", "b/0", "c/0"), candidates: members("d/1")},
 		{name: "odd group, two candidates", group: members("a/0", "b/0", "c/0"), candidates: members("d/1", "e/1"), want: members("a/0", "b/0", "c/0", "d/1")},
 		{name: "even group, one candidate", group: members("a/0", "b/0", "c/0", "d/0"), candidates: members("e/1"), want: members("a/0", "b/0", "c/0", "d/0", "e/1")},
 		{name: "member wiped", group: members("a/0", "b/0", "c/0"), candidates: members("b/2"), want: members("a/0", "b/2", "c/0")},
-		{name: "member gone, one candidate", group: members("a/0", "b/0", "c/0"), candidates: members("d/1"), gone: "c", want: members("a/0", "b/0", "d/1")},
-		{name: "member gone, no candidate", group: members("a/0", "b/0", "c/0"), gone: "c"},
-		{name: "even group, member gone, no candidate", group: members("a/0", "b/0", "c/0", "d/0"), gone: "c", want: members("a/0", "b/0", "d/0")},
+		{name: "member unreachable, one candidate", group: members("a/0", "b/0", "c/0"), candidates: members("d/1"), unreachable: "c", want: members("a/0", "b/0", "d/1")},
+		{name: "member unreachable, no candidate", group: members("a/0", "b/0", "c/0"), unreachable: "c"},
+		{name: "even group, member unreachable, no candidate", group: members("a/0", "b/0", "c/0", "d/0"), unreachable: "c", want: members("a/0", "b/0", "d/0")},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			status := Status{
 				Ready: slices.Concat(test.group, test.candidates),
 				GoneFor: func(addr string) int64 {
-					if addr == test.gone {
-						return goneUs + 1
+					if addr == test.unreachable {
+						return timeoutUs + 1
 					}
 					return 0
 				},
-				GoneUs: goneUs,
+				GoneUs: timeoutUs,
 			}
 			next, changed := RepairGroup(test.group, status)
 			must.Eq(t, test.want != nil, changed)
--- a/internal/consensus/linearizability_test.go
+++ b/internal/consensus/linearizability_test.go
@@ -9,32 +9,32 @@
 )
 
 var (
-	operatorSeeds = flag.Uint64("operator-seeds", 200, "number of histories to simulate")
-	operatorFirst = flag.Uint64("operator-first", 0, "seed of the first history")
+	operatorSeedCount = flag.Uint64("operator-seeds", 200, "number of histories to simulate")
+	firstOperatorSeed = flag.Uint64("operator-first", 0, "seed of the first history")
 )
 
-// checkLimit bounds the duration of the search for a linearization.
-const checkLimit = 30 * time.Second
+// checkTimeout bounds the duration of the search for a linearization.
+const checkTimeout = 30 * time.Second
 
 const (
-	steps        = 4000
-	upgradeEvery = 350
+	historySteps    = 4000
+	stepsPerUpgrade = 350
 )
 
-// play simulates a history: first with faults, then without, until every operator has an
+// run simulates a history: first with faults, then without, until every operator has an
 // answer.
-func (c *cluster) play() {
-	for step := range steps {
-		if step%upgradeEvery == upgradeEvery-1 {
+func (c *cluster) run() {
+	for step := range historySteps {
+		if step%stepsPerUpgrade == stepsPerUpgrade-1 {
 			c.upgrade()
 		}
 		switch k := c.rnd.IntN(600); {
 		case k < 12:
-			c.step(c.rnd.IntN(operators))
+			c.operatorStep(c.rnd.IntN(operatorCount))
 		case k < 18:
 			c.timeOut()
 		case k < 20:
-			if node := c.anyNode(); node != nil {
+			if node := c.randomNode(); node != nil {
 				c.hist.Note("%s crashes", node.addr)
 				c.crash(node)
 			}
@@ -62,14 +62,14 @@
 	}
 	c.drain()
 	for i := range c.clients {
-		if at := c.anyNode(); at != nil && c.clients[i].hasOrder {
-			c.replace(i, at, c.clients[i].order)
+		if node := c.randomNode(); node != nil && c.clients[i].hasSubmission {
+			c.submit(i, node, c.clients[i].submission)
 			c.drain()
 		}
 	}
-	for _, part := range []int{ConfigPart, weightsPart} {
-		if at := c.anyNode(); at != nil {
-			c.read(0, at, part)
+	for _, index := range []int{ConfigPart, weightsRegister} {
+		if node := c.randomNode(); node != nil {
+			c.read(0, node, index)
 			c.drain()
 		}
 	}
@@ -95,11 +95,11 @@
 // submit to two nodes at once, while answers are lost, nodes crash and lose their disks,
 // the group changes, and versions of the program with strict and lax validation alternate.
 func TestOperatorHistoriesAreLinearizable(t *testing.T) {
-	taken := 0
-	for seed := *operatorFirst; seed < *operatorFirst+*operatorSeeds; seed++ {
-		taken += playCluster(t, seed)
+	committed := 0
+	for seed := *firstOperatorSeed; seed < *firstOperatorSeed+*operatorSeedCount; seed++ {
+		committed += runHistory(t, seed)
 	}
-	must.Greater(t, 3*int(*operatorSeeds), taken, must.Sprint("too few submissions were committed"))
+	must.Greater(t, 3*int(*operatorSeedCount), committed, must.Sprint("too few submissions were committed"))
 }
 
 // regressionSeeds are histories that fail without a mechanism that few histories depend
@@ -108,18 +108,18 @@
 
 func TestRegressionSeedsAreLinearizable(t *testing.T) {
 	for _, seed := range regressionSeeds {
-		playCluster(t, seed)
+		runHistory(t, seed)
 	}
 }
 
-// playCluster simulates and checks one history, and returns the number of committed
+// runHistory simulates and checks one history, and returns the number of committed
 // submissions.
-func playCluster(t *testing.T, seed uint64) int {
+func runHistory(t *testing.T, seed uint64) int {
 	t.Helper()
-	cluster := newCluster(seed)
-	cluster.play()
-	if err := cluster.hist.Check(checkLimit); err != nil {
-		t.Fatalf("seed %d: %v\n%s", seed, err, cluster.hist.String())
+	c := newCluster(seed)
+	c.run()
+	if err := c.hist.Check(checkTimeout); err != nil {
+		t.Fatalf("seed %d: %v\n%s", seed, err, c.hist.String())
 	}
-	return cluster.committedOrders
+	return c.committedSubmissions
 }
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -52,8 +52,8 @@
 }
 
 // memberAt returns the member at an address, or the zero Member.
-func memberAt(list []messages.Member, addr string) messages.Member {
-	for _, m := range list {
+func memberAt(members []messages.Member, addr string) messages.Member {
+	for _, m := range members {
 		if m.Addr == addr {
 			return m
 		}
@@ -63,10 +63,10 @@
 
 // replaceMember returns a copy of a group in which the member at index i is replaced by
 // another, or removed if that is nil.
-func replaceMember(group []messages.Member, i int, by *messages.Member) []messages.Member {
+func replaceMember(group []messages.Member, i int, replacement *messages.Member) []messages.Member {
 	out := append([]messages.Member{}, group[:i]...)
-	if by != nil {
-		out = append(out, *by)
+	if replacement != nil {
+		out = append(out, *replacement)
 	}
 	return append(out, group[i+1:]...)
 }
--- a/internal/consensus/memory_store.go
+++ b/internal/consensus/memory_store.go
@@ -33,28 +33,28 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.id = id
-	for part, record := range m.records {
-		m.records[part] = withoutVotes(record)
+	for index, record := range m.records {
+		m.records[index] = withoutVotes(record)
 	}
 	return nil
 }
 
 // Load returns the most recently saved record.
-func (m *MemoryStore) Load(part int) (messages.Record, bool, error) {
+func (m *MemoryStore) Load(index int) (messages.Record, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r, ok := m.records[part]
+	r, ok := m.records[index]
 	return r, ok, nil
 }
 
 // Save stores the record in memory.
-func (m *MemoryStore) Save(part int, record messages.Record) error {
+func (m *MemoryStore) Save(index int, record messages.Record) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.records == nil {
 		m.records = map[int]messages.Record{}
 	}
-	m.records[part] = record
+	m.records[index] = record
 	return nil
 }
 
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -184,17 +184,17 @@
 
 // pickLive returns a random node that is up and has learned the group, or nil.
 func (p *paxosModel) pickLive() *node {
-	var list []*node
+	var live []*node
 	for i := range len(p.nodes) {
 		n := p.nodes[fmt.Sprintf("10.0.0.%d:1", i+1)]
 		if n.up && len(n.known.Group) > 0 {
-			list = append(list, n)
+			live = append(live, n)
 		}
 	}
-	if len(list) == 0 {
+	if len(live) == 0 {
 		return nil
 	}
-	return list[p.rnd.IntN(len(list))]
+	return live[p.rnd.IntN(len(live))]
 }
 
 // commitFinal starts all nodes and delivers without loss until one more change is
@@ -233,9 +233,9 @@
 	return newest
 }
 
-// deliverInOrder runs a round without loss. voted is called with each node that has
+// deliverInOrder runs a round without loss. onHandled is called with each node that has
 // handled a request.
-func (p *paxosModel) deliverInOrder(round *Round, voted func(n *node)) {
+func (p *paxosModel) deliverInOrder(round *Round, onHandled func(n *node)) {
 	requests := round.Requests()
 	for len(requests) > 0 && round.End == InProgress {
 		request := requests[0]
@@ -250,7 +250,7 @@
 		}
 		n.acceptor.Learn(n.known)
 		response, _ := n.acceptor.Handle(request.Body)
-		voted(n)
+		onHandled(n)
 		requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
 	}
 }
@@ -321,18 +321,18 @@
 	for seed := range uint64(200) {
 		model := newPaxosModel(t, seed, 3)
 		for range 6 {
-			model.playChanges(60)
+			model.runRandomChanges(60)
 			acked := model.acknowledged
-			victim := model.nodes[fmt.Sprintf("10.0.0.%d:1", 1+model.rnd.IntN(3))]
-			model.wipeDisk(victim)
+			wipedNode := model.nodes[fmt.Sprintf("10.0.0.%d:1", 1+model.rnd.IntN(3))]
+			model.wipeDisk(wipedNode)
 			last := model.commitFinal()
 			must.Greater(t, acked, last.Version, must.Sprintf("seed %d", seed))
 			for _, n := range model.nodes {
 				model.learn(n, last)
 			}
-			group, want := RepairGroup(last.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
-			must.True(t, want)
-			must.True(t, containsMember(group, victim.acceptor.ID))
+			group, needed := RepairGroup(last.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+			must.True(t, needed)
+			must.True(t, containsMember(group, wipedNode.acceptor.ID))
 			model.changeGroup(last, group)
 		}
 	}
@@ -361,7 +361,7 @@
 		size := 5 + 2*int(seed%2)
 		model := newPaxosModel(t, seed, size)
 		for range 4 {
-			model.playChanges(90)
+			model.runRandomChanges(90)
 			acked := model.acknowledged
 			lost := model.loseTwoDisks(size)
 			last := model.commitFinal()
@@ -371,8 +371,8 @@
 			}
 			for range lost {
 				v := model.nodes[last.Group[0].Addr].known
-				group, want := RepairGroup(v.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
-				must.True(t, want)
+				group, needed := RepairGroup(v.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+				must.True(t, needed)
 				model.changeGroup(v, group)
 			}
 			group := model.nodes[last.Group[0].Addr].known.Group
@@ -384,9 +384,9 @@
 	}
 }
 
-// playChanges delivers messages in random order, and starts a change in one of twelve
+// runRandomChanges delivers messages in random order, and starts a change in one of twelve
 // steps on average.
-func (p *paxosModel) playChanges(steps int) {
+func (p *paxosModel) runRandomChanges(steps int) {
 	for range steps {
 		if p.rnd.IntN(12) == 0 {
 			if n := p.pickLive(); n != nil {
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -13,8 +13,8 @@
 // register. Safety does not depend on that, but after a membership change the old group
 // may no longer exist: after a loss of power the members of the new group must then find
 // it on their own disks.
-func (r *Registers) persistInBackground(part int) {
-	register := r.registers[part]
+func (r *Registers) persistInBackground(index int) {
+	register := r.registers[index]
 	if !register.persisting.CompareAndSwap(false, true) {
 		return
 	}
@@ -22,7 +22,7 @@
 		for {
 			v := register.committed.Load()
 			register.recordLock <- struct{}{}
-			err := r.persistLocked(part, *v)
+			err := r.persistLocked(index, *v)
 			register.unlock()
 			if err != nil {
 				time.Sleep(persistRetryInterval)
@@ -39,13 +39,13 @@
 
 // persistLocked merges a committed value into the record and saves the record, unless the
 // value is on disk already. The caller holds the register's recordLock.
-func (r *Registers) persistLocked(part int, v messages.Value) error {
-	register := r.registers[part]
+func (r *Registers) persistLocked(index int, v messages.Value) error {
+	register := r.registers[index]
 	before := register.acceptor.Rec
 	if !register.acceptor.Learn(v) && register.durableVersion >= register.acceptor.Rec.Committed.Version {
 		return r.store.Sync()
 	}
-	if err := r.saveRecord(part, register.acceptor.Rec); err != nil {
+	if err := r.saveRecord(index, register.acceptor.Rec); err != nil {
 		register.acceptor.Rec = before
 		return err
 	}
@@ -54,25 +54,25 @@
 
 // saveRecord writes a record to the store and records the result for LastSave. The caller
 // holds the register's recordLock.
-func (r *Registers) saveRecord(part int, record messages.Record) error {
-	began := time.Now()
-	err := r.store.Save(part, record)
-	r.recordSaveResult(time.Since(began), err)
+func (r *Registers) saveRecord(index int, record messages.Record) error {
+	start := time.Now()
+	err := r.store.Save(index, record)
+	r.recordSaveResult(time.Since(start), err)
 	if err == nil && len(record.Committed.Group) > 0 {
-		r.registers[part].durableVersion = record.Committed.Version
+		r.registers[index].durableVersion = record.Committed.Version
 	}
 	return err
 }
 
 // recordSaveResult stores the result of a write for LastSave, and logs the first of
 // several consecutive failures.
-func (r *Registers) recordSaveResult(took time.Duration, err error) {
-	r.lastSaveUs.Store(took.Microseconds())
+func (r *Registers) recordSaveResult(duration time.Duration, err error) {
+	r.lastSaveUs.Store(duration.Microseconds())
 	fault := ""
 	if err != nil {
 		fault = err.Error()
 	}
-	if old := r.lastSaveFault.Swap(&fault); err != nil && (old == nil || *old == "") {
+	if previous := r.lastSaveFault.Swap(&fault); err != nil && (previous == nil || *previous == "") {
 		r.log.Error(err, "store write failed: this member does not vote until a write succeeds")
 	}
 }
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -23,29 +23,29 @@
 // Read is a linearizable read: the value that it returns is at least as new as any that
 // was committed when it began. It retries until ctx ends, and then returns ErrUnsure. If
 // a value is accepted and may be committed, Read finishes its round first.
-func (r *Registers) Read(ctx context.Context, part int) (messages.Value, error) {
+func (r *Registers) Read(ctx context.Context, index int) (messages.Value, error) {
 	waited := false
 	for ctx.Err() == nil {
-		base, ok := r.Committed(part)
+		base, ok := r.Committed(index)
 		if !ok {
 			return messages.Value{}, ErrNoGroup
 		}
-		reading := r.readFromGroup(ctx, part, base)
-		result := reading.Result()
+		quorumRead := r.readFromGroup(ctx, index, base)
+		result := quorumRead.Result()
 		r.counts.reads[result].Add(1)
 		switch result {
 		case Newer:
-			r.Learn(part, reading.Newer)
+			r.Learn(index, quorumRead.Newer)
 			continue
 		case Current:
 			return base, nil
 		case Undecided:
-			if limit := spread(r.accepted(ctx, part)); limit > 0 && !waited {
+			if limit := jitterLimit(r.acceptedValue(ctx, index)); limit > 0 && !waited {
 				waited = true
-				pause(ctx, limit) // another member may finish the round first
+				sleepJitter(ctx, limit) // another member may finish the round first
 				continue
 			}
-			if err := r.finishAccepted(ctx, part); err != nil {
+			if err := r.finishAccepted(ctx, index); err != nil {
 				return messages.Value{}, err
 			}
 			continue
@@ -60,9 +60,9 @@
 
 // finishAccepted runs a change that has no value of its own: its round commits the value
 // that a member has accepted, and is rejected if no member has accepted one.
-func (r *Registers) finishAccepted(ctx context.Context, part int) error {
+func (r *Registers) finishAccepted(ctx context.Context, index int) error {
 	noChange := func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, ErrNoChange }
-	if _, err := r.Change(ctx, part, noChange); err != nil && !errors.Is(err, ErrNoChange) {
+	if _, err := r.Change(ctx, index, noChange); err != nil && !errors.Is(err, ErrNoChange) {
 		return err
 	}
 	return nil
@@ -70,24 +70,24 @@
 
 // readFromGroup sends a read to each member of the base's group, and returns as soon as
 // further responses can't change the result.
-func (r *Registers) readFromGroup(ctx context.Context, part int, base messages.Value) *Reading {
+func (r *Registers) readFromGroup(ctx context.Context, index int, base messages.Value) *Reading {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	responses := make(chan memberResponse, len(base.Group))
 	for _, m := range base.Group {
 		go func() {
-			response, err := r.send(ctx, m, messages.ConsensusRequest{Part: part, To: m.ID, Step: messages.Read, Slot: base.Version + 1})
+			response, err := r.send(ctx, m, messages.ConsensusRequest{Part: index, To: m.ID, Step: messages.Read, Slot: base.Version + 1})
 			responses <- memberResponse{member: m, response: response, err: err}
 		}()
 	}
-	reading := NewReading(base)
+	quorumRead := NewReading(base)
 	for range base.Group {
 		if received := <-responses; received.err == nil {
-			reading.Receive(received.member, received.response)
+			quorumRead.Receive(received.member, received.response)
 		}
-		if result := reading.Result(); result == Current || result == Newer {
+		if result := quorumRead.Result(); result == Current || result == Newer {
 			break
 		}
 	}
-	return reading
+	return quorumRead
 }
--- a/internal/consensus/references.go
+++ b/internal/consensus/references.go
@@ -51,9 +51,9 @@
 	return messages.ConsensusResponse{Verdict: messages.Granted, Version: known.Version}, nil
 }
 
-// accepted returns the value that this member has accepted itself, or the zero Value.
-func (r *Registers) accepted(ctx context.Context, part int) messages.Value {
-	register := r.registers[part]
+// acceptedValue returns the value that this member has accepted itself, or the zero Value.
+func (r *Registers) acceptedValue(ctx context.Context, index int) messages.Value {
+	register := r.registers[index]
 	if register.lock(ctx) != nil {
 		return messages.Value{}
 	}
--- a/internal/consensus/references_test.go
+++ b/internal/consensus/references_test.go
@@ -10,9 +10,9 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// unfinishedCluster returns three acceptors that have all accepted a large value, whose
+// acceptorsWithUnfinishedRound returns three acceptors that have all accepted a large value, whose
 // proposer failed before it sent any commit.
-func unfinishedCluster(t *testing.T) (base, accepted messages.Value, acceptors map[string]*Acceptor) {
+func acceptorsWithUnfinishedRound(t *testing.T) (base, accepted messages.Value, acceptors map[string]*Acceptor) {
 	t.Helper()
 	base = Genesis([]string{"a", "b", "c"})
 	acceptors = map[string]*Acceptor{}
@@ -20,7 +20,7 @@
 	for _, m := range base.Group {
 		acceptors[m.ID] = &Acceptor{ID: m.ID, Rec: messages.Record{Committed: base}}
 	}
-	play(t, round, acceptors)
+	deliverAll(t, round, acceptors)
 	must.Eq(t, Chosen, round.End)
 	for _, a := range acceptors {
 		a.Rec = messages.Record{Committed: base, Accepted: round.Value, HasAccepted: true, AcceptedAt: round.Ballot, Promised: round.Ballot}
@@ -28,69 +28,69 @@
 	return base, round.Value, acceptors
 }
 
-// play delivers the requests of a round in order, and returns the number of bytes of all
+// deliverAll delivers the requests of a round in order, and returns the number of bytes of all
 // requests and responses.
-func play(t *testing.T, round *Round, acceptors map[string]*Acceptor) (total int) {
+func deliverAll(t *testing.T, round *Round, acceptors map[string]*Acceptor) (total int) {
 	t.Helper()
 	requests := round.Requests()
 	for len(requests) > 0 && round.End == InProgress {
 		request := requests[0]
 		requests = requests[1:]
 		response, _ := acceptors[request.To.ID].Handle(request.Body)
-		sent, err := request.Body.MarshalMsg(nil)
+		encodedRequest, err := request.Body.MarshalMsg(nil)
 		must.NoError(t, err)
-		answered, err := response.MarshalMsg(nil)
+		encodedResponse, err := response.MarshalMsg(nil)
 		must.NoError(t, err)
-		total += len(sent) + len(answered)
+		total += len(encodedRequest) + len(encodedResponse)
 		requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
 	}
 	return total
 }
 
-// finishing returns a round that commits an accepted value and has no value of its own.
-func finishing(base messages.Value) *Round {
+// finishingRound returns a round that commits an accepted value and has no value of its own.
+func finishingRound(base messages.Value) *Round {
 	return NewRound(0, base, messages.Ballot{N: 2, Who: "second"}, "second", func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, ErrNoChange })
 }
 
 func TestAcceptedLargeValueIsFinishedByReference(t *testing.T) {
-	base, accepted, acceptors := unfinishedCluster(t)
-	round := finishing(base)
+	base, accepted, acceptors := acceptorsWithUnfinishedRound(t)
+	round := finishingRound(base)
 	round.Hold(accepted)
-	bytes := play(t, round, acceptors)
+	bytes := deliverAll(t, round, acceptors)
 	must.Eq(t, Chosen, round.End)
 	must.Eq(t, accepted, round.Value)
 	must.Less(t, 4096, bytes)
-	again := 0
+	reaccepted := 0
 	for _, a := range acceptors {
 		must.Eq(t, accepted, a.Rec.Accepted)
 		if a.Rec.AcceptedAt == round.Ballot {
-			again++
+			reaccepted++
 		}
 	}
-	must.GreaterEq(t, 2, again)
+	must.GreaterEq(t, 2, reaccepted)
 }
 
 // A proposer that has not accepted the value itself receives the value, not a reference.
-func TestAcceptedLargeValueIsReportedToAProposerWithoutIt(t *testing.T) {
-	base, accepted, acceptors := unfinishedCluster(t)
-	round := finishing(base)
-	play(t, round, acceptors)
+func TestAcceptedLargeValueIsReportedInFullToProposerWithoutIt(t *testing.T) {
+	base, accepted, acceptors := acceptorsWithUnfinishedRound(t)
+	round := finishingRound(base)
+	deliverAll(t, round, acceptors)
 	must.Eq(t, Chosen, round.End)
 	must.Eq(t, accepted, round.Value)
 }
 
 // A member that has not accepted the value is sent the value, not a reference.
-func TestMemberWithoutAcceptedLargeValueIsSentAllOfIt(t *testing.T) {
-	base, accepted, acceptors := unfinishedCluster(t)
+func TestMemberWithoutAcceptedLargeValueIsSentTheValue(t *testing.T) {
+	base, accepted, acceptors := acceptorsWithUnfinishedRound(t)
 	for id, a := range acceptors {
 		a.Rec = messages.Record{Committed: base}
 		if id == base.Group[0].ID {
 			a.Rec.Accepted, a.Rec.HasAccepted, a.Rec.AcceptedAt = accepted, true, messages.Ballot{N: 1, Who: "first"}
 		}
 	}
-	round := finishing(base)
+	round := finishingRound(base)
 	round.Hold(accepted)
-	play(t, round, acceptors)
+	deliverAll(t, round, acceptors)
 	must.Eq(t, Chosen, round.End)
 	for _, a := range acceptors {
 		must.True(t, !a.Rec.HasAccepted || len(a.Rec.Accepted.Group) == 3, must.Sprint("an acceptor must not store a reference"))
@@ -98,7 +98,7 @@
 }
 
 func TestReferenceToAnotherValueIsRejected(t *testing.T) {
-	_, accepted, acceptors := unfinishedCluster(t)
+	_, accepted, acceptors := acceptorsWithUnfinishedRound(t)
 	other := accepted
 	other.Stamp = "other"
 	for _, a := range acceptors {
--- a/internal/consensus/registers.go
+++ b/internal/consensus/registers.go
@@ -76,8 +76,8 @@
 	store       Store
 	log         logr.Logger
 	registers   [Parts]*register
-	onCommit    func(part int, v messages.Value)
-	incarnation string // random, the prefix of the stamps of this process's proposals
+	onCommit    func(index int, v messages.Value)
+	stampPrefix string // random, the prefix of the stamps of this process's proposals
 	started     time.Time
 
 	lastSaveUs    atomic.Int64
@@ -102,8 +102,8 @@
 // randomBytes is the number of random bytes that Random encodes.
 const randomBytes = 6
 
-// Random returns a short random string of hexadecimal digits.
-func Random() string {
+// randomHex returns a short random string of hexadecimal digits.
+func randomHex() string {
 	b := make([]byte, randomBytes)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
@@ -126,7 +126,7 @@
 	if bootstrap {
 		bootstrapID = FirstID(addr)
 	}
-	restored, err := Restore(store, bootstrapID, func() string { return addr + "/" + Random() })
+	restored, err := Restore(store, bootstrapID, func() string { return addr + "/" + randomHex() })
 	if err != nil {
 		return nil, err
 	}
@@ -135,22 +135,22 @@
 	}
 	registers := &Registers{
 		id: restored.ID, addr: addr, kind: kind, caller: caller, store: store, log: log,
-		onCommit: onCommit, incarnation: Random(), started: time.Now(),
+		onCommit: onCommit, stampPrefix: randomHex(), started: time.Now(),
 	}
-	for part := range registers.registers {
-		registers.registers[part] = newRegister()
+	for index := range registers.registers {
+		registers.registers[index] = newRegister()
 	}
 	founder := bootstrap && restored.ID == FirstID(addr)
-	for part, record := range restored.Records {
-		registers.load(part, record, founder, seeds)
+	for index, record := range restored.Records {
+		registers.initRegister(index, record, founder, seeds)
 	}
 	return registers, nil
 }
 
-// load initializes a register from its restored record. A founder without a committed
+// initRegister initializes a register from its restored record. A founder without a committed
 // value starts from the group of the seeds.
-func (r *Registers) load(part int, record messages.Record, founder bool, seeds []string) {
-	register := r.registers[part]
+func (r *Registers) initRegister(index int, record messages.Record, founder bool, seeds []string) {
+	register := r.registers[index]
 	if len(record.Committed.Group) > 0 {
 		register.durableVersion = record.Committed.Version
 	} else if founder {
@@ -158,7 +158,7 @@
 		// on its own disk. A founder whose write fails learns the group from the others;
 		// saveRecord logs the failure.
 		record.Committed = Genesis(seeds)
-		_ = r.saveRecord(part, record)
+		_ = r.saveRecord(index, record)
 	}
 	register.acceptor = Acceptor{ID: r.id, Rec: record}
 	if len(record.Committed.Group) > 0 {
@@ -172,8 +172,8 @@
 
 // Committed returns the newest committed value that this node has learned, and false if
 // it has learned none. It acquires no lock, and the value may be stale.
-func (r *Registers) Committed(part int) (messages.Value, bool) {
-	v := r.registers[part].committed.Load()
+func (r *Registers) Committed(index int) (messages.Value, bool) {
+	v := r.registers[index].committed.Load()
 	if v == nil {
 		return messages.Value{}, false
 	}
@@ -182,11 +182,11 @@
 
 // Learn merges a committed value and starts writing it to disk in the background. Values
 // that are not newer than the current one are ignored.
-func (r *Registers) Learn(part int, v messages.Value) {
-	if part < 0 || part >= Parts || len(v.Group) == 0 {
+func (r *Registers) Learn(index int, v messages.Value) {
+	if index < 0 || index >= Parts || len(v.Group) == 0 {
 		return
 	}
-	register := r.registers[part]
+	register := r.registers[index]
 	for {
 		current := register.committed.Load()
 		if current != nil && current.Version >= v.Version {
@@ -197,7 +197,7 @@
 		}
 	}
 	if r.onCommit != nil {
-		r.onCommit(part, v)
+		r.onCommit(index, v)
 	}
-	r.persistInBackground(part)
+	r.persistInBackground(index)
 }
--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -54,15 +54,15 @@
 	delete(n.nodes, addr)
 }
 
-// at returns the node at an address, or nil.
-func (n *testNodes) at(addr string) *Registers {
+// node returns the node at an address, or nil.
+func (n *testNodes) node(addr string) *Registers {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[addr]
 }
 
 func (n *testNodes) handle(ctx context.Context, addr string, body []byte) ([]byte, error) {
-	node := n.at(addr)
+	node := n.node(addr)
 	if node == nil {
 		return nil, errors.New("node is stopped")
 	}
@@ -70,9 +70,9 @@
 }
 
 // waitDurable waits until a node has a version of a register on disk.
-func (n *testNodes) waitDurable(addr string, part int, version int64) {
+func (n *testNodes) waitDurable(addr string, index int, version int64) {
 	for {
-		record, _, _ := n.stores[addr].Load(part)
+		record, _, _ := n.stores[addr].Load(index)
 		if record.Committed.Version == version {
 			return
 		}
@@ -91,13 +91,13 @@
 	}
 	nodes.stop("a")
 	nodes.start("d", false)
-	must.NoError(t, nodes.at("d").Pull(ctx, "b", 1))
+	must.NoError(t, nodes.node("d").Pull(ctx, "b", 1))
 	members := []string{"d", "b", "c"}
 	var group []messages.Member
 	for _, addr := range members {
-		group = append(group, messages.Member{ID: nodes.at(addr).ID(), Addr: addr})
+		group = append(group, messages.Member{ID: nodes.node(addr).ID(), Addr: addr})
 	}
-	_, err := nodes.at("b").Change(ctx, 1, func(messages.Value) ([]messages.Member, []byte, error) { return group, []byte("x"), nil })
+	_, err := nodes.node("b").Change(ctx, 1, func(messages.Value) ([]messages.Member, []byte, error) { return group, []byte("x"), nil })
 	must.NoError(t, err)
 	for _, addr := range members {
 		nodes.waitDurable(addr, 1, 1)
@@ -110,10 +110,10 @@
 	for _, addr := range members {
 		nodes.start(addr, false)
 	}
-	v, err := nodes.at("c").Read(ctx, 1)
+	v, err := nodes.node("c").Read(ctx, 1)
 	must.NoError(t, err)
 	must.Eq(t, "x", string(v.Body))
-	_, err = nodes.at("d").Change(ctx, 1, setBody("y"))
+	_, err = nodes.node("d").Change(ctx, 1, setBody("y"))
 	must.NoError(t, err)
 }
 
@@ -126,7 +126,7 @@
 			nodes.start(seed, bootstrap)
 		}
 	}
-	_, err := nodes.at("b").Change(context.Background(), 3, setBody("first"))
+	_, err := nodes.node("b").Change(context.Background(), 3, setBody("first"))
 	must.NoError(t, err)
 }
 
@@ -146,15 +146,15 @@
 		nodes.start(seed, true)
 	}
 	for i := range 3 {
-		_, err := nodes.at("a").Change(context.Background(), 0, setBody(fmt.Sprint(i)))
+		_, err := nodes.node("a").Change(context.Background(), 0, setBody(fmt.Sprint(i)))
 		must.NoError(t, err)
 	}
-	request := messages.ConsensusRequest{To: nodes.at("a").ID(), Step: messages.Prepare, Slot: 4, Ballot: messages.Ballot{N: 9, Who: "x"}}
+	request := messages.ConsensusRequest{To: nodes.node("a").ID(), Step: messages.Prepare, Slot: 4, Ballot: messages.Ballot{N: 9, Who: "x"}}
 	b, err := request.MarshalMsg(nil)
 	must.NoError(t, err)
-	_, err = nodes.at("a").Handle(context.Background(), b)
+	_, err = nodes.node("a").Handle(context.Background(), b)
 	must.ErrorIs(t, err, ErrStore)
-	_, fault := nodes.at("a").LastSave()
+	_, fault := nodes.node("a").LastSave()
 	must.StrContains(t, fault, "full")
 	must.Eq(t, 1, strings.Count(out.String(), "store write failed"))
 }
@@ -177,11 +177,11 @@
 }
 
 // Save saves the record unless the store is failing.
-func (s *switchableStore) Save(part int, record messages.Record) error {
+func (s *switchableStore) Save(index int, record messages.Record) error {
 	if s.failing.Load() {
 		return errors.Wrap(ErrStore, "full")
 	}
-	return s.MemoryStore.Save(part, record)
+	return s.MemoryStore.Save(index, record)
 }
 
 // A promise that could not be written does not count: after the disk has recovered, a
@@ -192,8 +192,8 @@
 	nodes.stores["a"] = store
 	nodes.start("a", true)
 	prepare := func(n int64) (messages.ConsensusResponse, error) {
-		return nodes.at("a").handleRequest(t.Context(), messages.ConsensusRequest{
-			To: nodes.at("a").ID(), Step: messages.Prepare, Slot: 1, Ballot: messages.Ballot{N: n, Who: "proposer"},
+		return nodes.node("a").handleRequest(t.Context(), messages.ConsensusRequest{
+			To: nodes.node("a").ID(), Step: messages.Prepare, Slot: 1, Ballot: messages.Ballot{N: n, Who: "proposer"},
 		})
 	}
 	store.failing.Store(true)
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -84,9 +84,9 @@
 }
 
 // withoutConfirmed returns the members that have not confirmed.
-func (c *RepairCoordinator) withoutConfirmed(list []messages.Member) []messages.Member {
+func (c *RepairCoordinator) withoutConfirmed(members []messages.Member) []messages.Member {
 	var out []messages.Member
-	for _, m := range list {
+	for _, m := range members {
 		if !c.confirmed[m.ID] {
 			out = append(out, m)
 		}
@@ -110,8 +110,8 @@
 	if suspended {
 		c.neededSinceUs = nowUs + RankDelayUs
 	}
-	dueUs, may := c.dueUs(v)
-	if !may || nowUs < dueUs {
+	dueUs, allowed := c.dueUs(v)
+	if !allowed || nowUs < dueUs {
 		return RepairStep{}, false
 	}
 	missing, ready := c.missingConfirmations(target, v, nowUs-dueUs >= ConfirmTimeoutUs)
@@ -237,22 +237,22 @@
 	if !v.Contact {
 		return RepairStep{}, false
 	}
-	var alive []messages.Member
+	var ready []messages.Member
 	for _, m := range c.joining {
 		if containsMember(v.Status.Ready, m.ID) {
-			alive = append(alive, m)
+			ready = append(ready, m)
 		}
 	}
-	return c.requestConfirmation(nowUs, alive)
+	return c.requestConfirmation(nowUs, ready)
 }
 
 // requestConfirmation returns the step that requests a confirmation of the base from
 // members, and starts their timeouts.
-func (c *RepairCoordinator) requestConfirmation(nowUs int64, list []messages.Member) (RepairStep, bool) {
-	for _, m := range list {
+func (c *RepairCoordinator) requestConfirmation(nowUs int64, members []messages.Member) (RepairStep, bool) {
+	for _, m := range members {
 		if _, waiting := c.waitingSinceUs[m.ID]; !waiting {
 			c.waitingSinceUs[m.ID] = nowUs
 		}
 	}
-	return RepairStep{Confirm: list, Version: c.version}, len(list) > 0
+	return RepairStep{Confirm: members, Version: c.version}, len(members) > 0
 }
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	tickUs      = 100_000
-	detectUs    = 1_000_000
-	catchUpUs   = 4_000_000 // maximum time until a group is repaired
-	roundUs     = 500_000   // timeout of a round
-	changeEvery = 3         // ticks per operator change, on average
-	oneLostIn   = 40        // messages per lost message, on average
+	tickUs               = 100_000
+	unreachableTimeoutUs = 1_000_000
+	repairTimeoutUs      = 4_000_000 // maximum time until a group is repaired
+	roundTimeoutUs       = 500_000   // timeout of a round
+	ticksPerChange       = 3         // ticks per operator change, on average
+	messagesPerLoss      = 40        // messages per lost message, on average
 )
 
 // repairModel simulates the repair of groups: every node runs a coordinator, and time
@@ -27,31 +27,31 @@
 // It checks the preconditions of every membership change.
 type repairModel struct {
 	*paxosModel
-	seed     uint64
-	nowUs    int64
-	size     int
-	machines map[string]*machine
-	serials  int                            // number of machines that were added
-	onStep   func(m *machine, s RepairStep) // if set, called before each step is executed
-	busy     map[string]*Round              // by address: the latest round of a machine
+	seed          uint64
+	nowUs         int64
+	size          int
+	machines      map[string]*machine
+	addedMachines int                            // number of machines that were added
+	onStep        func(m *machine, s RepairStep) // if set, called before each step is executed
+	latestRound   map[string]*Round              // by address: the latest round of a machine
 }
 
 // machine is a node with its coordinator and its faults.
 type machine struct {
 	*node
-	coordinator   RepairCoordinator
-	downUs        int64 // when it went down, 0 if it is up
-	removed       bool  // it is down permanently
-	partitioned   bool  // health checks reach it, but messages do not
-	diskFull      bool  // its writes fail
-	leaving       bool  // it is shutting down
-	roundBeganUs  int64 // when its latest round started
-	joinedVersion int64 // version of the change by which it last joined
+	coordinator    RepairCoordinator
+	downUs         int64 // when it went down, 0 if it is up
+	removed        bool  // it is down permanently
+	partitioned    bool  // health checks reach it, but messages do not
+	diskFull       bool  // its writes fail
+	leaving        bool  // it is shutting down
+	roundStartedUs int64 // when its latest round started
+	joinedVersion  int64 // version of the change by which it last joined
 }
 
 func newRepairModel(t *testing.T, seed uint64, size int) *repairModel {
 	t.Helper()
-	model := &repairModel{paxosModel: newPaxosModel(t, seed, size), seed: seed, size: size, machines: map[string]*machine{}, busy: map[string]*Round{}}
+	model := &repairModel{paxosModel: newPaxosModel(t, seed, size), seed: seed, size: size, machines: map[string]*machine{}, latestRound: map[string]*Round{}}
 	for addr, n := range model.nodes {
 		model.machines[addr] = &machine{node: n}
 	}
@@ -68,10 +68,10 @@
 	return out
 }
 
-// join adds a machine with an empty disk at a new address, which sorts last.
-func (r *repairModel) join() *machine {
-	r.serials++
-	addr := fmt.Sprintf("10.0.1.%d:1", r.serials)
+// addMachine adds a machine with an empty disk at a new address, which sorts last.
+func (r *repairModel) addMachine() *machine {
+	r.addedMachines++
+	addr := fmt.Sprintf("10.0.1.%d:1", r.addedMachines)
 	n := &node{addr: addr, acceptor: Acceptor{ID: addr + "/n"}, up: true}
 	r.nodes[addr] = n
 	r.machines[addr] = &machine{node: n}
@@ -81,7 +81,7 @@
 // remove shuts a machine down permanently.
 func (r *repairModel) remove(m *machine) {
 	m.up, m.removed, m.downUs = false, true, r.nowUs
-	delete(r.busy, m.addr)
+	delete(r.latestRound, m.addr)
 }
 
 // loseDisk erases the disk of a machine, which restarts at once under a new identity.
@@ -101,11 +101,11 @@
 
 func (r *repairModel) restart(m *machine) {
 	m.up, m.downUs, m.coordinator = true, 0, RepairCoordinator{}
-	delete(r.busy, m.addr)
+	delete(r.latestRound, m.addr)
 }
 
 func (r *repairModel) status() Status {
-	s := Status{GoneUs: detectUs}
+	s := Status{GoneUs: unreachableTimeoutUs}
 	for _, m := range r.sortedMachines() {
 		if m.up && !m.removed {
 			s.Ready = append(s.Ready, messages.Member{ID: m.acceptor.ID, Addr: m.addr})
@@ -121,20 +121,20 @@
 	return s
 }
 
-func (r *repairModel) reaches(m *machine, addr string) bool {
+func (r *repairModel) canReach(m *machine, addr string) bool {
 	to := r.machines[addr]
 	return to != nil && m.up && to.up && (m.addr == addr || !m.partitioned && !to.partitioned)
 }
 
 func (r *repairModel) view(m *machine) RepairView {
-	near := 0
+	reachable := 0
 	for _, g := range m.known.Group {
-		if to := r.machines[g.Addr]; r.reaches(m, g.Addr) && to.acceptor.ID == g.ID {
-			near++
+		if to := r.machines[g.Addr]; r.canReach(m, g.Addr) && to.acceptor.ID == g.ID {
+			reachable++
 		}
 	}
 	return RepairView{
-		Self: m.addr, Base: m.known, Status: r.status(), Contact: near > len(m.known.Group)/2,
+		Self: m.addr, Base: m.known, Status: r.status(), Contact: reachable > len(m.known.Group)/2,
 		DiskFault: m.diskFull, Leaving: m.leaving,
 	}
 }
@@ -143,9 +143,9 @@
 // step, and messages are delivered.
 func (r *repairModel) tick() {
 	r.nowUs += tickUs
-	list := r.sortedMachines()
-	r.gossip(list)
-	for _, m := range list {
+	machines := r.sortedMachines()
+	r.gossip(machines)
+	for _, m := range machines {
 		if !m.up || len(m.known.Group) == 0 || r.rnd.IntN(4) == 0 {
 			continue
 		}
@@ -166,10 +166,10 @@
 
 // gossip delivers the committed values of random machines to others, and persists the
 // values of some.
-func (r *repairModel) gossip(list []*machine) {
-	for _, m := range list {
-		from := list[r.rnd.IntN(len(list))]
-		if r.rnd.IntN(3) == 0 && r.reaches(m, from.addr) && len(from.known.Group) > 0 {
+func (r *repairModel) gossip(machines []*machine) {
+	for _, m := range machines {
+		from := machines[r.rnd.IntN(len(machines))]
+		if r.rnd.IntN(3) == 0 && r.canReach(m, from.addr) && len(from.known.Group) > 0 {
 			r.learn(m.node, from.known)
 		}
 		if m.up && !m.diskFull && r.rnd.IntN(8) == 0 {
@@ -206,8 +206,8 @@
 
 // inRound reports whether a machine has a round in progress that has not timed out.
 func (r *repairModel) inRound(m *machine) bool {
-	round := r.busy[m.addr]
-	return round != nil && round.End == InProgress && r.nowUs-m.roundBeganUs < roundUs
+	round := r.latestRound[m.addr]
+	return round != nil && round.End == InProgress && r.nowUs-m.roundStartedUs < roundTimeoutUs
 }
 
 // propose starts a round at a machine, with a ballot above all earlier ones.
@@ -215,7 +215,7 @@
 	r.serial++
 	stamp := fmt.Sprintf("s%d", r.serial)
 	round := NewRound(0, m.known, messages.Ballot{N: int64(r.serial), Who: stamp}, stamp, change)
-	r.busy[m.addr], m.roundBeganUs = round, r.nowUs
+	r.latestRound[m.addr], m.roundStartedUs = round, r.nowUs
 	for _, request := range round.Requests() {
 		r.inFlight = append(r.inFlight, message{round: round, request: request})
 	}
@@ -224,7 +224,7 @@
 // confirm sends the base to a member and reports whether the member has it on disk.
 func (r *repairModel) confirm(m *machine, to messages.Member) bool {
 	other := r.machines[to.Addr]
-	if !r.reaches(m, to.Addr) || other.acceptor.ID != to.ID {
+	if !r.canReach(m, to.Addr) || other.acceptor.ID != to.ID {
 		return false
 	}
 	r.learn(other.node, m.known)
@@ -239,7 +239,7 @@
 	m := r.inFlight[i]
 	r.inFlight = append(r.inFlight[:i:i], r.inFlight[i+1:]...)
 	proposer := r.proposer(m.round)
-	if r.rnd.IntN(oneLostIn) == 0 || proposer == nil || !r.reaches(proposer, m.request.To.Addr) {
+	if r.rnd.IntN(messagesPerLoss) == 0 || proposer == nil || !r.canReach(proposer, m.request.To.Addr) {
 		return
 	}
 	if m.reply {
@@ -268,7 +268,7 @@
 // the round.
 func (r *repairModel) proposer(round *Round) *machine {
 	for _, m := range r.machines {
-		if r.busy[m.addr] == round && m.up {
+		if r.latestRound[m.addr] == round && m.up {
 			return m
 		}
 	}
@@ -316,10 +316,10 @@
 	}
 }
 
-// play runs a number of ticks, with changes by operators.
-func (r *repairModel) play(ticks int) {
+// run runs a number of ticks, with changes by operators.
+func (r *repairModel) run(ticks int) {
 	for range ticks {
-		if r.rnd.IntN(changeEvery) == 0 {
+		if r.rnd.IntN(ticksPerChange) == 0 {
 			r.operatorChange()
 		}
 		r.tick()
@@ -328,8 +328,8 @@
 
 // operatorChange starts a change at a random machine, unless that has a round in progress.
 func (r *repairModel) operatorChange() {
-	list := r.sortedMachines()
-	m := list[r.rnd.IntN(len(list))]
+	machines := r.sortedMachines()
+	m := machines[r.rnd.IntN(len(machines))]
 	if !m.up || m.removed || len(m.known.Group) == 0 || r.inRound(m) {
 		return
 	}
@@ -365,13 +365,13 @@
 	return len(v.Group) == r.size
 }
 
-// waitRepaired runs ticks until the group is repaired, and fails the test after catchUpUs.
-func (r *repairModel) waitRepaired() {
+// waitUntilRepaired runs ticks until the group is repaired, and fails the test after repairTimeoutUs.
+func (r *repairModel) waitUntilRepaired() {
 	r.t.Helper()
-	beganUs := r.nowUs
+	startUs := r.nowUs
 	for !r.isRepaired() {
-		if r.nowUs-beganUs > catchUpUs {
-			r.t.Fatalf("seed %d, size %d: group not repaired after %d ms: %s", r.seed, r.size, (r.nowUs-beganUs)/1000, r.describe())
+		if r.nowUs-startUs > repairTimeoutUs {
+			r.t.Fatalf("seed %d, size %d: group not repaired after %d ms: %s", r.seed, r.size, (r.nowUs-startUs)/1000, r.describe())
 		}
 		r.tick()
 	}
@@ -386,15 +386,15 @@
 	return out
 }
 
-// checkNothingLost checks that no acknowledged change is lost and that another change can
+// checkNoAcknowledgedChangeLost checks that no acknowledged change is lost and that another change can
 // be committed.
-func (r *repairModel) checkNothingLost() {
+func (r *repairModel) checkNoAcknowledgedChangeLost() {
 	r.t.Helper()
 	acked := r.acknowledged
 	r.inFlight = nil
-	ups := map[string]bool{}
+	wasUp := map[string]bool{}
 	for addr, m := range r.machines {
-		ups[addr] = m.up
+		wasUp[addr] = m.up
 	}
 	for _, m := range r.machines {
 		if m.removed {
@@ -404,7 +404,7 @@
 	last := r.commitFinal()
 	must.Greater(r.t, acked, last.Version, must.Sprintf("seed %d, size %d: acknowledged change lost", r.seed, r.size))
 	for addr, m := range r.machines {
-		m.up = ups[addr]
+		m.up = wasUp[addr]
 		if !m.removed {
 			m.disk = m.acceptor.Rec
 			r.learn(m.node, last)
@@ -423,12 +423,12 @@
 	return out
 }
 
-// othersLosePower restarts all machines except the given ones by a loss of power.
-func (r *repairModel) othersLosePower(but ...*machine) {
+// losePowerExcept restarts all machines except the given ones by a loss of power.
+func (r *repairModel) losePowerExcept(exceptions ...*machine) {
 	for _, m := range r.sortedMachines() {
 		spared := false
-		for _, b := range but {
-			spared = spared || b == m
+		for _, exception := range exceptions {
+			spared = spared || exception == m
 		}
 		if !spared {
 			r.losePower(m)
@@ -436,16 +436,16 @@
 	}
 }
 
-// forEachModel runs a history with groups of 3, 5 and 7 members and with each seed, and
+// forEachGroupSizeAndSeed runs a history with groups of 3, 5 and 7 members and with each seed, and
 // checks at its end that no acknowledged change is lost.
-func forEachModel(t *testing.T, seeds uint64, history func(model *repairModel)) {
+func forEachGroupSizeAndSeed(t *testing.T, seeds uint64, scenario func(model *repairModel)) {
 	t.Helper()
 	for _, size := range []int{3, 5, 7} {
 		for seed := range seeds {
 			model := newRepairModel(t, seed, size)
-			model.play(5 + model.rnd.IntN(10))
-			history(model)
-			model.checkNothingLost()
+			model.run(5 + model.rnd.IntN(10))
+			scenario(model)
+			model.checkNoAcknowledgedChangeLost()
 		}
 	}
 }
@@ -455,42 +455,42 @@
 func (r *repairModel) tolerableLosses() int { return min(2, r.size/2) }
 
 // pickRandom returns n different machines.
-func pickRandom(r *rand.Rand, list []*machine, n int) []*machine {
-	list = append([]*machine{}, list...)
-	r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:n]
+func pickRandom(r *rand.Rand, machines []*machine, n int) []*machine {
+	machines = append([]*machine{}, machines...)
+	r.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
+	return machines[:n]
 }
 
 // As many disks as tolerable are lost at once while all other machines lose power, three
 // times, each time after the group is repaired.
 func TestRepairAfterSimultaneousDiskLosses(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
 		for range 3 {
 			lost := pickRandom(model.rnd, model.members(), model.tolerableLosses())
 			for _, m := range lost {
 				model.loseDisk(m)
 			}
-			model.othersLosePower(lost...)
-			model.checkNothingLost()
-			model.play(2)
-			model.waitRepaired()
+			model.losePowerExcept(lost...)
+			model.checkNoAcknowledgedChangeLost()
+			model.run(2)
+			model.waitUntilRepaired()
 		}
 	})
 }
 
 // The newest member loses its disk right after it joined, and all others lose power.
 func TestRepairAfterNewestMemberIsLost(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
 		for range 3 {
 			model.remove(pickRandom(model.rnd, model.members(), 1)[0])
-			newest := model.join()
-			model.play(8)
-			model.waitRepaired()
+			newest := model.addMachine()
+			model.run(8)
+			model.waitUntilRepaired()
 			must.True(t, containsMember(model.newest().Group, newest.acceptor.ID))
 			model.loseDisk(newest)
-			model.othersLosePower(newest)
-			model.checkNothingLost()
-			model.waitRepaired()
+			model.losePowerExcept(newest)
+			model.checkNoAcknowledgedChangeLost()
+			model.waitUntilRepaired()
 		}
 	})
 }
@@ -498,24 +498,24 @@
 // The proposer of a repair fails permanently while it runs the repair, or loses power if
 // only one loss is tolerable.
 func TestRepairAfterProposerFails(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
-		struck := false
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
+		failed := false
 		model.onStep = func(m *machine, s RepairStep) {
-			if struck || len(s.Propose) == 0 || model.rnd.IntN(2) == 0 {
+			if failed || len(s.Propose) == 0 || model.rnd.IntN(2) == 0 {
 				return
 			}
-			struck = true
+			failed = true
 			if model.tolerableLosses() > 1 && containsMember(model.newest().Group, m.acceptor.ID) {
 				model.remove(m)
-				model.join()
+				model.addMachine()
 			} else {
 				model.losePower(m)
 			}
 		}
 		model.remove(pickRandom(model.rnd, model.members(), 1)[0])
-		model.join()
-		model.play(12)
-		model.waitRepaired()
+		model.addMachine()
+		model.run(12)
+		model.waitUntilRepaired()
 	})
 }
 
@@ -527,27 +527,27 @@
 			model := newRepairModel(t, seed, size)
 			first := model.machines["10.0.0.1:1"]
 			first.partitioned, first.diskFull = seed%2 == 0, seed%2 == 1
-			model.play(5)
+			model.run(5)
 			model.loseDisk(model.machines["10.0.0.3:1"])
-			model.waitRepaired()
+			model.waitUntilRepaired()
 			first.partitioned, first.diskFull = false, false
-			model.checkNothingLost()
+			model.checkNoAcknowledgedChangeLost()
 		}
 	}
 }
 
 // A candidate whose writes fail never joins, and another candidate does.
 func TestRepairSkipsCandidateWithFailingDisk(t *testing.T) {
-	forEachModel(t, 30, func(model *repairModel) {
-		bad, good := model.join(), model.join()
-		bad.diskFull = true
+	forEachGroupSizeAndSeed(t, 30, func(model *repairModel) {
+		failingCandidate, healthyCandidate := model.addMachine(), model.addMachine()
+		failingCandidate.diskFull = true
 		model.remove(pickRandom(model.rnd, model.members(), 1)[0])
-		model.play(5)
+		model.run(5)
 		model.size = len(model.newest().Group)
-		model.waitRepaired()
-		must.False(t, containsMember(model.newest().Group, bad.acceptor.ID))
-		must.True(t, containsMember(model.newest().Group, good.acceptor.ID))
-		bad.diskFull = false
+		model.waitUntilRepaired()
+		must.False(t, containsMember(model.newest().Group, failingCandidate.acceptor.ID))
+		must.True(t, containsMember(model.newest().Group, healthyCandidate.acceptor.ID))
+		failingCandidate.diskFull = false
 	})
 }
 
@@ -555,49 +555,49 @@
 // replaces it before it leaves, so that the change survives the loss of the other replica.
 // If lost messages prevent that within the time limit, the group is repaired afterwards.
 func TestHandOverCompletesBeforeLeaving(t *testing.T) {
-	const histories, boundUs = 100, 2_500_000
-	late := 0
+	const histories, timeoutUs = 100, 2_500_000
+	lateHandOvers := 0
 	for seed := range uint64(histories) {
 		model := newRepairModel(t, seed, 3)
-		model.play(6)
-		all := pickRandom(model.rnd, model.members(), 3)
-		leaver, other, absent := all[0], all[1], all[2]
-		absent.up = false
-		model.playWithout(absent, func() bool { return model.acknowledged >= 5 })
-		newcomer := model.join()
-		leaver.leaving = true
-		beganUs := model.nowUs
-		model.playWithout(absent, func() bool { return model.handedOver(leaver) || model.nowUs-beganUs >= boundUs })
-		whole := model.handedOver(leaver)
-		model.remove(leaver)
-		model.losePower(absent)
-		if whole {
-			must.True(t, containsMember(model.newest().Group, newcomer.acceptor.ID), must.Sprintf("seed %d: %s", seed, model.describe()))
-			model.loseDisk(other)
-			model.othersLosePower(other)
+		model.run(6)
+		members := pickRandom(model.rnd, model.members(), 3)
+		leavingMember, otherReplica, downMember := members[0], members[1], members[2]
+		downMember.up = false
+		model.runWithMemberDown(downMember, func() bool { return model.acknowledged >= 5 })
+		candidate := model.addMachine()
+		leavingMember.leaving = true
+		startUs := model.nowUs
+		model.runWithMemberDown(downMember, func() bool { return model.handedOver(leavingMember) || model.nowUs-startUs >= timeoutUs })
+		handedOver := model.handedOver(leavingMember)
+		model.remove(leavingMember)
+		model.losePower(downMember)
+		if handedOver {
+			must.True(t, containsMember(model.newest().Group, candidate.acceptor.ID), must.Sprintf("seed %d: %s", seed, model.describe()))
+			model.loseDisk(otherReplica)
+			model.losePowerExcept(otherReplica)
 		} else {
-			late++
+			lateHandOvers++
 		}
-		model.checkNothingLost()
-		model.play(10)
-		model.waitRepaired()
-		model.checkNothingLost()
+		model.checkNoAcknowledgedChangeLost()
+		model.run(10)
+		model.waitUntilRepaired()
+		model.checkNoAcknowledgedChangeLost()
 	}
-	must.LessEq(t, histories/50, late)
+	must.LessEq(t, histories/50, lateHandOvers)
 }
 
 // As many disks as tolerable are lost at a random time during a hand-over, while all
 // others lose power, including the leaving member.
 func TestRepairAfterDiskLossesDuringHandOver(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
-		leaver := pickRandom(model.rnd, model.members(), 1)[0]
-		model.join()
-		model.play(3)
-		leaver.leaving = true
-		model.play(model.rnd.IntN(10))
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
+		leavingMember := pickRandom(model.rnd, model.members(), 1)[0]
+		model.addMachine()
+		model.run(3)
+		leavingMember.leaving = true
+		model.run(model.rnd.IntN(10))
 		var others []*machine
 		for _, m := range model.members() {
-			if m != leaver {
+			if m != leavingMember {
 				others = append(others, m)
 			}
 		}
@@ -605,41 +605,41 @@
 		for _, m := range lost {
 			model.loseDisk(m)
 		}
-		model.othersLosePower(lost...)
-		model.checkNothingLost()
-		leaver.leaving = false
-		model.play(2)
-		model.waitRepaired()
+		model.losePowerExcept(lost...)
+		model.checkNoAcknowledgedChangeLost()
+		leavingMember.leaving = false
+		model.run(2)
+		model.waitUntilRepaired()
 	})
 }
 
-// playWithout runs ticks until a condition holds, with a member down but never long enough
+// runWithMemberDown runs ticks until a condition holds, with a member down but never long enough
 // to be replaced.
-func (r *repairModel) playWithout(absent *machine, until func() bool) {
+func (r *repairModel) runWithMemberDown(downMember *machine, until func() bool) {
 	for !until() {
-		r.play(1)
-		absent.downUs = r.nowUs
+		r.run(1)
+		downMember.downUs = r.nowUs
 	}
 }
 
 // handedOver reports whether the hand-over of a leaving machine is complete or not
 // possible.
-func (r *repairModel) handedOver(leaver *machine) bool {
-	_, may := HandOver(leaver.known.Group, leaver.addr, r.status())
-	return !may && leaver.coordinator.Complete(leaver.known.Group)
+func (r *repairModel) handedOver(leavingMember *machine) bool {
+	_, possible := HandOver(leavingMember.known.Group, leavingMember.addr, r.status())
+	return !possible && leavingMember.coordinator.Complete(leavingMember.known.Group)
 }
 
 // A member that restarts before the timeout is not replaced.
 func TestRestartDoesNotChangeGroup(t *testing.T) {
 	model := newRepairModel(t, 3, 3)
-	model.join()
-	model.play(5)
+	model.addMachine()
+	model.run(5)
 	group := model.newest().Group
 	for _, m := range model.members() {
 		m.up, m.downUs = false, model.nowUs
-		model.play(int(detectUs/tickUs) - 1)
+		model.run(int(unreachableTimeoutUs/tickUs) - 1)
 		model.losePower(m)
-		model.play(5)
+		model.run(5)
 	}
 	must.True(t, sameGroup(group, model.newest().Group))
 }
--- a/internal/consensus/repair_test.go
+++ b/internal/consensus/repair_test.go
@@ -13,8 +13,8 @@
 	model := newRepairModel(t, 1, 3)
 	m := model.machines["10.0.0.2:1"]
 	m.leaving = true
-	_, may := HandOver(m.known.Group, m.addr, model.status())
-	must.False(t, may)
+	_, possible := HandOver(m.known.Group, m.addr, model.status())
+	must.False(t, possible)
 	_, due := m.coordinator.Step(tickUs, model.view(m))
 	must.False(t, due)
 }
@@ -26,8 +26,8 @@
 	g := Genesis([]string{"a", "b", "c"})
 	status := Status{
 		Ready:   []messages.Member{g.Group[0], g.Group[1], {ID: "d/1", Addr: "d"}},
-		GoneFor: func(addr string) int64 { return map[string]int64{"c": detectUs}[addr] },
-		GoneUs:  detectUs,
+		GoneFor: func(addr string) int64 { return map[string]int64{"c": unreachableTimeoutUs}[addr] },
+		GoneUs:  unreachableTimeoutUs,
 	}
 	view := func(self string) RepairView {
 		return RepairView{Self: self, Base: g, Status: status, Contact: true}
@@ -61,9 +61,9 @@
 	must.False(t, due, must.Sprint("a change of the group must restart the delay"))
 
 	c = RepairCoordinator{}
-	calm := view("a")
-	calm.Status.GoneFor = func(string) int64 { return 0 }
-	_, due = c.Step(1, calm)
+	withoutFault := view("a")
+	withoutFault.Status.GoneFor = func(string) int64 { return 0 }
+	_, due = c.Step(1, withoutFault)
 	must.False(t, due)
 	_, due = c.Step(2+MaxStepGapUs, view("a"))
 	must.False(t, due, must.Sprint("after a suspension the view is stale"))
@@ -77,14 +77,14 @@
 	before := Genesis([]string{"a", "b", "c", "d", "e"})
 	after := before
 	after.Version = 1
-	newest, newcomer := messages.Member{ID: "d/1", Addr: "d"}, messages.Member{ID: "e/1", Addr: "e"}
-	after.Group = replaceMember(before.Group, 3, &newest)
-	whole := Status{Ready: before.Group, GoneFor: func(string) int64 { return 0 }, GoneUs: 1}
-	wiped := whole
-	wiped.Ready = append(append([]messages.Member{}, before.Group[:3]...), newest, newcomer)
+	joined, candidate := messages.Member{ID: "d/1", Addr: "d"}, messages.Member{ID: "e/1", Addr: "e"}
+	after.Group = replaceMember(before.Group, 3, &joined)
+	healthy := Status{Ready: before.Group, GoneFor: func(string) int64 { return 0 }, GoneUs: 1}
+	wiped := healthy
+	wiped.Ready = append(append([]messages.Member{}, before.Group[:3]...), joined, candidate)
 	start := func() *RepairCoordinator {
 		c := &RepairCoordinator{}
-		_, due := c.Step(1, RepairView{Self: "a", Base: before, Status: whole, Contact: true})
+		_, due := c.Step(1, RepairView{Self: "a", Base: before, Status: healthy, Contact: true})
 		must.False(t, due)
 		return c
 	}
@@ -98,8 +98,8 @@
 	for _, id := range []string{"a/0", "b/0", "c/0", "e/1"} {
 		c.Kept(id, 1)
 	}
-	must.Eq(t, []messages.Member{newest}, step(c, 3).Confirm)
-	must.Eq(t, []string{newest.ID}, c.Awaited())
+	must.Eq(t, []messages.Member{joined}, step(c, 3).Confirm)
+	must.Eq(t, []string{joined.ID}, c.Awaited())
 	must.SliceNotEmpty(t, step(c, 3+ConfirmTimeoutUs).Propose)
 	c.Kept("d/1", 1)
 	must.SliceNotEmpty(t, step(c, 4).Propose)
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -68,23 +68,23 @@
 	Err           error
 	HighestBallot messages.Ballot // the highest ballot that preempted this one
 
-	change          Change
-	accepting       bool            // in the accept phase, else in the prepare phase
-	granted         map[string]bool // members that granted the request of this phase
-	preemptedBy     map[string]bool // members that have promised a higher ballot
-	hasAccepted     bool            // a member has reported an accepted value: Value
-	highestAccepted messages.Ballot // the ballot of that value
-	held            messages.Value  // a large value that this node has accepted itself
-	heldReference   messages.Value  // the reference to it
-	holds           map[string]bool // members that reported the same value by its reference
-	sealPending     bool            // the change was rejected after a majority promised; the other members have not all promised yet
+	change                Change
+	accepting             bool            // in the accept phase, else in the prepare phase
+	granted               map[string]bool // members that granted the request of this phase
+	preemptedBy           map[string]bool // members that have promised a higher ballot
+	hasAccepted           bool            // a member has reported an accepted value: Value
+	highestAccepted       messages.Ballot // the ballot of that value
+	localValue            messages.Value  // a large value that this node has accepted itself
+	localReference        messages.Value  // the reference to it
+	membersWithLocalValue map[string]bool // members that reported the same value by its reference
+	sealPending           bool            // the change was rejected after a majority promised; the other members have not all promised yet
 }
 
 // NewRound starts a round on top of a committed value.
-func NewRound(part int, base messages.Value, ballot messages.Ballot, stamp string, change Change) *Round {
+func NewRound(index int, base messages.Value, ballot messages.Ballot, stamp string, change Change) *Round {
 	return &Round{
-		Part: part, Base: base, Ballot: ballot, Stamp: stamp,
-		change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{}, holds: map[string]bool{},
+		Part: index, Base: base, Ballot: ballot, Stamp: stamp,
+		change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{}, membersWithLocalValue: map[string]bool{},
 	}
 }
 
@@ -93,21 +93,21 @@
 // report it by reference, and are sent it by reference.
 func (r *Round) Hold(accepted messages.Value) {
 	if isLarge(accepted) && accepted.Version == r.Base.Version+1 {
-		r.held, r.heldReference = accepted, referenceTo(accepted)
+		r.localValue, r.localReference = accepted, referenceTo(accepted)
 	}
 }
 
 // Requests returns the requests of the current phase, one per member.
 func (r *Round) Requests() []Request {
 	var out []Request
-	for _, m := range r.group() {
+	for _, m := range r.participants() {
 		out = append(out, Request{To: m, Body: r.requestFor(m)})
 	}
 	return out
 }
 
-// group returns the members that requests of the current phase are sent to.
-func (r *Round) group() []messages.Member {
+// participants returns the members that requests of the current phase are sent to.
+func (r *Round) participants() []messages.Member {
 	if !r.accepting {
 		return r.Base.Group
 	}
@@ -115,7 +115,7 @@
 }
 
 func (r *Round) requestFor(m messages.Member) messages.ConsensusRequest {
-	request := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot, Value: r.heldReference}
+	request := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot, Value: r.localReference}
 	if r.accepting {
 		request.Step, request.Value = messages.Accept, r.valueFor(m)
 	}
@@ -125,8 +125,8 @@
 // valueFor returns the value of the accept request to a member: a reference if the
 // member has reported that it has accepted the value.
 func (r *Round) valueFor(m messages.Member) messages.Value {
-	if r.holds[m.ID] {
-		return r.heldReference
+	if r.membersWithLocalValue[m.ID] {
+		return r.localReference
 	}
 	return r.Value
 }
@@ -147,10 +147,10 @@
 	case messages.Behind:
 		return r.catchUp(from)
 	case messages.Outbid:
-		r.preempt(from, response.Promised)
+		r.recordPreemption(from, response.Promised)
 		return nil
 	case messages.Granted:
-		if !r.accepting && !r.resolve(from, &response) {
+		if !r.accepting && !r.resolveReference(from, &response) {
 			return nil
 		}
 		r.granted[from.ID] = true
@@ -170,42 +170,42 @@
 	return []Request{{To: m, Body: commit}, {To: m, Body: r.requestFor(m)}}
 }
 
-// preempt records a member that has promised a higher ballot, and ends the round once
+// recordPreemption records a member that has promised a higher ballot, and ends the round once
 // the remaining members are less than a majority of the base's group.
-func (r *Round) preempt(from messages.Member, promised messages.Ballot) {
-	if Less(r.HighestBallot, promised) {
+func (r *Round) recordPreemption(from messages.Member, promised messages.Ballot) {
+	if ballotLess(r.HighestBallot, promised) {
 		r.HighestBallot = promised
 	}
 	r.preemptedBy[from.ID] = true
-	left := 0
+	remaining := 0
 	for _, m := range r.Base.Group {
 		if !r.preemptedBy[m.ID] {
-			left++
+			remaining++
 		}
 	}
-	if left <= len(r.Base.Group)/2 {
+	if remaining <= len(r.Base.Group)/2 {
 		r.End = Preempted
 	}
 }
 
-// resolve replaces a reference in a promise by the local accepted value. It returns
+// resolveReference replaces a reference in a promise by the local accepted value. It returns
 // false for a reference to another value, which no correct member sends.
-func (r *Round) resolve(from messages.Member, promise *messages.ConsensusResponse) bool {
+func (r *Round) resolveReference(from messages.Member, promise *messages.ConsensusResponse) bool {
 	if !promise.HasAccepted || !isReference(promise.Value) {
 		return true
 	}
-	if !isReference(r.heldReference) || !sameReference(promise.Value, r.heldReference) {
+	if !isReference(r.localReference) || !sameReference(promise.Value, r.localReference) {
 		return false
 	}
-	r.holds[from.ID] = true
-	promise.Value = r.held
+	r.membersWithLocalValue[from.ID] = true
+	promise.Value = r.localValue
 	return true
 }
 
 // receivePromise retains the accepted value with the highest ballot, and starts the
 // accept phase once a majority has promised.
 func (r *Round) receivePromise(promise messages.ConsensusResponse) []Request {
-	if promise.HasAccepted && (!r.hasAccepted || Less(r.highestAccepted, promise.AcceptedAt)) {
+	if promise.HasAccepted && (!r.hasAccepted || ballotLess(r.highestAccepted, promise.AcceptedAt)) {
 		r.hasAccepted, r.highestAccepted, r.Value = true, promise.AcceptedAt, promise.Value
 	}
 	if !r.hasQuorum(r.Base.Group) || r.sealPending && !r.hasAccepted {
@@ -231,7 +231,7 @@
 		return r.startAccept()
 	}
 	group, body, err := r.change(r.Base)
-	var sealed *sealedRefusal
+	var sealed *sealedRejection
 	switch {
 	case errors.As(err, &sealed):
 		r.sealPending, r.Err = true, sealed.cause
@@ -251,8 +251,8 @@
 func (r *Round) startAccept() []Request {
 	r.accepting, r.sealPending = true, false
 	r.granted, r.preemptedBy = map[string]bool{}, map[string]bool{}
-	if len(r.holds) > 0 && !sameReference(referenceTo(r.Value), r.heldReference) {
-		clear(r.holds)
+	if len(r.membersWithLocalValue) > 0 && !sameReference(referenceTo(r.Value), r.localReference) {
+		clear(r.membersWithLocalValue)
 	}
 	return r.Requests()
 }
@@ -288,16 +288,16 @@
 // committed.
 const sealStampSuffix = "/seal"
 
-// sealedRefusal is a rejection that is final only once its version is closed.
-type sealedRefusal struct{ cause error }
+// sealedRejection is a rejection that is final only once its version is closed.
+type sealedRejection struct{ cause error }
 
 // Error returns the text of the cause.
-func (s *sealedRefusal) Error() string { return s.cause.Error() }
+func (s *sealedRejection) Error() string { return s.cause.Error() }
 
 // Unwrap returns the cause.
-func (s *sealedRefusal) Unwrap() error { return s.cause }
+func (s *sealedRejection) Unwrap() error { return s.cause }
 
 // SealRefusal wraps the error of a rejection where an earlier attempt at the same
 // request may have been accepted: the round returns the rejection only once no earlier
 // attempt can be committed at its version.
-func SealRefusal(cause error) error { return &sealedRefusal{cause} }
+func SealRefusal(cause error) error { return &sealedRejection{cause} }
--- a/internal/consensus/round_seal_test.go
+++ b/internal/consensus/round_seal_test.go
@@ -16,28 +16,28 @@
 	return nil, nil, SealRefusal(errStrictValidation)
 }
 
-// threeAcceptors returns three acceptors, of which only c has accepted the value of an
+// acceptorsWithEarlierAttempt returns three acceptors, of which only c has accepted the value of an
 // earlier attempt.
-func threeAcceptors() (g messages.Value, accs map[string]*Acceptor, earlier *Round) {
+func acceptorsWithEarlierAttempt() (g messages.Value, acceptors map[string]*Acceptor, earlier *Round) {
 	g = Genesis([]string{"a", "b", "c"})
-	accs = map[string]*Acceptor{}
+	acceptors = map[string]*Acceptor{}
 	for _, m := range g.Group {
-		accs[m.Addr] = &Acceptor{ID: m.ID, Rec: messages.Record{Committed: g}}
+		acceptors[m.Addr] = &Acceptor{ID: m.ID, Rec: messages.Record{Committed: g}}
 	}
 	earlier = NewRound(0, g, messages.Ballot{N: 1, Who: "lax"}, "lax", setBody("accepted by lax validation"))
-	requests := exchange(earlier, accs, earlier.Requests(), "a", "b")
-	exchange(earlier, accs, requests, "c")
-	return g, accs, earlier
+	requests := deliverTo(earlier, acceptors, earlier.Requests(), "a", "b")
+	deliverTo(earlier, acceptors, requests, "c")
+	return g, acceptors, earlier
 }
 
-// exchange delivers requests to the given acceptors and their responses to the round, and
+// deliverTo delivers requests to the given acceptors and their responses to the round, and
 // returns the resulting requests.
-func exchange(round *Round, accs map[string]*Acceptor, requests []Request, to ...string) []Request {
+func deliverTo(round *Round, acceptors map[string]*Acceptor, requests []Request, to ...string) []Request {
 	var next []Request
 	for _, addr := range to {
 		for _, request := range requests {
 			if request.To.Addr == addr {
-				response, _ := accs[addr].Handle(request.Body)
+				response, _ := acceptors[addr].Handle(request.Body)
 				next = append(next, round.Receive(request.To, request.Body.Step, response)...)
 			}
 		}
@@ -49,30 +49,30 @@
 // still be committed. A sealed rejection closes the version first; without a seal, the
 // rejected change could be committed later.
 func TestSealClosesVersionToEarlierAttempt(t *testing.T) {
-	g, accs, _ := threeAcceptors()
+	g, acceptors, _ := acceptorsWithEarlierAttempt()
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
-	must.SliceEmpty(t, exchange(round, accs, round.Requests(), "a", "b"))
+	must.SliceEmpty(t, deliverTo(round, acceptors, round.Requests(), "a", "b"))
 	must.True(t, round.SealPending(), must.Sprint("c may have accepted an earlier attempt"))
 	requests := round.Seal()
-	exchange(round, accs, requests, "a", "b")
+	deliverTo(round, acceptors, requests, "a", "b")
 	must.Eq(t, Chosen, round.End)
 	must.False(t, round.Mine)
 	must.ErrorIs(t, round.Err, errStrictValidation)
 	must.Eq(t, Finished, NewAttempt(0, "strict", rejectSealed).Finish(round))
 	later := NewRound(0, g, messages.Ballot{N: 3, Who: "later"}, "later", setBody("x"))
-	exchange(later, accs, later.Requests(), "b", "c")
+	deliverTo(later, acceptors, later.Requests(), "b", "c")
 	must.Eq(t, round.Value.Stamp, later.Value.Stamp, must.Sprint("the sealing value must be committed, not the earlier attempt"))
 }
 
 // If the member responds before the version is closed, its accepted value is proposed and
 // the rejection is discarded.
 func TestSealedRejectionAdoptsAcceptedValue(t *testing.T) {
-	g, accs, earlier := threeAcceptors()
+	g, acceptors, earlier := acceptorsWithEarlierAttempt()
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
 	prepare := round.Requests()
-	exchange(round, accs, prepare, "a", "b")
-	requests := exchange(round, accs, prepare, "c")
-	exchange(round, accs, requests, "a", "c")
+	deliverTo(round, acceptors, prepare, "a", "b")
+	requests := deliverTo(round, acceptors, prepare, "c")
+	deliverTo(round, acceptors, requests, "a", "c")
 	must.Eq(t, Chosen, round.End)
 	must.Eq(t, earlier.Value.Stamp, round.Value.Stamp)
 	must.NoError(t, round.Err)
--- a/internal/consensus/round_test.go
+++ b/internal/consensus/round_test.go
@@ -12,13 +12,13 @@
 // A change is computed, and can be rejected, only once a majority has promised.
 func TestRejectionNeedsPromisesFromMajority(t *testing.T) {
 	g := Genesis([]string{"a", "b", "c"})
-	no := errors.New("no")
-	round := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, no })
+	reason := errors.New("no")
+	round := NewRound(0, g, messages.Ballot{N: 1, Who: "x"}, "x", func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, reason })
 	round.Receive(g.Group[0], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
 	must.Eq(t, InProgress, round.End)
 	round.Receive(g.Group[1], messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted})
 	must.Eq(t, Rejected, round.End)
-	must.ErrorIs(t, round.Err, no)
+	must.ErrorIs(t, round.Err, reason)
 }
 
 // A value that changes the group is chosen once majorities of both groups have
--- a/internal/consensus/storage_growth_test.go
+++ b/internal/consensus/storage_growth_test.go
@@ -19,14 +19,14 @@
 // and in a round grow by 26 per change until the digests of earlier versions reach their
 // limit (2,048), and are constant from then on.
 func TestStorageStaysBoundedOver2000Changes(t *testing.T) {
-	const changes, flatFrom = 2260, 2180 // 2,048 digests, and the last of the 127 whose version takes one byte is dropped
-	const mostFiles = 1 + 1 + 2          // the identity, the record, one just written and one just replaced
+	const changes, constantFrom = 2260, 2180 // 2,048 digests, and the last of the 127 whose version takes one byte is dropped
+	const maxFiles = 1 + 1 + 2               // the identity, the record, one just written and one just replaced
 	nodes, disks := map[string]*Registers{}, map[string]*disk.Disk{}
-	var accept atomic.Int64 // bytes of the latest accept request
+	var acceptBytes atomic.Int64 // bytes of the latest accept request
 	net := callerFunc(func(ctx context.Context, addr string, b []byte) ([]byte, error) {
 		var request messages.ConsensusRequest
 		if _, err := request.UnmarshalMsg(b); err == nil && request.Step == messages.Accept {
-			accept.Store(int64(len(b)))
+			acceptBytes.Store(int64(len(b)))
 		}
 		return nodes[addr].Handle(ctx, b)
 	})
@@ -38,33 +38,33 @@
 		nodes[s] = registers
 	}
 	raw := bytes.Repeat([]byte("r"), 3000)
-	others := Parts - 1 // records of the other registers
-	var rounds []int64
+	otherRecords := Parts - 1 // records of the other registers
+	var acceptSizes []int64
 	for n := range int64(changes) {
-		order := routeconfig.Submission{Raw: append(fmt.Appendf(nil, "%06d", n), raw...), Version: n + 1, Base: n}
-		_, err := nodes["a"].Change(t.Context(), ConfigPart, applyOrder(order))
+		update := routeconfig.Submission{Raw: append(fmt.Appendf(nil, "%06d", n), raw...), Version: n + 1, Base: n}
+		_, err := nodes["a"].Change(t.Context(), ConfigPart, applySubmission(update))
 		must.NoError(t, err)
-		rounds = append(rounds, accept.Load())
+		acceptSizes = append(acceptSizes, acceptBytes.Load())
 		for _, s := range seeds {
 			names, err := disks[s].List()
 			must.NoError(t, err)
-			must.LessEq(t, mostFiles+others, len(names))
+			must.LessEq(t, maxFiles+otherRecords, len(names))
 		}
 	}
-	most := 0
+	maxDiskBytes := 0
 	for _, s := range seeds {
-		most = max(most, disks[s].Bytes())
+		maxDiskBytes = max(maxDiskBytes, disks[s].Bytes())
 	}
-	t.Logf("accept request: %d bytes at change 10, %d at 1000, %d at 2000, %d at %d; largest disk %d bytes", rounds[9], rounds[999], rounds[1999], rounds[changes-1], changes, most)
-	must.Between(t, 25*990, rounds[999]-rounds[9], 28*990)
-	must.Eq(t, rounds[flatFrom], rounds[changes-1])
-	must.Less(t, 6*rounds[changes-1], int64(most), must.Sprint("a record has two values, and there are up to three files at a time"))
+	t.Logf("accept request: %d bytes at change 10, %d at 1000, %d at 2000, %d at %d; largest disk %d bytes", acceptSizes[9], acceptSizes[999], acceptSizes[1999], acceptSizes[changes-1], changes, maxDiskBytes)
+	must.Between(t, 25*990, acceptSizes[999]-acceptSizes[9], 28*990)
+	must.Eq(t, acceptSizes[constantFrom], acceptSizes[changes-1])
+	must.Less(t, 6*acceptSizes[changes-1], int64(maxDiskBytes), must.Sprint("a record has two values, and there are up to three files at a time"))
 }
 
-// applyOrder returns the change that applies a submission to the configuration.
-func applyOrder(order routeconfig.Submission) Change {
+// applySubmission returns the change that applies a submission to the configuration.
+func applySubmission(update routeconfig.Submission) Change {
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
-		next, err := order.Apply(bodyOf(cur))
+		next, err := update.Apply(bodyOf(cur))
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -21,9 +21,9 @@
 	ResetIdentity(id string) error
 	// Load returns the record of a register, if one was saved. The error wraps ErrDamaged
 	// if the newest one is damaged; it never falls back to an older one.
-	Load(part int) (messages.Record, bool, error)
+	Load(index int) (messages.Record, bool, error)
 	// Save returns once a record is durable.
-	Save(part int, record messages.Record) error
+	Save(index int, record messages.Record) error
 	// Sync makes the results of Identity and Load durable. A member gives no vote that
 	// depends on them before.
 	Sync() error
@@ -55,8 +55,8 @@
 	if err := store.ResetIdentity(out.ID); err != nil {
 		return out, err
 	}
-	again, err := out.loadRecords(store)
-	if err == nil && len(again) > 0 {
+	stillDamaged, err := out.loadRecords(store)
+	if err == nil && len(stillDamaged) > 0 {
 		err = errors.Wrap(ErrDamaged, "reset identity: a damaged record was not removed")
 	}
 	return out, err
@@ -83,16 +83,16 @@
 // loadRecords reads the records of all registers and returns the registers whose records
 // are damaged.
 func (r *Restored) loadRecords(store Store) (damaged []int, err error) {
-	for part := range r.Records {
-		record, _, err := store.Load(part)
+	for index := range r.Records {
+		record, _, err := store.Load(index)
 		if errors.Is(err, ErrDamaged) {
-			damaged = append(damaged, part)
+			damaged = append(damaged, index)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		r.Records[part] = record
+		r.Records[index] = record
 	}
 	return damaged, nil
 }
--- a/internal/consensus/stored_files_test.go
+++ b/internal/consensus/stored_files_test.go
@@ -46,14 +46,14 @@
 		return messages.Value{Version: version, Group: group[:1], Body: []byte("accepted"), Stamp: "s-accepted"}
 	}
 	ballot := func(n int64, proposer string) messages.Ballot { return messages.Ballot{N: n, Who: proposer} }
-	for part, want := range []messages.Record{
+	for index, want := range []messages.Record{
 		{Committed: committed(10)},
 		{Committed: committed(11)},
 		{Committed: committed(12), Promised: ballot(2, "promised")},
 		{Committed: committed(13), Promised: ballot(3, "promised"), AcceptedAt: ballot(2, "accepted"), Accepted: accepted(14), HasAccepted: true},
 		{Committed: committed(14), Promised: ballot(4, "promised"), AcceptedAt: ballot(3, "accepted"), Accepted: accepted(15), HasAccepted: true},
 	} {
-		must.Eq(t, want, restored.Records[part], must.Sprintf("part %d", part))
+		must.Eq(t, want, restored.Records[index], must.Sprintf("register %d", index))
 	}
 
 	fence, ok := store.Note("acted-2")
--- a/internal/consensus/transfers.go
+++ b/internal/consensus/transfers.go
@@ -24,7 +24,7 @@
 func (t *transfers) startFetch(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, under := t.fetching[addr]; t.transferring || under {
+	if _, inProgress := t.fetching[addr]; t.transferring || inProgress {
 		return false
 	}
 	t.fetching[addr] = struct{}{}
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -7,28 +7,28 @@
 // Unfinished returns the version for which this member has accepted a value without
 // having learned that it is committed. It returns false if there is none, or while the
 // record is locked. A Read finishes such a round.
-func (r *Registers) Unfinished(part int) (slot int64, unfinished bool) {
-	register := r.registers[part]
+func (r *Registers) Unfinished(index int) (version int64, unfinished bool) {
+	register := r.registers[index]
 	if !register.tryLock() {
 		return 0, false
 	}
 	record := register.acceptor.Rec
 	register.unlock()
-	slot = record.Committed.Version + 1
-	if known := register.committed.Load(); known != nil && known.Version >= slot {
+	version = record.Committed.Version + 1
+	if known := register.committed.Load(); known != nil && known.Version >= version {
 		return 0, false
 	}
-	return slot, record.HasAccepted
+	return version, record.HasAccepted
 }
 
 // MayHaveAccepted returns the version for which this member has accepted a value without
 // having learned that it is committed, or for which it may be accepting one now; 0 for
 // none. A later call of Committed returns a value at least as new as the one that this
 // result is based on.
-func (r *Registers) MayHaveAccepted(part int) int64 {
-	register := r.registers[part]
+func (r *Registers) MayHaveAccepted(index int) int64 {
+	register := r.registers[index]
 	if !register.tryLock() {
-		return r.nextVersion(part) // the record is locked, possibly by an accept
+		return r.nextVersion(index) // the record is locked, possibly by an accept
 	}
 	record := register.acceptor.Rec
 	register.unlock()
@@ -39,7 +39,7 @@
 }
 
 // nextVersion returns the version after the newest committed one that was learned.
-func (r *Registers) nextVersion(part int) int64 {
-	v, _ := r.Committed(part)
+func (r *Registers) nextVersion(index int) int64 {
+	v, _ := r.Committed(index)
 	return v.Version + 1
 }
