--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -22,8 +22,8 @@
 // Learn merges a committed value and reports whether it is newer than the one in the
 // record. If it is, the promise and the accepted value are discarded.
 func (a *Acceptor) Learn(v messages.Value) bool {
-	known := len(a.Rec.Committed.Group) > 0
-	if len(v.Group) == 0 || known && v.Version <= a.Rec.Committed.Version {
+	hasCommitted := len(a.Rec.Committed.Group) > 0
+	if len(v.Group) == 0 || hasCommitted && v.Version <= a.Rec.Committed.Version {
 		return false
 	}
 	a.Rec = messages.Record{Committed: v}
@@ -66,13 +66,13 @@
 // version, or under a lower ballot than the promised one.
 func (a *Acceptor) admit(request messages.ConsensusRequest) (rejection messages.ConsensusResponse, ok bool) {
 	version := a.Rec.Committed.Version
-	known := len(a.Rec.Committed.Group) > 0
+	hasCommitted := len(a.Rec.Committed.Group) > 0
 	switch {
 	case request.To != a.ID:
 		return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}, false
-	case known && request.Slot <= version:
+	case hasCommitted && request.Slot <= version:
 		return messages.ConsensusResponse{Verdict: messages.Ahead, Version: version, Value: a.Rec.Committed}, false
-	case !known || request.Slot > version+1:
+	case !hasCommitted || request.Slot > version+1:
 		return messages.ConsensusResponse{Verdict: messages.Behind, Version: version}, false
 	case ballotLess(request.Ballot, a.Rec.Promised):
 		return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Rec.Promised}, false
--- a/internal/consensus/atomic_files.go
+++ b/internal/consensus/atomic_files.go
@@ -106,7 +106,7 @@
 	a.closeLock.RLock()
 	defer a.closeLock.RUnlock()
 	if a.closed {
-		return errors.Wrap(ErrStore, "write after the store was closed")
+		return errors.Wrap(ErrStore, "closed")
 	}
 	temporary := name + temporarySuffix
 	if err := a.writeTemporary(temporary, withChecksum(content)); err != nil {
--- a/internal/consensus/catchup.go
+++ b/internal/consensus/catchup.go
@@ -106,8 +106,8 @@
 	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
 	version, offset := r.registers[index].transfers.nextChunk()
-	if known, ok := r.Committed(index); ok && version == 0 {
-		version = known.Version + 1
+	if committed, ok := r.Committed(index); ok && version == 0 {
+		version = committed.Version + 1
 	}
 	return r.send(ctx, messages.Member{Addr: addr}, messages.ConsensusRequest{Part: index, Step: messages.Read, Slot: version, Offset: offset, Pieces: true})
 }
--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -9,7 +9,7 @@
 // persist writes the committed values to the disk of a node.
 func (n *clusterNode) persist() {
 	for index := range n.acceptors {
-		if n.acceptors[index].Learn(n.known[index]) {
+		if n.acceptors[index].Learn(n.learned[index]) {
 			n.disk[index] = n.acceptors[index].Rec
 		}
 	}
@@ -21,7 +21,7 @@
 	node.up = false
 	for index := range node.acceptors {
 		node.acceptors[index].Rec = node.disk[index]
-		node.known[index] = node.disk[index].Committed
+		node.learned[index] = node.disk[index].Committed
 	}
 	var remaining []*operation
 	for _, op := range c.operations {
@@ -36,7 +36,7 @@
 func (c *cluster) wipe(node *clusterNode) {
 	node.incarnation++
 	id := fmt.Sprintf("%s/w%d", node.addr, node.incarnation)
-	node.disk, node.known = [2]messages.Record{}, [2]messages.Value{}
+	node.disk, node.learned = [2]messages.Record{}, [2]messages.Value{}
 	node.acceptors = [2]Acceptor{{ID: id}, {ID: id}}
 }
 
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -77,11 +77,11 @@
 	}
 }
 
-// randomNode returns a random node that is up and knows both groups, or nil.
+// randomNode returns a random node that is up and has learned both groups, or nil.
 func (c *cluster) randomNode() *clusterNode {
 	var up []*clusterNode
 	for _, node := range c.nodes {
-		if node.up && len(node.known[0].Group) > 0 && len(node.known[1].Group) > 0 {
+		if node.up && len(node.learned[0].Group) > 0 && len(node.learned[1].Group) > 0 {
 			up = append(up, node)
 		}
 	}
@@ -136,7 +136,7 @@
 	call := history.Call{Kind: history.Replace, Digest: requested.digest, Version: requested.version, Base: requested.base, Disputed: requested.disputed}
 	id := c.hist.Begin(i, call)
 	c.hist.Note("call %d is at %s", id, node.addr)
-	if requested.toRouteConfig(c.strictValidation).AcceptedIn(bodyOf(node.known[ConfigPart])) {
+	if requested.toRouteConfig(c.strictValidation).AcceptedIn(bodyOf(node.learned[ConfigPart])) {
 		c.answer(&operation{id: id, client: i}, history.Answer{Verdict: history.Taken})
 		return
 	}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -40,7 +40,7 @@
 	up          bool
 	acceptors   [2]Acceptor
 	disk        [2]messages.Record
-	known       [2]messages.Value
+	learned     [2]messages.Value
 }
 
 // envelope is a request, or the response to it, in flight.
@@ -82,21 +82,21 @@
 		for index := range node.acceptors {
 			node.disk[index] = messages.Record{Committed: Genesis(seeds)}
 			node.acceptors[index] = Acceptor{ID: FirstID(s), Rec: node.disk[index]}
-			node.known[index] = node.disk[index].Committed
+			node.learned[index] = node.disk[index].Committed
 		}
 		c.nodes = append(c.nodes, node)
 	}
 	spare := &clusterNode{addr: "spare", up: true}
 	c.wipe(spare)
 	c.nodes = append(c.nodes, spare)
-	c.newest = c.nodes[0].known
+	c.newest = c.nodes[0].learned
 	return c
 }
 
 // startRead starts a quorum read on the newest committed value that the node has learned.
 func (c *cluster) startRead(op *operation) {
 	op.attempt, op.round = nil, nil
-	op.read = NewReading(op.node.known[op.register])
+	op.read = NewReading(op.node.learned[op.register])
 	for _, m := range op.read.Base.Group {
 		request := messages.ConsensusRequest{Part: op.register, To: m.ID, Step: messages.Read, Slot: op.read.Base.Version + 1}
 		c.inFlight = append(c.inFlight, envelope{op: op, exchange: op.read, request: Request{To: m, Body: request}})
@@ -112,7 +112,7 @@
 }
 
 func (c *cluster) startRound(op *operation) {
-	op.round = op.attempt.Round(op.node.known[op.register])
+	op.round = op.attempt.Round(op.node.learned[op.register])
 	c.send(op, op.round.Requests())
 }
 
@@ -132,8 +132,8 @@
 }
 
 func (n *clusterNode) learn(index int, v messages.Value) {
-	if v.Version > n.known[index].Version || len(n.known[index].Group) == 0 {
-		n.known[index] = v
+	if v.Version > n.learned[index].Version || len(n.learned[index].Group) == 0 {
+		n.learned[index] = v
 	}
 }
 
@@ -171,7 +171,7 @@
 		node.learn(index, e.request.Body.Value)
 		return
 	}
-	node.acceptors[index].Learn(node.known[index])
+	node.acceptors[index].Learn(node.learned[index])
 	before := node.acceptors[index].Rec
 	response, changed := node.acceptors[index].Handle(e.request.Body)
 	if changed && c.faultOneIn(15) { // the write fails: no response
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -4,12 +4,12 @@
 //
 // # Inputs and guarantees
 //
-// Open is given a Caller (the transport), a Store (the disk or memory of this
+// Open takes a Caller (the transport), a Store (the disk or memory of this
 // member) and a callback for committed values. Change replaces the value of a
 // register by compare-and-set, Read is a linearizable read, Committed returns the
 // newest committed value that this node has learned, which may be stale. At most one
 // value is ever committed for a version of a register, and an acknowledged change is
-// not lost as long as a majority of the group keeps its disks.
+// not lost as long as the disks of a majority of the group survive.
 //
 // # Roles
 //
@@ -17,7 +17,7 @@
 // acceptor (Acceptor), the proposer (Attempt, which runs one Round per ballot),
 // the linearizable read (Reading), membership changes (RepairGroup, HandOver) and
 // their schedule (RepairCoordinator). Registers drives them: it sends their
-// requests, writes records before responses leave, and is the learner. The
+// requests, writes records before responses are sent, and is the learner. The
 // simulation drives the same machines.
 //
 // # Invariants
@@ -46,13 +46,14 @@
 //
 // # Names in the messages
 //
-// For compatibility the messages keep older field names and values. Slot is the version
-// that is decided, Stamp identifies the proposal that created a value, Ballot.Who is the
-// proposer, and To the identity that a vote is requested from. The verdicts of a response
-// are Granted (promised or accepted), Outbid (preempted by a higher ballot), Ahead (the
-// version is committed already), Behind (the acceptor lacks the base) and Stranger (the
-// request is for another identity). Flush requests a confirmation that the value is on
-// disk, and Durable is that confirmation. Pieces are the chunks of a large value.
+// For compatibility the messages keep older field names and values. Part is the index of
+// a register, Slot the version that is decided, Stamp identifies the proposal that created
+// a value, Ballot.Who is the proposer, and To the identity that a vote is requested from.
+// The verdicts of a response are Granted (promised or accepted), Outbid (preempted by a
+// higher ballot), Ahead (the version is committed already), Behind (the acceptor lacks the
+// base) and Stranger (the request is for another identity). Flush requests a confirmation
+// that the value is on disk, and Durable is that confirmation. Pieces are the chunks of a
+// large value.
 //
 // # Concurrency
 //
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -22,12 +22,12 @@
 // counted ones are eligible as members: any number of the others may fail at once, so an
 // uncounted member is treated as unreachable and replaced once a counted controller is
 // ready.
-func Stand(alive []messages.Peer, goneFor func(addr string) int64, goneUs int64) Status {
+func Stand(alive []messages.Peer, unreachableFor func(addr string) int64, unreachableTimeoutUs int64) Status {
 	counted := false
 	for _, peer := range alive {
 		counted = counted || peer.Counted
 	}
-	status := Status{GoneUs: goneUs}
+	status := Status{GoneUs: unreachableTimeoutUs}
 	uncounted := map[string]bool{}
 	for _, peer := range alive {
 		if counted && !peer.Counted {
@@ -38,9 +38,9 @@
 	}
 	status.GoneFor = func(addr string) int64 {
 		if uncounted[addr] {
-			return goneUs
+			return unreachableTimeoutUs
 		}
-		return goneFor(addr)
+		return unreachableFor(addr)
 	}
 	return status
 }
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -33,7 +33,7 @@
 	acceptor Acceptor
 	disk     messages.Record // the record that survives a crash
 	up       bool
-	known    messages.Value
+	learned  messages.Value
 }
 
 // message is a request, or the response to it, in flight.
@@ -54,23 +54,23 @@
 	}
 	for _, s := range seeds {
 		record := messages.Record{Committed: Genesis(seeds)}
-		model.nodes[s] = &node{addr: s, acceptor: Acceptor{ID: FirstID(s), Rec: record}, disk: record, up: true, known: record.Committed}
+		model.nodes[s] = &node{addr: s, acceptor: Acceptor{ID: FirstID(s), Rec: record}, disk: record, up: true, learned: record.Committed}
 	}
 	return model
 }
 
 // recordChosen records a chosen value and checks that its version has no other one.
 func (p *paxosModel) recordChosen(v messages.Value) {
-	if old, ok := p.chosen[v.Version]; ok {
-		must.Eq(p.t, old, v.Stamp, must.Sprintf("two values chosen for version %d", v.Version))
+	if previous, ok := p.chosen[v.Version]; ok {
+		must.Eq(p.t, previous, v.Stamp, must.Sprintf("two values chosen for version %d", v.Version))
 	}
 	p.chosen[v.Version] = v.Stamp
 	p.acknowledged = max(p.acknowledged, v.Version)
 }
 
 func (p *paxosModel) learn(n *node, v messages.Value) {
-	if v.Version > n.known.Version || len(n.known.Group) == 0 {
-		n.known = v
+	if v.Version > n.learned.Version || len(n.learned.Group) == 0 {
+		n.learned = v
 	}
 }
 
@@ -78,7 +78,7 @@
 func (p *paxosModel) startRound(n *node, change Change) {
 	p.serial++
 	stamp := fmt.Sprintf("s%d", p.serial)
-	round := NewRound(0, n.known, messages.Ballot{N: int64(1 + p.rnd.IntN(6)), Who: stamp}, stamp, change)
+	round := NewRound(0, n.learned, messages.Ballot{N: int64(1 + p.rnd.IntN(6)), Who: stamp}, stamp, change)
 	if n.acceptor.Rec.HasAccepted {
 		round.Hold(n.acceptor.Rec.Accepted)
 	}
@@ -112,7 +112,7 @@
 		p.learn(n, m.request.Body.Value)
 		return
 	}
-	n.acceptor.Learn(n.known)
+	n.acceptor.Learn(n.learned)
 	before := n.acceptor.Rec
 	response, changed := n.acceptor.Handle(m.request.Body)
 	if changed {
@@ -166,7 +166,7 @@
 func (p *paxosModel) crash(n *node) {
 	n.up = false
 	n.acceptor.Rec = n.disk
-	n.known = n.disk.Committed
+	n.learned = n.disk.Committed
 }
 
 // wipeDisk erases the disk of a node and assigns it a new identity.
@@ -174,7 +174,7 @@
 	p.serial++
 	n.disk = messages.Record{}
 	n.acceptor = Acceptor{ID: fmt.Sprintf("%s/w%d", n.addr, p.serial)}
-	n.known = messages.Value{}
+	n.learned = messages.Value{}
 }
 
 // setBody returns a change that sets the body and does not change the group.
@@ -187,7 +187,7 @@
 	var live []*node
 	for i := range len(p.nodes) {
 		n := p.nodes[fmt.Sprintf("10.0.0.%d:1", i+1)]
-		if n.up && len(n.known.Group) > 0 {
+		if n.up && len(n.learned.Group) > 0 {
 			live = append(live, n)
 		}
 	}
@@ -202,7 +202,7 @@
 func (p *paxosModel) commitFinal() messages.Value {
 	p.inFlight = nil
 	p.startAll()
-	newest := p.newestKnown()
+	newest := p.newestLearned()
 	for retries := range 40 {
 		stamp := fmt.Sprintf("final%d", retries)
 		round := NewRound(0, newest, messages.Ballot{N: 1000 + int64(retries), Who: stamp}, stamp, setBody("final"))
@@ -222,12 +222,12 @@
 	return newest
 }
 
-// newestKnown returns the newest committed value that any node has learned.
-func (p *paxosModel) newestKnown() messages.Value {
+// newestLearned returns the newest committed value that any node has learned.
+func (p *paxosModel) newestLearned() messages.Value {
 	newest := messages.Value{}
 	for _, n := range p.nodes {
-		if n.known.Version >= newest.Version && len(n.known.Group) > 0 {
-			newest = n.known
+		if n.learned.Version >= newest.Version && len(n.learned.Group) > 0 {
+			newest = n.learned
 		}
 	}
 	return newest
@@ -248,7 +248,7 @@
 			p.learn(n, request.Body.Value)
 			continue
 		}
-		n.acceptor.Learn(n.known)
+		n.acceptor.Learn(n.learned)
 		response, _ := n.acceptor.Handle(request.Body)
 		onHandled(n)
 		requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
@@ -370,12 +370,12 @@
 				model.learn(n, last)
 			}
 			for range lost {
-				v := model.nodes[last.Group[0].Addr].known
+				v := model.nodes[last.Group[0].Addr].learned
 				group, needed := RepairGroup(v.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
 				must.True(t, needed)
 				model.changeGroup(v, group)
 			}
-			group := model.nodes[last.Group[0].Addr].known.Group
+			group := model.nodes[last.Group[0].Addr].learned.Group
 			must.Len(t, size, group)
 			for _, n := range lost {
 				must.True(t, containsMember(group, n.acceptor.ID), must.Sprintf("seed %d", seed))
--- a/internal/consensus/references.go
+++ b/internal/consensus/references.go
@@ -47,8 +47,8 @@
 	if record.HasAccepted && refersTo(request.Value, record.Accepted) {
 		r.Learn(request.Part, record.Accepted)
 	}
-	known, _ := r.Committed(request.Part)
-	return messages.ConsensusResponse{Verdict: messages.Granted, Version: known.Version}, nil
+	committed, _ := r.Committed(request.Part)
+	return messages.ConsensusResponse{Verdict: messages.Granted, Version: committed.Version}, nil
 }
 
 // acceptedValue returns the value that this member has accepted itself, or the zero Value.
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -17,7 +17,7 @@
 // RepairView is a controller's view of one register.
 type RepairView struct {
 	Self      string         // own address
-	Base      messages.Value // the newest committed value known
+	Base      messages.Value // the newest committed value that this controller has learned
 	Status    Status
 	Contact   bool // a majority of the group is reachable
 	DiskFault bool // this controller's last write to disk failed
@@ -33,8 +33,8 @@
 }
 
 // RepairCoordinator decides when this controller changes the group of one register,
-// and to which group. It is a pure state machine: its input are the time and the view,
-// its output is the next step. It is not safe for concurrent use. The zero value is
+// and to which group. It is a pure state machine: its inputs are the time and the view,
+// and its output is the next step. It is not safe for concurrent use. The zero value is
 // ready for use.
 //
 // Every counted controller runs one. A controller that reaches a majority and finds
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -128,13 +128,13 @@
 
 func (r *repairModel) view(m *machine) RepairView {
 	reachable := 0
-	for _, g := range m.known.Group {
+	for _, g := range m.learned.Group {
 		if to := r.machines[g.Addr]; r.canReach(m, g.Addr) && to.acceptor.ID == g.ID {
 			reachable++
 		}
 	}
 	return RepairView{
-		Self: m.addr, Base: m.known, Status: r.status(), Contact: reachable > len(m.known.Group)/2,
+		Self: m.addr, Base: m.learned, Status: r.status(), Contact: reachable > len(m.learned.Group)/2,
 		DiskFault: m.diskFull, Leaving: m.leaving,
 	}
 }
@@ -146,7 +146,7 @@
 	machines := r.sortedMachines()
 	r.gossip(machines)
 	for _, m := range machines {
-		if !m.up || len(m.known.Group) == 0 || r.rnd.IntN(4) == 0 {
+		if !m.up || len(m.learned.Group) == 0 || r.rnd.IntN(4) == 0 {
 			continue
 		}
 		if step, due := m.coordinator.Step(r.nowUs, r.view(m)); due {
@@ -169,8 +169,8 @@
 func (r *repairModel) gossip(machines []*machine) {
 	for _, m := range machines {
 		from := machines[r.rnd.IntN(len(machines))]
-		if r.rnd.IntN(3) == 0 && r.canReach(m, from.addr) && len(from.known.Group) > 0 {
-			r.learn(m.node, from.known)
+		if r.rnd.IntN(3) == 0 && r.canReach(m, from.addr) && len(from.learned.Group) > 0 {
+			r.learn(m.node, from.learned)
 		}
 		if m.up && !m.diskFull && r.rnd.IntN(8) == 0 {
 			r.persist(m)
@@ -179,7 +179,7 @@
 }
 
 func (r *repairModel) persist(m *machine) {
-	m.acceptor.Learn(m.known)
+	m.acceptor.Learn(m.learned)
 	m.disk = m.acceptor.Rec
 }
 
@@ -190,7 +190,7 @@
 	}
 	for _, to := range step.Confirm {
 		if r.rnd.IntN(10) > 0 && r.confirm(m, to) {
-			m.coordinator.Kept(to.ID, m.known.Version)
+			m.coordinator.Kept(to.ID, m.learned.Version)
 		}
 	}
 	if len(step.Propose) == 0 || r.inRound(m) {
@@ -214,7 +214,7 @@
 func (r *repairModel) propose(m *machine, change Change) {
 	r.serial++
 	stamp := fmt.Sprintf("s%d", r.serial)
-	round := NewRound(0, m.known, messages.Ballot{N: int64(r.serial), Who: stamp}, stamp, change)
+	round := NewRound(0, m.learned, messages.Ballot{N: int64(r.serial), Who: stamp}, stamp, change)
 	r.latestRound[m.addr], m.roundStartedUs = round, r.nowUs
 	for _, request := range round.Requests() {
 		r.inFlight = append(r.inFlight, message{round: round, request: request})
@@ -227,11 +227,11 @@
 	if !r.canReach(m, to.Addr) || other.acceptor.ID != to.ID {
 		return false
 	}
-	r.learn(other.node, m.known)
+	r.learn(other.node, m.learned)
 	if !other.diskFull {
 		r.persist(other)
 	}
-	return len(other.disk.Committed.Group) > 0 && other.disk.Committed.Version >= m.known.Version
+	return len(other.disk.Committed.Group) > 0 && other.disk.Committed.Version >= m.learned.Version
 }
 
 // deliverOne delivers or loses a message.
@@ -251,7 +251,7 @@
 		r.learn(to.node, m.request.Body.Value)
 		return
 	}
-	to.acceptor.Learn(to.known)
+	to.acceptor.Learn(to.learned)
 	before := to.acceptor.Rec
 	response, changed := to.acceptor.Handle(m.request.Body)
 	if changed && to.diskFull {
@@ -330,7 +330,7 @@
 func (r *repairModel) operatorChange() {
 	machines := r.sortedMachines()
 	m := machines[r.rnd.IntN(len(machines))]
-	if !m.up || m.removed || len(m.known.Group) == 0 || r.inRound(m) {
+	if !m.up || m.removed || len(m.learned.Group) == 0 || r.inRound(m) {
 		return
 	}
 	r.propose(m, setBody(fmt.Sprint(r.serial)))
@@ -340,8 +340,8 @@
 func (r *repairModel) newest() messages.Value {
 	var v messages.Value
 	for _, m := range r.sortedMachines() {
-		if m.up && (m.known.Version > v.Version || len(v.Group) == 0) {
-			v = m.known
+		if m.up && (m.learned.Version > v.Version || len(v.Group) == 0) {
+			v = m.learned
 		}
 	}
 	return v
@@ -358,7 +358,7 @@
 		}
 	}
 	for _, m := range r.sortedMachines() {
-		if m.up && sameGroup(m.known.Group, v.Group) && !m.coordinator.Complete(v.Group) {
+		if m.up && sameGroup(m.learned.Group, v.Group) && !m.coordinator.Complete(v.Group) {
 			return false
 		}
 	}
@@ -381,7 +381,7 @@
 func (r *repairModel) describe() string {
 	out := fmt.Sprintf("group %v\n", r.newest().Group)
 	for _, m := range r.sortedMachines() {
-		out += fmt.Sprintf("%s up=%t cut=%t full=%t known=%d record=%d promised=%v\n", m.acceptor.ID, m.up, m.partitioned, m.diskFull, m.known.Version, m.acceptor.Rec.Committed.Version, m.acceptor.Rec.Promised)
+		out += fmt.Sprintf("%s up=%t cut=%t full=%t learned=%d record=%d promised=%v\n", m.acceptor.ID, m.up, m.partitioned, m.diskFull, m.learned.Version, m.acceptor.Rec.Committed.Version, m.acceptor.Rec.Promised)
 	}
 	return out
 }
@@ -625,8 +625,8 @@
 // handedOver reports whether the hand-over of a leaving machine is complete or not
 // possible.
 func (r *repairModel) handedOver(leavingMember *machine) bool {
-	_, possible := HandOver(leavingMember.known.Group, leavingMember.addr, r.status())
-	return !possible && leavingMember.coordinator.Complete(leavingMember.known.Group)
+	_, possible := HandOver(leavingMember.learned.Group, leavingMember.addr, r.status())
+	return !possible && leavingMember.coordinator.Complete(leavingMember.learned.Group)
 }
 
 // A member that restarts before the timeout is not replaced.
--- a/internal/consensus/repair_test.go
+++ b/internal/consensus/repair_test.go
@@ -13,7 +13,7 @@
 	model := newRepairModel(t, 1, 3)
 	m := model.machines["10.0.0.2:1"]
 	m.leaving = true
-	_, possible := HandOver(m.known.Group, m.addr, model.status())
+	_, possible := HandOver(m.learned.Group, m.addr, model.status())
 	must.False(t, possible)
 	_, due := m.coordinator.Step(tickUs, model.view(m))
 	must.False(t, due)
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -53,8 +53,8 @@
 // Round runs the two phases of Paxos under one ballot. It prepares the version after
 // its base, proposes the value that a member has already accepted for that version,
 // or else the one that the change computes, and ends once a majority of the old group
-// and one of the new group have accepted it. It is a pure state machine: its input are
-// responses, its output are requests.
+// and one of the new group have accepted it. It is a pure state machine: its inputs are
+// responses and its outputs are requests.
 type Round struct {
 	Part   int
 	Base   messages.Value
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -12,7 +12,7 @@
 // use.
 type Store interface {
 	// Identity returns the stored identity, if there is one and it is readable.
-	Identity() (id string, known bool, err error)
+	Identity() (id string, found bool, err error)
 	// Empty reports whether nothing was ever stored here.
 	Empty() (bool, error)
 	// ResetIdentity stores another identity and erases every vote of the earlier one:
@@ -65,8 +65,8 @@
 // loadIdentity returns the stored identity, else the bootstrap identity if the store
 // is empty, else a fresh one.
 func loadIdentity(store Store, bootstrapID string, newID func() string) (Restored, error) {
-	id, known, err := store.Identity()
-	if err != nil || known {
+	id, found, err := store.Identity()
+	if err != nil || found {
 		return Restored{ID: id}, err
 	}
 	empty, err := store.Empty()
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -15,7 +15,7 @@
 	record := register.acceptor.Rec
 	register.unlock()
 	version = record.Committed.Version + 1
-	if known := register.committed.Load(); known != nil && known.Version >= version {
+	if committed := register.committed.Load(); committed != nil && committed.Version >= version {
 		return 0, false
 	}
 	return version, record.HasAccepted
