--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -15,8 +15,8 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// A write that is interrupted at any operation leaves at most a temporary file: neither
-// the earlier record nor the identity is lost.
+// A write that is interrupted at any operation loses neither the earlier record nor the
+// identity, and a temporary file that it leaves is ignored.
 func TestTornTemporaryFileIsIgnored(t *testing.T) {
 	for seed := range uint64(100) {
 		for cut := range 6 {
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -79,7 +79,8 @@
 	return nil, false
 }
 
-// firstUnreachable returns the index of the first member that has been unreachable for GoneUs.
+// firstUnreachable returns the index of the first member that is unreachable for so long
+// that it is to be replaced or removed.
 func firstUnreachable(group []messages.Member, s Status) (int, bool) {
 	for i, m := range group {
 		if s.GoneFor(m.Addr) >= s.GoneUs {
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -365,7 +365,8 @@
 	return len(v.Group) == r.size
 }
 
-// waitUntilRepaired runs ticks until the group is repaired, and fails the test after repairTimeoutUs.
+// waitUntilRepaired runs ticks until the group is repaired, and fails the test after
+// repairTimeoutUs.
 func (r *repairModel) waitUntilRepaired() {
 	r.t.Helper()
 	startUs := r.nowUs
@@ -386,8 +387,8 @@
 	return out
 }
 
-// checkNoAcknowledgedChangeLost checks that no acknowledged change is lost and that another change can
-// be committed.
+// checkNoAcknowledgedChangeLost checks that no acknowledged change is lost and that another
+// change can be committed.
 func (r *repairModel) checkNoAcknowledgedChangeLost() {
 	r.t.Helper()
 	acked := r.acknowledged
--- a/internal/consensus/round_seal_test.go
+++ b/internal/consensus/round_seal_test.go
@@ -16,8 +16,8 @@
 	return nil, nil, SealRefusal(errStrictValidation)
 }
 
-// acceptorsWithEarlierAttempt returns three acceptors, of which only c has accepted the value of an
-// earlier attempt.
+// acceptorsWithEarlierAttempt returns three acceptors, of which only c has accepted the
+// value of an earlier attempt.
 func acceptorsWithEarlierAttempt() (g messages.Value, acceptors map[string]*Acceptor, earlier *Round) {
 	g = Genesis([]string{"a", "b", "c"})
 	acceptors = map[string]*Acceptor{}
