--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -6,47 +6,47 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// persist writes the committed values to disk.
+// persist writes the committed values to the disk of a node.
 func (n *clusterNode) persist() {
-	for part := range n.acceptors {
-		if n.acceptors[part].Learn(n.known[part]) {
-			n.disk[part] = n.acceptors[part].Rec
+	for index := range n.acceptors {
+		if n.acceptors[index].Learn(n.learned[index]) {
+			n.disk[index] = n.acceptors[index].Rec
 		}
 	}
 }
 
-// crash loses what is not on the disk of a node, and the operations that it worked
-// on.
+// crash stops a node, which loses the state that is not on its disk and the operations in
+// progress at it.
 func (c *cluster) crash(node *clusterNode) {
 	node.up = false
-	for part := range node.acceptors {
-		node.acceptors[part].Rec = node.disk[part]
-		node.known[part] = node.disk[part].Committed
+	for index := range node.acceptors {
+		node.acceptors[index].Rec = node.disk[index]
+		node.learned[index] = node.disk[index].Committed
 	}
-	var left []*operation
+	var remaining []*operation
 	for _, op := range c.operations {
 		if op.node != node {
-			left = append(left, op)
+			remaining = append(remaining, op)
 		}
 	}
-	c.operations = left
+	c.operations = remaining
 }
 
-// wipe takes the disk of a node, which comes back under a new identity.
+// wipe erases the disk of a node and assigns it a new identity.
 func (c *cluster) wipe(node *clusterNode) {
 	node.incarnation++
 	id := fmt.Sprintf("%s/w%d", node.addr, node.incarnation)
-	node.disk, node.known = [2]messages.Record{}, [2]messages.Value{}
+	node.disk, node.learned = [2]messages.Record{}, [2]messages.Value{}
 	node.acceptors = [2]Acceptor{{ID: id}, {ID: id}}
 }
 
 // fullyReplicated reports whether every member of both groups has the newest value on
 // disk: only then may another disk be lost.
 func (c *cluster) fullyReplicated() bool {
-	for part, v := range c.newest {
+	for index, v := range c.newest {
 		for _, m := range v.Group {
-			at := c.nodeAt(m.Addr)
-			if at.acceptors[part].ID != m.ID || at.disk[part].Committed.Version != v.Version {
+			node := c.nodeAt(m.Addr)
+			if node.acceptors[index].ID != m.ID || node.disk[index].Committed.Version != v.Version {
 				return false
 			}
 		}
@@ -69,22 +69,22 @@
 	node.up = true
 }
 
-// changeGroup lets a node propose another group: with the new identity of a wiped
-// member, or with the spare node in place of a member that is taken for gone.
+// changeGroup starts a membership change at a random node: to the new identity of a wiped
+// member, or to the spare node in place of a member that is considered unreachable.
 func (c *cluster) changeGroup() {
-	at := c.anyNode()
-	if at == nil {
+	node := c.randomNode()
+	if node == nil {
 		return
 	}
-	var gone string
-	if c.chance(3) {
-		gone = c.nodes[c.rnd.IntN(len(c.nodes))].addr
+	var unreachable string
+	if c.oneIn(3) {
+		unreachable = c.nodes[c.rnd.IntN(len(c.nodes))].addr
 	}
-	for part := range at.acceptors {
-		status := c.statusWithout(gone, part)
-		c.start(&operation{id: -1, node: at, part: part}, func(cur messages.Value) ([]messages.Member, []byte, error) {
-			group, want := RepairGroup(cur.Group, status)
-			if !want {
+	for index := range node.acceptors {
+		status := c.statusWithout(unreachable, index)
+		c.startChange(&operation{id: -1, node: node, register: index}, func(cur messages.Value) ([]messages.Member, []byte, error) {
+			group, needed := RepairGroup(cur.Group, status)
+			if !needed {
 				return nil, nil, errNothingToChange
 			}
 			return group, cur.Body, nil
@@ -92,24 +92,25 @@
 	}
 }
 
-// statusWithout is the view in which a node is gone and all others that are up are ready.
-func (c *cluster) statusWithout(gone string, part int) Status {
+// statusWithout returns the status in which one node is unreachable and all others that
+// are up are ready.
+func (c *cluster) statusWithout(unreachable string, index int) Status {
 	status := Status{GoneUs: 1, GoneFor: func(addr string) int64 {
-		if addr == gone {
+		if addr == unreachable {
 			return 1
 		}
 		return 0
 	}}
 	for _, node := range c.nodes {
-		if node.up && node.addr != gone {
-			status.Ready = append(status.Ready, messages.Member{ID: node.acceptors[part].ID, Addr: node.addr})
+		if node.up && node.addr != unreachable {
+			status.Ready = append(status.Ready, messages.Member{ID: node.acceptors[index].ID, Addr: node.addr})
 		}
 	}
 	return status
 }
 
-// upgrade restarts every node with a version of the program whose validation is
-// strict, or lax again.
+// upgrade restarts every node with a version of the program that has the other kind of
+// validation, strict or lax.
 func (c *cluster) upgrade() {
 	c.strictValidation = !c.strictValidation
 	c.hist.Note("all nodes restart, strict validation: %v", c.strictValidation)
--- a/internal/consensus/confirm_test.go
+++ b/internal/consensus/confirm_test.go
@@ -12,28 +12,28 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// openAlone returns a node whose peers do not answer.
-func openAlone(t *testing.T, store Store) *Registers {
+// openWithUnreachablePeers returns a node whose peers are unreachable.
+func openWithUnreachablePeers(t *testing.T, store Store) *Registers {
 	t.Helper()
-	nobody := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
-	registers, err := Open("d", 1, false, nil, nobody, store, logr.Discard(), nil)
+	unreachablePeers := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
+	registers, err := Open("d", 1, false, nil, unreachablePeers, store, logr.Discard(), nil)
 	must.NoError(t, err)
 	return registers
 }
 
-// committedValue returns a value of the group a, b, c.
+// committedValue returns a value with the group a, b, c.
 func committedValue(version int64) messages.Value {
 	v := Genesis([]string{"a", "b", "c"})
 	v.Version, v.Body, v.Stamp = version, []byte("x"), "s"
 	return v
 }
 
-// A member confirms under its own identity and once the value is on disk, and never
-// if it is retired and would join.
-func TestConfirmOnlyWhatIsOnDisk(t *testing.T) {
+// A member confirms only for its own identity and once the value is on disk, and does not
+// confirm if it is retired and not in the group.
+func TestConfirmRequiresValueOnDisk(t *testing.T) {
 	ctx := context.Background()
 	store := &MemoryStore{}
-	registers := openAlone(t, store)
+	registers := openWithUnreachablePeers(t, store)
 	self := messages.Member{ID: registers.ID(), Addr: "d"}
 	confirmed, err := registers.Confirm(ctx, 1, self, committedValue(4))
 	must.NoError(t, err)
@@ -41,22 +41,22 @@
 	record, _, _ := store.Load(1)
 	must.Eq(t, int64(4), record.Committed.Version)
 	confirmed, _ = registers.Confirm(ctx, 1, messages.Member{ID: "d/other", Addr: "d"}, committedValue(4))
-	must.False(t, confirmed, must.Sprint("the disk of another identity"))
+	must.False(t, confirmed, must.Sprint("a member must not confirm for another identity"))
 	registers.Retire()
 	confirmed, _ = registers.Confirm(ctx, 1, self, committedValue(5))
-	must.False(t, confirmed, must.Sprint("a retired member joins no group"))
+	must.False(t, confirmed, must.Sprint("a retired member must not join a group"))
 
-	registers = openAlone(t, &failingStore{})
+	registers = openWithUnreachablePeers(t, &failingStore{})
 	confirmed, err = registers.Confirm(ctx, 1, messages.Member{ID: registers.ID(), Addr: "d"}, committedValue(4))
 	must.ErrorIs(t, err, ErrStore)
 	must.False(t, confirmed)
 }
 
-// A learned value reaches the disk also if a request has merged it into the record
-// in memory before.
+// A learned value is written to disk even if a request has merged it into the record in
+// memory before.
 func TestLearnedValueIsPersistedAfterAcceptorLearnedIt(t *testing.T) {
 	store := &MemoryStore{}
-	registers := openAlone(t, store)
+	registers := openWithUnreachablePeers(t, store)
 	register := registers.registers[2]
 	register.recordLock <- struct{}{}
 	registers.Learn(2, committedValue(3))
@@ -69,14 +69,14 @@
 	must.Eq(t, int64(3), record.Committed.Version)
 }
 
-// A member of the old format grants a commit without saying that the value is on
-// disk: that is no confirmation.
+// A member of a build without confirmations responds to a commit with Granted but without
+// Durable, which must not count as a confirmation.
 func TestConfirmIgnoresResponseOfOldFormat(t *testing.T) {
-	earlier := msgp.AppendMapHeader(nil, 2)
-	earlier = msgp.AppendString(msgp.AppendString(earlier, "d"), string(messages.Granted))
-	earlier = msgp.AppendInt64(msgp.AppendString(earlier, "m"), 4)
-	old := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return earlier, nil })
-	registers, err := Open("d", 1, false, nil, old, &MemoryStore{}, logr.Discard(), nil)
+	encoded := msgp.AppendMapHeader(nil, 2)
+	encoded = msgp.AppendString(msgp.AppendString(encoded, "d"), string(messages.Granted))
+	encoded = msgp.AppendInt64(msgp.AppendString(encoded, "m"), 4)
+	caller := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return encoded, nil })
+	registers, err := Open("d", 1, false, nil, caller, &MemoryStore{}, logr.Discard(), nil)
 	must.NoError(t, err)
 	confirmed, err := registers.Confirm(context.Background(), 1, messages.Member{ID: "e/1", Addr: "e"}, committedValue(4))
 	must.NoError(t, err)
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -20,17 +20,17 @@
 	recordSuffix = ".rec"
 )
 
-// DiskStore is a Store in a directory: the identity in one file, and each saved record
-// in a file of its own, named by register and sequence number. Older files of the
-// register are removed once the new one is durable.
+// DiskStore is a Store in a directory. The identity is in one file, and each saved record
+// in a file of its own, named by register and sequence number. Older files of a register
+// are removed once the new one is durable.
 type DiskStore struct {
 	files *atomicFiles
 
 	mu           sync.Mutex    // guards lastSequence
-	lastSequence map[int]int64 // by register: of the newest record file
+	lastSequence map[int]int64 // by register: sequence number of the newest record file
 }
 
-// NewDiskStore uses the directory dir, which is made if it is missing.
+// NewDiskStore opens a store in the directory dir, which is created if it is missing.
 func NewDiskStore(dir string) (*DiskStore, error) {
 	files, err := filesystem.Open(dir)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return OpenDiskStore(files)
 }
 
-// OpenDiskStore uses a directory, and removes temporary files of interrupted writes.
+// OpenDiskStore opens a store in a directory, and removes the temporary files of
+// interrupted writes.
 func OpenDiskStore(files filesystem.FileSystem) (*DiskStore, error) {
 	opened, err := openAtomicFiles(files)
 	if err != nil {
@@ -51,7 +52,7 @@
 // Close waits for the writes in progress; later ones fail.
 func (d *DiskStore) Close() { d.files.close() }
 
-// Identity reads the identity; a damaged or empty file counts as none.
+// Identity reads the identity; a damaged or empty file counts as missing.
 func (d *DiskStore) Identity() (string, bool, error) {
 	content, err := d.files.read(identityFile)
 	switch {
@@ -63,7 +64,7 @@
 	return string(content), true, nil
 }
 
-// Empty reports whether there is no file, temporary ones aside.
+// Empty reports whether the directory has no files other than temporary ones.
 func (d *DiskStore) Empty() (bool, error) {
 	names, err := d.files.list()
 	if err != nil {
@@ -77,8 +78,8 @@
 	return true, nil
 }
 
-// ResetIdentity empties the identity file, erases the votes, and then writes the new identity.
-// If it is interrupted there is no identity, and the next start begins it again.
+// ResetIdentity empties the identity file, erases the votes, and then writes the new
+// identity. If it is interrupted, no identity is stored, and the next start runs it again.
 func (d *DiskStore) ResetIdentity(id string) error {
 	empty, err := d.Empty()
 	if err != nil {
@@ -89,8 +90,8 @@
 			return err
 		}
 	}
-	for part := range Parts {
-		if err := d.eraseVotes(part); err != nil {
+	for index := range Parts {
+		if err := d.eraseVotes(index); err != nil {
 			return err
 		}
 	}
@@ -100,20 +101,20 @@
 	return d.Keep(identityFile, []byte(id))
 }
 
-// eraseVotes saves a record without its votes, or removes it if it is damaged.
-func (d *DiskStore) eraseVotes(part int) error {
-	record, ok, err := d.Load(part)
+// eraseVotes saves a register's record without its votes, or removes it if it is damaged.
+func (d *DiskStore) eraseVotes(index int) error {
+	record, ok, err := d.Load(index)
 	switch {
 	case errors.Is(err, ErrDamaged):
-		return d.removeRecords(part)
+		return d.removeRecords(index)
 	case err != nil || !ok || record.Promised == messages.Ballot{} && !record.HasAccepted:
 		return err
 	}
-	return d.Save(part, withoutVotes(record))
+	return d.Save(index, withoutVotes(record))
 }
 
-func (d *DiskStore) removeRecords(part int) error {
-	files, err := d.recordFiles(part)
+func (d *DiskStore) removeRecords(index int) error {
+	files, err := d.recordFiles(index)
 	if err != nil {
 		return err
 	}
@@ -125,36 +126,36 @@
 	return nil
 }
 
-// Sync syncs the directory once: a process that was killed may have left a name
-// that would not outlast a loss of power.
+// Sync syncs the directory once per process: an earlier process may have been killed
+// after a rename that would not survive a loss of power yet.
 func (d *DiskStore) Sync() error { return d.files.syncDirectoryOnce() }
 
-// Note reads a file that Keep wrote, and false if it is missing or damaged.
+// Note reads a file that Keep has written. It returns false if that is missing or damaged.
 func (d *DiskStore) Note(name string) ([]byte, bool) {
 	content, err := d.files.read(name)
 	return content, err == nil
 }
 
-// Keep makes a small file durable under a name, in place of its earlier content.
+// Keep atomically replaces the content of a small file, and returns once it is durable.
 func (d *DiskStore) Keep(name string, content []byte) error { return d.files.replace(name, content) }
 
-// recordFile is a file that holds a record.
+// recordFile is a file with a record of a register.
 type recordFile struct {
 	sequence int64
 	name     string
 }
 
-func recordPrefix(part int) string { return fmt.Sprintf("part-%d-", part) }
+func recordPrefix(index int) string { return fmt.Sprintf("part-%d-", index) }
 
 // recordFiles lists the record files of a register, the newest first.
-func (d *DiskStore) recordFiles(part int) ([]recordFile, error) {
+func (d *DiskStore) recordFiles(index int) ([]recordFile, error) {
 	names, err := d.files.list()
 	if err != nil {
 		return nil, err
 	}
 	var out []recordFile
 	for _, name := range names {
-		rest, isPart := strings.CutPrefix(name, recordPrefix(part))
+		rest, isPart := strings.CutPrefix(name, recordPrefix(index))
 		number, isRecord := strings.CutSuffix(rest, recordSuffix)
 		if !isPart || !isRecord {
 			continue
@@ -167,17 +168,17 @@
 	return out, nil
 }
 
-// Load returns the newest record of a register. If its file is damaged, the file before
-// it does not count: that would be a member that has forgotten a vote.
-func (d *DiskStore) Load(part int) (messages.Record, bool, error) {
+// Load returns the newest record of a register. If its file is damaged, it does not fall
+// back to an older file, which lacks votes that the member has given since.
+func (d *DiskStore) Load(index int) (messages.Record, bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	files, err := d.recordFiles(part)
+	files, err := d.recordFiles(index)
 	if err != nil || len(files) == 0 {
 		return messages.Record{}, false, err
 	}
 	newest := files[0]
-	d.lastSequence[part] = max(d.lastSequence[part], newest.sequence)
+	d.lastSequence[index] = max(d.lastSequence[index], newest.sequence)
 	content, err := d.files.read(newest.name)
 	if errors.Is(err, fs.ErrNotExist) {
 		err = errors.Wrap(ErrStore, err.Error())
@@ -187,27 +188,27 @@
 	}
 	var record messages.Record
 	if _, err := record.UnmarshalMsg(content); err != nil {
-		return messages.Record{}, false, errors.Wrapf(ErrStore, "%s: intact, but not a record that this version reads: %s", newest.name, err)
+		return messages.Record{}, false, errors.Wrapf(ErrStore, "%s: checksum matches, but this version can't decode the record: %s", newest.name, err)
 	}
 	return record, true, nil
 }
 
 // Save writes a record to a new file, and removes the older files of the register
 // once that is durable.
-func (d *DiskStore) Save(part int, record messages.Record) error {
+func (d *DiskStore) Save(index int, record messages.Record) error {
 	encoded, err := record.MarshalMsg(nil)
 	if err != nil {
 		return errors.Wrap(ErrStore, err.Error())
 	}
-	sequence := d.nextSequence(part)
-	name := fmt.Sprintf("%s%d%s", recordPrefix(part), sequence, recordSuffix)
+	sequence := d.nextSequence(index)
+	name := fmt.Sprintf("%s%d%s", recordPrefix(index), sequence, recordSuffix)
 	if err := d.files.write(name, encoded); err != nil {
-		_ = d.files.remove(name) // it may have been renamed and not be durable
+		_ = d.files.remove(name) // it may have been renamed without being durable
 		return err
 	}
-	files, err := d.recordFiles(part)
+	files, err := d.recordFiles(index)
 	if err != nil {
-		return nil // the record is durable; the next Save removes what is older
+		return nil // the record is durable; the next Save removes the older files
 	}
 	for _, file := range files {
 		if file.sequence < sequence {
@@ -217,9 +218,9 @@
 	return nil
 }
 
-func (d *DiskStore) nextSequence(part int) int64 {
+func (d *DiskStore) nextSequence(index int) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lastSequence[part]++
-	return d.lastSequence[part]
+	d.lastSequence[index]++
+	return d.lastSequence[index]
 }
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -15,8 +15,8 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// A write that is interrupted at any operation leaves a temporary file: neither the
-// record before it nor the identity is lost.
+// A write that is interrupted at any operation loses neither the earlier record nor the
+// identity, and a temporary file that it leaves is ignored.
 func TestTornTemporaryFileIsIgnored(t *testing.T) {
 	for seed := range uint64(100) {
 		for cut := range 6 {
@@ -38,9 +38,9 @@
 	}
 }
 
-// A process is killed after a record was renamed and before the directory was
-// synced. The next process finds the record and repeats its vote without a write.
-// It syncs the directory first, or a loss of power would take the vote back.
+// A process is killed after a record was renamed and before the directory was synced. The
+// next process loads the record and repeats its vote without a write. It must sync the
+// directory first, or a loss of power would undo the vote.
 func TestDirectoryIsSyncedBeforeFirstVoteAfterKill(t *testing.T) {
 	for seed := range uint64(20) {
 		d := disk.New(seed)
@@ -51,8 +51,8 @@
 		d.Restart()
 		registers, err := Open("m", 1, false, nil, nil, openSimulated(t, d), logr.Discard(), nil)
 		must.NoError(t, err)
-		again := messages.ConsensusRequest{Part: 2, To: "me", Step: messages.Prepare, Slot: 3, Ballot: recordWithVote(8).Promised}
-		response, err := registers.handleRequest(context.Background(), again)
+		repeated := messages.ConsensusRequest{Part: 2, To: "me", Step: messages.Prepare, Slot: 3, Ballot: recordWithVote(8).Promised}
+		response, err := registers.handleRequest(context.Background(), repeated)
 		must.NoError(t, err)
 		must.Eq(t, messages.Granted, response.Verdict)
 		d.LosePower()
@@ -77,9 +77,9 @@
 	return store
 }
 
-// A record that is damaged after it was durable means lost votes: the record before
-// it does not come back, the member gets a new identity in all registers, founds no
-// group even if bootstrap is set, and can save again.
+// A record that is damaged after it was durable means lost votes: no older record is
+// restored, the member adopts a new identity in all registers, is not a founder even if
+// bootstrap is set, and can save again.
 func TestDamagedRecordChangesIdentity(t *testing.T) {
 	dir := t.TempDir()
 	store := openTestStore(t, dir)
@@ -90,50 +90,50 @@
 		must.NoError(t, store.Save(2, recordWithVote(n+1)))
 		must.NoError(t, store.Save(3, recordWithVote(n+1)))
 	}
-	list, err := store.recordFiles(2)
+	files, err := store.recordFiles(2)
 	must.NoError(t, err)
-	path := filepath.Join(dir, list[0].name)
-	whole, err := os.ReadFile(path)
+	path := filepath.Join(dir, files[0].name)
+	content, err := os.ReadFile(path)
 	must.NoError(t, err)
-	must.NoError(t, os.WriteFile(path, whole[:len(whole)/2], 0o644))
+	must.NoError(t, os.WriteFile(path, content[:len(content)/2], 0o644))
 
-	again := openTestStore(t, dir)
-	_, _, err = again.Load(2)
+	reopened := openTestStore(t, dir)
+	_, _, err = reopened.Load(2)
 	must.ErrorIs(t, err, ErrDamaged)
-	restored, err = Restore(again, FirstID("a"), numberedIDs("a"))
+	restored, err = Restore(reopened, FirstID("a"), numberedIDs("a"))
 	must.NoError(t, err)
 	must.Eq(t, []int{2}, restored.Damaged)
 	must.Eq(t, "a/fresh1", restored.ID)
 	must.Eq(t, messages.Record{}, restored.Records[2])
 	must.Eq(t, withoutVotes(recordWithVote(5)).Committed.Version, restored.Records[3].Committed.Version)
 	must.Eq(t, messages.Ballot{}, restored.Records[3].Promised)
-	must.NoError(t, again.Save(2, recordWithVote(9)))
+	must.NoError(t, reopened.Save(2, recordWithVote(9)))
 
 	restored, err = Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("b"))
 	must.NoError(t, err)
-	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("the identity changes once"))
+	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("the identity must change only once"))
 	must.Eq(t, int64(9), restored.Records[2].Promised.N)
 }
 
-// A member without its identity gets a new one, also where it would found a group:
-// the identity that follows from the seeds has voted.
+// A member whose identity file is lost adopts a new identity, even if bootstrap is set: it
+// may have voted under the bootstrap identity.
 func TestLostIdentityIsNotBootstrappedAgain(t *testing.T) {
-	for _, spoil := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
+	for _, damage := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
 		dir := t.TempDir()
 		store := openTestStore(t, dir)
 		_, err := Restore(store, FirstID("a"), numberedIDs("a"))
 		must.NoError(t, err)
 		must.NoError(t, store.Save(1, recordWithVote(4)))
-		must.NoError(t, spoil(filepath.Join(dir, identityFile)))
+		must.NoError(t, damage(filepath.Join(dir, identityFile)))
 		restored, err := Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("a"))
 		must.NoError(t, err)
 		must.Eq(t, "a/fresh1", restored.ID)
 		must.Eq(t, messages.Ballot{}, restored.Records[1].Promised)
-		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("the committed value stays"))
+		must.Eq(t, int64(1), restored.Records[1].Committed.Version, must.Sprint("the committed value must be retained"))
 	}
 }
 
-// Failed writes to a full disk leave no files; once there is space the next write
+// Failed writes to a full disk leave no files, and once there is space the next write
 // succeeds.
 func TestFailedSaveLeavesNoFiles(t *testing.T) {
 	d := disk.New(3)
@@ -155,7 +155,7 @@
 	must.Eq(t, int64(99), record.Promised.N)
 }
 
-// After 2,000 changes the disk has one file for each register and the identity.
+// Over 2,000 saves the disk has at most one file per register and the identity.
 func TestOldRecordFilesAreRemoved(t *testing.T) {
 	d := disk.New(4)
 	store := openSimulated(t, d)
@@ -171,24 +171,25 @@
 	}
 }
 
-// The runner list and fencing tokens may be written by several goroutines at once.
-func TestConcurrentWritesOfSameFile(t *testing.T) {
-	d, err := NewDiskStore(t.TempDir())
+// Several goroutines may write the same file concurrently, as they do with the runner list
+// and fencing tokens.
+func TestConcurrentWritesOfSameFileAreSerialized(t *testing.T) {
+	store, err := NewDiskStore(t.TempDir())
 	must.NoError(t, err)
 	var group sync.WaitGroup
-	faults := make(chan error, 400)
+	errs := make(chan error, 400)
 	for range 8 {
 		group.Go(func() {
 			for range 50 {
-				faults <- d.Keep("note", []byte("kept"))
+				errs <- store.Keep("note", []byte("kept"))
 			}
 		})
 	}
 	group.Wait()
-	for range cap(faults) {
-		must.NoError(t, <-faults)
+	for range cap(errs) {
+		must.NoError(t, <-errs)
 	}
-	kept, ok := d.Note("note")
+	content, ok := store.Note("note")
 	must.True(t, ok)
-	must.Eq(t, "kept", string(kept))
+	must.Eq(t, "kept", string(content))
 }
--- a/internal/consensus/memory_store.go
+++ b/internal/consensus/memory_store.go
@@ -6,7 +6,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// MemoryStore is a Store that ends with the process, for machines without a disk. The
+// MemoryStore is a Store in the memory of the process, for machines without a disk. The
 // zero value is empty and ready for use.
 type MemoryStore struct {
 	mu      sync.Mutex // guards all below
@@ -28,35 +28,35 @@
 	return m.id == "" && len(m.records) == 0, nil
 }
 
-// ResetIdentity adopts another identity and erases the votes.
+// ResetIdentity stores another identity and erases the votes.
 func (m *MemoryStore) ResetIdentity(id string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.id = id
-	for part, record := range m.records {
-		m.records[part] = withoutVotes(record)
+	for index, record := range m.records {
+		m.records[index] = withoutVotes(record)
 	}
 	return nil
 }
 
-// Load returns the record that was saved last.
-func (m *MemoryStore) Load(part int) (messages.Record, bool, error) {
+// Load returns the most recently saved record.
+func (m *MemoryStore) Load(index int) (messages.Record, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r, ok := m.records[part]
+	r, ok := m.records[index]
 	return r, ok, nil
 }
 
 // Save stores the record in memory.
-func (m *MemoryStore) Save(part int, record messages.Record) error {
+func (m *MemoryStore) Save(index int, record messages.Record) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.records == nil {
 		m.records = map[int]messages.Record{}
 	}
-	m.records[part] = record
+	m.records[index] = record
 	return nil
 }
 
-// Sync does nothing: a power loss ends the process too.
+// Sync does nothing: a loss of power loses all of the store in any case.
 func (m *MemoryStore) Sync() error { return nil }
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -12,31 +12,31 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// paxosModel plays messages, crashes, failed writes and disk losses against the
-// state machines, in an order drawn from a seed. It checks that no two values are
+// paxosModel simulates acceptors and rounds with lost messages, crashes, failed writes and
+// disk losses, in an order determined by a seed. It checks that no two values are
 // committed under one version and that no acknowledged change is lost.
 type paxosModel struct {
 	t            *testing.T
 	rnd          *rand.Rand
 	nodes        map[string]*node // by address
 	inFlight     []message
-	chosen       map[int64]string
-	acknowledged int64
-	serial       int
+	chosen       map[int64]string // by version: the stamp of the chosen value
+	acknowledged int64            // the newest chosen version
+	serial       int              // number of stamps and identities so far
 	rounds       []*Round
-	padding      string // makes the values large
+	padding      string // appended to bodies to make values large
 }
 
-// node is a member of the model.
+// node is a simulated member.
 type node struct {
 	addr     string
 	acceptor Acceptor
-	disk     messages.Record // what survives a crash
+	disk     messages.Record // the record that survives a crash
 	up       bool
-	known    messages.Value
+	learned  messages.Value
 }
 
-// message is a request, or the response to it, on its way.
+// message is a request, or the response to it, in flight.
 type message struct {
 	round    *Round
 	request  Request
@@ -44,7 +44,7 @@
 	response messages.ConsensusResponse
 }
 
-// newPaxosModel founds a group of size nodes.
+// newPaxosModel returns a model with a group of size nodes.
 func newPaxosModel(t *testing.T, seed uint64, size int) *paxosModel {
 	t.Helper()
 	model := &paxosModel{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*node{}, chosen: map[int64]string{}}
@@ -54,31 +54,31 @@
 	}
 	for _, s := range seeds {
 		record := messages.Record{Committed: Genesis(seeds)}
-		model.nodes[s] = &node{addr: s, acceptor: Acceptor{ID: FirstID(s), Rec: record}, disk: record, up: true, known: record.Committed}
+		model.nodes[s] = &node{addr: s, acceptor: Acceptor{ID: FirstID(s), Rec: record}, disk: record, up: true, learned: record.Committed}
 	}
 	return model
 }
 
-// recordChosen checks that a version has one value.
+// recordChosen records a chosen value and checks that its version has no other one.
 func (p *paxosModel) recordChosen(v messages.Value) {
-	if old, ok := p.chosen[v.Version]; ok {
-		must.Eq(p.t, old, v.Stamp, must.Sprintf("two values under version %d", v.Version))
+	if previous, ok := p.chosen[v.Version]; ok {
+		must.Eq(p.t, previous, v.Stamp, must.Sprintf("two values chosen for version %d", v.Version))
 	}
 	p.chosen[v.Version] = v.Stamp
 	p.acknowledged = max(p.acknowledged, v.Version)
 }
 
 func (p *paxosModel) learn(n *node, v messages.Value) {
-	if v.Version > n.known.Version || len(n.known.Group) == 0 {
-		n.known = v
+	if v.Version > n.learned.Version || len(n.learned.Group) == 0 {
+		n.learned = v
 	}
 }
 
-// startRound starts a round under a random ballot.
+// startRound starts a round under a random ballot at a node.
 func (p *paxosModel) startRound(n *node, change Change) {
 	p.serial++
 	stamp := fmt.Sprintf("s%d", p.serial)
-	round := NewRound(0, n.known, messages.Ballot{N: int64(1 + p.rnd.IntN(6)), Who: stamp}, stamp, change)
+	round := NewRound(0, n.learned, messages.Ballot{N: int64(1 + p.rnd.IntN(6)), Who: stamp}, stamp, change)
 	if n.acceptor.Rec.HasAccepted {
 		round.Hold(n.acceptor.Rec.Accepted)
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-// deliver delivers a message or loses it.
+// deliver delivers or loses a message.
 func (p *paxosModel) deliver(i int) {
 	m := p.inFlight[i]
 	p.inFlight = append(p.inFlight[:i:i], p.inFlight[i+1:]...)
@@ -101,8 +101,8 @@
 	}
 }
 
-// handleRequest lets the acceptor of the receiver answer. The response may be lost to a
-// failed write or a crash, or be duplicated.
+// handleRequest passes a request to the acceptor of the receiver. There may be no response
+// because of a failed write or a crash, or the response may be duplicated.
 func (p *paxosModel) handleRequest(m message) {
 	n := p.nodes[m.request.To.Addr]
 	if n == nil || !n.up {
@@ -112,7 +112,7 @@
 		p.learn(n, m.request.Body.Value)
 		return
 	}
-	n.acceptor.Learn(n.known)
+	n.acceptor.Learn(n.learned)
 	before := n.acceptor.Rec
 	response, changed := n.acceptor.Handle(m.request.Body)
 	if changed {
@@ -134,7 +134,7 @@
 	}
 }
 
-// receiveResponse takes a response to its round. Some nodes learn the value that the
+// receiveResponse passes a response to its round. Some nodes learn the value that the
 // round ends with.
 func (p *paxosModel) receiveResponse(m message) {
 	before := m.round.End
@@ -153,7 +153,7 @@
 	}
 }
 
-// learnWhere lets the nodes for which receives is true learn a value.
+// learnWhere delivers a committed value to the nodes for which receives returns true.
 func (p *paxosModel) learnWhere(v messages.Value, receives func(n *node) bool) {
 	for _, n := range p.nodes {
 		if receives(n) {
@@ -162,39 +162,39 @@
 	}
 }
 
-// crash loses what is not on disk.
+// crash stops a node, which loses the state that is not on disk.
 func (p *paxosModel) crash(n *node) {
 	n.up = false
 	n.acceptor.Rec = n.disk
-	n.known = n.disk.Committed
+	n.learned = n.disk.Committed
 }
 
-// wipeDisk takes the disk of a node, which comes back under a new identity.
+// wipeDisk erases the disk of a node and assigns it a new identity.
 func (p *paxosModel) wipeDisk(n *node) {
 	p.serial++
 	n.disk = messages.Record{}
 	n.acceptor = Acceptor{ID: fmt.Sprintf("%s/w%d", n.addr, p.serial)}
-	n.known = messages.Value{}
+	n.learned = messages.Value{}
 }
 
-// setBody is a change that sets the body and keeps the group.
+// setBody returns a change that sets the body and does not change the group.
 func setBody(s string) Change {
 	return func(messages.Value) ([]messages.Member, []byte, error) { return nil, []byte(s), nil }
 }
 
-// pickLive returns a random node that is up and knows its group, or nil.
+// pickLive returns a random node that is up and has learned the group, or nil.
 func (p *paxosModel) pickLive() *node {
-	var list []*node
+	var live []*node
 	for i := range len(p.nodes) {
 		n := p.nodes[fmt.Sprintf("10.0.0.%d:1", i+1)]
-		if n.up && len(n.known.Group) > 0 {
-			list = append(list, n)
+		if n.up && len(n.learned.Group) > 0 {
+			live = append(live, n)
 		}
 	}
-	if len(list) == 0 {
+	if len(live) == 0 {
 		return nil
 	}
-	return list[p.rnd.IntN(len(list))]
+	return live[p.rnd.IntN(len(live))]
 }
 
 // commitFinal starts all nodes and delivers without loss until one more change is
@@ -202,7 +202,7 @@
 func (p *paxosModel) commitFinal() messages.Value {
 	p.inFlight = nil
 	p.startAll()
-	newest := p.newestKnown()
+	newest := p.newestLearned()
 	for retries := range 40 {
 		stamp := fmt.Sprintf("final%d", retries)
 		round := NewRound(0, newest, messages.Ballot{N: 1000 + int64(retries), Who: stamp}, stamp, setBody("final"))
@@ -218,23 +218,24 @@
 			newest = round.Value
 		}
 	}
-	p.t.Fatalf("no majority after everything came back")
+	p.t.Fatalf("no change committed although all nodes are up and no message is lost")
 	return newest
 }
 
-// newestKnown returns the newest committed value that a node knows.
-func (p *paxosModel) newestKnown() messages.Value {
+// newestLearned returns the newest committed value that any node has learned.
+func (p *paxosModel) newestLearned() messages.Value {
 	newest := messages.Value{}
 	for _, n := range p.nodes {
-		if n.known.Version >= newest.Version && len(n.known.Group) > 0 {
-			newest = n.known
+		if n.learned.Version >= newest.Version && len(n.learned.Group) > 0 {
+			newest = n.learned
 		}
 	}
 	return newest
 }
 
-// deliverInOrder plays a round without loss. voted is called after each vote.
-func (p *paxosModel) deliverInOrder(round *Round, voted func(n *node)) {
+// deliverInOrder runs a round without loss. onHandled is called with each node that has
+// handled a request.
+func (p *paxosModel) deliverInOrder(round *Round, onHandled func(n *node)) {
 	requests := round.Requests()
 	for len(requests) > 0 && round.End == InProgress {
 		request := requests[0]
@@ -247,14 +248,14 @@
 			p.learn(n, request.Body.Value)
 			continue
 		}
-		n.acceptor.Learn(n.known)
+		n.acceptor.Learn(n.learned)
 		response, _ := n.acceptor.Handle(request.Body)
-		voted(n)
+		onHandled(n)
 		requests = append(requests, round.Receive(request.To, request.Body.Step, response)...)
 	}
 }
 
-// step starts a change, crashes a node, restarts all or delivers a message.
+// step starts a change, crashes a node, restarts all nodes or delivers a message.
 func (p *paxosModel) step() {
 	switch k := p.rnd.IntN(100); {
 	case k < 6:
@@ -278,7 +279,7 @@
 	}
 }
 
-// Rounds of random ballots run at once while messages are lost and duplicated and
+// Rounds with random ballots run concurrently while messages are lost and duplicated and
 // nodes crash.
 func TestOneValueCommittedPerVersionInRandomOrders(t *testing.T) {
 	for seed := range uint64(400) {
@@ -293,7 +294,8 @@
 	}
 }
 
-// The same with values so large that members report and accept them by reference.
+// As TestOneValueCommittedPerVersionInRandomOrders, with values so large that members
+// report and accept them by reference.
 func TestOneLargeValueCommittedPerVersionInRandomOrders(t *testing.T) {
 	references := 0
 	for seed := range uint64(40) {
@@ -314,30 +316,29 @@
 	must.Positive(t, references)
 }
 
-// One disk is lost at a time; the new identity replaces the old one before the next
-// loss.
+// One disk is lost at a time, and the new identity joins the group before the next loss.
 func TestAcknowledgedChangeSurvivesDiskLoss(t *testing.T) {
 	for seed := range uint64(200) {
 		model := newPaxosModel(t, seed, 3)
 		for range 6 {
-			model.playChanges(60)
+			model.runRandomChanges(60)
 			acked := model.acknowledged
-			victim := model.nodes[fmt.Sprintf("10.0.0.%d:1", 1+model.rnd.IntN(3))]
-			model.wipeDisk(victim)
+			wipedNode := model.nodes[fmt.Sprintf("10.0.0.%d:1", 1+model.rnd.IntN(3))]
+			model.wipeDisk(wipedNode)
 			last := model.commitFinal()
 			must.Greater(t, acked, last.Version, must.Sprintf("seed %d", seed))
 			for _, n := range model.nodes {
 				model.learn(n, last)
 			}
-			group, want := RepairGroup(last.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
-			must.True(t, want)
-			must.True(t, containsMember(group, victim.acceptor.ID))
+			group, needed := RepairGroup(last.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+			must.True(t, needed)
+			must.True(t, containsMember(group, wipedNode.acceptor.ID))
 			model.changeGroup(last, group)
 		}
 	}
 }
 
-// loseTwoDisks wipes two random nodes while all others lose power.
+// loseTwoDisks wipes two random nodes and crashes all others.
 func (p *paxosModel) loseTwoDisks(size int) (lost []*node) {
 	first := p.rnd.IntN(size)
 	second := (first + 1 + p.rnd.IntN(size-1)) % size
@@ -353,15 +354,14 @@
 	return lost
 }
 
-// In groups of five and seven two disks are lost at once while all other members
-// lose power. Acknowledged changes survive, and the new identities join one after
-// the other.
+// In groups of five and seven, two disks are lost at once while all other members lose
+// power. Acknowledged changes survive, and the new identities join one after the other.
 func TestAcknowledgedChangeSurvivesTwoSimultaneousDiskLosses(t *testing.T) {
 	for seed := range uint64(200) {
 		size := 5 + 2*int(seed%2)
 		model := newPaxosModel(t, seed, size)
 		for range 4 {
-			model.playChanges(90)
+			model.runRandomChanges(90)
 			acked := model.acknowledged
 			lost := model.loseTwoDisks(size)
 			last := model.commitFinal()
@@ -370,12 +370,12 @@
 				model.learn(n, last)
 			}
 			for range lost {
-				v := model.nodes[last.Group[0].Addr].known
-				group, want := RepairGroup(v.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
-				must.True(t, want)
+				v := model.nodes[last.Group[0].Addr].learned
+				group, needed := RepairGroup(v.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+				must.True(t, needed)
 				model.changeGroup(v, group)
 			}
-			group := model.nodes[last.Group[0].Addr].known.Group
+			group := model.nodes[last.Group[0].Addr].learned.Group
 			must.Len(t, size, group)
 			for _, n := range lost {
 				must.True(t, containsMember(group, n.acceptor.ID), must.Sprintf("seed %d", seed))
@@ -384,9 +384,9 @@
 	}
 }
 
-// playChanges delivers messages in random order, and starts a change at every twelfth
-// step on average.
-func (p *paxosModel) playChanges(steps int) {
+// runRandomChanges delivers messages in random order, and starts a change in one of twelve
+// steps on average.
+func (p *paxosModel) runRandomChanges(steps int) {
 	for range steps {
 		if p.rnd.IntN(12) == 0 {
 			if n := p.pickLive(); n != nil {
@@ -406,10 +406,10 @@
 	return out
 }
 
-// changeGroup commits a membership change without loss.
+// changeGroup commits a membership change without loss of messages.
 func (p *paxosModel) changeGroup(base messages.Value, group []messages.Member) {
 	change := func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil }
-	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "steward"}, "steward", change)
+	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "group-change"}, "group-change", change)
 	p.deliverInOrder(round, func(n *node) { n.disk = n.acceptor.Rec })
 	must.Eq(p.t, Chosen, round.End)
 	p.recordChosen(round.Value)
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -14,52 +14,51 @@
 )
 
 const (
-	tickUs      = 100_000
-	detectUs    = 1_000_000
-	catchUpUs   = 4_000_000 // within which a replaced member votes again
-	roundUs     = 500_000   // after which a round times out
-	changeEvery = 3         // ticks, on average
-	oneLostIn   = 40        // of so many messages one is lost
+	tickUs               = 100_000
+	unreachableTimeoutUs = 1_000_000
+	repairTimeoutUs      = 4_000_000 // maximum time until a group is repaired
+	roundTimeoutUs       = 500_000   // timeout of a round
+	ticksPerChange       = 3         // ticks per operator change, on average
+	messagesPerLoss      = 40        // messages per lost message, on average
 )
 
-// repairModel plays repairs: every node runs a coordinator, and time advances in
-// ticks in which messages are delivered in random order, some of them lost. It
-// checks the preconditions of every membership change.
+// repairModel simulates the repair of groups: every node runs a coordinator, and time
+// advances in ticks in which messages are delivered in random order, some of them lost.
+// It checks the preconditions of every membership change.
 type repairModel struct {
 	*paxosModel
-	seed     uint64
-	nowUs    int64
-	size     int
-	machines map[string]*machine
-	serials  int
-	onStep   func(m *machine, s RepairStep)
-	busy     map[string]*Round // the round that a machine runs, by address
+	seed          uint64
+	nowUs         int64
+	size          int
+	machines      map[string]*machine
+	addedMachines int                            // number of machines that were added
+	onStep        func(m *machine, s RepairStep) // if set, called before each step is executed
+	latestRound   map[string]*Round              // by address: the latest round of a machine
 }
 
-// machine is a node with its faults.
+// machine is a node with its coordinator and its faults.
 type machine struct {
 	*node
-	coordinator   RepairCoordinator
-	downUs        int64 // since when it is down, 0 if it is up
-	removed       bool  // for good
-	partitioned   bool  // health checks reach it, but messages do not
-	diskFull      bool  // writes fail
-	leaving       bool
-	roundBeganUs  int64 // when its last round began
-	joinedVersion int64 // version of the change by which it joined last
+	coordinator    RepairCoordinator
+	downUs         int64 // when it went down, 0 if it is up
+	removed        bool  // it is down permanently
+	partitioned    bool  // health checks reach it, but messages do not
+	diskFull       bool  // its writes fail
+	leaving        bool  // it is shutting down
+	roundStartedUs int64 // when its latest round started
+	joinedVersion  int64 // version of the change by which it last joined
 }
 
 func newRepairModel(t *testing.T, seed uint64, size int) *repairModel {
 	t.Helper()
-	model := &repairModel{paxosModel: newPaxosModel(t, seed, size), seed: seed, size: size, machines: map[string]*machine{}, busy: map[string]*Round{}}
+	model := &repairModel{paxosModel: newPaxosModel(t, seed, size), seed: seed, size: size, machines: map[string]*machine{}, latestRound: map[string]*Round{}}
 	for addr, n := range model.nodes {
 		model.machines[addr] = &machine{node: n}
 	}
 	return model
 }
 
-// sortedMachines returns the machines by address, so that a seed plays the same each
-// time.
+// sortedMachines returns the machines sorted by address, so that a seed is reproducible.
 func (r *repairModel) sortedMachines() []*machine {
 	var out []*machine
 	for _, m := range r.machines {
@@ -69,29 +68,29 @@
 	return out
 }
 
-// join adds a machine with an empty disk at a new address, which sorts last.
-func (r *repairModel) join() *machine {
-	r.serials++
-	addr := fmt.Sprintf("10.0.1.%d:1", r.serials)
+// addMachine adds a machine with an empty disk at a new address, which sorts last.
+func (r *repairModel) addMachine() *machine {
+	r.addedMachines++
+	addr := fmt.Sprintf("10.0.1.%d:1", r.addedMachines)
 	n := &node{addr: addr, acceptor: Acceptor{ID: addr + "/n"}, up: true}
 	r.nodes[addr] = n
 	r.machines[addr] = &machine{node: n}
 	return r.machines[addr]
 }
 
-// remove takes a machine away for good.
+// remove shuts a machine down permanently.
 func (r *repairModel) remove(m *machine) {
 	m.up, m.removed, m.downUs = false, true, r.nowUs
-	delete(r.busy, m.addr)
+	delete(r.latestRound, m.addr)
 }
 
-// loseDisk takes the disk of a machine, which is back at once under a new identity.
+// loseDisk erases the disk of a machine, which restarts at once under a new identity.
 func (r *repairModel) loseDisk(m *machine) {
 	r.wipeDisk(m.node)
 	r.restart(m)
 }
 
-// losePower loses what is not on disk; the machine is back at once.
+// losePower restarts a machine, which loses the state that is not on disk.
 func (r *repairModel) losePower(m *machine) {
 	if m.removed {
 		return
@@ -102,11 +101,11 @@
 
 func (r *repairModel) restart(m *machine) {
 	m.up, m.downUs, m.coordinator = true, 0, RepairCoordinator{}
-	delete(r.busy, m.addr)
+	delete(r.latestRound, m.addr)
 }
 
 func (r *repairModel) status() Status {
-	s := Status{GoneUs: detectUs}
+	s := Status{GoneUs: unreachableTimeoutUs}
 	for _, m := range r.sortedMachines() {
 		if m.up && !m.removed {
 			s.Ready = append(s.Ready, messages.Member{ID: m.acceptor.ID, Addr: m.addr})
@@ -122,32 +121,32 @@
 	return s
 }
 
-func (r *repairModel) reaches(m *machine, addr string) bool {
+func (r *repairModel) canReach(m *machine, addr string) bool {
 	to := r.machines[addr]
 	return to != nil && m.up && to.up && (m.addr == addr || !m.partitioned && !to.partitioned)
 }
 
 func (r *repairModel) view(m *machine) RepairView {
-	near := 0
-	for _, g := range m.known.Group {
-		if to := r.machines[g.Addr]; r.reaches(m, g.Addr) && to.acceptor.ID == g.ID {
-			near++
+	reachable := 0
+	for _, g := range m.learned.Group {
+		if to := r.machines[g.Addr]; r.canReach(m, g.Addr) && to.acceptor.ID == g.ID {
+			reachable++
 		}
 	}
 	return RepairView{
-		Self: m.addr, Base: m.known, Status: r.status(), Contact: near > len(m.known.Group)/2,
+		Self: m.addr, Base: m.learned, Status: r.status(), Contact: reachable > len(m.learned.Group)/2,
 		DiskFault: m.diskFull, Leaving: m.leaving,
 	}
 }
 
-// tick advances time: values are learned and reach disks, coordinators step, and
-// messages are delivered.
+// tick advances time by tickUs: values are learned and persisted, coordinators run a
+// step, and messages are delivered.
 func (r *repairModel) tick() {
 	r.nowUs += tickUs
-	list := r.sortedMachines()
-	r.gossip(list)
-	for _, m := range list {
-		if !m.up || len(m.known.Group) == 0 || r.rnd.IntN(4) == 0 {
+	machines := r.sortedMachines()
+	r.gossip(machines)
+	for _, m := range machines {
+		if !m.up || len(m.learned.Group) == 0 || r.rnd.IntN(4) == 0 {
 			continue
 		}
 		if step, due := m.coordinator.Step(r.nowUs, r.view(m)); due {
@@ -165,12 +164,13 @@
 	}
 }
 
-// gossip lets some machines learn from others, and some values reach the disks.
-func (r *repairModel) gossip(list []*machine) {
-	for _, m := range list {
-		from := list[r.rnd.IntN(len(list))]
-		if r.rnd.IntN(3) == 0 && r.reaches(m, from.addr) && len(from.known.Group) > 0 {
-			r.learn(m.node, from.known)
+// gossip delivers the committed values of random machines to others, and persists the
+// values of some.
+func (r *repairModel) gossip(machines []*machine) {
+	for _, m := range machines {
+		from := machines[r.rnd.IntN(len(machines))]
+		if r.rnd.IntN(3) == 0 && r.canReach(m, from.addr) && len(from.learned.Group) > 0 {
+			r.learn(m.node, from.learned)
 		}
 		if m.up && !m.diskFull && r.rnd.IntN(8) == 0 {
 			r.persist(m)
@@ -179,18 +179,18 @@
 }
 
 func (r *repairModel) persist(m *machine) {
-	m.acceptor.Learn(m.known)
+	m.acceptor.Learn(m.learned)
 	m.disk = m.acceptor.Rec
 }
 
-// execute carries out a step of a coordinator.
+// execute performs a step of a machine's coordinator.
 func (r *repairModel) execute(m *machine, step RepairStep) {
 	if !m.up {
 		return
 	}
 	for _, to := range step.Confirm {
 		if r.rnd.IntN(10) > 0 && r.confirm(m, to) {
-			m.coordinator.Kept(to.ID, m.known.Version)
+			m.coordinator.Kept(to.ID, m.learned.Version)
 		}
 	}
 	if len(step.Propose) == 0 || r.inRound(m) {
@@ -198,48 +198,48 @@
 	}
 	r.propose(m, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		if cur.Version != step.Version {
-			return nil, nil, errors.New("the base has changed")
+			return nil, nil, errors.New("another value was committed since the step was returned")
 		}
 		return step.Propose, cur.Body, nil
 	})
 }
 
-// inRound reports whether a machine has a round that may still end.
+// inRound reports whether a machine has a round in progress that has not timed out.
 func (r *repairModel) inRound(m *machine) bool {
-	round := r.busy[m.addr]
-	return round != nil && round.End == InProgress && r.nowUs-m.roundBeganUs < roundUs
+	round := r.latestRound[m.addr]
+	return round != nil && round.End == InProgress && r.nowUs-m.roundStartedUs < roundTimeoutUs
 }
 
-// propose starts a round with a ballot above all earlier ones.
+// propose starts a round at a machine, with a ballot above all earlier ones.
 func (r *repairModel) propose(m *machine, change Change) {
 	r.serial++
 	stamp := fmt.Sprintf("s%d", r.serial)
-	round := NewRound(0, m.known, messages.Ballot{N: int64(r.serial), Who: stamp}, stamp, change)
-	r.busy[m.addr], m.roundBeganUs = round, r.nowUs
+	round := NewRound(0, m.learned, messages.Ballot{N: int64(r.serial), Who: stamp}, stamp, change)
+	r.latestRound[m.addr], m.roundStartedUs = round, r.nowUs
 	for _, request := range round.Requests() {
 		r.inFlight = append(r.inFlight, message{round: round, request: request})
 	}
 }
 
-// confirm sends a member the base and reports whether it has that on disk.
+// confirm sends the base to a member and reports whether the member has it on disk.
 func (r *repairModel) confirm(m *machine, to messages.Member) bool {
 	other := r.machines[to.Addr]
-	if !r.reaches(m, to.Addr) || other.acceptor.ID != to.ID {
+	if !r.canReach(m, to.Addr) || other.acceptor.ID != to.ID {
 		return false
 	}
-	r.learn(other.node, m.known)
+	r.learn(other.node, m.learned)
 	if !other.diskFull {
 		r.persist(other)
 	}
-	return len(other.disk.Committed.Group) > 0 && other.disk.Committed.Version >= m.known.Version
+	return len(other.disk.Committed.Group) > 0 && other.disk.Committed.Version >= m.learned.Version
 }
 
-// deliverOne delivers a message or loses it.
+// deliverOne delivers or loses a message.
 func (r *repairModel) deliverOne(i int) {
 	m := r.inFlight[i]
 	r.inFlight = append(r.inFlight[:i:i], r.inFlight[i+1:]...)
 	proposer := r.proposer(m.round)
-	if r.rnd.IntN(oneLostIn) == 0 || proposer == nil || !r.reaches(proposer, m.request.To.Addr) {
+	if r.rnd.IntN(messagesPerLoss) == 0 || proposer == nil || !r.canReach(proposer, m.request.To.Addr) {
 		return
 	}
 	if m.reply {
@@ -251,7 +251,7 @@
 		r.learn(to.node, m.request.Body.Value)
 		return
 	}
-	to.acceptor.Learn(to.known)
+	to.acceptor.Learn(to.learned)
 	before := to.acceptor.Rec
 	response, changed := to.acceptor.Handle(m.request.Body)
 	if changed && to.diskFull {
@@ -264,17 +264,18 @@
 	r.inFlight = append(r.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
 }
 
-// proposer is the machine that runs a round, or nil.
+// proposer returns the machine that runs a round, or nil if it is down or has abandoned
+// the round.
 func (r *repairModel) proposer(round *Round) *machine {
 	for _, m := range r.machines {
-		if r.busy[m.addr] == round && m.up {
+		if r.latestRound[m.addr] == round && m.up {
 			return m
 		}
 	}
 	return nil
 }
 
-// receive takes a response to a round.
+// receive passes a response to its round.
 func (r *repairModel) receive(m *machine, msg message) {
 	round := msg.round
 	before := round.End
@@ -291,14 +292,14 @@
 	r.learn(m.node, round.Value)
 }
 
-// checkJoining checks a membership change: each member that joins had the base on
-// disk, and those that joined by the change before, as far as they are alive, had
-// its outcome.
+// checkJoining checks a chosen membership change: each member that joins has the base on
+// disk, and each live member that joined by the change before has the result of that
+// change on disk.
 func (r *repairModel) checkJoining(round *Round) {
 	for _, g := range addedMembers(round.Base.Group, round.Value.Group) {
 		m := r.machines[g.Addr]
 		if m.acceptor.ID != g.ID {
-			continue // lost since
+			continue // wiped since
 		}
 		must.GreaterEq(r.t, round.Base.Version, m.disk.Committed.Version, must.Sprintf("seed %d: %s joined without the base on disk", r.seed, g.ID))
 		must.SliceNotEmpty(r.t, m.disk.Committed.Group, must.Sprintf("seed %d: %s joined without the base on disk", r.seed, g.ID))
@@ -310,44 +311,45 @@
 	for _, g := range round.Base.Group {
 		m := r.machines[g.Addr]
 		if m.up && m.acceptor.ID == g.ID && m.joinedVersion > 0 && m.joinedVersion <= round.Base.Version && !m.diskFull {
-			must.GreaterEq(r.t, m.joinedVersion, m.disk.Committed.Version, must.Sprintf("seed %d: the next change began before %s had its outcome on disk", r.seed, g.ID))
+			must.GreaterEq(r.t, m.joinedVersion, m.disk.Committed.Version, must.Sprintf("seed %d: the next change was chosen before %s had the result of the last one on disk", r.seed, g.ID))
 		}
 	}
 }
 
-// play runs some ticks, with changes by operators.
-func (r *repairModel) play(ticks int) {
+// run runs a number of ticks, with changes by operators.
+func (r *repairModel) run(ticks int) {
 	for range ticks {
-		if r.rnd.IntN(changeEvery) == 0 {
+		if r.rnd.IntN(ticksPerChange) == 0 {
 			r.operatorChange()
 		}
 		r.tick()
 	}
 }
 
-// operatorChange starts a change at a random machine that is free.
+// operatorChange starts a change at a random machine, unless that has a round in progress.
 func (r *repairModel) operatorChange() {
-	list := r.sortedMachines()
-	m := list[r.rnd.IntN(len(list))]
-	if !m.up || m.removed || len(m.known.Group) == 0 || r.inRound(m) {
+	machines := r.sortedMachines()
+	m := machines[r.rnd.IntN(len(machines))]
+	if !m.up || m.removed || len(m.learned.Group) == 0 || r.inRound(m) {
 		return
 	}
 	r.propose(m, setBody(fmt.Sprint(r.serial)))
 }
 
-// newest is the newest value that a live machine knows.
+// newest returns the newest committed value that a live machine has learned.
 func (r *repairModel) newest() messages.Value {
 	var v messages.Value
 	for _, m := range r.sortedMachines() {
-		if m.up && (m.known.Version > v.Version || len(v.Group) == 0) {
-			v = m.known
+		if m.up && (m.learned.Version > v.Version || len(v.Group) == 0) {
+			v = m.learned
 		}
 	}
 	return v
 }
 
-// isRepaired reports whether the group has the wanted size, all of it is alive under
-// its identities, and the last change is complete for all who know of it.
+// isRepaired reports whether the group has the target size, all its members are up under
+// their current identities, and the last change is complete at every machine that has
+// learned it.
 func (r *repairModel) isRepaired() bool {
 	v := r.newest()
 	for _, g := range v.Group {
@@ -356,20 +358,21 @@
 		}
 	}
 	for _, m := range r.sortedMachines() {
-		if m.up && sameGroup(m.known.Group, v.Group) && !m.coordinator.Complete(v.Group) {
+		if m.up && sameGroup(m.learned.Group, v.Group) && !m.coordinator.Complete(v.Group) {
 			return false
 		}
 	}
 	return len(v.Group) == r.size
 }
 
-// waitRepaired plays until the group is repaired, and fails if that takes too long.
-func (r *repairModel) waitRepaired() {
+// waitUntilRepaired runs ticks until the group is repaired, and fails the test after
+// repairTimeoutUs.
+func (r *repairModel) waitUntilRepaired() {
 	r.t.Helper()
-	beganUs := r.nowUs
+	startUs := r.nowUs
 	for !r.isRepaired() {
-		if r.nowUs-beganUs > catchUpUs {
-			r.t.Fatalf("seed %d, size %d: group not repaired after %d ms: %s", r.seed, r.size, (r.nowUs-beganUs)/1000, r.describe())
+		if r.nowUs-startUs > repairTimeoutUs {
+			r.t.Fatalf("seed %d, size %d: group not repaired after %d ms: %s", r.seed, r.size, (r.nowUs-startUs)/1000, r.describe())
 		}
 		r.tick()
 	}
@@ -379,20 +382,20 @@
 func (r *repairModel) describe() string {
 	out := fmt.Sprintf("group %v\n", r.newest().Group)
 	for _, m := range r.sortedMachines() {
-		out += fmt.Sprintf("%s up=%t cut=%t full=%t known=%d record=%d promised=%v\n", m.acceptor.ID, m.up, m.partitioned, m.diskFull, m.known.Version, m.acceptor.Rec.Committed.Version, m.acceptor.Rec.Promised)
+		out += fmt.Sprintf("%s up=%t cut=%t full=%t learned=%d record=%d promised=%v\n", m.acceptor.ID, m.up, m.partitioned, m.diskFull, m.learned.Version, m.acceptor.Rec.Committed.Version, m.acceptor.Rec.Promised)
 	}
 	return out
 }
 
-// checkNothingLost checks that no acknowledged change is lost and that another one
-// can be committed.
-func (r *repairModel) checkNothingLost() {
+// checkNoAcknowledgedChangeLost checks that no acknowledged change is lost and that another
+// change can be committed.
+func (r *repairModel) checkNoAcknowledgedChangeLost() {
 	r.t.Helper()
 	acked := r.acknowledged
 	r.inFlight = nil
-	ups := map[string]bool{}
+	wasUp := map[string]bool{}
 	for addr, m := range r.machines {
-		ups[addr] = m.up
+		wasUp[addr] = m.up
 	}
 	for _, m := range r.machines {
 		if m.removed {
@@ -402,7 +405,7 @@
 	last := r.commitFinal()
 	must.Greater(r.t, acked, last.Version, must.Sprintf("seed %d, size %d: acknowledged change lost", r.seed, r.size))
 	for addr, m := range r.machines {
-		m.up = ups[addr]
+		m.up = wasUp[addr]
 		if !m.removed {
 			m.disk = m.acceptor.Rec
 			r.learn(m.node, last)
@@ -410,7 +413,7 @@
 	}
 }
 
-// members are the machines of the group, in its order.
+// members returns the machines of the group, in the order of the group.
 func (r *repairModel) members() []*machine {
 	var out []*machine
 	for _, g := range r.newest().Group {
@@ -421,12 +424,12 @@
 	return out
 }
 
-// othersLosePower is a loss of power at all machines but these.
-func (r *repairModel) othersLosePower(but ...*machine) {
+// losePowerExcept restarts all machines except the given ones by a loss of power.
+func (r *repairModel) losePowerExcept(exceptions ...*machine) {
 	for _, m := range r.sortedMachines() {
 		spared := false
-		for _, b := range but {
-			spared = spared || b == m
+		for _, exception := range exceptions {
+			spared = spared || exception == m
 		}
 		if !spared {
 			r.losePower(m)
@@ -434,166 +437,168 @@
 	}
 }
 
-// forEachModel plays a history with groups of 3, 5 and 7, by seed.
-func forEachModel(t *testing.T, seeds uint64, history func(model *repairModel)) {
+// forEachGroupSizeAndSeed runs a history with groups of 3, 5 and 7 members and with each seed, and
+// checks at its end that no acknowledged change is lost.
+func forEachGroupSizeAndSeed(t *testing.T, seeds uint64, scenario func(model *repairModel)) {
 	t.Helper()
 	for _, size := range []int{3, 5, 7} {
 		for seed := range seeds {
 			model := newRepairModel(t, seed, size)
-			model.play(5 + model.rnd.IntN(10))
-			history(model)
-			model.checkNothingLost()
+			model.run(5 + model.rnd.IntN(10))
+			scenario(model)
+			model.checkNoAcknowledgedChangeLost()
 		}
 	}
 }
 
-// tolerableLosses is how many simultaneous losses a group survives.
+// tolerableLosses returns the number of simultaneous disk losses to simulate, which a
+// group of this size must survive.
 func (r *repairModel) tolerableLosses() int { return min(2, r.size/2) }
 
-// pickRandom gives n different machines.
-func pickRandom(r *rand.Rand, list []*machine, n int) []*machine {
-	list = append([]*machine{}, list...)
-	r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:n]
+// pickRandom returns n different machines.
+func pickRandom(r *rand.Rand, machines []*machine, n int) []*machine {
+	machines = append([]*machine{}, machines...)
+	r.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
+	return machines[:n]
 }
 
-// As many disks as tolerable are lost at once while all others lose power; once
-// that is repaired, it happens again.
+// As many disks as tolerable are lost at once while all other machines lose power, three
+// times, each time after the group is repaired.
 func TestRepairAfterSimultaneousDiskLosses(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
 		for range 3 {
 			lost := pickRandom(model.rnd, model.members(), model.tolerableLosses())
 			for _, m := range lost {
 				model.loseDisk(m)
 			}
-			model.othersLosePower(lost...)
-			model.checkNothingLost()
-			model.play(2)
-			model.waitRepaired()
+			model.losePowerExcept(lost...)
+			model.checkNoAcknowledgedChangeLost()
+			model.run(2)
+			model.waitUntilRepaired()
 		}
 	})
 }
 
-// The newest member is lost right after it joined, and all others lose power.
+// The newest member loses its disk right after it joined, and all others lose power.
 func TestRepairAfterNewestMemberIsLost(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
 		for range 3 {
 			model.remove(pickRandom(model.rnd, model.members(), 1)[0])
-			newest := model.join()
-			model.play(8)
-			model.waitRepaired()
+			newest := model.addMachine()
+			model.run(8)
+			model.waitUntilRepaired()
 			must.True(t, containsMember(model.newest().Group, newest.acceptor.ID))
 			model.loseDisk(newest)
-			model.othersLosePower(newest)
-			model.checkNothingLost()
-			model.waitRepaired()
+			model.losePowerExcept(newest)
+			model.checkNoAcknowledgedChangeLost()
+			model.waitUntilRepaired()
 		}
 	})
 }
 
-// The proposer of the repair is lost in the middle of it, or loses power if only
-// one loss is tolerable.
+// The proposer of a repair fails permanently while it runs the repair, or loses power if
+// only one loss is tolerable.
 func TestRepairAfterProposerFails(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
-		struck := false
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
+		failed := false
 		model.onStep = func(m *machine, s RepairStep) {
-			if struck || len(s.Propose) == 0 || model.rnd.IntN(2) == 0 {
+			if failed || len(s.Propose) == 0 || model.rnd.IntN(2) == 0 {
 				return
 			}
-			struck = true
+			failed = true
 			if model.tolerableLosses() > 1 && containsMember(model.newest().Group, m.acceptor.ID) {
 				model.remove(m)
-				model.join()
+				model.addMachine()
 			} else {
 				model.losePower(m)
 			}
 		}
 		model.remove(pickRandom(model.rnd, model.members(), 1)[0])
-		model.join()
-		model.play(12)
-		model.waitRepaired()
+		model.addMachine()
+		model.run(12)
+		model.waitUntilRepaired()
 	})
 }
 
-// The machine of the first rank is partitioned, though health checks reach it, or
-// its disk is full: another one repairs.
+// The machine of the first rank is partitioned although health checks reach it, or its
+// disk is full: another machine repairs the group.
 func TestRepairWhenFirstRankIsPartitionedOrDiskFull(t *testing.T) {
 	for _, size := range []int{5, 7} {
 		for seed := range uint64(60) {
 			model := newRepairModel(t, seed, size)
 			first := model.machines["10.0.0.1:1"]
 			first.partitioned, first.diskFull = seed%2 == 0, seed%2 == 1
-			model.play(5)
+			model.run(5)
 			model.loseDisk(model.machines["10.0.0.3:1"])
-			model.waitRepaired()
+			model.waitUntilRepaired()
 			first.partitioned, first.diskFull = false, false
-			model.checkNothingLost()
+			model.checkNoAcknowledgedChangeLost()
 		}
 	}
 }
 
-// A candidate whose disk refuses writes never joins; another one does.
+// A candidate whose writes fail never joins, and another candidate does.
 func TestRepairSkipsCandidateWithFailingDisk(t *testing.T) {
-	forEachModel(t, 30, func(model *repairModel) {
-		bad, good := model.join(), model.join()
-		bad.diskFull = true
+	forEachGroupSizeAndSeed(t, 30, func(model *repairModel) {
+		failingCandidate, healthyCandidate := model.addMachine(), model.addMachine()
+		failingCandidate.diskFull = true
 		model.remove(pickRandom(model.rnd, model.members(), 1)[0])
-		model.play(5)
+		model.run(5)
 		model.size = len(model.newest().Group)
-		model.waitRepaired()
-		must.False(t, containsMember(model.newest().Group, bad.acceptor.ID))
-		must.True(t, containsMember(model.newest().Group, good.acceptor.ID))
-		bad.diskFull = false
+		model.waitUntilRepaired()
+		must.False(t, containsMember(model.newest().Group, failingCandidate.acceptor.ID))
+		must.True(t, containsMember(model.newest().Group, healthyCandidate.acceptor.ID))
+		failingCandidate.diskFull = false
 	})
 }
 
-// A leaving member has one of the two replicas of an acknowledged change. A
-// candidate takes its place first, so that the other replica may be lost. If lost
-// messages prevent that within the bound, the group is repaired afterwards.
+// A leaving member has one of the two replicas of an acknowledged change. A candidate
+// replaces it before it leaves, so that the change survives the loss of the other replica.
+// If lost messages prevent that within the time limit, the group is repaired afterwards.
 func TestHandOverCompletesBeforeLeaving(t *testing.T) {
-	const histories, boundUs = 100, 2_500_000
-	late := 0
+	const histories, timeoutUs = 100, 2_500_000
+	lateHandOvers := 0
 	for seed := range uint64(histories) {
 		model := newRepairModel(t, seed, 3)
-		model.play(6)
-		all := pickRandom(model.rnd, model.members(), 3)
-		leaver, other, absent := all[0], all[1], all[2]
-		absent.up = false
-		model.playWithout(absent, func() bool { return model.acknowledged >= 5 })
-		newcomer := model.join()
-		leaver.leaving = true
-		beganUs := model.nowUs
-		model.playWithout(absent, func() bool { return model.handedOver(leaver) || model.nowUs-beganUs >= boundUs })
-		whole := model.handedOver(leaver)
-		model.remove(leaver)
-		model.losePower(absent)
-		if whole {
-			must.True(t, containsMember(model.newest().Group, newcomer.acceptor.ID), must.Sprintf("seed %d: %s", seed, model.describe()))
-			model.loseDisk(other)
-			model.othersLosePower(other)
+		model.run(6)
+		members := pickRandom(model.rnd, model.members(), 3)
+		leavingMember, otherReplica, downMember := members[0], members[1], members[2]
+		downMember.up = false
+		model.runWithMemberDown(downMember, func() bool { return model.acknowledged >= 5 })
+		candidate := model.addMachine()
+		leavingMember.leaving = true
+		startUs := model.nowUs
+		model.runWithMemberDown(downMember, func() bool { return model.handedOver(leavingMember) || model.nowUs-startUs >= timeoutUs })
+		handedOver := model.handedOver(leavingMember)
+		model.remove(leavingMember)
+		model.losePower(downMember)
+		if handedOver {
+			must.True(t, containsMember(model.newest().Group, candidate.acceptor.ID), must.Sprintf("seed %d: %s", seed, model.describe()))
+			model.loseDisk(otherReplica)
+			model.losePowerExcept(otherReplica)
 		} else {
-			late++
+			lateHandOvers++
 		}
-		model.checkNothingLost()
-		model.play(10)
-		model.waitRepaired()
-		model.checkNothingLost()
+		model.checkNoAcknowledgedChangeLost()
+		model.run(10)
+		model.waitUntilRepaired()
+		model.checkNoAcknowledgedChangeLost()
 	}
-	must.LessEq(t, histories/50, late)
+	must.LessEq(t, histories/50, lateHandOvers)
 }
 
-// As many disks as tolerable are lost at any moment of a hand-over, while all
-// others lose power, the leaving member included.
+// As many disks as tolerable are lost at a random time during a hand-over, while all
+// others lose power, including the leaving member.
 func TestRepairAfterDiskLossesDuringHandOver(t *testing.T) {
-	forEachModel(t, 60, func(model *repairModel) {
-		leaver := pickRandom(model.rnd, model.members(), 1)[0]
-		model.join()
-		model.play(3)
-		leaver.leaving = true
-		model.play(model.rnd.IntN(10))
+	forEachGroupSizeAndSeed(t, 60, func(model *repairModel) {
+		leavingMember := pickRandom(model.rnd, model.members(), 1)[0]
+		model.addMachine()
+		model.run(3)
+		leavingMember.leaving = true
+		model.run(model.rnd.IntN(10))
 		var others []*machine
 		for _, m := range model.members() {
-			if m != leaver {
+			if m != leavingMember {
 				others = append(others, m)
 			}
 		}
@@ -601,40 +606,41 @@
 		for _, m := range lost {
 			model.loseDisk(m)
 		}
-		model.othersLosePower(lost...)
-		model.checkNothingLost()
-		leaver.leaving = false
-		model.play(2)
-		model.waitRepaired()
+		model.losePowerExcept(lost...)
+		model.checkNoAcknowledgedChangeLost()
+		leavingMember.leaving = false
+		model.run(2)
+		model.waitUntilRepaired()
 	})
 }
 
-// playWithout plays until a condition holds, while a member is down for too short a
-// time to be replaced.
-func (r *repairModel) playWithout(absent *machine, until func() bool) {
+// runWithMemberDown runs ticks until a condition holds, with a member down but never long enough
+// to be replaced.
+func (r *repairModel) runWithMemberDown(downMember *machine, until func() bool) {
 	for !until() {
-		r.play(1)
-		absent.downUs = r.nowUs
+		r.run(1)
+		downMember.downUs = r.nowUs
 	}
 }
 
-// handedOver reports whether a leaving machine has nothing left to hand over.
-func (r *repairModel) handedOver(leaver *machine) bool {
-	_, may := HandOver(leaver.known.Group, leaver.addr, r.status())
-	return !may && leaver.coordinator.Complete(leaver.known.Group)
+// handedOver reports whether the hand-over of a leaving machine is complete or not
+// possible.
+func (r *repairModel) handedOver(leavingMember *machine) bool {
+	_, possible := HandOver(leavingMember.learned.Group, leavingMember.addr, r.status())
+	return !possible && leavingMember.coordinator.Complete(leavingMember.learned.Group)
 }
 
-// A member that comes back after a short restart is not replaced.
+// A member that restarts before the timeout is not replaced.
 func TestRestartDoesNotChangeGroup(t *testing.T) {
 	model := newRepairModel(t, 3, 3)
-	model.join()
-	model.play(5)
+	model.addMachine()
+	model.run(5)
 	group := model.newest().Group
 	for _, m := range model.members() {
 		m.up, m.downUs = false, model.nowUs
-		model.play(int(detectUs/tickUs) - 1)
+		model.run(int(unreachableTimeoutUs/tickUs) - 1)
 		model.losePower(m)
-		model.play(5)
+		model.run(5)
 	}
 	must.True(t, sameGroup(group, model.newest().Group))
 }
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -8,13 +8,14 @@
 
 // Change computes the next group and body from the committed value; an empty group
 // keeps the current one. An error rejects the change and is returned to the caller
-// as it is. A Change must depend on nothing but the value and the order that it
-// stands for: a rejection is final only because no earlier attempt of the same order
-// can have decided otherwise on the same value. Where it may have (an earlier version
-// of the program had other checks), the change returns SealRefusal(err).
+// unchanged. A Change must be a pure function of the value and of the client request
+// that it implements: a rejection is final only because every earlier attempt at the
+// same request was rejected on the same value too. Where an earlier attempt may have
+// been accepted (an earlier version of the program had other checks), the change returns
+// SealRefusal(err).
 type Change func(cur messages.Value) (group []messages.Member, body []byte, err error)
 
-// Request is a request with the member that it is sent to.
+// Request is a request and the member that it is addressed to.
 type Request struct {
 	To   messages.Member
 	Body messages.ConsensusRequest
@@ -27,8 +28,8 @@
 const (
 	InProgress Outcome = iota
 	Chosen             // Value is committed
-	Superseded         // a member knows a newer committed value: Value
-	Preempted          // so many members promised a higher ballot that no quorum is left
+	Superseded         // a member reported a newer committed value: Value
+	Preempted          // too many members promised a higher ballot for a quorum to be reached
 	Rejected           // the change returned an error: Err
 )
 
@@ -49,63 +50,64 @@
 	return "unknown"
 }
 
-// Round is the two phases of Paxos under one ballot. It prepares the version after
-// its base, proposes again what a member may already have accepted there, else what
-// the change computes, and ends once a majority of the old and of the new group has
-// accepted that. It is a pure state machine: responses come in, requests go out.
+// Round runs the two phases of Paxos under one ballot. It prepares the version after
+// its base, proposes the value that a member has already accepted for that version,
+// or else the one that the change computes, and ends once a majority of the old group
+// and one of the new group have accepted it. It is a pure state machine: its inputs are
+// responses and its outputs are requests.
 type Round struct {
 	Part   int
 	Base   messages.Value
 	Ballot messages.Ballot
 	Stamp  string
 	End    Outcome
-	Value  messages.Value // what is proposed, or what Superseded the base
-	Mine   bool           // Value is what the change of this round computed
-	// Err is why the change was rejected: with Rejected, or with Chosen where the
-	// rejection was sealed.
+	Value  messages.Value // the proposed value, or with Superseded the newer committed one
+	Mine   bool           // Value was computed by this round's change
+	// Err is the reason why the change was rejected. It is set with Rejected, and with
+	// Chosen if the rejection was sealed.
 	Err           error
 	HighestBallot messages.Ballot // the highest ballot that preempted this one
 
-	change          Change
-	accepting       bool            // in the accept phase, else in the prepare phase
-	granted         map[string]bool // members that granted the request of this phase
-	preemptedBy     map[string]bool // members that have promised a higher ballot
-	hasAccepted     bool            // a member has reported an accepted value: Value
-	highestAccepted messages.Ballot // the ballot of that value
-	held            messages.Value  // a large value that this node has accepted itself
-	heldReference   messages.Value  // the reference to it
-	holds           map[string]bool // members that have reported held by its reference
-	sealPending     bool            // rejected by a majority's promises, waiting for the other members
+	change                Change
+	accepting             bool            // in the accept phase, else in the prepare phase
+	granted               map[string]bool // members that granted the request of this phase
+	preemptedBy           map[string]bool // members that have promised a higher ballot
+	hasAccepted           bool            // a member has reported an accepted value: Value
+	highestAccepted       messages.Ballot // the ballot of that value
+	localValue            messages.Value  // a large value that this node has accepted itself
+	localReference        messages.Value  // the reference to it
+	membersWithLocalValue map[string]bool // members that reported the same value by its reference
+	sealPending           bool            // the change was rejected after a majority promised; the other members have not all promised yet
 }
 
 // NewRound starts a round on top of a committed value.
-func NewRound(part int, base messages.Value, ballot messages.Ballot, stamp string, change Change) *Round {
+func NewRound(index int, base messages.Value, ballot messages.Ballot, stamp string, change Change) *Round {
 	return &Round{
-		Part: part, Base: base, Ballot: ballot, Stamp: stamp,
-		change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{}, holds: map[string]bool{},
+		Part: index, Base: base, Ballot: ballot, Stamp: stamp,
+		change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{}, membersWithLocalValue: map[string]bool{},
 	}
 }
 
-// Hold tells the round, before its first request, what this node has accepted itself.
-// Members that have accepted the same large value report it, and are sent it, by
-// reference.
+// Hold sets the value that this node has accepted itself, and must be called before the
+// first request is sent. With a large value, members that have accepted the same one
+// report it by reference, and are sent it by reference.
 func (r *Round) Hold(accepted messages.Value) {
 	if isLarge(accepted) && accepted.Version == r.Base.Version+1 {
-		r.held, r.heldReference = accepted, referenceTo(accepted)
+		r.localValue, r.localReference = accepted, referenceTo(accepted)
 	}
 }
 
-// Requests returns the requests of the current phase, one a member.
+// Requests returns the requests of the current phase, one per member.
 func (r *Round) Requests() []Request {
 	var out []Request
-	for _, m := range r.group() {
+	for _, m := range r.participants() {
 		out = append(out, Request{To: m, Body: r.requestFor(m)})
 	}
 	return out
 }
 
-// group is who takes part in the current phase.
-func (r *Round) group() []messages.Member {
+// participants returns the members that requests of the current phase are sent to.
+func (r *Round) participants() []messages.Member {
 	if !r.accepting {
 		return r.Base.Group
 	}
@@ -113,17 +115,18 @@
 }
 
 func (r *Round) requestFor(m messages.Member) messages.ConsensusRequest {
-	request := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot, Value: r.heldReference}
+	request := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot, Value: r.localReference}
 	if r.accepting {
 		request.Step, request.Value = messages.Accept, r.valueFor(m)
 	}
 	return request
 }
 
-// valueFor returns what a member is sent to accept.
+// valueFor returns the value of the accept request to a member: a reference if the
+// member has reported that it has accepted the value.
 func (r *Round) valueFor(m messages.Member) messages.Value {
-	if r.holds[m.ID] {
-		return r.heldReference
+	if r.membersWithLocalValue[m.ID] {
+		return r.localReference
 	}
 	return r.Value
 }
@@ -144,10 +147,10 @@
 	case messages.Behind:
 		return r.catchUp(from)
 	case messages.Outbid:
-		r.preempt(from, response.Promised)
+		r.recordPreemption(from, response.Promised)
 		return nil
 	case messages.Granted:
-		if !r.accepting && !r.resolve(from, &response) {
+		if !r.accepting && !r.resolveReference(from, &response) {
 			return nil
 		}
 		r.granted[from.ID] = true
@@ -160,48 +163,49 @@
 	return nil
 }
 
-// catchUp sends a member the base and then the request of this phase again.
+// catchUp returns the requests for a member that lacks the base: a commit of the base,
+// then the request of this phase again.
 func (r *Round) catchUp(m messages.Member) []Request {
 	commit := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Commit, Slot: r.Base.Version, Value: r.Base}
 	return []Request{{To: m, Body: commit}, {To: m, Body: r.requestFor(m)}}
 }
 
-// preempt records a member that has promised a higher ballot, and ends the round once
-// the others are no majority of the base's group.
-func (r *Round) preempt(from messages.Member, promised messages.Ballot) {
-	if Less(r.HighestBallot, promised) {
+// recordPreemption records a member that has promised a higher ballot, and ends the round once
+// the remaining members are less than a majority of the base's group.
+func (r *Round) recordPreemption(from messages.Member, promised messages.Ballot) {
+	if ballotLess(r.HighestBallot, promised) {
 		r.HighestBallot = promised
 	}
 	r.preemptedBy[from.ID] = true
-	left := 0
+	remaining := 0
 	for _, m := range r.Base.Group {
 		if !r.preemptedBy[m.ID] {
-			left++
+			remaining++
 		}
 	}
-	if left <= len(r.Base.Group)/2 {
+	if remaining <= len(r.Base.Group)/2 {
 		r.End = Preempted
 	}
 }
 
-// resolve puts the held value in place of the reference to it. It returns false for a
-// reference to another value, which nobody sends.
-func (r *Round) resolve(from messages.Member, promise *messages.ConsensusResponse) bool {
+// resolveReference replaces a reference in a promise by the local accepted value. It returns
+// false for a reference to another value, which no correct member sends.
+func (r *Round) resolveReference(from messages.Member, promise *messages.ConsensusResponse) bool {
 	if !promise.HasAccepted || !isReference(promise.Value) {
 		return true
 	}
-	if !isReference(r.heldReference) || !sameReference(promise.Value, r.heldReference) {
+	if !isReference(r.localReference) || !sameReference(promise.Value, r.localReference) {
 		return false
 	}
-	r.holds[from.ID] = true
-	promise.Value = r.held
+	r.membersWithLocalValue[from.ID] = true
+	promise.Value = r.localValue
 	return true
 }
 
-// receivePromise keeps the accepted value with the highest ballot, and goes on to
-// the accept phase once a majority has promised.
+// receivePromise retains the accepted value with the highest ballot, and starts the
+// accept phase once a majority has promised.
 func (r *Round) receivePromise(promise messages.ConsensusResponse) []Request {
-	if promise.HasAccepted && (!r.hasAccepted || Less(r.highestAccepted, promise.AcceptedAt)) {
+	if promise.HasAccepted && (!r.hasAccepted || ballotLess(r.highestAccepted, promise.AcceptedAt)) {
 		r.hasAccepted, r.highestAccepted, r.Value = true, promise.AcceptedAt, promise.Value
 	}
 	if !r.hasQuorum(r.Base.Group) || r.sealPending && !r.hasAccepted {
@@ -219,15 +223,15 @@
 	}
 }
 
-// propose starts the accept phase with the value that a member has accepted, else
-// with what the change computes.
+// propose starts the accept phase with the accepted value that was reported under the
+// highest ballot, or else with the value that the change computes.
 func (r *Round) propose() []Request {
 	if r.hasAccepted {
 		r.Err = nil
 		return r.startAccept()
 	}
 	group, body, err := r.change(r.Base)
-	var sealed *sealedRefusal
+	var sealed *sealedRejection
 	switch {
 	case errors.As(err, &sealed):
 		r.sealPending, r.Err = true, sealed.cause
@@ -247,8 +251,8 @@
 func (r *Round) startAccept() []Request {
 	r.accepting, r.sealPending = true, false
 	r.granted, r.preemptedBy = map[string]bool{}, map[string]bool{}
-	if len(r.holds) > 0 && !sameReference(referenceTo(r.Value), r.heldReference) {
-		clear(r.holds)
+	if len(r.membersWithLocalValue) > 0 && !sameReference(referenceTo(r.Value), r.localReference) {
+		clear(r.membersWithLocalValue)
 	}
 	return r.Requests()
 }
@@ -256,8 +260,8 @@
 // hasQuorum reports whether a majority of a group has granted the current phase.
 func (r *Round) hasQuorum(group []messages.Member) bool { return isMajority(group, r.granted) }
 
-// SealPending reports whether a sealed rejection waits for the members that have not
-// promised yet: one of them may have accepted an earlier attempt.
+// SealPending reports whether a sealed rejection is waiting for members that have not
+// promised yet: one of them may have accepted the value of an earlier attempt.
 func (r *Round) SealPending() bool { return r.End == InProgress && r.sealPending }
 
 // rejectIfAllPromised ends a sealed rejection once every member has promised and
@@ -268,9 +272,9 @@
 	}
 }
 
-// Seal ends the wait for the members that have not promised: the base is proposed
-// again for the next version, so that no earlier attempt can be committed there.
-// Once that is chosen, the rejection stands.
+// Seal ends the wait for the members that have not promised: it proposes the content of
+// the base for the next version, so that no earlier attempt can be committed there. Once
+// that is chosen, the rejection is final.
 func (r *Round) Seal() []Request {
 	if !r.SealPending() {
 		return nil
@@ -280,19 +284,20 @@
 }
 
 // sealStampSuffix makes the stamp of a sealing value differ from that of the change:
-// a later round that meets the sealing value must not take the change for committed.
+// otherwise a later round that finds the sealing value would report the change as
+// committed.
 const sealStampSuffix = "/seal"
 
-// sealedRefusal marks a rejection that needs its version closed.
-type sealedRefusal struct{ cause error }
+// sealedRejection is a rejection that is final only once its version is closed.
+type sealedRejection struct{ cause error }
 
 // Error returns the text of the cause.
-func (s *sealedRefusal) Error() string { return s.cause.Error() }
+func (s *sealedRejection) Error() string { return s.cause.Error() }
 
 // Unwrap returns the cause.
-func (s *sealedRefusal) Unwrap() error { return s.cause }
+func (s *sealedRejection) Unwrap() error { return s.cause }
 
-// SealRefusal marks a rejection that an earlier attempt of the same order may not
-// have met: the round returns it only once no such attempt can be committed at its
-// version.
-func SealRefusal(cause error) error { return &sealedRefusal{cause} }
+// SealRefusal wraps the error of a rejection where an earlier attempt at the same
+// request may have been accepted: the round returns the rejection only once no earlier
+// attempt can be committed at its version.
+func SealRefusal(cause error) error { return &sealedRejection{cause} }
--- a/internal/consensus/stored_files_test.go
+++ b/internal/consensus/stored_files_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// The directory was written by the code of commit b77aa1a.
+// The directory in testdata was written by the code of commit b77aa1a.
 func TestStoreReadsRecordOfCommitB77aa1a(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.CopyFS(dir, os.DirFS("testdata/written-by-b77aa1a")))
@@ -26,9 +26,9 @@
 	}, restored.Records[0])
 }
 
-// The directory was written by the code of commit 611e145: every kind of file that
-// a controller keeps on disk (identity, one record a register, the highest fencing
-// token used, the runner list).
+// The directory in testdata was written by the code of commit 611e145. It has every kind of
+// file that a controller stores on disk: the identity, one record per register, the highest
+// fencing token used, and the runner list.
 func TestStoreReadsEveryKindOfFileOfCommit611e145(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.CopyFS(dir, os.DirFS("testdata/written-by-611e145")))
@@ -46,14 +46,14 @@
 		return messages.Value{Version: version, Group: group[:1], Body: []byte("accepted"), Stamp: "s-accepted"}
 	}
 	ballot := func(n int64, proposer string) messages.Ballot { return messages.Ballot{N: n, Who: proposer} }
-	for part, want := range []messages.Record{
+	for index, want := range []messages.Record{
 		{Committed: committed(10)},
 		{Committed: committed(11)},
 		{Committed: committed(12), Promised: ballot(2, "promised")},
 		{Committed: committed(13), Promised: ballot(3, "promised"), AcceptedAt: ballot(2, "accepted"), Accepted: accepted(14), HasAccepted: true},
 		{Committed: committed(14), Promised: ballot(4, "promised"), AcceptedAt: ballot(3, "accepted"), Accepted: accepted(15), HasAccepted: true},
 	} {
-		must.Eq(t, want, restored.Records[part], must.Sprintf("part %d", part))
+		must.Eq(t, want, restored.Records[index], must.Sprintf("register %d", index))
 	}
 
 	fence, ok := store.Note("acted-2")
