--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -7,8 +7,8 @@
 // the next version and the value that it has accepted there. It is a pure state
 // machine; its driver makes a changed record durable before the response is sent.
 type Acceptor struct {
-	ID  string          // the identity that it votes under
-	Rec messages.Record // the state that must survive a restart
+	ID     string          // the identity that it votes under
+	Record messages.Record // the state that must survive a restart
 }
 
 // ballotLess orders ballots: by number, then by proposer.
@@ -22,11 +22,11 @@
 // Learn merges a committed value and reports whether it is newer than the one in the
 // record. If it is, the promise and the accepted value are discarded.
 func (a *Acceptor) Learn(v messages.Value) bool {
-	hasCommitted := len(a.Rec.Committed.Group) > 0
-	if len(v.Group) == 0 || hasCommitted && v.Version <= a.Rec.Committed.Version {
+	hasCommitted := len(a.Record.Committed.Group) > 0
+	if len(v.Group) == 0 || hasCommitted && v.Version <= a.Record.Committed.Version {
 		return false
 	}
-	a.Rec = messages.Record{Committed: v}
+	a.Record = messages.Record{Committed: v}
 	return true
 }
 
@@ -49,15 +49,15 @@
 // above the requested version, and reports whether a value is accepted and not known to
 // be committed.
 func (a *Acceptor) read(request messages.ConsensusRequest) messages.ConsensusResponse {
-	version := a.Rec.Committed.Version
+	version := a.Record.Committed.Version
 	if request.To != "" && request.To != a.ID {
 		return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}
 	}
-	response := messages.ConsensusResponse{Verdict: messages.Granted, Version: version, HasAccepted: a.Rec.HasAccepted}
-	if len(a.Rec.Committed.Group) == 0 {
+	response := messages.ConsensusResponse{Verdict: messages.Granted, Version: version, HasAccepted: a.Record.HasAccepted}
+	if len(a.Record.Committed.Group) == 0 {
 		response.Verdict = messages.Behind
 	} else if version >= request.Slot {
-		response.Value = a.Rec.Committed
+		response.Value = a.Record.Committed
 	}
 	return response
 }
@@ -65,17 +65,17 @@
 // admit rejects a prepare or accept that is for another identity or another
 // version, or under a lower ballot than the promised one.
 func (a *Acceptor) admit(request messages.ConsensusRequest) (rejection messages.ConsensusResponse, ok bool) {
-	version := a.Rec.Committed.Version
-	hasCommitted := len(a.Rec.Committed.Group) > 0
+	version := a.Record.Committed.Version
+	hasCommitted := len(a.Record.Committed.Group) > 0
 	switch {
 	case request.To != a.ID:
 		return messages.ConsensusResponse{Verdict: messages.Stranger, Version: version}, false
 	case hasCommitted && request.Slot <= version:
-		return messages.ConsensusResponse{Verdict: messages.Ahead, Version: version, Value: a.Rec.Committed}, false
+		return messages.ConsensusResponse{Verdict: messages.Ahead, Version: version, Value: a.Record.Committed}, false
 	case !hasCommitted || request.Slot > version+1:
 		return messages.ConsensusResponse{Verdict: messages.Behind, Version: version}, false
-	case ballotLess(request.Ballot, a.Rec.Promised):
-		return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Rec.Promised}, false
+	case ballotLess(request.Ballot, a.Record.Promised):
+		return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Record.Promised}, false
 	}
 	return messages.ConsensusResponse{}, true
 }
@@ -83,18 +83,18 @@
 // prepare promises a ballot and reports the value accepted under a lower one: by
 // reference, if the proposer has sent the reference to that value.
 func (a *Acceptor) prepare(ballot messages.Ballot, reference messages.Value) (response messages.ConsensusResponse, changed bool) {
-	changed = a.Rec.Promised != ballot
-	a.Rec.Promised = ballot
-	accepted := a.Rec.Accepted
-	if a.Rec.HasAccepted && isReference(reference) && refersTo(reference, accepted) {
+	changed = a.Record.Promised != ballot
+	a.Record.Promised = ballot
+	accepted := a.Record.Accepted
+	if a.Record.HasAccepted && isReference(reference) && refersTo(reference, accepted) {
 		accepted = reference
 	}
 	return messages.ConsensusResponse{
 		Verdict:     messages.Granted,
-		Version:     a.Rec.Committed.Version,
+		Version:     a.Record.Committed.Version,
 		Promised:    ballot,
-		AcceptedAt:  a.Rec.AcceptedAt,
-		HasAccepted: a.Rec.HasAccepted,
+		AcceptedAt:  a.Record.AcceptedAt,
+		HasAccepted: a.Record.HasAccepted,
 		Value:       accepted,
 	}, changed
 }
@@ -103,14 +103,14 @@
 // the value that is accepted already. A reference to another value is rejected with the
 // same verdict as a lower ballot, and changes nothing.
 func (a *Acceptor) accept(ballot messages.Ballot, v messages.Value) (response messages.ConsensusResponse, changed bool) {
-	version := a.Rec.Committed.Version
+	version := a.Record.Committed.Version
 	if isReference(v) {
-		if !a.Rec.HasAccepted || !refersTo(v, a.Rec.Accepted) {
-			return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Rec.Promised}, false
+		if !a.Record.HasAccepted || !refersTo(v, a.Record.Accepted) {
+			return messages.ConsensusResponse{Verdict: messages.Outbid, Version: version, Promised: a.Record.Promised}, false
 		}
-		v = a.Rec.Accepted
+		v = a.Record.Accepted
 	}
-	a.Rec.Promised, a.Rec.AcceptedAt = ballot, ballot
-	a.Rec.Accepted, a.Rec.HasAccepted = v, true
+	a.Record.Promised, a.Record.AcceptedAt = ballot, ballot
+	a.Record.Accepted, a.Record.HasAccepted = v, true
 	return messages.ConsensusResponse{Verdict: messages.Granted, Version: version, Promised: ballot}, true
 }
--- a/internal/consensus/attempt.go
+++ b/internal/consensus/attempt.go
@@ -13,7 +13,7 @@
 // was committed on top of the base when the last of them promised, and the rejection
 // holds for the newest state, even if this node had learned the base long before.
 // Second, a change depends on nothing but the base, so every earlier attempt at the same
-// request was rejected on it too; where that is not certain, SealRefusal closes the
+// request was rejected on it too; where that is not certain, SealRejection closes the
 // version first. Third, a change that is rejected on one value is rejected on every
 // later value.
 type Attempt struct {
@@ -60,12 +60,12 @@
 
 // Finish records a round that has ended or was abandoned, and returns the next action.
 func (a *Attempt) Finish(round *Round) Progress {
-	switch round.End {
+	switch round.Outcome {
 	case Rejected:
 		return Finished
 	case Chosen:
 		a.highestBallot = messages.Ballot{}
-		if round.Mine || round.Err != nil {
+		if round.IsOwnValue || round.Err != nil {
 			return Finished
 		}
 		return NextRound
--- a/internal/consensus/catchup.go
+++ b/internal/consensus/catchup.go
@@ -33,12 +33,12 @@
 	return time.Duration(len(v.Body)) * transferTimePerByte
 }
 
-// Pull catches up with the controller at addr: it fetches and learns the committed value
+// CatchUp catches up with the controller at addr: it fetches and learns the committed value
 // of a register, a small value in one response, a large one in chunks. It does nothing
 // while another catch-up from that address, or a transfer of this register, is in
 // progress. After ErrTransferStalled the chunks received are retained, and the next
 // catch-up, from any controller, resumes after them.
-func (r *Registers) Pull(ctx context.Context, addr string, index int) error {
+func (r *Registers) CatchUp(ctx context.Context, addr string, index int) error {
 	transfers := r.registers[index].transfers
 	if !transfers.startFetch(addr) {
 		return nil
@@ -143,8 +143,8 @@
 	}, nil
 }
 
-// ForgetTransfers frees the encoded values that no node fetches any more.
-func (r *Registers) ForgetTransfers() {
+// ExpireTransfers frees the encoded values that no node fetches any more.
+func (r *Registers) ExpireTransfers() {
 	for _, register := range r.registers {
 		register.transfers.expire(r.uptimeUs())
 	}
--- a/internal/consensus/catchup_test.go
+++ b/internal/consensus/catchup_test.go
@@ -83,7 +83,7 @@
 				a.Learn(0, valueOfSize(version, size))
 			}
 			must.Less(t, 400, attempts, must.Sprintf("seed %d", seed))
-			_ = b.Pull(context.Background(), "a", 0)
+			_ = b.CatchUp(context.Background(), "a", 0)
 		}
 		v, _ := b.Committed(0)
 		must.True(t, bytes.Equal(valueOfSize(v.Version, size).Body, v.Body))
@@ -99,7 +99,7 @@
 	a.Learn(0, valueOfSize(4, 1000))
 	calls := 0
 	b, _, _ := openLaggingNode(t, a, func() bool { calls++; return false })
-	must.NoError(t, b.Pull(context.Background(), "a", 0))
+	must.NoError(t, b.CatchUp(context.Background(), "a", 0))
 	must.Eq(t, 1, calls)
 	v, ok := b.Committed(0)
 	must.True(t, ok)
@@ -126,7 +126,7 @@
 	a.Learn(0, valueOfSize(1, 10))
 	<-store.started
 	b, _, _ := openLaggingNode(t, a, func() bool { return false })
-	must.NoError(t, b.Pull(context.Background(), "a", 0))
+	must.NoError(t, b.CatchUp(context.Background(), "a", 0))
 	_, ok := b.Committed(0)
 	must.True(t, ok)
 	close(store.unblock)
--- a/internal/consensus/change.go
+++ b/internal/consensus/change.go
@@ -35,25 +35,25 @@
 )
 
 // Change runs rounds until the change is committed or rejected, or until ctx ends. It
-// returns the committed value, or the error of the change. After ErrUnsure the change
+// returns the committed value, or the error of the change. After ErrOutcomeUnknown the change
 // may still be committed.
 func (r *Registers) Change(ctx context.Context, index int, change Change) (messages.Value, error) {
 	attempt := NewAttempt(index, r.stampPrefix+randomHex(), change)
 	for retries := 0; ; retries++ {
 		if ctx.Err() != nil {
-			return messages.Value{}, ErrUnsure
+			return messages.Value{}, ErrOutcomeUnknown
 		}
 		base, ok := r.Committed(index)
 		if !ok {
 			return messages.Value{}, ErrNoGroup
 		}
 		round := attempt.Round(base)
-		round.Hold(r.acceptedValue(ctx, index))
+		round.SetLocalValue(r.acceptedValue(ctx, index))
 		start := time.Now()
 		newRoundDriver(r, round).run(ctx)
 		r.counts.RoundDurations.Observe(time.Since(start))
-		r.counts.rounds[round.End].Add(1)
-		switch round.End {
+		r.counts.rounds[round.Outcome].Add(1)
+		switch round.Outcome {
 		case Chosen:
 			r.broadcastCommit(index, round.Value, round.Base.Group)
 		case Superseded:
@@ -169,7 +169,7 @@
 	d.send(ctx, d.round.Requests())
 	accepting := false
 	var sealDue <-chan time.Time
-	for d.round.End == InProgress {
+	for d.round.Outcome == InProgress {
 		if d.round.accepting && !accepting {
 			accepting = true
 			if isLarge(d.round.Value) {
--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -10,7 +10,7 @@
 func (n *clusterNode) persist() {
 	for index := range n.acceptors {
 		if n.acceptors[index].Learn(n.learned[index]) {
-			n.disk[index] = n.acceptors[index].Rec
+			n.disk[index] = n.acceptors[index].Record
 		}
 	}
 }
@@ -20,7 +20,7 @@
 func (c *cluster) crash(node *clusterNode) {
 	node.up = false
 	for index := range node.acceptors {
-		node.acceptors[index].Rec = node.disk[index]
+		node.acceptors[index].Record = node.disk[index]
 		node.learned[index] = node.disk[index].Committed
 	}
 	var remaining []*operation
@@ -95,7 +95,7 @@
 // statusWithout returns the status in which one node is unreachable and all others that
 // are up are ready.
 func (c *cluster) statusWithout(unreachable string, index int) Status {
-	status := Status{GoneUs: 1, GoneFor: func(addr string) int64 {
+	status := Status{UnreachableTimeoutUs: 1, UnreachableFor: func(addr string) int64 {
 		if addr == unreachable {
 			return 1
 		}
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -35,7 +35,7 @@
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
 		group, body, err := apply(cur)
 		if err != nil && converted.Contested(bodyOf(cur)) {
-			return nil, nil, SealRefusal(err)
+			return nil, nil, SealRejection(err)
 		}
 		return group, body, err
 	}
@@ -101,7 +101,7 @@
 	operator := &c.clients[i]
 	switch k := c.rnd.IntN(10); {
 	case k < 2:
-		c.read(i, node, ConfigPart)
+		c.read(i, node, ConfigRegister)
 	case k < 3:
 		c.read(i, node, weightsRegister)
 	case k < 4:
@@ -136,11 +136,11 @@
 	call := history.Call{Kind: history.Replace, Digest: requested.digest, Version: requested.version, Base: requested.base, Disputed: requested.disputed}
 	id := c.hist.Begin(i, call)
 	c.hist.Note("call %d is at %s", id, node.addr)
-	if requested.toRouteConfig(c.strictValidation).AcceptedIn(bodyOf(node.learned[ConfigPart])) {
+	if requested.toRouteConfig(c.strictValidation).AcceptedIn(bodyOf(node.learned[ConfigRegister])) {
 		c.answer(&operation{id: id, client: i}, history.Answer{Verdict: history.Taken})
 		return
 	}
-	c.startChange(&operation{id: id, client: i, node: node, register: ConfigPart}, c.changeFor(requested))
+	c.startChange(&operation{id: id, client: i, node: node, register: ConfigRegister}, c.changeFor(requested))
 }
 
 // read starts a linearizable read at a node.
@@ -173,7 +173,7 @@
 
 // receive updates the client with an answer.
 func (c *client) receive(a history.Answer, op *operation) {
-	if op.register != ConfigPart || a.Verdict == history.Unclear {
+	if op.register != ConfigRegister || a.Verdict == history.Unclear {
 		return
 	}
 	if op.read != nil {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -60,7 +60,7 @@
 	register int
 	attempt  *Attempt
 	round    *Round
-	read     *Reading // nil for a change
+	read     *QuorumRead // nil for a change
 }
 
 // oneIn returns true with probability 1/n.
@@ -80,8 +80,8 @@
 	for _, s := range seeds {
 		node := &clusterNode{addr: s, up: true}
 		for index := range node.acceptors {
-			node.disk[index] = messages.Record{Committed: Genesis(seeds)}
-			node.acceptors[index] = Acceptor{ID: FirstID(s), Rec: node.disk[index]}
+			node.disk[index] = messages.Record{Committed: InitialValue(seeds)}
+			node.acceptors[index] = Acceptor{ID: BootstrapID(s), Record: node.disk[index]}
 			node.learned[index] = node.disk[index].Committed
 		}
 		c.nodes = append(c.nodes, node)
@@ -96,7 +96,7 @@
 // startRead starts a quorum read on the newest committed value that the node has learned.
 func (c *cluster) startRead(op *operation) {
 	op.attempt, op.round = nil, nil
-	op.read = NewReading(op.node.learned[op.register])
+	op.read = NewQuorumRead(op.node.learned[op.register])
 	for _, m := range op.read.Base.Group {
 		request := messages.ConsensusRequest{Part: op.register, To: m.ID, Step: messages.Read, Slot: op.read.Base.Version + 1}
 		c.inFlight = append(c.inFlight, envelope{op: op, exchange: op.read, request: Request{To: m, Body: request}})
@@ -172,14 +172,14 @@
 		return
 	}
 	node.acceptors[index].Learn(node.learned[index])
-	before := node.acceptors[index].Rec
+	before := node.acceptors[index].Record
 	response, changed := node.acceptors[index].Handle(e.request.Body)
 	if changed && c.faultOneIn(15) { // the write fails: no response
-		node.acceptors[index].Rec = before
+		node.acceptors[index].Record = before
 		return
 	}
 	if changed {
-		node.disk[index] = node.acceptors[index].Rec
+		node.disk[index] = node.acceptors[index].Record
 	}
 	if changed && c.faultOneIn(25) { // crash after the write, before the response
 		c.crash(node)
@@ -202,7 +202,7 @@
 	switch e.exchange {
 	case op.round:
 		c.send(op, op.round.Receive(e.request.To, e.request.Body.Step, e.response))
-		if op.round.End != InProgress {
+		if op.round.Outcome != InProgress {
 			c.finishRound(op)
 		}
 	case op.read:
@@ -211,7 +211,7 @@
 		case Current:
 			c.answerRead(op)
 		case Newer:
-			op.node.learn(op.register, op.read.Newer)
+			op.node.learn(op.register, op.read.NewerValue)
 			c.startRead(op)
 		}
 	}
@@ -223,7 +223,7 @@
 // finishRound continues an operation after a round, as Registers.Change does.
 func (c *cluster) finishRound(op *operation) {
 	round := op.round
-	switch round.End {
+	switch round.Outcome {
 	case Chosen:
 		c.recordChosen(op)
 	case Superseded:
--- a/internal/consensus/confirm.go
+++ b/internal/consensus/confirm.go
@@ -45,7 +45,7 @@
 	if err := r.persistLocked(request.Part, *v); err != nil {
 		return messages.ConsensusResponse{}, err
 	}
-	joins := !containsMember(register.acceptor.Rec.Committed.Group, r.id)
+	joins := !containsMember(register.acceptor.Record.Committed.Group, r.id)
 	confirmed := register.durableVersion >= request.Slot && !(joins && r.retired.Load())
 	return messages.ConsensusResponse{Verdict: messages.Granted, Version: register.durableVersion, Durable: confirmed}, nil
 }
--- a/internal/consensus/confirm_test.go
+++ b/internal/consensus/confirm_test.go
@@ -15,7 +15,7 @@
 // openWithUnreachablePeers returns a node whose peers are unreachable.
 func openWithUnreachablePeers(t *testing.T, store Store) *Registers {
 	t.Helper()
-	unreachablePeers := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrUnsure })
+	unreachablePeers := callerFunc(func(context.Context, string, []byte) ([]byte, error) { return nil, ErrOutcomeUnknown })
 	registers, err := Open("d", 1, false, nil, unreachablePeers, store, logr.Discard(), nil)
 	must.NoError(t, err)
 	return registers
@@ -23,7 +23,7 @@
 
 // committedValue returns a value with the group a, b, c.
 func committedValue(version int64) messages.Value {
-	v := Genesis([]string{"a", "b", "c"})
+	v := InitialValue([]string{"a", "b", "c"})
 	v.Version, v.Body, v.Stamp = version, []byte("x"), "s"
 	return v
 }
--- a/internal/consensus/counts.go
+++ b/internal/consensus/counts.go
@@ -36,7 +36,7 @@
 func (c *Counts) Reads() map[string]int64 {
 	out := map[string]int64{}
 	for result := range c.reads {
-		out[Finding(result).String()] = c.reads[result].Load()
+		out[ReadResult(result).String()] = c.reads[result].Load()
 	}
 	return out
 }
--- a/internal/consensus/disk_model_test.go
+++ b/internal/consensus/disk_model_test.go
@@ -38,10 +38,10 @@
 	store             *DiskStore
 	newID             func() string
 	id                string
-	currentVotes      [Parts]int64 // votes of the current process
-	sentVotes         [Parts]int64 // votes that may have been sent
-	identitySent      bool         // the identity may have been sent
-	identityMayChange bool         // a file was damaged, so the identity may change
+	currentVotes      [RegisterCount]int64 // votes of the current process
+	sentVotes         [RegisterCount]int64 // votes that may have been sent
+	identitySent      bool                 // the identity may have been sent
+	identityMayChange bool                 // a file was damaged, so the identity may change
 	serial            int64
 }
 
@@ -73,7 +73,7 @@
 		for index, record := range restored.Records {
 			must.Eq(d.t, messages.Ballot{}, record.Promised, must.Sprintf("register %d: restored a vote of an earlier identity", index))
 		}
-		d.sentVotes = [Parts]int64{}
+		d.sentVotes = [RegisterCount]int64{}
 	}
 	d.id, d.store, d.identityMayChange, d.identitySent = restored.ID, store, false, false
 	for index, record := range restored.Records {
@@ -84,7 +84,7 @@
 
 // step saves a vote, repeats one without a write, or injects a fault.
 func (d *diskModel) step() {
-	index := d.rnd.IntN(Parts)
+	index := d.rnd.IntN(RegisterCount)
 	switch k := d.rnd.IntN(40); {
 	case k < 26:
 		d.serial++
@@ -125,7 +125,7 @@
 func (d *diskModel) corruptFile() {
 	d.disk.Restart()
 	name := identityFile
-	if files, _ := d.store.recordFiles(d.rnd.IntN(Parts)); len(files) > 0 && d.rnd.IntN(4) > 0 {
+	if files, _ := d.store.recordFiles(d.rnd.IntN(RegisterCount)); len(files) > 0 && d.rnd.IntN(4) > 0 {
 		name = files[0].name
 	}
 	d.identityMayChange = d.disk.Damage(name) || d.identityMayChange
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -86,11 +86,11 @@
 		return err
 	}
 	if !empty {
-		if err := d.Keep(identityFile, nil); err != nil {
+		if err := d.WriteFile(identityFile, nil); err != nil {
 			return err
 		}
 	}
-	for index := range Parts {
+	for index := range RegisterCount {
 		if err := d.eraseVotes(index); err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 	if err := d.files.syncDirectory(); err != nil {
 		return err
 	}
-	return d.Keep(identityFile, []byte(id))
+	return d.WriteFile(identityFile, []byte(id))
 }
 
 // eraseVotes saves a register's record without its votes, or removes it if it is damaged.
@@ -130,14 +130,16 @@
 // after a rename that would not survive a loss of power yet.
 func (d *DiskStore) Sync() error { return d.files.syncDirectoryOnce() }
 
-// Note reads a file that Keep has written. It returns false if that is missing or damaged.
-func (d *DiskStore) Note(name string) ([]byte, bool) {
+// ReadFile reads a file that Keep has written. It returns false if that is missing or damaged.
+func (d *DiskStore) ReadFile(name string) ([]byte, bool) {
 	content, err := d.files.read(name)
 	return content, err == nil
 }
 
-// Keep atomically replaces the content of a small file, and returns once it is durable.
-func (d *DiskStore) Keep(name string, content []byte) error { return d.files.replace(name, content) }
+// WriteFile atomically replaces the content of a small file, and returns once it is durable.
+func (d *DiskStore) WriteFile(name string, content []byte) error {
+	return d.files.replace(name, content)
+}
 
 // recordFile is a file with a record of a register.
 type recordFile struct {
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -83,9 +83,9 @@
 func TestDamagedRecordChangesIdentity(t *testing.T) {
 	dir := t.TempDir()
 	store := openTestStore(t, dir)
-	restored, err := Restore(store, FirstID("a"), numberedIDs("a"))
+	restored, err := Restore(store, BootstrapID("a"), numberedIDs("a"))
 	must.NoError(t, err)
-	must.Eq(t, FirstID("a"), restored.ID)
+	must.Eq(t, BootstrapID("a"), restored.ID)
 	for n := range int64(5) {
 		must.NoError(t, store.Save(2, recordWithVote(n+1)))
 		must.NoError(t, store.Save(3, recordWithVote(n+1)))
@@ -100,7 +100,7 @@
 	reopened := openTestStore(t, dir)
 	_, _, err = reopened.Load(2)
 	must.ErrorIs(t, err, ErrDamaged)
-	restored, err = Restore(reopened, FirstID("a"), numberedIDs("a"))
+	restored, err = Restore(reopened, BootstrapID("a"), numberedIDs("a"))
 	must.NoError(t, err)
 	must.Eq(t, []int{2}, restored.Damaged)
 	must.Eq(t, "a/fresh1", restored.ID)
@@ -109,7 +109,7 @@
 	must.Eq(t, messages.Ballot{}, restored.Records[3].Promised)
 	must.NoError(t, reopened.Save(2, recordWithVote(9)))
 
-	restored, err = Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("b"))
+	restored, err = Restore(openTestStore(t, dir), BootstrapID("a"), numberedIDs("b"))
 	must.NoError(t, err)
 	must.Eq(t, "a/fresh1", restored.ID, must.Sprint("the identity must change only once"))
 	must.Eq(t, int64(9), restored.Records[2].Promised.N)
@@ -121,11 +121,11 @@
 	for _, damage := range []func(path string) error{os.Remove, func(path string) error { return os.Truncate(path, 3) }} {
 		dir := t.TempDir()
 		store := openTestStore(t, dir)
-		_, err := Restore(store, FirstID("a"), numberedIDs("a"))
+		_, err := Restore(store, BootstrapID("a"), numberedIDs("a"))
 		must.NoError(t, err)
 		must.NoError(t, store.Save(1, recordWithVote(4)))
 		must.NoError(t, damage(filepath.Join(dir, identityFile)))
-		restored, err := Restore(openTestStore(t, dir), FirstID("a"), numberedIDs("a"))
+		restored, err := Restore(openTestStore(t, dir), BootstrapID("a"), numberedIDs("a"))
 		must.NoError(t, err)
 		must.Eq(t, "a/fresh1", restored.ID)
 		must.Eq(t, messages.Ballot{}, restored.Records[1].Promised)
@@ -161,10 +161,10 @@
 	store := openSimulated(t, d)
 	must.NoError(t, store.ResetIdentity("me"))
 	for n := range int64(2000) {
-		must.NoError(t, store.Save(int(n)%Parts, recordWithVote(n+1)))
+		must.NoError(t, store.Save(int(n)%RegisterCount, recordWithVote(n+1)))
 		names, err := d.List()
 		must.NoError(t, err)
-		must.LessEq(t, Parts+1, len(names))
+		must.LessEq(t, RegisterCount+1, len(names))
 		for _, name := range names {
 			must.False(t, strings.HasSuffix(name, temporarySuffix))
 		}
@@ -181,7 +181,7 @@
 	for range 8 {
 		group.Go(func() {
 			for range 50 {
-				errs <- store.Keep("note", []byte("kept"))
+				errs <- store.WriteFile("note", []byte("kept"))
 			}
 		})
 	}
@@ -189,7 +189,7 @@
 	for range cap(errs) {
 		must.NoError(t, <-errs)
 	}
-	content, ok := store.Note("note")
+	content, ok := store.ReadFile("note")
 	must.True(t, ok)
 	must.Eq(t, "kept", string(content))
 }
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -3,8 +3,8 @@
 import "github.com/pkg/errors"
 
 var (
-	// ErrUnsure means that a change may or may not have been committed.
-	ErrUnsure = errors.New("consensus: no majority answered; the change may or may not have been made")
+	// ErrOutcomeUnknown means that a change may or may not have been committed.
+	ErrOutcomeUnknown = errors.New("consensus: no majority answered; the change may or may not have been made")
 	// ErrNoGroup means that this node has not learned any group yet.
 	ErrNoGroup = errors.New("consensus: no group known yet")
 	// ErrTransferStalled means that the transfer of a value was interrupted. The chunks
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -12,22 +12,22 @@
 
 // Status is a controller's view of the other controllers.
 type Status struct {
-	Ready   []messages.Member            // alive and eligible, with their current identities
-	GoneFor func(addr string) (us int64) // how long a controller has been unreachable, 0 if it is alive
-	GoneUs  int64                        // how long a member must be unreachable to be replaced or removed
+	Ready                []messages.Member            // alive and eligible, with their current identities
+	UnreachableFor       func(addr string) (us int64) // how long a controller has been unreachable, 0 if it is alive
+	UnreachableTimeoutUs int64                        // how long a member must be unreachable to be replaced or removed
 }
 
-// Stand returns the Status for a set of live controllers. Controllers are counted if the
+// NewStatus returns the Status for a set of live controllers. Controllers are counted if the
 // number of them that fail at once is bounded. If any live controller is counted, only
 // counted ones are eligible as members: any number of the others may fail at once, so an
 // uncounted member is treated as unreachable and replaced once a counted controller is
 // ready.
-func Stand(alive []messages.Peer, unreachableFor func(addr string) int64, unreachableTimeoutUs int64) Status {
+func NewStatus(alive []messages.Peer, unreachableFor func(addr string) int64, unreachableTimeoutUs int64) Status {
 	counted := false
 	for _, peer := range alive {
 		counted = counted || peer.Counted
 	}
-	status := Status{GoneUs: unreachableTimeoutUs}
+	status := Status{UnreachableTimeoutUs: unreachableTimeoutUs}
 	uncounted := map[string]bool{}
 	for _, peer := range alive {
 		if counted && !peer.Counted {
@@ -36,7 +36,7 @@
 		}
 		status.Ready = append(status.Ready, messages.Member{ID: peer.MemberID, Addr: peer.Addr})
 	}
-	status.GoneFor = func(addr string) int64 {
+	status.UnreachableFor = func(addr string) int64 {
 		if uncounted[addr] {
 			return unreachableTimeoutUs
 		}
@@ -51,7 +51,7 @@
 // even size without a candidate, removed; a candidate is added, unless the group would
 // stay at an even size for lack of a second candidate.
 func RepairGroup(group []messages.Member, s Status) ([]messages.Member, bool) {
-	candidates := Newcomers(group, s)
+	candidates := Candidates(group, s)
 	if next, wiped := replaceWiped(group, candidates); wiped {
 		return next, true
 	}
@@ -83,7 +83,7 @@
 // that it is to be replaced or removed.
 func firstUnreachable(group []messages.Member, s Status) (int, bool) {
 	for i, m := range group {
-		if s.GoneFor(m.Addr) >= s.GoneUs {
+		if s.UnreachableFor(m.Addr) >= s.UnreachableTimeoutUs {
 			return i, true
 		}
 	}
@@ -103,7 +103,7 @@
 // candidate, and false if there is no candidate. A candidate at the address of a member
 // is that member after the loss of its disk, which only RepairGroup replaces.
 func HandOver(group []messages.Member, self string, s Status) ([]messages.Member, bool) {
-	for _, candidate := range Newcomers(group, s) {
+	for _, candidate := range Candidates(group, s) {
 		if memberAt(group, candidate.Addr).ID != "" {
 			continue
 		}
@@ -116,9 +116,9 @@
 	return nil, false
 }
 
-// Newcomers returns the candidates for membership: the ready controllers that are not
+// Candidates returns the candidates for membership: the ready controllers that are not
 // members, sorted by identity.
-func Newcomers(group []messages.Member, s Status) []messages.Member {
+func Candidates(group []messages.Member, s Status) []messages.Member {
 	var out []messages.Member
 	for _, m := range s.Ready {
 		if m.ID != "" && !containsMember(group, m.ID) {
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -39,13 +39,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			status := Status{
 				Ready: slices.Concat(test.group, test.candidates),
-				GoneFor: func(addr string) int64 {
+				UnreachableFor: func(addr string) int64 {
 					if addr == test.unreachable {
 						return timeoutUs + 1
 					}
 					return 0
 				},
-				GoneUs: timeoutUs,
+				UnreachableTimeoutUs: timeoutUs,
 			}
 			next, changed := RepairGroup(test.group, status)
 			must.Eq(t, test.want != nil, changed)
@@ -58,15 +58,15 @@
 func TestRepairGroupPrefersCountedControllers(t *testing.T) {
 	alive := func(string) int64 { return 0 }
 	peer := func(addr string, counted bool) messages.Peer {
-		return messages.Peer{Addr: addr, MemberID: FirstID(addr), Counted: counted}
+		return messages.Peer{Addr: addr, MemberID: BootstrapID(addr), Counted: counted}
 	}
-	g := Genesis([]string{"a", "b", "x"}).Group
-	next, want := RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("c", true), peer("x", false)}, alive, 10))
+	g := InitialValue([]string{"a", "b", "x"}).Group
+	next, want := RepairGroup(g, NewStatus([]messages.Peer{peer("a", true), peer("b", true), peer("c", true), peer("x", false)}, alive, 10))
 	must.True(t, want)
-	must.True(t, containsMember(next, FirstID("c")))
-	must.False(t, containsMember(next, FirstID("x")))
-	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", true), peer("b", true), peer("x", false)}, alive, 10))
+	must.True(t, containsMember(next, BootstrapID("c")))
+	must.False(t, containsMember(next, BootstrapID("x")))
+	_, want = RepairGroup(g, NewStatus([]messages.Peer{peer("a", true), peer("b", true), peer("x", false)}, alive, 10))
 	must.False(t, want, must.Sprint("there is no counted candidate"))
-	_, want = RepairGroup(g, Stand([]messages.Peer{peer("a", false), peer("b", false), peer("x", false), peer("y", false)}, alive, 10))
+	_, want = RepairGroup(g, NewStatus([]messages.Peer{peer("a", false), peer("b", false), peer("x", false), peer("y", false)}, alive, 10))
 	must.False(t, want, must.Sprint("if none is counted, all are eligible"))
 }
--- a/internal/consensus/handler.go
+++ b/internal/consensus/handler.go
@@ -18,7 +18,7 @@
 	if _, err := request.UnmarshalMsg(body); err != nil {
 		return nil, errors.Wrap(err, "consensus: decode request")
 	}
-	if request.Part < 0 || request.Part >= Parts {
+	if request.Part < 0 || request.Part >= RegisterCount {
 		return nil, errors.New("consensus: handle request: register index out of range")
 	}
 	ctx, cancel := context.WithTimeout(ctx, handleTimeout)
@@ -64,13 +64,13 @@
 	if v := register.committed.Load(); v != nil {
 		register.acceptor.Learn(*v)
 	}
-	before := register.acceptor.Rec
+	before := register.acceptor.Record
 	response, changed := register.acceptor.Handle(request)
 	if !changed {
 		return response, r.store.Sync()
 	}
-	if err := r.saveRecord(request.Part, register.acceptor.Rec); err != nil {
-		register.acceptor.Rec = before
+	if err := r.saveRecord(request.Part, register.acceptor.Record); err != nil {
+		register.acceptor.Record = before
 		return messages.ConsensusResponse{}, err
 	}
 	return response, nil
--- a/internal/consensus/linearizability_test.go
+++ b/internal/consensus/linearizability_test.go
@@ -67,7 +67,7 @@
 			c.drain()
 		}
 	}
-	for _, index := range []int{ConfigPart, weightsRegister} {
+	for _, index := range []int{ConfigRegister, weightsRegister} {
 		if node := c.randomNode(); node != nil {
 			c.read(0, node, index)
 			c.drain()
--- a/internal/consensus/paxos_model_test.go
+++ b/internal/consensus/paxos_model_test.go
@@ -53,8 +53,8 @@
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
 	for _, s := range seeds {
-		record := messages.Record{Committed: Genesis(seeds)}
-		model.nodes[s] = &node{addr: s, acceptor: Acceptor{ID: FirstID(s), Rec: record}, disk: record, up: true, learned: record.Committed}
+		record := messages.Record{Committed: InitialValue(seeds)}
+		model.nodes[s] = &node{addr: s, acceptor: Acceptor{ID: BootstrapID(s), Record: record}, disk: record, up: true, learned: record.Committed}
 	}
 	return model
 }
@@ -79,8 +79,8 @@
 	p.serial++
 	stamp := fmt.Sprintf("s%d", p.serial)
 	round := NewRound(0, n.learned, messages.Ballot{N: int64(1 + p.rnd.IntN(6)), Who: stamp}, stamp, change)
-	if n.acceptor.Rec.HasAccepted {
-		round.Hold(n.acceptor.Rec.Accepted)
+	if n.acceptor.Record.HasAccepted {
+		round.SetLocalValue(n.acceptor.Record.Accepted)
 	}
 	p.rounds = append(p.rounds, round)
 	for _, request := range round.Requests() {
@@ -113,19 +113,19 @@
 		return
 	}
 	n.acceptor.Learn(n.learned)
-	before := n.acceptor.Rec
+	before := n.acceptor.Record
 	response, changed := n.acceptor.Handle(m.request.Body)
 	if changed {
 		switch p.rnd.IntN(12) {
 		case 0: // the write fails: no response
-			n.acceptor.Rec = before
+			n.acceptor.Record = before
 			return
 		case 1: // crash after the write, before the response
-			n.disk = n.acceptor.Rec
+			n.disk = n.acceptor.Record
 			p.crash(n)
 			return
 		}
-		n.disk = n.acceptor.Rec
+		n.disk = n.acceptor.Record
 	}
 	m.reply, m.response = true, response
 	p.inFlight = append(p.inFlight, m)
@@ -137,14 +137,14 @@
 // receiveResponse passes a response to its round. Some nodes learn the value that the
 // round ends with.
 func (p *paxosModel) receiveResponse(m message) {
-	before := m.round.End
+	before := m.round.Outcome
 	for _, request := range m.round.Receive(m.request.To, m.request.Body.Step, m.response) {
 		p.inFlight = append(p.inFlight, message{round: m.round, request: request})
 	}
 	if before != InProgress {
 		return
 	}
-	switch m.round.End {
+	switch m.round.Outcome {
 	case Chosen:
 		p.recordChosen(m.round.Value)
 		p.learnWhere(m.round.Value, func(n *node) bool { return p.rnd.IntN(3) > 0 && n.up })
@@ -165,7 +165,7 @@
 // crash stops a node, which loses the state that is not on disk.
 func (p *paxosModel) crash(n *node) {
 	n.up = false
-	n.acceptor.Rec = n.disk
+	n.acceptor.Record = n.disk
 	n.learned = n.disk.Committed
 }
 
@@ -207,11 +207,11 @@
 		stamp := fmt.Sprintf("final%d", retries)
 		round := NewRound(0, newest, messages.Ballot{N: 1000 + int64(retries), Who: stamp}, stamp, setBody("final"))
 		p.deliverInOrder(round, func(*node) {})
-		switch round.End {
+		switch round.Outcome {
 		case Chosen:
 			p.recordChosen(round.Value)
 			newest = round.Value
-			if round.Mine {
+			if round.IsOwnValue {
 				return newest
 			}
 		case Superseded:
@@ -237,7 +237,7 @@
 // handled a request.
 func (p *paxosModel) deliverInOrder(round *Round, onHandled func(n *node)) {
 	requests := round.Requests()
-	for len(requests) > 0 && round.End == InProgress {
+	for len(requests) > 0 && round.Outcome == InProgress {
 		request := requests[0]
 		requests = requests[1:]
 		n := p.nodes[request.To.Addr]
@@ -330,7 +330,7 @@
 			for _, n := range model.nodes {
 				model.learn(n, last)
 			}
-			group, needed := RepairGroup(last.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+			group, needed := RepairGroup(last.Group, Status{Ready: model.liveMembers(), UnreachableFor: func(string) int64 { return 0 }, UnreachableTimeoutUs: 1})
 			must.True(t, needed)
 			must.True(t, containsMember(group, wipedNode.acceptor.ID))
 			model.changeGroup(last, group)
@@ -371,7 +371,7 @@
 			}
 			for range lost {
 				v := model.nodes[last.Group[0].Addr].learned
-				group, needed := RepairGroup(v.Group, Status{Ready: model.liveMembers(), GoneFor: func(string) int64 { return 0 }, GoneUs: 1})
+				group, needed := RepairGroup(v.Group, Status{Ready: model.liveMembers(), UnreachableFor: func(string) int64 { return 0 }, UnreachableTimeoutUs: 1})
 				must.True(t, needed)
 				model.changeGroup(v, group)
 			}
@@ -410,8 +410,8 @@
 func (p *paxosModel) changeGroup(base messages.Value, group []messages.Member) {
 	change := func(cur messages.Value) ([]messages.Member, []byte, error) { return group, cur.Body, nil }
 	round := NewRound(0, base, messages.Ballot{N: 5000, Who: "group-change"}, "group-change", change)
-	p.deliverInOrder(round, func(n *node) { n.disk = n.acceptor.Rec })
-	must.Eq(p.t, Chosen, round.End)
+	p.deliverInOrder(round, func(n *node) { n.disk = n.acceptor.Record })
+	must.Eq(p.t, Chosen, round.Outcome)
 	p.recordChosen(round.Value)
 	for _, n := range p.nodes {
 		p.learn(n, round.Value)
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -41,12 +41,12 @@
 // value is on disk already. The caller holds the register's recordLock.
 func (r *Registers) persistLocked(index int, v messages.Value) error {
 	register := r.registers[index]
-	before := register.acceptor.Rec
-	if !register.acceptor.Learn(v) && register.durableVersion >= register.acceptor.Rec.Committed.Version {
+	before := register.acceptor.Record
+	if !register.acceptor.Learn(v) && register.durableVersion >= register.acceptor.Record.Committed.Version {
 		return r.store.Sync()
 	}
-	if err := r.saveRecord(index, register.acceptor.Rec); err != nil {
-		register.acceptor.Rec = before
+	if err := r.saveRecord(index, register.acceptor.Record); err != nil {
+		register.acceptor.Record = before
 		return err
 	}
 	return nil
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -21,7 +21,7 @@
 var ErrNoChange = errors.New("consensus: no change")
 
 // Read is a linearizable read: the value that it returns is at least as new as any that
-// was committed when it began. It retries until ctx ends, and then returns ErrUnsure. If
+// was committed when it began. It retries until ctx ends, and then returns ErrOutcomeUnknown. If
 // a value is accepted and may be committed, Read finishes its round first.
 func (r *Registers) Read(ctx context.Context, index int) (messages.Value, error) {
 	waited := false
@@ -35,7 +35,7 @@
 		r.counts.reads[result].Add(1)
 		switch result {
 		case Newer:
-			r.Learn(index, quorumRead.Newer)
+			r.Learn(index, quorumRead.NewerValue)
 			continue
 		case Current:
 			return base, nil
@@ -55,7 +55,7 @@
 		case <-ctx.Done():
 		}
 	}
-	return messages.Value{}, ErrUnsure
+	return messages.Value{}, ErrOutcomeUnknown
 }
 
 // finishAccepted runs a change that has no value of its own: its round commits the value
@@ -70,7 +70,7 @@
 
 // readFromGroup sends a read to each member of the base's group, and returns as soon as
 // further responses can't change the result.
-func (r *Registers) readFromGroup(ctx context.Context, index int, base messages.Value) *Reading {
+func (r *Registers) readFromGroup(ctx context.Context, index int, base messages.Value) *QuorumRead {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	responses := make(chan memberResponse, len(base.Group))
@@ -80,7 +80,7 @@
 			responses <- memberResponse{member: m, response: response, err: err}
 		}()
 	}
-	quorumRead := NewReading(base)
+	quorumRead := NewQuorumRead(base)
 	for range base.Group {
 		if received := <-responses; received.err == nil {
 			quorumRead.Receive(received.member, received.response)
--- a/internal/consensus/reading.go
+++ b/internal/consensus/reading.go
@@ -2,37 +2,37 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Reading is the state of a linearizable read by quorum: the members of the group
+// QuorumRead is the state of a linearizable read by quorum: the members of the group
 // report what they have committed and accepted. If a majority has accepted nothing on
 // top of the base, nothing newer was committed when the read began. It is a pure state
 // machine.
-type Reading struct {
-	Base  messages.Value
-	Newer messages.Value // a newer committed value, if a member reported one
+type QuorumRead struct {
+	Base       messages.Value
+	NewerValue messages.Value // a newer committed value, if a member reported one
 
 	responded  map[string]bool
 	responses  int
 	unaccepted int // members that have accepted nothing on top of the base
 }
 
-// NewReading starts a read on top of the newest committed value that was learned.
-func NewReading(base messages.Value) *Reading {
-	return &Reading{Base: base, responded: map[string]bool{}}
+// NewQuorumRead starts a read on top of the newest committed value that was learned.
+func NewQuorumRead(base messages.Value) *QuorumRead {
+	return &QuorumRead{Base: base, responded: map[string]bool{}}
 }
 
-// Finding is the result of a read.
-type Finding int
+// ReadResult is the result of a read.
+type ReadResult int
 
 // Results of a read.
 const (
-	NoQuorum  Finding = iota // too few members responded
-	Current                  // the base is the newest committed value
-	Newer                    // a member reported a newer one
-	Undecided                // a value is accepted and may be committed: finish its round, then read again
+	NoQuorum  ReadResult = iota // too few members responded
+	Current                     // the base is the newest committed value
+	Newer                       // a member reported a newer one
+	Undecided                   // a value is accepted and may be committed: finish its round, then read again
 )
 
 // String names the result for logs and test failures.
-func (f Finding) String() string {
+func (f ReadResult) String() string {
 	switch f {
 	case NoQuorum:
 		return "no quorum"
@@ -47,15 +47,15 @@
 }
 
 // Receive records a member's response; repeated responses of a member are ignored.
-func (r *Reading) Receive(from messages.Member, response messages.ConsensusResponse) {
+func (r *QuorumRead) Receive(from messages.Member, response messages.ConsensusResponse) {
 	if response.Verdict != messages.Granted || r.responded[from.ID] {
 		return
 	}
 	r.responded[from.ID] = true
 	r.responses++
 	if response.Version > r.Base.Version {
-		if response.Version > r.Newer.Version {
-			r.Newer = response.Value
+		if response.Version > r.NewerValue.Version {
+			r.NewerValue = response.Value
 		}
 		return
 	}
@@ -65,10 +65,10 @@
 }
 
 // Result returns the result of the responses received so far.
-func (r *Reading) Result() Finding {
+func (r *QuorumRead) Result() ReadResult {
 	half := len(r.Base.Group) / 2
 	switch {
-	case len(r.Newer.Group) > 0:
+	case len(r.NewerValue.Group) > 0:
 		return Newer
 	case r.unaccepted > half:
 		return Current
--- a/internal/consensus/reading_test.go
+++ b/internal/consensus/reading_test.go
@@ -11,8 +11,8 @@
 // A repeated response counts once, and a member that has accepted a value does not count
 // towards a current result.
 func TestReadingCountsEachMemberOnce(t *testing.T) {
-	g := Genesis([]string{"a", "b", "c"})
-	quorumRead := NewReading(g)
+	g := InitialValue([]string{"a", "b", "c"})
+	quorumRead := NewQuorumRead(g)
 	clean := messages.ConsensusResponse{Verdict: messages.Granted}
 	quorumRead.Receive(g.Group[0], clean)
 	quorumRead.Receive(g.Group[0], clean)
--- a/internal/consensus/references.go
+++ b/internal/consensus/references.go
@@ -42,7 +42,7 @@
 	if err := register.lock(ctx); err != nil {
 		return messages.ConsensusResponse{}, err
 	}
-	record := register.acceptor.Rec
+	record := register.acceptor.Record
 	register.unlock()
 	if record.HasAccepted && refersTo(request.Value, record.Accepted) {
 		r.Learn(request.Part, record.Accepted)
@@ -58,8 +58,8 @@
 		return messages.Value{}
 	}
 	defer register.unlock()
-	if !register.acceptor.Rec.HasAccepted {
+	if !register.acceptor.Record.HasAccepted {
 		return messages.Value{}
 	}
-	return register.acceptor.Rec.Accepted
+	return register.acceptor.Record.Accepted
 }
--- a/internal/consensus/references_test.go
+++ b/internal/consensus/references_test.go
@@ -14,16 +14,16 @@
 // proposer failed before it sent any commit.
 func acceptorsWithUnfinishedRound(t *testing.T) (base, accepted messages.Value, acceptors map[string]*Acceptor) {
 	t.Helper()
-	base = Genesis([]string{"a", "b", "c"})
+	base = InitialValue([]string{"a", "b", "c"})
 	acceptors = map[string]*Acceptor{}
 	round := NewRound(0, base, messages.Ballot{N: 1, Who: "first"}, "first", setBody(strings.Repeat("x", 8*statesync.ChunkBytes)))
 	for _, m := range base.Group {
-		acceptors[m.ID] = &Acceptor{ID: m.ID, Rec: messages.Record{Committed: base}}
+		acceptors[m.ID] = &Acceptor{ID: m.ID, Record: messages.Record{Committed: base}}
 	}
 	deliverAll(t, round, acceptors)
-	must.Eq(t, Chosen, round.End)
+	must.Eq(t, Chosen, round.Outcome)
 	for _, a := range acceptors {
-		a.Rec = messages.Record{Committed: base, Accepted: round.Value, HasAccepted: true, AcceptedAt: round.Ballot, Promised: round.Ballot}
+		a.Record = messages.Record{Committed: base, Accepted: round.Value, HasAccepted: true, AcceptedAt: round.Ballot, Promised: round.Ballot}
 	}
 	return base, round.Value, acceptors
 }
@@ -33,7 +33,7 @@
 func deliverAll(t *testing.T, round *Round, acceptors map[string]*Acceptor) (total int) {
 	t.Helper()
 	requests := round.Requests()
-	for len(requests) > 0 && round.End == InProgress {
+	for len(requests) > 0 && round.Outcome == InProgress {
 		request := requests[0]
 		requests = requests[1:]
 		response, _ := acceptors[request.To.ID].Handle(request.Body)
@@ -55,15 +55,15 @@
 func TestAcceptedLargeValueIsFinishedByReference(t *testing.T) {
 	base, accepted, acceptors := acceptorsWithUnfinishedRound(t)
 	round := finishingRound(base)
-	round.Hold(accepted)
+	round.SetLocalValue(accepted)
 	bytes := deliverAll(t, round, acceptors)
-	must.Eq(t, Chosen, round.End)
+	must.Eq(t, Chosen, round.Outcome)
 	must.Eq(t, accepted, round.Value)
 	must.Less(t, 4096, bytes)
 	reaccepted := 0
 	for _, a := range acceptors {
-		must.Eq(t, accepted, a.Rec.Accepted)
-		if a.Rec.AcceptedAt == round.Ballot {
+		must.Eq(t, accepted, a.Record.Accepted)
+		if a.Record.AcceptedAt == round.Ballot {
 			reaccepted++
 		}
 	}
@@ -75,7 +75,7 @@
 	base, accepted, acceptors := acceptorsWithUnfinishedRound(t)
 	round := finishingRound(base)
 	deliverAll(t, round, acceptors)
-	must.Eq(t, Chosen, round.End)
+	must.Eq(t, Chosen, round.Outcome)
 	must.Eq(t, accepted, round.Value)
 }
 
@@ -83,17 +83,17 @@
 func TestMemberWithoutAcceptedLargeValueIsSentTheValue(t *testing.T) {
 	base, accepted, acceptors := acceptorsWithUnfinishedRound(t)
 	for id, a := range acceptors {
-		a.Rec = messages.Record{Committed: base}
+		a.Record = messages.Record{Committed: base}
 		if id == base.Group[0].ID {
-			a.Rec.Accepted, a.Rec.HasAccepted, a.Rec.AcceptedAt = accepted, true, messages.Ballot{N: 1, Who: "first"}
+			a.Record.Accepted, a.Record.HasAccepted, a.Record.AcceptedAt = accepted, true, messages.Ballot{N: 1, Who: "first"}
 		}
 	}
 	round := finishingRound(base)
-	round.Hold(accepted)
+	round.SetLocalValue(accepted)
 	deliverAll(t, round, acceptors)
-	must.Eq(t, Chosen, round.End)
+	must.Eq(t, Chosen, round.Outcome)
 	for _, a := range acceptors {
-		must.True(t, !a.Rec.HasAccepted || len(a.Rec.Accepted.Group) == 3, must.Sprint("an acceptor must not store a reference"))
+		must.True(t, !a.Record.HasAccepted || len(a.Record.Accepted.Group) == 3, must.Sprint("an acceptor must not store a reference"))
 	}
 }
 
@@ -102,10 +102,10 @@
 	other := accepted
 	other.Stamp = "other"
 	for _, a := range acceptors {
-		before := a.Rec
+		before := a.Record
 		response, changed := a.Handle(messages.ConsensusRequest{To: a.ID, Step: messages.Accept, Slot: accepted.Version, Ballot: messages.Ballot{N: 9}, Value: referenceTo(other)})
 		must.Eq(t, messages.Outbid, response.Verdict)
 		must.False(t, changed)
-		must.Eq(t, before, a.Rec)
+		must.Eq(t, before, a.Record)
 	}
 }
--- a/internal/consensus/registers.go
+++ b/internal/consensus/registers.go
@@ -14,12 +14,12 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Parts is the number of registers: one for the configuration, and those that services
+// RegisterCount is the number of registers: one for the configuration, and those that services
 // are hashed to.
-const Parts = 5
+const RegisterCount = 5
 
-// ConfigPart is the register that holds the configuration.
-const ConfigPart = 0
+// ConfigRegister is the register that holds the configuration.
+const ConfigRegister = 0
 
 // Caller sends a request to another member and returns the encoded response.
 type Caller interface {
@@ -75,7 +75,7 @@
 	caller      Caller
 	store       Store
 	log         logr.Logger
-	registers   [Parts]*register
+	registers   [RegisterCount]*register
 	onCommit    func(index int, v messages.Value)
 	stampPrefix string // random, the prefix of the stamps of this process's proposals
 	started     time.Time
@@ -86,18 +86,18 @@
 	counts        Counts
 }
 
-// PartOf returns the register that a service is hashed to, by FNV-1a over its name.
-func PartOf(service string) int {
+// RegisterOf returns the register that a service is hashed to, by FNV-1a over its name.
+func RegisterOf(service string) int {
 	const offsetBasis, prime = 2166136261, 16777619
 	hash := uint32(offsetBasis)
 	for i := range len(service) {
 		hash = (hash ^ uint32(service[i])) * prime
 	}
-	return 1 + int(hash%(Parts-1))
+	return 1 + int(hash%(RegisterCount-1))
 }
 
-// FirstID returns the identity of a seed member at its first start.
-func FirstID(addr string) string { return addr + "/0" }
+// BootstrapID returns the identity of a seed member at its first start.
+func BootstrapID(addr string) string { return addr + "/0" }
 
 // randomBytes is the number of random bytes that Random encodes.
 const randomBytes = 6
@@ -109,11 +109,11 @@
 	return hex.EncodeToString(b)
 }
 
-// Genesis returns the value before the first change: version 0 with the seeds as group.
-func Genesis(seeds []string) messages.Value {
+// InitialValue returns the value before the first change: version 0 with the seeds as group.
+func InitialValue(seeds []string) messages.Value {
 	var v messages.Value
 	for _, seed := range seeds {
-		v.Group = append(v.Group, messages.Member{ID: FirstID(seed), Addr: seed})
+		v.Group = append(v.Group, messages.Member{ID: BootstrapID(seed), Addr: seed})
 	}
 	return v
 }
@@ -124,7 +124,7 @@
 func Open(addr string, kind int, bootstrap bool, seeds []string, caller Caller, store Store, log logr.Logger, onCommit func(int, messages.Value)) (*Registers, error) {
 	bootstrapID := ""
 	if bootstrap {
-		bootstrapID = FirstID(addr)
+		bootstrapID = BootstrapID(addr)
 	}
 	restored, err := Restore(store, bootstrapID, func() string { return addr + "/" + randomHex() })
 	if err != nil {
@@ -140,7 +140,7 @@
 	for index := range registers.registers {
 		registers.registers[index] = newRegister()
 	}
-	founder := bootstrap && restored.ID == FirstID(addr)
+	founder := bootstrap && restored.ID == BootstrapID(addr)
 	for index, record := range restored.Records {
 		registers.initRegister(index, record, founder, seeds)
 	}
@@ -157,10 +157,10 @@
 		// All founders may restart before the first change, so each must have the group
 		// on its own disk. A founder whose write fails learns the group from the others;
 		// saveRecord logs the failure.
-		record.Committed = Genesis(seeds)
+		record.Committed = InitialValue(seeds)
 		_ = r.saveRecord(index, record)
 	}
-	register.acceptor = Acceptor{ID: r.id, Rec: record}
+	register.acceptor = Acceptor{ID: r.id, Record: record}
 	if len(record.Committed.Group) > 0 {
 		v := record.Committed
 		register.committed.Store(&v)
@@ -183,7 +183,7 @@
 // Learn merges a committed value and starts writing it to disk in the background. Values
 // that are not newer than the current one are ignored.
 func (r *Registers) Learn(index int, v messages.Value) {
-	if index < 0 || index >= Parts || len(v.Group) == 0 {
+	if index < 0 || index >= RegisterCount || len(v.Group) == 0 {
 		return
 	}
 	register := r.registers[index]
--- a/internal/consensus/registers_test.go
+++ b/internal/consensus/registers_test.go
@@ -91,7 +91,7 @@
 	}
 	nodes.stop("a")
 	nodes.start("d", false)
-	must.NoError(t, nodes.node("d").Pull(ctx, "b", 1))
+	must.NoError(t, nodes.node("d").CatchUp(ctx, "b", 1))
 	members := []string{"d", "b", "c"}
 	var group []messages.Member
 	for _, addr := range members {
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -16,12 +16,12 @@
 
 // RepairView is a controller's view of one register.
 type RepairView struct {
-	Self      string         // own address
-	Base      messages.Value // the newest committed value that this controller has learned
-	Status    Status
-	Contact   bool // a majority of the group is reachable
-	DiskFault bool // this controller's last write to disk failed
-	Leaving   bool // this process is shutting down
+	Self            string         // own address
+	Base            messages.Value // the newest committed value that this controller has learned
+	Status          Status
+	QuorumReachable bool // a majority of the group is reachable
+	DiskFault       bool // this controller's last write to disk failed
+	Leaving         bool // this process is shutting down
 }
 
 // RepairStep is the next action: request confirmations that members have the base on
@@ -58,8 +58,8 @@
 	waitingSinceUs map[string]int64 // by identity: since when a confirmation is outstanding
 }
 
-// Kept records that a member has confirmed that it has a version on disk.
-func (c *RepairCoordinator) Kept(id string, version int64) {
+// RecordConfirmation records that a member has confirmed that it has a version on disk.
+func (c *RepairCoordinator) RecordConfirmation(id string, version int64) {
 	if version == c.version && c.confirmed != nil {
 		c.confirmed[id] = true
 		delete(c.waitingSinceUs, id)
@@ -73,9 +73,9 @@
 	return sameGroup(c.group, group) && (!c.proposedHere || len(c.withoutConfirmed(c.joining)) == 0)
 }
 
-// Awaited returns the identities whose confirmation is outstanding, in no particular
+// PendingConfirmations returns the identities whose confirmation is outstanding, in no particular
 // order.
-func (c *RepairCoordinator) Awaited() []string {
+func (c *RepairCoordinator) PendingConfirmations() []string {
 	var out []string
 	for id := range c.waitingSinceUs {
 		out = append(out, id)
@@ -171,11 +171,11 @@
 		}
 		status.Ready = append(status.Ready, m)
 	}
-	status.GoneFor = func(addr string) int64 {
+	status.UnreachableFor = func(addr string) int64 {
 		if unresponsive[addr] {
-			return status.GoneUs // the member at this address was wiped and has a new identity
+			return status.UnreachableTimeoutUs // the member at this address was wiped and has a new identity
 		}
-		return v.Status.GoneFor(addr)
+		return v.Status.UnreachableFor(addr)
 	}
 	return status
 }
@@ -185,7 +185,7 @@
 // controller with a disk fault ranks after all others; one that is shutting down acts at
 // once.
 func (c *RepairCoordinator) dueUs(v RepairView) (int64, bool) {
-	if !v.Contact {
+	if !v.QuorumReachable {
 		return 0, false
 	}
 	if v.Leaving {
@@ -234,7 +234,7 @@
 		clear(c.waitingSinceUs)
 		return RepairStep{}, false
 	}
-	if !v.Contact {
+	if !v.QuorumReachable {
 		return RepairStep{}, false
 	}
 	var ready []messages.Member
--- a/internal/consensus/repair_model_test.go
+++ b/internal/consensus/repair_model_test.go
@@ -105,13 +105,13 @@
 }
 
 func (r *repairModel) status() Status {
-	s := Status{GoneUs: unreachableTimeoutUs}
+	s := Status{UnreachableTimeoutUs: unreachableTimeoutUs}
 	for _, m := range r.sortedMachines() {
 		if m.up && !m.removed {
 			s.Ready = append(s.Ready, messages.Member{ID: m.acceptor.ID, Addr: m.addr})
 		}
 	}
-	s.GoneFor = func(addr string) int64 {
+	s.UnreachableFor = func(addr string) int64 {
 		m := r.machines[addr]
 		if m == nil || m.up {
 			return 0
@@ -134,7 +134,7 @@
 		}
 	}
 	return RepairView{
-		Self: m.addr, Base: m.learned, Status: r.status(), Contact: reachable > len(m.learned.Group)/2,
+		Self: m.addr, Base: m.learned, Status: r.status(), QuorumReachable: reachable > len(m.learned.Group)/2,
 		DiskFault: m.diskFull, Leaving: m.leaving,
 	}
 }
@@ -180,7 +180,7 @@
 
 func (r *repairModel) persist(m *machine) {
 	m.acceptor.Learn(m.learned)
-	m.disk = m.acceptor.Rec
+	m.disk = m.acceptor.Record
 }
 
 // execute performs a step of a machine's coordinator.
@@ -190,7 +190,7 @@
 	}
 	for _, to := range step.Confirm {
 		if r.rnd.IntN(10) > 0 && r.confirm(m, to) {
-			m.coordinator.Kept(to.ID, m.learned.Version)
+			m.coordinator.RecordConfirmation(to.ID, m.learned.Version)
 		}
 	}
 	if len(step.Propose) == 0 || r.inRound(m) {
@@ -207,7 +207,7 @@
 // inRound reports whether a machine has a round in progress that has not timed out.
 func (r *repairModel) inRound(m *machine) bool {
 	round := r.latestRound[m.addr]
-	return round != nil && round.End == InProgress && r.nowUs-m.roundStartedUs < roundTimeoutUs
+	return round != nil && round.Outcome == InProgress && r.nowUs-m.roundStartedUs < roundTimeoutUs
 }
 
 // propose starts a round at a machine, with a ballot above all earlier ones.
@@ -252,14 +252,14 @@
 		return
 	}
 	to.acceptor.Learn(to.learned)
-	before := to.acceptor.Rec
+	before := to.acceptor.Record
 	response, changed := to.acceptor.Handle(m.request.Body)
 	if changed && to.diskFull {
-		to.acceptor.Rec = before
+		to.acceptor.Record = before
 		return
 	}
 	if changed {
-		to.disk = to.acceptor.Rec
+		to.disk = to.acceptor.Record
 	}
 	r.inFlight = append(r.inFlight, message{round: m.round, request: m.request, reply: true, response: response})
 }
@@ -278,14 +278,14 @@
 // receive passes a response to its round.
 func (r *repairModel) receive(m *machine, msg message) {
 	round := msg.round
-	before := round.End
+	before := round.Outcome
 	for _, request := range round.Receive(msg.request.To, msg.request.Body.Step, msg.response) {
 		r.inFlight = append(r.inFlight, message{round: round, request: request})
 	}
-	if before != InProgress || round.End != Chosen && round.End != Superseded {
+	if before != InProgress || round.Outcome != Chosen && round.Outcome != Superseded {
 		return
 	}
-	if round.End == Chosen {
+	if round.Outcome == Chosen {
 		r.checkJoining(round)
 		r.recordChosen(round.Value)
 	}
@@ -382,7 +382,7 @@
 func (r *repairModel) describe() string {
 	out := fmt.Sprintf("group %v\n", r.newest().Group)
 	for _, m := range r.sortedMachines() {
-		out += fmt.Sprintf("%s up=%t cut=%t full=%t learned=%d record=%d promised=%v\n", m.acceptor.ID, m.up, m.partitioned, m.diskFull, m.learned.Version, m.acceptor.Rec.Committed.Version, m.acceptor.Rec.Promised)
+		out += fmt.Sprintf("%s up=%t cut=%t full=%t learned=%d record=%d promised=%v\n", m.acceptor.ID, m.up, m.partitioned, m.diskFull, m.learned.Version, m.acceptor.Record.Committed.Version, m.acceptor.Record.Promised)
 	}
 	return out
 }
@@ -407,7 +407,7 @@
 	for addr, m := range r.machines {
 		m.up = wasUp[addr]
 		if !m.removed {
-			m.disk = m.acceptor.Rec
+			m.disk = m.acceptor.Record
 			r.learn(m.node, last)
 		}
 	}
--- a/internal/consensus/repair_test.go
+++ b/internal/consensus/repair_test.go
@@ -23,14 +23,14 @@
 // majority never acts, one with a disk fault only after all others, and a change of the
 // group restarts the delay.
 func TestStepIsDelayedByRank(t *testing.T) {
-	g := Genesis([]string{"a", "b", "c"})
+	g := InitialValue([]string{"a", "b", "c"})
 	status := Status{
-		Ready:   []messages.Member{g.Group[0], g.Group[1], {ID: "d/1", Addr: "d"}},
-		GoneFor: func(addr string) int64 { return map[string]int64{"c": unreachableTimeoutUs}[addr] },
-		GoneUs:  unreachableTimeoutUs,
+		Ready:                []messages.Member{g.Group[0], g.Group[1], {ID: "d/1", Addr: "d"}},
+		UnreachableFor:       func(addr string) int64 { return map[string]int64{"c": unreachableTimeoutUs}[addr] },
+		UnreachableTimeoutUs: unreachableTimeoutUs,
 	}
 	view := func(self string) RepairView {
-		return RepairView{Self: self, Base: g, Status: status, Contact: true}
+		return RepairView{Self: self, Base: g, Status: status, QuorumReachable: true}
 	}
 	firstActUs := func(v RepairView) int64 {
 		var c RepairCoordinator
@@ -46,7 +46,7 @@
 	must.Eq(t, 2*RankDelayUs, firstActUs(view("d")))
 	must.Eq(t, -1, firstActUs(view("x")), must.Sprint("not eligible"))
 	v := view("a")
-	v.Contact = false
+	v.QuorumReachable = false
 	must.Eq(t, -1, firstActUs(v))
 	v = view("a")
 	v.DiskFault = true
@@ -62,7 +62,7 @@
 
 	c = RepairCoordinator{}
 	withoutFault := view("a")
-	withoutFault.Status.GoneFor = func(string) int64 { return 0 }
+	withoutFault.Status.UnreachableFor = func(string) int64 { return 0 }
 	_, due = c.Step(1, withoutFault)
 	must.False(t, due)
 	_, due = c.Step(2+MaxStepGapUs, view("a"))
@@ -74,33 +74,33 @@
 // The next change waits, up to a timeout, for the confirmation of the member that joined
 // by the last one.
 func TestNextChangeWaitsForJoiningMember(t *testing.T) {
-	before := Genesis([]string{"a", "b", "c", "d", "e"})
+	before := InitialValue([]string{"a", "b", "c", "d", "e"})
 	after := before
 	after.Version = 1
 	joined, candidate := messages.Member{ID: "d/1", Addr: "d"}, messages.Member{ID: "e/1", Addr: "e"}
 	after.Group = replaceMember(before.Group, 3, &joined)
-	healthy := Status{Ready: before.Group, GoneFor: func(string) int64 { return 0 }, GoneUs: 1}
+	healthy := Status{Ready: before.Group, UnreachableFor: func(string) int64 { return 0 }, UnreachableTimeoutUs: 1}
 	wiped := healthy
 	wiped.Ready = append(append([]messages.Member{}, before.Group[:3]...), joined, candidate)
 	start := func() *RepairCoordinator {
 		c := &RepairCoordinator{}
-		_, due := c.Step(1, RepairView{Self: "a", Base: before, Status: healthy, Contact: true})
+		_, due := c.Step(1, RepairView{Self: "a", Base: before, Status: healthy, QuorumReachable: true})
 		must.False(t, due)
 		return c
 	}
 	step := func(c *RepairCoordinator, nowUs int64) RepairStep {
-		s, due := c.Step(nowUs, RepairView{Self: "a", Base: after, Status: wiped, Contact: true})
+		s, due := c.Step(nowUs, RepairView{Self: "a", Base: after, Status: wiped, QuorumReachable: true})
 		must.True(t, due)
 		return s
 	}
 	c := start()
 	must.SliceNotEmpty(t, step(c, 2).Confirm)
 	for _, id := range []string{"a/0", "b/0", "c/0", "e/1"} {
-		c.Kept(id, 1)
+		c.RecordConfirmation(id, 1)
 	}
 	must.Eq(t, []messages.Member{joined}, step(c, 3).Confirm)
-	must.Eq(t, []string{joined.ID}, c.Awaited())
+	must.Eq(t, []string{joined.ID}, c.PendingConfirmations())
 	must.SliceNotEmpty(t, step(c, 3+ConfirmTimeoutUs).Propose)
-	c.Kept("d/1", 1)
+	c.RecordConfirmation("d/1", 1)
 	must.SliceNotEmpty(t, step(c, 4).Propose)
 }
--- a/internal/consensus/round.go
+++ b/internal/consensus/round.go
@@ -12,7 +12,7 @@
 // that it implements: a rejection is final only because every earlier attempt at the
 // same request was rejected on the same value too. Where an earlier attempt may have
 // been accepted (an earlier version of the program had other checks), the change returns
-// SealRefusal(err).
+// SealRejection(err).
 type Change func(cur messages.Value) (group []messages.Member, body []byte, err error)
 
 // Request is a request and the member that it is addressed to.
@@ -56,13 +56,13 @@
 // and one of the new group have accepted it. It is a pure state machine: its inputs are
 // responses and its outputs are requests.
 type Round struct {
-	Part   int
-	Base   messages.Value
-	Ballot messages.Ballot
-	Stamp  string
-	End    Outcome
-	Value  messages.Value // the proposed value, or with Superseded the newer committed one
-	Mine   bool           // Value was computed by this round's change
+	RegisterIndex int
+	Base          messages.Value
+	Ballot        messages.Ballot
+	Stamp         string
+	Outcome       Outcome
+	Value         messages.Value // the proposed value, or with Superseded the newer committed one
+	IsOwnValue    bool           // Value was computed by this round's change
 	// Err is the reason why the change was rejected. It is set with Rejected, and with
 	// Chosen if the rejection was sealed.
 	Err           error
@@ -83,15 +83,15 @@
 // NewRound starts a round on top of a committed value.
 func NewRound(index int, base messages.Value, ballot messages.Ballot, stamp string, change Change) *Round {
 	return &Round{
-		Part: index, Base: base, Ballot: ballot, Stamp: stamp,
+		RegisterIndex: index, Base: base, Ballot: ballot, Stamp: stamp,
 		change: change, granted: map[string]bool{}, preemptedBy: map[string]bool{}, membersWithLocalValue: map[string]bool{},
 	}
 }
 
-// Hold sets the value that this node has accepted itself, and must be called before the
+// SetLocalValue sets the value that this node has accepted itself, and must be called before the
 // first request is sent. With a large value, members that have accepted the same one
 // report it by reference, and are sent it by reference.
-func (r *Round) Hold(accepted messages.Value) {
+func (r *Round) SetLocalValue(accepted messages.Value) {
 	if isLarge(accepted) && accepted.Version == r.Base.Version+1 {
 		r.localValue, r.localReference = accepted, referenceTo(accepted)
 	}
@@ -115,7 +115,7 @@
 }
 
 func (r *Round) requestFor(m messages.Member) messages.ConsensusRequest {
-	request := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot, Value: r.localReference}
+	request := messages.ConsensusRequest{Part: r.RegisterIndex, To: m.ID, Step: messages.Prepare, Slot: r.Base.Version + 1, Ballot: r.Ballot, Value: r.localReference}
 	if r.accepting {
 		request.Step, request.Value = messages.Accept, r.valueFor(m)
 	}
@@ -135,13 +135,13 @@
 // further requests: those of the next phase, or the committed base for a member that
 // is behind. Responses to the other phase are ignored.
 func (r *Round) Receive(from messages.Member, step messages.Step, response messages.ConsensusResponse) []Request {
-	if r.End != InProgress || (step == messages.Accept) != r.accepting {
+	if r.Outcome != InProgress || (step == messages.Accept) != r.accepting {
 		return nil
 	}
 	switch response.Verdict {
 	case messages.Ahead:
 		if response.Value.Version > r.Base.Version {
-			r.End, r.Value, r.Err = Superseded, response.Value, nil
+			r.Outcome, r.Value, r.Err = Superseded, response.Value, nil
 		}
 		return nil
 	case messages.Behind:
@@ -166,7 +166,7 @@
 // catchUp returns the requests for a member that lacks the base: a commit of the base,
 // then the request of this phase again.
 func (r *Round) catchUp(m messages.Member) []Request {
-	commit := messages.ConsensusRequest{Part: r.Part, To: m.ID, Step: messages.Commit, Slot: r.Base.Version, Value: r.Base}
+	commit := messages.ConsensusRequest{Part: r.RegisterIndex, To: m.ID, Step: messages.Commit, Slot: r.Base.Version, Value: r.Base}
 	return []Request{{To: m, Body: commit}, {To: m, Body: r.requestFor(m)}}
 }
 
@@ -184,7 +184,7 @@
 		}
 	}
 	if remaining <= len(r.Base.Group)/2 {
-		r.End = Preempted
+		r.Outcome = Preempted
 	}
 }
 
@@ -218,8 +218,8 @@
 // finishAccept ends the round once majorities of both groups have accepted.
 func (r *Round) finishAccept() {
 	if r.hasQuorum(r.Base.Group) && r.hasQuorum(r.Value.Group) {
-		r.End = Chosen
-		r.Mine = r.Value.Stamp == r.Stamp
+		r.Outcome = Chosen
+		r.IsOwnValue = r.Value.Stamp == r.Stamp
 	}
 }
 
@@ -238,7 +238,7 @@
 		r.rejectIfAllPromised()
 		return nil
 	case err != nil:
-		r.End, r.Err, r.Value = Rejected, err, r.Base
+		r.Outcome, r.Err, r.Value = Rejected, err, r.Base
 		return nil
 	}
 	if len(group) == 0 {
@@ -262,13 +262,13 @@
 
 // SealPending reports whether a sealed rejection is waiting for members that have not
 // promised yet: one of them may have accepted the value of an earlier attempt.
-func (r *Round) SealPending() bool { return r.End == InProgress && r.sealPending }
+func (r *Round) SealPending() bool { return r.Outcome == InProgress && r.sealPending }
 
 // rejectIfAllPromised ends a sealed rejection once every member has promised and
 // none has accepted a value: then nothing can be committed under a lower ballot.
 func (r *Round) rejectIfAllPromised() {
 	if r.sealPending && !r.hasAccepted && len(r.granted) == len(r.Base.Group) {
-		r.End, r.Value = Rejected, r.Base
+		r.Outcome, r.Value = Rejected, r.Base
 	}
 }
 
@@ -297,7 +297,7 @@
 // Unwrap returns the cause.
 func (s *sealedRejection) Unwrap() error { return s.cause }
 
-// SealRefusal wraps the error of a rejection where an earlier attempt at the same
+// SealRejection wraps the error of a rejection where an earlier attempt at the same
 // request may have been accepted: the round returns the rejection only once no earlier
 // attempt can be committed at its version.
-func SealRefusal(cause error) error { return &sealedRejection{cause} }
+func SealRejection(cause error) error { return &sealedRejection{cause} }
--- a/internal/consensus/round_seal_test.go
+++ b/internal/consensus/round_seal_test.go
@@ -13,16 +13,16 @@
 
 // rejectSealed is a change that is rejected, where other validation may have accepted it.
 func rejectSealed(messages.Value) ([]messages.Member, []byte, error) {
-	return nil, nil, SealRefusal(errStrictValidation)
+	return nil, nil, SealRejection(errStrictValidation)
 }
 
 // acceptorsWithEarlierAttempt returns three acceptors, of which only c has accepted the
 // value of an earlier attempt.
 func acceptorsWithEarlierAttempt() (g messages.Value, acceptors map[string]*Acceptor, earlier *Round) {
-	g = Genesis([]string{"a", "b", "c"})
+	g = InitialValue([]string{"a", "b", "c"})
 	acceptors = map[string]*Acceptor{}
 	for _, m := range g.Group {
-		acceptors[m.Addr] = &Acceptor{ID: m.ID, Rec: messages.Record{Committed: g}}
+		acceptors[m.Addr] = &Acceptor{ID: m.ID, Record: messages.Record{Committed: g}}
 	}
 	earlier = NewRound(0, g, messages.Ballot{N: 1, Who: "lax"}, "lax", setBody("accepted by lax validation"))
 	requests := deliverTo(earlier, acceptors, earlier.Requests(), "a", "b")
@@ -55,8 +55,8 @@
 	must.True(t, round.SealPending(), must.Sprint("c may have accepted an earlier attempt"))
 	requests := round.Seal()
 	deliverTo(round, acceptors, requests, "a", "b")
-	must.Eq(t, Chosen, round.End)
-	must.False(t, round.Mine)
+	must.Eq(t, Chosen, round.Outcome)
+	must.False(t, round.IsOwnValue)
 	must.ErrorIs(t, round.Err, errStrictValidation)
 	must.Eq(t, Finished, NewAttempt(0, "strict", rejectSealed).Finish(round))
 	later := NewRound(0, g, messages.Ballot{N: 3, Who: "later"}, "later", setBody("x"))
@@ -73,7 +73,7 @@
 	deliverTo(round, acceptors, prepare, "a", "b")
 	requests := deliverTo(round, acceptors, prepare, "c")
 	deliverTo(round, acceptors, requests, "a", "c")
-	must.Eq(t, Chosen, round.End)
+	must.Eq(t, Chosen, round.Outcome)
 	must.Eq(t, earlier.Value.Stamp, round.Value.Stamp)
 	must.NoError(t, round.Err)
 	must.Eq(t, NextRound, NewAttempt(0, "strict", rejectSealed).Finish(round), must.Sprint("the change must be computed again"))
@@ -81,13 +81,13 @@
 
 // If every member has promised, no sealing value has to be written.
 func TestSealedRejectionWritesNothingWhenAllPromised(t *testing.T) {
-	g := Genesis([]string{"a", "b", "c"})
+	g := InitialValue([]string{"a", "b", "c"})
 	round := NewRound(0, g, messages.Ballot{N: 2, Who: "strict"}, "strict", rejectSealed)
 	for _, m := range g.Group {
-		must.Eq(t, InProgress, round.End)
+		must.Eq(t, InProgress, round.Outcome)
 		must.SliceEmpty(t, round.Receive(m, messages.Prepare, messages.ConsensusResponse{Verdict: messages.Granted}))
 	}
-	must.Eq(t, Rejected, round.End)
+	must.Eq(t, Rejected, round.Outcome)
 	must.ErrorIs(t, round.Err, errStrictValidation)
 	must.SliceEmpty(t, round.Seal())
 }
--- a/internal/consensus/storage_growth_test.go
+++ b/internal/consensus/storage_growth_test.go
@@ -38,11 +38,11 @@
 		nodes[s] = registers
 	}
 	raw := bytes.Repeat([]byte("r"), 3000)
-	otherRecords := Parts - 1 // records of the other registers
+	otherRecords := RegisterCount - 1 // records of the other registers
 	var acceptSizes []int64
 	for n := range int64(changes) {
 		update := routeconfig.Submission{Raw: append(fmt.Appendf(nil, "%06d", n), raw...), Version: n + 1, Base: n}
-		_, err := nodes["a"].Change(t.Context(), ConfigPart, applySubmission(update))
+		_, err := nodes["a"].Change(t.Context(), ConfigRegister, applySubmission(update))
 		must.NoError(t, err)
 		acceptSizes = append(acceptSizes, acceptBytes.Load())
 		for _, s := range seeds {
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -32,7 +32,7 @@
 // Restored is the state of a member as read from its store at startup.
 type Restored struct {
 	ID      string
-	Records [Parts]messages.Record
+	Records [RegisterCount]messages.Record
 	Damaged []int // registers whose records were damaged
 }
 
--- a/internal/consensus/stored_files_test.go
+++ b/internal/consensus/stored_files_test.go
@@ -56,10 +56,10 @@
 		must.Eq(t, want, restored.Records[index], must.Sprintf("register %d", index))
 	}
 
-	fence, ok := store.Note("acted-2")
+	fence, ok := store.ReadFile("acted-2")
 	must.True(t, ok)
 	must.Eq(t, "17", string(fence))
-	encoded, ok := store.Note("runners")
+	encoded, ok := store.ReadFile("runners")
 	must.True(t, ok)
 	var update messages.News
 	_, err = update.UnmarshalMsg(encoded)
--- a/internal/consensus/unfinished.go
+++ b/internal/consensus/unfinished.go
@@ -4,15 +4,15 @@
 
 package consensus
 
-// Unfinished returns the version for which this member has accepted a value without
+// UnfinishedVersion returns the version for which this member has accepted a value without
 // having learned that it is committed. It returns false if there is none, or while the
 // record is locked. A Read finishes such a round.
-func (r *Registers) Unfinished(index int) (version int64, unfinished bool) {
+func (r *Registers) UnfinishedVersion(index int) (version int64, unfinished bool) {
 	register := r.registers[index]
 	if !register.tryLock() {
 		return 0, false
 	}
-	record := register.acceptor.Rec
+	record := register.acceptor.Record
 	register.unlock()
 	version = record.Committed.Version + 1
 	if committed := register.committed.Load(); committed != nil && committed.Version >= version {
@@ -21,16 +21,16 @@
 	return version, record.HasAccepted
 }
 
-// MayHaveAccepted returns the version for which this member has accepted a value without
+// MaybeAcceptedVersion returns the version for which this member has accepted a value without
 // having learned that it is committed, or for which it may be accepting one now; 0 for
 // none. A later call of Committed returns a value at least as new as the one that this
 // result is based on.
-func (r *Registers) MayHaveAccepted(index int) int64 {
+func (r *Registers) MaybeAcceptedVersion(index int) int64 {
 	register := r.registers[index]
 	if !register.tryLock() {
 		return r.nextVersion(index) // the record is locked, possibly by an accept
 	}
-	record := register.acceptor.Rec
+	record := register.acceptor.Record
 	register.unlock()
 	if !record.HasAccepted {
 		return 0
--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -25,11 +25,11 @@
 }
 
 func (c *Controller) versions() messages.Versions {
-	m := messages.Versions{Parts: make([]int64, consensus.Parts), RegistrySum: c.registry.Snapshot().Sum, Controller: true, StableForUs: c.stability.stableForUs(c.clock()), MemberID: c.registers.ID(), CutOff: c.cutOff(), TargetAges: c.targets.ages(c.clock())}
+	m := messages.Versions{Parts: make([]int64, consensus.RegisterCount), RegistrySum: c.registry.Snapshot().Sum, Controller: true, StableForUs: c.stability.stableForUs(c.clock()), MemberID: c.registers.ID(), CutOff: c.cutOff(), TargetAges: c.targets.ages(c.clock())}
 	m.TimeUs, m.TimeAgreed = c.timeOfDay.TimeUs(c.clock())
 	m.TallyDigest = c.tallies.Digest()
-	m.ConfigAccepted = c.registers.MayHaveAccepted(consensus.ConfigPart)
-	if v, ok := c.registers.Committed(consensus.ConfigPart); ok {
+	m.ConfigAccepted = c.registers.MaybeAcceptedVersion(consensus.ConfigRegister)
+	if v, ok := c.registers.Committed(consensus.ConfigRegister); ok {
 		m.ConfigCommitted, m.ConfigGroup = v.Version, identities(v.Group)
 	}
 	for p := range m.Parts {
@@ -56,7 +56,7 @@
 // The same call asks for heartbeats of runners that are silent here, so that the
 // lease of contact, without which no silence counts, rests on calls that asked.
 func (c *Controller) catchUp(ctx context.Context) {
-	c.registers.ForgetTransfers()
+	c.registers.ExpireTransfers()
 	alive := c.monitor.Alive(messages.Controller)
 	view, core := coreView(alive)
 	c.stability.observe(view, c.clock())
@@ -94,9 +94,9 @@
 	c.targets.observe(m.TargetAges, c.clock())
 	c.timeOfDay.Compare(p.Addr, m, sentUs, c.clock())
 	c.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // the earlier format has none
-	for part := range min(len(m.Parts), consensus.Parts) {
+	for part := range min(len(m.Parts), consensus.RegisterCount) {
 		if m.Parts[part] > mine.Parts[part] {
-			go func() { _ = c.registers.Pull(ctx, p.Addr, part) }()
+			go func() { _ = c.registers.CatchUp(ctx, p.Addr, part) }()
 		}
 	}
 }
--- a/internal/controller/condition.go
+++ b/internal/controller/condition.go
@@ -17,7 +17,7 @@
 	report := messages.Condition{Node: c.set.Node, Role: messages.Controller, Zone: c.set.Zone, Addr: c.transport.Addr(), TimeUs: time.Now().UnixMicro(), MemberID: c.registers.ID(), Versions: c.publishedVersions(), HasDisk: c.disk != nil}
 	report.SaveUs, report.SaveFault = c.registers.LastSave()
 	report.Unconfirmed = c.repairs.Unconfirmed()
-	for p := range consensus.Parts {
+	for p := range consensus.RegisterCount {
 		v, _ := c.registers.Committed(p)
 		report.Groups = append(report.Groups, append([]messages.Member{}, v.Group...))
 	}
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -50,7 +50,7 @@
 // configGroup is the identities of the group that holds the configuration, as far
 // as this node knows.
 func (c *Controller) configGroup() []string {
-	v, _ := c.registers.Committed(consensus.ConfigPart)
+	v, _ := c.registers.Committed(consensus.ConfigRegister)
 	return identities(v.Group)
 }
 
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -45,7 +45,7 @@
 
 // touch gives the controller the lease, as a round trip that has just ended would.
 func touch(d *Controller) {
-	v, _ := d.registers.Committed(consensus.ConfigPart)
+	v, _ := d.registers.Committed(consensus.ConfigRegister)
 	d.contact.answered(v.Group[1].ID, d.clock())
 }
 
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -19,7 +19,7 @@
 	defer stop()
 	earlier := text3(5, "a service that earlier checks let pass")
 	lax := routeconfig.Submission{Raw: []byte(earlier), Version: 5}
-	_, err := d.registers.Change(context.Background(), consensus.ConfigPart, func(cur messages.Value) ([]messages.Member, []byte, error) {
+	_, err := d.registers.Change(context.Background(), consensus.ConfigRegister, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		body, err := messages.DecodeConfigBody(cur)
 		must.NoError(t, err)
 		next, err := lax.Apply(body)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -151,7 +151,7 @@
 		}
 	}
 	c.handleMessages()
-	for part := range consensus.Parts {
+	for part := range consensus.RegisterCount {
 		if value, ok := c.registers.Committed(part); ok && value.Version > 0 {
 			c.onCommitted(part, value)
 		}
@@ -256,7 +256,7 @@
 	set := c.set
 	set.Seeds = *c.seeds.Load()
 	out := set.SeedAddrs()
-	for p := range consensus.Parts {
+	for p := range consensus.RegisterCount {
 		if v, ok := c.registers.Committed(p); ok {
 			for _, m := range v.Group {
 				out = append(out, m.Addr)
@@ -352,7 +352,7 @@
 // readRegisters reads every part once after the start, so that what was agreed
 // on before a loss of power but not known as such is finished.
 func (c *Controller) readRegisters(ctx context.Context) {
-	for p := range consensus.Parts {
+	for p := range consensus.RegisterCount {
 		for ctx.Err() == nil {
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			v, err := c.contactRegisters().Read(cctx, p)
@@ -370,7 +370,7 @@
 	if v.Version == 0 || len(v.Body) == 0 {
 		return
 	}
-	if p == consensus.ConfigPart {
+	if p == consensus.ConfigRegister {
 		var body messages.ConfigBody
 		if _, err := body.UnmarshalMsg(v.Body); err == nil && body.Version > 0 {
 			if m, err := routeconfig.ParseAccepted(body.Raw); err == nil {
@@ -380,7 +380,7 @@
 			}
 		}
 	}
-	if p != consensus.ConfigPart {
+	if p != consensus.ConfigRegister {
 		c.onCommittedRole(p, v)
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -158,7 +158,7 @@
 	kept := messages.News{Runners: []messages.RunnerRecord{d.registry.Snapshot().ByID["i-1"]}}
 	b, err := kept.MarshalMsg(nil)
 	must.NoError(t, err)
-	must.NoError(t, d.disk.Keep(runnersFile, b))
+	must.NoError(t, d.disk.WriteFile(runnersFile, b))
 	id := d.registers.ID()
 	stop()
 
@@ -176,7 +176,7 @@
 	fresh.registry.Sweep(200_000_000, registry.Silence{StaleUs: 1, LostUs: 1}, true)
 	fresh.syncRunners()
 	must.Eq(t, 0, fresh.feed.registry.Len(), must.Sprint("what the registry forgets is told no longer"))
-	keptID, ok := d.disk.Note("identity")
+	keptID, ok := d.disk.ReadFile("identity")
 	must.True(t, ok)
 	must.Eq(t, id, string(keptID))
 	rec, ok, err := d.disk.Load(0)
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -121,8 +121,8 @@
 // versions are those of the published state: a version of a register without a body, or
 // with only another group, is not published.
 func (f *feed) versions() []int64 {
-	out := make([]int64, consensus.Parts)
-	out[consensus.ConfigPart] = f.configuration.Version()
+	out := make([]int64, consensus.RegisterCount)
+	out[consensus.ConfigRegister] = f.configuration.Version()
 	for p, n := range f.parts {
 		out[p] = n.Version
 	}
--- a/internal/controller/grouprepair/hand_over.go
+++ b/internal/controller/grouprepair/hand_over.go
@@ -54,7 +54,7 @@
 // groupMembers returns the identities in the groups of all registers.
 func (r *Repairer) groupMembers() map[string]bool {
 	out := map[string]bool{}
-	for part := range consensus.Parts {
+	for part := range consensus.RegisterCount {
 		v, _ := r.config.Registers.Committed(part)
 		for _, m := range v.Group {
 			out[m.ID] = true
@@ -68,9 +68,9 @@
 // process that has just ended still counts as alive for a while, and one that is about
 // to end itself does not confirm.
 func (r *Repairer) findSuccessors(ctx context.Context) []messages.Peer {
-	base, _ := r.config.Registers.Committed(consensus.ConfigPart)
+	base, _ := r.config.Registers.Committed(consensus.ConfigRegister)
 	alive := r.config.Membership.Alive(messages.Controller)
-	newcomers := consensus.Newcomers(base.Group, consensus.Stand(alive, r.config.Membership.DeadForUs, deadBeforeReplaced.Microseconds()))
+	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, r.config.Membership.DeadForUs, deadBeforeReplaced.Microseconds()))
 	newcomers = newcomers[:min(len(newcomers), maxSuccessors)]
 	confirmed := r.confirmAll(ctx, newcomers, base)
 	members := r.groupMembers()
@@ -92,7 +92,7 @@
 	var asked sync.WaitGroup
 	for i, m := range newcomers {
 		asked.Go(func() {
-			confirmed[i], _ = r.config.Registers.Confirm(ctx, consensus.ConfigPart, m, base)
+			confirmed[i], _ = r.config.Registers.Confirm(ctx, consensus.ConfigRegister, m, base)
 		})
 	}
 	asked.Wait()
@@ -107,7 +107,7 @@
 // and a successor is ready, or whether a change is under way.
 func (r *Repairer) mayHandOver() bool {
 	status := r.status()
-	for part := range consensus.Parts {
+	for part := range consensus.RegisterCount {
 		v, ok := r.config.Registers.Committed(part)
 		if !ok {
 			continue
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(ctx, r.config.HandOver.Flush)
 	defer cancel()
 	var asked sync.WaitGroup
-	for part := range consensus.Parts {
+	for part := range consensus.RegisterCount {
 		v, ok := r.config.Registers.Committed(part)
 		if !ok {
 			continue
--- a/internal/controller/grouprepair/repairer.go
+++ b/internal/controller/grouprepair/repairer.go
@@ -70,7 +70,7 @@
 // Repairer repairs the groups of all registers.
 type Repairer struct {
 	config     Config
-	parts      [consensus.Parts]partRepair
+	parts      [consensus.RegisterCount]partRepair
 	successors atomic.Pointer[[]messages.Peer] // set once this process is about to end
 }
 
@@ -109,7 +109,7 @@
 // the others.
 func (r *Repairer) step(ctx context.Context) {
 	status := r.status()
-	for part := range consensus.Parts {
+	for part := range consensus.RegisterCount {
 		at := &r.parts[part]
 		if !at.busy.CompareAndSwap(false, true) {
 			continue
@@ -132,7 +132,7 @@
 	if successors := r.successors.Load(); successors != nil {
 		alive = *successors
 	}
-	return consensus.Stand(alive, r.config.Membership.DeadForUs, deadBeforeReplaced.Microseconds())
+	return consensus.NewStatus(alive, r.config.Membership.DeadForUs, deadBeforeReplaced.Microseconds())
 }
 
 // repair carries out a step and those that follow from it.
@@ -164,12 +164,12 @@
 	}
 	_, fault := r.config.Registers.LastSave()
 	view := consensus.RepairView{
-		Self:      r.config.Addr,
-		Base:      base,
-		Status:    status,
-		Contact:   r.config.HasContact(base.Group),
-		DiskFault: fault != "",
-		Leaving:   r.successors.Load() != nil,
+		Self:            r.config.Addr,
+		Base:            base,
+		Status:          status,
+		QuorumReachable: r.config.HasContact(base.Group),
+		DiskFault:       fault != "",
+		Leaving:         r.successors.Load() != nil,
 	}
 	at := &r.parts[part]
 	at.mu.Lock()
@@ -212,7 +212,7 @@
 	at := &r.parts[part]
 	at.mu.Lock()
 	defer at.mu.Unlock()
-	at.coordinator.Kept(member.ID, base.Version)
+	at.coordinator.RecordConfirmation(member.ID, base.Version)
 	return true
 }
 
@@ -222,7 +222,7 @@
 	for part := range r.parts {
 		at := &r.parts[part]
 		at.mu.Lock()
-		out = append(out, at.coordinator.Awaited()...)
+		out = append(out, at.coordinator.PendingConfirmations()...)
 		at.mu.Unlock()
 	}
 	slices.Sort(out)
--- a/internal/controller/hand_over_test.go
+++ b/internal/controller/hand_over_test.go
@@ -50,7 +50,7 @@
 // knows them.
 func (f *fellow) groupsWith(id string) int {
 	count := 0
-	for part := range consensus.Parts {
+	for part := range consensus.RegisterCount {
 		v, _ := f.registers.Committed(part)
 		for _, m := range v.Group {
 			if m.ID == id {
@@ -75,18 +75,18 @@
 	}
 	leaver, other, spare := fellows[0], fellows[1], fellows[3]
 	for len(leaver.monitor.Alive(messages.Controller)) < 4 || !leaver.knowsWell(4) {
-		_ = spare.registers.Pull(t.Context(), other.transport.Addr(), 0)
+		_ = spare.registers.CatchUp(t.Context(), other.transport.Addr(), 0)
 	}
 	leaver.stop()
 	must.NoError(t, <-leaver.ended)
-	must.Eq(t, consensus.Parts, spare.groupsWith(spare.registers.ID()))
+	must.Eq(t, consensus.RegisterCount, spare.groupsWith(spare.registers.ID()))
 	must.Eq(t, 0, spare.groupsWith(leaver.registers.ID()))
 	other.stop()
 	must.NoError(t, <-other.ended)
 	for _, p := range other.repairs.Successors() {
 		must.NotEq(t, leaver.transport.Addr(), p.Addr, must.Sprint("one that has ended takes no place"))
 	}
-	must.Eq(t, consensus.Parts, other.groupsWith(other.registers.ID()))
+	must.Eq(t, consensus.RegisterCount, other.groupsWith(other.registers.ID()))
 	for _, f := range fellows[2:] {
 		f.stop()
 		<-f.ended
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -25,19 +25,19 @@
 	counts := c.registers.Counts()
 	return []prometheus.Collector{
 		metrics.Gauge("beechtide_register_version", "Newest committed version of each register that is known here.", []string{"register"}, func(emit metrics.Emit) {
-			for part := range consensus.Parts {
+			for part := range consensus.RegisterCount {
 				v, _ := c.registers.Committed(part)
 				emit(float64(v.Version), strconv.Itoa(part))
 			}
 		}),
 		metrics.Gauge("beechtide_register_unfinished", "1 where this member has accepted a value and does not know whether it is committed.", []string{"register"}, func(emit metrics.Emit) {
-			for part := range consensus.Parts {
-				_, unfinished := c.registers.Unfinished(part)
+			for part := range consensus.RegisterCount {
+				_, unfinished := c.registers.UnfinishedVersion(part)
 				emit(metrics.Bool(unfinished), strconv.Itoa(part))
 			}
 		}),
 		metrics.Gauge("beechtide_config_version", "Version of the configuration: in force as the operator numbers it, and as the register does.", []string{"of"}, func(emit metrics.Emit) {
-			emit(float64(c.publishedVersions()[consensus.ConfigPart]), "register")
+			emit(float64(c.publishedVersions()[consensus.ConfigRegister]), "register")
 			if t := c.table.Load(); t != nil {
 				emit(float64(t.Version), "in_force")
 			}
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -32,7 +32,7 @@
 func (r contactRegisters) Read(ctx context.Context, part int) (messages.Value, error) {
 	begunUs := r.clock()
 	value, err := r.Registers.Read(ctx, part)
-	if err == nil && part == consensus.ConfigPart {
+	if err == nil && part == consensus.ConfigRegister {
 		r.contact.vouched(begunUs)
 	}
 	return value, err
@@ -42,8 +42,8 @@
 func (r contactRegisters) Change(ctx context.Context, part int, change consensus.Change) (messages.Value, error) {
 	begunUs := r.clock()
 	value, err := r.Registers.Change(ctx, part, change)
-	unsure := errors.Is(err, consensus.ErrUnsure) || errors.Is(err, consensus.ErrNoGroup)
-	if !unsure && part == consensus.ConfigPart {
+	unsure := errors.Is(err, consensus.ErrOutcomeUnknown) || errors.Is(err, consensus.ErrNoGroup)
+	if !unsure && part == consensus.ConfigRegister {
 		r.contact.vouched(begunUs)
 	}
 	return value, err
--- a/internal/controller/operatorapi/config.go
+++ b/internal/controller/operatorapi/config.go
@@ -29,7 +29,7 @@
 		httpapi.Reject(rc, 503, "", err.Error())
 		return
 	}
-	v, err := s.config.Registers.Change(ctx, consensus.ConfigPart, func(cur messages.Value) ([]messages.Member, []byte, error) {
+	v, err := s.config.Registers.Change(ctx, consensus.ConfigRegister, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		return applyOrder(cur, order)
 	})
 	var bad *routeconfig.Invalid
@@ -62,7 +62,7 @@
 }
 
 func (s *Service) takenBefore(raw []byte) (version int64, ok bool) {
-	known, ok := s.config.Registers.Committed(consensus.ConfigPart)
+	known, ok := s.config.Registers.Committed(consensus.ConfigRegister)
 	if !ok {
 		return 0, false
 	}
@@ -82,7 +82,7 @@
 	}
 	next, err := order.Apply(body)
 	if err != nil && order.Contested(body) {
-		return nil, nil, consensus.SealRefusal(err)
+		return nil, nil, consensus.SealRejection(err)
 	}
 	if err != nil {
 		return nil, nil, err
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	acknowledged := s.acknowledged.Load()
-	v, err := s.config.Registers.Read(ctx, consensus.ConfigPart)
+	v, err := s.config.Registers.Read(ctx, consensus.ConfigRegister)
 	if err != nil {
 		httpapi.Reject(rc, 503, "", err.Error())
 		return
--- a/internal/controller/operatorapi/evacuations.go
+++ b/internal/controller/operatorapi/evacuations.go
@@ -35,7 +35,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	_, err := s.config.Registers.Change(ctx, consensus.PartOf(zone), func(cur messages.Value) ([]messages.Member, []byte, error) {
+	_, err := s.config.Registers.Change(ctx, consensus.RegisterOf(zone), func(cur messages.Value) ([]messages.Member, []byte, error) {
 		return evacuateZone(cur, zone, evacuated)
 	})
 	if err != nil && !errors.Is(err, consensus.ErrNoChange) {
--- a/internal/controller/operatorapi/invariants.go
+++ b/internal/controller/operatorapi/invariants.go
@@ -19,7 +19,7 @@
 // the register that its round gave.
 func (s *Service) checkAcknowledged(version int64, v messages.Value) {
 	s.acknowledged.Advance(version)
-	if committed, _ := s.config.Registers.Committed(consensus.ConfigPart); committed.Version < v.Version {
+	if committed, _ := s.config.Registers.Committed(consensus.ConfigRegister); committed.Version < v.Version {
 		acknowledgedIsCommitted.Violated("version", version, "register", v.Version, "committed", committed.Version)
 	}
 }
--- a/internal/controller/operatorapi/retired.go
+++ b/internal/controller/operatorapi/retired.go
@@ -15,7 +15,7 @@
 // by a majority's read. The error says that there was none.
 func (s *Service) checkRetired(ctx context.Context, order *routeconfig.Submission) error {
 	for i, r := range order.Retired {
-		v, err := s.config.Registers.Read(ctx, consensus.PartOf(r.Model))
+		v, err := s.config.Registers.Read(ctx, consensus.RegisterOf(r.Model))
 		if err != nil {
 			return err
 		}
--- a/internal/controller/operatorapi/rollouts.go
+++ b/internal/controller/operatorapi/rollouts.go
@@ -28,7 +28,7 @@
 		httpapi.Reject(rc, 404, "service", "no such service")
 		return
 	}
-	_, err := s.config.Registers.Change(ctx, consensus.PartOf(order.Service), func(cur messages.Value) ([]messages.Member, []byte, error) {
+	_, err := s.config.Registers.Change(ctx, consensus.RegisterOf(order.Service), func(cur messages.Value) ([]messages.Member, []byte, error) {
 		return s.applyRollout(cur, order)
 	})
 	switch {
@@ -59,7 +59,7 @@
 	next, changed, err := canary.Begin(body.Rollouts, wanted, s.config.Exposure, timeUs)
 	switch {
 	case err != nil:
-		return nil, nil, consensus.SealRefusal(err)
+		return nil, nil, consensus.SealRejection(err)
 	case !changed:
 		return nil, nil, consensus.ErrNoChange
 	}
@@ -73,7 +73,7 @@
 	service := rc.Param("service")
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	v, err := s.config.Registers.Read(ctx, consensus.PartOf(service))
+	v, err := s.config.Registers.Read(ctx, consensus.RegisterOf(service))
 	if err != nil {
 		httpapi.Reject(rc, 503, "", err.Error())
 		return
--- a/internal/controller/operatorapi/weights.go
+++ b/internal/controller/operatorapi/weights.go
@@ -25,7 +25,7 @@
 		rc.JSON(200, w)
 		return
 	}
-	part, holder := consensus.PartOf(w.Model), s.config.Registers.ID()
+	part, holder := consensus.RegisterOf(w.Model), s.config.Registers.ID()
 	if s.config.Weights.FenceFloor(part) > 0 {
 		holder = "" // the duty is acquired with a fence above the floor
 	}
--- a/internal/controller/platform/client.go
+++ b/internal/controller/platform/client.go
@@ -62,7 +62,7 @@
 	answers [answerCount]atomic.Int64
 
 	mu   sync.Mutex // guards what follows
-	last [consensus.Parts]LastCall
+	last [consensus.RegisterCount]LastCall
 }
 
 // New returns a client.
--- a/internal/controller/publish_test.go
+++ b/internal/controller/publish_test.go
@@ -27,10 +27,10 @@
 		newest := (round + 1) * atOnce
 		for i := range int64(atOnce) {
 			v := value(newest - i)
-			wait.Go(func() { d.onCommitted(consensus.ConfigPart, v) })
+			wait.Go(func() { d.onCommitted(consensus.ConfigRegister, v) })
 		}
 		wait.Wait()
 		must.Eq(t, newest, d.table.Load().Version)
-		must.Eq(t, newest, d.publishedVersions()[consensus.ConfigPart])
+		must.Eq(t, newest, d.publishedVersions()[consensus.ConfigRegister])
 	}
 }
--- a/internal/controller/quota_group.go
+++ b/internal/controller/quota_group.go
@@ -24,7 +24,7 @@
 // quotaGroup returns the members of the configuration's register, who vote for the owners of
 // counts.
 func quotaGroup(registers *consensus.Registers) quota.Group {
-	value, _ := registers.Committed(consensus.ConfigPart)
+	value, _ := registers.Committed(consensus.ConfigRegister)
 	group := quota.Group{Version: value.Version}
 	for _, member := range value.Group {
 		group.Members = append(group.Members, member.Addr)
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -26,7 +26,7 @@
 
 // configMembers returns the addresses of the members of the configuration's register.
 func (c *Controller) configMembers() []string {
-	value, _ := c.registers.Committed(consensus.ConfigPart)
+	value, _ := c.registers.Committed(consensus.ConfigRegister)
 	var addrs []string
 	for _, member := range value.Group {
 		addrs = append(addrs, member.Addr)
--- a/internal/controller/rollouts_test.go
+++ b/internal/controller/rollouts_test.go
@@ -14,7 +14,7 @@
 )
 
 // otherShard is a register that a model does not belong to.
-func otherShard(model string) int { return 1 + consensus.PartOf(model)%(consensus.Parts-1) }
+func otherShard(model string) int { return 1 + consensus.RegisterOf(model)%(consensus.RegisterCount-1) }
 
 // commit has a controller learn a register's value.
 func commit(t *testing.T, d *Controller, part int, version int64, body messages.LeaseBody) {
@@ -33,7 +33,7 @@
 func TestTargetInAnotherRegisterIsHonoured(t *testing.T) {
 	d, _ := alone(t)
 	const model = "m-1"
-	home, other := consensus.PartOf(model), otherShard(model)
+	home, other := consensus.RegisterOf(model), otherShard(model)
 	commit(t, d, other, 5, messages.LeaseBody{Lease: messages.Lease{Holder: "x/0", Fence: 7}, Targets: []messages.Target{{Model: model, Version: 4}}})
 	must.Eq(t, int64(4), d.rollouts.Newest(model))
 	must.Eq(t, int64(7), d.rollouts.FenceFloor(home))
@@ -54,13 +54,13 @@
 	named := func(model string, version int64) {
 		status, _ := call(t, "POST", url+"/api/version-put", fmt.Sprintf(`{"model":%q,"version":%d}`, model, version), 0)
 		must.Eq(t, 200, status)
-		for part := 1; part < consensus.Parts; part++ {
+		for part := 1; part < consensus.RegisterCount; part++ {
 			v, _ := d.registers.Committed(part)
 			body, err := messages.DecodeLeaseBody(v)
 			must.NoError(t, err)
 			for _, target := range body.Targets {
 				if target.Model == model {
-					must.Eq(t, consensus.PartOf(model), part)
+					must.Eq(t, consensus.RegisterOf(model), part)
 					must.Eq(t, version, target.Version)
 				}
 			}
--- a/internal/controller/runnerreader/cache_reader_test.go
+++ b/internal/controller/runnerreader/cache_reader_test.go
@@ -121,7 +121,7 @@
 		earlier.Run(ctx)
 		close(saved)
 	}()
-	for _, ok := disk.Note(sharedKeysFile); !ok; _, ok = disk.Note(sharedKeysFile) {
+	for _, ok := disk.ReadFile(sharedKeysFile); !ok; _, ok = disk.ReadFile(sharedKeysFile) {
 		runtime.Gosched()
 	}
 	stop()
@@ -131,7 +131,7 @@
 	must.True(t, later.sharedKeys.Has(7))
 	must.False(t, later.sharedKeys.Has(8))
 
-	must.NoError(t, disk.Keep(sharedKeysFile, []byte("no record")))
+	must.NoError(t, disk.WriteFile(sharedKeysFile, []byte("no record")))
 	damaged := newTestReaders(t, disk)
 	must.False(t, damaged.sharedKeys.Has(7))
 }
--- a/internal/controller/runnerreader/readers.go
+++ b/internal/controller/runnerreader/readers.go
@@ -39,8 +39,8 @@
 
 // Notes are small durable files (consensus.DiskStore).
 type Notes interface {
-	Note(name string) ([]byte, bool)
-	Keep(name string, content []byte) error
+	ReadFile(name string) ([]byte, bool)
+	WriteFile(name string, content []byte) error
 }
 
 // Config is what Readers are given. All fields but Notes are required.
--- a/internal/controller/runnerreader/shared_keys.go
+++ b/internal/controller/runnerreader/shared_keys.go
@@ -22,7 +22,7 @@
 	if r.config.Notes == nil {
 		return
 	}
-	record, ok := r.config.Notes.Note(sharedKeysFile)
+	record, ok := r.config.Notes.ReadFile(sharedKeysFile)
 	if !ok {
 		return
 	}
@@ -45,7 +45,7 @@
 		}
 		record := r.sharedKeys.Record()
 		r.mu.Unlock()
-		err := r.config.Notes.Keep(sharedKeysFile, record)
+		err := r.config.Notes.WriteFile(sharedKeysFile, record)
 		unsaved = err != nil
 		if err != nil {
 			r.config.Log.Info("keys of shared parts not saved", "err", err)
--- a/internal/controller/saved_runners.go
+++ b/internal/controller/saved_runners.go
@@ -16,7 +16,7 @@
 const runnersFile = "runners"
 
 func (c *Controller) restoreRunners() {
-	b, ok := c.disk.Note(runnersFile)
+	b, ok := c.disk.ReadFile(runnersFile)
 	if !ok {
 		return
 	}
@@ -46,7 +46,7 @@
 		if err != nil {
 			return
 		}
-		if err := c.disk.Keep(runnersFile, b); err != nil {
+		if err := c.disk.WriteFile(runnersFile, b); err != nil {
 			c.log.Info("runners not kept", "err", err)
 			return
 		}
--- a/internal/controller/scaling/scaler.go
+++ b/internal/controller/scaling/scaler.go
@@ -31,7 +31,7 @@
 const Duty = "scaling"
 
 // Part is the register with the lease and the orders.
-var Part = consensus.PartOf("platform/scaling")
+var Part = consensus.RegisterOf("platform/scaling")
 
 // Times of scaling, in microseconds.
 const (
--- a/internal/controller/service_rollouts_test.go
+++ b/internal/controller/service_rollouts_test.go
@@ -22,7 +22,7 @@
 
 // rolloutOf is the newest rollout of a service that a controller knows.
 func rolloutOf(d *Controller, service string) messages.ServiceRollout {
-	v, _ := d.registers.Committed(consensus.PartOf(service))
+	v, _ := d.registers.Committed(consensus.RegisterOf(service))
 	body, err := messages.DecodeLeaseBody(v)
 	if err != nil {
 		return messages.ServiceRollout{}
--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -54,8 +54,8 @@
 
 // Notes are small durable files (consensus.DiskStore).
 type Notes interface {
-	Note(name string) ([]byte, bool)
-	Keep(name string, content []byte) error
+	ReadFile(name string) ([]byte, bool)
+	WriteFile(name string, content []byte) error
 }
 
 // Config is what Leases are given. All fields but Notes are required.
@@ -110,7 +110,7 @@
 		used:    map[int]int64{},
 	}
 	times := lease.Times{LeaseUs: config.LeaseUs, ActUs: ActUs, InFlightUs: spareUs}
-	for part := 1; part < consensus.Parts; part++ {
+	for part := 1; part < consensus.RegisterCount; part++ {
 		l.roles[part] = lease.NewRole(times)
 	}
 	return l, nil
--- a/internal/controller/singleton/runner.go
+++ b/internal/controller/singleton/runner.go
@@ -41,7 +41,7 @@
 
 // Step takes the next steps of each register's lease and tasks.
 func (r *Runner) Step(ctx context.Context) {
-	for part := 1; part < consensus.Parts; part++ {
+	for part := 1; part < consensus.RegisterCount; part++ {
 		r.stepPart(ctx, part)
 	}
 }
@@ -87,7 +87,7 @@
 
 // CommittedBodies calls visit with the committed body of each register that has a lease.
 func CommittedBodies(registers Registers, visit func(part int, body messages.LeaseBody)) {
-	for part := 1; part < consensus.Parts; part++ {
+	for part := 1; part < consensus.RegisterCount; part++ {
 		value, ok := registers.Committed(part)
 		if !ok {
 			continue
--- a/internal/controller/singleton/used_fences.go
+++ b/internal/controller/singleton/used_fences.go
@@ -31,7 +31,7 @@
 
 // keepFence writes the note. A note that is missing costs a later process a wait.
 func (l *Leases) keepFence(part int, fence int64) {
-	if err := l.config.Notes.Keep(usedFenceFile(part), strconv.AppendInt(nil, fence, 10)); err != nil {
+	if err := l.config.Notes.WriteFile(usedFenceFile(part), strconv.AppendInt(nil, fence, 10)); err != nil {
 		l.config.Log.V(1).Info("fence not noted on disk", "part", part, "fence", fence, "err", err)
 	}
 }
@@ -45,7 +45,7 @@
 	if used || l.config.Notes == nil {
 		return used
 	}
-	note, ok := l.config.Notes.Note(usedFenceFile(part))
+	note, ok := l.config.Notes.ReadFile(usedFenceFile(part))
 	return ok && string(note) == strconv.FormatInt(fence, 10)
 }
 
--- a/internal/controller/singleton/used_fences_test.go
+++ b/internal/controller/singleton/used_fences_test.go
@@ -18,7 +18,7 @@
 	must.False(t, first.usedFence(2, 7))
 	first.RecordFenceUsed(2, 7)
 	must.True(t, first.usedFence(2, 7))
-	for _, ok := store.Note(usedFenceFile(2)); !ok; _, ok = store.Note(usedFenceFile(2)) {
+	for _, ok := store.ReadFile(usedFenceFile(2)); !ok; _, ok = store.ReadFile(usedFenceFile(2)) {
 		runtime.Gosched()
 	}
 	second := process()
--- a/internal/controller/stored_data_test.go
+++ b/internal/controller/stored_data_test.go
@@ -30,7 +30,7 @@
 func storedBodies(t *testing.T, disk *consensus.DiskStore) []messages.LeaseBody {
 	t.Helper()
 	var bodies []messages.LeaseBody
-	for part := 1; part < consensus.Parts; part++ {
+	for part := 1; part < consensus.RegisterCount; part++ {
 		record, ok, err := disk.Load(part)
 		must.NoError(t, err)
 		must.True(t, ok)
@@ -44,10 +44,10 @@
 func TestRecordsOfAnEarlierVersionAreRead(t *testing.T) {
 	disk, err := consensus.NewDiskStore(filepath.Join(storedByEarlierVersion(t), "ledger"))
 	must.NoError(t, err)
-	identity, ok := disk.Note("identity")
+	identity, ok := disk.ReadFile("identity")
 	must.True(t, ok)
 	must.Eq(t, "127.0.0.1:17641/0", string(identity))
-	record, ok, err := disk.Load(consensus.ConfigPart)
+	record, ok, err := disk.Load(consensus.ConfigRegister)
 	must.NoError(t, err)
 	must.True(t, ok)
 	config, err := messages.DecodeConfigBody(record.Committed)
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -113,7 +113,7 @@
 		h.Loads.Epoch, h.Loads.Version = l.Cursor()
 	}
 	f.mu.Unlock()
-	for range consensus.Parts {
+	for range consensus.RegisterCount {
 		h.Parts = append(h.Parts, never)
 	}
 	h.Cached = c.readers.Cursors()
@@ -129,7 +129,7 @@
 	mine := c.publishedVersions()
 	for p, v := range versions {
 		if p < len(mine) && v > mine[p] {
-			go func() { _ = c.registers.Pull(context.Background(), addr, p) }()
+			go func() { _ = c.registers.CatchUp(context.Background(), addr, p) }()
 		}
 	}
 }
--- a/internal/controller/unfinished.go
+++ b/internal/controller/unfinished.go
@@ -24,7 +24,7 @@
 )
 
 // unfinishedRounds remembers since when the round of each register is unfinished.
-type unfinishedRounds [consensus.Parts]struct {
+type unfinishedRounds [consensus.RegisterCount]struct {
 	slot  int64
 	dueUs int64
 }
@@ -44,8 +44,8 @@
 func (c *Controller) finishRounds(ctx context.Context) {
 	var rounds unfinishedRounds
 	loop.Every(ctx, unfinishedPeriod, func() {
-		for part := range consensus.Parts {
-			slot, unfinished := c.registers.Unfinished(part)
+		for part := range consensus.RegisterCount {
+			slot, unfinished := c.registers.UnfinishedVersion(part)
 			if !unfinished {
 				rounds[part].slot = 0
 				continue
--- a/internal/controller/unfinished_test.go
+++ b/internal/controller/unfinished_test.go
@@ -31,7 +31,7 @@
 		status, _ := call(t, "GET", url+"/api/Config.Read", "", 0)
 		return status == 404
 	})
-	base, ok := nodes[0].registers.Committed(consensus.ConfigPart)
+	base, ok := nodes[0].registers.Committed(consensus.ConfigRegister)
 	must.True(t, ok)
 	order := messages.ConfigBody{Version: 3, Raw: []byte(`{"version":3,"routes":[],"services":[]}`)}
 	body, err := order.MarshalMsg(nil)
@@ -40,11 +40,11 @@
 	ballot := messages.Ballot{N: 1 << 40, Who: "ended"}
 	for _, d := range nodes {
 		for _, step := range []messages.Step{messages.Prepare, messages.Accept} {
-			grants(t, d, messages.ConsensusRequest{Part: consensus.ConfigPart, Step: step, Slot: next.Version, Ballot: ballot, Value: next})
+			grants(t, d, messages.ConsensusRequest{Part: consensus.ConfigRegister, Step: step, Slot: next.Version, Ballot: ballot, Value: next})
 		}
 	}
 	for _, d := range nodes {
-		until(t, func() bool { return d.publishedVersions()[consensus.ConfigPart] == next.Version })
+		until(t, func() bool { return d.publishedVersions()[consensus.ConfigRegister] == next.Version })
 		must.Eq(t, order.Version, d.table.Load().Version)
 	}
 }
--- a/internal/controller/usagereport/reporter.go
+++ b/internal/controller/usagereport/reporter.go
@@ -29,7 +29,7 @@
 const Duty = "metering"
 
 // Part is the register with the lease and the ledger of usage.
-var Part = consensus.PartOf("platform/usage")
+var Part = consensus.RegisterOf("platform/usage")
 
 // Periods and waits of collecting.
 const (
@@ -126,7 +126,7 @@
 	if r.config.Notes == nil {
 		return
 	}
-	encoded, ok := r.config.Notes.Note(rowsFile)
+	encoded, ok := r.config.Notes.ReadFile(rowsFile)
 	if !ok {
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 	encoded, err := rows.MarshalMsg(nil)
 	if err == nil {
-		err = r.config.Notes.Keep(rowsFile, encoded)
+		err = r.config.Notes.WriteFile(rowsFile, encoded)
 	}
 	if err != nil {
 		r.config.Log.Info("usage not saved", "err", err)
--- a/internal/controller/weightrollout/driver.go
+++ b/internal/controller/weightrollout/driver.go
@@ -82,7 +82,7 @@
 		shards:  map[int]*rollout.Shard{},
 		polling: map[string]bool{},
 	}
-	for part := 1; part < consensus.Parts; part++ {
+	for part := 1; part < consensus.RegisterCount; part++ {
 		d.shards[part] = rollout.NewShard(d.boundUs)
 	}
 	return d, nil
@@ -119,7 +119,7 @@
 			return
 		}
 		for _, target := range body.Targets {
-			if consensus.PartOf(target.Model) == part {
+			if consensus.RegisterOf(target.Model) == part {
 				floor = max(floor, body.Lease.Fence)
 			}
 		}
@@ -142,7 +142,7 @@
 
 // Unfinished reports whether any model has runners to be brought to a named version.
 func (d *Driver) Unfinished() bool {
-	for part := 1; part < consensus.Parts; part++ {
+	for part := 1; part < consensus.RegisterCount; part++ {
 		if rollout.Unfinished(d.Models(part)) {
 			return true
 		}
@@ -154,7 +154,7 @@
 func (d *Driver) Models(part int) []rollout.Model {
 	var out []rollout.Model
 	for _, name := range d.config.Targets.Models() {
-		if consensus.PartOf(name) != part {
+		if consensus.RegisterOf(name) != part {
 			continue
 		}
 		out = append(out, rollout.Model{
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -188,13 +188,13 @@
 // heardOf records the versions of the registers that another node has; mine are those
 // of this node.
 func (l *configLag) heardOf(mine, theirs []int64, nowUs int64) {
-	if len(mine) <= consensus.ConfigPart || len(theirs) <= consensus.ConfigPart {
+	if len(mine) <= consensus.ConfigRegister || len(theirs) <= consensus.ConfigRegister {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if theirs[consensus.ConfigPart] > mine[consensus.ConfigPart] && l.version == 0 {
-		l.version, l.sinceUs = theirs[consensus.ConfigPart], nowUs
+	if theirs[consensus.ConfigRegister] > mine[consensus.ConfigRegister] && l.version == 0 {
+		l.version, l.sinceUs = theirs[consensus.ConfigRegister], nowUs
 	}
 }
 
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -205,4 +205,4 @@
 }
 
 // genesis is the value before the first.
-func (c *Cluster) genesis() messages.Value { return consensus.Genesis(c.founders) }
+func (c *Cluster) genesis() messages.Value { return consensus.InitialValue(c.founders) }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -83,7 +83,7 @@
 		c.open(string(kept), founding)
 		return
 	}
-	id := consensus.FirstID(c.addr)
+	id := consensus.BootstrapID(c.addr)
 	if !founding {
 		c.cluster.serial++
 		id = fmt.Sprintf("%s/w%d", c.addr, c.cluster.serial)
@@ -124,7 +124,7 @@
 		} else if founding {
 			record.Committed = c.cluster.genesis()
 		}
-		r := &register{acceptor: consensus.Acceptor{ID: id, Rec: record}, durable: notOnDisk}
+		r := &register{acceptor: consensus.Acceptor{ID: id, Record: record}, durable: notOnDisk}
 		if ok && len(record.Committed.Group) > 0 {
 			r.durable = record.Committed.Version
 		}
@@ -211,14 +211,14 @@
 // disk holds it already. The caller holds the register.
 func (c *Controller) makeDurable(part int, v messages.Value, done func(error)) {
 	r := c.registers[part]
-	before := r.acceptor.Rec
-	if !r.acceptor.Learn(v) && r.durable >= r.acceptor.Rec.Committed.Version {
+	before := r.acceptor.Record
+	if !r.acceptor.Learn(v) && r.durable >= r.acceptor.Record.Committed.Version {
 		c.sync(done)
 		return
 	}
 	c.save(part, func(err error) {
 		if err != nil {
-			r.acceptor.Rec = before
+			r.acceptor.Record = before
 		}
 		done(err)
 	})
@@ -239,11 +239,11 @@
 
 func (c *Controller) save(part int, done func(error)) {
 	r := c.registers[part]
-	raw, err := r.acceptor.Rec.MarshalMsg(nil)
+	raw, err := r.acceptor.Record.MarshalMsg(nil)
 	if err != nil {
 		c.cluster.kernel.Fail("a record does not marshal: %v", err)
 	}
-	committed := r.acceptor.Rec.Committed
+	committed := r.acceptor.Record.Committed
 	c.disk.Write(recordFile(part), raw, c.afterWrite(func(err error) {
 		if err == nil && len(committed.Group) > 0 {
 			r.durable = committed.Version
@@ -298,7 +298,7 @@
 		if r.learned != nil {
 			r.acceptor.Learn(*r.learned)
 		}
-		before := r.acceptor.Rec
+		before := r.acceptor.Record
 		response, changed := r.acceptor.Handle(request)
 		if !changed {
 			c.sync(func(err error) {
@@ -314,7 +314,7 @@
 		}
 		c.save(request.Part, func(err error) {
 			if err != nil {
-				r.acceptor.Rec = before
+				r.acceptor.Record = before
 			}
 			release()
 			if err == nil {
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -188,7 +188,7 @@
 	replace := func(cur messages.Value) ([]messages.Member, []byte, error) { return c.apply(cur, wanted) }
 	begunUs := c.process.NowUs()
 	c.change(configPart, operatorWaitUs, replace, func(_ messages.Value, err error) {
-		if !errors.Is(err, consensus.ErrUnsure) && !errors.Is(err, consensus.ErrNoGroup) {
+		if !errors.Is(err, consensus.ErrOutcomeUnknown) && !errors.Is(err, consensus.ErrNoGroup) {
 			c.vouch(configPart, begunUs, nil)
 		}
 		answer(history.Answer{Verdict: verdictOf(err)})
@@ -211,7 +211,7 @@
 	}
 	next, err := wanted.Apply(body)
 	if err != nil && wanted.Contested(body) {
-		return nil, nil, consensus.SealRefusal(err)
+		return nil, nil, consensus.SealRejection(err)
 	}
 	if err != nil {
 		return nil, nil, err
--- a/internal/simulation/proposer.go
+++ b/internal/simulation/proposer.go
@@ -36,7 +36,7 @@
 }
 
 // change runs rounds until the change is made, denied by itself, or the time is
-// over. After consensus.ErrUnsure it may still come into force.
+// over. After consensus.ErrOutcomeUnknown it may still come into force.
 func (c *Controller) change(part int, forUs int64, change consensus.Change, done func(messages.Value, error)) {
 	c.cluster.serial++
 	p := &changing{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
@@ -48,7 +48,7 @@
 
 func (p *changing) start() {
 	if p.leftUs() <= 0 {
-		p.done(messages.Value{}, consensus.ErrUnsure)
+		p.done(messages.Value{}, consensus.ErrOutcomeUnknown)
 		return
 	}
 	base, ok := p.node.committed(p.part)
@@ -88,11 +88,11 @@
 			p.postInTurn(round, asks[1:])
 			return
 		}
-		if p.round != round || round.End != consensus.InProgress {
+		if p.round != round || round.Outcome != consensus.InProgress {
 			return
 		}
 		more := round.Receive(a.To, a.Body.Step, r)
-		if round.End != consensus.InProgress {
+		if round.Outcome != consensus.InProgress {
 			p.finish(round)
 			return
 		}
@@ -121,7 +121,7 @@
 		return
 	}
 	p.round = nil
-	switch round.End {
+	switch round.Outcome {
 	case consensus.Chosen:
 		p.node.cluster.checks.chosen(p.part, round.Value)
 		p.spread(round)
@@ -174,7 +174,7 @@
 
 // look is one question to the whole group.
 type look struct {
-	*consensus.Reading
+	*consensus.QuorumRead
 	heard int
 	over  bool
 }
@@ -183,7 +183,7 @@
 	base, ok := p.node.committed(p.part)
 	switch {
 	case p.node.process.NowUs() >= p.untilUs:
-		p.done(messages.Value{}, consensus.ErrUnsure)
+		p.done(messages.Value{}, consensus.ErrOutcomeUnknown)
 		return
 	case !ok:
 		p.done(messages.Value{}, consensus.ErrNoGroup)
@@ -192,7 +192,7 @@
 		p.done(base, nil)
 		return
 	}
-	q := &look{Reading: consensus.NewReading(base)}
+	q := &look{QuorumRead: consensus.NewQuorumRead(base)}
 	p.node.process.After(readUs, func() { p.finish(q) })
 	for _, m := range base.Group {
 		request := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Read, Slot: base.Version + 1}
@@ -219,7 +219,7 @@
 	q.over = true
 	switch q.Result() {
 	case consensus.Newer:
-		p.node.learn(p.part, q.Newer)
+		p.node.learn(p.part, q.NewerValue)
 		p.start()
 	case consensus.Current:
 		p.done(q.Base, nil)
--- a/internal/simulation/repairs.go
+++ b/internal/simulation/repairs.go
@@ -45,7 +45,7 @@
 	}
 	return c.registers[part].repair.coordinator.Step(c.process.NowUs(), consensus.RepairView{
 		Self: c.addr, Base: base, Status: c.status(),
-		Contact: c.hasContact(base.Group), DiskFault: c.diskFault, Leaving: c.shutdown.found,
+		QuorumReachable: c.hasContact(base.Group), DiskFault: c.diskFault, Leaving: c.shutdown.found,
 	})
 }
 
@@ -99,7 +99,7 @@
 	for _, m := range step.Confirm {
 		c.confirm(part, m, base, func(kept bool) {
 			if words++; kept {
-				c.registers[part].repair.coordinator.Kept(m.ID, base.Version)
+				c.registers[part].repair.coordinator.RecordConfirmation(m.ID, base.Version)
 			}
 			if over {
 				return
@@ -146,7 +146,7 @@
 		c.makeDurable(request.Part, *r.learned, func(err error) {
 			release()
 			if err == nil {
-				joins := !isIn(r.acceptor.Rec.Committed.Group, c.id)
+				joins := !isIn(r.acceptor.Record.Committed.Group, c.id)
 				kept := r.durable >= request.Slot && !(joins && c.shutdown.begun)
 				reply(messages.ConsensusResponse{Verdict: messages.Granted, Version: r.durable, Durable: kept})
 			}
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -60,7 +60,7 @@
 func (c *Controller) findSuccessors(found func([]messages.Peer)) {
 	base, _ := c.committed(configPart)
 	alive := c.alive()
-	newcomers := consensus.Newcomers(base.Group, consensus.Stand(alive, c.silentForUs, goneUs))
+	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, c.silentForUs, goneUs))
 	newcomers = newcomers[:min(len(newcomers), maxSuccessors)]
 	confirmed, answers, over := map[string]bool{}, 0, false
 	end := func() {
@@ -106,7 +106,7 @@
 	if c.shutdown.found {
 		alive = c.shutdown.successors
 	}
-	return consensus.Stand(alive, c.silentForUs, goneUs)
+	return consensus.NewStatus(alive, c.silentForUs, goneUs)
 }
 
 // handOver repairs the groups until nothing is left to be handed over.
