--- a/internal/registry/clock.go
+++ b/internal/registry/clock.go
@@ -2,33 +2,33 @@
 
 import "beechtide.org/beechtide/internal/lease"
 
-// longestStepUs bounds what one step of an observed clock adds: a process that
-// was frozen has observed nothing meanwhile.
-const longestStepUs = 1_000_000
+// maxClockStepUs bounds how far one step advances an observed clock: a process that
+// was suspended received nothing in the meantime.
+const maxClockStepUs = 1_000_000
 
-// contactLapseUs is how long after the last message of a majority contact counts as
-// lost (lease.ContactUs): the time up to then was not observed either.
-const contactLapseUs = lease.ContactUs
+// contactTimeoutUs is the time from the last message of a majority until contact counts as
+// lost (lease.ContactUs). That time was not observed either.
+const contactTimeoutUs = lease.ContactUs
 
 // observedClock counts the time in which this node could have received heartbeats:
-// it stands still while the node is out of contact and while it is frozen.
+// it stops while the node is out of contact and while its process is suspended.
 type observedClock struct {
 	running bool
 	started bool
 	lastUs  int64 // on the node's monotonic clock
 	nowUs   int64 // observed time
 
-	contactFromUs int64 // observed time at which contact was last regained
+	contactSinceUs int64 // observed time at which contact was last regained
 }
 
-// advance moves on to a moment of the monotonic clock and gives observed time.
+// advance moves the clock to the given monotonic time and returns the observed time.
 func (c *observedClock) advance(monotonicUs int64) int64 {
 	if !c.started {
 		c.started, c.running = true, true
-		c.lastUs, c.nowUs, c.contactFromUs = monotonicUs, monotonicUs, monotonicUs
+		c.lastUs, c.nowUs, c.contactSinceUs = monotonicUs, monotonicUs, monotonicUs
 		return c.nowUs
 	}
-	stepUs := min(max(monotonicUs-c.lastUs, 0), longestStepUs)
+	stepUs := min(max(monotonicUs-c.lastUs, 0), maxClockStepUs)
 	c.lastUs = max(c.lastUs, monotonicUs)
 	if c.running {
 		c.nowUs += stepUs
@@ -36,14 +36,14 @@
 	return c.nowUs
 }
 
-// setContact says whether the node is in contact from now on. Where contact is
-// found lost, the clock goes back by what was counted since the last message.
+// setContact sets whether the node is in contact from now on. When contact is lost, the
+// clock is set back by the time counted since the last message.
 func (c *observedClock) setContact(inContact bool) {
 	switch {
 	case inContact && !c.running:
-		c.contactFromUs = c.nowUs
+		c.contactSinceUs = c.nowUs
 	case !inContact && c.running:
-		c.nowUs = max(c.contactFromUs, c.nowUs-contactLapseUs)
+		c.nowUs = max(c.contactSinceUs, c.nowUs-contactTimeoutUs)
 	}
 	c.running = inContact
 }
--- a/internal/registry/facts.go
+++ b/internal/registry/facts.go
@@ -6,33 +6,33 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// withFacts adds to a record what another record of the same runner knows and
-// that is not taken back: that it drains, its newest weights, and the newest cordon.
-func withFacts(n, other messages.RunnerRecord) messages.RunnerRecord {
-	n.Draining = n.Draining || other.Draining
-	n.Models = newestOf(n.Models, other.Models)
-	if n.Version == "" {
-		n.Version = other.Version // a node of an earlier release passes none on
+// mergeFacts merges into a record the facts of another record of the same runner that are
+// never revoked: draining, the newest weights and the newest cordon.
+func mergeFacts(record, other messages.RunnerRecord) messages.RunnerRecord {
+	record.Draining = record.Draining || other.Draining
+	record.Models = newestVersions(record.Models, other.Models)
+	if record.Version == "" {
+		record.Version = other.Version // a node of an earlier release forwards no version
 	}
-	if other.BarVersion > n.BarVersion {
-		n.Cordoned, n.DrainingLong, n.BarVersion = other.Cordoned, other.DrainingLong, other.BarVersion
+	if other.BarVersion > record.BarVersion {
+		record.Cordoned, record.DrainingLong, record.BarVersion = other.Cordoned, other.DrainingLong, other.BarVersion
 	}
-	return n
+	return record
 }
 
-// warmupToleranceUs is by how much a heartbeat may differ from what the one before it let
-// expect of a warm-up, without being news.
+// warmupToleranceUs is by how much the remaining warm-up time of a heartbeat may exceed
+// the time expected from the previous heartbeat without counting as a change.
 const warmupToleranceUs = 300_000
 
-// warmupChanged reports whether a heartbeat says something else of a runner's warm-up than was
-// expected by now: that it is over, or that it takes longer.
-func warmupChanged(expectedUs, formerUs, leftUs int64) bool {
-	over := leftUs == 0 && formerUs > 0
-	return over || leftUs > max(expectedUs, 0)+warmupToleranceUs
+// warmupChanged reports whether a heartbeat changes the expected end of a runner's
+// warm-up: the warm-up is over, or it takes longer than expected.
+func warmupChanged(expectedUs, previousUs, remainingUs int64) bool {
+	over := remainingUs == 0 && previousUs > 0
+	return over || remainingUs > max(expectedUs, 0)+warmupToleranceUs
 }
 
-// newestOf gives, for each model of either list, the newest version.
-func newestOf(a, b []messages.Target) []messages.Target {
+// newestVersions returns the newest version of each model in either list.
+func newestVersions(a, b []messages.Target) []messages.Target {
 	out := slices.Clone(b)
 	for _, t := range a {
 		i := slices.IndexFunc(out, func(o messages.Target) bool { return o.Model == t.Model })
@@ -45,8 +45,9 @@
 	return out
 }
 
-// sameButSequence reports whether two records of a runner differ in their sequence at most.
-func sameButSequence(a, b messages.RunnerRecord) bool {
+// equalExceptSequence reports whether two records of a runner are equal apart from the
+// sequence.
+func equalExceptSequence(a, b messages.RunnerRecord) bool {
 	return slices.Equal(a.Models, b.Models) && a.Addr == b.Addr && a.Service == b.Service && a.Capacity == b.Capacity &&
 		a.Draining == b.Draining && a.Gone == b.Gone && a.Stale == b.Stale && a.Lost == b.Lost &&
 		a.Cordoned == b.Cordoned && a.DrainingLong == b.DrainingLong && a.Version == b.Version
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -7,70 +7,68 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A controller that is cut off from another one misses the heartbeats that
-// arrive there. Before it concludes anything from a runner's silence it asks the
-// controllers that it reaches for later heartbeats (SilentRunners,
-// LaterHeartbeats, ApplyLaterHeartbeats). What they answer may itself come from a
-// third one, so freshness passes along any chain of controllers.
+// A controller that is partitioned from another one misses the heartbeats that arrive
+// there. Before it marks a silent runner as stale it queries the controllers that it
+// reaches for later heartbeats (SilentRunners, LaterHeartbeats, ApplyLaterHeartbeats).
+// A response may contain heartbeats that the responder learned from a third controller,
+// so freshness propagates along any chain of controllers.
 //
-// An age is measured by the clock of the node that answers and counted back from
-// the moment of the question: the heartbeat is never taken for later than it was.
-// So ages of a runner that has ended only grow, however often they are passed on,
-// and it is lost as soon as without the exchange.
+// The responder measures an age on its own clock, and the querier subtracts it from the
+// time at which the query was sent, so a heartbeat is never dated later than it was sent.
+// The age of the last heartbeat of a runner that has ended therefore only grows, however
+// often it is forwarded, and the exchange does not delay marking the runner as lost.
 
-// maxSilentRunners bounds one question. Where more runners are silent, those
-// asked about least recently come first.
+// maxSilentRunners bounds the runners in one query. If more runners are silent, those
+// queried least recently come first.
 const maxSilentRunners = 1024
 
-// SilentRunners lists the usable runners that have been silent here for long
-// enough to ask about, and those that are stale, with the newest heartbeat known
-// of each.
-func (r *Registry) SilentRunners(nowUs int64, after Silence) []messages.LastHeartbeat {
+// SilentRunners returns a query: the usable runners that are stale or have been silent
+// here for longer than the query limit, each with its newest known heartbeat.
+func (r *Registry) SilentRunners(nowUs int64, limits Silence) []messages.LastHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var silent []*entry
 	for _, e := range r.entries {
-		if e.usable() && (e.record.Stale || nowUs-e.lastHeartbeatUs > after.AskUs) {
+		if e.usable() && (e.record.Stale || nowUs-e.lastHeartbeatUs > limits.AskUs) {
 			silent = append(silent, e)
 		}
 	}
 	slices.SortFunc(silent, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.lastAskedUs, b.lastAskedUs), cmp.Compare(a.record.ID, b.record.ID))
+		return cmp.Or(cmp.Compare(a.lastQueriedUs, b.lastQueriedUs), cmp.Compare(a.record.ID, b.record.ID))
 	})
 	silent = silent[:min(len(silent), maxSilentRunners)]
-	question := make([]messages.LastHeartbeat, 0, len(silent))
+	query := make([]messages.LastHeartbeat, 0, len(silent))
 	for _, e := range silent {
-		e.lastAskedUs = nowUs
-		question = append(question, e.lastHeartbeat(nowUs))
+		e.lastQueriedUs = nowUs
+		query = append(query, e.lastHeartbeat(nowUs))
 	}
-	return question
+	return query
 }
 
-// LaterHeartbeats answers another controller's question: of the runners that it
-// names, those of which a later heartbeat is known here.
-func (r *Registry) LaterHeartbeats(question []messages.LastHeartbeat, nowUs int64) []messages.LastHeartbeat {
+// LaterHeartbeats returns the response to another controller's query: the runners of the
+// query for which this registry has a later heartbeat.
+func (r *Registry) LaterHeartbeats(query []messages.LastHeartbeat, nowUs int64) []messages.LastHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var later []messages.LastHeartbeat
-	for _, asked := range question {
-		e := r.entries[asked.ID]
-		if e != nil && e.usable() && e.lastSeq > asked.Seq {
+	for _, queried := range query {
+		e := r.entries[queried.ID]
+		if e != nil && e.usable() && e.lastSeq > queried.Seq {
 			later = append(later, e.lastHeartbeat(nowUs))
 		}
 	}
 	return later
 }
 
-// ApplyLaterHeartbeats takes the answer to a question that was sent at sentUs. A
-// later heartbeat ends staleness as one that came directly does; the runner's record is
-// replicated separately. It returns the ids of runners whose staleness
-// ended.
-func (r *Registry) ApplyLaterHeartbeats(answer []messages.LastHeartbeat, sentUs, nowUs int64) []string {
+// ApplyLaterHeartbeats applies the response to a query that was sent at sentUs. A later
+// heartbeat ends staleness like one received directly; the runner's record is replicated
+// separately. It returns the ids of the runners that are no longer stale.
+func (r *Registry) ApplyLaterHeartbeats(response []messages.LastHeartbeat, sentUs, nowUs int64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	observedUs := r.observed.advance(nowUs)
-	var changed []string
-	for _, heartbeat := range answer {
+	var recovered []string
+	for _, heartbeat := range response {
 		e := r.entries[heartbeat.ID]
 		if e == nil || !e.usable() || heartbeat.Seq <= e.lastSeq {
 			continue
@@ -78,18 +76,18 @@
 		sentAtUs := sentUs - max(heartbeat.AgeUs, 0)
 		e.lastSeq = heartbeat.Seq
 		e.lastHeartbeatUs = max(e.lastHeartbeatUs, sentAtUs)
-		// Observed time runs no faster than the clock, so this is not too late either.
+		// Observed time runs no faster than the clock, so this time is not too late either.
 		e.lastObservedUs = max(e.lastObservedUs, observedUs-(nowUs-sentAtUs))
 		r.newestObservedUs = max(r.newestObservedUs, e.lastObservedUs)
 		if e.record.Stale {
 			e.record.Stale = false
-			changed = append(changed, heartbeat.ID)
+			recovered = append(recovered, heartbeat.ID)
 		}
 	}
-	if len(changed) > 0 {
+	if len(recovered) > 0 {
 		r.invalidateSnapshot()
 	}
-	return changed
+	return recovered
 }
 
 func (e *entry) lastHeartbeat(nowUs int64) messages.LastHeartbeat {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,29 +1,30 @@
-// Package registry keeps the list of runners. It merges their records, by id and
-// rising sequence, in whatever order they arrive: nothing here needs consensus, and
-// what is lost is sent again with the next heartbeat.
+// Package registry stores the records of the runners. It merges records by runner id and
+// increasing sequence, in any order of arrival. It needs no consensus: a lost record is
+// sent again with the next heartbeat.
 //
-// # Facts and beliefs
+// # Facts and liveness
 //
-// Facts hold wherever they are received: what a runner reports of itself, its leaving,
-// its weights, its cordon by version. Beliefs (stale, lost) are conclusions of one
-// observer from silence. Sweep alone draws them; Merge ignores those of other
-// controllers, and the next heartbeat ends them. Before a silent runner becomes stale
-// the other controllers are asked for later heartbeats (SilentRunners,
-// LaterHeartbeats, ApplyLaterHeartbeats). Mirror applies a record of the node that is followed, facts
-// and beliefs.
+// Facts are valid at every node that receives them: what a runner reports about itself,
+// that it has left, its weights, and its cordon by version. The liveness flags (stale,
+// lost) are one observer's conclusions from silence. Sweep sets them, and a lost flag is
+// also set when another runner appears at the same address; Merge ignores the flags of
+// other controllers, and the next heartbeat clears them. Before a silent runner becomes
+// stale, the caller queries the other controllers for later heartbeats (SilentRunners,
+// LaterHeartbeats, ApplyLaterHeartbeats). Mirror applies a record of the parent node with
+// both facts and liveness flags.
 //
-// # What it guarantees
+// # Guarantees
 //
-// Where all heartbeats and records get through in the end, in any order and any number
-// of times, all registries hold the same facts. A runner that left does not come back
-// under its id for as long as it is remembered. Silence counts only while the caller is in contact with the core, and
-// a step of the clock counts for a second at most.
+// If every heartbeat and record eventually arrives, in any order and any number of times,
+// all registries have the same facts. A runner that has left does not return under its id
+// while its entry is retained. Silence accrues only while the caller is in contact with
+// the core, and one clock step counts for one second at most.
 //
-// # Who owns which state
+// # Concurrency
 //
-// A mutex guards the entries. Readers take an immutable Snapshot by an atomic pointer;
-// the first one after a change makes it. Times are microseconds of the caller's monotonic clock. The
-// package starts no goroutine.
+// A mutex guards the entries. Readers load an immutable Snapshot through an atomic
+// pointer; the first reader after a change builds it. Times are microseconds of the
+// caller's monotonic clock. The package starts no goroutine.
 package registry
 
 import (
@@ -33,23 +34,23 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// keepGoneUs is how long the entry of a runner that has left or was lost is kept, so that
-// late messages do not bring it back. It bounds the memory.
-const keepGoneUs = 120_000_000
+// removedRetentionUs is how long the entry of a runner that has left or was lost is retained, so
+// that late messages do not restore the runner. The limit bounds memory use.
+const removedRetentionUs = 120_000_000
 
 type entry struct {
 	record          messages.RunnerRecord
-	lastSeq         int64 // of the newest heartbeat known, received here or elsewhere
+	lastSeq         int64 // sequence of the newest known heartbeat, received here or elsewhere
 	lastObservedUs  int64 // observed time of that heartbeat
-	lastHeartbeatUs int64 // the same on the node's monotonic clock
-	lastAskedUs     int64 // when other controllers were last asked for a later one
-	removedAtUs     int64 // when it left or was lost
-	unlistedUs      int64 // since when the node that is mirrored does not list it
+	lastHeartbeatUs int64 // time of that heartbeat on the node's monotonic clock
+	lastQueriedUs   int64 // when other controllers were last queried for a later heartbeat
+	removedAtUs     int64 // when the runner left or was lost
+	unlistedSinceUs int64 // since when the mirrored node does not list the runner; 0 while it does
 }
 
 func (e *entry) usable() bool { return !e.record.Gone && !e.record.Lost }
 
-// recordHeartbeat notes a heartbeat that is known from now on.
+// recordHeartbeat stores the sequence and times of a heartbeat if it is the newest.
 func (e *entry) recordHeartbeat(seq, observedUs, nowUs int64) {
 	if seq > e.lastSeq {
 		e.lastSeq, e.lastObservedUs, e.lastHeartbeatUs = seq, observedUs, nowUs
@@ -60,24 +61,24 @@
 	return &entry{record: n, lastSeq: n.Seq, lastObservedUs: observedUs, lastHeartbeatUs: nowUs}
 }
 
-// Registry is the records of all runners that a node knows. It is safe for concurrent use.
+// Registry stores the records of all runners known to a node. It is safe for concurrent use.
 type Registry struct {
 	mu               sync.Mutex
 	entries          map[string]*entry
 	byAddress        map[string]string // the id of the runner last seen at an address
-	pending          map[string]bool   // beliefs that changed outside of Sweep
+	pendingLiveness  map[string]bool   // runners whose liveness flags changed outside of Sweep
 	observed         observedClock
 	newestObservedUs int64                    // observed time of the newest heartbeat of any runner
-	snapshot         atomic.Pointer[Snapshot] // nil after a change, until somebody asks for it
+	snapshot         atomic.Pointer[Snapshot] // nil after a change, until the next call of Snapshot
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry {
-	return &Registry{entries: map[string]*entry{}, byAddress: map[string]string{}, pending: map[string]bool{}}
+	return &Registry{entries: map[string]*entry{}, byAddress: map[string]string{}, pendingLiveness: map[string]bool{}}
 }
 
-// Snapshot returns the usable runners. It takes the lock only after a change, to make the
-// snapshot: many changes that come one after the other, as at a start, cost one.
+// Snapshot returns the usable runners. It acquires the lock only after a change, to build
+// the snapshot: a burst of changes, as at startup, costs one rebuild.
 func (r *Registry) Snapshot() *Snapshot {
 	if s := r.snapshot.Load(); s != nil {
 		return s
@@ -92,9 +93,9 @@
 	return s
 }
 
-// ApplyHeartbeat applies a heartbeat that came directly from a runner, or was forwarded at
-// once by the controller that received it. A higher sequence overrides every belief; only
-// a runner that has left stays so. It reports whether anything but the sequence changed.
+// ApplyHeartbeat applies a heartbeat received directly from a runner or forwarded at once
+// by the controller that received it. A higher sequence clears the liveness flags; a
+// runner that has left stays removed. It reports whether anything but the sequence changed.
 func (r *Registry) ApplyHeartbeat(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,18 +112,18 @@
 		return true
 	}
 	old := e.record
-	otherWarmup := warmupChanged(old.ColdLeftUs-(nowUs-e.lastHeartbeatUs), old.ColdLeftUs, n.ColdLeftUs)
+	warmupUpdated := warmupChanged(old.ColdLeftUs-(nowUs-e.lastHeartbeatUs), old.ColdLeftUs, n.ColdLeftUs)
 	e.recordHeartbeat(n.Seq, receivedUs, nowUs)
 	e.record = n
-	e.record = withFacts(e.record, old)
-	if otherWarmup {
+	e.record = mergeFacts(e.record, old)
+	if warmupUpdated {
 		r.invalidateSnapshot()
 	}
-	return r.publishIfChanged(e, old) || otherWarmup
+	return r.invalidateIfChanged(e, old) || warmupUpdated
 }
 
 // applyLateHeartbeat applies a heartbeat that is not newer than the record. Draining is
-// never taken back, so it holds however late it comes.
+// never revoked, so it is applied however late it arrives.
 func (r *Registry) applyLateHeartbeat(e *entry, n messages.RunnerRecord) bool {
 	if e.record.Gone || e.record.Draining || !n.Draining {
 		return false
@@ -132,23 +133,23 @@
 	return true
 }
 
-// evictAddress takes the address from the runner that was last seen there: an address
-// belongs to one runner at a time. That is a belief like silence, since the heartbeat may
-// have come late.
+// evictAddress assigns an address to a runner and marks the runner last seen there as
+// lost: an address belongs to one runner at a time. Like silence this is a conclusion that
+// the next heartbeat corrects, since the heartbeat may have arrived late.
 func (r *Registry) evictAddress(n messages.RunnerRecord, nowUs int64) {
-	former := r.byAddress[n.Addr]
+	previousID := r.byAddress[n.Addr]
 	r.byAddress[n.Addr] = n.ID
-	if former == "" || former == n.ID {
+	if previousID == "" || previousID == n.ID {
 		return
 	}
-	if e := r.entries[former]; e != nil && e.usable() && e.record.Addr == n.Addr {
+	if e := r.entries[previousID]; e != nil && e.usable() && e.record.Addr == n.Addr {
 		e.record.Lost, e.removedAtUs = true, nowUs
-		r.pending[former] = true
+		r.pendingLiveness[previousID] = true
 		r.invalidateSnapshot()
 	}
 }
 
-// Merge applies the facts of another controller's record and ignores its beliefs: a
+// Merge applies the facts of another controller's record and ignores its liveness flags: a
 // heartbeat that did not reach that controller may have reached this one.
 func (r *Registry) Merge(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
@@ -167,7 +168,7 @@
 	return r.mergeLocked(n, nowUs)
 }
 
-// Mirror applies a record of the node that this one follows, with its beliefs: a router
+// Mirror applies a record of the parent node, including its liveness flags: a router
 // receives no heartbeats itself.
 func (r *Registry) Mirror(n messages.RunnerRecord, nowUs int64) bool {
 	r.mu.Lock()
@@ -180,7 +181,7 @@
 	e := r.entries[n.ID]
 	if e == nil {
 		if n.Gone || n.Lost {
-			return false // nodes would send it to each other for ever
+			return false // otherwise nodes would send it to each other forever
 		}
 		r.entries[n.ID] = newEntry(n, receivedUs, nowUs)
 		if r.byAddress[n.Addr] == "" {
@@ -198,23 +199,23 @@
 		e.record = n
 	}
 	e.record.Stale, e.record.Lost, e.record.Gone = n.Stale, n.Lost, n.Gone
-	e.record = withFacts(e.record, old)
-	e.record = withFacts(e.record, n)
+	e.record = mergeFacts(e.record, old)
+	e.record = mergeFacts(e.record, n)
 	if !e.usable() && (!old.Lost || e.record.Gone) {
 		e.removedAtUs = nowUs
 	}
-	return r.publishIfChanged(e, old)
+	return r.invalidateIfChanged(e, old)
 }
 
-func (r *Registry) publishIfChanged(e *entry, old messages.RunnerRecord) bool {
-	if sameButSequence(e.record, old) {
+func (r *Registry) invalidateIfChanged(e *entry, old messages.RunnerRecord) bool {
+	if equalExceptSequence(e.record, old) {
 		return false
 	}
 	r.invalidateSnapshot()
 	return true
 }
 
-// Leave records that a runner has left. It returns the record, and whether it changed.
+// Leave marks a runner as having left. It returns the record and whether it changed.
 func (r *Registry) Leave(id string, nowUs int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,9 +232,10 @@
 	return e.record, changed
 }
 
-// SetCordon sets the cordon of a runner: easing for no more long requests, barred for no
-// requests at all, neither to lift it. An older version than the last is ignored.
-func (r *Registry) SetCordon(id string, easing, barred bool, version int64) (messages.RunnerRecord, bool) {
+// SetCordon sets the cordon of a runner: drainingLong excludes it from new long requests,
+// cordoned from all new requests, and neither lifts the cordon. A version older than the
+// last one is ignored.
+func (r *Registry) SetCordon(id string, drainingLong, cordoned bool, version int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
@@ -241,11 +243,11 @@
 		return messages.RunnerRecord{}, false
 	}
 	old := e.record
-	e.record.Cordoned, e.record.DrainingLong, e.record.BarVersion = barred, easing, version
-	return e.record, r.publishIfChanged(e, old)
+	e.record.Cordoned, e.record.DrainingLong, e.record.BarVersion = cordoned, drainingLong, version
+	return e.record, r.invalidateIfChanged(e, old)
 }
 
-// SetWeights records the version of a model at a runner, as a report named it.
+// SetWeights stores the version of a model's weights at a runner, as given in a report.
 func (r *Registry) SetWeights(id, model string, version int64) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -254,15 +256,15 @@
 		return messages.RunnerRecord{}, false
 	}
 	old := e.record
-	e.record.Models = newestOf(old.Models, []messages.Target{{Model: model, Version: version}})
-	return e.record, r.publishIfChanged(e, old)
+	e.record.Models = newestVersions(old.Models, []messages.Target{{Model: model, Version: version}})
+	return e.record, r.invalidateIfChanged(e, old)
 }
 
-// Sweep draws this observer's conclusions and forgets runners that ended long
-// ago. inContact says that it reaches a majority of the core; the time in which
-// it does not counts for no runner's silence. It returns the records whose
-// beliefs changed.
-func (r *Registry) Sweep(nowUs int64, after Silence, inContact bool) []messages.RunnerRecord {
+// Sweep updates the liveness flags of all runners and deletes the entries of runners that
+// ended longer ago than the retention time. inContact is set while this node reaches a
+// majority of the core; time without contact does not count as silence of any runner. It
+// returns the records whose liveness flags changed.
+func (r *Registry) Sweep(nowUs int64, limits Silence, inContact bool) []messages.RunnerRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observed.advance(nowUs)
@@ -271,37 +273,38 @@
 	var changed []messages.RunnerRecord
 	for id, e := range r.entries {
 		if !e.usable() {
-			r.forgetOld(id, e, nowUs)
-		} else if r.evaluate(e, after, nowUs) {
-			r.pending[id] = true
+			r.deleteExpired(id, e, nowUs)
+		} else if r.updateLiveness(e, limits, nowUs) {
+			r.pendingLiveness[id] = true
 		}
-		if r.pending[id] && r.entries[id] != nil {
+		if r.pendingLiveness[id] && r.entries[id] != nil {
 			changed = append(changed, e.record)
 		}
 	}
-	clear(r.pending)
+	clear(r.pendingLiveness)
 	if len(changed) > 0 {
 		r.invalidateSnapshot()
 	}
 	return changed
 }
 
-// evaluate compares a runner's silence with the newest heartbeat of any runner: an observer
-// that receives no heartbeats learns nothing about one runner.
-func (r *Registry) evaluate(e *entry, after Silence, nowUs int64) bool {
+// updateLiveness updates a runner's liveness flags and reports whether they changed. Silence is
+// measured up to the newest heartbeat of any runner: an observer that receives no
+// heartbeats at all can conclude nothing about a single runner.
+func (r *Registry) updateLiveness(e *entry, limits Silence, nowUs int64) bool {
 	silentUs := r.newestObservedUs - e.lastObservedUs
-	if silentUs > after.LostUs {
+	if silentUs > limits.LostUs {
 		e.record.Lost, e.removedAtUs = true, nowUs
 		return true
 	}
-	stale := silentUs > after.StaleUs
+	stale := silentUs > limits.StaleUs
 	changed := stale != e.record.Stale
 	e.record.Stale = stale
 	return changed
 }
 
-func (r *Registry) forgetOld(id string, e *entry, nowUs int64) {
-	if nowUs-e.removedAtUs <= keepGoneUs {
+func (r *Registry) deleteExpired(id string, e *entry, nowUs int64) {
+	if nowUs-e.removedAtUs <= removedRetentionUs {
 		return
 	}
 	delete(r.entries, id)
@@ -310,8 +313,8 @@
 	}
 }
 
-// unlistedLimitUs is how long a runner stays that the mirrored node does not
-// list. That node may have just started and not know all runners yet.
+// unlistedLimitUs is how long a runner is retained that the mirrored node does not list.
+// That node may have just started and not have received all runners yet.
 const unlistedLimitUs = 30_000_000
 
 // Retain deletes the runners that the mirrored node has not listed for unlistedLimitUs. It
@@ -323,13 +326,13 @@
 	for id, e := range r.entries {
 		switch {
 		case listed(id):
-			e.unlistedUs = 0
-		case e.unlistedUs == 0:
-			e.unlistedUs = nowUs
-		case nowUs-e.unlistedUs > unlistedLimitUs:
+			e.unlistedSinceUs = 0
+		case e.unlistedSinceUs == 0:
+			e.unlistedSinceUs = nowUs
+		case nowUs-e.unlistedSinceUs > unlistedLimitUs:
 			deleted = deleted || e.usable()
-			e.removedAtUs = min(e.removedAtUs, nowUs-keepGoneUs-1)
-			r.forgetOld(id, e, nowUs)
+			e.removedAtUs = min(e.removedAtUs, nowUs-removedRetentionUs-1)
+			r.deleteExpired(id, e, nowUs)
 		}
 	}
 	if deleted {
@@ -338,7 +341,7 @@
 	return deleted
 }
 
-// Record returns the record of one runner, also of one that has left or is lost.
+// Record returns the record of one runner, including one that has left or is lost.
 func (r *Registry) Record(id string) (messages.RunnerRecord, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -349,7 +352,7 @@
 	return e.record, true
 }
 
-// All returns every record, those of runners that have left or are lost included.
+// All returns every record, including those of runners that have left or are lost.
 func (r *Registry) All() []messages.RunnerRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -1,24 +1,24 @@
 package registry
 
-// Silence is after how long without a heartbeat a runner is asked about, and
-// after how long without one, while those of other runners arrive, it counts as stale
-// and as lost.
+// Silence has the limits of a runner's silence, in microseconds: after AskUs without a
+// heartbeat the other controllers are queried about it, after StaleUs and LostUs, while
+// heartbeats of other runners arrive, it counts as stale and as lost.
 type Silence struct {
 	AskUs   int64
 	StaleUs int64
 	LostUs  int64
 }
 
-// Silence of a runner in periods of its heartbeat, and what a heartbeat may take
-// on its way. Between asking and stale there is time for several questions.
+// Limits in heartbeat periods, and the time that a heartbeat may take in transit. The
+// difference between the query and the stale limit leaves time for several queries.
 const (
-	askPeriods     = 2
-	stalePeriods   = 4
-	lostPeriods    = 12
-	heartbeatLagUs = 500_000
+	queryPeriods       = 2
+	stalePeriods       = 4
+	lostPeriods        = 12
+	heartbeatTransitUs = 500_000
 )
 
-// SilenceAfter gives the bounds for runners with this heartbeat period.
+// SilenceAfter returns the limits for runners with the given heartbeat period.
 func SilenceAfter(periodUs int64) Silence {
-	return Silence{AskUs: askPeriods * periodUs, StaleUs: stalePeriods*periodUs + heartbeatLagUs, LostUs: lostPeriods * periodUs}
+	return Silence{AskUs: queryPeriods * periodUs, StaleUs: stalePeriods*periodUs + heartbeatTransitUs, LostUs: lostPeriods * periodUs}
 }
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -16,121 +16,121 @@
 	secondUs    = 1_000_000
 )
 
-var silence = SilenceAfter(heartbeatUs)
+var testLimits = SilenceAfter(heartbeatUs)
 
-func at(id, address string, seq int64) messages.RunnerRecord {
-	n := beat(id, seq)
+func recordAt(id, address string, seq int64) messages.RunnerRecord {
+	n := newRecord(id, seq)
 	n.Addr = address
 	return n
 }
 
-// A controller is cut off for 20 s. Its runners beat elsewhere, those that beat
-// at it do not reach the others, and on healing each sends the other all
-// that it has.
-func TestMergeIgnoresBeliefsOfPartitionedObserver(t *testing.T) {
-	cut, core := New(), New()
-	for _, r := range []*Registry{cut, core} {
-		r.ApplyHeartbeat(at("here", "1:1", 1), 1)
-		r.ApplyHeartbeat(at("there", "2:1", 1), 1)
+// A controller is partitioned from the core for 20 s. Each side receives the heartbeats of
+// one runner only, and after the partition heals each sends the other all its records.
+// Guards against a merge that copies the other side's stale and lost flags.
+func TestMergeIgnoresLivenessOfPartitionedObserver(t *testing.T) {
+	partitioned, core := New(), New()
+	for _, r := range []*Registry{partitioned, core} {
+		r.ApplyHeartbeat(recordAt("here", "1:1", 1), 1)
+		r.ApplyHeartbeat(recordAt("there", "2:1", 1), 1)
 	}
 	seq := int64(1)
 	now := int64(1)
 	for ; now < 20*secondUs; now += sweepUs {
 		seq++
-		cut.ApplyHeartbeat(at("here", "1:1", seq), now)
-		core.ApplyHeartbeat(at("there", "2:1", seq), now)
-		must.SliceEmpty(t, cut.Sweep(now, silence, false))
-		core.Sweep(now, silence, true)
+		partitioned.ApplyHeartbeat(recordAt("here", "1:1", seq), now)
+		core.ApplyHeartbeat(recordAt("there", "2:1", seq), now)
+		must.SliceEmpty(t, partitioned.Sweep(now, testLimits, false))
+		core.Sweep(now, testLimits, true)
 	}
-	must.MapLen(t, 2, cut.Snapshot().ByID)
-	must.False(t, cut.Snapshot().ByID["there"].Stale)
-	must.MapNotContainsKey(t, core.Snapshot().ByID, "here", must.Sprint("lost to those in contact"))
-	must.SliceEmpty(t, cut.Sweep(now, silence, true), must.Sprint("healed, and no record received yet"))
+	must.MapLen(t, 2, partitioned.Snapshot().ByID)
+	must.False(t, partitioned.Snapshot().ByID["there"].Stale)
+	must.MapNotContainsKey(t, core.Snapshot().ByID, "here", must.Sprint("lost at the observer in contact"))
+	must.SliceEmpty(t, partitioned.Sweep(now, testLimits, true), must.Sprint("partition healed, no record received yet"))
 	for _, n := range core.All() {
-		cut.Merge(n, now)
+		partitioned.Merge(n, now)
 	}
-	for _, n := range cut.All() {
+	for _, n := range partitioned.All() {
 		core.Merge(n, now)
 	}
-	must.MapLen(t, 2, cut.Snapshot().ByID, must.Sprint("what the core believes of it is no fact"))
-	must.MapLen(t, 2, core.Snapshot().ByID, must.Sprint("a higher sequence overrides the belief"))
-	must.SliceEmpty(t, cut.Sweep(now, silence, true))
+	must.MapLen(t, 2, partitioned.Snapshot().ByID, must.Sprint("the lost flag of the core is not merged"))
+	must.MapLen(t, 2, core.Snapshot().ByID, must.Sprint("a higher sequence clears the lost flag"))
+	must.SliceEmpty(t, partitioned.Sweep(now, testLimits, true))
 }
 
-func TestFrozenObserverMarksNoRunner(t *testing.T) {
+func TestSuspendedObserverMarksNoRunner(t *testing.T) {
 	r := New()
-	r.ApplyHeartbeat(at("x", "1:1", 1), 1)
-	r.ApplyHeartbeat(at("y", "2:1", 1), 1)
-	r.Sweep(sweepUs, silence, true)
-	thawUs := int64(60 * secondUs)
-	r.ApplyHeartbeat(at("y", "2:1", 50), thawUs)
-	must.SliceEmpty(t, r.Sweep(thawUs, silence, true))
+	r.ApplyHeartbeat(recordAt("x", "1:1", 1), 1)
+	r.ApplyHeartbeat(recordAt("y", "2:1", 1), 1)
+	r.Sweep(sweepUs, testLimits, true)
+	resumeUs := int64(60 * secondUs)
+	r.ApplyHeartbeat(recordAt("y", "2:1", 50), resumeUs)
+	must.SliceEmpty(t, r.Sweep(resumeUs, testLimits, true))
 	must.MapLen(t, 2, r.Snapshot().ByID)
 }
 
-// Contact is found lost only a while after the last message of the others. What was
-// silent in that while was not observed.
+// Loss of contact is detected some time after the last message of a majority. Silence in
+// that time was not observed and must not count.
 func TestTimeBeforeDetectedContactLossIsNotSilence(t *testing.T) {
 	r := New()
-	r.ApplyHeartbeat(at("there", "2:1", 1), 1)
+	r.ApplyHeartbeat(recordAt("there", "2:1", 1), 1)
 	now := int64(1)
-	play := func(untilUs int64, inContact bool) {
+	advance := func(untilUs int64, inContact bool) {
 		for ; now < untilUs; now += sweepUs {
-			r.ApplyHeartbeat(at("here", "1:1", now), now)
-			r.Sweep(now, silence, inContact)
+			r.ApplyHeartbeat(recordAt("here", "1:1", now), now)
+			r.Sweep(now, testLimits, inContact)
 		}
 	}
-	play(silence.StaleUs+secondUs, true)
+	advance(testLimits.StaleUs+secondUs, true)
 	must.True(t, r.Snapshot().ByID["there"].Stale)
-	play(now+10*secondUs, false)
+	advance(now+10*secondUs, false)
 	must.False(t, r.Snapshot().ByID["there"].Stale, must.Sprint("the last 1.5 s were out of contact"))
 	for range 20 {
-		play(now+secondUs, true)
-		play(now+secondUs, false)
+		advance(now+secondUs, true)
+		advance(now+secondUs, false)
 	}
-	play(now+silence.LostUs+secondUs, true)
-	must.MapNotContainsKey(t, r.Snapshot().ByID, "there", must.Sprint("what was counted before a contact stays counted"))
+	advance(now+testLimits.LostUs+secondUs, true)
+	must.MapNotContainsKey(t, r.Snapshot().ByID, "there", must.Sprint("silence counted in earlier contact periods stays counted"))
 }
 
 func TestLostRunnerReturnsByNextHeartbeatOnly(t *testing.T) {
 	r := New()
-	r.ApplyHeartbeat(at("x", "1:1", 7), 1)
+	r.ApplyHeartbeat(recordAt("x", "1:1", 7), 1)
 	for now := int64(sweepUs); now < 30*secondUs; now += sweepUs {
-		r.ApplyHeartbeat(at("y", "2:1", now), now)
-		r.Sweep(now, silence, true)
+		r.ApplyHeartbeat(recordAt("y", "2:1", now), now)
+		r.Sweep(now, testLimits, true)
 	}
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "x")
-	must.False(t, r.ApplyHeartbeat(at("x", "1:1", 7), 30*secondUs), must.Sprint("a doubled datagram"))
-	must.False(t, r.Merge(at("x", "1:1", 7), 30*secondUs))
+	must.False(t, r.ApplyHeartbeat(recordAt("x", "1:1", 7), 30*secondUs), must.Sprint("a duplicated datagram"))
+	must.False(t, r.Merge(recordAt("x", "1:1", 7), 30*secondUs))
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "x")
-	must.True(t, r.ApplyHeartbeat(at("x", "1:1", 8), 31*secondUs))
+	must.True(t, r.ApplyHeartbeat(recordAt("x", "1:1", 8), 31*secondUs))
 	must.False(t, r.Snapshot().ByID["x"].Stale)
 }
 
-// An address belongs to the runner that was seen there last; a heartbeat that came
-// late is put right by the next heartbeat.
+// An address belongs to the runner last seen there; the effect of a late heartbeat is
+// corrected by the next heartbeat.
 func TestNewerRunnerTakesOverAddress(t *testing.T) {
 	r := New()
-	r.ApplyHeartbeat(at("old", "1:1", 5), 1)
-	must.True(t, r.ApplyHeartbeat(at("new", "1:1", 1), 2))
+	r.ApplyHeartbeat(recordAt("old", "1:1", 5), 1)
+	must.True(t, r.ApplyHeartbeat(recordAt("new", "1:1", 1), 2))
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "old")
-	changed := r.Sweep(3, silence, true)
+	changed := r.Sweep(3, testLimits, true)
 	must.Len(t, 1, changed)
 	must.Eq(t, "old", changed[0].ID)
-	r.ApplyHeartbeat(at("old", "1:1", 6), 4)
-	r.ApplyHeartbeat(at("new", "1:1", 2), 5)
+	r.ApplyHeartbeat(recordAt("old", "1:1", 6), 4)
+	r.ApplyHeartbeat(recordAt("new", "1:1", 2), 5)
 	must.MapContainsKey(t, r.Snapshot().ByID, "new")
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "old")
 }
 
-func TestMirrorAppliesBeliefsAndRetainDropsUnlisted(t *testing.T) {
+func TestMirrorAppliesLivenessAndRetainDeletesUnlisted(t *testing.T) {
 	r := New()
-	r.Mirror(at("x", "1:1", 9), 1)
-	lost := at("x", "1:1", 4)
+	r.Mirror(recordAt("x", "1:1", 9), 1)
+	lost := recordAt("x", "1:1", 4)
 	lost.Lost = true
 	must.True(t, r.Mirror(lost, 2))
 	must.MapEmpty(t, r.Snapshot().ByID)
-	must.True(t, r.Mirror(at("x", "1:1", 4), 3), must.Sprint("another parent hears it"))
+	must.True(t, r.Mirror(recordAt("x", "1:1", 4), 3), must.Sprint("another parent receives its heartbeats"))
 	listsNone := func(string) bool { return false }
 	must.False(t, r.Retain(listsNone, 10))
 	must.False(t, r.Retain(listsNone, unlistedLimitUs))
@@ -138,39 +138,39 @@
 	must.SliceEmpty(t, r.All())
 }
 
-// A world of observers and runners in a seeded order of beats, crashes, leaves,
-// restarts at the same address, cuts and freezes.
-type world struct {
-	rnd       *rand.Rand
-	observers []*Registry
-	cutUntil  []int64
-	frozen    []int64
-	live      map[string]messages.RunnerRecord
-	ended     map[string]bool
-	serial    int
-	nowUs     int64
+// clusterSim simulates observers and runners with a seeded sequence of heartbeats, crashes,
+// leaves, restarts at the same address, partitions and suspended processes.
+type clusterSim struct {
+	rnd              *rand.Rand
+	observers        []*Registry
+	partitionedUntil []int64
+	suspendedUntil   []int64
+	live             map[string]messages.RunnerRecord
+	ended            map[string]bool
+	started          int
+	nowUs            int64
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 5)), cutUntil: make([]int64, 3), frozen: make([]int64, 3), live: map[string]messages.RunnerRecord{}, ended: map[string]bool{}}
+func newClusterSim(seed uint64) *clusterSim {
+	w := &clusterSim{rnd: rand.New(rand.NewPCG(seed, 5)), partitionedUntil: make([]int64, 3), suspendedUntil: make([]int64, 3), live: map[string]messages.RunnerRecord{}, ended: map[string]bool{}}
 	for range 3 {
 		w.observers = append(w.observers, New())
 	}
 	for i := range 6 {
-		w.join(fmt.Sprint("10.0.0.", i, ":1"))
+		w.startRunner(fmt.Sprint("10.0.0.", i, ":1"))
 	}
 	return w
 }
 
-func (w *world) join(address string) {
-	w.serial++
-	id := fmt.Sprint("r", w.serial)
-	w.live[id] = at(id, address, 0)
+func (w *clusterSim) startRunner(address string) {
+	w.started++
+	id := fmt.Sprint("r", w.started)
+	w.live[id] = recordAt(id, address, 0)
 }
 
-// step plays half a second: each runner beats at one observer that runs, which
-// passes it on to those that it reaches.
-func (w *world) step(healthy bool) {
+// step simulates half a second: each runner sends a heartbeat to one observer, which
+// forwards it to the observers that it reaches.
+func (w *clusterSim) step(healthy bool) {
 	w.nowUs += sweepUs
 	if !healthy {
 		w.injectFault()
@@ -180,26 +180,26 @@
 		w.live[id] = n
 		first := w.rnd.IntN(3)
 		for i, o := range w.observers {
-			reached := i == first || !w.cutOff(first) && !w.cutOff(i) && w.rnd.IntN(10) > 0
-			if reached && w.nowUs >= w.frozen[i] {
+			reached := i == first || !w.partitioned(first) && !w.partitioned(i) && w.rnd.IntN(10) > 0
+			if reached && w.nowUs >= w.suspendedUntil[i] {
 				o.ApplyHeartbeat(n, w.nowUs)
 			}
 		}
 	}
 	for i, o := range w.observers {
-		if w.nowUs >= w.frozen[i] {
-			o.Sweep(w.nowUs, silence, !w.cutOff(i))
+		if w.nowUs >= w.suspendedUntil[i] {
+			o.Sweep(w.nowUs, testLimits, !w.partitioned(i))
 		}
 	}
 	w.exchangeRecords()
 }
 
-func (w *world) cutOff(i int) bool { return w.nowUs < w.cutUntil[i] }
+func (w *clusterSim) partitioned(i int) bool { return w.nowUs < w.partitionedUntil[i] }
 
-func (w *world) exchangeRecords() {
+func (w *clusterSim) exchangeRecords() {
 	for i, from := range w.observers {
 		for j, to := range w.observers {
-			if i == j || w.cutOff(i) || w.cutOff(j) || w.nowUs < max(w.frozen[i], w.frozen[j]) {
+			if i == j || w.partitioned(i) || w.partitioned(j) || w.nowUs < max(w.suspendedUntil[i], w.suspendedUntil[j]) {
 				continue
 			}
 			for _, n := range from.All() {
@@ -209,34 +209,34 @@
 	}
 }
 
-func (w *world) injectFault() {
-	victim := w.rnd.IntN(3)
+func (w *clusterSim) injectFault() {
+	target := w.rnd.IntN(3)
 	switch w.rnd.IntN(30) {
 	case 0:
-		w.cutUntil[victim] = w.nowUs + int64(1+w.rnd.IntN(25))*secondUs
+		w.partitionedUntil[target] = w.nowUs + int64(1+w.rnd.IntN(25))*secondUs
 	case 1:
-		w.frozen[victim] = w.nowUs + int64(1+w.rnd.IntN(10))*secondUs
+		w.suspendedUntil[target] = w.nowUs + int64(1+w.rnd.IntN(10))*secondUs
 	case 2, 3:
-		w.end(w.rnd.IntN(2) == 0)
+		w.endRunner(w.rnd.IntN(2) == 0)
 	}
 }
 
-// end takes a runner away, with or without a notice, and gives its address
-// to a new one.
-func (w *world) end(leaves bool) {
+// endRunner removes a runner, with or without a leave message, and starts a new one at its
+// address.
+func (w *clusterSim) endRunner(leaves bool) {
 	for id, n := range w.live {
 		delete(w.live, id)
 		w.ended[id] = true
 		if leaves {
 			w.observers[w.rnd.IntN(3)].Leave(id, w.nowUs)
 		}
-		w.join(n.Addr)
+		w.startRunner(n.Addr)
 		return
 	}
 }
 
 // requireListsLive checks that every observer lists all live runners, none as stale.
-func (w *world) requireListsLive(t *testing.T, seed uint64) {
+func (w *clusterSim) requireListsLive(t *testing.T, seed uint64) {
 	t.Helper()
 	for i, o := range w.observers {
 		for id := range w.live {
@@ -246,8 +246,8 @@
 	}
 }
 
-// run plays as many steps without faults as fit in a time.
-func (w *world) run(forUs int64) {
+// run simulates steps without faults for the given time.
+func (w *clusterSim) run(forUs int64) {
 	for range forUs / sweepUs {
 		w.step(true)
 	}
@@ -255,20 +255,20 @@
 
 func TestObserversAgreeOnLiveRunnersAfterHeal(t *testing.T) {
 	for seed := range uint64(50) {
-		w := newWorld(seed)
+		w := newClusterSim(seed)
 		for range 240 {
 			w.step(false)
 		}
-		w.cutUntil, w.frozen = make([]int64, 3), make([]int64, 3)
+		w.partitionedUntil, w.suspendedUntil = make([]int64, 3), make([]int64, 3)
 		w.run(2*sweepUs + 2*heartbeatUs)
 		w.requireListsLive(t, seed)
 		w.run(2 * 12 * heartbeatUs)
 		for i, o := range w.observers {
 			must.MapLen(t, len(w.live), o.Snapshot().ByID, must.Sprintf("seed %d: observer %d lists ended runners", seed, i))
 		}
-		w.run(2 * keepGoneUs)
+		w.run(2 * removedRetentionUs)
 		for _, o := range w.observers {
-			must.Len(t, len(w.live), o.All(), must.Sprintf("seed %d: ended runners are kept for ever", seed))
+			must.Len(t, len(w.live), o.All(), must.Sprintf("seed %d: entries of ended runners do not expire", seed))
 		}
 	}
 }
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -7,14 +7,14 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Snapshot is the usable runners at one moment. It is immutable.
+// Snapshot has the usable runners at one point in time. It is immutable.
 type Snapshot struct {
 	ByService map[string][]messages.RunnerRecord
 	ByID      map[string]messages.RunnerRecord
-	Sum       uint64 // changes with what a router has to know
+	Sum       uint64 // checksum of ids, flags and weight versions
 }
 
-// Flags of a runner in the sum of a snapshot.
+// Flags of a runner in the checksum of a snapshot.
 const (
 	flagDraining = 1 << iota
 	flagCordoned
--- a/internal/registry/stream.go
+++ b/internal/registry/stream.go
@@ -8,10 +8,10 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Controllers send each other and the routers their records as a stream of changes,
-// keyed by the runner's id. The stream belongs to the caller, who guards it.
+// Controllers send their records to each other and to the routers as a stream of changes
+// keyed by runner id. The caller owns the stream and guards it against concurrent use.
 
-// Publish puts the records of the given runners into a stream as they are now.
+// Publish writes the current records of the given runners to a stream.
 func (r *Registry) Publish(stream *statesync.Entries, ids ...string) error {
 	for _, id := range ids {
 		if n, ok := r.Record(id); ok {
@@ -23,12 +23,12 @@
 	return nil
 }
 
-// Sync brings a stream up to date with the registry: records that it does not have are
-// added, those of runners that are no longer kept are dropped.
+// Sync adds to a stream the records that it does not have yet, and deletes those of runners
+// whose entries have expired. Records that are in the stream already are not updated.
 func (r *Registry) Sync(stream *statesync.Entries) error {
-	known := map[string]bool{}
+	current := map[string]bool{}
 	for _, n := range r.All() {
-		known[n.ID] = true
+		current[n.ID] = true
 		if _, published := stream.Get(n.ID); published {
 			continue
 		}
@@ -36,13 +36,13 @@
 			return err
 		}
 	}
-	var forgotten []string
+	var expired []string
 	stream.Each(func(id, _ string) {
-		if !known[id] {
-			forgotten = append(forgotten, id)
+		if !current[id] {
+			expired = append(expired, id)
 		}
 	})
-	for _, id := range forgotten {
+	for _, id := range expired {
 		stream.Drop(id)
 	}
 	return nil
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// MergeChange merges the records of a change of another controller's stream, in
-// the order of their ids. It returns the ids of runners that changed here, and
-// how many records could not be read. A record that was dropped there says
-// nothing: every controller forgets on its own.
+// MergeChange merges the records of a change of another controller's stream, in the order
+// of their ids. It returns the ids of the runners that changed here and the number of
+// records that could not be decoded. Deleted records are ignored: every controller expires
+// its own entries.
 func (r *Registry) MergeChange(change statesync.Change[string, string], nowUs int64) (changed []string, malformed int) {
 	puts := slices.Clone(change.Puts)
 	slices.SortFunc(puts, func(a, b statesync.Put[string, string]) int { return cmp.Compare(a.Key, b.Key) })
--- a/internal/registry/stream_test.go
+++ b/internal/registry/stream_test.go
@@ -11,8 +11,8 @@
 func TestSyncMatchesStreamToRegistry(t *testing.T) {
 	r, stream := New(), statesync.NewEntries()
 	stream.Begin(1, 0)
-	r.ApplyHeartbeat(at("x", "1:1", 1), 1)
-	r.ApplyHeartbeat(at("y", "2:1", 1), 1)
+	r.ApplyHeartbeat(recordAt("x", "1:1", 1), 1)
+	r.ApplyHeartbeat(recordAt("y", "2:1", 1), 1)
 	must.NoError(t, r.Publish(stream, "x", "unknown"))
 	must.NoError(t, r.Sync(stream))
 	receiver := New()
@@ -22,16 +22,16 @@
 
 	r.Leave("x", 2)
 	must.NoError(t, r.Sync(stream))
-	must.False(t, stream.Dirty(), must.Sprint("what was published before is published again by Publish only"))
+	must.False(t, stream.Dirty(), must.Sprint("Sync does not update records in the stream"))
 	must.NoError(t, r.Publish(stream, "x"))
 	changed, _ = receiver.MergeChange(stream.Commit(2), 2)
 	must.Eq(t, []string{"x"}, changed)
 	must.MapLen(t, 1, receiver.Snapshot().ByID)
 
-	r.Sweep(2+keepGoneUs+1, silence, true)
+	r.Sweep(2+removedRetentionUs+1, testLimits, true)
 	must.NoError(t, r.Sync(stream))
 	changed, malformed = receiver.MergeChange(stream.Commit(3), 3)
-	must.SliceEmpty(t, changed, must.Sprint("what is forgotten there is forgotten here in its own time"))
+	must.SliceEmpty(t, changed, must.Sprint("entries expire at each registry independently"))
 	must.Zero(t, malformed)
 	must.Len(t, 2, receiver.All())
 }
@@ -39,7 +39,7 @@
 func TestMergeChangeCountsMalformedRecords(t *testing.T) {
 	stream, r := statesync.NewEntries(), New()
 	stream.Begin(1, 0)
-	must.NoError(t, putRecord(stream, at("x", "1:1", 1)))
+	must.NoError(t, putRecord(stream, recordAt("x", "1:1", 1)))
 	stream.Put("torn", "\x81")
 	changed, malformed := r.MergeChange(stream.Commit(1), 1)
 	must.Eq(t, []string{"x"}, changed)
