--- a/internal/statesync/entries.go
+++ b/internal/statesync/entries.go
@@ -1,5 +1,5 @@
-// Entries are streams of encoded values by key: the configuration by route, service and
-// tenant, and the runners by id.
+// Streams of encoded values by key: the configuration by route, service and tenant, and
+// the runner records by id.
 
 package statesync
 
@@ -8,7 +8,7 @@
 // Entries is a stream of encoded values by key.
 type Entries = Stream[string, string]
 
-// NewEntries makes an empty stream of entries.
+// NewEntries returns an empty stream of entries.
 func NewEntries() *Entries { return New(HashText) }
 
 // EncodeEntries converts a change to its message. An empty body deletes the key.
@@ -24,7 +24,7 @@
 	return out
 }
 
-// DecodeEntries converts a message to the change that it carries.
+// DecodeEntries converts a message to a change. An empty body deletes the key.
 func DecodeEntries(c messages.EntryChange) Change[string, string] {
 	out := Change[string, string]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest}
 	for _, e := range c.Entries {
--- a/internal/statesync/loads.go
+++ b/internal/statesync/loads.go
@@ -1,17 +1,17 @@
-// Loads are streams of the load at runners, by runner. A Sum adds up the streams of
-// several senders, so that a relay can send one stream for all nodes below it.
+// Streams of runner loads by runner id. A Sum adds up the streams of several senders, so
+// that a relay sends one stream for all nodes below it.
 
 package statesync
 
 import "beechtide.org/beechtide/internal/messages"
 
-// Loads is a stream of the load at runners, by the id of the runner.
+// Loads is a stream of runner loads by runner id.
 type Loads = Stream[string, messages.RunnerLoad]
 
-// NewLoads makes an empty stream of loads.
-func NewLoads() *Loads { return New(hashLoad) }
+// NewLoads returns an empty stream of loads.
+func NewLoads() *Loads { return New(hashRunnerLoad) }
 
-func hashLoad(id string, l messages.RunnerLoad) uint64 {
+func hashRunnerLoad(id string, l messages.RunnerLoad) uint64 {
 	h := hashString(fnvStart, id)
 	for _, n := range [7]int{l.Blocks, l.Prefill, l.Count, l.Flow, int(l.Rate * 1e6), l.Tried, l.Failed} {
 		h = Mix(h ^ uint64(n))
@@ -33,54 +33,54 @@
 	return out
 }
 
-// DecodeLoads converts a message to the change that it carries.
+// DecodeLoads converts a message to a change. A load of zeros deletes the runner.
 func DecodeLoads(c messages.LoadChange) Change[string, messages.RunnerLoad] {
 	out := Change[string, messages.RunnerLoad]{Epoch: c.Epoch, From: c.From, To: c.To, Snapshot: c.Snapshot, Digest: c.Digest, Puts: make([]Put[string, messages.RunnerLoad], 0, len(c.Loads))}
 	for _, l := range c.Loads {
-		out.Puts = append(out.Puts, Put[string, messages.RunnerLoad]{Key: l.ID, Value: l, Deleted: isZero(l)})
+		out.Puts = append(out.Puts, Put[string, messages.RunnerLoad]{Key: l.ID, Value: l, Deleted: isZeroLoad(l)})
 	}
 	return out
 }
 
-func isZero(l messages.RunnerLoad) bool {
+func isZeroLoad(l messages.RunnerLoad) bool {
 	return l.Blocks == 0 && l.Prefill == 0 && l.Count == 0 && l.Flow == 0 && l.Tried == 0 && l.Failed == 0
 }
 
-// Sum is the sum of the load streams of several senders, itself a stream (Total). It is
-// not safe for concurrent use.
+// Sum adds up the load streams of several senders per runner; the result is itself a
+// stream (Total). It is not safe for concurrent use.
 type Sum struct {
 	senders map[string]*Loads
 	Total   *Loads
 }
 
-// NewSum makes a sum without senders; epoch is that of the total.
+// NewSum returns a sum without senders; epoch is the epoch of the total.
 func NewSum(epoch int64) *Sum {
 	s := &Sum{senders: map[string]*Loads{}, Total: NewLoads()}
 	s.Total.Begin(epoch, 0)
 	return s
 }
 
-// Apply applies a change to the stream of one sender, and the difference to the total.
+// Apply applies a change to the stream of one sender and adds the difference to the total.
 func (s *Sum) Apply(sender string, c messages.LoadChange) Result {
-	in := s.senders[sender]
-	if in == nil {
-		in = NewLoads()
-		s.senders[sender] = in
+	stream := s.senders[sender]
+	if stream == nil {
+		stream = NewLoads()
+		s.senders[sender] = stream
 	}
 	before := map[string]messages.RunnerLoad{}
 	if c.Snapshot {
-		in.Each(func(id string, l messages.RunnerLoad) { before[id] = l })
+		stream.Each(func(id string, l messages.RunnerLoad) { before[id] = l })
 	}
 	for _, l := range c.Loads {
-		before[l.ID], _ = in.Get(l.ID)
+		before[l.ID], _ = stream.Get(l.ID)
 	}
-	r := in.Apply(DecodeLoads(c))
+	r := stream.Apply(DecodeLoads(c))
 	if r != Applied {
 		return r
 	}
-	for id, was := range before {
-		is, _ := in.Get(id)
-		s.add(id, was, is)
+	for id, previous := range before {
+		current, _ := stream.Get(id)
+		s.addDifference(id, previous, current)
 	}
 	return Applied
 }
@@ -98,19 +98,20 @@
 
 // Remove subtracts the loads of a sender from the total.
 func (s *Sum) Remove(sender string) {
-	in := s.senders[sender]
-	if in == nil {
+	stream := s.senders[sender]
+	if stream == nil {
 		return
 	}
 	delete(s.senders, sender)
-	in.Each(func(id string, l messages.RunnerLoad) { s.add(id, l, messages.RunnerLoad{}) })
+	stream.Each(func(id string, l messages.RunnerLoad) { s.addDifference(id, l, messages.RunnerLoad{}) })
 }
 
-// Sender returns the stream of one sender as received, nil for an unknown sender.
+// Sender returns the stream received from one sender, nil for an unknown sender.
 func (s *Sum) Sender(sender string) *Loads { return s.senders[sender] }
 
-// add replaces the load of a runner before a change by the one after it in the total.
-func (s *Sum) add(id string, before, after messages.RunnerLoad) {
+// addDifference applies the difference between two loads of a runner to the total. Rates
+// are not added: the total has the last positive rate.
+func (s *Sum) addDifference(id string, before, after messages.RunnerLoad) {
 	total, _ := s.Total.Get(id)
 	total.ID = id
 	total.Blocks += after.Blocks - before.Blocks
@@ -122,7 +123,7 @@
 	if after.Rate > 0 {
 		total.Rate = after.Rate
 	}
-	if isZero(total) {
+	if isZeroLoad(total) {
 		s.Total.Drop(id)
 		return
 	}
--- a/internal/statesync/loads_test.go
+++ b/internal/statesync/loads_test.go
@@ -10,7 +10,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// applyOrSnapshot applies a change, and after a gap a snapshot of its source.
+// applyOrSnapshot applies a change, or a snapshot of its source if the result is a gap.
 func applyOrSnapshot(t *testing.T, apply func(messages.LoadChange) Result, change Change[string, messages.RunnerLoad], source *Loads) {
 	t.Helper()
 	if apply(EncodeLoads(change)) == Gap {
@@ -19,7 +19,8 @@
 	}
 }
 
-// requireTotals checks that a stream has the sum of all sources for each runner.
+// requireTotals checks that a stream has the sum of the blocks and counts of all sources
+// for each runner.
 func requireTotals(t *testing.T, sources map[string]*Loads, total *Loads) {
 	t.Helper()
 	for r := range 5 {
@@ -34,8 +35,8 @@
 	}
 }
 
-// Two levels of sums give what adding up by hand gives, also after senders have come
-// and gone.
+// Two levels of sums give the exact total, also after senders were removed and added
+// again.
 func TestSumIsExactOverTwoLevels(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	relays := []*Sum{NewSum(11), NewSum(12)}
--- a/internal/statesync/stream.go
+++ b/internal/statesync/stream.go
@@ -1,20 +1,19 @@
 // Package statesync replicates keyed state between nodes as deltas.
 //
-// A Stream is a keyed state with an epoch, a version and a digest. A Change names the
-// version that it builds on and the digest of the result. Apply takes it only onto
-// exactly that version and only if the digest matches; otherwise the state stays
-// as it was, and the receiver requests an update with its epoch and version (Cursor).
-// DeltaSince answers with the merged changes, or with a snapshot where the epoch differs
-// or the sender's log does not reach back so far. Applying a change twice does nothing, and no version goes
-// back within an epoch.
+// A Stream is a keyed state with an epoch, a version and a digest. A Change contains its
+// base version and the digest of the result. Apply accepts a change only if the receiver
+// is at exactly the base version and the digest matches; otherwise the state is unchanged
+// and the receiver requests an update with its epoch and version (Cursor). DeltaSince
+// returns the merged changes, or a snapshot if the epoch differs or the sender's log does
+// not contain the receiver's version. Apply is idempotent, and the version never decreases
+// within an epoch.
 //
-// Entries and Loads are the streams in use, a Sum adds up the load streams of several
-// nodes. Transfer and Server carry a large encoded value in chunks, so that progress
-// counts and not the time that all of it takes.
+// Entries and Loads are the streams in use; a Sum adds up the load streams of several
+// nodes. Transfer and Server transfer a large encoded value in resumable chunks, so that
+// timeouts apply to progress and not to the whole transfer.
 //
-// Everything here is pure: time is an argument, nothing is sent and no goroutine is
-// started. No type is safe for concurrent use; the owner of a stream guards it with a
-// mutex.
+// The package does no I/O: time is an argument and no goroutine is started. No type is
+// safe for concurrent use; the owner of a stream guards it with a mutex.
 package statesync
 
 // Result is the outcome of Apply.
@@ -23,20 +22,20 @@
 // Results of Apply.
 const (
 	Applied  Result = iota
-	Known           // the receiver has this version or a later one
-	Gap             // the change builds on a version that the receiver does not have
+	Known           // the receiver is at this version or a later one
+	Gap             // the receiver is not at the base version of the change
 	Mismatch        // the digest of the result would differ
 )
 
-// Put is a key with its value after a change, or with Deleted set.
+// Put sets a key to a value, or deletes the key if Deleted is set.
 type Put[K comparable, V any] struct {
 	Key     K
 	Value   V
 	Deleted bool
 }
 
-// Change brings a receiver from version From to version To. A Snapshot carries all keys
-// and builds on no version.
+// Change updates a receiver from version From to version To. A Snapshot contains all keys
+// and has no base version.
 type Change[K comparable, V any] struct {
 	Epoch, From, To int64
 	Snapshot        bool
@@ -44,35 +43,34 @@
 	Puts            []Put[K, V]
 }
 
-// maxLoggedKeys bounds the keys that a log remembers beyond the size of the state:
-// past that a snapshot is not larger than the changes.
+// maxLoggedKeys bounds by how much the log may exceed the number of keys in the state.
+// Beyond that a snapshot is no larger than the merged changes.
 const maxLoggedKeys = 256
 
-// logEntry is the keys that a version changed.
+// logEntry has the keys changed by one version.
 type logEntry[K comparable] struct {
-	to   int64
-	keys []K
+	version int64
+	keys    []K
 }
 
-// Stream is both ends: the sender's, which puts and commits, and the
-// receiver's, which applies and can pass on what it applied. It is not safe for
-// concurrent use.
+// Stream is used at both ends: the sender puts and commits, and the receiver applies
+// changes and can forward them. It is not safe for concurrent use.
 type Stream[K comparable, V comparable] struct {
 	Epoch, Version int64
 
-	state  map[K]V
-	digest uint64
-	hash   func(K, V) uint64
-	dirty  map[K]bool
-	log    []logEntry[K]
-	logged int   // keys and entries in the log
-	floor  int64 // the version that the log builds on
-	// needsSnapshot is set when a change onto this version did not give its digest.
+	state   map[K]V
+	digest  uint64
+	hash    func(K, V) uint64
+	dirty   map[K]bool
+	log     []logEntry[K]
+	logSize int   // number of keys plus number of entries in the log
+	logBase int64 // base version of the oldest log entry
+	// needsSnapshot is set after a digest mismatch, until a change or snapshot is applied.
 	needsSnapshot bool
 }
 
-// New makes an empty stream. The digest of a state is the sum of the hashes of its keys
-// and values.
+// New returns an empty stream. The digest of a state is the sum of the hashes of its
+// key-value pairs.
 func New[K comparable, V comparable](hash func(K, V) uint64) *Stream[K, V] {
 	return &Stream[K, V]{state: map[K]V{}, hash: hash, dirty: map[K]bool{}}
 }
@@ -86,7 +84,7 @@
 	return v, ok
 }
 
-// Each calls f for every key, in no order.
+// Each calls f for every key and value, in no particular order.
 func (s *Stream[K, V]) Each(f func(K, V)) {
 	for k, v := range s.state {
 		f(k, v)
@@ -96,7 +94,7 @@
 // Digest returns the digest of the current state.
 func (s *Stream[K, V]) Digest() uint64 { return s.digest }
 
-// Put sets a value; the next Commit has it.
+// Put sets a value; the next Commit includes the change.
 func (s *Stream[K, V]) Put(k K, v V) {
 	old, had := s.state[k]
 	if had && old == v {
@@ -110,7 +108,7 @@
 	s.dirty[k] = true
 }
 
-// Drop deletes a key; the next Commit has that.
+// Drop deletes a key; the next Commit includes the deletion.
 func (s *Stream[K, V]) Drop(k K) {
 	if old, had := s.state[k]; had {
 		s.digest -= s.hash(k, old)
@@ -119,31 +117,31 @@
 	}
 }
 
-// Replace makes the state equal to the given one, by puts and drops.
-func (s *Stream[K, V]) Replace(all map[K]V) {
+// Replace puts and drops keys until the state equals the given one.
+func (s *Stream[K, V]) Replace(target map[K]V) {
 	for k := range s.state {
-		if _, ok := all[k]; !ok {
+		if _, ok := target[k]; !ok {
 			s.Drop(k)
 		}
 	}
-	for k, v := range all {
+	for k, v := range target {
 		s.Put(k, v)
 	}
 }
 
 // Begin empties the stream and starts an epoch at the given version.
 func (s *Stream[K, V]) Begin(epoch, version int64) {
-	s.Epoch, s.Version, s.floor = epoch, version, version
+	s.Epoch, s.Version, s.logBase = epoch, version, version
 	clear(s.state)
 	clear(s.dirty)
-	s.digest, s.log, s.logged, s.needsSnapshot = 0, nil, 0, false
+	s.digest, s.log, s.logSize, s.needsSnapshot = 0, nil, 0, false
 }
 
 // Dirty reports whether there are puts or drops since the last Commit.
 func (s *Stream[K, V]) Dirty() bool { return len(s.dirty) > 0 }
 
-// Commit makes the puts and drops since the last one a version, and returns it as a
-// change.
+// Commit creates a version from the puts and drops since the last Commit and returns it as
+// a change.
 func (s *Stream[K, V]) Commit(version int64) Change[K, V] {
 	c := Change[K, V]{Epoch: s.Epoch, From: s.Version, To: version, Digest: s.digest}
 	keys := make([]K, 0, len(s.dirty))
@@ -168,16 +166,16 @@
 func (s *Stream[K, V]) appendLog(to int64, keys []K) {
 	s.Version = to
 	s.log = append(s.log, logEntry[K]{to, keys})
-	s.logged += len(keys) + 1
-	for s.logged > maxLoggedKeys+len(s.state) && len(s.log) > 0 {
-		s.floor = s.log[0].to
-		s.logged -= len(s.log[0].keys) + 1
+	s.logSize += len(keys) + 1
+	for s.logSize > maxLoggedKeys+len(s.state) && len(s.log) > 0 {
+		s.logBase = s.log[0].version
+		s.logSize -= len(s.log[0].keys) + 1
 		s.log = s.log[1:]
 	}
 }
 
-// Cursor returns the epoch and version from which a receiver requests changes: zeros
-// where it needs a snapshot.
+// Cursor returns the epoch and version from which the receiver requests changes, or zeros
+// if it needs a snapshot.
 func (s *Stream[K, V]) Cursor() (epoch, version int64) {
 	if s.needsSnapshot {
 		return 0, 0
@@ -185,31 +183,32 @@
 	return s.Epoch, s.Version
 }
 
-// NeedsSnapshot reports whether a change onto this version did not give its digest.
+// NeedsSnapshot reports whether the last change onto this version had a digest mismatch.
 func (s *Stream[K, V]) NeedsSnapshot() bool { return s.needsSnapshot }
 
-// had reports whether this stream itself was at a version, as far as its log goes.
-// One that it skipped is no base: what changed there and back is not in its log.
-func (s *Stream[K, V]) had(version int64) bool {
-	if version == s.floor || version == s.Version {
+// hasVersion reports whether this stream was at a version, as far as its log reaches back. A
+// version that it skipped cannot be the base of a delta: a key that changed in the skipped
+// version and changed back is not in the log.
+func (s *Stream[K, V]) hasVersion(version int64) bool {
+	if version == s.logBase || version == s.Version {
 		return true
 	}
 	for _, t := range s.log {
-		if t.to == version {
+		if t.version == version {
 			return true
 		}
 	}
 	return false
 }
 
-// DeltaSince returns the change that a receiver at an epoch and version needs; false
-// where it is up to date.
+// DeltaSince returns the change that a receiver at the given epoch and version needs, and
+// false if the receiver is up to date.
 func (s *Stream[K, V]) DeltaSince(epoch, version int64) (Change[K, V], bool) {
 	c := Change[K, V]{Epoch: s.Epoch, From: version, To: s.Version, Digest: s.digest}
 	if epoch == s.Epoch && version == s.Version {
 		return c, false
 	}
-	if epoch != s.Epoch || version < s.floor || version > s.Version || !s.had(version) {
+	if epoch != s.Epoch || version < s.logBase || version > s.Version || !s.hasVersion(version) {
 		c.Snapshot, c.From = true, 0
 		for k, v := range s.state {
 			c.Puts = append(c.Puts, Put[K, V]{Key: k, Value: v})
@@ -219,7 +218,7 @@
 	merged := map[K]bool{}
 	var keys []K
 	for _, t := range s.log {
-		if t.to <= version {
+		if t.version <= version {
 			continue
 		}
 		for _, k := range t.keys {
@@ -233,8 +232,8 @@
 	return c, true
 }
 
-// Apply applies a change onto exactly the version that it builds on. Only the result
-// Applied changes the state.
+// Apply applies a change if the stream is at exactly its base version. The state changes
+// only if the result is Applied.
 func (s *Stream[K, V]) Apply(c Change[K, V]) Result {
 	if c.Snapshot {
 		return s.applySnapshot(c)
@@ -261,14 +260,14 @@
 		}
 		keys = append(keys, p.Key)
 	}
-	s.digest, s.needsSnapshot = digest, false // the digest covers all of the state
+	s.digest, s.needsSnapshot = digest, false // the digest covers the entire state
 	s.appendLog(c.To, keys)
 	return Applied
 }
 
-// digestAfter returns the digest of the state with a change, and whether it is the one
-// that the change names. A sender puts each key once; where one is repeated the digest
-// does not fit.
+// digestAfter returns the digest that the state would have after a change, and whether it
+// equals the digest in the change. A sender puts each key once; a repeated key leads to a
+// mismatch.
 func (s *Stream[K, V]) digestAfter(c Change[K, V]) (digest uint64, ok bool) {
 	digest = s.digest
 	for _, p := range c.Puts {
--- a/internal/statesync/stream_test.go
+++ b/internal/statesync/stream_test.go
@@ -9,16 +9,16 @@
 	"github.com/shoenig/test/must"
 )
 
-func texts() *Stream[string, string] { return New(HashText) }
+func newTextStream() *Stream[string, string] { return New(HashText) }
 
-func state(s *Stream[string, string]) map[string]string {
+func stateOf(s *Stream[string, string]) map[string]string {
 	out := map[string]string{}
 	s.Each(func(k, v string) { out[k] = v })
 	return out
 }
 
-// lossyNetwork joins a sender, its receiver, and a second receiver that follows the
-// first one. Changes in flight are lost, repeated, damaged and reordered.
+// lossyNetwork connects a sender, a relay that receives from it, and a leaf that receives
+// from the relay. Changes in flight are lost, duplicated, corrupted and reordered.
 type lossyNetwork struct {
 	t       *testing.T
 	seed    uint64
@@ -36,14 +36,14 @@
 	t.Helper()
 	n := &lossyNetwork{
 		t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)),
-		sender: texts(), relay: texts(), leaf: texts(),
+		sender: newTextStream(), relay: newTextStream(), leaf: newTextStream(),
 		history: map[int64]map[string]string{0: {}},
 	}
 	n.sender.Begin(5, 0)
 	return n
 }
 
-// repair brings a receiver up to date with a sender.
+// repair updates a receiver to the sender's version.
 func (n *lossyNetwork) repair(sender, receiver *Stream[string, string]) {
 	n.t.Helper()
 	if c, ok := sender.DeltaSince(receiver.Epoch, receiver.Version); ok {
@@ -53,7 +53,7 @@
 
 func (n *lossyNetwork) commit() {
 	n.inFlight = append(n.inFlight, n.sender.Commit(n.version))
-	n.history[n.version] = state(n.sender)
+	n.history[n.version] = stateOf(n.sender)
 }
 
 func (n *lossyNetwork) changeSender() {
@@ -69,9 +69,9 @@
 	n.commit()
 }
 
-// restartSender begins another epoch with the same state.
+// restartSender begins a new epoch with the same state.
 func (n *lossyNetwork) restartSender() {
-	before := state(n.sender)
+	before := stateOf(n.sender)
 	n.version++
 	n.sender.Begin(n.sender.Epoch+1, n.version)
 	n.sender.Replace(before)
@@ -79,29 +79,29 @@
 	n.commit()
 }
 
-func (n *lossyNetwork) lose() {
+func (n *lossyNetwork) dropOne() {
 	i := n.rnd.IntN(len(n.inFlight))
 	n.inFlight = append(n.inFlight[:i:i], n.inFlight[i+1:]...)
 }
 
-func (n *lossyNetwork) duplicate() {
+func (n *lossyNetwork) duplicateOne() {
 	n.inFlight = append(n.inFlight, n.inFlight[n.rnd.IntN(len(n.inFlight))])
 }
 
-// deliverDamaged checks that a damaged change is not applied and changes nothing.
-func (n *lossyNetwork) deliverDamaged() {
+// deliverCorrupted checks that a corrupted change is rejected and leaves the state unchanged.
+func (n *lossyNetwork) deliverCorrupted() {
 	n.t.Helper()
 	c := n.inFlight[n.rnd.IntN(len(n.inFlight))]
 	c.Puts = append([]Put[string, string]{{Key: "x", Value: "never put"}}, c.Puts...)
-	before, at := state(n.relay), n.relay.Version
+	before, at := stateOf(n.relay), n.relay.Version
 	r := n.relay.Apply(c)
 	must.NotEq(n.t, Applied, r, must.Sprint("seed ", n.seed))
-	must.Eq(n.t, before, state(n.relay))
+	must.Eq(n.t, before, stateOf(n.relay))
 	must.Eq(n.t, at, n.relay.Version)
 }
 
-// deliver applies any change in flight, and checks that no version goes back.
-func (n *lossyNetwork) deliver() {
+// deliverOne applies a random change in flight and checks that the version does not decrease.
+func (n *lossyNetwork) deliverOne() {
 	n.t.Helper()
 	i := n.rnd.IntN(len(n.inFlight))
 	epoch, at := n.relay.Epoch, n.relay.Version
@@ -114,7 +114,7 @@
 	n.inFlight = append(n.inFlight[:i:i], n.inFlight[i+1:]...)
 }
 
-// step does one thing at random.
+// step performs one random action and checks the relay's state against the sender's history.
 func (n *lossyNetwork) step() {
 	n.t.Helper()
 	action := n.rnd.IntN(10)
@@ -129,22 +129,21 @@
 		n.repair(n.relay, n.leaf)
 	case len(n.inFlight) == 0:
 	case action == 5:
-		n.lose()
+		n.dropOne()
 	case action == 6:
-		n.duplicate()
+		n.duplicateOne()
 	case action == 7:
-		n.deliverDamaged()
+		n.deliverCorrupted()
 	case action == 8:
-		n.deliver()
+		n.deliverOne()
 	}
 	if n.relay.Epoch > 0 {
-		must.True(n.t, maps.Equal(n.history[n.relay.Version], state(n.relay)), must.Sprint("seed ", n.seed, " version ", n.relay.Version))
+		must.True(n.t, maps.Equal(n.history[n.relay.Version], stateOf(n.relay)), must.Sprint("seed ", n.seed, " version ", n.relay.Version))
 	}
 }
 
-// Any sequence of changes, lost, repeated, late and damaged ones, with repairs in
-// between, ends in the state that snapshots would have given, and no version goes
-// back on the way.
+// Any sequence of lost, duplicated, late and corrupted changes with repairs in between
+// converges to the sender's state, and the version never decreases.
 func TestStreamConvergesOverLossyNetwork(t *testing.T) {
 	for seed := range uint64(200) {
 		n := newLossyNetwork(t, seed)
@@ -153,14 +152,14 @@
 		}
 		n.repair(n.sender, n.relay)
 		n.repair(n.relay, n.leaf)
-		must.Eq(t, state(n.sender), state(n.relay))
-		must.Eq(t, state(n.sender), state(n.leaf))
+		must.Eq(t, stateOf(n.sender), stateOf(n.relay))
+		must.Eq(t, stateOf(n.sender), stateOf(n.leaf))
 		must.Eq(t, n.sender.Digest(), n.leaf.Digest())
 	}
 }
 
 func TestDeltaSinceMergesChangesOrFallsBackToSnapshot(t *testing.T) {
-	s := texts()
+	s := newTextStream()
 	s.Begin(1, 0)
 	for i := range 10 {
 		s.Put("a", fmt.Sprint(i))
@@ -169,7 +168,7 @@
 	c, ok := s.DeltaSince(1, 4)
 	must.True(t, ok)
 	must.False(t, c.Snapshot)
-	must.Len(t, 1, c.Puts, must.Sprint("latest of a key wins"))
+	must.Len(t, 1, c.Puts, must.Sprint("only the latest value of a key is sent"))
 	_, ok = s.DeltaSince(1, 10)
 	must.False(t, ok)
 	c, _ = s.DeltaSince(2, 4)
@@ -182,118 +181,118 @@
 	}
 	c, _ = s.DeltaSince(1, 10)
 	must.True(t, c.Snapshot, must.Sprint("the log is bounded"))
-	must.LessEq(t, maxLoggedKeys+2, s.logged)
+	must.LessEq(t, maxLoggedKeys+2, s.logSize)
 }
 
 func TestApplyRejectsChangeOntoMissingBase(t *testing.T) {
-	a, b := texts(), texts()
-	a.Begin(1, 0)
-	a.Put("k", "1")
-	one := a.Commit(1)
-	a.Put("k", "2")
-	two := a.Commit(2)
-	must.Eq(t, Gap, b.Apply(one), must.Sprint("another epoch"))
-	b.Begin(1, 0)
-	must.Eq(t, Gap, b.Apply(two), must.Sprint("a base that is missing"))
-	must.Eq(t, Applied, b.Apply(one))
-	must.Eq(t, Known, b.Apply(one), must.Sprint("twice does nothing"))
-	two.Digest++
-	must.Eq(t, Mismatch, b.Apply(two))
-	two.Digest--
-	must.Eq(t, Applied, b.Apply(two))
-	must.Eq(t, Known, b.Apply(one), must.Sprint("never back"))
-	w, _ := a.DeltaSince(0, 0)
-	a.Put("k", "3")
-	a.Commit(3)
-	c, _ := a.DeltaSince(1, 2)
-	must.Eq(t, Applied, b.Apply(c))
-	must.Eq(t, Known, b.Apply(w), must.Sprint("an older snapshot of the same epoch"))
+	sender, receiver := newTextStream(), newTextStream()
+	sender.Begin(1, 0)
+	sender.Put("k", "1")
+	first := sender.Commit(1)
+	sender.Put("k", "2")
+	second := sender.Commit(2)
+	must.Eq(t, Gap, receiver.Apply(first), must.Sprint("another epoch"))
+	receiver.Begin(1, 0)
+	must.Eq(t, Gap, receiver.Apply(second), must.Sprint("missing base version"))
+	must.Eq(t, Applied, receiver.Apply(first))
+	must.Eq(t, Known, receiver.Apply(first), must.Sprint("a repeated change is not applied"))
+	second.Digest++
+	must.Eq(t, Mismatch, receiver.Apply(second))
+	second.Digest--
+	must.Eq(t, Applied, receiver.Apply(second))
+	must.Eq(t, Known, receiver.Apply(first), must.Sprint("the version never decreases"))
+	snapshot, _ := sender.DeltaSince(0, 0)
+	sender.Put("k", "3")
+	sender.Commit(3)
+	c, _ := sender.DeltaSince(1, 2)
+	must.Eq(t, Applied, receiver.Apply(c))
+	must.Eq(t, Known, receiver.Apply(snapshot), must.Sprint("an older snapshot of the same epoch"))
 }
 
-// The incident of docs/incidents/skipped-version-as-base.md: two senders of one
-// stream, each of which skips versions that the other had, and a receiver that
-// takes from both. What was changed and changed back in a version that a sender
-// skipped is not in its log.
+// Regression test for docs/incidents/skipped-version-as-base.md: two senders of one stream
+// each skip versions that the other had, and a receiver applies changes from both. A key
+// that changed in a skipped version and changed back is not in the log of the sender that
+// skipped it, so a delta from that version would omit the key.
 func TestDeltaSinceSendsSnapshotForSkippedVersion(t *testing.T) {
-	a, b, to := texts(), texts(), texts()
+	a, b, receiver := newTextStream(), newTextStream(), newTextStream()
 	for _, s := range []*Stream[string, string]{a, b} {
 		s.Begin(1, 0)
 		s.Put("route", "old")
 		s.Commit(1)
 	}
-	w, _ := a.DeltaSince(0, 0)
-	must.Eq(t, Applied, to.Apply(w))
+	snapshot, _ := a.DeltaSince(0, 0)
+	must.Eq(t, Applied, receiver.Apply(snapshot))
 	a.Put("route", "new")
-	must.Eq(t, Applied, to.Apply(a.Commit(2)))
-	b.Put("other", "x") // b learned version 3 without 2; the route is as it was in 1
+	must.Eq(t, Applied, receiver.Apply(a.Commit(2)))
+	b.Put("other", "x") // b received version 3 without 2; the route has its value of version 1
 	b.Commit(3)
-	c, behind := b.DeltaSince(to.Cursor())
+	c, behind := b.DeltaSince(receiver.Cursor())
 	must.True(t, behind)
 	must.True(t, c.Snapshot)
-	must.Eq(t, Applied, to.Apply(c))
-	must.Eq(t, state(b), state(to))
+	must.Eq(t, Applied, receiver.Apply(c))
+	must.Eq(t, stateOf(b), stateOf(receiver))
 }
 
-// A receiver whose state is not that of its version requests a snapshot: the change
-// whose digest did not match is not requested again.
+// A receiver whose state does not match its version requests a snapshot after a digest
+// mismatch, and does not request the same change again.
 func TestMismatchIsRepairedBySnapshot(t *testing.T) {
-	a, to := texts(), texts()
-	a.Begin(1, 0)
-	a.Put("k", "1")
-	a.Commit(1)
-	w, _ := a.DeltaSince(0, 0)
-	must.Eq(t, Applied, to.Apply(w))
-	to.state["k"], to.digest = "not so", to.hash("k", "not so")
-	a.Put("other", "2")
-	must.Eq(t, Mismatch, to.Apply(a.Commit(2)))
-	c, behind := a.DeltaSince(to.Cursor())
+	sender, receiver := newTextStream(), newTextStream()
+	sender.Begin(1, 0)
+	sender.Put("k", "1")
+	sender.Commit(1)
+	snapshot, _ := sender.DeltaSince(0, 0)
+	must.Eq(t, Applied, receiver.Apply(snapshot))
+	receiver.state["k"], receiver.digest = "not so", receiver.hash("k", "not so")
+	sender.Put("other", "2")
+	must.Eq(t, Mismatch, receiver.Apply(sender.Commit(2)))
+	c, behind := sender.DeltaSince(receiver.Cursor())
 	must.True(t, behind)
 	must.True(t, c.Snapshot)
-	must.Eq(t, Applied, to.Apply(c))
-	must.Eq(t, state(a), state(to))
-	epoch, version := to.Cursor()
+	must.Eq(t, Applied, receiver.Apply(c))
+	must.Eq(t, stateOf(sender), stateOf(receiver))
+	epoch, version := receiver.Cursor()
 	must.Eq(t, [2]int64{1, 2}, [2]int64{epoch, version})
 }
 
-// changeAtRandom puts and deletes one to three keys.
-func changeAtRandom(rnd *rand.Rand, truth map[string]string) {
+// changeAtRandom puts or deletes one to three keys.
+func changeAtRandom(rnd *rand.Rand, expected map[string]string) {
 	for range 1 + rnd.IntN(3) {
 		k := fmt.Sprint(rnd.IntN(6))
 		if rnd.IntN(3) == 0 {
-			delete(truth, k)
+			delete(expected, k)
 		} else {
-			truth[k] = fmt.Sprint(rnd.IntN(3))
+			expected[k] = fmt.Sprint(rnd.IntN(3))
 		}
 	}
 }
 
-// Many senders that skip versions at random, and a receiver that goes from one to
-// another, end in the same state.
+// A receiver that switches between senders, each of which skips versions at random,
+// has the state of the sender after every change.
 func TestReceiverConvergesAcrossSendersThatSkipVersions(t *testing.T) {
 	for seed := range uint64(100) {
 		rnd := rand.New(rand.NewPCG(seed, 11))
-		truth := map[string]string{}
-		senders := []*Stream[string, string]{texts(), texts(), texts()}
+		expected := map[string]string{}
+		senders := []*Stream[string, string]{newTextStream(), newTextStream(), newTextStream()}
 		for _, s := range senders {
 			s.Begin(1, 0)
 		}
-		to := texts()
+		receiver := newTextStream()
 		for version := int64(1); version < 60; version++ {
-			changeAtRandom(rnd, truth)
+			changeAtRandom(rnd, expected)
 			for _, s := range senders {
 				if rnd.IntN(2) == 0 {
-					s.Replace(truth)
+					s.Replace(expected)
 					s.Commit(version)
 				}
 			}
-			from := senders[rnd.IntN(3)]
-			if from.Version <= to.Version {
+			sender := senders[rnd.IntN(3)]
+			if sender.Version <= receiver.Version {
 				continue
 			}
-			c, behind := from.DeltaSince(to.Cursor())
+			c, behind := sender.DeltaSince(receiver.Cursor())
 			must.True(t, behind)
-			must.Eq(t, Applied, to.Apply(c), must.Sprint("seed ", seed, " version ", version))
-			must.True(t, maps.Equal(state(from), state(to)))
+			must.Eq(t, Applied, receiver.Apply(c), must.Sprint("seed ", seed, " version ", version))
+			must.True(t, maps.Equal(stateOf(sender), stateOf(receiver)))
 		}
 	}
 }
--- a/internal/statesync/transfer.go
+++ b/internal/statesync/transfer.go
@@ -1,68 +1,70 @@
-// Transfers carry a large value to another node in chunks, so that progress counts and
-// not the time that all of it takes. The receiver names version and offset; chunks
-// that have arrived stay when a sender stops answering, and another sender of the same
-// version resumes from there. The sender keeps the versions that are being fetched, so
-// that a transfer that newer versions overtake still ends; the receiver then fetches
-// the newest.
+// Transfers send a large value to another node in chunks, so that timeouts apply to
+// progress and not to the whole transfer. The receiver requests a version and an offset.
+// It retains the chunks received when a sender stops responding, and resumes from another
+// sender of the same version. The sender retains the versions that are being fetched, so
+// that a transfer completes even if newer versions are created meanwhile; the receiver then
+// fetches the newest.
 
 package statesync
 
 import "hash/crc32"
 
-// ChunkBytes is the most that one chunk carries; states up to this size take one chunk.
+// ChunkBytes is the maximum number of bytes in a chunk. A state up to this size takes one
+// chunk.
 const ChunkBytes = 64 << 10
 
-// Chunk is a part of one version of an encoded state.
+// Chunk is a byte range of one version of an encoded state.
 type Chunk struct {
 	Version, Offset, Total int64
 	Sum                    uint32 // CRC-32 (IEEE) of all bytes of the version
 	Bytes                  []byte
 }
 
-// Transfer is the receiver's end. The zero Transfer has received nothing yet.
+// Transfer is the receiver's side. The zero Transfer has received nothing yet.
 type Transfer struct {
 	version, total int64
 	sum            uint32
-	bytes          []byte
+	received       []byte
 }
 
-// Next returns what to request: the version, 0 where nothing has begun, and the offset.
-func (t *Transfer) Next() (version, offset int64) { return t.version, int64(len(t.bytes)) }
+// Next returns the version and offset to request. The version is 0 if no transfer has
+// begun.
+func (t *Transfer) Next() (version, offset int64) { return t.version, int64(len(t.received)) }
 
 // AddResult is the outcome of Add.
 type AddResult int
 
 // Results of Add.
 const (
-	Stored    AddResult = iota // ask for the next one
-	Restarted                  // the sender has another version: the transfer restarted with it
-	Ignored                    // it does not fit what was requested
-	Corrupt                    // all is there and the checksum differs: the transfer is empty again
-	Complete                   // all is there
+	Stored    AddResult = iota // the chunk was appended; request the next one
+	Restarted                  // the chunk has another version: the transfer restarted with it
+	Ignored                    // the chunk does not match the request
+	Corrupt                    // all bytes arrived and the checksum differs: the transfer was reset
+	Complete                   // all bytes arrived and the checksum matches
 )
 
-// Add adds a chunk. With the result Complete it returns the bytes of the state, and the
-// transfer is empty.
-func (t *Transfer) Add(p Chunk) ([]byte, AddResult) {
-	if p.Total <= 0 || len(p.Bytes) == 0 || p.Offset+int64(len(p.Bytes)) > p.Total {
+// Add adds a chunk. If the result is Complete it returns the bytes of the state and resets
+// the transfer.
+func (t *Transfer) Add(chunk Chunk) ([]byte, AddResult) {
+	if chunk.Total <= 0 || len(chunk.Bytes) == 0 || chunk.Offset+int64(len(chunk.Bytes)) > chunk.Total {
 		return nil, Ignored
 	}
 	result := Stored
-	if p.Version != t.version || p.Total != t.total || p.Sum != t.sum {
-		if p.Offset != 0 || p.Version < t.version {
+	if chunk.Version != t.version || chunk.Total != t.total || chunk.Sum != t.sum {
+		if chunk.Offset != 0 || chunk.Version < t.version {
 			return nil, Ignored
 		}
-		*t = Transfer{version: p.Version, total: p.Total, sum: p.Sum}
+		*t = Transfer{version: chunk.Version, total: chunk.Total, sum: chunk.Sum}
 		result = Restarted
 	}
-	if p.Offset != int64(len(t.bytes)) {
+	if chunk.Offset != int64(len(t.received)) {
 		return nil, Ignored
 	}
-	t.bytes = append(t.bytes, p.Bytes...)
-	if int64(len(t.bytes)) < t.total {
+	t.received = append(t.received, chunk.Bytes...)
+	if int64(len(t.received)) < t.total {
 		return nil, result
 	}
-	value, sum := t.bytes, t.sum
+	value, sum := t.received, t.sum
 	*t = Transfer{}
 	if crc32.ChecksumIEEE(value) != sum {
 		return nil, Corrupt
@@ -71,64 +73,65 @@
 }
 
 const (
-	maxServed    = 2         // versions of one state that are kept for transfers
-	servedIdleUs = 5_000_000 // how long one is kept that nobody requests
+	maxServedVersions = 2         // versions of one state that are retained for transfers
+	servedIdleUs      = 5_000_000 // how long a version is retained after its last request
 )
 
-type served struct {
-	version int64
-	sum     uint32
-	bytes   []byte
-	usedUs  int64
-	ended   bool // the last chunk was the latest that anybody requested
+type servedVersion struct {
+	version       int64
+	sum           uint32
+	bytes         []byte
+	lastRequestUs int64
+	lastChunkRead bool // the most recent request was for the last chunk
 }
 
-// Server is the sender's end. It is not safe for concurrent use.
-type Server struct{ versions []*served }
+// Server is the sender's side. It is not safe for concurrent use.
+type Server struct{ versions []*servedVersion }
 
-// ReadChunk returns a chunk of the version requested, if it is still kept, and else the
-// first chunk of the newest; or of a newer one kept, where maxServed versions are being
-// fetched. A receiver that has begun nothing requests the version after its own, at
-// offset 0. encode returns the bytes of the newest version.
+// ReadChunk returns a chunk of the requested version if it is retained, otherwise the first
+// chunk of the newest version. If maxServedVersions other versions are being fetched, it
+// returns the first chunk of a retained version that is not older than the requested one.
+// A receiver without a transfer in progress requests the version after its own, at offset
+// 0. encode returns the bytes of the newest version.
 func (s *Server) ReadChunk(version, offset, nowUs, newest int64, encode func() ([]byte, error)) (Chunk, error) {
 	s.Forget(nowUs)
-	from := s.find(version)
+	from := s.findVersion(version)
 	if from == nil {
 		if version != newest {
 			offset = 0
 		}
-		from = s.find(newest)
+		from = s.findVersion(newest)
 	}
-	if from == nil && len(s.versions) >= maxServed {
-		from, offset = s.evictOne(version), 0
+	if from == nil && len(s.versions) >= maxServedVersions {
+		from, offset = s.evictOrReuse(version), 0
 	}
 	if from == nil {
 		b, err := encode()
 		if err != nil {
 			return Chunk{}, err
 		}
-		from = &served{version: newest, sum: crc32.ChecksumIEEE(b), bytes: b}
+		from = &servedVersion{version: newest, sum: crc32.ChecksumIEEE(b), bytes: b}
 		s.versions = append(s.versions, from)
 	}
-	from.usedUs = nowUs
+	from.lastRequestUs = nowUs
 	total := int64(len(from.bytes))
 	offset = min(max(offset, 0), total)
 	end := min(offset+ChunkBytes, total)
-	from.ended = end == total
+	from.lastChunkRead = end == total
 	return Chunk{Version: from.version, Offset: offset, Total: total, Sum: from.sum, Bytes: from.bytes[offset:end]}, nil
 }
 
-// evictOne drops a version whose transfer has ended. Where none has, it returns a kept
-// version that is not older than the one requested, and where there is none of that
-// either, it drops the one requested longest ago.
-func (s *Server) evictOne(version int64) *served {
+// evictOrReuse makes room for another version. It deletes a version whose transfer has ended.
+// If there is none, it returns a retained version that is not older than the requested
+// one, and if there is none of those either, it deletes the least recently requested.
+func (s *Server) evictOrReuse(version int64) *servedVersion {
 	oldest := 0
 	for i, h := range s.versions {
-		if h.ended {
+		if h.lastChunkRead {
 			s.versions = append(s.versions[:i], s.versions[i+1:]...)
 			return nil
 		}
-		if h.usedUs < s.versions[oldest].usedUs {
+		if h.lastRequestUs < s.versions[oldest].lastRequestUs {
 			oldest = i
 		}
 	}
@@ -141,7 +144,7 @@
 	return nil
 }
 
-func (s *Server) find(version int64) *served {
+func (s *Server) findVersion(version int64) *servedVersion {
 	for _, h := range s.versions {
 		if h.version == version {
 			return h
@@ -150,17 +153,17 @@
 	return nil
 }
 
-// Forget drops versions that nobody has requested for servedIdleUs.
+// Forget deletes the versions that were not requested for servedIdleUs.
 func (s *Server) Forget(nowUs int64) {
-	kept := s.versions[:0]
+	retained := s.versions[:0]
 	for _, h := range s.versions {
-		if nowUs-h.usedUs < servedIdleUs {
-			kept = append(kept, h)
+		if nowUs-h.lastRequestUs < servedIdleUs {
+			retained = append(retained, h)
 		}
 	}
-	clear(s.versions[len(kept):])
-	s.versions = kept
+	clear(s.versions[len(retained):])
+	s.versions = retained
 }
 
-// Versions returns the number of versions kept.
+// Versions returns the number of retained versions.
 func (s *Server) Versions() int { return len(s.versions) }
--- a/internal/statesync/transfer_test.go
+++ b/internal/statesync/transfer_test.go
@@ -9,83 +9,82 @@
 	"github.com/shoenig/test/must"
 )
 
-// source is a sender whose state may change under a transfer.
+// source is a sender whose state may change during a transfer.
 type source struct {
-	t       *testing.T
-	server  Server
-	version int64
-	size    int
-	encoded int
+	t         *testing.T
+	server    Server
+	version   int64
+	size      int
+	encodings int
 }
 
 func (s *source) body(version int64) []byte {
 	return bytes.Repeat([]byte(fmt.Sprintf("%08d", version)), s.size/8)
 }
 
-func (s *source) give(version, offset, nowUs int64) Chunk {
-	p, err := s.server.ReadChunk(version, offset, nowUs, s.version, func() ([]byte, error) {
-		s.encoded++
+func (s *source) readChunk(version, offset, nowUs int64) Chunk {
+	chunk, err := s.server.ReadChunk(version, offset, nowUs, s.version, func() ([]byte, error) {
+		s.encodings++
 		return s.body(s.version), nil
 	})
 	must.NoError(s.t, err)
-	return p
+	return chunk
 }
 
-// overtakenTransfer is a receiver that fetches one version after the other from two
-// senders over a lossy link, while the senders' state changes.
-type overtakenTransfer struct {
-	t        *testing.T
-	rnd      *rand.Rand
-	senders  []*source
-	receiver Transfer
-	version  int64 // the senders' newest
-	received int64 // the last version that arrived
-	complete int   // how many arrived
+// transferSim simulates a receiver that fetches successive versions from two senders
+// over a lossy link while the senders' state changes.
+type transferSim struct {
+	t         *testing.T
+	rnd       *rand.Rand
+	senders   []*source
+	receiver  Transfer
+	version   int64 // the senders' newest version
+	received  int64 // the last version received completely
+	completed int   // number of completed transfers
 }
 
-// request is one request for a chunk. Two of three answers are lost, and some are
-// repeated.
-func (o *overtakenTransfer) request(nowUs int64) {
+// request requests one chunk. Two of three responses are lost, and some are duplicated.
+func (o *transferSim) request(nowUs int64) {
 	o.t.Helper()
 	from := o.senders[0]
 	if o.rnd.IntN(400) == 0 {
 		from = o.senders[1]
 	}
 	from.version = o.version
-	wanted, offset := o.receiver.Next()
-	if wanted == 0 {
-		wanted = o.received + 1
+	version, offset := o.receiver.Next()
+	if version == 0 {
+		version = o.received + 1
 	}
-	chunk := from.give(wanted, offset, nowUs)
-	must.LessEq(o.t, maxServed, from.server.Versions())
+	chunk := from.readChunk(version, offset, nowUs)
+	must.LessEq(o.t, maxServedVersions, from.server.Versions())
 	if o.rnd.IntN(3) > 0 {
 		return
 	}
 	value, result := o.receiver.Add(chunk)
 	if o.rnd.IntN(5) == 0 && result != Complete {
 		_, again := o.receiver.Add(chunk)
-		must.True(o.t, again == Ignored || chunk.Offset == 0, must.Sprint("a repeated chunk"))
+		must.True(o.t, again == Ignored || chunk.Offset == 0, must.Sprint("a duplicated chunk"))
 	}
 	if result == Complete {
 		must.Greater(o.t, o.received, chunk.Version)
 		must.True(o.t, bytes.Equal(from.body(chunk.Version), value))
 		o.received = chunk.Version
-		o.complete++
+		o.completed++
 	}
 }
 
-// A transfer over a link that loses two of three answers, repeats some, changes
-// senders, and is overtaken by a new version at every fourth request: each completes,
-// with the bytes of one version, and the next has a newer one.
+// Transfers over a link that loses two of three responses and duplicates some, with
+// changes of sender and a new version at every fourth request: each transfer completes
+// with the bytes of a single version, and the next one has a newer version.
 func TestTransferCompletesWhileVersionsChange(t *testing.T) {
 	for seed := range uint64(60) {
-		o := &overtakenTransfer{
+		o := &transferSim{
 			t: t, rnd: rand.New(rand.NewPCG(seed, 5)), version: 1,
 			senders: []*source{{t: t, size: 15 * ChunkBytes}, {t: t, size: 15 * ChunkBytes}},
 		}
 		nowUs := int64(0)
-		for requests := 1; o.complete < 4; requests++ {
-			must.Less(t, 4000, requests, must.Sprintf("seed %d: %d transfers completed", seed, o.complete))
+		for requests := 1; o.completed < 4; requests++ {
+			must.Less(t, 4000, requests, must.Sprintf("seed %d: %d transfers completed", seed, o.completed))
 			nowUs += 20_000
 			if requests%4 == 0 {
 				o.version++
@@ -95,64 +94,63 @@
 	}
 }
 
-// Chunks that have arrived stay when their sender stops answering.
+// Received chunks are retained when their sender stops responding.
 func TestTransferResumesFromAnotherSender(t *testing.T) {
 	a, b := &source{t: t, version: 7, size: 4 * ChunkBytes}, &source{t: t, version: 7, size: 4 * ChunkBytes}
-	var in Transfer
+	var receiver Transfer
 	for range 2 {
-		v, o := in.Next()
-		in.Add(a.give(v, o, 1))
+		v, o := receiver.Next()
+		receiver.Add(a.readChunk(v, o, 1))
 	}
-	v, o := in.Next()
+	v, o := receiver.Next()
 	must.Eq(t, int64(7), v)
 	must.Eq(t, int64(2*ChunkBytes), o)
-	_, taken := in.Add(b.give(0, 0, 1))
-	must.Eq(t, Ignored, taken)
+	_, result := receiver.Add(b.readChunk(0, 0, 1))
+	must.Eq(t, Ignored, result)
 	for _, want := range []AddResult{Stored, Complete} {
-		v, o = in.Next()
-		_, taken = in.Add(b.give(v, o, 1))
-		must.Eq(t, want, taken)
+		v, o = receiver.Next()
+		_, result = receiver.Add(b.readChunk(v, o, 1))
+		must.Eq(t, want, result)
 	}
 }
 
 func TestCorruptTransferRestarts(t *testing.T) {
 	s := &source{t: t, version: 1, size: ChunkBytes + 8}
-	var in Transfer
-	p := s.give(0, 0, 1)
-	p.Bytes = append([]byte{}, p.Bytes...)
-	p.Bytes[3] ^= 1
-	in.Add(p)
-	v, o := in.Next()
-	_, taken := in.Add(s.give(v, o, 1))
-	must.Eq(t, Corrupt, taken)
-	v, o = in.Next()
+	var receiver Transfer
+	chunk := s.readChunk(0, 0, 1)
+	chunk.Bytes = append([]byte{}, chunk.Bytes...)
+	chunk.Bytes[3] ^= 1
+	receiver.Add(chunk)
+	v, o := receiver.Next()
+	_, result := receiver.Add(s.readChunk(v, o, 1))
+	must.Eq(t, Corrupt, result)
+	v, o = receiver.Next()
 	must.Eq(t, int64(0), v)
 	must.Eq(t, int64(0), o)
 }
 
-// Versions are kept while they are requested, and not longer.
+// A version is retained while it is requested and evicted after the idle time.
 func TestServerEvictsVersionsNotRequested(t *testing.T) {
 	s := &source{t: t, version: 1, size: 2 * ChunkBytes}
-	s.give(0, 0, 0)
+	s.readChunk(0, 0, 0)
 	s.version = 2
-	must.Eq(t, int64(2*ChunkBytes), s.give(1, 0, 0).Total)
-	must.Eq(t, int64(1), s.give(1, ChunkBytes, servedIdleUs-1).Version)
-	again := s.give(1, ChunkBytes, 2*servedIdleUs)
+	must.Eq(t, int64(2*ChunkBytes), s.readChunk(1, 0, 0).Total)
+	must.Eq(t, int64(1), s.readChunk(1, ChunkBytes, servedIdleUs-1).Version)
+	again := s.readChunk(1, ChunkBytes, 2*servedIdleUs)
 	must.Eq(t, int64(2), again.Version)
 	must.Eq(t, int64(0), again.Offset, must.Sprint("another version begins at offset 0"))
 	must.Eq(t, 1, s.server.Versions())
-	must.Eq(t, 2, s.encoded)
+	must.Eq(t, 2, s.encodings)
 }
 
-// The log of a stream that 2,000 changes went through is as long as after the
-// first few hundred.
+// The log of a stream has a bounded length after 2,000 changes.
 func TestStreamLogIsBounded(t *testing.T) {
 	s := NewEntries()
 	s.Begin(1, 0)
 	for n := range int64(2000) {
 		s.Put(fmt.Sprint("route", n%40), fmt.Sprint(n))
 		s.Commit(n + 1)
-		must.LessEq(t, maxLoggedKeys+s.Len(), s.logged)
+		must.LessEq(t, maxLoggedKeys+s.Len(), s.logSize)
 		must.LessEq(t, maxLoggedKeys+s.Len(), len(s.log))
 	}
 	must.Eq(t, 40, s.Len())
