--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -1,16 +1,16 @@
-// Package routeconfig is the operator's configuration: checked, replaced by
-// compare-and-set, replicated, and compiled for the request path.
+// Package routeconfig validates the operator's configuration, replaces it by
+// compare-and-set, replicates it, and compiles it for the request path.
 //
-// Parse reads and checks a configuration; its errors are of type Invalid and name the
-// field. Submission decides what becomes of a configuration that is sent on top of a
-// version: accepted, accepted before (ErrAlreadyAccepted), overtaken (ErrVersionConflict),
-// invalid, or undecided. It is applied inside a round of the register, so its decision
-// holds for the committed state. Entries splits a configuration into texts by route,
-// service and tenant, so that a change carries only what differs, and an Assembly puts
-// it together again. Replica is the configuration of one node; the version in force
-// never goes back. Table is the compiled configuration.
+// Parse decodes and validates a configuration; its errors are of type Invalid and name the
+// field. Submission decides the outcome of a configuration submitted with a base version:
+// accepted, already accepted (ErrAlreadyAccepted), superseded (ErrVersionConflict), invalid,
+// or undecided. It is applied inside a consensus round of the register, so the decision is
+// made on the committed state. Entries splits a configuration into JSON texts by route,
+// service and tenant, so that a change contains only the differences, and an Assembly
+// rebuilds the configuration from them. Replica is the configuration of one node; its
+// version never decreases. Table is the compiled configuration.
 //
-// A Table is immutable: a request uses the one that it began with, without a lock.
+// A Table is immutable: a request uses one table from start to end, without a lock.
 // Replica and Assembly are not safe for concurrent use; router and controller guard
 // theirs with a mutex. The package does no I/O and starts no goroutine.
 package routeconfig
@@ -26,7 +26,7 @@
 	"beechtide.org/beechtide/internal/compliance"
 )
 
-// Invalid says which field of a configuration is wrong, and why.
+// Invalid is the error for a configuration with an invalid field.
 type Invalid struct {
 	Field  string
 	Reason string
@@ -34,63 +34,63 @@
 
 func (i *Invalid) Error() string { return fmt.Sprintf("routeconfig: field %s: %s", i.Field, i.Reason) }
 
-var tags = validator.New(validator.WithRequiredStructEnabled())
+var structValidator = validator.New(validator.WithRequiredStructEnabled())
 
-// Parse reads a configuration and checks it as far as it stands by itself.
+// Parse decodes a configuration and validates it without reference to any other state.
 func Parse(raw []byte) (api.Configuration, error) {
-	var m api.Configuration
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return m, &Invalid{"(body)", err.Error()}
-	}
-	if err := tags.Struct(m); err != nil {
-		var faults validator.ValidationErrors
-		if errors.As(err, &faults) && len(faults) > 0 {
-			f := faults[0]
-			return m, &Invalid{f.Namespace(), fmt.Sprintf("%v does not satisfy %s %s", f.Value(), f.Tag(), f.Param())}
+	var config api.Configuration
+	if err := json.Unmarshal(raw, &config); err != nil {
+		return config, &Invalid{"(body)", err.Error()}
+	}
+	if err := structValidator.Struct(config); err != nil {
+		var fieldErrors validator.ValidationErrors
+		if errors.As(err, &fieldErrors) && len(fieldErrors) > 0 {
+			fieldError := fieldErrors[0]
+			return config, &Invalid{fieldError.Namespace(), fmt.Sprintf("%v does not satisfy %s %s", fieldError.Value(), fieldError.Tag(), fieldError.Param())}
 		}
-		return m, &Invalid{"(body)", err.Error()}
+		return config, &Invalid{"(body)", err.Error()}
 	}
-	return m, crossCheck(m)
+	return config, crossCheck(config)
 }
 
-// ParseAccepted reads a configuration that was accepted. It is not checked again: what is
-// in force stays so, whatever a later release would reject.
+// ParseAccepted decodes a configuration that was accepted before. It does not validate it
+// again: an active configuration stays active even if a later release would reject it.
 func ParseAccepted(raw []byte) (api.Configuration, error) {
-	var m api.Configuration
-	err := json.Unmarshal(raw, &m)
-	return m, errors.Wrap(err, "routeconfig: taken before, and not to be read")
+	var config api.Configuration
+	err := json.Unmarshal(raw, &config)
+	return config, errors.Wrap(err, "routeconfig: taken before, and not to be read")
 }
 
-// crossCheck checks what the fields of a configuration say of each other: names
-// that refer to services, and names that have to be unique.
-func crossCheck(m api.Configuration) error {
-	if err := checkRoutes(m); err != nil {
+// crossCheck validates the relations between fields: references to services and models,
+// and names that must be unique.
+func crossCheck(config api.Configuration) error {
+	if err := checkRoutes(config); err != nil {
 		return err
 	}
-	if err := checkRelinquish(m.Relinquish); err != nil {
+	if err := checkRelinquish(config.Relinquish); err != nil {
 		return err
 	}
-	if err := checkRetired(m); err != nil {
+	if err := checkRetired(config); err != nil {
 		return err
 	}
-	if err := checkTenantKeys(m.Tenants); err != nil {
+	if err := checkTenantKeys(config.Tenants); err != nil {
 		return err
 	}
-	_, err := compliance.Compile(m)
-	var fault *compliance.ConfigError
-	if errors.As(err, &fault) {
-		return &Invalid{fault.Field, fault.Reason}
+	_, err := compliance.Compile(config)
+	var configError *compliance.ConfigError
+	if errors.As(err, &configError) {
+		return &Invalid{configError.Field, configError.Reason}
 	}
 	return err
 }
 
-func checkRoutes(m api.Configuration) error {
-	services := map[string]bool{}
-	for _, s := range m.Services {
-		services[s.Name] = true
+func checkRoutes(config api.Configuration) error {
+	serviceNames := map[string]bool{}
+	for _, s := range config.Services {
+		serviceNames[s.Name] = true
 	}
-	routeAt := map[string]string{} // names of routes by host and prefix
-	for i, r := range m.Routes {
+	routeAt := map[string]string{} // route names by host and prefix
+	for i, r := range config.Routes {
 		field := fmt.Sprintf("routes[%d]", i)
 		if !r.Kind.Valid() {
 			return &Invalid{field + ".kind", fmt.Sprintf("%q is no kind of route", r.Kind)}
@@ -100,26 +100,26 @@
 			return &Invalid{field + ".prefix", "same host and prefix as route " + other}
 		}
 		routeAt[hostAndPrefix] = r.Name
-		if err := checkRouteServices(r, field, services); err != nil {
+		if err := checkRouteServices(r, field, serviceNames); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkRouteServices checks that the services of a route exist, and that its shares,
-// if it has any, sum to more than 0. field is the path of the route in the
+// checkRouteServices checks that the services of a route exist and that the gains of its
+// shares, if it has any, sum to more than 0. field is the path of the route in the
 // configuration.
-func checkRouteServices(r api.Route, field string, services map[string]bool) error {
+func checkRouteServices(r api.Route, field string, serviceNames map[string]bool) error {
 	if len(r.Shares) == 0 {
-		if !services[r.Service] {
+		if !serviceNames[r.Service] {
 			return &Invalid{field + ".service", fmt.Sprintf("unknown service %q", r.Service)}
 		}
 		return nil
 	}
 	var sum float32
 	for i, s := range r.Shares {
-		if !services[s.Service] {
+		if !serviceNames[s.Service] {
 			return &Invalid{fmt.Sprintf("%s.shares[%d].service", field, i), fmt.Sprintf("unknown service %q", s.Service)}
 		}
 		sum += s.Gain
@@ -141,17 +141,17 @@
 	return nil
 }
 
-// checkRetired checks the retired weights: each model once, and one that a service has,
-// where the services say which models they have.
-func checkRetired(m api.Configuration) error {
+// checkRetired checks that each model with retired weights is listed once and, if any
+// service lists its models, that a service has the model.
+func checkRetired(config api.Configuration) error {
 	models := map[string]bool{}
-	for _, s := range m.Services {
+	for _, s := range config.Services {
 		for _, model := range s.Engine.Models {
 			models[model.Name] = true
 		}
 	}
 	seen := map[string]bool{}
-	for i, r := range m.Retired {
+	for i, r := range config.Retired {
 		field := fmt.Sprintf("retired[%d].model", i)
 		if seen[r.Model] {
 			return &Invalid{field, "named twice"}
@@ -165,13 +165,13 @@
 }
 
 func checkTenantKeys(tenants []api.Tenant) error {
-	owner := map[string]string{}
+	ownerByKey := map[string]string{}
 	for i, t := range tenants {
 		for _, k := range t.Keys {
-			if o, ok := owner[k]; ok && o != t.Name {
+			if o, ok := ownerByKey[k]; ok && o != t.Name {
 				return &Invalid{fmt.Sprintf("tenants[%d].apiKeys", i), "a key is shared with tenant " + o}
 			}
-			owner[k] = t.Name
+			ownerByKey[k] = t.Name
 		}
 	}
 	return nil
--- a/internal/routeconfig/entries.go
+++ b/internal/routeconfig/entries.go
@@ -1,6 +1,6 @@
-// Entries split a configuration into texts by route, service, tenant and so on, which
-// is how it travels between nodes: a change carries only what differs. An Assembly
-// puts a configuration together again and parses only the entries that changed.
+// A configuration is sent between nodes as entries: JSON texts by route, service, tenant
+// and so on, so that a change contains only the differences. An Assembly rebuilds a
+// configuration from entries and parses only those that changed.
 
 package routeconfig
 
@@ -15,24 +15,24 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// ErrEntry means that an entry cannot be read.
+// ErrEntry is returned for an entry that cannot be encoded or decoded.
 var ErrEntry = errors.New("routeconfig: entry")
 
-// Kinds of entries. The number after the name tells entries of one name apart.
+// Kinds of entries. The number in a key distinguishes entries with the same name.
 const (
 	routeEntry       = "route"
 	serviceEntry     = "service"
 	tenantEntry      = "tenant"
 	certificateEntry = "certificate"
 	regimeEntry      = "regime"
-	restEntry        = "rest"
+	settingsEntry    = "rest"
 )
 
-// entrySet collects the entries of a configuration by key.
+// entrySet has the entries of a configuration by key.
 type entrySet map[string]string
 
-// add encodes a value under its kind and name. The first free number keeps entries of
-// one name apart.
+// add encodes a value and stores it by kind, name and the first unused number, which
+// distinguishes entries with the same name.
 func (e entrySet) add(kind, name string, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// addAll adds the items of a list, each under the name that nameOf gives it.
+// addAll adds the items of a list, each under the name returned by nameOf.
 func addAll[T any](e entrySet, kind string, items []T, nameOf func(i int, item T) string) error {
 	for i, item := range items {
 		if err := e.add(kind, nameOf(i, item), item); err != nil {
@@ -58,35 +58,34 @@
 }
 
 // Entries splits a configuration into JSON texts by key. The error is ErrEntry.
-func Entries(m api.Configuration) (map[string]string, error) {
+func Entries(config api.Configuration) (map[string]string, error) {
 	out := entrySet{}
-	if err := addAll(out, routeEntry, m.Routes, func(_ int, r api.Route) string { return r.Host + r.Prefix }); err != nil {
+	if err := addAll(out, routeEntry, config.Routes, func(_ int, r api.Route) string { return r.Host + r.Prefix }); err != nil {
 		return nil, err
 	}
-	if err := addAll(out, serviceEntry, m.Services, func(_ int, s api.Service) string { return s.Name }); err != nil {
+	if err := addAll(out, serviceEntry, config.Services, func(_ int, s api.Service) string { return s.Name }); err != nil {
 		return nil, err
 	}
-	if err := addAll(out, tenantEntry, m.Tenants, func(_ int, t api.Tenant) string { return t.Name }); err != nil {
+	if err := addAll(out, tenantEntry, config.Tenants, func(_ int, t api.Tenant) string { return t.Name }); err != nil {
 		return nil, err
 	}
-	if err := addAll(out, certificateEntry, m.Certificates, func(i int, _ api.Certificate) string { return fmt.Sprintf("%04d", i) }); err != nil {
+	if err := addAll(out, certificateEntry, config.Certificates, func(i int, _ api.Certificate) string { return fmt.Sprintf("%04d", i) }); err != nil {
 		return nil, err
 	}
-	if err := addAll(out, regimeEntry, m.Regimes, func(_ int, r api.Regime) string { return r.Name }); err != nil {
+	if err := addAll(out, regimeEntry, config.Regimes, func(_ int, r api.Regime) string { return r.Name }); err != nil {
 		return nil, err
 	}
-	rest := api.Configuration{Version: m.Version, Limits: m.Limits, Relinquish: m.Relinquish, Retired: m.Retired, Routes: []api.Route{}, Services: []api.Service{}}
-	return out, out.add(restEntry, "", rest)
+	rest := api.Configuration{Version: config.Version, Limits: config.Limits, Relinquish: config.Relinquish, Retired: config.Retired, Routes: []api.Route{}, Services: []api.Service{}}
+	return out, out.add(settingsEntry, "", rest)
 }
 
-// Assembly is a configuration that is kept up to date by its entries. The zero
-// Assembly is empty.
+// Assembly is a configuration that is updated entry by entry. The zero Assembly is empty.
 type Assembly struct {
 	parsed map[string]any
 }
 
-// Apply applies entries; an empty text deletes one. With snapshot set the entries replace
-// all that there were. After an error nothing has changed.
+// Apply applies entries; an empty text deletes an entry. If snapshot is set, the entries
+// replace all existing ones. On an error the assembly is unchanged.
 func (a *Assembly) Apply(entries map[string]string, snapshot bool) error {
 	parsed := map[string]any{}
 	if !snapshot {
@@ -123,7 +122,7 @@
 		v = &api.Certificate{}
 	case regimeEntry:
 		v = &api.Regime{}
-	case restEntry:
+	case settingsEntry:
 		v = &api.Configuration{}
 	default:
 		return nil, errors.Wrap(ErrEntry, key)
@@ -134,29 +133,29 @@
 	return v, nil
 }
 
-// Configuration returns the configuration that the entries make up now.
+// Configuration builds the configuration from the current entries.
 func (a *Assembly) Configuration() api.Configuration {
 	keys := make([]string, 0, len(a.parsed))
 	for k := range a.parsed {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
-	var m api.Configuration
+	var config api.Configuration
 	for _, k := range keys {
 		switch v := a.parsed[k].(type) {
 		case *api.Route:
-			m.Routes = append(m.Routes, *v)
+			config.Routes = append(config.Routes, *v)
 		case *api.Service:
-			m.Services = append(m.Services, *v)
+			config.Services = append(config.Services, *v)
 		case *api.Tenant:
-			m.Tenants = append(m.Tenants, *v)
+			config.Tenants = append(config.Tenants, *v)
 		case *api.Certificate:
-			m.Certificates = append(m.Certificates, *v)
+			config.Certificates = append(config.Certificates, *v)
 		case *api.Regime:
-			m.Regimes = append(m.Regimes, *v)
+			config.Regimes = append(config.Regimes, *v)
 		case *api.Configuration:
-			m.Version, m.Limits, m.Relinquish, m.Retired = v.Version, v.Limits, v.Relinquish, v.Retired
+			config.Version, config.Limits, config.Relinquish, config.Retired = v.Version, v.Limits, v.Relinquish, v.Retired
 		}
 	}
-	return m
+	return config
 }
--- a/internal/routeconfig/in_force.go
+++ b/internal/routeconfig/in_force.go
@@ -6,14 +6,14 @@
 	"beechtide.org/beechtide/internal/invariant"
 )
 
-// Requests that were judged by a version are judged by that one or a newer one from
-// then on: an operator who has seen a change in force relies on it.
-var inForceGoesForward = invariant.New("config_in_force_goes_forward",
+// Once a request was evaluated with a version, later requests are evaluated with that
+// version or a newer one: operators rely on a change that they have seen take effect.
+var activeVersionIncreases = invariant.New("config_in_force_goes_forward",
 	"the version of the configuration in force at a node never goes back while its process runs")
 
-// PutInForce makes next the table in force.
-func PutInForce(inForce *atomic.Pointer[Table], next *Table) {
-	if before := inForce.Swap(next); before != nil && next.Version < before.Version {
-		inForceGoesForward.Violated("before", before.Version, "next", next.Version)
+// PutInForce makes next the active table.
+func PutInForce(active *atomic.Pointer[Table], next *Table) {
+	if before := active.Swap(next); before != nil && next.Version < before.Version {
+		activeVersionIncreases.Violated("before", before.Version, "next", next.Version)
 	}
 }
--- a/internal/routeconfig/in_force_test.go
+++ b/internal/routeconfig/in_force_test.go
@@ -12,12 +12,12 @@
 
 func TestMain(m *testing.M) { os.Exit(invarianttest.Main(m)) }
 
-func TestOlderTableInForceViolatesInvariant(t *testing.T) {
-	var inForce atomic.Pointer[Table]
+func TestOlderActiveTableViolatesInvariant(t *testing.T) {
+	var active atomic.Pointer[Table]
 	for _, version := range []int64{1, 1, 3} {
-		PutInForce(&inForce, &Table{Version: version})
+		PutInForce(&active, &Table{Version: version})
 	}
-	must.Eq(t, 0, inForceGoesForward.Violations())
-	invarianttest.Expect(t, inForceGoesForward)
-	PutInForce(&inForce, &Table{Version: 2})
+	must.Eq(t, 0, activeVersionIncreases.Violations())
+	invarianttest.Expect(t, activeVersionIncreases)
+	PutInForce(&active, &Table{Version: 2})
 }
--- a/internal/routeconfig/relinquish_test.go
+++ b/internal/routeconfig/relinquish_test.go
@@ -8,17 +8,17 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRelinquishIsCheckedAndReplicated(t *testing.T) {
-	with := func(list string) string { return strings.Replace(good, `"unknown":1`, `"relinquish":`+list, 1) }
+func TestRelinquishIsValidatedAndReplicated(t *testing.T) {
+	with := func(list string) string { return strings.Replace(validConfig, `"unknown":1`, `"relinquish":`+list, 1) }
 	for _, c := range []struct{ list, field string }{
 		{`[{"zone":"a"},{"zone":"a"}]`, "relinquish[1].zone"},
 		{`[{"zone":""}]`, "Configuration.Relinquish[0].Zone"},
 		{`[{"zone":"a","overMs":-1}]`, "Configuration.Relinquish[0].OverMs"},
 	} {
 		_, err := Parse([]byte(with(c.list)))
-		var bad *Invalid
-		must.True(t, errors.As(err, &bad), must.Sprint(c.list))
-		must.Eq(t, c.field, bad.Field)
+		var invalid *Invalid
+		must.True(t, errors.As(err, &invalid), must.Sprint(c.list))
+		must.Eq(t, c.field, invalid.Field)
 	}
 	m, err := Parse([]byte(with(`[{"zone":"a","overMs":1500}]`)))
 	must.NoError(t, err)
--- a/internal/routeconfig/replace.go
+++ b/internal/routeconfig/replace.go
@@ -1,7 +1,7 @@
-// Submission decides what becomes of a configuration that the operator sends on top of a
-// version: accepted, accepted before, overtaken, invalid, or undecided. It is pure; it
-// is applied inside a round of the register, so its answer holds for the committed
-// state.
+// Submission decides the outcome of a configuration that the operator submits with a base
+// version: accepted, already accepted, superseded, invalid, or undecided. It has no side
+// effects and is applied inside a consensus round of the register, so the decision is made
+// on the committed state.
 
 package routeconfig
 
@@ -16,8 +16,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Errors of Apply besides Invalid. The last two are no rejections: the caller has to repeat
-// the submission.
+// Errors of Apply besides Invalid. The last two are not rejections: the outcome is
+// undecided and the caller has to retry the submission.
 var (
 	ErrAlreadyAccepted = errors.New("routeconfig: taken before")
 	ErrVersionConflict = errors.New("routeconfig: another version is in place")
@@ -25,36 +25,37 @@
 	ErrDigestExpired   = errors.New("routeconfig: too old to tell whether it was taken")
 )
 
-// maxDigests bounds how many accepted versions are remembered, to know repeated submissions.
-const maxDigests = 2048
+// maxAcceptedDigests bounds the number of digests of accepted versions that are retained to detect
+// repeated submissions.
+const maxAcceptedDigests = 2048
 
-// digestBytes is how much of a SHA-256 sum tells configurations apart.
+// digestBytes is the length of the SHA-256 prefix that identifies a configuration.
 const digestBytes = 16
 
-// Submission is a configuration as the operator sent it. Fault says why it is invalid; it is
-// kept apart from the bytes, as a configuration that was accepted before stays accepted,
-// whatever is checked today.
+// Submission is a configuration as sent by the operator. Fault is its validation error. It
+// is stored separately from the bytes because a configuration that was accepted before
+// stays accepted even if the current checks reject it.
 type Submission struct {
 	Raw     []byte
-	Version int64 // 0 where the bytes name none
+	Version int64 // 0 if the bytes contain none
 	Base    int64
-	Retired []api.Retirement // whose models have to have newer weights
+	Retired []api.Retirement // retired weights; the models must have newer ones
 	Fault   error
 }
 
-// ParseSubmission reads and checks a configuration. It always returns a submission: one
-// with a fault can still be looked up among those that were accepted.
+// ParseSubmission decodes and validates a configuration. It always returns a submission,
+// because an invalid one can still be looked up among the accepted ones.
 func ParseSubmission(raw []byte) Submission {
 	config, err := Parse(raw)
-	o := Submission{Raw: raw, Version: config.Version, Retired: config.Retired, Fault: err}
+	submission := Submission{Raw: raw, Version: config.Version, Retired: config.Retired, Fault: err}
 	if err != nil {
-		o.Version = versionOf(raw)
+		submission.Version = versionOf(raw)
 	}
-	return o
+	return submission
 }
 
-// versionOf reads nothing but the number, so that it is found in bytes that the
-// checks of today refuse.
+// versionOf decodes the version only, so that it is found even if the current checks reject
+// the rest.
 func versionOf(raw []byte) int64 {
 	var only struct {
 		Version int64 `json:"version"`
@@ -65,19 +66,20 @@
 	return only.Version
 }
 
-// AcceptedIn reports whether these very bytes were accepted, now or in an earlier version.
-// What was accepted stays accepted, so true holds for any committed state, be it old;
-// false is for Apply to say, inside a round.
-func (o Submission) AcceptedIn(cur messages.ConfigBody) bool {
-	_, accepted := AcceptedVersion(cur, o.Raw)
+// AcceptedIn reports whether exactly these bytes were accepted as the current or an earlier
+// version. Accepted submissions stay accepted, so a true result is final even for an
+// outdated committed state. A false result is reliable only in Apply, inside a consensus
+// round.
+func (s Submission) AcceptedIn(current messages.ConfigBody) bool {
+	_, accepted := AcceptedVersion(current, s.Raw)
 	return accepted
 }
 
-// AcceptedVersion returns the version under which these very bytes were accepted. It needs
-// nothing but the bytes, so a repeated submission is neither parsed nor checked.
-func AcceptedVersion(cur messages.ConfigBody, raw []byte) (version int64, accepted bool) {
+// AcceptedVersion returns the version under which exactly these bytes were accepted. It
+// compares digests only, so a repeated submission is neither parsed nor validated.
+func AcceptedVersion(current messages.ConfigBody, raw []byte) (version int64, accepted bool) {
 	digest := digestOf(raw)
-	for _, t := range cur.AcceptedDigest {
+	for _, t := range current.AcceptedDigest {
 		if bytes.Equal(t.Digest, digest) {
 			return t.Version, true
 		}
@@ -90,57 +92,57 @@
 	return sum[:digestBytes]
 }
 
-// Apply makes the next body from the current one. A repeated submission is
-// looked for before any check. Every rejection after it stays right for all
-// later states: versions only rise, so a base below the current version never
-// comes back, and a version at or below its own base is never above the
-// current one. A base above the current version may still come into force, and
-// an earlier attempt of this submission with it; that is no rejection.
-func (o Submission) Apply(cur messages.ConfigBody) (messages.ConfigBody, error) {
+// Apply returns the next configuration body. It looks up repeated submissions before any
+// check. Every rejection stays valid for all later states: versions only increase, so a
+// base below the current version never becomes current again, and a version at or below
+// its own base is never above the current one. A base above the current version may still
+// be committed, and an earlier attempt of this submission after it, so that case is not a
+// rejection.
+func (s Submission) Apply(current messages.ConfigBody) (messages.ConfigBody, error) {
 	switch {
-	case o.AcceptedIn(cur):
-		return cur, ErrAlreadyAccepted
-	case o.digestExpired(cur):
-		return cur, ErrDigestExpired
-	case o.Version <= o.Base:
-		return cur, o.rejection(&Invalid{"version", "not above the one that it builds on"})
-	case o.Base < cur.Version:
-		return cur, o.rejection(ErrVersionConflict)
-	case o.Base > cur.Version:
-		return cur, ErrBaseNotReached
-	case o.Fault != nil:
-		return cur, o.Fault
+	case s.AcceptedIn(current):
+		return current, ErrAlreadyAccepted
+	case s.digestExpired(current):
+		return current, ErrDigestExpired
+	case s.Version <= s.Base:
+		return current, s.rejection(&Invalid{"version", "not above the one that it builds on"})
+	case s.Base < current.Version:
+		return current, s.rejection(ErrVersionConflict)
+	case s.Base > current.Version:
+		return current, ErrBaseNotReached
+	case s.Fault != nil:
+		return current, s.Fault
 	}
-	return messages.ConfigBody{Version: o.Version, Raw: o.Raw, AcceptedDigest: appendDigest(cur.AcceptedDigest, o)}, nil
+	return messages.ConfigBody{Version: s.Version, Raw: s.Raw, AcceptedDigest: appendDigest(current.AcceptedDigest, s)}, nil
 }
 
-// Contested reports whether a release with other checks could accept the submission on
-// this state, so that an attempt of it may stand at some member: only then does a
-// rejection need more than the state that it was decided on.
-func (o Submission) Contested(cur messages.ConfigBody) bool {
-	return o.Fault != nil && o.Base == cur.Version && o.Version > cur.Version
+// Contested reports whether a release with other checks could accept the submission on this
+// state, so that some member may have stored an attempt of it. Only in that case is the
+// state on which a rejection was decided not enough to make the rejection final.
+func (s Submission) Contested(current messages.ConfigBody) bool {
+	return s.Fault != nil && s.Base == current.Version && s.Version > current.Version
 }
 
-// rejection returns the fault where there is one, as it says more.
-func (o Submission) rejection(err error) error {
-	if o.Fault != nil {
-		return o.Fault
+// rejection returns the validation error if there is one, because it is more specific.
+func (s Submission) rejection(err error) error {
+	if s.Fault != nil {
+		return s.Fault
 	}
 	return err
 }
 
-func appendDigest(before []messages.AcceptedDigest, o Submission) []messages.AcceptedDigest {
-	digests := append(append([]messages.AcceptedDigest{}, before...), messages.AcceptedDigest{Version: o.Version, Digest: digestOf(o.Raw)})
-	if len(digests) > maxDigests {
-		digests = digests[len(digests)-maxDigests:]
+func appendDigest(previous []messages.AcceptedDigest, submission Submission) []messages.AcceptedDigest {
+	digests := append(append([]messages.AcceptedDigest{}, previous...), messages.AcceptedDigest{Version: submission.Version, Digest: digestOf(submission.Raw)})
+	if len(digests) > maxAcceptedDigests {
+		digests = digests[len(digests)-maxAcceptedDigests:]
 	}
 	return digests
 }
 
 // digestExpired reports whether the submission may have been accepted so long ago that its
-// digest is no longer kept. Digests go in order of their versions, so only
-// versions below the oldest that is kept are in doubt.
-func (o Submission) digestExpired(cur messages.ConfigBody) bool {
-	full := len(cur.AcceptedDigest) >= maxDigests
-	return full && o.Version > o.Base && o.Version < cur.AcceptedDigest[0].Version
+// digest is no longer retained. Digests are in the order of their versions, so this is
+// possible only for versions below the oldest retained one.
+func (s Submission) digestExpired(current messages.ConfigBody) bool {
+	full := len(current.AcceptedDigest) >= maxAcceptedDigests
+	return full && s.Version > s.Base && s.Version < current.AcceptedDigest[0].Version
 }
--- a/internal/routeconfig/replace_test.go
+++ b/internal/routeconfig/replace_test.go
@@ -10,125 +10,125 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// bring is an order that today's checks let pass.
-func bring(raw string, version, base int64) Submission {
+// newSubmission returns a submission that passed validation.
+func newSubmission(raw string, version, base int64) Submission {
 	return Submission{Raw: []byte(raw), Version: version, Base: base}
 }
 
 func TestSubmissionOutcomeIsFinal(t *testing.T) {
-	var cur messages.ConfigBody
-	one, err := bring("one", 5, 0).Apply(cur)
+	var empty messages.ConfigBody
+	first, err := newSubmission("one", 5, 0).Apply(empty)
 	must.NoError(t, err)
-	_, err = bring("one", 5, 0).Apply(one)
+	_, err = newSubmission("one", 5, 0).Apply(first)
 	must.ErrorIs(t, err, ErrAlreadyAccepted)
-	_, err = bring("other", 6, 0).Apply(one)
+	_, err = newSubmission("other", 6, 0).Apply(first)
 	must.ErrorIs(t, err, ErrVersionConflict)
-	var bad *Invalid
-	_, err = bring("other", 5, 5).Apply(one)
-	must.True(t, errors.As(err, &bad))
-	two, err := bring("two", 9, 5).Apply(one)
+	var invalid *Invalid
+	_, err = newSubmission("other", 5, 5).Apply(first)
+	must.True(t, errors.As(err, &invalid))
+	second, err := newSubmission("two", 9, 5).Apply(first)
 	must.NoError(t, err)
-	_, err = bring("one", 5, 0).Apply(two)
+	_, err = newSubmission("one", 5, 0).Apply(second)
 	must.ErrorIs(t, err, ErrAlreadyAccepted, must.Sprint("also after newer versions"))
-	_, err = bring("changed", 5, 0).Apply(two)
+	_, err = newSubmission("changed", 5, 0).Apply(second)
 	must.ErrorIs(t, err, ErrVersionConflict)
 }
 
-// A base that is not in place yet may come into force, and then an earlier try
-// of the same order too: that is no time for a refusal.
+// A submission whose base is not committed yet is undecided, not rejected: the base may
+// still be committed, and then an earlier attempt of the same submission too.
 func TestSubmissionOnUnknownBaseIsNotRejected(t *testing.T) {
-	one, err := bring("one", 5, 0).Apply(messages.ConfigBody{})
+	first, err := newSubmission("one", 5, 0).Apply(messages.ConfigBody{})
 	must.NoError(t, err)
-	late := bring("three", 9, 7)
-	_, err = late.Apply(one)
+	late := newSubmission("three", 9, 7)
+	_, err = late.Apply(first)
 	must.ErrorIs(t, err, ErrBaseNotReached)
-	late.Fault = &Invalid{"routes", "refused by today's checks"}
-	_, err = late.Apply(one)
+	late.Fault = &Invalid{"routes", "rejected by the current checks"}
+	_, err = late.Apply(first)
 	must.ErrorIs(t, err, ErrBaseNotReached)
-	two, err := bring("two", 7, 5).Apply(one)
+	second, err := newSubmission("two", 7, 5).Apply(first)
 	must.NoError(t, err)
 	late.Fault = nil
-	_, err = late.Apply(two)
+	_, err = late.Apply(second)
 	must.NoError(t, err)
 }
 
-// What was taken under checks that were less strict is known again before
-// today's checks, or a header that can't be read, may refuse it.
+// A configuration accepted under less strict checks is recognized as a repeated submission
+// before the current checks, or a body that cannot be parsed, can reject it.
 func TestRepeatedSubmissionIsFoundBeforeChecks(t *testing.T) {
 	raw := []byte(`{"version":5,"routes":[{"name":"r","kind":"a kind that is no longer one"}]}`)
-	cur, err := bring(string(raw), 5, 0).Apply(messages.ConfigBody{})
+	cur, err := newSubmission(string(raw), 5, 0).Apply(messages.ConfigBody{})
 	must.NoError(t, err)
-	cur, err = bring("next", 6, 5).Apply(cur)
+	cur, err = newSubmission("next", 6, 5).Apply(cur)
 	must.NoError(t, err)
-	again := ParseSubmission(raw)
-	must.Error(t, again.Fault, must.Sprint("today's checks refuse it"))
-	must.Eq(t, int64(5), again.Version, must.Sprint("the number is found all the same"))
-	must.True(t, again.AcceptedIn(cur))
-	_, err = again.Apply(cur)
+	repeated := ParseSubmission(raw)
+	must.Error(t, repeated.Fault, must.Sprint("the current checks reject it"))
+	must.Eq(t, int64(5), repeated.Version, must.Sprint("the version is found despite the invalid field"))
+	must.True(t, repeated.AcceptedIn(cur))
+	_, err = repeated.Apply(cur)
 	must.ErrorIs(t, err, ErrAlreadyAccepted)
 	other := ParseSubmission(append(raw, ' '))
 	other.Base = 6
 	_, err = other.Apply(cur)
-	var bad *Invalid
-	must.True(t, errors.As(err, &bad), must.Sprint("other bytes are checked"))
-	unread := ParseSubmission([]byte("{"))
-	must.Error(t, unread.Fault)
-	must.False(t, unread.AcceptedIn(cur))
-	_, err = unread.Apply(cur)
-	must.True(t, errors.As(err, &bad))
+	var invalid *Invalid
+	must.True(t, errors.As(err, &invalid), must.Sprint("other bytes are validated"))
+	malformed := ParseSubmission([]byte("{"))
+	must.Error(t, malformed.Fault)
+	must.False(t, malformed.AcceptedIn(cur))
+	_, err = malformed.Apply(cur)
+	must.True(t, errors.As(err, &invalid))
 }
 
-// Only an order that other checks could take on this state needs a sealed refusal.
+// Only a submission that other checks could accept on this state is contested.
 func TestContestedWhenOtherChecksCouldAccept(t *testing.T) {
 	cur := messages.ConfigBody{Version: 5}
 	faulty := Submission{Raw: []byte("x"), Version: 6, Base: 5, Fault: &Invalid{"routes", "no"}}
 	must.True(t, faulty.Contested(cur))
-	must.False(t, bring("x", 6, 5).Contested(cur))
+	must.False(t, newSubmission("x", 6, 5).Contested(cur))
 	faulty.Base = 4
 	must.False(t, faulty.Contested(cur))
 	faulty.Version, faulty.Base = 0, 5
 	must.False(t, faulty.Contested(cur))
 }
 
-// mostDigestBytes bounds what remembered versions add to the value.
-const mostDigestBytes = 64 << 10
+// maxEncodedBytes bounds the encoded size of the body with all retained digests.
+const maxEncodedBytes = 64 << 10
 
-// What is remembered stays bounded over more changes than are kept, and every
-// one of the last is known again.
+// The size of the retained digests stays bounded over more changes than are retained, and
+// the most recent submissions are still recognized.
 func TestAcceptedDigestsAreBounded(t *testing.T) {
 	var cur messages.ConfigBody
 	var err error
 	var sizes []int
-	for n := range int64(2 * maxDigests) {
-		cur, err = bring(fmt.Sprint("c", n), n+1, n).Apply(cur)
+	for n := range int64(2 * maxAcceptedDigests) {
+		cur, err = newSubmission(fmt.Sprint("c", n), n+1, n).Apply(cur)
 		must.NoError(t, err)
-		if n%maxDigests == maxDigests-1 {
+		if n%maxAcceptedDigests == maxAcceptedDigests-1 {
 			sizes = append(sizes, cur.Msgsize())
 		}
 	}
 	b, err := cur.MarshalMsg(nil)
 	must.NoError(t, err)
-	t.Logf("%d versions: %d bytes", 2*maxDigests, len(b))
-	must.Less(t, mostDigestBytes, len(b))
+	t.Logf("%d versions: %d bytes", 2*maxAcceptedDigests, len(b))
+	must.Less(t, maxEncodedBytes, len(b))
 	must.Between(t, sizes[0]-8, sizes[1], sizes[0]+8)
-	for n := int64(maxDigests); n < 2*maxDigests; n += 61 {
-		must.True(t, bring(fmt.Sprint("c", n), n+1, n).AcceptedIn(cur))
+	for n := int64(maxAcceptedDigests); n < 2*maxAcceptedDigests; n += 61 {
+		must.True(t, newSubmission(fmt.Sprint("c", n), n+1, n).AcceptedIn(cur))
 	}
 }
 
-// Versions whose digests are no longer kept are left without a clear answer.
+// Submissions with versions whose digests are no longer retained stay undecided.
 func TestSubmissionOlderThanDigestsIsNotRejected(t *testing.T) {
 	var cur messages.ConfigBody
 	var err error
-	for n := range int64(maxDigests + 10) {
-		cur, err = bring(fmt.Sprint("c", n), 10+n, cur.Version).Apply(cur)
+	for n := range int64(maxAcceptedDigests + 10) {
+		cur, err = newSubmission(fmt.Sprint("c", n), 10+n, cur.Version).Apply(cur)
 		must.NoError(t, err)
 	}
-	must.Len(t, maxDigests, cur.AcceptedDigest)
-	_, err = bring("c0", 10, 0).Apply(cur)
+	must.Len(t, maxAcceptedDigests, cur.AcceptedDigest)
+	_, err = newSubmission("c0", 10, 0).Apply(cur)
 	must.ErrorIs(t, err, ErrDigestExpired)
-	_, err = bring("c10", 20, 19).Apply(cur)
+	_, err = newSubmission("c10", 20, 19).Apply(cur)
 	must.ErrorIs(t, err, ErrAlreadyAccepted)
-	_, err = bring("other", 20, 19).Apply(cur)
+	_, err = newSubmission("other", 20, 19).Apply(cur)
 	must.ErrorIs(t, err, ErrVersionConflict)
 }
--- a/internal/routeconfig/replica.go
+++ b/internal/routeconfig/replica.go
@@ -1,7 +1,7 @@
 // Replica is the configuration of one node: a stream of entries, the configuration
-// assembled from them, and the table compiled from that. Controllers commit versions
-// to theirs, routers apply the changes that they receive. Both send others what they
-// lack. The version in force never goes back.
+// assembled from them, and the table compiled from it. Controllers commit versions to
+// their replicas, routers apply the changes that they receive, and both send missing
+// changes to other nodes. The version never decreases.
 
 package routeconfig
 
@@ -12,27 +12,27 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Epoch is that of the configuration's stream: its versions are the register's,
-// the same at every node and in every life.
+// Epoch is the epoch of the configuration stream. It is constant because the versions are
+// those of the register, which are the same at every node and across restarts.
 const Epoch = 1
 
-// ErrUnreadable means that a change holds an entry that this program can't read.
+// ErrUnreadable is returned for a change with an entry that cannot be decoded.
 var ErrUnreadable = errors.New("routeconfig: a change of the configuration cannot be read")
 
-// Replica is not safe for concurrent use; the table it hands out is never changed.
+// Replica is not safe for concurrent use; the tables that it returns are immutable.
 type Replica struct {
 	stream   *statesync.Entries
 	assembly Assembly
 	table    *Table
 }
 
-// NewReplica makes one that holds no configuration yet.
+// NewReplica returns a replica without a configuration.
 func NewReplica() *Replica { return &Replica{stream: statesync.NewEntries()} }
 
-// Version is the register's version that is in force, 0 for none.
+// Version returns the active version of the register, 0 for none.
 func (r *Replica) Version() int64 { return r.stream.Version }
 
-// Table is that of the version in force, nil before the first.
+// Table returns the table of the active version, nil before the first.
 func (r *Replica) Table() *Table { return r.table }
 
 // Cursor returns the epoch and version from which this node requests changes.
@@ -41,20 +41,20 @@
 	return messages.Cursor{Epoch: epoch, Version: version}
 }
 
-// DeltaSince returns the change that a receiver needs; false where it is as new as this
-// node.
-func (r *Replica) DeltaSince(held messages.Cursor) (messages.EntryChange, bool) {
-	change, behind := r.stream.DeltaSince(held.Epoch, held.Version)
-	if !behind || r.stream.Version <= held.Version {
+// DeltaSince returns the change that a receiver at the given cursor needs, and false if the
+// receiver is at this node's version or a later one.
+func (r *Replica) DeltaSince(cursor messages.Cursor) (messages.EntryChange, bool) {
+	change, behind := r.stream.DeltaSince(cursor.Epoch, cursor.Version)
+	if !behind || r.stream.Version <= cursor.Version {
 		return messages.EntryChange{}, false
 	}
 	return statesync.EncodeEntries(change), true
 }
 
-// Apply applies a change. It returns the outcome, and whether there is a new table. The
-// error is ErrUnreadable and says why a change was not applied.
-func (r *Replica) Apply(change messages.EntryChange) (result statesync.Result, renewed bool, err error) {
-	if change.Snapshot && !r.mayReplace(change.To) {
+// Apply applies a change. It returns the outcome and whether there is a new table. The
+// error is ErrUnreadable with the reason why a change was not applied.
+func (r *Replica) Apply(change messages.EntryChange) (result statesync.Result, recompiled bool, err error) {
+	if change.Snapshot && !r.acceptsSnapshot(change.To) {
 		return statesync.Known, false, nil
 	}
 	in := statesync.DecodeEntries(change)
@@ -80,14 +80,14 @@
 	return result, true, nil
 }
 
-// mayReplace tells whether a snapshot of a version may take the place of what is
-// held: a newer one, or the same where what is held is in doubt.
-func (r *Replica) mayReplace(version int64) bool {
+// acceptsSnapshot reports whether a snapshot of the given version may replace the current state:
+// its version is newer, or it is the same and a digest mismatch occurred at that version.
+func (r *Replica) acceptsSnapshot(version int64) bool {
 	return version > r.stream.Version || version == r.stream.Version && r.stream.NeedsSnapshot()
 }
 
-// Commit replaces the configuration by a version of the register. It returns the change to
-// send to others, or false for a version that is not newer.
+// Commit replaces the configuration with a version of the register. It returns the change
+// to send to other nodes, and false for a version that is not newer.
 func (r *Replica) Commit(version int64, entries map[string]string) (messages.EntryChange, bool) {
 	if version <= r.stream.Version {
 		return messages.EntryChange{}, false
@@ -96,8 +96,8 @@
 	return statesync.EncodeEntries(r.stream.Commit(version)), true
 }
 
-// NewSource makes the replica of a node that commits: it holds version 0 of the
-// stream from the start.
+// NewSource returns the replica of a node that commits versions: its stream starts at
+// version 0 of the epoch.
 func NewSource() *Replica {
 	r := NewReplica()
 	r.stream.Begin(Epoch, 0)
--- a/internal/routeconfig/replica_test.go
+++ b/internal/routeconfig/replica_test.go
@@ -10,7 +10,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// entriesOf cuts a configuration with one route.
+// entriesOf returns the entries of a configuration with one route.
 func entriesOf(t *testing.T, version int64, service string) map[string]string {
 	t.Helper()
 	raw := fmt.Appendf(nil, `{"version":%d,"services":[{"name":"a"},{"name":"b"}],"routes":[{"name":"r","host":"h","prefix":"/r/","kind":"idempotent","cutoffMs":1000,"service":%q}]}`, version, service)
@@ -61,18 +61,18 @@
 	must.False(t, behind, must.Sprint("a receiver of a later version gets nothing"))
 }
 
-// A replica whose change did not come out names nothing as held until it is sure
-// again: by a change that comes out, or a snapshot of the same version.
+// After a digest mismatch the cursor of a replica is zero until a change with a matching
+// digest or a snapshot of the same version is applied.
 func TestReplicaRecoversFromDigestMismatch(t *testing.T) {
 	source := NewSource()
 	source.Commit(1, entriesOf(t, 3, "a"))
 	first := snapshotOf(t, source)
 	second, _ := source.Commit(2, entriesOf(t, 5, "b"))
-	spoiled := second
-	spoiled.Digest++
+	corrupted := second
+	corrupted.Digest++
 	for name, repair := range map[string]messages.EntryChange{"change": second, "snapshot of the same version": first} {
 		r := NewReplica()
-		for _, change := range []messages.EntryChange{first, spoiled} {
+		for _, change := range []messages.EntryChange{first, corrupted} {
 			_, _, err := r.Apply(change)
 			must.NoError(t, err)
 		}
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -1,5 +1,5 @@
-// Table is a configuration compiled for the request path. It is immutable: a new
-// version makes a new table, and readers keep the one that they took.
+// Table is a configuration compiled for the request path. It is immutable: each version is
+// compiled to a new table, and readers continue to use the table that they loaded.
 
 package routeconfig
 
@@ -11,54 +11,54 @@
 	"beechtide.org/beechtide/internal/compliance"
 )
 
-// Route is a route with its times in microseconds.
+// Route is a route of the configuration with its times converted to microseconds.
 type Route struct {
 	api.Route
 	CutoffUs   int64
 	SetpointUs int64
-	gains      float32
+	totalGain  float32
 }
 
-// Table answers which route, service and tenant a request belongs to. It is safe for
-// concurrent use, as nothing changes it after Compile.
+// Table looks up the route, service and tenant of a request. It is safe for concurrent use
+// because it is not modified after Compile.
 type Table struct {
-	Version  int64
-	Limits   api.Limits
-	hosts    map[string][]*Route // by host in lower case, longest prefix first
-	services map[string]*api.Service
-	keys     map[string]*api.Tenant // by API key
-	Tenants  int                    // how many there are
-	Limited  bool                   // a tenant has a limit on its requests
-	Stores   []*api.Service         // the services that have a cache store
-	Policies *compliance.Policies   // nil without regimes
-	regimes  map[string]string      // by tenant
-	// Relinquished are the zones that give up their sessions, and over how many
-	// microseconds.
+	Version         int64
+	Limits          api.Limits
+	routesByHost    map[string][]*Route // by host in lower case, longest prefix first
+	servicesByName  map[string]*api.Service
+	tenantsByKey    map[string]*api.Tenant // by API key
+	Tenants         int                    // number of tenants
+	Limited         bool                   // a tenant has a rate limit
+	Stores          []*api.Service         // services with a cache store
+	Policies        *compliance.Policies   // nil without regimes
+	regimesByTenant map[string]string      // by tenant
+	// Relinquished has, by zone that relinquishes its sessions, the period over which it
+	// does so in microseconds.
 	Relinquished map[string]int64
-	// Retired has the first version of a model's weights that is not retired; models of
-	// which none is are not in it.
+	// Retired has, by model, the first weight version that is not retired. Models without
+	// retired weights are not in it.
 	Retired map[string]int64
 }
 
-// Compile makes a table from a checked configuration.
-func Compile(m api.Configuration) *Table {
+// Compile builds a table from a validated configuration.
+func Compile(config api.Configuration) *Table {
 	t := &Table{
-		Version:  m.Version,
-		Limits:   m.Limits,
-		hosts:    map[string][]*Route{},
-		services: map[string]*api.Service{},
-		keys:     map[string]*api.Tenant{},
-		Tenants:  len(m.Tenants),
-		regimes:  map[string]string{},
+		Version:         config.Version,
+		Limits:          config.Limits,
+		routesByHost:    map[string][]*Route{},
+		servicesByName:  map[string]*api.Service{},
+		tenantsByKey:    map[string]*api.Tenant{},
+		Tenants:         len(config.Tenants),
+		regimesByTenant: map[string]string{},
 	}
-	if p, err := compliance.Compile(m); err == nil && len(m.Regimes) > 0 {
+	if p, err := compliance.Compile(config); err == nil && len(config.Regimes) > 0 {
 		t.Policies = p
 	}
-	t.addRelinquished(m.Relinquish)
-	t.addRetired(m.Retired)
-	t.addServices(m.Services)
-	t.addRoutes(m.Routes)
-	t.addTenants(m.Tenants)
+	t.addRelinquished(config.Relinquish)
+	t.addRetired(config.Retired)
+	t.addServices(config.Services)
+	t.addRoutes(config.Routes)
+	t.addTenants(config.Tenants)
 	return t
 }
 
@@ -82,15 +82,15 @@
 
 func (t *Table) addServices(services []api.Service) {
 	for i := range services {
-		t.services[services[i].Name] = &services[i]
+		t.servicesByName[services[i].Name] = &services[i]
 		if services[i].CacheStore != "" {
 			t.Stores = append(t.Stores, &services[i])
 		}
 	}
 }
 
-// addRoutes sorts the routes of each host by the length of their prefixes, the
-// longest first, so that Match takes the first that fits.
+// addRoutes adds the routes and sorts those of each host by prefix length, longest first,
+// so that the first match is the longest one.
 func (t *Table) addRoutes(routes []api.Route) {
 	for i := range routes {
 		r := &Route{Route: routes[i], CutoffUs: int64(routes[i].CutoffMs * 1000), SetpointUs: int64(routes[i].SetpointMs * 1000)}
@@ -98,13 +98,13 @@
 			r.Shares = []api.Share{{Service: r.Service, Gain: 1}}
 		}
 		for _, s := range r.Shares {
-			r.gains += s.Gain
+			r.totalGain += s.Gain
 		}
 		host := strings.ToLower(r.Host)
-		t.hosts[host] = append(t.hosts[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
-	for _, list := range t.hosts {
-		slices.SortFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, routesOfHost := range t.routesByHost {
+		slices.SortFunc(routesOfHost, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 }
 
@@ -112,24 +112,25 @@
 	for i := range tenants {
 		t.Limited = t.Limited || tenants[i].RatePerS > 0
 		if tenants[i].Regime != "" {
-			t.regimes[tenants[i].Name] = tenants[i].Regime
+			t.regimesByTenant[tenants[i].Name] = tenants[i].Regime
 		}
 		for _, k := range tenants[i].Keys {
-			t.keys[k] = &tenants[i]
+			t.tenantsByKey[k] = &tenants[i]
 		}
 	}
 }
 
-// Match finds the route with the longest prefix for a host and path.
+// Match returns the route with the longest matching prefix for a host and path, nil if no
+// route matches. A port in the host is ignored unless a route names it.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
-	list, ok := t.hosts[host]
+	routes, ok := t.routesByHost[host]
 	if !ok {
 		if i := strings.LastIndexByte(host, ':'); i >= 0 {
-			list = t.hosts[host[:i]]
+			routes = t.routesByHost[host[:i]]
 		}
 	}
-	for _, r := range list {
+	for _, r := range routes {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -137,16 +138,17 @@
 	return nil
 }
 
-// Tenant returns the tenant that an API key belongs to, nil for an unknown key.
-func (t *Table) Tenant(key string) *api.Tenant { return t.keys[key] }
+// Tenant returns the tenant with the given API key, nil for an unknown key.
+func (t *Table) Tenant(key string) *api.Tenant { return t.tenantsByKey[key] }
 
 // RegimeOf returns the name of the regime of a tenant, "" for none.
-func (t *Table) RegimeOf(tenant string) string { return t.regimes[tenant] }
+func (t *Table) RegimeOf(tenant string) string { return t.regimesByTenant[tenant] }
 
-// Allows tells whether a tenant's requests may go to a runner now, and by which
-// certificate. Without a regime every runner will do.
+// Allows reports whether a tenant's requests may be sent to a runner now, and returns the
+// tenant's regime and the certificate that permits it. A tenant without a regime may use
+// every runner.
 func (t *Table) Allows(tenant string, r compliance.Runner) (regimeName string, certificate int, ok bool) {
-	name := t.regimes[tenant]
+	name := t.regimesByTenant[tenant]
 	if name == "" {
 		return "", -1, true
 	}
@@ -158,13 +160,13 @@
 }
 
 // Service returns a service by name, nil for an unknown one.
-func (t *Table) Service(name string) *api.Service { return t.services[name] }
+func (t *Table) Service(name string) *api.Service { return t.servicesByName[name] }
 
-// ServiceOfModel returns the name of the service whose engine runs a model, the first
-// by name where several do, and "" where none does.
+// ServiceOfModel returns the name of the service whose engine runs a model: the first by
+// name if there are several, "" if there is none.
 func (t *Table) ServiceOfModel(model string) string {
 	names := []string{}
-	for name, s := range t.services {
+	for name, s := range t.servicesByName {
 		for _, m := range s.Engine.Models {
 			if m.Name == model {
 				names = append(names, name)
@@ -180,17 +182,17 @@
 
 // Pick chooses one of the route's services; x lies in [0,1).
 func (r *Route) Pick(x float64) string {
-	at := float32(x) * r.gains
+	remaining := float32(x) * r.totalGain
 	for _, s := range r.Shares {
-		if at < s.Gain {
+		if remaining < s.Gain {
 			return s.Service
 		}
-		at -= s.Gain
+		remaining -= s.Gain
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Repeatable tells whether a request of this route may run more than once.
+// Repeatable reports whether a request of this route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == api.Idempotent || r.Kind == api.Streaming && r.Resumable
 }
