--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -288,9 +288,9 @@
 	return changed
 }
 
-// updateLiveness updates a runner's liveness flags and reports whether they changed. Silence is
-// measured up to the newest heartbeat of any runner: an observer that receives no
-// heartbeats at all can conclude nothing about a single runner.
+// updateLiveness updates a runner's liveness flags and reports whether they changed.
+// Silence is measured up to the newest heartbeat of any runner: an observer that receives
+// no heartbeats at all can conclude nothing about a single runner.
 func (r *Registry) updateLiveness(e *entry, limits Silence, nowUs int64) bool {
 	silentUs := r.newestObservedUs - e.lastObservedUs
 	if silentUs > limits.LostUs {
@@ -317,8 +317,8 @@
 // That node may have just started and not have received all runners yet.
 const unlistedLimitUs = 30_000_000
 
-// Retain deletes the runners that the mirrored node has not listed for unlistedLimitUs. It
-// reports whether a usable runner was deleted.
+// Retain deletes the runners that the mirrored node has not listed for
+// unlistedLimitUs. It reports whether a usable runner was deleted.
 func (r *Registry) Retain(listed func(id string) bool, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -1,8 +1,9 @@
 package registry
 
-// Silence has the limits of a runner's silence, in microseconds: after AskUs without a
-// heartbeat the other controllers are queried about it, after StaleUs and LostUs, while
-// heartbeats of other runners arrive, it counts as stale and as lost.
+// Silence has the limits of a runner's silence in microseconds. After the query limit
+// without a heartbeat the other controllers are queried about the runner. After the stale
+// and the lost limit, while heartbeats of other runners arrive, it counts as stale and as
+// lost.
 type Silence struct {
 	AskUs   int64
 	StaleUs int64
--- a/internal/routeconfig/change_test.go
+++ b/internal/routeconfig/change_test.go
@@ -23,7 +23,8 @@
 	return config
 }
 
-// withChangedKey returns the configuration with the given version and another API key of tenant 5.
+// withChangedKey returns the configuration with the given version and another API key of
+// tenant 5.
 func withChangedKey(config api.Configuration, version int) api.Configuration {
 	config.Version = int64(version)
 	config.Tenants = append([]api.Tenant{}, config.Tenants...)
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -1,14 +1,14 @@
 // Package routeconfig validates the operator's configuration, replaces it by
 // compare-and-set, replicates it, and compiles it for the request path.
 //
-// Parse decodes and validates a configuration; its errors are of type Invalid and name the
-// field. Submission decides the outcome of a configuration submitted with a base version:
-// accepted, already accepted (ErrAlreadyAccepted), superseded (ErrVersionConflict), invalid,
-// or undecided. It is applied inside a consensus round of the register, so the decision is
-// made on the committed state. Entries splits a configuration into JSON texts by route,
-// service and tenant, so that a change contains only the differences, and an Assembly
-// rebuilds the configuration from them. Replica is the configuration of one node; its
-// version never decreases. Table is the compiled configuration.
+// Parse decodes and validates a configuration; its errors name the field. Submission
+// decides the outcome of a configuration submitted with a base version: accepted, already
+// accepted (ErrAlreadyAccepted), superseded (ErrVersionConflict), invalid, or undecided. It
+// is applied inside a consensus round of the register, so the decision is made on the
+// committed state. Entries splits a configuration into JSON texts by route, service and
+// tenant, so that a change contains only the differences, and an Assembly rebuilds the
+// configuration from them. Replica is the configuration of one node; its version never
+// decreases. Table is the compiled configuration.
 //
 // A Table is immutable: a request uses one table from start to end, without a lock.
 // Replica and Assembly are not safe for concurrent use; router and controller guard
--- a/internal/routeconfig/replace.go
+++ b/internal/routeconfig/replace.go
@@ -16,8 +16,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Errors of Apply besides Invalid. The last two are not rejections: the outcome is
-// undecided and the caller has to retry the submission.
+// Errors of Apply besides validation errors. The last two are not rejections: the outcome
+// is undecided and the caller has to retry the submission.
 var (
 	ErrAlreadyAccepted = errors.New("routeconfig: taken before")
 	ErrVersionConflict = errors.New("routeconfig: another version is in place")
@@ -32,9 +32,9 @@
 // digestBytes is the length of the SHA-256 prefix that identifies a configuration.
 const digestBytes = 16
 
-// Submission is a configuration as sent by the operator. Fault is its validation error. It
-// is stored separately from the bytes because a configuration that was accepted before
-// stays accepted even if the current checks reject it.
+// Submission is a configuration as sent by the operator. Its validation error is stored
+// separately from the bytes because a configuration that was accepted before stays
+// accepted even if the current checks reject it.
 type Submission struct {
 	Raw     []byte
 	Version int64 // 0 if the bytes contain none
@@ -116,9 +116,10 @@
 	return messages.ConfigBody{Version: s.Version, Raw: s.Raw, AcceptedDigest: appendDigest(current.AcceptedDigest, s)}, nil
 }
 
-// Contested reports whether a release with other checks could accept the submission on this
-// state, so that some member may have stored an attempt of it. Only in that case is the
-// state on which a rejection was decided not enough to make the rejection final.
+// Contested reports whether a release with other checks could accept
+// the submission on this state, so that some member may have stored an attempt of it. Only
+// in that case is the state on which a rejection was decided not enough to make the
+// rejection final.
 func (s Submission) Contested(current messages.ConfigBody) bool {
 	return s.Fault != nil && s.Base == current.Version && s.Version > current.Version
 }
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -26,17 +26,17 @@
 	Limits          api.Limits
 	routesByHost    map[string][]*Route // by host in lower case, longest prefix first
 	servicesByName  map[string]*api.Service
-	tenantsByKey    map[string]*api.Tenant // by API key
+	tenantsByKey    map[string]*api.Tenant // key: API key
 	Tenants         int                    // number of tenants
 	Limited         bool                   // a tenant has a rate limit
 	Stores          []*api.Service         // services with a cache store
 	Policies        *compliance.Policies   // nil without regimes
 	regimesByTenant map[string]string      // by tenant
-	// Relinquished has, by zone that relinquishes its sessions, the period over which it
-	// does so in microseconds.
+	// Relinquished has, for each zone that relinquishes its sessions, the period
+	// over which it does so in microseconds.
 	Relinquished map[string]int64
-	// Retired has, by model, the first weight version that is not retired. Models without
-	// retired weights are not in it.
+	// Retired has, by model, the first weight version that is not
+	// retired. Models without retired weights are not in it.
 	Retired map[string]int64
 }
 
--- a/internal/statesync/loads.go
+++ b/internal/statesync/loads.go
@@ -1,4 +1,4 @@
-// Streams of runner loads by runner id. A Sum adds up the streams of several senders, so
+// Streams of runner loads by runner id, and the sum of the streams of several senders, so
 // that a relay sends one stream for all nodes below it.
 
 package statesync
--- a/internal/statesync/stream.go
+++ b/internal/statesync/stream.go
@@ -8,9 +8,9 @@
 // not contain the receiver's version. Apply is idempotent, and the version never decreases
 // within an epoch.
 //
-// Entries and Loads are the streams in use; a Sum adds up the load streams of several
-// nodes. Transfer and Server transfer a large encoded value in resumable chunks, so that
-// timeouts apply to progress and not to the whole transfer.
+// Entries and Loads are the streams in use; the load streams of several nodes can be added
+// up to one. Transfer and its server transfer a large encoded value in resumable chunks, so
+// that timeouts apply to progress and not to the whole transfer.
 //
 // The package does no I/O: time is an argument and no goroutine is started. No type is
 // safe for concurrent use; the owner of a stream guards it with a mutex.
