--- a/internal/consensus/catchup.go
+++ b/internal/consensus/catchup.go
@@ -139,7 +139,7 @@
 	}
 	return messages.ConsensusResponse{
 		Verdict: messages.Granted, Version: chunk.Version,
-		Piece: chunk.Bytes, Offset: chunk.Offset, Total: chunk.Total, Sum: int64(chunk.Sum),
+		Piece: chunk.Bytes, Offset: chunk.Offset, Total: chunk.Total, Sum: int64(chunk.Checksum),
 	}, nil
 }
 
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -34,7 +34,7 @@
 	apply := applySubmission(converted)
 	return func(cur messages.Value) ([]messages.Member, []byte, error) {
 		group, body, err := apply(cur)
-		if err != nil && converted.Contested(bodyOf(cur)) {
+		if err != nil && converted.AcceptableWithOtherChecks(bodyOf(cur)) {
 			return nil, nil, SealRejection(err)
 		}
 		return group, body, err
@@ -46,7 +46,7 @@
 func (s submission) toRouteConfig(strict bool) routeconfig.Submission {
 	out := routeconfig.Submission{Raw: []byte(s.digest), Version: s.version, Base: s.base}
 	if strict && s.disputed {
-		out.Fault = &routeconfig.Invalid{Field: "routes", Reason: "rejected by strict validation"}
+		out.ValidationErr = &routeconfig.InvalidError{Field: "routes", Reason: "rejected by strict validation"}
 	}
 	return out
 }
@@ -188,7 +188,7 @@
 
 // finishChange maps the result of an attempt to the answer that the product returns.
 func (c *cluster) finishChange(op *operation) {
-	var invalid *routeconfig.Invalid
+	var invalid *routeconfig.InvalidError
 	err := op.round.Err
 	switch {
 	case op.read != nil: // the round that a read ran to finish an accepted value
--- a/internal/consensus/transfers.go
+++ b/internal/consensus/transfers.go
@@ -10,11 +10,11 @@
 // transfers is the state of the transfers of one register's large values, both those that
 // this node serves and the one that it receives. It is safe for concurrent use.
 type transfers struct {
-	mu           sync.Mutex          // guards all below
-	server       statesync.Server    // encoded values that other nodes fetch
-	incoming     statesync.Transfer  // the chunks received of the value being fetched
-	transferring bool                // a catch-up is receiving chunks
-	fetching     map[string]struct{} // addresses from which a catch-up is in progress
+	mu           sync.Mutex            // guards all below
+	server       statesync.ChunkServer // encoded values that other nodes fetch
+	incoming     statesync.Transfer    // the chunks received of the value being fetched
+	transferring bool                  // a catch-up is receiving chunks
+	fetching     map[string]struct{}   // addresses from which a catch-up is in progress
 }
 
 func newTransfers() *transfers { return &transfers{fetching: map[string]struct{}{}} }
@@ -68,11 +68,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.incoming.Add(statesync.Chunk{
-		Version: response.Version,
-		Offset:  response.Offset,
-		Total:   response.Total,
-		Sum:     uint32(response.Sum),
-		Bytes:   response.Piece,
+		Version:  response.Version,
+		Offset:   response.Offset,
+		Total:    response.Total,
+		Checksum: uint32(response.Sum),
+		Bytes:    response.Piece,
 	})
 }
 
@@ -89,5 +89,5 @@
 func (t *transfers) expire(nowUs int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.server.Forget(nowUs)
+	t.server.EvictIdle(nowUs)
 }
--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -25,7 +25,7 @@
 }
 
 func (c *Controller) versions() messages.Versions {
-	m := messages.Versions{Parts: make([]int64, consensus.RegisterCount), RegistrySum: c.registry.Snapshot().Sum, Controller: true, StableForUs: c.stability.stableForUs(c.clock()), MemberID: c.registers.ID(), CutOff: c.cutOff(), TargetAges: c.targets.ages(c.clock())}
+	m := messages.Versions{Parts: make([]int64, consensus.RegisterCount), RegistrySum: c.registry.Snapshot().Checksum, Controller: true, StableForUs: c.stability.stableForUs(c.clock()), MemberID: c.registers.ID(), CutOff: c.cutOff(), TargetAges: c.targets.ages(c.clock())}
 	m.TimeUs, m.TimeAgreed = c.timeOfDay.TimeUs(c.clock())
 	m.TallyDigest = c.tallies.Digest()
 	m.ConfigAccepted = c.registers.MaybeAcceptedVersion(consensus.ConfigRegister)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -415,8 +415,8 @@
 }
 
 // silence is the bounds for runners that beat as the settings say.
-func (c *Controller) silence() registry.Silence {
-	return registry.SilenceAfter(int64(c.set.BeatPeriodMs) * 1000)
+func (c *Controller) silence() registry.SilenceLimits {
+	return registry.SilenceLimitsFor(int64(c.set.BeatPeriodMs) * 1000)
 }
 
 func (c *Controller) sweep() {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -173,7 +173,7 @@
 	must.True(t, got.Cordoned)
 	must.Eq(t, int64(77), got.BarVersion)
 	fresh.registry.Leave("i-1", 1)
-	fresh.registry.Sweep(200_000_000, registry.Silence{StaleUs: 1, LostUs: 1}, true)
+	fresh.registry.Sweep(200_000_000, registry.SilenceLimits{StaleUs: 1, LostUs: 1}, true)
 	fresh.syncRunners()
 	must.Eq(t, 0, fresh.feed.registry.Len(), must.Sprint("what the registry forgets is told no longer"))
 	keptID, ok := d.disk.ReadFile("identity")
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -66,8 +66,8 @@
 	registry      *statesync.Entries
 	configuration *routeconfig.Replica
 	parts         map[int]messages.RegisterUpdate
-	subtree       *statesync.Sum // the nodes below this one
-	aggregate     *statesync.Sum // those and the ones below the other controllers
+	subtree       *statesync.LoadSum // the nodes below this one
+	aggregate     *statesync.LoadSum // those and the ones below the other controllers
 
 	toControllers, toRouters outbox // to the other controllers, and to the routers
 	urgent                   chan struct{}
@@ -96,7 +96,7 @@
 	epoch = epoch ^ time.Now().UnixNano()
 	f.registry.Begin(epoch, 0)
 	f.parts = map[int]messages.RegisterUpdate{}
-	f.subtree, f.aggregate = statesync.NewSum(epoch), statesync.NewSum(epoch+1)
+	f.subtree, f.aggregate = statesync.NewLoadSum(epoch), statesync.NewLoadSum(epoch+1)
 	f.urgent = make(chan struct{}, 1)
 }
 
@@ -115,7 +115,7 @@
 	case r == statesync.Applied:
 		f.changes.Add(1)
 	}
-	return r == statesync.Applied || r == statesync.Known
+	return r == statesync.Applied || r == statesync.AlreadyApplied
 }
 
 // versions are those of the published state: a version of a register without a body, or
@@ -175,7 +175,7 @@
 	f := &c.feed
 	f.mu.Lock()
 	if delta, newer := f.configuration.Commit(version, entries); newer {
-		routeconfig.PutInForce(&c.table, t)
+		routeconfig.SetActive(&c.table, t)
 		f.toControllers.configuration, f.toRouters.configuration = append(f.toControllers.configuration, delta), append(f.toRouters.configuration, delta)
 	}
 	f.mu.Unlock()
@@ -239,7 +239,7 @@
 	if f.subtree.Total.Dirty() {
 		delta := statesync.EncodeLoads(f.subtree.Total.Commit(f.subtree.Total.Version + 1))
 		up.Loads = append(up.Loads, delta)
-		f.aggregate.Follow(subtreeSender, f.subtree.Total)
+		f.aggregate.SyncFrom(subtreeSender, f.subtree.Total)
 	}
 	if now := c.clock(); f.aggregate.Total.Dirty() && now-f.lastLoadsUs >= c.loadsPause().Microseconds() {
 		f.lastLoadsUs = now
@@ -326,7 +326,7 @@
 // applyReport applies the loads of a node below.
 func (c *Controller) applyReport(from string, t messages.LoadReport) bool {
 	for _, id := range t.Absent {
-		c.registry.Doubt(id, c.silence())
+		c.registry.MarkSuspect(id, c.silence())
 	}
 	c.readers.Announce(t.PendingBlocks)
 	f := &c.feed
@@ -335,7 +335,7 @@
 	ok := true
 	for _, delta := range t.Loads {
 		r := f.subtree.Apply(from, delta)
-		ok = ok && (r == statesync.Applied || r == statesync.Known)
+		ok = ok && (r == statesync.Applied || r == statesync.AlreadyApplied)
 	}
 	f.toControllers.pending, f.toRouters.pending = append(f.toControllers.pending, t.PendingBlocks...), append(f.toRouters.pending, t.PendingBlocks...)
 	if len(t.PendingBlocks) > 0 {
--- a/internal/controller/operatorapi/config.go
+++ b/internal/controller/operatorapi/config.go
@@ -32,7 +32,7 @@
 	v, err := s.config.Registers.Change(ctx, consensus.ConfigRegister, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		return applyOrder(cur, order)
 	})
-	var bad *routeconfig.Invalid
+	var bad *routeconfig.InvalidError
 	switch {
 	case err == nil, errors.Is(err, routeconfig.ErrAlreadyAccepted):
 		s.checkAcknowledged(order.Version, v)
@@ -55,8 +55,8 @@
 		return order
 	}
 	order.Base = -1
-	if order.Fault == nil {
-		order.Fault = &routeconfig.Invalid{Field: "Beechtide-Base-Version", Reason: "not a version"}
+	if order.ValidationErr == nil {
+		order.ValidationErr = &routeconfig.InvalidError{Field: "Beechtide-Base-Version", Reason: "not a version"}
 	}
 	return order
 }
@@ -81,7 +81,7 @@
 		return nil, nil, err
 	}
 	next, err := order.Apply(body)
-	if err != nil && order.Contested(body) {
+	if err != nil && order.AcceptableWithOtherChecks(body) {
 		return nil, nil, consensus.SealRejection(err)
 	}
 	if err != nil {
@@ -92,7 +92,7 @@
 }
 
 func invalid(rc *app.RequestContext, err error) {
-	var bad *routeconfig.Invalid
+	var bad *routeconfig.InvalidError
 	if errors.As(err, &bad) {
 		httpapi.Reject(rc, 400, bad.Field, bad.Reason)
 		return
--- a/internal/controller/operatorapi/retired.go
+++ b/internal/controller/operatorapi/retired.go
@@ -23,8 +23,8 @@
 		if err != nil {
 			return err
 		}
-		if named := namedVersion(body, r.Model); named < r.Before && order.Fault == nil {
-			order.Fault = &routeconfig.Invalid{Field: fmt.Sprintf("retired[%d].before", i), Reason: fmt.Sprintf("the newest weights named for model %q are %d", r.Model, named)}
+		if named := namedVersion(body, r.Model); named < r.Before && order.ValidationErr == nil {
+			order.ValidationErr = &routeconfig.InvalidError{Field: fmt.Sprintf("retired[%d].before", i), Reason: fmt.Sprintf("the newest weights named for model %q are %d", r.Model, named)}
 		}
 	}
 	return nil
--- a/internal/controller/quota_group.go
+++ b/internal/controller/quota_group.go
@@ -36,5 +36,5 @@
 // limitsTenants reports whether the configuration in force limits any tenant.
 func (c *Controller) limitsTenants() bool {
 	table := c.table.Load()
-	return table != nil && table.Limited
+	return table != nil && table.HasRateLimits
 }
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -51,7 +51,7 @@
 			out = append(out, runner)
 		}
 	}
-	for _, store := range table.Stores {
+	for _, store := range table.CacheStoreServices {
 		out = append(out, messages.RunnerRecord{ID: store.CacheStore, Addr: store.CacheStore, Zone: store.Zone})
 	}
 	return out
--- a/internal/controller/saved_runners.go
+++ b/internal/controller/saved_runners.go
@@ -35,7 +35,7 @@
 	var sum uint64
 	loop.Every(ctx, 2*time.Second, func() {
 		snap := c.registry.Snapshot()
-		if snap.Sum == sum {
+		if snap.Checksum == sum {
 			return
 		}
 		n := messages.News{}
@@ -50,6 +50,6 @@
 			c.log.Info("runners not kept", "err", err)
 			return
 		}
-		sum = snap.Sum
+		sum = snap.Checksum
 	})
 }
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -144,7 +144,7 @@
 	r := runners.Apply(change)
 	fits = f.count(r, again)
 	f.mu.Unlock()
-	if r == statesync.Mismatch {
+	if r == statesync.DigestMismatch {
 		return fits
 	}
 	merged, malformed := c.registry.MergeChange(change, nowUs)
--- a/internal/controller/three_test.go
+++ b/internal/controller/three_test.go
@@ -132,7 +132,7 @@
 	until(t, isPublished)
 	record.Seq = 2
 	must.False(t, other.registry.ApplyHeartbeat(record, other.clock()))
-	skipUs.Add(cutOff.silence().AskUs)
+	skipUs.Add(cutOff.silence().QueryUs)
 	first := []messages.LastHeartbeat{{ID: "x", Seq: 1}}
 	until(t, func() bool { return len(cutOff.registry.LaterHeartbeats(first, cutOff.clock())) == 1 })
 	known, _ := cutOff.registry.Record("x")
--- a/internal/dissemination/publisher_test.go
+++ b/internal/dissemination/publisher_test.go
@@ -118,7 +118,7 @@
 		c.mu.Lock()
 		r := c.stream.Apply(statesync.DecodeEntries(change))
 		c.mu.Unlock()
-		if r == statesync.Gap || r == statesync.Mismatch {
+		if r == statesync.VersionGap || r == statesync.DigestMismatch {
 			state := c.syncState()
 			missing = &state
 		}
@@ -185,7 +185,7 @@
 	damaged.Digest++
 	parent.publish(damaged)
 	for r := range child.results {
-		if r == statesync.Mismatch {
+		if r == statesync.DigestMismatch {
 			break
 		}
 	}
--- a/internal/registry/doubt.go
+++ b/internal/registry/doubt.go
@@ -1,9 +1,9 @@
 package registry
 
-// Doubt applies a hint that a runner was not found at its address. It sets the
+// MarkSuspect applies a hint that a runner was not found at its address. It sets the
 // runner's silence to just above the stale limit: a hint alone never makes a runner lost,
 // and the runner's next heartbeat makes it fresh again.
-func (r *Registry) Doubt(id string, limits Silence) {
+func (r *Registry) MarkSuspect(id string, limits SilenceLimits) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[id]
--- a/internal/registry/doubt_test.go
+++ b/internal/registry/doubt_test.go
@@ -6,11 +6,11 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestDoubtMakesRunnerStaleUntilNextHeartbeat(t *testing.T) {
-	r, limits := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
+func TestMarkSuspectMakesRunnerStaleUntilNextHeartbeat(t *testing.T) {
+	r, limits := New(), SilenceLimits{QueryUs: 3, StaleUs: 5, LostUs: 20}
 	r.ApplyHeartbeat(recordAt("x", "1:1", 1), 100)
 	r.ApplyHeartbeat(recordAt("y", "2:1", 1), 100)
-	r.Doubt("x", limits)
+	r.MarkSuspect("x", limits)
 	must.Len(t, 1, r.Sweep(101, limits, true))
 	must.True(t, r.Snapshot().ByID["x"].Stale)
 	must.False(t, r.ApplyHeartbeat(recordAt("x", "1:1", 1), 102), must.Sprint("a late heartbeat is ignored"))
@@ -19,11 +19,11 @@
 	must.False(t, r.Snapshot().ByID["x"].Stale)
 }
 
-func TestDoubtAloneNeverMakesRunnerLost(t *testing.T) {
-	r, limits := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
+func TestMarkSuspectAloneNeverMakesRunnerLost(t *testing.T) {
+	r, limits := New(), SilenceLimits{QueryUs: 3, StaleUs: 5, LostUs: 20}
 	r.ApplyHeartbeat(recordAt("x", "1:1", 1), 100)
 	for range 100 {
-		r.Doubt("x", limits)
+		r.MarkSuspect("x", limits)
 		r.Sweep(101, limits, true)
 	}
 	must.MapContainsKey(t, r.Snapshot().ByID, "x")
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -24,12 +24,12 @@
 
 // SilentRunners returns a query: the usable runners that are stale or have been silent
 // here for longer than the query limit, each with its newest known heartbeat.
-func (r *Registry) SilentRunners(nowUs int64, limits Silence) []messages.LastHeartbeat {
+func (r *Registry) SilentRunners(nowUs int64, limits SilenceLimits) []messages.LastHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var silent []*entry
 	for _, e := range r.entries {
-		if e.usable() && (e.record.Stale || nowUs-e.lastHeartbeatUs > limits.AskUs) {
+		if e.usable() && (e.record.Stale || nowUs-e.lastHeartbeatUs > limits.QueryUs) {
 			silent = append(silent, e)
 		}
 	}
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -80,7 +80,7 @@
 	for length := 3; length <= 5; length++ {
 		c := newObserverChain(length)
 		c.advance(20*secondUs, true)
-		c.advance(testLimits.StaleUs+testLimits.AskUs+2*sweepUs, false)
+		c.advance(testLimits.StaleUs+testLimits.QueryUs+2*sweepUs, false)
 		for i, o := range c.observers {
 			n, listed := o.Snapshot().ByID["last"]
 			must.True(t, !listed || n.Stale, must.Sprintf("observer %d of %d", i, length))
@@ -112,7 +112,7 @@
 	r := New()
 	r.ApplyHeartbeat(recordAt("x", "1:1", 5), 1)
 	r.ApplyHeartbeat(recordAt("y", "2:1", 5), 1)
-	r.Doubt("x", testLimits)
+	r.MarkSuspect("x", testLimits)
 	must.Len(t, 1, r.Sweep(2, testLimits, true))
 	must.Len(t, 1, r.SilentRunners(2, testLimits), must.Sprint("a stale runner is queried at once"))
 	must.SliceEmpty(t, r.ApplyLaterHeartbeats([]messages.LastHeartbeat{{ID: "x", Seq: 5}, {ID: "unknown", Seq: 9}}, 3, 3))
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -264,7 +264,7 @@
 // ended longer ago than the retention time. inContact is set while this node reaches a
 // majority of the core; time without contact does not count as silence of any runner. It
 // returns the records whose liveness flags changed.
-func (r *Registry) Sweep(nowUs int64, limits Silence, inContact bool) []messages.RunnerRecord {
+func (r *Registry) Sweep(nowUs int64, limits SilenceLimits, inContact bool) []messages.RunnerRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observed.advance(nowUs)
@@ -291,7 +291,7 @@
 // updateLiveness updates a runner's liveness flags and reports whether they changed.
 // Silence is measured up to the newest heartbeat of any runner: an observer that receives
 // no heartbeats at all can conclude nothing about a single runner.
-func (r *Registry) updateLiveness(e *entry, limits Silence, nowUs int64) bool {
+func (r *Registry) updateLiveness(e *entry, limits SilenceLimits, nowUs int64) bool {
 	silentUs := r.newestObservedUs - e.lastObservedUs
 	if silentUs > limits.LostUs {
 		e.record.Lost, e.removedAtUs = true, nowUs
@@ -317,9 +317,9 @@
 // That node may have just started and not have received all runners yet.
 const unlistedLimitUs = 30_000_000
 
-// Retain deletes the runners that the mirrored node has not listed for
+// DeleteUnlisted deletes the runners that the mirrored node has not listed for
 // unlistedLimitUs. It reports whether a usable runner was deleted.
-func (r *Registry) Retain(listed func(id string) bool, nowUs int64) bool {
+func (r *Registry) DeleteUnlisted(listed func(id string) bool, nowUs int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	deleted := false
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -71,15 +71,15 @@
 		must.False(t, s.ByID["x"].Cordoned)
 		must.True(t, s.ByID["y"].Draining)
 		if seed == 0 {
-			sum = s.Sum
+			sum = s.Checksum
 		}
-		must.Eq(t, sum, s.Sum)
+		must.Eq(t, sum, s.Checksum)
 	}
 }
 
 // Silence is measured up to the newest heartbeat of any runner.
 func TestSweepMarksSilentRunnersStaleThenLost(t *testing.T) {
-	r, limits := New(), Silence{AskUs: 3, StaleUs: 5, LostUs: 20}
+	r, limits := New(), SilenceLimits{QueryUs: 3, StaleUs: 5, LostUs: 20}
 	r.ApplyHeartbeat(recordAt("x", "1:1", 1), 0)
 	r.ApplyHeartbeat(recordAt("y", "2:1", 1), 9)
 	must.Len(t, 1, r.Sweep(10, limits, true))
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -1,11 +1,11 @@
 package registry
 
-// Silence has the limits of a runner's silence in microseconds. After the query limit
+// SilenceLimits has the limits of a runner's silence in microseconds. After the query limit
 // without a heartbeat the other controllers are queried about the runner. After the stale
 // and the lost limit, while heartbeats of other runners arrive, it counts as stale and as
 // lost.
-type Silence struct {
-	AskUs   int64
+type SilenceLimits struct {
+	QueryUs int64
 	StaleUs int64
 	LostUs  int64
 }
@@ -19,7 +19,7 @@
 	heartbeatTransitUs = 500_000
 )
 
-// SilenceAfter returns the limits for runners with the given heartbeat period.
-func SilenceAfter(periodUs int64) Silence {
-	return Silence{AskUs: queryPeriods * periodUs, StaleUs: stalePeriods*periodUs + heartbeatTransitUs, LostUs: lostPeriods * periodUs}
+// SilenceLimitsFor returns the limits for runners with the given heartbeat period.
+func SilenceLimitsFor(periodUs int64) SilenceLimits {
+	return SilenceLimits{QueryUs: queryPeriods * periodUs, StaleUs: stalePeriods*periodUs + heartbeatTransitUs, LostUs: lostPeriods * periodUs}
 }
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -16,7 +16,7 @@
 	secondUs    = 1_000_000
 )
 
-var testLimits = SilenceAfter(heartbeatUs)
+var testLimits = SilenceLimitsFor(heartbeatUs)
 
 func recordAt(id, address string, seq int64) messages.RunnerRecord {
 	n := newRecord(id, seq)
@@ -123,7 +123,7 @@
 	must.MapNotContainsKey(t, r.Snapshot().ByID, "old")
 }
 
-func TestMirrorAppliesLivenessAndRetainDeletesUnlisted(t *testing.T) {
+func TestMirrorAppliesLivenessAndDeleteUnlistedRemovesRunner(t *testing.T) {
 	r := New()
 	r.Mirror(recordAt("x", "1:1", 9), 1)
 	lost := recordAt("x", "1:1", 4)
@@ -132,9 +132,9 @@
 	must.MapEmpty(t, r.Snapshot().ByID)
 	must.True(t, r.Mirror(recordAt("x", "1:1", 4), 3), must.Sprint("another parent receives its heartbeats"))
 	listsNone := func(string) bool { return false }
-	must.False(t, r.Retain(listsNone, 10))
-	must.False(t, r.Retain(listsNone, unlistedLimitUs))
-	must.True(t, r.Retain(listsNone, unlistedLimitUs+11))
+	must.False(t, r.DeleteUnlisted(listsNone, 10))
+	must.False(t, r.DeleteUnlisted(listsNone, unlistedLimitUs))
+	must.True(t, r.DeleteUnlisted(listsNone, unlistedLimitUs+11))
 	must.SliceEmpty(t, r.All())
 }
 
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -11,7 +11,7 @@
 type Snapshot struct {
 	ByService map[string][]messages.RunnerRecord
 	ByID      map[string]messages.RunnerRecord
-	Sum       uint64 // checksum of ids, flags and weight versions
+	Checksum  uint64 // checksum of ids, flags and weight versions
 }
 
 // Flags of a runner in the checksum of a snapshot.
@@ -41,7 +41,7 @@
 			_, _ = sum.Write([]byte{byte(m.Version), byte(m.Version >> 8)})
 		}
 	}
-	s.Sum = sum.Sum64()
+	s.Checksum = sum.Sum64()
 	return s
 }
 
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -26,13 +26,15 @@
 	"beechtide.org/beechtide/internal/compliance"
 )
 
-// Invalid is the error for a configuration with an invalid field.
-type Invalid struct {
+// InvalidError is the error for a configuration with an invalid field.
+type InvalidError struct {
 	Field  string
 	Reason string
 }
 
-func (i *Invalid) Error() string { return fmt.Sprintf("routeconfig: field %s: %s", i.Field, i.Reason) }
+func (i *InvalidError) Error() string {
+	return fmt.Sprintf("routeconfig: field %s: %s", i.Field, i.Reason)
+}
 
 var structValidator = validator.New(validator.WithRequiredStructEnabled())
 
@@ -40,15 +42,15 @@
 func Parse(raw []byte) (api.Configuration, error) {
 	var config api.Configuration
 	if err := json.Unmarshal(raw, &config); err != nil {
-		return config, &Invalid{"(body)", err.Error()}
+		return config, &InvalidError{"(body)", err.Error()}
 	}
 	if err := structValidator.Struct(config); err != nil {
 		var fieldErrors validator.ValidationErrors
 		if errors.As(err, &fieldErrors) && len(fieldErrors) > 0 {
 			fieldError := fieldErrors[0]
-			return config, &Invalid{fieldError.Namespace(), fmt.Sprintf("%v does not satisfy %s %s", fieldError.Value(), fieldError.Tag(), fieldError.Param())}
+			return config, &InvalidError{fieldError.Namespace(), fmt.Sprintf("%v does not satisfy %s %s", fieldError.Value(), fieldError.Tag(), fieldError.Param())}
 		}
-		return config, &Invalid{"(body)", err.Error()}
+		return config, &InvalidError{"(body)", err.Error()}
 	}
 	return config, crossCheck(config)
 }
@@ -79,7 +81,7 @@
 	_, err := compliance.Compile(config)
 	var configError *compliance.ConfigError
 	if errors.As(err, &configError) {
-		return &Invalid{configError.Field, configError.Reason}
+		return &InvalidError{configError.Field, configError.Reason}
 	}
 	return err
 }
@@ -93,11 +95,11 @@
 	for i, r := range config.Routes {
 		field := fmt.Sprintf("routes[%d]", i)
 		if !r.Kind.Valid() {
-			return &Invalid{field + ".kind", fmt.Sprintf("%q is no kind of route", r.Kind)}
+			return &InvalidError{field + ".kind", fmt.Sprintf("%q is no kind of route", r.Kind)}
 		}
 		hostAndPrefix := r.Host + r.Prefix
 		if other, ok := routeAt[hostAndPrefix]; ok {
-			return &Invalid{field + ".prefix", "same host and prefix as route " + other}
+			return &InvalidError{field + ".prefix", "same host and prefix as route " + other}
 		}
 		routeAt[hostAndPrefix] = r.Name
 		if err := checkRouteServices(r, field, serviceNames); err != nil {
@@ -113,19 +115,19 @@
 func checkRouteServices(r api.Route, field string, serviceNames map[string]bool) error {
 	if len(r.Shares) == 0 {
 		if !serviceNames[r.Service] {
-			return &Invalid{field + ".service", fmt.Sprintf("unknown service %q", r.Service)}
+			return &InvalidError{field + ".service", fmt.Sprintf("unknown service %q", r.Service)}
 		}
 		return nil
 	}
 	var sum float32
 	for i, s := range r.Shares {
 		if !serviceNames[s.Service] {
-			return &Invalid{fmt.Sprintf("%s.shares[%d].service", field, i), fmt.Sprintf("unknown service %q", s.Service)}
+			return &InvalidError{fmt.Sprintf("%s.shares[%d].service", field, i), fmt.Sprintf("unknown service %q", s.Service)}
 		}
 		sum += s.Gain
 	}
 	if sum <= 0 {
-		return &Invalid{field + ".shares", "gains sum to 0"}
+		return &InvalidError{field + ".shares", "gains sum to 0"}
 	}
 	return nil
 }
@@ -134,7 +136,7 @@
 	zones := map[string]bool{}
 	for i, x := range relinquish {
 		if zones[x.Zone] {
-			return &Invalid{fmt.Sprintf("relinquish[%d].zone", i), "named twice"}
+			return &InvalidError{fmt.Sprintf("relinquish[%d].zone", i), "named twice"}
 		}
 		zones[x.Zone] = true
 	}
@@ -154,10 +156,10 @@
 	for i, r := range config.Retired {
 		field := fmt.Sprintf("retired[%d].model", i)
 		if seen[r.Model] {
-			return &Invalid{field, "named twice"}
+			return &InvalidError{field, "named twice"}
 		}
 		if len(models) > 0 && !models[r.Model] {
-			return &Invalid{field, fmt.Sprintf("unknown model %q", r.Model)}
+			return &InvalidError{field, fmt.Sprintf("unknown model %q", r.Model)}
 		}
 		seen[r.Model] = true
 	}
@@ -169,7 +171,7 @@
 	for i, t := range tenants {
 		for _, k := range t.Keys {
 			if o, ok := ownerByKey[k]; ok && o != t.Name {
-				return &Invalid{fmt.Sprintf("tenants[%d].apiKeys", i), "a key is shared with tenant " + o}
+				return &InvalidError{fmt.Sprintf("tenants[%d].apiKeys", i), "a key is shared with tenant " + o}
 			}
 			ownerByKey[k] = t.Name
 		}
--- a/internal/routeconfig/in_force.go
+++ b/internal/routeconfig/in_force.go
@@ -11,8 +11,8 @@
 var activeVersionIncreases = invariant.New("config_in_force_goes_forward",
 	"the version of the configuration in force at a node never goes back while its process runs")
 
-// PutInForce makes next the active table.
-func PutInForce(active *atomic.Pointer[Table], next *Table) {
+// SetActive makes next the active table.
+func SetActive(active *atomic.Pointer[Table], next *Table) {
 	if before := active.Swap(next); before != nil && next.Version < before.Version {
 		activeVersionIncreases.Violated("before", before.Version, "next", next.Version)
 	}
--- a/internal/routeconfig/in_force_test.go
+++ b/internal/routeconfig/in_force_test.go
@@ -15,9 +15,9 @@
 func TestOlderActiveTableViolatesInvariant(t *testing.T) {
 	var active atomic.Pointer[Table]
 	for _, version := range []int64{1, 1, 3} {
-		PutInForce(&active, &Table{Version: version})
+		SetActive(&active, &Table{Version: version})
 	}
 	must.Eq(t, 0, activeVersionIncreases.Violations())
 	invarianttest.Expect(t, activeVersionIncreases)
-	PutInForce(&active, &Table{Version: 2})
+	SetActive(&active, &Table{Version: 2})
 }
--- a/internal/routeconfig/relinquish_test.go
+++ b/internal/routeconfig/relinquish_test.go
@@ -16,7 +16,7 @@
 		{`[{"zone":"a","overMs":-1}]`, "Configuration.Relinquish[0].OverMs"},
 	} {
 		_, err := Parse([]byte(with(c.list)))
-		var invalid *Invalid
+		var invalid *InvalidError
 		must.True(t, errors.As(err, &invalid), must.Sprint(c.list))
 		must.Eq(t, c.field, invalid.Field)
 	}
@@ -26,5 +26,5 @@
 	must.NoError(t, err)
 	var a Assembly
 	must.NoError(t, a.Apply(e, true))
-	must.Eq(t, map[string]int64{"a": 1_500_000}, Compile(a.Configuration()).Relinquished)
+	must.Eq(t, map[string]int64{"a": 1_500_000}, Compile(a.Configuration()).RelinquishUsByZone)
 }
--- a/internal/routeconfig/replace.go
+++ b/internal/routeconfig/replace.go
@@ -36,18 +36,18 @@
 // separately from the bytes because a configuration that was accepted before stays
 // accepted even if the current checks reject it.
 type Submission struct {
-	Raw     []byte
-	Version int64 // 0 if the bytes contain none
-	Base    int64
-	Retired []api.Retirement // retired weights; the models must have newer ones
-	Fault   error
+	Raw           []byte
+	Version       int64 // 0 if the bytes contain none
+	Base          int64
+	Retired       []api.Retirement // retired weights; the models must have newer ones
+	ValidationErr error
 }
 
 // ParseSubmission decodes and validates a configuration. It always returns a submission,
 // because an invalid one can still be looked up among the accepted ones.
 func ParseSubmission(raw []byte) Submission {
 	config, err := Parse(raw)
-	submission := Submission{Raw: raw, Version: config.Version, Retired: config.Retired, Fault: err}
+	submission := Submission{Raw: raw, Version: config.Version, Retired: config.Retired, ValidationErr: err}
 	if err != nil {
 		submission.Version = versionOf(raw)
 	}
@@ -105,29 +105,29 @@
 	case s.digestExpired(current):
 		return current, ErrDigestExpired
 	case s.Version <= s.Base:
-		return current, s.rejection(&Invalid{"version", "not above the one that it builds on"})
+		return current, s.rejection(&InvalidError{"version", "not above the one that it builds on"})
 	case s.Base < current.Version:
 		return current, s.rejection(ErrVersionConflict)
 	case s.Base > current.Version:
 		return current, ErrBaseNotReached
-	case s.Fault != nil:
-		return current, s.Fault
+	case s.ValidationErr != nil:
+		return current, s.ValidationErr
 	}
 	return messages.ConfigBody{Version: s.Version, Raw: s.Raw, AcceptedDigest: appendDigest(current.AcceptedDigest, s)}, nil
 }
 
-// Contested reports whether a release with other checks could accept
+// AcceptableWithOtherChecks reports whether a release with other checks could accept
 // the submission on this state, so that some member may have stored an attempt of it. Only
 // in that case is the state on which a rejection was decided not enough to make the
 // rejection final.
-func (s Submission) Contested(current messages.ConfigBody) bool {
-	return s.Fault != nil && s.Base == current.Version && s.Version > current.Version
+func (s Submission) AcceptableWithOtherChecks(current messages.ConfigBody) bool {
+	return s.ValidationErr != nil && s.Base == current.Version && s.Version > current.Version
 }
 
 // rejection returns the validation error if there is one, because it is more specific.
 func (s Submission) rejection(err error) error {
-	if s.Fault != nil {
-		return s.Fault
+	if s.ValidationErr != nil {
+		return s.ValidationErr
 	}
 	return err
 }
--- a/internal/routeconfig/replace_test.go
+++ b/internal/routeconfig/replace_test.go
@@ -23,7 +23,7 @@
 	must.ErrorIs(t, err, ErrAlreadyAccepted)
 	_, err = newSubmission("other", 6, 0).Apply(first)
 	must.ErrorIs(t, err, ErrVersionConflict)
-	var invalid *Invalid
+	var invalid *InvalidError
 	_, err = newSubmission("other", 5, 5).Apply(first)
 	must.True(t, errors.As(err, &invalid))
 	second, err := newSubmission("two", 9, 5).Apply(first)
@@ -42,12 +42,12 @@
 	late := newSubmission("three", 9, 7)
 	_, err = late.Apply(first)
 	must.ErrorIs(t, err, ErrBaseNotReached)
-	late.Fault = &Invalid{"routes", "rejected by the current checks"}
+	late.ValidationErr = &InvalidError{"routes", "rejected by the current checks"}
 	_, err = late.Apply(first)
 	must.ErrorIs(t, err, ErrBaseNotReached)
 	second, err := newSubmission("two", 7, 5).Apply(first)
 	must.NoError(t, err)
-	late.Fault = nil
+	late.ValidationErr = nil
 	_, err = late.Apply(second)
 	must.NoError(t, err)
 }
@@ -61,7 +61,7 @@
 	cur, err = newSubmission("next", 6, 5).Apply(cur)
 	must.NoError(t, err)
 	repeated := ParseSubmission(raw)
-	must.Error(t, repeated.Fault, must.Sprint("the current checks reject it"))
+	must.Error(t, repeated.ValidationErr, must.Sprint("the current checks reject it"))
 	must.Eq(t, int64(5), repeated.Version, must.Sprint("the version is found despite the invalid field"))
 	must.True(t, repeated.AcceptedIn(cur))
 	_, err = repeated.Apply(cur)
@@ -69,25 +69,25 @@
 	other := ParseSubmission(append(raw, ' '))
 	other.Base = 6
 	_, err = other.Apply(cur)
-	var invalid *Invalid
+	var invalid *InvalidError
 	must.True(t, errors.As(err, &invalid), must.Sprint("other bytes are validated"))
 	malformed := ParseSubmission([]byte("{"))
-	must.Error(t, malformed.Fault)
+	must.Error(t, malformed.ValidationErr)
 	must.False(t, malformed.AcceptedIn(cur))
 	_, err = malformed.Apply(cur)
 	must.True(t, errors.As(err, &invalid))
 }
 
 // Only a submission that other checks could accept on this state is contested.
-func TestContestedWhenOtherChecksCouldAccept(t *testing.T) {
+func TestAcceptableWithOtherChecksOnCurrentBaseOnly(t *testing.T) {
 	cur := messages.ConfigBody{Version: 5}
-	faulty := Submission{Raw: []byte("x"), Version: 6, Base: 5, Fault: &Invalid{"routes", "no"}}
-	must.True(t, faulty.Contested(cur))
-	must.False(t, newSubmission("x", 6, 5).Contested(cur))
+	faulty := Submission{Raw: []byte("x"), Version: 6, Base: 5, ValidationErr: &InvalidError{"routes", "no"}}
+	must.True(t, faulty.AcceptableWithOtherChecks(cur))
+	must.False(t, newSubmission("x", 6, 5).AcceptableWithOtherChecks(cur))
 	faulty.Base = 4
-	must.False(t, faulty.Contested(cur))
+	must.False(t, faulty.AcceptableWithOtherChecks(cur))
 	faulty.Version, faulty.Base = 0, 5
-	must.False(t, faulty.Contested(cur))
+	must.False(t, faulty.AcceptableWithOtherChecks(cur))
 }
 
 // maxEncodedBytes bounds the encoded size of the body with all retained digests.
--- a/internal/routeconfig/replica.go
+++ b/internal/routeconfig/replica.go
@@ -55,7 +55,7 @@
 // error is ErrUnreadable with the reason why a change was not applied.
 func (r *Replica) Apply(change messages.EntryChange) (result statesync.Result, recompiled bool, err error) {
 	if change.Snapshot && !r.acceptsSnapshot(change.To) {
-		return statesync.Known, false, nil
+		return statesync.AlreadyApplied, false, nil
 	}
 	in := statesync.DecodeEntries(change)
 	entries := make(map[string]string, len(in.Puts))
@@ -67,7 +67,7 @@
 	}
 	before := r.assembly
 	if err := r.assembly.Apply(entries, change.Snapshot); err != nil {
-		return statesync.Mismatch, false, errors.Wrap(ErrUnreadable, err.Error())
+		return statesync.DigestMismatch, false, errors.Wrap(ErrUnreadable, err.Error())
 	}
 	if result = r.stream.Apply(in); result != statesync.Applied {
 		r.assembly = before
--- a/internal/routeconfig/replica_test.go
+++ b/internal/routeconfig/replica_test.go
@@ -46,9 +46,9 @@
 	}{
 		{first, statesync.Applied, 3},
 		{second, statesync.Applied, 5},
-		{first, statesync.Known, 5},
-		{second, statesync.Known, 5},
-		{messages.EntryChange{Epoch: Epoch + 1, Snapshot: true, To: 1}, statesync.Known, 5},
+		{first, statesync.AlreadyApplied, 5},
+		{second, statesync.AlreadyApplied, 5},
+		{messages.EntryChange{Epoch: Epoch + 1, Snapshot: true, To: 1}, statesync.AlreadyApplied, 5},
 	} {
 		result, _, err := r.Apply(c.change)
 		must.NoError(t, err)
--- a/internal/routeconfig/retired_test.go
+++ b/internal/routeconfig/retired_test.go
@@ -16,7 +16,7 @@
 		{`[{"model":"m","before":0}]`, "Configuration.Retired[0].Before"},
 	} {
 		_, err := Parse([]byte(with(c.list)))
-		var invalid *Invalid
+		var invalid *InvalidError
 		must.True(t, errors.As(err, &invalid), must.Sprint(c.list))
 		must.Eq(t, c.field, invalid.Field)
 	}
@@ -26,13 +26,13 @@
 	must.NoError(t, err)
 	var a Assembly
 	must.NoError(t, a.Apply(e, true))
-	must.Eq(t, map[string]int64{"m": 7}, Compile(a.Configuration()).Retired)
+	must.Eq(t, map[string]int64{"m": 7}, Compile(a.Configuration()).MinWeightsVersionByModel)
 }
 
 func TestRetiredWeightsOfUnknownModelAreInvalid(t *testing.T) {
 	raw := `{"version":1,"routes":[],"services":[{"name":"s","probe":"/h","engine":{"models":[{"name":"m"}]}}],"limits":{},"retired":[{"model":"x","before":2}]}`
 	_, err := Parse([]byte(raw))
-	var invalid *Invalid
+	var invalid *InvalidError
 	must.True(t, errors.As(err, &invalid))
 	must.Eq(t, "retired[0].model", invalid.Field)
 }
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -31,7 +31,7 @@
 		raw := strings.Replace(validConfig, c.old, c.new, 1)
 		must.NotEq(t, validConfig, raw, must.Sprint(c.name))
 		_, err := Parse([]byte(raw))
-		var invalid *Invalid
+		var invalid *InvalidError
 		must.True(t, errors.As(err, &invalid), must.Sprint(c.name, err))
 		must.Eq(t, c.field, invalid.Field, must.Sprint(c.name))
 		must.NotEq(t, "", invalid.Reason)
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -22,22 +22,22 @@
 // Table looks up the route, service and tenant of a request. It is safe for concurrent use
 // because it is not modified after Compile.
 type Table struct {
-	Version         int64
-	Limits          api.Limits
-	routesByHost    map[string][]*Route // by host in lower case, longest prefix first
-	servicesByName  map[string]*api.Service
-	tenantsByKey    map[string]*api.Tenant // key: API key
-	Tenants         int                    // number of tenants
-	Limited         bool                   // a tenant has a rate limit
-	Stores          []*api.Service         // services with a cache store
-	Policies        *compliance.Policies   // nil without regimes
-	regimesByTenant map[string]string      // by tenant
+	Version            int64
+	Limits             api.Limits
+	routesByHost       map[string][]*Route // by host in lower case, longest prefix first
+	servicesByName     map[string]*api.Service
+	tenantsByKey       map[string]*api.Tenant // key: API key
+	TenantCount        int                    // number of tenants
+	HasRateLimits      bool                   // a tenant has a rate limit
+	CacheStoreServices []*api.Service         // services with a cache store
+	Policies           *compliance.Policies   // nil without regimes
+	regimesByTenant    map[string]string      // by tenant
 	// Relinquished has, for each zone that relinquishes its sessions, the period
 	// over which it does so in microseconds.
-	Relinquished map[string]int64
-	// Retired has, by model, the first weight version that is not
+	RelinquishUsByZone map[string]int64
+	// MinWeightsVersionByModel has, by model, the first weight version that is not
 	// retired. Models without retired weights are not in it.
-	Retired map[string]int64
+	MinWeightsVersionByModel map[string]int64
 }
 
 // Compile builds a table from a validated configuration.
@@ -48,7 +48,7 @@
 		routesByHost:    map[string][]*Route{},
 		servicesByName:  map[string]*api.Service{},
 		tenantsByKey:    map[string]*api.Tenant{},
-		Tenants:         len(config.Tenants),
+		TenantCount:     len(config.Tenants),
 		regimesByTenant: map[string]string{},
 	}
 	if p, err := compliance.Compile(config); err == nil && len(config.Regimes) > 0 {
@@ -64,19 +64,19 @@
 
 func (t *Table) addRelinquished(relinquish []api.Relinquish) {
 	for _, x := range relinquish {
-		if t.Relinquished == nil {
-			t.Relinquished = map[string]int64{}
+		if t.RelinquishUsByZone == nil {
+			t.RelinquishUsByZone = map[string]int64{}
 		}
-		t.Relinquished[x.Zone] = int64(x.OverMs * 1000)
+		t.RelinquishUsByZone[x.Zone] = int64(x.OverMs * 1000)
 	}
 }
 
 func (t *Table) addRetired(retired []api.Retirement) {
 	for _, r := range retired {
-		if t.Retired == nil {
-			t.Retired = map[string]int64{}
+		if t.MinWeightsVersionByModel == nil {
+			t.MinWeightsVersionByModel = map[string]int64{}
 		}
-		t.Retired[r.Model] = r.Before
+		t.MinWeightsVersionByModel[r.Model] = r.Before
 	}
 }
 
@@ -84,7 +84,7 @@
 	for i := range services {
 		t.servicesByName[services[i].Name] = &services[i]
 		if services[i].CacheStore != "" {
-			t.Stores = append(t.Stores, &services[i])
+			t.CacheStoreServices = append(t.CacheStoreServices, &services[i])
 		}
 	}
 }
@@ -110,7 +110,7 @@
 
 func (t *Table) addTenants(tenants []api.Tenant) {
 	for i := range tenants {
-		t.Limited = t.Limited || tenants[i].RatePerS > 0
+		t.HasRateLimits = t.HasRateLimits || tenants[i].RatePerS > 0
 		if tenants[i].Regime != "" {
 			t.regimesByTenant[tenants[i].Name] = tenants[i].Regime
 		}
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -38,7 +38,7 @@
 				cctx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonWaitParts)
 				defer cancel()
 				m, ok := r.compareWith(cctx, addr, overdue)
-				r.comparisons.Ended(addr, ok, m.RegistrySum == r.registry.Snapshot().Sum)
+				r.comparisons.Ended(addr, ok, m.RegistrySum == r.registry.Snapshot().Checksum)
 			}()
 		}
 	}
--- a/internal/router/evening_test.go
+++ b/internal/router/evening_test.go
@@ -99,7 +99,7 @@
 	}
 	notes := n.registry.Snapshot().ByService["s"]
 	n.admission.SetService("s", notes, 16000, 2)
-	n.admission.SetRetired(n.table.Retired)
+	n.admission.SetRetired(n.table.MinWeightsVersionByModel)
 	n.admission.SetCertified("s", certified(n.table, notes))
 }
 
@@ -158,7 +158,7 @@
 		e.offer(g)
 		return
 	}
-	must.False(e.t, r.Admission.WeightsVersion < g.node.table.Retired["m"], must.Sprintf("%s is sent to weights %d in version %d", g.id, r.Admission.WeightsVersion, g.node.table.Version))
+	must.False(e.t, r.Admission.WeightsVersion < g.node.table.MinWeightsVersionByModel["m"], must.Sprintf("%s is sent to weights %d in version %d", g.id, r.Admission.WeightsVersion, g.node.table.Version))
 	must.Eq(e.t, admission.CacheSalt(g.ask.Tenant, false, g.ask.Regime, r.Admission.WeightsVersion), r.Admission.CacheSalt)
 	if r.Admission.WeightsVersion < e.newest {
 		e.older++
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -31,7 +31,7 @@
 // fits counts a result, and tells whether the change fitted what was held.
 func (s *stats) fits(r statesync.Result, again bool) bool {
 	s.count(r, again)
-	return r == statesync.Applied || r == statesync.Known
+	return r == statesync.Applied || r == statesync.AlreadyApplied
 }
 
 // syncState names what this node holds of every stream.
@@ -183,10 +183,10 @@
 		again := in.Snapshot && r.runners.Epoch == in.Epoch
 		result := r.runners.Apply(in)
 		fits = r.feedStats.fits(result, again)
-		if result == statesync.Mismatch || result == statesync.Known {
+		if result == statesync.DigestMismatch || result == statesync.AlreadyApplied {
 			return fits, false // what is known already may be older than what is held
 		}
-		if result == statesync.Gap {
+		if result == statesync.VersionGap {
 			believed = "" // of a parent that was left, or to come again in order
 		}
 	}
@@ -248,7 +248,7 @@
 		_, ok := r.runners.Get(id)
 		return ok
 	}
-	went := r.registry.Retain(listed, r.clock())
+	went := r.registry.DeleteUnlisted(listed, r.clock())
 	r.stateMu.Unlock()
 	if went {
 		r.syncAdmission()
@@ -264,7 +264,7 @@
 	}
 	if renewed {
 		t := r.configuration.Table()
-		routeconfig.PutInForce(&r.table, t)
+		routeconfig.SetActive(&r.table, t)
 		r.lag.inForce(r.configuration.Version(), r.clock())
 		r.log.Info("configuration in place", "version", t.Version, "entries", len(ch.Entries), "whole", ch.Snapshot)
 	}
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -252,7 +252,7 @@
 		return 404
 	}
 	e.tenant = nil
-	if t.Tenants == 0 || e.route.Unkeyed {
+	if t.TenantCount == 0 || e.route.Unkeyed {
 		return 0
 	}
 	if scheme, key, ok := strings.Cut(headerValue(e.rc, hAuth), " "); ok && strings.EqualFold(scheme, "Token") {
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -48,7 +48,7 @@
 type loads struct {
 	mu             sync.Mutex // guards all below
 	own            *statesync.Loads
-	subtree        *statesync.Sum // this node's and those below it
+	subtree        *statesync.LoadSum // this node's and those below it
 	total          *statesync.Loads
 	pending        []messages.CachedPrefixes // prefixes that will be cached, for the next report
 	absent         []string                  // runners that were not at their address
@@ -64,7 +64,7 @@
 func (l *loads) init(epoch int64) {
 	l.own, l.total = statesync.NewLoads(), statesync.NewLoads()
 	l.own.Begin(epoch, 0)
-	l.subtree = statesync.NewSum(epoch)
+	l.subtree = statesync.NewLoadSum(epoch)
 	l.sendAll, l.allChanged, l.changed = true, true, map[string]bool{}
 }
 
@@ -160,7 +160,7 @@
 	l.own.Replace(own)
 	if l.own.Dirty() {
 		l.own.Commit(l.own.Version + 1)
-		l.subtree.Follow(ownSender, l.own)
+		l.subtree.SyncFrom(ownSender, l.own)
 	}
 	total := l.subtree.Total
 	report := messages.LoadReport{PendingBlocks: append(l.pending, pending...), Absent: append(l.absent, absent...)}
@@ -198,7 +198,7 @@
 	ok := true
 	for _, change := range report.Loads {
 		result := l.subtree.Apply(from, change)
-		ok = ok && (result == statesync.Applied || result == statesync.Known)
+		ok = ok && (result == statesync.Applied || result == statesync.AlreadyApplied)
 	}
 	l.pending, l.absent = append(l.pending, report.PendingBlocks...), append(l.absent, report.Absent...)
 	l.mu.Unlock()
--- a/internal/router/move.go
+++ b/internal/router/move.go
@@ -24,7 +24,7 @@
 func (e *exchange) reserveMove(adm *admission.Admission, stream *responseStream) bool {
 	router := e.router
 	table := router.table.Load()
-	if _, relinquished := table.Relinquished[adm.Runner.Zone]; !relinquished || !stream.isEventStream || stream.splitter.LastID == "" {
+	if _, relinquished := table.RelinquishUsByZone[adm.Runner.Zone]; !relinquished || !stream.isEventStream || stream.splitter.LastID == "" {
 		return false
 	}
 	now := router.clock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -323,9 +323,9 @@
 	t := r.table.Load()
 	snap := r.registry.Snapshot()
 	if t != nil {
-		r.admission.SetRelinquished(t.Relinquished, r.clock())
-		r.admission.SetRetired(t.Retired)
-		r.retirements.observe(t.Retired, r.clock())
+		r.admission.SetRelinquished(t.RelinquishUsByZone, r.clock())
+		r.admission.SetRetired(t.MinWeightsVersionByModel)
+		r.retirements.observe(t.MinWeightsVersionByModel, r.clock())
 	}
 	for service, notes := range snap.ByService {
 		tokens, moveUs, links, coldPerS := 0, 0.0, 0, 0.0
@@ -363,7 +363,7 @@
 				out[name][n.ID] = true
 			}
 		}
-		for _, box := range t.Stores {
+		for _, box := range t.CacheStoreServices {
 			if _, ok := t.Policies.Allows(name, compliance.Runner{ID: box.CacheStore, Service: box.Name, Zone: box.Zone}); ok {
 				out[name][box.CacheStore] = true
 			}
@@ -387,7 +387,7 @@
 		return nil
 	}
 	var out []admission.Store
-	for _, box := range t.Stores {
+	for _, box := range t.CacheStoreServices {
 		if box.LinkMbps > 0 {
 			out = append(out, admission.Store{ID: box.CacheStore, Addr: box.CacheStore, Zone: box.Zone, TransferUsPerToken: float64(s.Engine.TokenBytes) * 8 / float64(box.LinkMbps)})
 		}
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -223,7 +223,7 @@
 			change.Digest++
 		}
 		result, _, err := r.replica.Apply(change)
-		fits = fits && err == nil && (result == statesync.Applied || result == statesync.Known)
+		fits = fits && err == nil && (result == statesync.Applied || result == statesync.AlreadyApplied)
 	}
 	r.checkInForce()
 	return fits
--- a/internal/simulation/loads.go
+++ b/internal/simulation/loads.go
@@ -43,7 +43,7 @@
 	// What follows is gone with each life of the process.
 	own     map[string]messages.RunnerLoad // in flight now
 	stream  *statesync.Loads
-	subtree *statesync.Sum
+	subtree *statesync.LoadSum
 	parent  *loadLink
 	sendAll bool
 	below   []*loadLink
@@ -86,7 +86,7 @@
 func (n *loadNode) boot() {
 	n.process.Start()
 	epoch := n.history.kernel.NowUs()*1000 + int64(n.number)
-	n.own, n.stream, n.subtree = map[string]messages.RunnerLoad{}, statesync.NewLoads(), statesync.NewSum(epoch)
+	n.own, n.stream, n.subtree = map[string]messages.RunnerLoad{}, statesync.NewLoads(), statesync.NewLoadSum(epoch)
 	n.stream.Begin(epoch, 0)
 	n.parent, n.sendAll, n.below = nil, true, nil
 	n.every(loadReportUs, n.report)
@@ -176,7 +176,7 @@
 	n.stream.Replace(n.own)
 	if n.stream.Dirty() {
 		n.stream.Commit(n.stream.Version + 1)
-		n.subtree.Follow(ownLoads, n.stream)
+		n.subtree.SyncFrom(ownLoads, n.stream)
 	}
 	total := n.subtree.Total
 	if n.isCore() || n.parent == nil || !n.parent.alive() || !n.sendAll && !total.Dirty() {
@@ -210,7 +210,7 @@
 		return
 	}
 	result := l.parent.subtree.Apply(l.name, change)
-	if result == statesync.Applied || result == statesync.Known {
+	if result == statesync.Applied || result == statesync.AlreadyApplied {
 		return
 	}
 	l.child.process.inLifeOf(l.childLife, func() { l.child.sendAll = true })()
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -198,7 +198,7 @@
 func submissionOf(call history.Call) routeconfig.Submission {
 	wanted := routeconfig.Submission{Raw: []byte(call.Digest), Version: call.Version, Base: call.Base}
 	if call.Faulty {
-		wanted.Fault = &routeconfig.Invalid{Field: "services", Reason: "faulty"}
+		wanted.ValidationErr = &routeconfig.InvalidError{Field: "services", Reason: "faulty"}
 	}
 	return wanted
 }
@@ -210,7 +210,7 @@
 		body.AcceptedDigest = nil
 	}
 	next, err := wanted.Apply(body)
-	if err != nil && wanted.Contested(body) {
+	if err != nil && wanted.AcceptableWithOtherChecks(body) {
 		return nil, nil, consensus.SealRejection(err)
 	}
 	if err != nil {
@@ -221,7 +221,7 @@
 }
 
 func verdictOf(err error) history.Verdict {
-	var invalid *routeconfig.Invalid
+	var invalid *routeconfig.InvalidError
 	switch {
 	case err == nil, errors.Is(err, routeconfig.ErrAlreadyAccepted):
 		return history.Taken
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -26,7 +26,7 @@
 )
 
 // silence is after how many heartbeats missed a runner counts as stale and lost.
-var silence = registry.SilenceAfter(heartbeatUs)
+var silence = registry.SilenceLimitsFor(heartbeatUs)
 
 // registrar is one controller's part in knowing the runners.
 type registrar struct {
@@ -126,10 +126,10 @@
 // take applies what another tells, and asks again where it does not fit.
 func (r *registrar) take(from *registrar, change statesync.Change[string, string]) {
 	switch r.mirrors[from.addr].Apply(change) {
-	case statesync.Gap, statesync.Mismatch:
+	case statesync.VersionGap, statesync.DigestMismatch:
 		r.ask(from)
 		return
-	case statesync.Known:
+	case statesync.AlreadyApplied:
 		return
 	}
 	changed, malformed := r.runners.MergeChange(change, r.process.NowUs())
--- a/internal/statesync/loads.go
+++ b/internal/statesync/loads.go
@@ -46,22 +46,22 @@
 	return l.Blocks == 0 && l.Prefill == 0 && l.Count == 0 && l.Flow == 0 && l.Tried == 0 && l.Failed == 0
 }
 
-// Sum adds up the load streams of several senders per runner; the result is itself a
+// LoadSum adds up the load streams of several senders per runner; the result is itself a
 // stream (Total). It is not safe for concurrent use.
-type Sum struct {
+type LoadSum struct {
 	senders map[string]*Loads
 	Total   *Loads
 }
 
-// NewSum returns a sum without senders; epoch is the epoch of the total.
-func NewSum(epoch int64) *Sum {
-	s := &Sum{senders: map[string]*Loads{}, Total: NewLoads()}
+// NewLoadSum returns a sum without senders; epoch is the epoch of the total.
+func NewLoadSum(epoch int64) *LoadSum {
+	s := &LoadSum{senders: map[string]*Loads{}, Total: NewLoads()}
 	s.Total.Begin(epoch, 0)
 	return s
 }
 
 // Apply applies a change to the stream of one sender and adds the difference to the total.
-func (s *Sum) Apply(sender string, c messages.LoadChange) Result {
+func (s *LoadSum) Apply(sender string, c messages.LoadChange) Result {
 	stream := s.senders[sender]
 	if stream == nil {
 		stream = NewLoads()
@@ -85,8 +85,8 @@
 	return Applied
 }
 
-// Follow brings the stream of one sender up to date with a stream in the same process.
-func (s *Sum) Follow(sender string, source *Loads) {
+// SyncFrom brings the stream of one sender up to date with a stream in the same process.
+func (s *LoadSum) SyncFrom(sender string, source *Loads) {
 	epoch, version := int64(0), int64(0)
 	if in := s.senders[sender]; in != nil {
 		epoch, version = in.Cursor()
@@ -97,7 +97,7 @@
 }
 
 // Remove subtracts the loads of a sender from the total.
-func (s *Sum) Remove(sender string) {
+func (s *LoadSum) Remove(sender string) {
 	stream := s.senders[sender]
 	if stream == nil {
 		return
@@ -107,11 +107,11 @@
 }
 
 // Sender returns the stream received from one sender, nil for an unknown sender.
-func (s *Sum) Sender(sender string) *Loads { return s.senders[sender] }
+func (s *LoadSum) Sender(sender string) *Loads { return s.senders[sender] }
 
 // addDifference applies the difference between two loads of a runner to the total. Rates
 // are not added: the total has the last positive rate.
-func (s *Sum) addDifference(id string, before, after messages.RunnerLoad) {
+func (s *LoadSum) addDifference(id string, before, after messages.RunnerLoad) {
 	total, _ := s.Total.Get(id)
 	total.ID = id
 	total.Blocks += after.Blocks - before.Blocks
--- a/internal/statesync/loads_test.go
+++ b/internal/statesync/loads_test.go
@@ -13,7 +13,7 @@
 // applyOrSnapshot applies a change, or a snapshot of its source if the result is a gap.
 func applyOrSnapshot(t *testing.T, apply func(messages.LoadChange) Result, change Change[string, messages.RunnerLoad], source *Loads) {
 	t.Helper()
-	if apply(EncodeLoads(change)) == Gap {
+	if apply(EncodeLoads(change)) == VersionGap {
 		snapshot, _ := source.DeltaSince(0, 0)
 		must.Eq(t, Applied, apply(EncodeLoads(snapshot)))
 	}
@@ -39,8 +39,8 @@
 // again.
 func TestSumIsExactOverTwoLevels(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	relays := []*Sum{NewSum(11), NewSum(12)}
-	root, receiver := NewSum(20), NewLoads()
+	relays := []*LoadSum{NewLoadSum(11), NewLoadSum(12)}
+	root, receiver := NewLoadSum(20), NewLoads()
 	sources := map[string]*Loads{}
 	for i := range 6 {
 		l := NewLoads()
@@ -72,17 +72,17 @@
 }
 
 func TestSumFollowsStreamFromStart(t *testing.T) {
-	l, s := NewLoads(), NewSum(2)
+	l, s := NewLoads(), NewLoadSum(2)
 	l.Begin(7, 0)
 	for i := range 3 {
 		l.Put("r", messages.RunnerLoad{ID: "r", Count: i + 1})
 		l.Commit(int64(i + 1))
-		s.Follow("x", l)
+		s.SyncFrom("x", l)
 		got, _ := s.Total.Get("r")
 		must.Eq(t, i+1, got.Count)
 	}
 	s.Remove("x")
 	must.Eq(t, 0, s.Total.Len())
-	s.Follow("x", l)
+	s.SyncFrom("x", l)
 	must.Eq(t, 1, s.Total.Len())
 }
--- a/internal/statesync/stream.go
+++ b/internal/statesync/stream.go
@@ -21,10 +21,10 @@
 
 // Results of Apply.
 const (
-	Applied  Result = iota
-	Known           // the receiver is at this version or a later one
-	Gap             // the receiver is not at the base version of the change
-	Mismatch        // the digest of the result would differ
+	Applied        Result = iota
+	AlreadyApplied        // the receiver is at this version or a later one
+	VersionGap            // the receiver is not at the base version of the change
+	DigestMismatch        // the digest of the result would differ
 )
 
 // Put sets a key to a value, or deletes the key if Deleted is set.
@@ -240,16 +240,16 @@
 	}
 	switch {
 	case c.Epoch != s.Epoch || c.From > s.Version:
-		return Gap
+		return VersionGap
 	case c.To <= s.Version:
-		return Known
+		return AlreadyApplied
 	case c.From < s.Version:
-		return Gap
+		return VersionGap
 	}
 	digest, ok := s.digestAfter(c)
 	if !ok {
 		s.needsSnapshot = true
-		return Mismatch
+		return DigestMismatch
 	}
 	keys := make([]K, 0, len(c.Puts))
 	for _, p := range c.Puts {
@@ -283,19 +283,19 @@
 
 func (s *Stream[K, V]) applySnapshot(c Change[K, V]) Result {
 	if c.Epoch == s.Epoch && c.To < s.Version {
-		return Known
+		return AlreadyApplied
 	}
 	state := make(map[K]V, len(c.Puts))
 	digest := uint64(0)
 	for _, p := range c.Puts {
 		if _, repeated := state[p.Key]; repeated || p.Deleted {
-			return Mismatch
+			return DigestMismatch
 		}
 		state[p.Key] = p.Value
 		digest += s.hash(p.Key, p.Value)
 	}
 	if digest != c.Digest {
-		return Mismatch
+		return DigestMismatch
 	}
 	s.Begin(c.Epoch, c.To)
 	s.state, s.digest, s.needsSnapshot = state, digest, false
--- a/internal/statesync/stream_test.go
+++ b/internal/statesync/stream_test.go
@@ -105,7 +105,7 @@
 	n.t.Helper()
 	i := n.rnd.IntN(len(n.inFlight))
 	epoch, at := n.relay.Epoch, n.relay.Version
-	if r := n.relay.Apply(n.inFlight[i]); r == Gap || r == Mismatch {
+	if r := n.relay.Apply(n.inFlight[i]); r == VersionGap || r == DigestMismatch {
 		if n.rnd.IntN(2) == 0 {
 			n.repair(n.sender, n.relay)
 		}
@@ -191,22 +191,22 @@
 	first := sender.Commit(1)
 	sender.Put("k", "2")
 	second := sender.Commit(2)
-	must.Eq(t, Gap, receiver.Apply(first), must.Sprint("another epoch"))
+	must.Eq(t, VersionGap, receiver.Apply(first), must.Sprint("another epoch"))
 	receiver.Begin(1, 0)
-	must.Eq(t, Gap, receiver.Apply(second), must.Sprint("missing base version"))
+	must.Eq(t, VersionGap, receiver.Apply(second), must.Sprint("missing base version"))
 	must.Eq(t, Applied, receiver.Apply(first))
-	must.Eq(t, Known, receiver.Apply(first), must.Sprint("a repeated change is not applied"))
+	must.Eq(t, AlreadyApplied, receiver.Apply(first), must.Sprint("a repeated change is not applied"))
 	second.Digest++
-	must.Eq(t, Mismatch, receiver.Apply(second))
+	must.Eq(t, DigestMismatch, receiver.Apply(second))
 	second.Digest--
 	must.Eq(t, Applied, receiver.Apply(second))
-	must.Eq(t, Known, receiver.Apply(first), must.Sprint("the version never decreases"))
+	must.Eq(t, AlreadyApplied, receiver.Apply(first), must.Sprint("the version never decreases"))
 	snapshot, _ := sender.DeltaSince(0, 0)
 	sender.Put("k", "3")
 	sender.Commit(3)
 	c, _ := sender.DeltaSince(1, 2)
 	must.Eq(t, Applied, receiver.Apply(c))
-	must.Eq(t, Known, receiver.Apply(snapshot), must.Sprint("an older snapshot of the same epoch"))
+	must.Eq(t, AlreadyApplied, receiver.Apply(snapshot), must.Sprint("an older snapshot of the same epoch"))
 }
 
 // Regression test for docs/incidents/skipped-version-as-base.md: two senders of one stream
@@ -244,7 +244,7 @@
 	must.Eq(t, Applied, receiver.Apply(snapshot))
 	receiver.state["k"], receiver.digest = "not so", receiver.hash("k", "not so")
 	sender.Put("other", "2")
-	must.Eq(t, Mismatch, receiver.Apply(sender.Commit(2)))
+	must.Eq(t, DigestMismatch, receiver.Apply(sender.Commit(2)))
 	c, behind := sender.DeltaSince(receiver.Cursor())
 	must.True(t, behind)
 	must.True(t, c.Snapshot)
--- a/internal/statesync/transfer.go
+++ b/internal/statesync/transfer.go
@@ -16,14 +16,14 @@
 // Chunk is a byte range of one version of an encoded state.
 type Chunk struct {
 	Version, Offset, Total int64
-	Sum                    uint32 // CRC-32 (IEEE) of all bytes of the version
+	Checksum               uint32 // CRC-32 (IEEE) of all bytes of the version
 	Bytes                  []byte
 }
 
 // Transfer is the receiver's side. The zero Transfer has received nothing yet.
 type Transfer struct {
 	version, total int64
-	sum            uint32
+	checksum       uint32
 	received       []byte
 }
 
@@ -50,11 +50,11 @@
 		return nil, Ignored
 	}
 	result := Stored
-	if chunk.Version != t.version || chunk.Total != t.total || chunk.Sum != t.sum {
+	if chunk.Version != t.version || chunk.Total != t.total || chunk.Checksum != t.checksum {
 		if chunk.Offset != 0 || chunk.Version < t.version {
 			return nil, Ignored
 		}
-		*t = Transfer{version: chunk.Version, total: chunk.Total, sum: chunk.Sum}
+		*t = Transfer{version: chunk.Version, total: chunk.Total, checksum: chunk.Checksum}
 		result = Restarted
 	}
 	if chunk.Offset != int64(len(t.received)) {
@@ -64,7 +64,7 @@
 	if int64(len(t.received)) < t.total {
 		return nil, result
 	}
-	value, sum := t.received, t.sum
+	value, sum := t.received, t.checksum
 	*t = Transfer{}
 	if crc32.ChecksumIEEE(value) != sum {
 		return nil, Corrupt
@@ -79,22 +79,22 @@
 
 type servedVersion struct {
 	version       int64
-	sum           uint32
+	checksum      uint32
 	bytes         []byte
 	lastRequestUs int64
 	lastChunkRead bool // the most recent request was for the last chunk
 }
 
-// Server is the sender's side. It is not safe for concurrent use.
-type Server struct{ versions []*servedVersion }
+// ChunkServer is the sender's side. It is not safe for concurrent use.
+type ChunkServer struct{ versions []*servedVersion }
 
 // ReadChunk returns a chunk of the requested version if it is retained, otherwise the first
 // chunk of the newest version. If maxServedVersions other versions are being fetched, it
 // returns the first chunk of a retained version that is not older than the requested one.
 // A receiver without a transfer in progress requests the version after its own, at offset
 // 0. encode returns the bytes of the newest version.
-func (s *Server) ReadChunk(version, offset, nowUs, newest int64, encode func() ([]byte, error)) (Chunk, error) {
-	s.Forget(nowUs)
+func (s *ChunkServer) ReadChunk(version, offset, nowUs, newest int64, encode func() ([]byte, error)) (Chunk, error) {
+	s.EvictIdle(nowUs)
 	from := s.findVersion(version)
 	if from == nil {
 		if version != newest {
@@ -110,7 +110,7 @@
 		if err != nil {
 			return Chunk{}, err
 		}
-		from = &servedVersion{version: newest, sum: crc32.ChecksumIEEE(b), bytes: b}
+		from = &servedVersion{version: newest, checksum: crc32.ChecksumIEEE(b), bytes: b}
 		s.versions = append(s.versions, from)
 	}
 	from.lastRequestUs = nowUs
@@ -118,13 +118,13 @@
 	offset = min(max(offset, 0), total)
 	end := min(offset+ChunkBytes, total)
 	from.lastChunkRead = end == total
-	return Chunk{Version: from.version, Offset: offset, Total: total, Sum: from.sum, Bytes: from.bytes[offset:end]}, nil
+	return Chunk{Version: from.version, Offset: offset, Total: total, Checksum: from.checksum, Bytes: from.bytes[offset:end]}, nil
 }
 
 // evictOrReuse makes room for another version. It deletes a version whose transfer has ended.
 // If there is none, it returns a retained version that is not older than the requested
 // one, and if there is none of those either, it deletes the least recently requested.
-func (s *Server) evictOrReuse(version int64) *servedVersion {
+func (s *ChunkServer) evictOrReuse(version int64) *servedVersion {
 	oldest := 0
 	for i, h := range s.versions {
 		if h.lastChunkRead {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (s *Server) findVersion(version int64) *servedVersion {
+func (s *ChunkServer) findVersion(version int64) *servedVersion {
 	for _, h := range s.versions {
 		if h.version == version {
 			return h
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// Forget deletes the versions that were not requested for servedIdleUs.
-func (s *Server) Forget(nowUs int64) {
+// EvictIdle deletes the versions that were not requested for servedIdleUs.
+func (s *ChunkServer) EvictIdle(nowUs int64) {
 	retained := s.versions[:0]
 	for _, h := range s.versions {
 		if nowUs-h.lastRequestUs < servedIdleUs {
@@ -166,4 +166,4 @@
 }
 
 // Versions returns the number of retained versions.
-func (s *Server) Versions() int { return len(s.versions) }
+func (s *ChunkServer) Versions() int { return len(s.versions) }
--- a/internal/statesync/transfer_test.go
+++ b/internal/statesync/transfer_test.go
@@ -12,7 +12,7 @@
 // source is a sender whose state may change during a transfer.
 type source struct {
 	t         *testing.T
-	server    Server
+	server    ChunkServer
 	version   int64
 	size      int
 	encodings int
