--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -4,8 +4,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Core selects the controllers that count among the machines whose loss the
-// tolerance bounds, or all of them where none counts.
+// Core returns the controllers that count towards the fault tolerance (the
+// number of machines that may be lost), or all controllers if none counts.
 func Core(controllers []messages.Peer) []messages.Peer {
 	var counted []messages.Peer
 	for _, c := range controllers {
--- a/internal/membership/large_fleet_test.go
+++ b/internal/membership/large_fleet_test.go
@@ -10,14 +10,15 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// seedsOfLargeFleet is how many nodes the others are told of at their start.
-const seedsOfLargeFleet = 3
+// largeFleetSeeds is the number of seed nodes.
+const largeFleetSeeds = 3
 
-// joinTicks is after how many ticks seeds that are not known yet are probed.
-const joinTicks = int64(joinInterval/time.Microsecond) / tickUs
+// joinIntervalTicks is the interval between join probes to missing seeds, in ticks.
+const joinIntervalTicks = int64(joinInterval/time.Microsecond) / tickUs
 
-// startLargeFleet starts so many nodes within 0.3 s, in any order. Each knows the seeds only and
-// probes those that it does not know every joinInterval, as Monitor does.
+// startLargeFleet starts the given number of nodes within 0.3 s, in random order, and runs them
+// for forUs. Each node is configured with the seeds only and, every joinInterval, probes the seeds
+// that its view does not contain, as Monitor does.
 func startLargeFleet(nodes int, forUs int64) *network {
 	net := newNetwork(0)
 	startUs := map[string]int64{}
@@ -35,7 +36,7 @@
 				net.start(messages.Peer{Addr: addr, Incarnation: int64(i + 1)})
 			}
 			net.deliver(addr, net.views[addr].Tick(net.nowUs))
-			if (net.nowUs/tickUs)%joinTicks == 0 {
+			if (net.nowUs/tickUs)%joinIntervalTicks == 0 {
 				net.joinSeeds(addr)
 			}
 		}
@@ -44,21 +45,21 @@
 }
 
 func (n *network) joinSeeds(addr string) {
-	for seed := range seedsOfLargeFleet {
+	for seed := range largeFleetSeeds {
 		to := fmt.Sprintf("n%d", seed)
-		if addr != to && !n.views[addr].Knows(to) {
+		if addr != to && !n.views[addr].HasEntry(to) {
 			n.deliver(addr, []Datagram{n.views[addr].JoinProbe(to)})
 		}
 	}
 }
 
-func TestLargeFleetThatStartsAtOnceKnowsAllOfItselfSoon(t *testing.T) {
+func TestLargeFleetConvergesAfterSimultaneousStart(t *testing.T) {
 	const nodes = 310
 	net := startLargeFleet(nodes, 4*secondUs)
-	net.mustAllSee(t, nodes)
+	net.mustAllSeeAlive(t, nodes)
 }
 
-func TestViewsWithTheSameEntriesHaveTheSameDigest(t *testing.T) {
+func TestDigestEqualForViewsWithSameEntries(t *testing.T) {
 	net := newNetwork(12)
 	net.run(10 * secondUs)
 	for _, view := range net.views {
@@ -69,7 +70,7 @@
 	must.NotEq(t, before, net.views["n1"].digest())
 }
 
-func TestSteadyFleetAsksForNothing(t *testing.T) {
+func TestSteadyFleetSendsNoPeerQueries(t *testing.T) {
 	net := newNetwork(60)
 	net.run(20 * secondUs)
 	net.queries = 0
@@ -77,11 +78,11 @@
 	must.Zero(t, net.queries)
 	net.views["n7"].SetMemberID("changed")
 	net.run(2 * secondUs)
-	must.Positive(t, net.queries, must.Sprint("a change that has not reached all is asked for"))
+	must.Positive(t, net.queries, must.Sprint("a change that has not reached all nodes triggers a query"))
 }
 
-func TestQueryOfAnotherReleaseIsLeftUnanswered(t *testing.T) {
+func TestPeerQuerySkippedForOtherRelease(t *testing.T) {
 	view := newNetwork(3).views["n0"]
-	must.SliceEmpty(t, view.answerQuery(messages.Probe{From: messages.Peer{Addr: "n1"}, Buckets: []int64{1, 2}}))
-	must.SliceEmpty(t, view.query(messages.Probe{From: messages.Peer{Addr: "n1"}}, secondUs))
+	must.SliceEmpty(t, view.answerPeerQuery(messages.Probe{From: messages.Peer{Addr: "n1"}, Buckets: []int64{1, 2}}))
+	must.SliceEmpty(t, view.queryPeer(messages.Probe{From: messages.Peer{Addr: "n1"}}, secondUs))
 }
--- a/internal/membership/monitor.go
+++ b/internal/membership/monitor.go
@@ -13,18 +13,19 @@
 
 const (
 	// tickInterval is the time between two ticks while an acknowledgement or a refutation
-	// is waited for.
+	// is pending.
 	tickInterval = 100 * time.Millisecond
 
-	// joinInterval is the time between two probes to seeds that are not known yet.
+	// joinInterval is the time between two join probes to the seeds that the view does not
+	// contain yet.
 	joinInterval = 500 * time.Millisecond
 
 	minTickInterval = 10 * time.Millisecond
 
 	// maxFirstIncarnation bounds the random incarnation that a node starts with.
-	// It is random since a node does not store it: a restarted node should not
-	// look like the one before. Where its number is lower than the one that its
-	// peers know, it raises it above theirs when it hears of that.
+	// The incarnation is not stored on disk; it is random so that a restarted node
+	// differs from its previous process. If it is lower than the one its peers have
+	// recorded, the node raises it above theirs once it receives their entry.
 	maxFirstIncarnation = 1 << 20
 )
 
@@ -39,7 +40,7 @@
 }
 
 // NewMonitor registers the handlers of the view's messages with the transport,
-// which must not run yet. The clock gives microseconds; seeds is called by Run.
+// which must not run yet. The clock returns microseconds; Run calls seeds.
 func NewMonitor(trans *transport.Transport, self messages.Peer, clock func() int64, seeds func() []string) *Monitor {
 	self.Incarnation = 1 + rand.Int64N(maxFirstIncarnation)
 	m := &Monitor{transport: trans, clock: clock, seeds: seeds, view: NewView(self, DefaultConfig, rand.IntN)}
@@ -49,8 +50,8 @@
 	return m
 }
 
-// receive handles one datagram. One that cannot be decoded is dropped, as if it
-// had been lost.
+// receive handles one datagram. A datagram that cannot be decoded is dropped, as if
+// it had been lost.
 func (m *Monitor) receive(kind int, body []byte) {
 	var msg messages.Probe
 	if _, err := msg.UnmarshalMsg(body); err != nil {
@@ -68,31 +69,32 @@
 	}
 }
 
-// Run drives the view until ctx ends. It wakes when something is due, not all the time.
+// Run advances the view until ctx ends. It sleeps until the next probe or timeout is due.
 func (m *Monitor) Run(ctx context.Context) {
-	joinUs := m.clock()
+	nextJoinUs := m.clock()
 	for ctx.Err() == nil {
 		nowUs := m.clock()
-		join := nowUs >= joinUs
+		join := nowUs >= nextJoinUs
 		if join {
-			joinUs = nowUs + joinInterval.Microseconds()
+			nextJoinUs = nowUs + joinInterval.Microseconds()
 		}
 		m.send(m.tick(join))
-		loop.Pause(ctx, m.untilNext(joinUs))
+		loop.Pause(ctx, m.untilNextTick(nextJoinUs))
 	}
 }
 
-// untilNext is the time until the next tick.
-func (m *Monitor) untilNext(joinUs int64) time.Duration {
+// untilNextTick returns the time until the next tick.
+func (m *Monitor) untilNextTick(nextJoinUs int64) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.view.Waits() {
+	if m.view.AwaitingReply() {
 		return tickInterval
 	}
-	return max(time.Duration(min(m.view.NextProbeUs(), joinUs)-m.clock())*time.Microsecond, minTickInterval)
+	return max(time.Duration(min(m.view.NextProbeUs(), nextJoinUs)-m.clock())*time.Microsecond, minTickInterval)
 }
 
-// tick advances the view; with join set it probes the seeds not known yet, too.
+// tick advances the view. If join is set, it also probes the seeds that the view does not
+// contain yet.
 func (m *Monitor) tick(join bool) []Datagram {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,22 +103,22 @@
 		return out
 	}
 	for _, seed := range m.seeds() {
-		if seed != m.transport.Addr() && !m.view.Knows(seed) {
+		if seed != m.transport.Addr() && !m.view.HasEntry(seed) {
 			out = append(out, m.view.JoinProbe(seed))
 		}
 	}
 	return out
 }
 
-// Alive lists the peers of a role that are alive or suspect, the node itself
-// included, sorted by address.
+// Alive returns the peers of a role that are alive or suspect, including the node
+// itself, sorted by address.
 func (m *Monitor) Alive(role messages.Role) []messages.Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Alive(role)
 }
 
-// DeadForUs tells for how many microseconds the peer at addr has been dead; see
+// DeadForUs returns for how many microseconds the peer at addr has been dead; see
 // View.DeadForUs.
 func (m *Monitor) DeadForUs(addr string) int64 {
 	m.mu.Lock()
@@ -124,14 +126,14 @@
 	return m.view.DeadForUs(addr, m.clock())
 }
 
-// SetMemberID announces the name under which this node stores the registers.
+// SetMemberID announces the ID under which this node stores the registers.
 func (m *Monitor) SetMemberID(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.SetMemberID(id)
 }
 
-// Version rises with every change of the view.
+// Version returns a number that increases with every change of the view.
 func (m *Monitor) Version() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -9,7 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// splitFleet cuts a fleet into the nodes below cut and the others, or heals that.
+// splitFleet cuts all links between the nodes below cut and the others, or restores them if split
+// is false.
 func (n *network) splitFleet(nodes, cut int, split bool) {
 	for i := range nodes {
 		for j := range nodes {
@@ -20,9 +21,10 @@
 	}
 }
 
-// mostDead returns how many of the nodes from first to last one of these nodes takes for dead at most.
-func (n *network) mostDead(first, last int) int {
-	most := 0
+// maxMarkedDead considers the nodes from first up to but excluding last, and returns the largest number
+// of them that any one of them has marked dead.
+func (n *network) maxMarkedDead(first, last int) int {
+	maxDead := 0
 	for i := first; i < last; i++ {
 		dead := 0
 		for j := first; j < last; j++ {
@@ -31,25 +33,25 @@
 				dead++
 			}
 		}
-		most = max(most, dead)
+		maxDead = max(maxDead, dead)
 	}
-	return most
+	return maxDead
 }
 
-// The nodes of a zone that was cut off take all others for dead. That word must not take any of
-// these from the view of another that was never cut off from it.
-func TestHealedPartitionTakesNobodyForDeadWhoWasNeverCutOff(t *testing.T) {
+// The nodes of a zone that was cut off mark all others dead. When the partition heals, their gossip
+// must not make nodes that were connected all the time mark each other dead.
+func TestHealedPartitionMarksNoConnectedPeerDead(t *testing.T) {
 	const nodes, cutOff = 310, 60
 	net := startLargeFleet(nodes, 4*secondUs)
 	net.splitFleet(nodes, cutOff, true)
 	net.run(6 * secondUs)
 	net.splitFleet(nodes, cutOff, false)
 	const healed = 5 * secondUs
-	most := 0
+	maxDead := 0
 	for untilUs := net.nowUs + healed; net.nowUs < untilUs; {
 		net.run(tickUs)
-		most = max(most, net.mostDead(cutOff, nodes), net.mostDead(0, cutOff))
+		maxDead = max(maxDead, net.maxMarkedDead(cutOff, nodes), net.maxMarkedDead(0, cutOff))
 	}
-	must.Zero(t, most)
-	net.mustAllSee(t, nodes)
+	must.Zero(t, maxDead)
+	net.mustAllSeeAlive(t, nodes)
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,13 +8,13 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// indirectProbes is how many other peers are asked to probe a peer that did not
-// acknowledge in time.
+// indirectProbes is the number of relays that receive a request to probe a peer that
+// did not acknowledge in time.
 const indirectProbes = 2
 
-// Datagram is a message that a View wants sent. It may get lost.
+// Datagram is a message for the caller of a View to send. It may get lost.
 //
-// A probe is a message of KindProbe, answered by one of KindAck with its Seq. In
+// A probe is a message of KindProbe, answered by one of KindAck with the same Seq. In
 // a request for an indirect probe, Of is the address of the peer to probe. The
 // relay's probe and its acknowledgement carry the requester's address in
 // Through; in the relay's acknowledgement to the requester, Of names the peer
@@ -25,31 +25,32 @@
 	Msg  messages.Probe
 }
 
-// pendingProbe is a probe without an acknowledgement so far.
+// pendingProbe is a probe that has not been acknowledged yet.
 type pendingProbe struct {
 	target   string
 	sentUs   int64
-	indirect bool // the indirect probes have been sent, or none are wanted
+	indirect bool // the indirect probes have been sent, or none are to be sent
 }
 
-// JoinProbe makes a probe to an address that is not known yet, such as a seed.
+// JoinProbe returns a probe to an address that has no entry in the view yet, such as a
+// seed.
 func (v *View) JoinProbe(addr string) Datagram {
 	v.seq++
-	return v.probe(addr, messages.Probe{Seq: v.seq, Gossip: v.joinGossip(nil)})
+	return v.newProbe(addr, messages.Probe{Seq: v.seq, Gossip: v.joinGossip(nil)})
 }
 
-func (v *View) probe(to string, msg messages.Probe) Datagram {
+func (v *View) newProbe(to string, msg messages.Probe) Datagram {
 	msg.From, msg.Digest = v.self, v.digest()
 	return Datagram{To: to, Kind: transport.KindProbe, Msg: msg}
 }
 
-func (v *View) ack(to string, msg messages.Probe) Datagram {
+func (v *View) newAck(to string, msg messages.Probe) Datagram {
 	msg.From, msg.Digest = v.self, v.digest()
 	return Datagram{To: to, Kind: transport.KindAck, Msg: msg}
 }
 
-// startProbe probes the next peer when a probe is due.
-func (v *View) startProbe(nowUs int64) []Datagram {
+// probeNext probes the next peer if a probe is due.
+func (v *View) probeNext(nowUs int64) []Datagram {
 	if nowUs < v.nextProbeUs {
 		return nil
 	}
@@ -60,33 +61,34 @@
 	}
 	v.seq++
 	v.pendingProbes[v.seq] = &pendingProbe{target: target, sentUs: nowUs}
-	return []Datagram{v.probe(target, messages.Probe{Seq: v.seq, Gossip: v.gossip(v.peers[target])})}
+	return []Datagram{v.newProbe(target, messages.Probe{Seq: v.seq, Gossip: v.gossip(v.peers[target])})}
 }
 
-// verifyPerTick bounds the probes of suspects in one tick: after a partition of a large fleet has
-// healed there are hundreds of suspects at once.
-const verifyPerTick = 20
+// maxVerifyProbesPerTick bounds the probes of suspects in one tick: after a partition of a large fleet
+// heals, hundreds of peers become suspect at once.
+const maxVerifyProbesPerTick = 20
 
-// verifySuspects probes peers that have become suspect, mostly by the word of another. The probe carries the
-// suspicion, so that a peer that is alive refutes it at once in its acknowledgement.
-func (v *View) verifySuspects(nowUs int64) []Datagram {
-	suspects := v.states(func(state *peerState) bool {
+// probeSuspects probes peers that have become suspect, in most cases because of an entry
+// received from another node. The probe carries the suspect entry, so that a live peer refutes
+// it at once in its acknowledgement.
+func (v *View) probeSuspects(nowUs int64) []Datagram {
+	suspects := v.selectStates(func(state *peerState) bool {
 		return state.unverified && state.peer.Status == messages.Suspect
 	})
-	slices.SortFunc(suspects, func(a, b *peerState) int { return cmp.Compare(a.sinceUs, b.sinceUs) })
+	slices.SortFunc(suspects, func(a, b *peerState) int { return cmp.Compare(a.statusSinceUs, b.statusSinceUs) })
 	var out []Datagram
-	for _, state := range suspects[:min(len(suspects), verifyPerTick)] {
+	for _, state := range suspects[:min(len(suspects), maxVerifyProbesPerTick)] {
 		state.unverified = false
 		v.seq++
 		v.pendingProbes[v.seq] = &pendingProbe{target: state.peer.Addr, sentUs: nowUs, indirect: true}
-		out = append(out, v.probe(state.peer.Addr, messages.Probe{Seq: v.seq, Gossip: ownEntry(state)}))
+		out = append(out, v.newProbe(state.peer.Addr, messages.Probe{Seq: v.seq, Gossip: refutableEntry(state)}))
 	}
 	return out
 }
 
-// nextProbeTarget goes round all peers in random order, anew each round. Dead
-// ones are probed as well, so that the two sides of a healed partition find each
-// other again.
+// nextProbeTarget iterates over all peers in random order, reshuffled each round. Dead
+// peers are probed as well, so that the two sides of a healed partition rediscover each
+// other.
 func (v *View) nextProbeTarget() string {
 	if v.probeIndex >= len(v.probeOrder) {
 		v.shuffleProbeOrder()
@@ -111,8 +113,8 @@
 	}
 }
 
-// expireProbes sends indirect probes for the probes without an acknowledgement
-// in time, and suspects the peers that did not acknowledge those either.
+// expireProbes sends indirect probes for the probes that were not acknowledged in time,
+// and marks as suspect the peers that did not acknowledge those either.
 func (v *View) expireProbes(nowUs int64) []Datagram {
 	var out []Datagram
 	for seq, pending := range v.pendingProbes {
@@ -139,12 +141,12 @@
 func (v *View) requestIndirectProbes(seq int64, target string) []Datagram {
 	var out []Datagram
 	for _, relay := range v.pickAlive(indirectProbes, target) {
-		out = append(out, v.probe(relay, messages.Probe{Seq: seq, Of: target, Gossip: v.gossip(nil)}))
+		out = append(out, v.newProbe(relay, messages.Probe{Seq: seq, Of: target, Gossip: v.gossip(nil)}))
 	}
 	return out
 }
 
-// pickAlive picks up to n peers at random that are alive, without one.
+// pickAlive returns up to n random peers that are alive, excluding the one at except.
 func (v *View) pickAlive(n int, except string) []string {
 	var alive []string
 	for addr, state := range v.peers {
@@ -160,22 +162,22 @@
 	return alive[:min(n, len(alive))]
 }
 
-// Receive handles a message of another node and returns what is to be sent.
+// Receive handles a message from another node and returns the datagrams to send.
 func (v *View) Receive(kind int, msg messages.Probe, nowUs int64) []Datagram {
-	peersBefore, known := len(v.peers), v.Knows(msg.From.Addr)
+	peersBefore, known := len(v.peers), v.HasEntry(msg.From.Addr)
 	v.setStatus(msg.From, messages.Alive, nowUs)
 	for _, peer := range msg.Gossip {
 		v.merge(peer, nowUs)
 	}
 	switch kind {
 	case transport.KindProbe:
-		return append(v.query(msg, nowUs), v.receiveProbe(msg, known))
+		return append(v.queryPeer(msg, nowUs), v.receiveProbe(msg, known))
 	case transport.KindAck:
-		return append(v.query(msg, nowUs), v.receiveAck(msg, nowUs)...)
+		return append(v.queryPeer(msg, nowUs), v.receiveAck(msg, nowUs)...)
 	case transport.KindPeerQuery:
-		return v.answerQuery(msg)
+		return v.answerPeerQuery(msg)
 	case transport.KindPeerList:
-		v.receiveList(peersBefore, nowUs)
+		v.receivePeerList(peersBefore, nowUs)
 	}
 	return nil
 }
@@ -184,19 +186,19 @@
 	from := msg.From.Addr
 	switch {
 	case msg.Of != "" && msg.Of != v.self.Addr: // a request to probe another peer
-		return v.probe(msg.Of, messages.Probe{Seq: msg.Seq, Through: from, Gossip: v.gossip(nil)})
-	case msg.Through != "": // the probe of a relay
-		return v.ack(from, messages.Probe{Seq: msg.Seq, Through: msg.Through, Gossip: v.gossip(nil)})
-	case known, msg.Digest != 0: // whoever sends a digest asks for what it lacks
-		return v.ack(from, messages.Probe{Seq: msg.Seq, Gossip: v.gossip(v.peers[from])})
+		return v.newProbe(msg.Of, messages.Probe{Seq: msg.Seq, Through: from, Gossip: v.gossip(nil)})
+	case msg.Through != "": // a probe sent by a relay
+		return v.newAck(from, messages.Probe{Seq: msg.Seq, Through: msg.Through, Gossip: v.gossip(nil)})
+	case known, msg.Digest != 0: // a sender with a digest queries the entries it lacks
+		return v.newAck(from, messages.Probe{Seq: msg.Seq, Gossip: v.gossip(v.peers[from])})
 	default:
-		return v.ack(from, messages.Probe{Seq: msg.Seq, Gossip: v.joinGossip(v.peers[from])})
+		return v.newAck(from, messages.Probe{Seq: msg.Seq, Gossip: v.joinGossip(v.peers[from])})
 	}
 }
 
 func (v *View) receiveAck(msg messages.Probe, nowUs int64) []Datagram {
-	if msg.Through != "" && msg.Through != v.self.Addr { // for the requester of an indirect probe
-		return []Datagram{v.ack(msg.Through, messages.Probe{Seq: msg.Seq, Of: msg.From.Addr, Gossip: []messages.Peer{msg.From}})}
+	if msg.Through != "" && msg.Through != v.self.Addr { // relay it to the requester of the indirect probe
+		return []Datagram{v.newAck(msg.Through, messages.Probe{Seq: msg.Seq, Of: msg.From.Addr, Gossip: []messages.Peer{msg.From}})}
 	}
 	pending := v.pendingProbes[msg.Seq]
 	if pending == nil {
@@ -213,8 +215,8 @@
 	return nil
 }
 
-// clearSuspicion makes a suspect peer alive under the next incarnation, since a
-// relay has its acknowledgement.
+// clearSuspicion marks a suspect peer alive under the next incarnation, after a relay
+// has forwarded its acknowledgement.
 func (v *View) clearSuspicion(addr string, nowUs int64) {
 	state := v.peers[addr]
 	if state == nil || state.peer.Status != messages.Suspect {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -1,7 +1,7 @@
-// Anti-entropy: gossip sends an entry a few times only, so a node that joins together with
-// hundreds of others may never hear of most of them. Each probe and acknowledgement therefore
-// carries a digest of the sender's view, and a node that sees another digest than its own asks
-// the sender for the entries of those buckets in which the two views differ.
+// Anti-entropy: gossip sends an entry only a limited number of times, so a node that joins
+// together with hundreds of others may never receive the entries of most of them. Each probe and
+// acknowledgement therefore carries a digest of the sender's view, and a node whose own digest
+// differs requests from the sender the entries of the buckets in which the two views differ.
 
 package membership
 
@@ -15,21 +15,22 @@
 )
 
 const (
-	// digestBuckets is how many parts a view is compared in. With some 600 peers the answer
-	// about one that has changed has about twenty entries.
+	// digestBuckets is the number of hash buckets by which two views are compared. With about
+	// 600 peers, the answer for one changed entry has about twenty entries.
 	digestBuckets = 32
-	// listEntries is how many entries a datagram has, so that it is not much over 1 KB.
-	listEntries = 12
-	// maxListDatagrams bounds the answer to one question. What is left follows with the next.
+	// entriesPerDatagram is the number of entries in one datagram; it keeps a datagram near 1 KB.
+	entriesPerDatagram = 12
+	// maxListDatagrams bounds the answer to one query. Further entries are returned by later
+	// queries.
 	maxListDatagrams = 40
-	// joiningIntervalUs is the time between two questions while the answers bring new peers:
-	// less than a tick, so that a question may follow each probe.
-	joiningIntervalUs = 50_000
+	// joinQueryIntervalUs is the time between two queries while the answers contain new peers:
+	// less than a tick, so that a query may follow each probe.
+	joinQueryIntervalUs = 50_000
 )
 
-// toggle adds an entry to the digest of its bucket, or takes it out again. Dead peers are not
-// part of it: one node forgets them sooner than another.
-func (v *View) toggle(peer messages.Peer) {
+// toggleDigest adds an entry to the digest of its bucket, or removes it again (XOR). Dead peers are
+// excluded, since nodes remove them from their views at different times.
+func (v *View) toggleDigest(peer messages.Peer) {
 	if peer.Status != messages.Dead {
 		v.buckets[bucketOf(peer.Addr)] ^= entryDigest(peer)
 	}
@@ -37,13 +38,13 @@
 
 func bucketOf(addr string) int { return int(statesync.HashText(addr, "") % digestBuckets) }
 
-// entryDigest must be the same in all releases. A suspect counts as alive, since suspicion
-// passes.
+// entryDigest must be the same in all releases. It ignores whether a peer is suspect, since
+// suspicion is temporary.
 func entryDigest(peer messages.Peer) uint64 {
 	return statesync.Mix(statesync.HashText(peer.Addr, peer.MemberID) ^ statesync.Mix(uint64(peer.Incarnation)))
 }
 
-// digest is the digest of the whole view; never 0.
+// digest returns the digest of the whole view; it is never 0.
 func (v *View) digest() int64 {
 	sum := uint64(1)
 	for _, bucket := range v.buckets {
@@ -52,23 +53,24 @@
 	return int64(max(sum, 1))
 }
 
-// query asks the sender of a message for the entries in which its view differs from this
-// one, unless the last question was a moment ago.
-func (v *View) query(msg messages.Probe, nowUs int64) []Datagram {
+// queryPeer requests from the sender of a message the entries in which its view differs from this
+// one. It returns nil if the digests are equal or the interval since the last query has not
+// passed.
+func (v *View) queryPeer(msg messages.Probe, nowUs int64) []Datagram {
 	if msg.Digest == 0 || msg.Digest == v.digest() || nowUs < v.nextQueryUs {
 		return nil
 	}
 	v.nextQueryUs = nowUs + v.config.SyncIntervalUs
-	question := messages.Probe{From: v.self, Gossip: []messages.Peer{}, Buckets: make([]int64, digestBuckets)}
+	query := messages.Probe{From: v.self, Gossip: []messages.Peer{}, Buckets: make([]int64, digestBuckets)}
 	for i, bucket := range v.buckets {
-		question.Buckets[i] = int64(bucket)
+		query.Buckets[i] = int64(bucket)
 	}
-	return []Datagram{{To: msg.From.Addr, Kind: transport.KindPeerQuery, Msg: question}}
+	return []Datagram{{To: msg.From.Addr, Kind: transport.KindPeerQuery, Msg: query}}
 }
 
-// answerQuery lists the entries of the buckets that differ from those of a question, dead
-// ones included.
-func (v *View) answerQuery(msg messages.Probe) []Datagram {
+// answerPeerQuery returns the entries of the buckets whose digests differ from those in the query,
+// including dead peers.
+func (v *View) answerPeerQuery(msg messages.Probe) []Datagram {
 	if len(msg.Buckets) != digestBuckets {
 		return nil
 	}
@@ -76,20 +78,20 @@
 		bucket := bucketOf(addr)
 		return uint64(msg.Buckets[bucket]) != v.buckets[bucket]
 	}
-	states := v.states(func(state *peerState) bool {
+	states := v.selectStates(func(state *peerState) bool {
 		return state.peer.Addr != msg.From.Addr && differs(state.peer.Addr)
 	})
-	// In an order that differs by the receiver and the time, so that what is cut off now
-	// comes with a later answer.
+	// The order is random for each answer, so that entries beyond the limit are sent in a later
+	// one.
 	slices.SortFunc(states, func(a, b *peerState) int { return strings.Compare(a.peer.Addr, b.peer.Addr) })
 	for i := len(states) - 1; i > 0; i-- {
 		j := v.rand(i + 1)
 		states[i], states[j] = states[j], states[i]
 	}
 	var answer []Datagram
-	for part := range slices.Chunk(states[:min(len(states), maxListDatagrams*listEntries)], listEntries) {
-		list := messages.Probe{From: v.self, Gossip: make([]messages.Peer, 0, len(part))}
-		for _, state := range part {
+	for chunk := range slices.Chunk(states[:min(len(states), maxListDatagrams*entriesPerDatagram)], entriesPerDatagram) {
+		list := messages.Probe{From: v.self, Gossip: make([]messages.Peer, 0, len(chunk))}
+		for _, state := range chunk {
 			list.Gossip = append(list.Gossip, state.peer)
 		}
 		answer = append(answer, Datagram{To: msg.From.Addr, Kind: transport.KindPeerList, Msg: list})
@@ -97,11 +99,12 @@
 	return answer
 }
 
-// receiveList takes an answer. While answers bring new peers, the next probe, and with its
-// acknowledgement the next question, follow soon.
-func (v *View) receiveList(peersBefore int, nowUs int64) {
+// receivePeerList handles the answer to a query, after its entries were merged. While answers
+// contain new peers, the next probe is sent at once and the query interval is shortened, so that
+// the acknowledgement of the probe triggers the next query.
+func (v *View) receivePeerList(peersBefore int, nowUs int64) {
 	if len(v.peers) > peersBefore {
-		v.nextQueryUs = min(v.nextQueryUs, nowUs+joiningIntervalUs)
+		v.nextQueryUs = min(v.nextQueryUs, nowUs+joinQueryIntervalUs)
 		v.nextProbeUs = min(v.nextProbeUs, nowUs)
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -13,12 +13,12 @@
 // Config holds the intervals and timeouts of a View, in microseconds.
 type Config struct {
 	ProbeIntervalUs int64 // between two probes
-	// ProbeTimeoutUs is how long a probe waits for its acknowledgement before
-	// the indirect probes, and as long again before the peer is suspect.
+	// ProbeTimeoutUs is the time from a probe to the indirect probes if it is not
+	// acknowledged, and from those until the peer becomes suspect.
 	ProbeTimeoutUs     int64
 	SuspicionTimeoutUs int64 // from suspect to dead, with few peers
-	ForgetUs           int64 // a dead peer is forgotten after this
-	SyncIntervalUs     int64 // between two questions for the peers in which two views differ
+	ForgetUs           int64 // from dead to the removal of the entry
+	SyncIntervalUs     int64 // between two queries for the entries in which two views differ
 }
 
 // DefaultConfig suits links of a few milliseconds.
@@ -30,50 +30,50 @@
 	SyncIntervalUs:     500_000,
 }
 
-// unknownGraceUs is how long after its own start a node waits to hear of an
-// address before it takes the peer there for dead: it never hears of a peer that
-// died before it started.
-const unknownGraceUs = 2_000_000
+// unknownAddrGraceUs is the time after its own start after which a node reports an
+// address without an entry as dead. Such an entry may never arrive: gossip about
+// a peer that died before this node started is ignored.
+const unknownAddrGraceUs = 2_000_000
 
 // View is the membership as one node sees it. It is not safe for concurrent use.
 type View struct {
 	self      messages.Peer
 	config    Config
-	rand      func(n int) int // a number from 0 to n-1
+	rand      func(n int) int // returns a number from 0 to n-1
 	startedUs int64           // time of the first tick
 	version   int64
-	peers     map[string]*peerState // by address, without the node itself
+	peers     map[string]*peerState // by address, excluding the node itself
 
-	alive        map[messages.Role][]messages.Peer // lists of Alive, at aliveVersion
+	alive        map[messages.Role][]messages.Peer // cached results of Alive, valid at aliveVersion
 	aliveVersion int64
 
 	seq           int64                   // of the newest probe
 	pendingProbes map[int64]*pendingProbe // by sequence number
 	nextProbeUs   int64
-	probeOrder    []string // shuffled addresses of this round; nil: to be made anew
-	probeIndex    int      // the next in probeOrder
+	probeOrder    []string // shuffled addresses of this round; nil: to be reshuffled
+	probeIndex    int      // index of the next target in probeOrder
 
 	buckets     [digestBuckets]uint64 // digests of the entries that are not dead
-	nextQueryUs int64                 // when another peer's view may be asked for again
+	nextQueryUs int64                 // earliest time of the next query
 }
 
-// peerState is what the node knows of one peer.
+// peerState is the local state of one peer.
 type peerState struct {
-	peer      messages.Peer
-	addrHash  uint64
-	sinceUs   int64 // when its status last changed
-	transmits int   // how often its entry is still to be sent as gossip
+	peer          messages.Peer
+	addrHash      uint64
+	statusSinceUs int64 // time of the last status change
+	transmitsLeft int   // remaining number of times to send its entry as gossip
 
 	// unverified is set while the peer is suspect and has not been probed since it became so.
 	unverified bool
 
 	// outdated is set when the peer announces an older incarnation than the one
-	// known here: it must hear of that to raise its own.
+	// recorded here: the recorded entry must be sent to it, so that it raises its own.
 	outdated bool
 }
 
-// NewView returns the view of a node that knows no peer yet. The random numbers
-// come from rand, which returns one from 0 to n-1.
+// NewView returns the view of a node that has no entry of a peer yet. rand returns a
+// random number from 0 to n-1.
 func NewView(self messages.Peer, config Config, rand func(n int) int) *View {
 	self.Status = messages.Alive
 	v := &View{
@@ -84,26 +84,26 @@
 		alive:         map[messages.Role][]messages.Peer{},
 		pendingProbes: map[int64]*pendingProbe{},
 	}
-	v.toggle(self)
+	v.toggleDigest(self)
 	return v
 }
 
-// Self is the node's own entry.
+// Self returns the node's own entry.
 func (v *View) Self() messages.Peer { return v.self }
 
-// SetMemberID announces the name under which this node stores the registers.
+// SetMemberID announces the ID under which this node stores the registers.
 func (v *View) SetMemberID(id string) {
 	if v.self.MemberID != id {
 		v.setSelf(id, v.self.Incarnation+1)
 	}
 }
 
-// Version rises with every change of the view.
+// Version returns a number that increases with every change of the view.
 func (v *View) Version() int64 { return v.version }
 
-// Alive lists the peers of a role that are alive or suspect, the node itself
-// included, sorted by address. The list is shared until the view changes: callers must
-// not write to it.
+// Alive returns the peers of a role that are alive or suspect, including the node
+// itself, sorted by address. The slice is cached until the view changes: callers must
+// not modify it.
 func (v *View) Alive(role messages.Role) []messages.Peer {
 	if v.aliveVersion != v.version {
 		clear(v.alive)
@@ -131,41 +131,42 @@
 	return alive
 }
 
-// DeadForUs tells for how many microseconds the peer at addr has been dead, or
-// not been heard of since the node started; 0 where it is not dead.
+// DeadForUs returns for how many microseconds the peer at addr has been dead; 0 if it
+// is not dead. An address without an entry counts as dead from unknownAddrGraceUs after
+// the start of this node.
 func (v *View) DeadForUs(addr string, nowUs int64) int64 {
 	if addr == v.self.Addr {
 		return 0
 	}
 	state := v.peers[addr]
 	if state == nil {
-		return max(nowUs-v.startedUs-unknownGraceUs, 0)
+		return max(nowUs-v.startedUs-unknownAddrGraceUs, 0)
 	}
 	if state.peer.Status != messages.Dead {
 		return 0
 	}
-	return max(nowUs-state.sinceUs, 1)
+	return max(nowUs-state.statusSinceUs, 1)
 }
 
-// Knows tells whether the view has an entry for addr, dead or alive.
-func (v *View) Knows(addr string) bool { return v.peers[addr] != nil }
+// HasEntry reports whether the view has an entry for addr, dead or alive.
+func (v *View) HasEntry(addr string) bool { return v.peers[addr] != nil }
 
-// Tick advances the view to nowUs and returns what is to be sent: it ends probes
-// and suspicions that timed out, forgets the long dead, and starts the next
-// probe when it is due, and those of suspects.
+// Tick advances the view to nowUs and returns the datagrams to send. It expires probes
+// and suspicions that timed out, removes peers that have been dead for ForgetUs, probes
+// new suspects and starts the next regular probe if it is due.
 func (v *View) Tick(nowUs int64) []Datagram {
 	if v.startedUs == 0 {
 		v.startedUs = nowUs
 	}
 	out := v.expireProbes(nowUs)
 	v.expirePeers(nowUs)
-	out = append(out, v.verifySuspects(nowUs)...)
-	return append(out, v.startProbe(nowUs)...)
+	out = append(out, v.probeSuspects(nowUs)...)
+	return append(out, v.probeNext(nowUs)...)
 }
 
-// Waits reports whether an acknowledgement or a refutation is waited for, so that Tick is to be
-// called often.
-func (v *View) Waits() bool {
+// AwaitingReply reports whether an acknowledgement or a refutation is pending, in which case Tick is to
+// be called at short intervals.
+func (v *View) AwaitingReply() bool {
 	if len(v.pendingProbes) > 0 {
 		return true
 	}
@@ -177,111 +178,112 @@
 	return false
 }
 
-// NextProbeUs is when the next probe is due.
+// NextProbeUs returns when the next probe is due.
 func (v *View) NextProbeUs() int64 { return v.nextProbeUs }
 
-// expirePeers declares dead the suspects that did not refute in time, and
-// forgets the peers that have been dead for long.
+// expirePeers marks dead the suspects that did not refute in time, and removes the
+// peers that have been dead for ForgetUs.
 func (v *View) expirePeers(nowUs int64) {
 	for addr, state := range v.peers {
-		if state.peer.Status == messages.Suspect && !state.unverified && nowUs-state.sinceUs >= v.suspicionTimeoutUs() {
+		if state.peer.Status == messages.Suspect && !state.unverified && nowUs-state.statusSinceUs >= v.suspicionTimeoutUs() {
 			dead := state.peer
 			dead.Status = messages.Dead
-			v.replace(state, dead, nowUs)
+			v.replaceEntry(state, dead, nowUs)
 		}
-		if state.peer.Status == messages.Dead && nowUs-state.sinceUs >= v.config.ForgetUs {
+		if state.peer.Status == messages.Dead && nowUs-state.statusSinceUs >= v.config.ForgetUs {
 			delete(v.peers, addr)
 			v.probeOrder = nil
 		}
 	}
 }
 
-// The suspicion timeout grows with the number of digits, in binary, of the
-// number of peers, from suspicionScale of them on: a refutation takes more hops
-// among more peers.
+// The suspicion timeout grows with the bit length of the number of peers, once that
+// exceeds suspicionScale: among more peers, a refutation takes more hops.
 const suspicionScale = 6
 
 func (v *View) suspicionTimeoutUs() int64 {
 	return v.config.SuspicionTimeoutUs * int64(max(suspicionScale, bits.Len(uint(len(v.peers))))) / suspicionScale
 }
 
-// setStatus changes a peer's status at its present incarnation.
+// setStatus merges an entry with the given status at the peer's incarnation.
 func (v *View) setStatus(peer messages.Peer, status messages.Status, nowUs int64) {
 	peer.Status = status
 	v.merge(peer, nowUs)
 }
 
-// merge takes in an entry about a peer, from itself or from gossip.
+// merge applies an entry about a peer, from a message of that peer, from gossip or from
+// a local decision.
 func (v *View) merge(peer messages.Peer, nowUs int64) {
 	switch {
 	case peer.Addr == "":
 	case peer.Addr == v.self.Addr:
 		v.refute(peer)
 	case v.peers[peer.Addr] == nil:
-		v.add(peer, nowUs)
+		v.addPeer(peer, nowUs)
 	default:
-		v.update(v.peers[peer.Addr], peer, nowUs)
+		v.updatePeer(v.peers[peer.Addr], peer, nowUs)
 	}
 }
 
-// refute raises the node's own incarnation above that of a claim that it is
+// refute raises the node's own incarnation above that of an entry that marks it
 // suspect or dead, or of an entry from before its restart.
-func (v *View) refute(claim messages.Peer) {
-	if claim.Incarnation > v.self.Incarnation || claim.Incarnation == v.self.Incarnation && claim.Status != messages.Alive {
-		v.setSelf(v.self.MemberID, claim.Incarnation+1)
+func (v *View) refute(entry messages.Peer) {
+	if entry.Incarnation > v.self.Incarnation || entry.Incarnation == v.self.Incarnation && entry.Status != messages.Alive {
+		v.setSelf(v.self.MemberID, entry.Incarnation+1)
 	}
 }
 
 // setSelf changes the node's own entry.
 func (v *View) setSelf(memberID string, incarnation int64) {
-	v.toggle(v.self)
+	v.toggleDigest(v.self)
 	v.self.MemberID, v.self.Incarnation = memberID, incarnation
-	v.toggle(v.self)
+	v.toggleDigest(v.self)
 	v.version++
 }
 
-// add takes in a peer not known so far, unless it is dead already.
-func (v *View) add(peer messages.Peer, nowUs int64) {
+// addPeer creates the entry of a new peer, unless the peer is dead.
+func (v *View) addPeer(peer messages.Peer, nowUs int64) {
 	if peer.Status == messages.Dead {
 		return
 	}
-	v.peers[peer.Addr] = &peerState{peer: peer, addrHash: statesync.HashText(peer.Addr, ""), sinceUs: nowUs, transmits: v.transmitLimit()}
-	v.toggle(peer)
+	v.peers[peer.Addr] = &peerState{peer: peer, addrHash: statesync.HashText(peer.Addr, ""), statusSinceUs: nowUs, transmitsLeft: v.transmitLimit()}
+	v.toggleDigest(peer)
 	v.probeOrder = nil
 	v.version++
 }
 
-// update replaces what is known of a peer if the entry supersedes it.
-func (v *View) update(state *peerState, peer messages.Peer, nowUs int64) {
+// updatePeer replaces a peer's entry if the received one supersedes it.
+func (v *View) updatePeer(state *peerState, peer messages.Peer, nowUs int64) {
 	if peer.Incarnation < state.peer.Incarnation && peer.Status == messages.Alive {
 		state.outdated = true
 	}
 	if peer.Status == messages.Dead && state.peer.Status != messages.Dead {
-		// A peer does not die here at the word of another: it becomes suspect and is probed. Else
-		// the nodes of a partition that has healed, which take all others for dead, would
-		// spread that faster than hundreds of nodes can refute it.
+		// A received entry never marks a peer dead directly: the peer becomes suspect and is
+		// probed. Otherwise, after a partition heals, the nodes of one side, which have marked
+		// all others dead, would spread those entries faster than hundreds of nodes can refute
+		// them.
 		peer.Status = messages.Suspect
 	}
 	if supersedes(peer, state.peer) {
-		v.replace(state, peer, nowUs)
+		v.replaceEntry(state, peer, nowUs)
 	}
 }
 
-// replace replaces what is known of a peer.
-func (v *View) replace(state *peerState, peer messages.Peer, nowUs int64) {
+// replaceEntry replaces the entry of a peer.
+func (v *View) replaceEntry(state *peerState, peer messages.Peer, nowUs int64) {
 	if peer.Status != state.peer.Status {
-		state.sinceUs = nowUs
+		state.statusSinceUs = nowUs
 	}
-	v.toggle(state.peer)
+	v.toggleDigest(state.peer)
 	state.peer = peer
-	v.toggle(peer)
-	state.transmits = v.transmitLimit()
+	v.toggleDigest(peer)
+	state.transmitsLeft = v.transmitLimit()
 	state.unverified = peer.Status == messages.Suspect
 	v.version++
 }
 
-// supersedes tells whether entry a of a peer replaces entry b: the higher
-// incarnation does, and at the same one the worse status.
+// supersedes reports whether entry a of a peer replaces entry b: it has a higher
+// incarnation, or the same incarnation and a worse status.
 func supersedes(a, b messages.Peer) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -300,39 +302,39 @@
 	}
 }
 
-// Bounds of gossip.
+// Limits of gossip.
 const (
-	minTransmits  = 6
-	maxGossip     = 6   // entries in one message
-	maxJoinGossip = 100 // entries in a message to a peer not known before
+	minTransmits         = 6
+	maxGossipEntries     = 6   // entries in one message
+	maxJoinGossipEntries = 100 // entries in a message to a new peer
 
-	maxGossipSalt = 1 << 30
+	gossipSaltRange = 1 << 30
 )
 
-// transmitLimit is how often an entry is sent as gossip after a change. It grows
-// with the logarithm of the number of peers, as the number of rounds does in
-// which gossip reaches all of them.
+// transmitLimit returns how many times an entry is sent as gossip after a change. It
+// grows with the logarithm of the number of peers, as does the number of rounds that
+// gossip needs to reach all of them.
 func (v *View) transmitLimit() int { return max(minTransmits, 2*bits.Len(uint(len(v.peers)))) }
 
-// gossip selects the entries for a message to a peer, nil where it is not known
-// or not the one to be informed: first the peer's own entry if there is
-// something to refute in it, then the entries that were sent least often since
-// their last change, as many as fit.
+// gossip selects the entries for a message to a peer: first the peer's own entry if
+// it should refute it, then up to maxGossipEntries entries, those sent least often since
+// their last change first. The argument is nil if the receiver has no entry here or
+// should not get its own one, as in messages of indirect probes.
 func (v *View) gossip(to *peerState) []messages.Peer {
-	changed := v.states(func(state *peerState) bool { return state != to && state.transmits > 0 })
-	return append(ownEntry(to), v.transmit(changed, maxGossip)...)
+	changed := v.selectStates(func(state *peerState) bool { return state != to && state.transmitsLeft > 0 })
+	return append(refutableEntry(to), v.selectGossip(changed, maxGossipEntries)...)
 }
 
-// joinGossip selects the entries for a peer not known before: also those that
-// have not changed for long.
+// joinGossip selects the entries for a new peer, including entries that have not
+// changed recently.
 func (v *View) joinGossip(to *peerState) []messages.Peer {
-	all := v.states(func(state *peerState) bool { return state != to })
-	return append(ownEntry(to), v.transmit(all, maxJoinGossip)...)
+	others := v.selectStates(func(state *peerState) bool { return state != to })
+	return append(refutableEntry(to), v.selectGossip(others, maxJoinGossipEntries)...)
 }
 
-// ownEntry gives the receiver's own entry if it should refute it, and counts it
-// as sent.
-func ownEntry(to *peerState) []messages.Peer {
+// refutableEntry returns the receiver's own entry if the receiver should refute it, and
+// clears outdated.
+func refutableEntry(to *peerState) []messages.Peer {
 	if to == nil || to.peer.Status == messages.Alive && !to.outdated {
 		return []messages.Peer{}
 	}
@@ -340,31 +342,31 @@
 	return []messages.Peer{to.peer}
 }
 
-func (v *View) states(wanted func(*peerState) bool) []*peerState {
+func (v *View) selectStates(match func(*peerState) bool) []*peerState {
 	var states []*peerState
 	for _, state := range v.peers {
-		if wanted(state) {
+		if match(state) {
 			states = append(states, state)
 		}
 	}
 	return states
 }
 
-// transmit gives up to limit entries, those with the most transmits left first,
-// and counts them as sent. Equal ones come in an order that is random for each message:
-// in the same order everywhere all nodes would send the first of them only.
-func (v *View) transmit(states []*peerState, limit int) []messages.Peer {
-	salt := uint64(v.rand(maxGossipSalt))
-	order := func(state *peerState) uint64 { return statesync.Mix(state.addrHash ^ salt) }
+// selectGossip returns up to limit entries, those with the most transmits left first, and
+// counts them as sent. Ties are broken in an order that is random for each message: with
+// a fixed order all nodes would send the same few entries.
+func (v *View) selectGossip(states []*peerState, limit int) []messages.Peer {
+	salt := uint64(v.rand(gossipSaltRange))
+	tieBreak := func(state *peerState) uint64 { return statesync.Mix(state.addrHash ^ salt) }
 	slices.SortFunc(states, func(a, b *peerState) int {
-		if a.transmits != b.transmits {
-			return cmp.Compare(b.transmits, a.transmits)
+		if a.transmitsLeft != b.transmitsLeft {
+			return cmp.Compare(b.transmitsLeft, a.transmitsLeft)
 		}
-		return cmp.Compare(order(a), order(b))
+		return cmp.Compare(tieBreak(a), tieBreak(b))
 	})
 	var entries []messages.Peer
 	for _, state := range states[:min(limit, len(states))] {
-		state.transmits--
+		state.transmitsLeft--
 		entries = append(entries, state.peer)
 	}
 	return entries
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -16,20 +16,20 @@
 	secondUs = 1_000_000
 )
 
-// network delivers datagrams between views at once. Links that are cut and nodes
-// that are down lose them.
+// network delivers datagrams between views immediately. Datagrams over cut links, and
+// to or from nodes that are down, are lost.
 type network struct {
 	views map[string]*View
-	cut   map[[2]string]bool // a link is cut both ways
+	cut   map[[2]string]bool // links that are cut, in both directions
 	down  map[string]bool
 	rand  *rand.Rand
-	loss  int // one datagram of so many gets lost; 0: none
+	loss  int // one in loss datagrams is lost; 0: none
 	nowUs int64
 
-	queries int // questions for the entries in which two views differ
+	queries int // peer queries sent
 }
 
-// newNetwork starts n nodes, of which n0 is the seed of all.
+// newNetwork starts n nodes; n0 is the seed of all others.
 func newNetwork(n int) *network {
 	net := &network{
 		views: map[string]*View{},
@@ -48,7 +48,7 @@
 	return net
 }
 
-// start replaces the view at the address by a new one.
+// start creates a new view at the address, replacing any former one.
 func (n *network) start(self messages.Peer) *View {
 	self.Role = messages.Router
 	n.views[self.Addr] = NewView(self, DefaultConfig, n.rand.IntN)
@@ -59,19 +59,19 @@
 	n.deliver(addr, []Datagram{n.views[addr].JoinProbe("n0")})
 }
 
-// deliver hands over datagrams and what is sent in turn.
+// deliver delivers datagrams, and those that the receivers send in response.
 func (n *network) deliver(from string, datagrams []Datagram) {
 	for _, d := range datagrams {
 		if d.Kind == transport.KindPeerQuery {
 			n.queries++
 		}
-		if !n.loses(from, d.To) {
+		if !n.drops(from, d.To) {
 			n.deliver(d.To, n.views[d.To].Receive(d.Kind, d.Msg, n.nowUs))
 		}
 	}
 }
 
-func (n *network) loses(from, to string) bool {
+func (n *network) drops(from, to string) bool {
 	if n.down[to] || n.down[from] || n.cut[[2]string{from, to}] || n.cut[[2]string{to, from}] || n.views[to] == nil {
 		return true
 	}
@@ -88,9 +88,9 @@
 	}
 }
 
-// mustAllSee checks that each node except those that are down sees so many nodes
-// alive.
-func (n *network) mustAllSee(t *testing.T, alive int) {
+// mustAllSeeAlive checks that each node that is not down has the given number of nodes in
+// its list of live nodes.
+func (n *network) mustAllSeeAlive(t *testing.T, alive int) {
 	t.Helper()
 	for addr, view := range n.views {
 		if !n.down[addr] {
@@ -102,7 +102,7 @@
 func TestNodesJoinThroughOneSeed(t *testing.T) {
 	net := newNetwork(12)
 	net.run(8 * secondUs)
-	net.mustAllSee(t, 12)
+	net.mustAllSeeAlive(t, 12)
 }
 
 func TestDeadNodeIsRemovedAndRejoins(t *testing.T) {
@@ -110,7 +110,7 @@
 	net.run(6 * secondUs)
 	net.down["n3"] = true
 	net.run(8 * secondUs)
-	net.mustAllSee(t, 7)
+	net.mustAllSeeAlive(t, 7)
 	for addr, view := range net.views {
 		if addr != "n3" {
 			must.Greater(t, 0, view.DeadForUs("n3", net.nowUs))
@@ -120,7 +120,7 @@
 	net.start(messages.Peer{Addr: "n3", Incarnation: 1, MemberID: "new"})
 	net.join("n3")
 	net.run(10 * secondUs)
-	net.mustAllSee(t, 8)
+	net.mustAllSeeAlive(t, 8)
 	for _, view := range net.views {
 		for _, p := range view.Alive(messages.Router) {
 			if p.Addr == "n3" {
@@ -136,22 +136,21 @@
 	net.cut[[2]string{"n1", "n2"}] = true
 	for range 40 {
 		net.run(secondUs / 2)
-		net.mustAllSee(t, 6)
+		net.mustAllSeeAlive(t, 6)
 	}
 }
 
-func TestLostDatagramsDoNotKillPeers(t *testing.T) {
+func TestDatagramLossMarksNoPeerDead(t *testing.T) {
 	net := newNetwork(8)
 	net.run(6 * secondUs)
 	net.loss = 50
 	net.run(60 * secondUs)
-	net.mustAllSee(t, 8)
+	net.mustAllSeeAlive(t, 8)
 }
 
-// A node that starts after a peer died must still see that it is dead, although
-// it never hears of that peer: gossip about an unknown peer that is dead is
-// ignored.
-func TestNewNodeTakesUnknownAddressForDeadAfterGrace(t *testing.T) {
+// A node that starts after a peer died must report that peer as dead, although it
+// never gets an entry for it: gossip about an unknown peer that is dead is ignored.
+func TestUnknownAddressIsDeadAfterGracePeriod(t *testing.T) {
 	net := newNetwork(4)
 	net.run(6 * secondUs)
 	net.down["n1"] = true
@@ -159,7 +158,7 @@
 	view := net.start(messages.Peer{Addr: "new", Incarnation: 9})
 	net.join("new")
 	net.run(secondUs)
-	must.Eq(t, int64(0), view.DeadForUs("n1", net.nowUs), must.Sprint("too early to tell"))
+	must.Eq(t, int64(0), view.DeadForUs("n1", net.nowUs), must.Sprint("within the grace period"))
 	net.run(4 * secondUs)
 	must.Greater(t, int64(secondUs), view.DeadForUs("n1", net.nowUs))
 	must.Eq(t, int64(0), view.DeadForUs("n2", net.nowUs))
@@ -190,5 +189,5 @@
 	view.merge(messages.Peer{Addr: "a", Incarnation: 5, Status: messages.Suspect}, secondUs)
 	must.Eq(t, int64(6), view.Self().Incarnation)
 	view.merge(messages.Peer{Addr: "a", Incarnation: 4, Status: messages.Dead}, secondUs)
-	must.Eq(t, int64(6), view.Self().Incarnation, must.Sprint("an older incarnation needs no refutation"))
+	must.Eq(t, int64(6), view.Self().Incarnation, must.Sprint("an entry with an older incarnation needs no refutation"))
 }
