--- a/internal/tally/add.go
+++ b/internal/tally/add.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key stands for the name of a tally and the id of an add: the first bytes of a SHA-256.
+// Key identifies an add by the name of its tally and its ID: the first bytes of their SHA-256.
 type Key [16]byte
 
-// KeyOf returns the key of an add.
+// KeyOf returns the key of the add with the given ID to the tally with the given name.
 func KeyOf(name, id string) Key {
 	text := binary.AppendUvarint(nil, uint64(len(name)))
 	text = append(append(text, name...), id...)
@@ -18,32 +18,32 @@
 	return Key(sum[:len(Key{})])
 }
 
-// Add is an add to a tally.
+// Add is one increment of a tally.
 type Add struct {
 	Tally  string
 	Key    Key
 	Amount int64
 }
 
-// Origin names the log of one replica. A replica that has lost its disk gets another one.
+// Origin names the log of one replica. A replica that has lost its disk gets a new origin.
 type Origin string
 
-// Vector says how much is held of the log of each origin: all numbers up to the one given.
+// Vector is a version vector: by origin, the number up to which its log is complete.
 type Vector map[Origin]uint64
 
-// Run is a piece of the log of one origin, without a gap.
+// Run is a contiguous range of the log of one origin.
 type Run struct {
 	Origin Origin
-	First  uint64 // the number of the first of the adds; numbers begin with 1
+	First  uint64 // number of the first add in Adds; numbers start at 1
 	Adds   []Add
 }
 
-// Digest is equal for equal vectors; it does not depend on an order.
+// Digest returns a hash that is equal for equal vectors, whatever the iteration order.
 func (v Vector) Digest() uint64 {
 	digest := uint64(0)
-	for origin, held := range v {
-		if held > 0 {
-			digest += xxhash.Sum64(binary.AppendUvarint([]byte(origin), held))
+	for origin, number := range v {
+		if number > 0 {
+			digest += xxhash.Sum64(binary.AppendUvarint([]byte(origin), number))
 		}
 	}
 	return digest
--- a/internal/tally/log.go
+++ b/internal/tally/log.go
@@ -12,21 +12,21 @@
 	"beechtide.org/beechtide/internal/filesystem"
 )
 
-// ErrStore is what errors.Is finds in every error of a Log.
-var ErrStore = errors.New("tally: store")
+// ErrStore is wrapped by every error of a Log.
+var ErrStore = errors.New("tally: storage error")
 
 const (
-	segmentPrefix   = "tally-"
-	segmentSuffix   = ".log"
-	temporarySuffix = ".new"
-	defaultSegment  = 4 << 20 // bytes
-	joinedRunLength = 4096    // adds a record, where a segment is written anew
+	segmentPrefix      = "tally-"
+	segmentSuffix      = ".log"
+	temporarySuffix    = ".new"
+	defaultSegmentSize = 4 << 20 // bytes
+	maxJoinedRunAdds   = 4096    // adds per record in a rewritten segment
 )
 
-// Log keeps adds on a disk, in segments. The active one grows at its end; a full one is
-// written anew in a compact form and sealed. At each start the segments that are not sealed
-// are written anew as one, since a kill or a loss of power may have left the end of the active
-// one torn or not synced. A segment is written under a temporary name and renamed once it is
+// Log stores adds on disk, in segments. Records are appended to the active segment; a full
+// segment is rewritten in a compact form and sealed. At each start the segments that are not
+// sealed are rewritten as one, since a kill or a loss of power may have left the end of the active
+// segment torn or not synced. A segment is written under a temporary name and renamed once it is
 // synced.
 //
 // A Log is not safe for concurrent use.
@@ -35,66 +35,67 @@
 	segmentSize int
 	origin      Origin
 
-	active filesystem.File // nil after an error
-	number int64
-	size   int   // bytes of the active segment
-	total  int64 // bytes of all segments
+	active     filesystem.File // nil after an error
+	lastNumber int64           // of the newest segment
+	activeSize int             // bytes of the active segment
+	totalSize  int64           // bytes of all segments
 }
 
-// Opened is what a disk held.
-type Opened struct {
+// OpenResult is the result of OpenLog: the log and the content that was read from disk.
+type OpenResult struct {
 	Log *Log
 	Set *Set
-	// Origin names this replica's log. It is new where the disk was empty or damaged.
+	// Origin names this replica's log. It is new if the disk was empty or damaged.
 	Origin Origin
-	// Damaged names the segments that could not be read to their end; what follows the
-	// damage is fetched from other replicas.
+	// Damaged lists the sealed segments that could not be read to their end; the adds after
+	// the damage have to be fetched from other replicas.
 	Damaged []string
 }
 
-// OpenLog reads a directory and begins a segment in it. newOrigin makes a name for the own
-// log that was never used. Where only the segment cannot be begun, as on a full disk, what was
-// read comes with the error: Resume is to be called, and everything written again, before any
-// of it counts as durable.
-func OpenLog(files filesystem.FileSystem, newOrigin func() Origin) (Opened, error) {
-	return openSegments(files, newOrigin, defaultSegment)
+// OpenLog reads a directory and creates a new segment in it. newOrigin returns an origin that was
+// never used. If only the new segment cannot be created, for example on a full disk, OpenLog
+// returns the content together with the error: the caller then has to call Resume and rewrite
+// all adds before any of them counts as durable.
+func OpenLog(files filesystem.FileSystem, newOrigin func() Origin) (OpenResult, error) {
+	return openSegments(files, newOrigin, defaultSegmentSize)
 }
 
-func openSegments(files filesystem.FileSystem, newOrigin func() Origin, segmentSize int) (Opened, error) {
-	numbers, err := segments(files)
+func openSegments(files filesystem.FileSystem, newOrigin func() Origin, segmentSize int) (OpenResult, error) {
+	numbers, err := listSegments(files)
 	if err != nil {
-		return Opened{}, err
+		return OpenResult{}, err
 	}
-	opened := Opened{Log: &Log{files: files, segmentSize: segmentSize}, Set: NewSet()}
+	opened := OpenResult{Log: &Log{files: files, segmentSize: segmentSize}, Set: NewSet()}
 	intact := true
-	var open []Run       // of the segments that are not full, to be written anew
-	var replaced []int64 // these segments
+	var unsealedRuns []Run // content of the segments that are not sealed, to be rewritten
+	var replaced []int64   // numbers of these segments
 	for _, number := range numbers {
 		content, err := files.Read(segmentName(number))
 		if err != nil {
-			return Opened{}, storeError(err)
+			return OpenResult{}, storeError(err)
 		}
-		found := readSegment(content)
-		opened.take(found)
-		opened.Log.number = number
-		intact = intact && found.intact
-		if !found.sealed {
-			open, replaced = append(open, found.runs...), append(replaced, number)
+		decoded := decodeSegment(content)
+		opened.applySegment(decoded)
+		opened.Log.lastNumber = number
+		intact = intact && decoded.intact
+		if !decoded.sealed {
+			unsealedRuns, replaced = append(unsealedRuns, decoded.runs...), append(replaced, number)
 			continue
 		}
-		opened.Log.total += int64(len(content))
-		if !found.intact {
+		opened.Log.totalSize += int64(len(content))
+		if !decoded.intact {
 			opened.Damaged = append(opened.Damaged, segmentName(number))
 		}
 	}
 	if opened.Origin == "" || !intact {
 		opened.Origin = newOrigin()
 	}
-	return opened, opened.begin(open, replaced)
+	return opened, opened.beginFirstSegment(unsealedRuns, replaced)
 }
 
-// begin writes the first segment of this life and removes those that it replaces.
-func (o *Opened) begin(runs []Run, replaced []int64) error {
+// beginFirstSegment writes the first segment since the start of the process and removes those that it
+// replaces.
+func (o *OpenResult) beginFirstSegment(runs []Run, replaced []int64) error {
 	if err := o.Log.beginSegment(o.Origin, joinRuns(runs)); err != nil {
 		return err
 	}
@@ -106,13 +107,13 @@
 	return nil
 }
 
-// joinRuns joins runs that follow one another in the log of an origin.
+// joinRuns merges adjacent runs of the same origin, up to maxJoinedRunAdds adds each.
 func joinRuns(runs []Run) []Run {
 	var joined []Run
-	last := map[Origin]int{} // by origin, its newest run in joined
+	last := map[Origin]int{} // index in joined of the last run of each origin
 	for _, run := range runs {
 		i, ok := last[run.Origin]
-		if ok && joined[i].First+uint64(len(joined[i].Adds)) == run.First && len(joined[i].Adds) < joinedRunLength {
+		if ok && joined[i].First+uint64(len(joined[i].Adds)) == run.First && len(joined[i].Adds) < maxJoinedRunAdds {
 			joined[i].Adds = append(joined[i].Adds, run.Adds...)
 			continue
 		}
@@ -122,50 +123,50 @@
 	return joined
 }
 
-// take takes what a segment holds.
-func (o *Opened) take(found segment) {
-	if found.origin != "" {
-		o.Origin = found.origin
+// applySegment applies the content of a segment.
+func (o *OpenResult) applySegment(content segmentContent) {
+	if content.origin != "" {
+		o.Origin = content.origin
 	}
-	for _, run := range found.runs {
+	for _, run := range content.runs {
 		o.Set.Merge(run)
 	}
 }
 
-// segment is the content of a segment.
-type segment struct {
+// segmentContent is the decoded content of a segment file.
+type segmentContent struct {
 	origin Origin
 	runs   []Run
-	sealed bool // it was full, and has been written anew
-	intact bool // it was read to its end
+	sealed bool // it was full and has been compacted
+	intact bool // all of its records were valid
 }
 
-// readSegment reads the records of a segment. Of a damaged one it returns what stands before
-// the damage; one that was sealed says so in its header too.
-func readSegment(content []byte) segment {
-	left, sealed := bytes.CutPrefix(content, []byte(sealedHeader))
-	found := segment{sealed: sealed}
+// decodeSegment decodes the records of a segment. For a damaged segment it returns the records
+// before the damage. The header records whether the segment is sealed.
+func decodeSegment(content []byte) segmentContent {
+	remaining, sealed := bytes.CutPrefix(content, []byte(sealedHeader))
+	result := segmentContent{sealed: sealed}
 	if !sealed {
 		var ok bool
-		if left, ok = bytes.CutPrefix(content, []byte(segmentHeader)); !ok {
-			return found
+		if remaining, ok = bytes.CutPrefix(content, []byte(segmentHeader)); !ok {
+			return result
 		}
 	}
 	for {
-		payload, rest, err := openRecord(left)
-		if err != nil || payload != nil && !found.take(payload) {
-			return found
+		payload, rest, err := readRecord(remaining)
+		if err != nil || payload != nil && !result.applyRecord(payload) {
+			return result
 		}
 		if payload == nil {
-			found.intact = true
-			return found
+			result.intact = true
+			return result
 		}
-		left = rest
+		remaining = rest
 	}
 }
 
-// take reads a record. Records of kinds that this version does not know are left.
-func (s *segment) take(payload []byte) bool {
+// applyRecord applies a record and reports whether it was valid. Records of unknown kinds are skipped.
+func (s *segmentContent) applyRecord(payload []byte) bool {
 	switch payload[0] {
 	case recordOrigin:
 		s.origin = Origin(payload[1:])
@@ -179,37 +180,38 @@
 	return true
 }
 
-// Write makes runs durable. After an error nothing is known of them, and Resume is to be called
-// before the next Write.
+// Write makes runs durable. After an error it is undefined which of them are on disk, and Resume
+// must be called before the next Write.
 func (l *Log) Write(runs []Run) error {
 	if l.active == nil {
-		return errors.Wrap(ErrStore, "no segment is open")
+		return errors.Wrap(ErrStore, "write to the log without an active segment")
 	}
 	var records []byte
 	for _, run := range runs {
-		records = append(records, sealRecord(encodeRun(run))...)
+		records = append(records, frameRecord(encodeRun(run))...)
 	}
-	if err := l.add(records); err != nil {
-		l.abandon()
+	if err := l.appendRecords(records); err != nil {
+		l.closeActive()
 		return storeError(err)
 	}
-	if l.size >= l.segmentSize {
+	if l.activeSize >= l.segmentSize {
 		return l.compact()
 	}
 	return nil
 }
 
-// compact writes the active segment anew with its runs joined, which takes a third of the
-// bytes, seals that if it is still half full, and removes the former one.
+// compact rewrites the active segment with its runs joined, which takes a third of the bytes. If
+// the result is at least half a segment it is sealed and a new active segment is created. The old
+// segment is removed.
 func (l *Log) compact() error {
-	former := l.number
-	content, err := l.files.Read(segmentName(former))
+	oldNumber := l.lastNumber
+	content, err := l.files.Read(segmentName(oldNumber))
 	if err != nil {
 		return storeError(err)
 	}
-	runs := joinRuns(readSegment(content).runs)
-	l.abandon()
-	l.total -= int64(len(content))
+	runs := joinRuns(decodeSegment(content).runs)
+	l.closeActive()
+	l.totalSize -= int64(len(content))
 	sealed := encodeSegment(sealedHeader, l.origin, runs)
 	if len(sealed) < l.segmentSize/2 {
 		err = l.beginSegment(l.origin, runs)
@@ -217,40 +219,40 @@
 		err = l.beginSegment(l.origin, nil)
 	}
 	if err != nil {
-		l.total += int64(len(content))
+		l.totalSize += int64(len(content))
 		return err
 	}
-	return storeError(l.files.Remove(segmentName(former)))
+	return storeError(l.files.Remove(segmentName(oldNumber)))
 }
 
-// seal writes a segment to which nothing is added.
+// seal writes a sealed segment, to which no records are appended.
 func (l *Log) seal(content []byte) error {
-	l.number++
-	file, err := l.create(segmentName(l.number), content)
+	l.lastNumber++
+	file, err := l.create(segmentName(l.lastNumber), content)
 	if err != nil {
 		return err
 	}
-	l.total += int64(len(content))
+	l.totalSize += int64(len(content))
 	return storeError(file.Close())
 }
 
-// add writes and syncs records.
-func (l *Log) add(records []byte) error {
+// appendRecords appends records to the active segment and syncs it.
+func (l *Log) appendRecords(records []byte) error {
 	if _, err := l.active.Write(records); err != nil {
 		return err
 	}
-	l.size += len(records)
-	l.total += int64(len(records))
+	l.activeSize += len(records)
+	l.totalSize += int64(len(records))
 	return l.active.Sync()
 }
 
-// abandon leaves the active segment as it is.
-func (l *Log) abandon() {
+// closeActive closes the active segment without sealing it.
+func (l *Log) closeActive() {
 	_ = l.active.Close()
 	l.active = nil
 }
 
-// Resume begins a segment where none is open, as after an error.
+// Resume creates an active segment if there is none, as after an error.
 func (l *Log) Resume() error {
 	if l.active != nil {
 		return nil
@@ -258,29 +260,29 @@
 	return l.beginSegment(l.origin, nil)
 }
 
-// beginSegment makes the next segment, durable with the given runs, the active one.
+// beginFirstSegment creates the next segment with the given runs, durably, and makes it the active one.
 func (l *Log) beginSegment(origin Origin, runs []Run) error {
 	l.origin = origin
-	l.number++
+	l.lastNumber++
 	content := encodeSegment(segmentHeader, origin, runs)
-	file, err := l.create(segmentName(l.number), content)
+	file, err := l.create(segmentName(l.lastNumber), content)
 	if err != nil {
 		return err
 	}
-	l.active, l.size = file, len(content)
-	l.total += int64(len(content))
+	l.active, l.activeSize = file, len(content)
+	l.totalSize += int64(len(content))
 	return nil
 }
 
 func encodeSegment(header string, origin Origin, runs []Run) []byte {
-	content := append([]byte(header), sealRecord(encodeOrigin(origin))...)
+	content := append([]byte(header), frameRecord(encodeOrigin(origin))...)
 	for _, run := range runs {
-		content = append(content, sealRecord(encodeRun(run))...)
+		content = append(content, frameRecord(encodeRun(run))...)
 	}
 	return content
 }
 
-// create makes a durable file. It is open for more.
+// create creates a file with the given content, durably, and returns it open for appending.
 func (l *Log) create(name string, content []byte) (filesystem.File, error) {
 	file, err := l.files.Create(name + temporarySuffix)
 	if err != nil {
@@ -294,7 +296,7 @@
 	return file, nil
 }
 
-// publish writes and syncs a new file and gives it its name.
+// publish writes and syncs a temporary file and renames it to its final name.
 func (l *Log) publish(file filesystem.File, name string, content []byte) error {
 	if _, err := file.Write(content); err != nil {
 		return err
@@ -308,19 +310,19 @@
 	return l.files.Sync()
 }
 
-// Size returns how many bytes all segments have.
-func (l *Log) Size() int64 { return l.total }
+// Size returns the size of all segments in bytes.
+func (l *Log) Size() int64 { return l.totalSize }
 
 // Close closes the active segment.
 func (l *Log) Close() {
 	if l.active != nil {
-		l.abandon()
+		l.closeActive()
 	}
 }
 
-// segments lists the numbers of the segments, the oldest first, and removes the temporary
-// files of interrupted writes.
-func segments(files filesystem.FileSystem) ([]int64, error) {
+// listSegments returns the numbers of the segments, oldest first, and removes the temporary files of
+// interrupted writes.
+func listSegments(files filesystem.FileSystem) ([]int64, error) {
 	names, err := files.List()
 	if err != nil {
 		return nil, storeError(err)
--- a/internal/tally/log_test.go
+++ b/internal/tally/log_test.go
@@ -10,15 +10,16 @@
 	"beechtide.org/beechtide/internal/simulation/disk"
 )
 
-// origins makes names that were never used.
-func origins(random *rand.Rand) func() Origin {
+// originGenerator returns a generator of unused origins.
+func originGenerator(random *rand.Rand) func() Origin {
 	return func() Origin { return Origin(fmt.Sprintf("%08x", random.Uint32())) }
 }
 
-const testSegment = 2000 // bytes
+const testSegmentSize = 2000 // bytes
 
-// writeSome adds to the own log and writes it. It returns how much of it is durable for sure.
-func writeSome(random *rand.Rand, opened *Opened, serial *int) (durable uint64) {
+// appendAndWrite appends adds to the own log and writes them. It returns the number up to which the log
+// is durable for certain.
+func appendAndWrite(random *rand.Rand, opened *OpenResult, serial *int) (durable uint64) {
 	replica := NewReplica(Config{Origin: opened.Origin, Durable: true}, opened.Set)
 	durable = opened.Set.Held(opened.Origin)
 	for range 1 + random.IntN(60) {
@@ -36,26 +37,28 @@
 	return durable
 }
 
-// livesOfALog is a log that is opened again and again, and what has to be there each time.
-type livesOfALog struct {
+// restartedLog opens the same log repeatedly, across simulated crashes, and checks that durable
+// adds survive.
+type restartedLog struct {
 	random  *rand.Rand
 	files   *disk.Disk
 	serial  int
-	durable map[Origin][]Key // what other replicas may have of each log
+	durable map[Origin][]Key // by origin, the durable adds, which other replicas may have
 }
 
-// live opens the log, checks it, writes to it and ends somewhere.
-func (l *livesOfALog) live(t *testing.T) {
+// runOnce opens the log, checks its content, writes to it and then crashes, in some runs in the
+// middle of a write.
+func (l *restartedLog) runOnce(t *testing.T) {
 	t.Helper()
-	opened, err := openSegments(l.files, origins(l.random), testSegment)
+	opened, err := openSegments(l.files, originGenerator(l.random), testSegmentSize)
 	must.NoError(t, err)
 	for origin, keys := range l.durable {
-		l.check(t, opened.Set.Run(origin, 1, 1<<20).Adds, keys)
+		l.checkPrefix(t, opened.Set.Run(origin, 1, 1<<20).Adds, keys)
 	}
 	if l.random.IntN(2) == 0 {
 		l.files.StopAfter(1 + l.random.IntN(60))
 	}
-	number := writeSome(l.random, &opened, &l.serial)
+	number := appendAndWrite(l.random, &opened, &l.serial)
 	l.durable[opened.Origin] = nil
 	for _, add := range opened.Set.Run(opened.Origin, 1, int(number)).Adds {
 		l.durable[opened.Origin] = append(l.durable[opened.Origin], add.Key)
@@ -67,64 +70,64 @@
 	}
 }
 
-// check looks for adds that were lost, and for numbers that were used twice.
-func (*livesOfALog) check(t *testing.T, held []Add, keys []Key) {
+// checkPrefix fails if a durable add was lost or its number was used for another add.
+func (*restartedLog) checkPrefix(t *testing.T, stored []Add, keys []Key) {
 	t.Helper()
-	must.GreaterEq(t, len(keys), len(held))
+	must.GreaterEq(t, len(keys), len(stored))
 	for i, key := range keys {
-		must.Eq(t, key, held[i].Key)
+		must.Eq(t, key, stored[i].Key)
 	}
 }
 
-func TestWhatWasWrittenOutlastsKillsAndLossesOfPower(t *testing.T) {
+func TestWrittenAddsSurviveKillAndPowerLoss(t *testing.T) {
 	for seed := range uint64(120) {
-		lives := &livesOfALog{random: rand.New(rand.NewPCG(seed, 3)), files: disk.New(seed), durable: map[Origin][]Key{}}
+		log := &restartedLog{random: rand.New(rand.NewPCG(seed, 3)), files: disk.New(seed), durable: map[Origin][]Key{}}
 		for range 8 {
-			lives.live(t)
+			log.runOnce(t)
 		}
 	}
 }
 
-func TestLostDiskGetsAnotherOrigin(t *testing.T) {
+func TestLostDiskStartsNewOrigin(t *testing.T) {
 	random, files, serial := rand.New(rand.NewPCG(1, 1)), disk.New(1), 0
-	first, err := openSegments(files, origins(random), testSegment)
+	first, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.NoError(t, err)
-	writeSome(random, &first, &serial)
+	appendAndWrite(random, &first, &serial)
 	files.Restart()
-	again, err := openSegments(files, origins(random), testSegment)
+	again, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.NoError(t, err)
 	must.Eq(t, first.Origin, again.Origin)
 	files.Lose()
-	lost, err := openSegments(files, origins(random), testSegment)
+	lost, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.NoError(t, err)
 	must.NotEq(t, first.Origin, lost.Origin)
 	must.Eq(t, 0, lost.Set.Len())
 }
 
-func TestDamageIsFoundAndGivesAnotherOrigin(t *testing.T) {
+func TestDamagedSegmentStartsNewOrigin(t *testing.T) {
 	for seed := range uint64(100) {
 		random, files, serial := rand.New(rand.NewPCG(seed, 5)), disk.New(seed), 0
-		first, err := openSegments(files, origins(random), testSegment)
+		first, err := openSegments(files, originGenerator(random), testSegmentSize)
 		must.NoError(t, err)
 		for range 25 {
-			writeSome(random, &first, &serial)
+			appendAndWrite(random, &first, &serial)
 		}
 		first.Log.Close()
-		numbers, err := segments(files)
+		numbers, err := listSegments(files)
 		must.NoError(t, err)
 		must.Greater(t, 1, len(numbers))
 		must.True(t, files.Damage(segmentName(numbers[random.IntN(len(numbers))])))
 		files.Restart()
-		again, err := openSegments(files, origins(random), testSegment)
+		again, err := openSegments(files, originGenerator(random), testSegmentSize)
 		must.NoError(t, err)
 		must.NotEq(t, first.Origin, again.Origin, must.Sprintf("seed %d", seed))
 		must.LessEq(t, first.Set.Len(), again.Set.Len())
 	}
 }
 
-func TestFullDiskIsWrittenToAgainLater(t *testing.T) {
+func TestWriteSucceedsAfterFullDiskHasSpace(t *testing.T) {
 	files := disk.New(9)
-	opened, err := openSegments(files, origins(rand.New(rand.NewPCG(9, 9))), testSegment)
+	opened, err := openSegments(files, originGenerator(rand.New(rand.NewPCG(9, 9))), testSegmentSize)
 	must.NoError(t, err)
 	replica := NewReplica(Config{Origin: opened.Origin, Durable: true}, opened.Set)
 	replica.Append(Add{Tally: "t", Key: KeyOf("t", "1"), Amount: 4})
@@ -139,20 +142,21 @@
 	replica.WriteEnded(true)
 	must.Eq(t, 1, replica.Durable(opened.Origin))
 	files.LosePower()
-	again, err := openSegments(files, origins(rand.New(rand.NewPCG(9, 8))), testSegment)
+	again, err := openSegments(files, originGenerator(rand.New(rand.NewPCG(9, 8))), testSegmentSize)
 	must.NoError(t, err)
 	must.Eq(t, 4, again.Set.Total("t"))
 }
 
-// What was read may not outlast a loss of power, so it counts for nothing until it is written.
-func TestLogThatCannotBeBegunIsWrittenAgain(t *testing.T) {
+// Content read from disk may not survive a loss of power if it was never synced, so it does not
+// count as durable until it has been rewritten.
+func TestContentIsRewrittenWhenSegmentCannotBeCreated(t *testing.T) {
 	random, files, serial := rand.New(rand.NewPCG(2, 2)), disk.New(2), 0
-	first, err := openSegments(files, origins(random), testSegment)
+	first, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.NoError(t, err)
-	writeSome(random, &first, &serial)
+	appendAndWrite(random, &first, &serial)
 	files.SetFull(true)
 	files.Restart()
-	again, err := openSegments(files, origins(random), testSegment)
+	again, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.ErrorIs(t, err, ErrStore)
 	must.Eq(t, first.Origin, again.Origin)
 	replica := NewReplica(Config{Origin: again.Origin, Durable: true}, again.Set)
@@ -166,14 +170,14 @@
 	replica.WriteEnded(true)
 	must.Eq(t, held, replica.Durable(again.Origin))
 	files.LosePower()
-	last, err := openSegments(files, origins(random), testSegment)
+	last, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.NoError(t, err)
 	must.Eq(t, held, last.Set.Held(again.Origin))
 }
 
-func TestCompactionTakesLessRoomAndLosesNothing(t *testing.T) {
+func TestCompactionReducesSizeAndKeepsAllAdds(t *testing.T) {
 	files := disk.New(4)
-	opened, err := openSegments(files, origins(rand.New(rand.NewPCG(4, 4))), 20_000)
+	opened, err := openSegments(files, originGenerator(rand.New(rand.NewPCG(4, 4))), 20_000)
 	must.NoError(t, err)
 	replica := NewReplica(Config{Origin: opened.Origin, Durable: true}, opened.Set)
 	const adds = 4000
@@ -185,7 +189,7 @@
 	must.Less(t, int64(25*adds), opened.Log.Size())
 	must.Eq(t, opened.Log.Size(), int64(files.Bytes()))
 	files.LosePower()
-	again, err := openSegments(files, origins(rand.New(rand.NewPCG(4, 5))), 20_000)
+	again, err := openSegments(files, originGenerator(rand.New(rand.NewPCG(4, 5))), 20_000)
 	must.NoError(t, err)
 	must.Eq(t, int64(adds), again.Set.Total("t"))
 	must.Eq(t, opened.Origin, again.Origin)
--- a/internal/tally/quorum.go
+++ b/internal/tally/quorum.go
@@ -1,17 +1,18 @@
 package tally
 
-// Quorum is on how many disks an add is to be before it is acknowledged.
+// Quorum is the number of disks, and of zones with such a disk, that must have an add before it is
+// acknowledged.
 type Quorum struct {
 	Disks int
 	Zones int
 }
 
-// QuorumFor returns the quorum that outlasts the loss of so many machines, or so many zones.
+// QuorumFor returns the quorum that tolerates the loss of the given number of machines or zones.
 func QuorumFor(machines, zones int) Quorum {
 	return Quorum{Disks: max(machines, 0) + 1, Zones: max(zones, 0) + 1}
 }
 
-// copies counts the disks that have an add.
+// copies counts the disks, and collects the zones, that have an add.
 type copies struct {
 	disks int
 	zones map[string]bool
@@ -27,36 +28,36 @@
 
 func (q Quorum) satisfied(c copies) bool { return c.disks >= q.Disks && len(c.zones) >= q.Zones }
 
-// Witness is what other nodes say of a peer that does not answer.
+// Witness is the evidence from other nodes (witnesses) about a peer that does not answer.
 type Witness int
 
 const (
-	// WitnessUnknown is before anybody was asked.
+	// WitnessUnknown is the state before witnesses were queried.
 	WitnessUnknown Witness = iota
-	// WitnessCut says that the way to the peer is cut: others reach it, or nobody near it
-	// answers.
+	// WitnessCut means that the network path to the peer is cut: a witness reaches the peer, or
+	// no witness near it answers.
 	WitnessCut
-	// WitnessDown says that a node near the peer does not reach it either.
+	// WitnessDown means that a witness near the peer does not reach it either.
 	WitnessDown
 )
 
-// unreachableUs is for how long all calls to a peer fail before it counts as unreachable, in
-// microseconds. It is below the second for which callers wait: an add that came at the
-// beginning of a partition is acknowledged before its caller goes on to another replica.
+// unreachableUs is for how long all calls to a peer must fail before it counts as unreachable, in
+// microseconds. It is less than the second for which callers wait, so that an add that arrives at
+// the beginning of a partition is acknowledged before its caller retries at another replica.
 const unreachableUs = 600_000
 
-// reachability is what the calls to a peer say of the way there.
-type reachability struct {
-	failingSinceUs int64 // when the first failed call after the last success began
+// callHistory tracks the results of calls to a peer.
+type callHistory struct {
+	failingSinceUs int64 // start of the first failed call since the last success
 	failing        bool
-	lastFailedUs   int64
-	lastSentUs     int64 // when the newest failed call began
+	lastFailedUs   int64 // end of the last failed call
+	lastSentUs     int64 // latest start of a failed call
 }
 
-func (r *reachability) answered() { r.failing = false }
+func (r *callHistory) recordAnswer() { r.failing = false }
 
-// failed records a call that began at sentUs and failed at nowUs.
-func (r *reachability) failed(sentUs, nowUs int64) {
+// recordFailure records a call that began at sentUs and failed at nowUs.
+func (r *callHistory) recordFailure(sentUs, nowUs int64) {
 	if !r.failing {
 		r.failing, r.failingSinceUs = true, sentUs
 	}
@@ -64,8 +65,9 @@
 	r.lastSentUs = max(r.lastSentUs, sentUs)
 }
 
-// unreachable reports whether every call has failed for long enough. Two calls at least have:
-// one that ended late, as after a pause of this process, shows nothing.
-func (r *reachability) unreachable() bool {
+// unreachable reports whether all calls have failed for at least unreachableUs. Callers must use
+// shorter call timeouts and must not record a failed call that ended far later, as after a pause of
+// this process: one such call is no evidence, at least two failed calls are required.
+func (r *callHistory) unreachable() bool {
 	return r.failing && r.lastFailedUs-r.failingSinceUs >= unreachableUs
 }
--- a/internal/tally/record_test.go
+++ b/internal/tally/record_test.go
@@ -16,28 +16,28 @@
 	}
 }
 
-func TestRunsAreReadAsTheyWereWritten(t *testing.T) {
+func TestRunsRoundTrip(t *testing.T) {
 	runs, err := DecodeRuns(EncodeRuns(exampleRuns()))
 	must.NoError(t, err)
 	must.Eq(t, exampleRuns(), runs)
 }
 
-func TestEveryChangedByteOfARecordIsFound(t *testing.T) {
-	record := sealRecord(encodeRun(exampleRuns()[0]))
+func TestDamagedOrTornRecordIsRejected(t *testing.T) {
+	record := frameRecord(encodeRun(exampleRuns()[0]))
 	for at := range record {
 		changed := append([]byte{}, record...)
 		changed[at] ^= 0x10
-		_, _, err := openRecord(changed)
+		_, _, err := readRecord(changed)
 		must.Error(t, err, must.Sprintf("byte %d", at))
 	}
 	for size := 1; size < len(record); size++ {
-		_, _, err := openRecord(record[:size])
+		_, _, err := readRecord(record[:size])
 		must.Error(t, err, must.Sprintf("%d bytes", size))
 	}
 }
 
-// FuzzDecodeRuns feeds arbitrary bytes: reading them never panics, and what is read is written
-// and read as the same.
+// FuzzDecodeRuns decodes arbitrary bytes: decoding must not panic, and decoded runs must
+// round-trip.
 func FuzzDecodeRuns(f *testing.F) {
 	f.Add(EncodeRuns(exampleRuns()))
 	f.Add([]byte{1, recordRun})
@@ -56,14 +56,14 @@
 	})
 }
 
-// FuzzReadSegment does the same with the content of a file.
+// FuzzReadSegment reads arbitrary file contents: reading them must not panic.
 func FuzzReadSegment(f *testing.F) {
 	f.Add(encodeSegment(segmentHeader, "a", exampleRuns()))
 	f.Add(encodeSegment(sealedHeader, "a", exampleRuns()))
 	f.Fuzz(func(_ *testing.T, content []byte) {
-		found := readSegment(content)
+		decoded := decodeSegment(content)
 		set := NewSet()
-		for _, run := range found.runs {
+		for _, run := range decoded.runs {
 			set.Merge(run)
 		}
 	})
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -5,81 +5,82 @@
 	"maps"
 )
 
-// Config is what a Replica goes by.
+// Config holds the settings of a Replica.
 type Config struct {
 	// Origin names the log of this replica.
 	Origin Origin
 	// Zone is the zone of this replica.
 	Zone string
-	// Durable reports whether this replica has a disk. Without one, copies in memory count
-	// for the quorum.
+	// Durable is set if this replica has a disk. Otherwise copies in memory count for the
+	// quorum.
 	Durable bool
-	// Quorum is on how many disks an add is to be before it is acknowledged.
+	// Quorum is the number of disks and zones that must have an add before it is acknowledged.
 	Quorum Quorum
-	// MaxAdds bounds the adds of all logs that are held; 0: no bound. The replica's own
-	// clients may fill it but for a margin, which is left to the other replicas.
+	// MaxAdds bounds the number of adds in all logs; 0: no bound. Adds of this replica's own
+	// clients are limited to less (see peerReserveShare).
 	MaxAdds int
 }
 
-// ownMargin is the part of MaxAdds that only adds from other replicas may take: what one
-// replica has taken in the others can store as well.
-const ownMargin = 0.1
+// peerReserveShare is the share of MaxAdds that is reserved for adds from other replicas, so that the
+// others can store every add that one replica has accepted.
+const peerReserveShare = 0.1
 
-// Outgoing is what a peer is to be sent of the own log.
+// Outgoing is the next run of a replica's own log for a peer.
 type Outgoing struct {
 	Run
-	// More reports whether the peer lacks more than the run has.
+	// More is set if the peer lacks adds beyond the run.
 	More bool
 }
 
-// maxRun is how many adds one message has at most.
-const maxRun = 1000
+// maxRunAdds is the maximum number of adds in one message.
+const maxRunAdds = 1000
 
-// peerState is what is known of a peer.
+// peerState is the state of a peer as seen by this replica.
 type peerState struct {
-	zone    string
-	held    uint64 // how much of the own log is on the peer's disk
-	durable bool   // the peer has a disk
-	known   bool   // the peer has said what it holds
-	way     reachability
-	witness Witness
-	askedUs int64 // when the witnesses were asked
+	zone             string
+	ackedNumber      uint64 // number up to which the peer has acknowledged this replica's log
+	durable          bool   // the peer has a disk
+	hasAcked         bool   // the peer has acknowledged a run, so that ackedNumber is valid
+	calls            callHistory
+	witness          Witness
+	witnessQueriedUs int64 // when the witnesses were queried
 }
 
-// cutOff reports whether the way to the peer is cut, rather than the peer down, by evidence that
-// is not older than sinceUs.
+// cutOff reports whether the path to the peer is cut (rather than the peer being down), by
+// evidence that is not older than sinceUs.
 func (p *peerState) cutOff(sinceUs int64) bool {
-	return p.way.unreachable() && p.way.lastSentUs >= sinceUs && p.witness == WitnessCut && p.askedUs >= sinceUs
+	return p.calls.unreachable() && p.calls.lastSentUs >= sinceUs && p.witness == WitnessCut && p.witnessQueriedUs >= sinceUs
 }
 
-// Replica is one copy of all tallies: the set, and how far the own log has got to the
-// others. It is not safe for concurrent use.
+// Replica is one copy of all tallies: the set of adds, and how much of this replica's own log the
+// peers have acknowledged. It is not safe for concurrent use.
 type Replica struct {
-	config    Config
-	set       *Set
-	peers     map[string]*peerState
-	written   Vector // what has been given to the disk
-	durable   Vector // what is on it
-	confirmed uint64 // of the own log
-	awaitedUs int64  // when the newest add came whose caller waits
+	config          Config
+	set             *Set
+	peers           map[string]*peerState
+	written         Vector // returned by Unwritten, including writes in progress
+	durable         Vector // on disk
+	confirmedNumber uint64 // number up to which the own log is confirmed
+	newestWaiterUs  int64  // arrival time of the newest add with a waiting caller
 }
 
-// NewReplica starts a replica with what its disk holds. All of that is durable.
+// NewReplica returns a replica with the set that was read from its disk. All adds of the set count
+// as durable.
 func NewReplica(config Config, set *Set) *Replica {
 	return &Replica{config: config, set: set, peers: map[string]*peerState{}, written: set.Vector(), durable: set.Vector()}
 }
 
-// RewriteAll takes everything for not yet written, as where the disk could not be made to hold
-// what was read from it.
+// RewriteAll marks all adds as not yet written. It is called when OpenLog could not create a
+// segment, since the content read from disk may not survive a loss of power.
 func (r *Replica) RewriteAll() { r.written, r.durable = Vector{}, Vector{} }
 
-// Set returns the adds that are held. They are read only.
+// Set returns the set of adds. Callers must not modify it.
 func (r *Replica) Set() *Set { return r.set }
 
-// Origin returns the name of the own log.
+// Origin returns the origin of this replica's own log.
 func (r *Replica) Origin() Origin { return r.config.Origin }
 
-// SetPeers sets the addresses of the other replicas. What is known of those that stay is kept.
+// SetPeers sets the addresses of the other replicas. The state of peers that remain is preserved.
 func (r *Replica) SetPeers(addrs []string) {
 	next := make(map[string]*peerState, len(addrs))
 	for _, addr := range addrs {
@@ -89,19 +90,20 @@
 		}
 	}
 	r.peers = next
-	r.advance()
+	r.advanceConfirmed()
 }
 
-// SetMaxAdds sets Config.MaxAdds anew.
+// SetMaxAdds changes Config.MaxAdds.
 func (r *Replica) SetMaxAdds(adds int) { r.config.MaxAdds = adds }
 
-// Full reports whether no further add of this replica's clients can be held.
+// Full reports whether the limit for adds of this replica's own clients has been reached.
 func (r *Replica) Full() bool {
-	return r.config.MaxAdds > 0 && float64(r.set.Len()) >= float64(r.config.MaxAdds)*(1-ownMargin)
+	return r.config.MaxAdds > 0 && float64(r.set.Len()) >= float64(r.config.MaxAdds)*(1-peerReserveShare)
 }
 
-// Append adds to the own log. The caller acknowledges the add once Acknowledged says so for
-// its number. An add that is there already keeps the number that it has.
+// Append appends an add to the own log and returns its number. The caller may acknowledge the add
+// once Acknowledged returns true for the number. An add that is already in the own log keeps its
+// number.
 func (r *Replica) Append(add Add) (number uint64) {
 	if number, ok := r.ownNumber(add.Key); ok {
 		return number
@@ -111,18 +113,19 @@
 	return number
 }
 
-// ownNumber finds a key in the own log: as the add that counts, or among those that are not
-// confirmed. One that is there besides, and confirmed, is not found; it is added again.
+// ownNumber finds a key in the own log: either the add that counts for the key, or one of the adds
+// that are not confirmed yet. A confirmed add whose key counts by another origin's add is not
+// found; it is appended again.
 func (r *Replica) ownNumber(key Key) (uint64, bool) {
-	place, ok := r.set.index.find(r.set.adds, key)
+	position, ok := r.set.index.find(r.set.adds, key)
 	if !ok {
 		return 0, false
 	}
 	log := r.set.logs[r.config.Origin]
-	if number := r.set.adds[place].number; int(number) <= len(log) && log[number-1] == place {
+	if number := r.set.adds[position].number; int(number) <= len(log) && log[number-1] == position {
 		return uint64(number), true
 	}
-	for i := len(log); uint64(i) > r.confirmed; i-- {
+	for i := len(log); uint64(i) > r.confirmedNumber; i-- {
 		if r.set.adds[log[i-1]].key == key {
 			return uint64(i), true
 		}
@@ -130,8 +133,7 @@
 	return 0, false
 }
 
-// Merge takes runs of another replica in. Where the bound of adds is reached nothing more is
-// taken.
+// Merge merges runs received from another replica. Runs that would exceed MaxAdds are dropped.
 func (r *Replica) Merge(runs []Run) {
 	for _, run := range runs {
 		if r.config.MaxAdds <= 0 || r.set.Len()+len(run.Adds) <= r.config.MaxAdds {
@@ -140,32 +142,32 @@
 	}
 }
 
-// Unwritten returns what is to be written to the disk next, at most so many adds, and takes it
-// for written. The owner says later how that ended, by WriteEnded.
-func (r *Replica) Unwritten(most int) []Run {
+// Unwritten returns the runs to write to disk next, up to the given number of adds, and marks them
+// as written. The caller reports the result of the write with WriteEnded.
+func (r *Replica) Unwritten(limit int) []Run {
 	if !r.config.Durable {
 		return nil
 	}
-	runs := r.set.Since(r.written, most)
+	runs := r.set.Since(r.written, limit)
 	for _, run := range runs {
 		r.written[run.Origin] = run.First + uint64(len(run.Adds)) - 1
 	}
 	return runs
 }
 
-// WriteEnded records how the write of all that Unwritten has returned ended. After a failure
-// it is returned again.
+// WriteEnded records the result of writing all runs that Unwritten has returned. After a failure,
+// Unwritten returns them again.
 func (r *Replica) WriteEnded(ok bool) {
 	if !ok {
 		r.written = maps.Clone(r.durable)
 		return
 	}
 	r.durable = maps.Clone(r.written)
-	r.advance()
+	r.advanceConfirmed()
 }
 
-// Durable returns how much of the log of an origin this replica has on its disk, or holds where
-// it has none.
+// Durable returns up to which number this replica has the log of an origin on its disk, or in
+// memory if it has no disk.
 func (r *Replica) Durable(origin Origin) uint64 {
 	if !r.config.Durable {
 		return r.set.Held(origin)
@@ -173,11 +175,12 @@
 	return r.durable[origin]
 }
 
-// Since returns what a replica with the given vector lacks, at most so many adds. Of the own log
-// it is what is on this disk: a number that is lost with the disk would be used a second time.
-func (r *Replica) Since(vector Vector, most int) []Run {
+// Since returns the runs that a replica with the given vector lacks, up to the given number of
+// adds. From the own log it returns only adds on this replica's disk: if others had an add whose
+// number was lost with the disk, the number would be used a second time.
+func (r *Replica) Since(vector Vector, limit int) []Run {
 	var runs []Run
-	for _, run := range r.set.Since(vector, most) {
+	for _, run := range r.set.Since(vector, limit) {
 		if run.Origin == r.config.Origin {
 			durable := r.Durable(run.Origin)
 			run.Adds = run.Adds[:min(uint64(len(run.Adds)), durable-min(durable, run.First-1))]
@@ -189,70 +192,72 @@
 	return runs
 }
 
-// Next returns what a peer is to be sent, and false if it lacks nothing. Nothing leaves
-// before it is on this disk: its number would be used a second time if it were lost.
+// Next returns the next run of the own log to send to a peer, and false if the peer lacks nothing.
+// An add is sent only once it is on this replica's disk: if it were lost afterwards, its number
+// would be used a second time. Until the first acknowledgement of the peer the run is empty and
+// serves to find out how much the peer has.
 func (r *Replica) Next(addr string) (Outgoing, bool) {
 	p := r.peers[addr]
 	if p == nil {
 		return Outgoing{}, false
 	}
 	limit := r.Durable(r.config.Origin)
-	if !p.known {
+	if !p.hasAcked {
 		return Outgoing{Run: Run{Origin: r.config.Origin, First: limit + 1}, More: limit > 0}, true
 	}
-	if p.held >= limit {
+	if p.ackedNumber >= limit {
 		return Outgoing{}, false
 	}
-	run := r.set.Run(r.config.Origin, p.held+1, int(min(limit-p.held, maxRun)))
-	return Outgoing{Run: run, More: p.held+uint64(len(run.Adds)) < limit}, true
+	run := r.set.Run(r.config.Origin, p.ackedNumber+1, int(min(limit-p.ackedNumber, maxRunAdds)))
+	return Outgoing{Run: run, More: p.ackedNumber+uint64(len(run.Adds)) < limit}, true
 }
 
-// Ack is the answer of a peer to a run.
+// Ack is the acknowledgement of a run by a peer.
 type Ack struct {
-	Held    uint64 // how much of the sender's log it holds, on its disk if it has one
-	Durable bool   // it has a disk
-	Zone    string
+	Held    uint64 // number up to which the peer has the sender's log, on disk if it has one
+	Durable bool   // the peer has a disk
+	Zone    string // zone of the peer
 }
 
-// Acked records the answer of a peer.
+// Acked records an acknowledgement of a peer.
 func (r *Replica) Acked(addr string, ack Ack) {
 	p := r.peers[addr]
 	if p == nil {
 		return
 	}
-	p.known, p.held, p.durable, p.zone = true, min(ack.Held, r.set.Held(r.config.Origin)), ack.Durable, ack.Zone
-	p.answered()
-	r.advance()
+	p.hasAcked, p.ackedNumber, p.durable, p.zone = true, min(ack.Held, r.set.Held(r.config.Origin)), ack.Durable, ack.Zone
+	p.recordAnswer()
+	r.advanceConfirmed()
 }
 
-// Answered records that a peer has answered any call.
+// Answered records that a peer has answered a call of any kind.
 func (r *Replica) Answered(addr string) {
 	if p := r.peers[addr]; p != nil {
-		p.answered()
+		p.recordAnswer()
 	}
 }
 
-func (p *peerState) answered() {
-	p.way.answered()
+func (p *peerState) recordAnswer() {
+	p.calls.recordAnswer()
 	p.witness = WitnessUnknown
 }
 
-// Witnessed records what other nodes that were asked at askedUs say of a peer that does not
+// Witnessed records the evidence of witnesses, queried at witnessQueriedUs, about a peer that does not
 // answer.
-func (r *Replica) Witnessed(addr string, witness Witness, askedUs int64) {
-	if p := r.peers[addr]; p != nil && p.way.failing {
-		p.witness, p.askedUs = witness, askedUs
+func (r *Replica) Witnessed(addr string, witness Witness, queriedUs int64) {
+	if p := r.peers[addr]; p != nil && p.calls.failing {
+		p.witness, p.witnessQueriedUs = witness, queriedUs
 	}
-	r.advance()
+	r.advanceConfirmed()
 }
 
-// Failing reports whether the newest call to a peer has failed.
+// Failing reports whether a call to a peer has failed since its last answer.
 func (r *Replica) Failing(addr string) bool {
 	p := r.peers[addr]
-	return p != nil && p.way.failing
+	return p != nil && p.calls.failing
 }
 
-// ZoneOf returns the zone of a peer, empty if it has not said.
+// ZoneOf returns the zone of a peer, or "" if the peer has not acknowledged a run yet.
 func (r *Replica) ZoneOf(addr string) string {
 	if p := r.peers[addr]; p != nil {
 		return p.zone
@@ -260,94 +265,98 @@
 	return ""
 }
 
-// Failed records that a call to a peer, begun at sentUs, got no answer.
+// Failed records that a call to a peer, started at sentUs, has failed.
 func (r *Replica) Failed(addr string, sentUs, nowUs int64) {
 	if p := r.peers[addr]; p != nil {
-		p.way.failed(sentUs, nowUs)
+		p.calls.recordFailure(sentUs, nowUs)
 	}
-	r.advance()
+	r.advanceConfirmed()
 }
 
-// Unreachable reports whether a peer is out of reach.
+// Unreachable reports whether all calls to a peer have failed for long enough that it counts as
+// unreachable.
 func (r *Replica) Unreachable(addr string) bool {
 	p := r.peers[addr]
-	return p != nil && p.way.unreachable()
+	return p != nil && p.calls.unreachable()
 }
 
-// Confirmed returns up to which number the own log has been confirmed.
-func (r *Replica) Confirmed() uint64 { return r.confirmed }
+// Confirmed returns the number up to which the own log is confirmed.
+func (r *Replica) Confirmed() uint64 { return r.confirmedNumber }
 
-// Await notes that a caller waits for the acknowledgement of an add that came at arrivedUs.
-func (r *Replica) Await(arrivedUs int64) { r.awaitedUs = max(r.awaitedUs, arrivedUs) }
+// Await records that a caller waits for the acknowledgement of an add that arrived at arrivedUs.
+func (r *Replica) Await(arrivedUs int64) { r.newestWaiterUs = max(r.newestWaiterUs, arrivedUs) }
 
-// Acknowledged reports whether an add of the own log that a client brought at arrivedUs may be
+// Acknowledged reports whether an add of the own log whose request arrived at arrivedUs may be
 // acknowledged now: it is on enough disks, or every peer that does not have it is cut off, by
-// evidence that is not older than the add. Older evidence may be of a partition that has healed.
+// evidence that is not older than the request. Older evidence may be of a partition that has
+// healed since.
 func (r *Replica) Acknowledged(number uint64, arrivedUs int64) bool {
-	return number <= r.Durable(r.config.Origin) && r.stored(number, arrivedUs)
+	return number <= r.Durable(r.config.Origin) && r.replicated(number, arrivedUs)
 }
 
-// WantsCall reports whether a peer out of reach is to be called now: somebody waits for an add
-// that is younger than the newest call.
+// WantsCall reports whether an unreachable peer is to be called now: a caller waits for an add
+// that arrived after the last call started.
 func (r *Replica) WantsCall(addr string) bool {
 	p := r.peers[addr]
-	return p != nil && p.way.unreachable() && p.way.lastSentUs < r.awaitedUs
+	return p != nil && p.calls.unreachable() && p.calls.lastSentUs < r.newestWaiterUs
 }
 
-// WantsWitness is the same for a question to witnesses.
+// WantsWitness reports whether witnesses are to be queried now about an unreachable peer: a caller
+// waits for an add that arrived after the last query.
 func (r *Replica) WantsWitness(addr string) bool {
 	p := r.peers[addr]
-	return p != nil && p.way.unreachable() && p.askedUs < r.awaitedUs
+	return p != nil && p.calls.unreachable() && p.witnessQueriedUs < r.newestWaiterUs
 }
 
-// advance moves the confirmed number on.
-func (r *Replica) advance() {
-	for _, number := range r.candidates() {
-		if number > r.confirmed && r.stored(number, 0) {
-			r.confirmed = number
+// advanceConfirmed raises the confirmed number as far as the acknowledgements allow.
+func (r *Replica) advanceConfirmed() {
+	for _, number := range r.confirmationCandidates() {
+		if number > r.confirmedNumber && r.replicated(number, 0) {
+			r.confirmedNumber = number
 		}
 	}
 }
 
-// candidates are the numbers at which the set of disks that have them changes.
-func (r *Replica) candidates() []uint64 {
+// confirmationCandidates returns the numbers that could become the confirmed one: those up to which this
+// replica or a peer has the own log.
+func (r *Replica) confirmationCandidates() []uint64 {
 	own := r.Durable(r.config.Origin)
 	numbers := []uint64{own}
 	for _, p := range r.peers {
-		numbers = append(numbers, min(p.held, own))
+		numbers = append(numbers, min(p.ackedNumber, own))
 	}
 	return numbers
 }
 
-// stored reports whether the own log is, up to a number that this replica has on its own disk,
-// on enough disks, or on those of all peers to which the way is not cut, by evidence not older than
-// sinceUs. A peer that is down is waited for: the disks that are left may be lost before it is
-// back.
-func (r *Replica) stored(number uint64, sinceUs int64) bool {
-	var have copies
-	have.add(r.config.Zone)
+// replicated reports whether the own log, up to a number that is on this replica's disk, is on enough
+// disks, or on the disks of all peers that are not cut off by evidence at least as recent as
+// sinceUs. A peer that is down does not count as cut off: the remaining disks may be lost before
+// it returns.
+func (r *Replica) replicated(number uint64, sinceUs int64) bool {
+	var holders copies
+	holders.add(r.config.Zone)
 	missing := false
 	for _, p := range r.peers {
 		switch {
-		case p.known && p.held >= number:
+		case p.hasAcked && p.ackedNumber >= number:
 			if p.durable || !r.config.Durable {
-				have.add(p.zone)
+				holders.add(p.zone)
 			}
 		case !p.cutOff(sinceUs):
 			missing = true
 		}
 	}
-	return r.config.Quorum.satisfied(have) || !missing
+	return r.config.Quorum.satisfied(holders) || !missing
 }
 
-// Confirmable reports whether an add that came now could be confirmed, as far as is known: it
-// says no where too few replicas can be reached and the others are down.
+// Confirmable reports whether an add that arrives now can be expected to be confirmed. It returns
+// false if the reachable replicas are too few for the quorum and another one may be down.
 func (r *Replica) Confirmable() bool {
 	var reached copies
 	reached.add(r.config.Zone)
 	down := false
 	for addr, p := range r.peers {
-		if !p.way.unreachable() {
+		if !p.calls.unreachable() {
 			reached.add(cmp.Or(p.zone, addr))
 		} else if p.witness != WitnessCut {
 			down = true
--- a/internal/tally/replica_test.go
+++ b/internal/tally/replica_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func oneAdd(id int) Add { return Add{Tally: "t", Key: KeyOf("t", fmt.Sprint(id)), Amount: 1} }
+func testAdd(id int) Add { return Add{Tally: "t", Key: KeyOf("t", fmt.Sprint(id)), Amount: 1} }
 
-// testReplica has three peers: one in its own zone a, and two in b and c.
+// testReplica returns a replica in zone a with one peer in each of the zones a, b and c.
 func testReplica() *Replica {
 	r := NewReplica(Config{Origin: "self", Zone: "a", Durable: true, Quorum: QuorumFor(2, 1)}, NewSet())
 	r.SetPeers([]string{"a2", "b1", "c1"})
@@ -19,33 +19,34 @@
 	return r
 }
 
-func written(r *Replica) {
+func completeWrite(r *Replica) {
 	r.Unwritten(100)
 	r.WriteEnded(true)
 }
 
-// silent has two calls to a peer fail, the second unreachableUs after the first began.
-func silent(r *Replica, addr string, witness Witness) {
+// failCalls records two failed calls to a peer, the second of which ends unreachableUs after the
+// start of the first, and the result of a query to witnesses.
+func failCalls(r *Replica, addr string, witness Witness) {
 	r.Failed(addr, 0, 300_000)
 	r.Failed(addr, 300_000, unreachableUs)
 	r.Witnessed(addr, witness, 300_000)
 }
 
-func TestConfirmedNeedsDisksInMoreZonesThanMayBeLost(t *testing.T) {
+func TestConfirmedRequiresZoneQuorum(t *testing.T) {
 	r := testReplica()
-	number := r.Append(oneAdd(1))
+	number := r.Append(testAdd(1))
 	must.Eq(t, 1, number)
-	written(r)
+	completeWrite(r)
 	r.Acked("a2", Ack{Held: 1, Durable: true, Zone: "a"})
 	must.Eq(t, 0, r.Confirmed())
 	r.Acked("b1", Ack{Held: 1, Durable: true, Zone: "b"})
 	must.Eq(t, 1, r.Confirmed())
 }
 
-func TestConfirmedNeedsOneDiskMoreThanMayBeLost(t *testing.T) {
+func TestConfirmedRequiresDiskQuorum(t *testing.T) {
 	r := testReplica()
-	r.Append(oneAdd(1))
-	written(r)
+	r.Append(testAdd(1))
+	completeWrite(r)
 	r.Acked("b1", Ack{Held: 1, Durable: true, Zone: "b"})
 	must.Eq(t, 0, r.Confirmed())
 	r.Acked("c1", Ack{Held: 1, Durable: false, Zone: "c"})
@@ -54,36 +55,36 @@
 	must.Eq(t, 1, r.Confirmed())
 }
 
-func TestNothingIsSentBeforeItIsOnTheOwnDisk(t *testing.T) {
+func TestAddIsSentOnlyAfterLocalWrite(t *testing.T) {
 	r := testReplica()
-	r.Append(oneAdd(1))
+	r.Append(testAdd(1))
 	_, wanted := r.Next("b1")
 	must.False(t, wanted)
 	must.SliceEmpty(t, r.Since(Vector{}, 10))
-	written(r)
+	completeWrite(r)
 	next, wanted := r.Next("b1")
 	must.True(t, wanted)
-	must.Eq(t, Run{Origin: "self", First: 1, Adds: []Add{oneAdd(1)}}, next.Run)
+	must.Eq(t, Run{Origin: "self", First: 1, Adds: []Add{testAdd(1)}}, next.Run)
 	must.Len(t, 1, r.Since(Vector{}, 10))
 }
 
-func TestReplicaThatIsCutOffConfirmsWithThoseItReaches(t *testing.T) {
+func TestCutOffReplicaConfirmsWithReachablePeers(t *testing.T) {
 	r := testReplica()
-	r.Append(oneAdd(1))
-	written(r)
-	silent(r, "b1", WitnessCut)
-	silent(r, "c1", WitnessCut)
-	must.Eq(t, 0, r.Confirmed(), must.Sprint("a2 is reachable"))
+	r.Append(testAdd(1))
+	completeWrite(r)
+	failCalls(r, "b1", WitnessCut)
+	failCalls(r, "c1", WitnessCut)
+	must.Eq(t, 0, r.Confirmed(), must.Sprint("a2 is reachable and has not acknowledged the add"))
 	r.Acked("a2", Ack{Held: 1, Durable: true, Zone: "a"})
 	must.Eq(t, 1, r.Confirmed())
 }
 
-func TestReplicasThatAreDownAreWaitedFor(t *testing.T) {
+func TestConfirmationWaitsForDownPeers(t *testing.T) {
 	r := testReplica()
-	r.Append(oneAdd(1))
-	written(r)
-	silent(r, "b1", WitnessDown)
-	silent(r, "c1", WitnessCut)
+	r.Append(testAdd(1))
+	completeWrite(r)
+	failCalls(r, "b1", WitnessDown)
+	failCalls(r, "c1", WitnessCut)
 	r.Acked("a2", Ack{Held: 1, Durable: true, Zone: "a"})
 	must.Eq(t, 0, r.Confirmed())
 	must.False(t, r.Confirmable())
@@ -93,18 +94,18 @@
 	must.Eq(t, 1, r.Confirmed())
 }
 
-// A partition may have healed since the newest evidence of it: what came later is not
-// acknowledged by it.
-func TestAddIsNotAcknowledgedByEvidenceOlderThanItself(t *testing.T) {
+// A partition may have healed after the last evidence of it, so that evidence must not allow the
+// acknowledgement of a request that arrived later.
+func TestAddIsNotAcknowledgedByOlderCutEvidence(t *testing.T) {
 	r := testReplica()
 	for _, addr := range []string{"a2", "b1", "c1"} {
-		silent(r, addr, WitnessCut)
+		failCalls(r, addr, WitnessCut)
 	}
-	number := r.Append(oneAdd(1))
-	written(r)
-	must.True(t, r.Acknowledged(number, 300_000), must.Sprint("the calls began as it came"))
+	number := r.Append(testAdd(1))
+	completeWrite(r)
+	must.True(t, r.Acknowledged(number, 300_000), must.Sprint("the last calls started when the add arrived"))
 	const laterUs = 900_000
-	must.False(t, r.Acknowledged(number, laterUs), must.Sprint("also where a client brings it again"))
+	must.False(t, r.Acknowledged(number, laterUs), must.Sprint("the same holds for a retry by the client"))
 	r.Await(laterUs)
 	for _, addr := range []string{"a2", "b1", "c1"} {
 		must.True(t, r.WantsCall(addr))
@@ -118,7 +119,7 @@
 	must.True(t, r.Acknowledged(number, laterUs))
 }
 
-func TestPeerIsUnreachableOnlyAfterFailuresForLong(t *testing.T) {
+func TestPeerIsUnreachableAfterSustainedFailures(t *testing.T) {
 	r := testReplica()
 	r.Failed("b1", 0, 300_000)
 	must.False(t, r.Unreachable("b1"))
@@ -133,21 +134,21 @@
 
 func TestRepeatedAddKeepsItsNumber(t *testing.T) {
 	r := testReplica()
-	must.Eq(t, 1, r.Append(oneAdd(1)))
-	must.Eq(t, 2, r.Append(oneAdd(2)))
-	must.Eq(t, 1, r.Append(oneAdd(1)))
-	r.Merge([]Run{{Origin: "other", First: 1, Adds: []Add{oneAdd(3)}}})
-	must.Eq(t, 3, r.Append(oneAdd(3)), must.Sprint("the other replica may be gone; this one vouches for it in its own log"))
-	must.Eq(t, 3, r.Append(oneAdd(3)))
+	must.Eq(t, 1, r.Append(testAdd(1)))
+	must.Eq(t, 2, r.Append(testAdd(2)))
+	must.Eq(t, 1, r.Append(testAdd(1)))
+	r.Merge([]Run{{Origin: "other", First: 1, Adds: []Add{testAdd(3)}}})
+	must.Eq(t, 3, r.Append(testAdd(3)), must.Sprint("the other replica may be lost, so this one appends the add to its own log"))
+	must.Eq(t, 3, r.Append(testAdd(3)))
 	must.Eq(t, 3, r.Set().Total("t"))
 }
 
-func TestPeerThatLostItsDiskIsSentEverythingAgain(t *testing.T) {
+func TestPeerThatLostItsDiskReceivesWholeLog(t *testing.T) {
 	r := testReplica()
 	for id := range 5 {
-		r.Append(oneAdd(id))
+		r.Append(testAdd(id))
 	}
-	written(r)
+	completeWrite(r)
 	r.Acked("b1", Ack{Held: 5, Durable: true, Zone: "b"})
 	_, wanted := r.Next("b1")
 	must.False(t, wanted)
@@ -157,15 +158,15 @@
 	must.Len(t, 5, next.Adds)
 }
 
-func TestFullReplicaLeavesAMarginToTheOthers(t *testing.T) {
+func TestFullReplicaReservesRoomForPeerAdds(t *testing.T) {
 	r := NewReplica(Config{Origin: "self", Durable: true, MaxAdds: 20}, NewSet())
 	for id := range 18 {
 		must.False(t, r.Full())
-		r.Append(oneAdd(id))
+		r.Append(testAdd(id))
 	}
 	must.True(t, r.Full())
 	for id := range 5 {
-		r.Merge([]Run{{Origin: "other", First: uint64(id) + 1, Adds: []Add{oneAdd(100 + id)}}})
+		r.Merge([]Run{{Origin: "other", First: uint64(id) + 1, Adds: []Add{testAdd(100 + id)}}})
 	}
 	must.Eq(t, 20, r.Set().Len())
 }
--- a/internal/tally/set.go
+++ b/internal/tally/set.go
@@ -5,24 +5,24 @@
 	"unsafe"
 )
 
-// stored is an add as the set holds it.
-type stored struct {
+// storedAdd is the representation of an add in the set.
+type storedAdd struct {
 	key    Key
 	amount int64
-	tally  uint32 // its place in Set.names
-	number uint32 // in the log of its origin
+	tally  uint32 // index in Set.names
+	number uint32 // number in the log of its origin
 }
 
-// Set is the union of the logs of all origins. Some 45 bytes are held an add.
+// Set is the union of the logs of all origins. It takes about 45 bytes of memory per add.
 type Set struct {
-	adds      []stored // in the order of their arrival, those of all origins
-	logs      map[Origin][]uint32
-	index     keyIndex
-	names     []string
-	tallies   map[string]uint32
-	totals    []int64 // by the place of the name
-	conflicts int64
-	distinct  int
+	adds      []storedAdd         // adds of all origins, in order of arrival
+	logs      map[Origin][]uint32 // by origin, the positions of its adds in adds
+	index     keyIndex            // positions of the adds that count
+	names     []string            // names of tallies
+	tallies   map[string]uint32   // by name, the index in names
+	totals    []int64             // by the index in names
+	conflicts int64               // see Conflicts
+	distinct  int                 // see Distinct
 }
 
 // NewSet returns an empty set.
@@ -30,48 +30,48 @@
 	return &Set{logs: map[Origin][]uint32{}, tallies: map[string]uint32{}}
 }
 
-// Total returns the sum of a tally, which is 0 for an unknown one.
+// Total returns the sum of a tally, or 0 if there is no such tally.
 func (s *Set) Total(name string) int64 {
-	place, ok := s.tallies[name]
+	index, ok := s.tallies[name]
 	if !ok {
 		return 0
 	}
-	return s.totals[place]
+	return s.totals[index]
 }
 
-// Distinct returns how many adds count; Len how many the logs hold.
+// Distinct returns the number of adds that count towards the totals (see Len).
 func (s *Set) Distinct() int { return s.distinct }
 
-// Len returns how many adds the logs hold; one that was brought to several replicas is
-// there several times.
+// Len returns the number of adds in all logs. An add that was sent to several replicas is
+// included several times.
 func (s *Set) Len() int { return len(s.adds) }
 
-// Conflicts returns how many adds came with the id of another one and another amount.
+// Conflicts returns the number of adds with the same key as an earlier add but another amount.
 func (s *Set) Conflicts() int64 { return s.conflicts }
 
-// MemoryBytes returns how many bytes the adds and what finds them take.
+// MemoryBytes returns the memory taken by the adds and their indexes, in bytes.
 func (s *Set) MemoryBytes() int {
-	const placeBytes = int(unsafe.Sizeof(uint32(0)))
-	bytes := cap(s.adds)*int(unsafe.Sizeof(stored{})) + len(s.index.slots)*placeBytes
+	const positionBytes = int(unsafe.Sizeof(uint32(0)))
+	bytes := cap(s.adds)*int(unsafe.Sizeof(storedAdd{})) + len(s.index.slots)*positionBytes
 	for _, log := range s.logs {
-		bytes += cap(log) * placeBytes
+		bytes += cap(log) * positionBytes
 	}
 	return bytes
 }
 
-// Tallies returns how many tallies there are.
+// Tallies returns the number of tallies.
 func (s *Set) Tallies() int { return len(s.names) }
 
-// Contains reports whether an add with this key is held.
+// Contains reports whether the set has an add with this key.
 func (s *Set) Contains(key Key) bool {
 	_, ok := s.index.find(s.adds, key)
 	return ok
 }
 
-// Held returns how much is held of the log of an origin.
+// Held returns the number up to which the set has the log of an origin.
 func (s *Set) Held(origin Origin) uint64 { return uint64(len(s.logs[origin])) }
 
-// Vector returns how much is held of each log.
+// Vector returns the version vector of the set: what Held returns for each origin.
 func (s *Set) Vector() Vector {
 	vector := make(Vector, len(s.logs))
 	for origin, log := range s.logs {
@@ -80,79 +80,80 @@
 	return vector
 }
 
-// Digest is equal for sets that hold the same parts of the same logs. Sets that differ have
-// the same one by chance only.
+// Digest returns a hash of the version vector. It is equal for sets with the same vector; sets
+// with different vectors have the same digest only by a hash collision.
 func (s *Set) Digest() uint64 { return s.Vector().Digest() }
 
-// Merge takes a run in. What is held already is passed over; a run that begins beyond what
-// is held leaves a gap and is not taken. It returns the part that was new.
+// Merge appends a run to the log of its origin and returns the part that was new. Adds that the
+// set already has are skipped; a run that would leave a gap after the log is ignored.
 func (s *Set) Merge(run Run) (added Run) {
 	held := s.Held(run.Origin)
 	end := run.First + uint64(len(run.Adds)) // the number after the last
 	if run.First == 0 || run.First > held+1 || end <= held+1 {
 		return Run{Origin: run.Origin, First: held + 1}
 	}
-	fresh := run.Adds[held+1-run.First:]
-	for _, add := range fresh {
+	missing := run.Adds[held+1-run.First:]
+	for _, add := range missing {
 		s.append(run.Origin, add)
 	}
-	return Run{Origin: run.Origin, First: held + 1, Adds: fresh}
+	return Run{Origin: run.Origin, First: held + 1, Adds: missing}
 }
 
-// append adds to the end of an origin's log.
+// append appends an add to an origin's log.
 func (s *Set) append(origin Origin, add Add) {
-	place := s.place(add.Tally)
-	at := uint32(len(s.adds))
-	s.logs[origin] = append(s.logs[origin], at)
-	s.adds = append(s.adds, stored{key: add.Key, amount: add.Amount, tally: place, number: uint32(len(s.logs[origin]))})
-	known, ok := s.index.find(s.adds[:at], add.Key)
+	nameIndex := s.tallyIndex(add.Tally)
+	position := uint32(len(s.adds))
+	s.logs[origin] = append(s.logs[origin], position)
+	s.adds = append(s.adds, storedAdd{key: add.Key, amount: add.Amount, tally: nameIndex, number: uint32(len(s.logs[origin]))})
+	existing, ok := s.index.find(s.adds[:position], add.Key)
 	if !ok {
-		s.index.insert(s.adds, at)
-		s.totals[place] += add.Amount
+		s.index.insert(s.adds, position)
+		s.totals[nameIndex] += add.Amount
 		s.distinct++
 		return
 	}
-	counted := &s.adds[known]
+	counted := &s.adds[existing]
 	if counted.amount == add.Amount {
 		return
 	}
 	s.conflicts++
 	if add.Amount > counted.amount {
-		s.totals[place] += add.Amount - counted.amount
-		s.index.replace(s.adds, known, at)
+		s.totals[nameIndex] += add.Amount - counted.amount
+		s.index.replace(s.adds, existing, position)
 	}
 }
 
-// place returns the place of a tally's name, which is new if need be.
-func (s *Set) place(name string) uint32 {
-	place, ok := s.tallies[name]
+// tallyIndex returns the index of a tally's name, which it adds if it is new.
+func (s *Set) tallyIndex(name string) uint32 {
+	index, ok := s.tallies[name]
 	if !ok {
-		place = uint32(len(s.names))
+		index = uint32(len(s.names))
 		s.names = append(s.names, name)
 		s.totals = append(s.totals, 0)
-		s.tallies[name] = place
+		s.tallies[name] = index
 	}
-	return place
+	return index
 }
 
-// Run returns at most so many adds of the log of an origin from a number on.
-func (s *Set) Run(origin Origin, first uint64, most int) Run {
+// Run returns the adds of the log of an origin from a number on, up to the given number of adds.
+func (s *Set) Run(origin Origin, first uint64, limit int) Run {
 	log := s.logs[origin]
 	run := Run{Origin: origin, First: first}
 	if first == 0 || first > uint64(len(log)) {
 		return run
 	}
 	rest := log[first-1:]
-	for _, at := range rest[:min(len(rest), most)] {
-		held := s.adds[at]
-		run.Adds = append(run.Adds, Add{Tally: s.names[held.tally], Key: held.key, Amount: held.amount})
+	for _, position := range rest[:min(len(rest), limit)] {
+		add := s.adds[position]
+		run.Adds = append(run.Adds, Add{Tally: s.names[add.tally], Key: add.key, Amount: add.amount})
 	}
 	return run
 }
 
-// Since returns at most so many adds that a replica with the given vector lacks. The logs
-// come in the order of their names, so that repeated calls get everything.
-func (s *Set) Since(vector Vector, most int) []Run {
+// Since returns the runs that a replica with the given vector lacks, up to the given number of
+// adds. The logs are ordered by origin, so that repeated calls with an updated vector return
+// everything.
+func (s *Set) Since(vector Vector, limit int) []Run {
 	var lacking []Origin
 	for origin, log := range s.logs {
 		if uint64(len(log)) > vector[origin] {
@@ -162,11 +163,11 @@
 	slices.Sort(lacking)
 	var runs []Run
 	for _, origin := range lacking {
-		if most <= 0 {
+		if limit <= 0 {
 			break
 		}
-		run := s.Run(origin, vector[origin]+1, most)
-		most -= len(run.Adds)
+		run := s.Run(origin, vector[origin]+1, limit)
+		limit -= len(run.Adds)
 		runs = append(runs, run)
 	}
 	return runs
--- a/internal/tally/set_test.go
+++ b/internal/tally/set_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// history is the logs of several origins. Some ids are in more than one of them, and a few of
-// those with another amount.
-func history(random *rand.Rand) []Run {
+// randomLogs returns the logs of several origins. Some IDs are in more than one log, a few of those
+// with different amounts.
+func randomLogs(random *rand.Rand) []Run {
 	var runs []Run
 	for origin := range 4 {
 		run := Run{Origin: Origin(fmt.Sprint("o", origin)), First: 1}
@@ -28,8 +28,8 @@
 	return runs
 }
 
-// expected sums what a set of runs counts, without a Set: the largest amount of each key.
-func expected(runs []Run) map[string]int64 {
+// expectedTotals computes the totals of runs without a Set: the largest amount of each key counts.
+func expectedTotals(runs []Run) map[string]int64 {
 	counted := map[Key]Add{}
 	for _, run := range runs {
 		for _, add := range run.Adds {
@@ -45,28 +45,28 @@
 	return totals
 }
 
-// pieces cuts runs into shorter ones that overlap.
-func pieces(random *rand.Rand, runs []Run) []Run {
+// overlappingPieces splits runs into shorter ones that overlap.
+func overlappingPieces(random *rand.Rand, runs []Run) []Run {
 	var out []Run
 	for _, run := range runs {
-		for at := 0; at < len(run.Adds); {
-			from := max(at-random.IntN(3), 0)
-			to := min(at+1+random.IntN(6), len(run.Adds))
+		for next := 0; next < len(run.Adds); {
+			from := max(next-random.IntN(3), 0)
+			to := min(next+1+random.IntN(6), len(run.Adds))
 			out = append(out, Run{Origin: run.Origin, First: uint64(from) + 1, Adds: run.Adds[from:to]})
-			at = to
+			next = to
 		}
 	}
 	return out
 }
 
-func TestMergeGivesTheSameInAnyOrderAndAnyNumberOfTimes(t *testing.T) {
+func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		runs := history(random)
+		runs := randomLogs(random)
 		var digests []uint64
 		for range 3 {
-			set := mergedInPieces(random, runs)
-			for name, total := range expected(runs) {
+			set := mergeInPieces(random, runs)
+			for name, total := range expectedTotals(runs) {
 				must.Eq(t, total, set.Total(name), must.Sprintf("seed %d", seed))
 			}
 			digests = append(digests, set.Digest())
@@ -75,22 +75,22 @@
 	}
 }
 
-// mergedInPieces merges runs in overlapping pieces, shuffled and doubled. A piece that leaves a
-// gap has to come again.
-func mergedInPieces(random *rand.Rand, runs []Run) *Set {
+// mergeInPieces merges runs in overlapping pieces, shuffled and each merged twice. Pieces that
+// would leave a gap are ignored by Merge and merged again in the next round.
+func mergeInPieces(random *rand.Rand, runs []Run) *Set {
 	set := NewSet()
-	for set.Len() < runLength(runs) {
-		parts := pieces(random, runs)
-		random.Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
-		for _, part := range parts {
-			set.Merge(part)
-			set.Merge(part)
+	for set.Len() < countAdds(runs) {
+		pieces := overlappingPieces(random, runs)
+		random.Shuffle(len(pieces), func(i, j int) { pieces[i], pieces[j] = pieces[j], pieces[i] })
+		for _, piece := range pieces {
+			set.Merge(piece)
+			set.Merge(piece)
 		}
 	}
 	return set
 }
 
-func runLength(runs []Run) int {
+func countAdds(runs []Run) int {
 	sum := 0
 	for _, run := range runs {
 		sum += len(run.Adds)
@@ -100,7 +100,7 @@
 
 func TestMergeOfSetsIsAssociative(t *testing.T) {
 	for seed := range uint64(100) {
-		runs := history(rand.New(rand.NewPCG(seed, 2)))
+		runs := randomLogs(rand.New(rand.NewPCG(seed, 2)))
 		a, b, c := NewSet(), NewSet(), NewSet()
 		a.Merge(runs[0])
 		a.Merge(runs[1])
@@ -125,7 +125,7 @@
 	return out
 }
 
-func TestRunWithAGapIsNotTaken(t *testing.T) {
+func TestMergeIgnoresRunAfterGap(t *testing.T) {
 	set := NewSet()
 	run := Run{Origin: "o", First: 2, Adds: []Add{{Tally: "t", Key: KeyOf("t", "1"), Amount: 1}}}
 	must.Len(t, 0, set.Merge(run).Adds)
@@ -141,7 +141,7 @@
 	must.NotEq(t, KeyOf("ab", "c"), KeyOf("a", "bc"))
 }
 
-func TestOtherAmountUnderTheSameIDIsCountedAndTheLargerHolds(t *testing.T) {
+func TestConflictingAmountsCountLargerOne(t *testing.T) {
 	small, large := Add{Tally: "t", Key: KeyOf("t", "1"), Amount: 1}, Add{Tally: "t", Key: KeyOf("t", "1"), Amount: 5}
 	for _, adds := range [][]Add{{small, large}, {large, small}} {
 		set := NewSet()
@@ -152,13 +152,13 @@
 	}
 }
 
-func TestSinceGivesWhatAVectorLacksInBoundedPieces(t *testing.T) {
-	runs := history(rand.New(rand.NewPCG(7, 7)))
+func TestSinceReturnsMissingAddsWithinLimit(t *testing.T) {
+	runs := randomLogs(rand.New(rand.NewPCG(7, 7)))
 	source, target := NewSet(), NewSet()
 	for _, run := range runs {
 		source.Merge(run)
 	}
-	for range runLength(runs) {
+	for range countAdds(runs) {
 		for _, run := range source.Since(target.Vector(), 3) {
 			must.LessEq(t, 3, len(run.Adds))
 			target.Merge(run)
