--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -1,19 +1,21 @@
-// Package reachability tells which zones a node cannot reach. It pings nodes of each other
-// zone, few while they answer and several at once when one does not, so that a zone whose way
-// is cut is known within a second, and one dead node says nothing of its zone. It is pure: the
-// owner gives it the time and the nodes, sends the pings and hands the answers over.
+// Package reachability detects which zones a node cannot reach. It pings nodes of each other
+// zone: one at a time while they answer, several at once after a missing answer. So a cut zone is
+// detected within a second, and a single dead node does not make its zone unreachable. The
+// package is pure: the caller supplies the time and the nodes, sends the pings and passes on the
+// answers.
 //
 // # What it guarantees
 //
-// A zone counts as unreachable only after pings to several of its nodes (all, where there are
-// fewer) in a row of rounds went unanswered, and as reachable again after two answers to pings
-// that were sent since. Whatever else was asked of the zone since the first of these pings, and
-// was answered, counts as an answer to them. A zone of which no node is known counts as
-// reachable.
+// A zone becomes unreachable only after several consecutive rounds of pings went unanswered, all
+// but the first of them to several of its nodes (to all if it has fewer). It becomes reachable
+// again after two answers to pings that were sent since. The answer to any other request that was
+// sent to the zone since the first of the unanswered pings also ends the rounds. A zone without
+// known nodes counts as reachable.
 //
-// Silence says nothing of a zone where the cause may be this node: after a pause of the process
-// the rounds begin anew, and so they do where the control pings that go to nodes of the own zone
-// beside each further round were not answered by most of them, as on a link that is full.
+// Missing answers are no evidence if their cause may be at this node. The rounds are therefore
+// restarted after a pause of the process. They are also restarted if the control pings, which are
+// sent to nodes of the node's own zone along with each round after the first, were not answered by
+// most of them, as on a saturated link.
 //
 // A Tracker is not safe for concurrent use. Times are microseconds of a monotonic clock.
 package reachability
@@ -25,70 +27,71 @@
 
 // Config holds the intervals of a Tracker, in microseconds, and how many pings are sent.
 type Config struct {
-	IdleUs     int64 // between pings to a zone that answers
-	RoundUs    int64 // how long a round of pings waits for an answer
-	PauseUs    int64 // how late a tick is when the process itself has stood still
-	ConfirmBy  int   // pings of a further round, to different nodes
-	Rounds     int   // rounds without an answer until a zone is unreachable
-	ReturnAcks int   // answers until an unreachable zone is reachable again
+	IdleUs             int64 // between pings to a zone that answers
+	RoundTimeoutUs     int64 // how long a round of pings waits for an answer
+	MaxTickDelayUs     int64 // delay of a tick above which the process counts as having been paused
+	PingsPerRetryRound int   // pings in each round after the first, to different nodes
+	UnansweredRounds   int   // unanswered rounds until a zone becomes unreachable
+	RecoveryAcks       int   // answers until an unreachable zone becomes reachable again
 }
 
-// DefaultConfig finds a cut within 0.6 s on links of up to some 50 ms.
-var DefaultConfig = Config{IdleUs: 250_000, RoundUs: 110_000, PauseUs: 200_000, ConfirmBy: 3, Rounds: 3, ReturnAcks: 2}
+// DefaultConfig detects a cut within 0.6 s on links with a latency of up to about 50 ms.
+var DefaultConfig = Config{IdleUs: 250_000, RoundTimeoutUs: 110_000, MaxTickDelayUs: 200_000, PingsPerRetryRound: 3, UnansweredRounds: 3, RecoveryAcks: 2}
 
-// Ping is to be sent to a node, which answers with the same number.
+// Ping is a ping for the caller to send. The node answers with the same sequence number.
 type Ping struct {
 	To  string
 	Seq int64
 }
 
-// Tracker is what one node knows of the other zones.
+// Tracker tracks the reachability of the other zones from one node.
 type Tracker struct {
-	config Config
-	random func(n int) int // a number from 0 to n-1
-	zones  map[string]*zone
-	seq    int64
-	dueUs  int64 // when the next tick was due at the last one; 0: there was none
+	config         Config
+	random         func(n int) int // returns a number from 0 to n-1
+	zones          map[string]*zone
+	seq            int64 // of the last ping
+	expectedTickUs int64 // when the next tick is due, as of the last tick; 0 before the first tick
 
-	ownNodes []string           // other nodes of the own zone
-	controls map[int64]*control // by the numbers of their pings
-	doubted  int64              // how often the control pings kept a zone from being unreachable
+	ownNodes   []string                // other nodes of the node's own zone
+	controls   map[int64]*controlPings // by sequence number of their pings
+	suppressed int64                   // how often unanswered control pings kept a zone reachable
 }
 
-// control is the pings to nodes of the own zone that went out beside a round.
-type control struct{ sent, acks int }
+// controlPings counts the control pings, to nodes of the node's own zone, sent along with a round.
+type controlPings struct{ sent, acks int }
 
-func (c *control) answered() bool { return 2*c.acks > c.sent }
+func (c *controlPings) mostlyAnswered() bool { return 2*c.acks > c.sent }
 
-// zone is what is known of one zone.
+// zone is the state of one other zone.
 type zone struct {
-	nodes    []string
-	round    int   // rounds that are unanswered, this one included; 0: none is under way
-	untilUs  int64 // when the round ends, or the next one begins
-	firstSeq int64 // pings before this one do not count any more
-	beganUs  int64 // when the first of the unanswered rounds began
-	controls []*control
-	acks     int   // answers since the zone became unreachable
-	sinceUs  int64 // since when it is unreachable; 0: it is not
-	backUs   int64 // when it was reachable again
-}
-
-// NewTracker returns a tracker to which all zones are reachable.
+	nodes              []string
+	unansweredRounds   int   // consecutive unanswered rounds, including the current one; 0: no current round
+	nextRoundUs        int64 // when the current round ends or the next one begins
+	minSeq             int64 // answers to pings with lower sequence numbers are ignored
+	firstRoundUs       int64 // start of the first of the unanswered rounds
+	controls           []*controlPings
+	recoveryAcks       int   // answers since the zone became unreachable
+	unreachableSinceUs int64 // since when the zone is unreachable; 0: it is reachable
+	reachableSinceUs   int64 // when the zone last became reachable again
+}
+
+// NewTracker returns a tracker that has no zones yet. random returns a number from 0 to n-1.
 func NewTracker(config Config, random func(n int) int) *Tracker {
-	return &Tracker{config: config, random: random, zones: map[string]*zone{}, controls: map[int64]*control{}}
+	return &Tracker{config: config, random: random, zones: map[string]*zone{}, controls: map[int64]*controlPings{}}
 }
 
-// SetOwnNodes sets the other nodes of the own zone, which get the control pings. Where there are
-// fewer than Config.ConfirmBy none are sent.
+// SetOwnNodes sets the other nodes of this node's own zone, which receive the control pings. If
+// there are fewer than Config.PingsPerRetryRound, no control pings are sent.
 func (t *Tracker) SetOwnNodes(nodes []string) { t.ownNodes = nodes }
 
-// Doubted returns how often a zone would have been unreachable but for the control pings.
-func (t *Tracker) Doubted() int64 { return t.doubted }
+// Doubted returns how often a zone would have become unreachable if control pings had not gone
+// unanswered.
+func (t *Tracker) Doubted() int64 { return t.suppressed }
 
-// SetIdle sets the time between two rounds while all is well, Config.IdleUs anew.
+// SetIdle changes Config.IdleUs, the time between two pings to a zone that answers.
 func (t *Tracker) SetIdle(us int64) { t.config.IdleUs = us }
 
-// SetNodes sets the nodes of the other zones.
+// SetNodes sets the nodes of the other zones by zone. Zones without nodes are removed.
 func (t *Tracker) SetNodes(byZone map[string][]string) {
 	for name := range t.zones {
 		if len(byZone[name]) == 0 {
@@ -105,93 +108,94 @@
 	}
 }
 
-// NextUs returns when Tick is next to be called; 0 where no node of another zone is known.
+// NextUs returns when Tick is to be called next; 0 if there are no nodes of other zones.
 func (t *Tracker) NextUs() int64 {
 	next := int64(0)
 	for _, z := range t.zones {
-		if next == 0 || z.untilUs < next {
-			next = max(z.untilUs, 1)
+		if next == 0 || z.nextRoundUs < next {
+			next = max(z.nextRoundUs, 1)
 		}
 	}
 	return next
 }
 
-// Tick lets time pass and returns the pings that are due.
+// Tick advances the tracker to nowUs and returns the pings that are due.
 func (t *Tracker) Tick(nowUs int64) []Ping {
-	stoodStill := t.dueUs > 0 && nowUs-t.dueUs > t.config.PauseUs
-	defer func() { t.dueUs = t.NextUs() }()
+	wasPaused := t.expectedTickUs > 0 && nowUs-t.expectedTickUs > t.config.MaxTickDelayUs
+	defer func() { t.expectedTickUs = t.NextUs() }()
 	var pings []Ping
-	var beside *control // goes out with the first further round of this tick
+	var control *controlPings // shared by all rounds of this tick that need control pings
 	for _, name := range slices.Sorted(maps.Keys(t.zones)) {
 		z := t.zones[name]
-		if stoodStill && z.sinceUs == 0 {
-			z.beginAnew()
-			z.untilUs = nowUs
+		if wasPaused && z.unreachableSinceUs == 0 {
+			z.resetRounds()
+			z.nextRoundUs = nowUs
 		}
-		if nowUs < z.untilUs {
+		if nowUs < z.nextRoundUs {
 			continue
 		}
-		pings = append(pings, t.next(z, nowUs)...)
-		if z.round < 2 || z.sinceUs > 0 || len(t.ownNodes) < t.config.ConfirmBy {
+		pings = append(pings, t.startRound(z, nowUs)...)
+		if z.unansweredRounds < 2 || z.unreachableSinceUs > 0 || len(t.ownNodes) < t.config.PingsPerRetryRound {
 			continue
 		}
-		if beside == nil {
-			var own []Ping
-			beside, own = t.beginControl()
-			pings = append(pings, own...)
+		if control == nil {
+			var pingsToOwn []Ping
+			control, pingsToOwn = t.startControlPings()
+			pings = append(pings, pingsToOwn...)
 		}
-		z.controls = append(z.controls, beside)
+		z.controls = append(z.controls, control)
 	}
 	return pings
 }
 
-// beginControl pings nodes of the own zone. Earlier control pings that no zone waits for any more
-// are forgotten.
-func (t *Tracker) beginControl() (*control, []Ping) {
-	maps.DeleteFunc(t.controls, func(seq int64, _ *control) bool { return t.seq-seq > mostControlAge })
-	pings := t.ping(t.ownNodes, t.config.ConfirmBy)
-	c := &control{sent: len(pings)}
+// startControlPings returns control pings to nodes of the node's own zone and their counter. It
+// also discards control pings that are too old for any zone to depend on them.
+func (t *Tracker) startControlPings() (*controlPings, []Ping) {
+	maps.DeleteFunc(t.controls, func(seq int64, _ *controlPings) bool { return t.seq-seq > maxControlAge })
+	pings := t.newPings(t.ownNodes, t.config.PingsPerRetryRound)
+	c := &controlPings{sent: len(pings)}
 	for _, p := range pings {
 		t.controls[p.Seq] = c
 	}
 	return c, pings
 }
 
-// mostControlAge is after how many further pings a control ping is forgotten.
-const mostControlAge = 1_000
+// maxControlAge is the number of later pings after which a control ping is discarded.
+const maxControlAge = 1_000
 
-func (z *zone) beginAnew() { z.round, z.controls = 0, nil }
+func (z *zone) resetRounds() { z.unansweredRounds, z.controls = 0, nil }
 
-// doubtful reports whether the silence of a zone may have its cause at this node.
-func (z *zone) doubtful() bool {
-	return slices.ContainsFunc(z.controls, func(c *control) bool { return !c.answered() })
+// localFaultSuspected reports whether the cause of the missing answers may be at this node.
+func (z *zone) localFaultSuspected() bool {
+	return slices.ContainsFunc(z.controls, func(c *controlPings) bool { return !c.mostlyAnswered() })
 }
 
-// next begins the next round of a zone.
-func (t *Tracker) next(z *zone, nowUs int64) []Ping {
-	if z.round >= t.config.Rounds && z.sinceUs == 0 {
-		if z.doubtful() {
-			t.doubted++
-			z.beginAnew()
+// startRound begins the next round of a zone. The zone becomes unreachable if
+// Config.UnansweredRounds rounds went unanswered and most of the control pings were answered.
+func (t *Tracker) startRound(z *zone, nowUs int64) []Ping {
+	if z.unansweredRounds >= t.config.UnansweredRounds && z.unreachableSinceUs == 0 {
+		if z.localFaultSuspected() {
+			t.suppressed++
+			z.resetRounds()
 		} else {
-			z.sinceUs, z.acks = nowUs, 0
-			z.firstSeq = t.seq + 1
+			z.unreachableSinceUs, z.recoveryAcks = nowUs, 0
+			z.minSeq = t.seq + 1
 		}
 	}
-	count := t.config.ConfirmBy
-	if z.round == 0 {
+	count := t.config.PingsPerRetryRound
+	if z.unansweredRounds == 0 {
 		count = 1
-		z.beganUs = nowUs
+		z.firstRoundUs = nowUs
 	}
-	if z.sinceUs == 0 {
-		z.round++
+	if z.unreachableSinceUs == 0 {
+		z.unansweredRounds++
 	}
-	z.untilUs = nowUs + t.config.RoundUs
-	return t.ping(z.nodes, count)
+	z.nextRoundUs = nowUs + t.config.RoundTimeoutUs
+	return t.newPings(z.nodes, count)
 }
 
-// ping chooses nodes at random.
-func (t *Tracker) ping(from []string, count int) []Ping {
+// newPings returns pings to up to count random nodes.
+func (t *Tracker) newPings(from []string, count int) []Ping {
 	nodes := slices.Clone(from)
 	var pings []Ping
 	for range min(count, len(nodes)) {
@@ -203,7 +207,7 @@
 	return pings
 }
 
-// Acked records an answer to a ping by a node of a zone, the own one included.
+// Acked records the answer to a ping by a node of a zone, which may be the node's own zone.
 func (t *Tracker) Acked(name string, seq, nowUs int64) {
 	if c := t.controls[seq]; c != nil {
 		c.acks++
@@ -211,44 +215,44 @@
 		return
 	}
 	z := t.zones[name]
-	if z == nil || seq < z.firstSeq {
+	if z == nil || seq < z.minSeq {
 		return
 	}
-	if z.sinceUs > 0 {
-		if z.acks++; z.acks < t.config.ReturnAcks {
+	if z.unreachableSinceUs > 0 {
+		if z.recoveryAcks++; z.recoveryAcks < t.config.RecoveryAcks {
 			return
 		}
-		z.sinceUs, z.backUs = 0, nowUs
+		z.unreachableSinceUs, z.reachableSinceUs = 0, nowUs
 	}
 	t.endRounds(z, nowUs)
 }
 
-// Answered records that something of a zone, be it a node or a runner, has answered what it was
-// asked at askedUs. It does not bring an unreachable zone back: only pings do.
-func (t *Tracker) Answered(name string, askedUs, nowUs int64) {
-	if z := t.zones[name]; z != nil && z.sinceUs == 0 && z.round > 0 && askedUs >= z.beganUs {
+// Answered records that a node or a runner of a zone has answered a request that was sent at
+// sentUs. It does not make an unreachable zone reachable again: only answers to pings do.
+func (t *Tracker) Answered(name string, sentUs, nowUs int64) {
+	if z := t.zones[name]; z != nil && z.unreachableSinceUs == 0 && z.unansweredRounds > 0 && sentUs >= z.firstRoundUs {
 		t.endRounds(z, nowUs)
 	}
 }
 
 // endRounds ends the unanswered rounds of a zone.
 func (t *Tracker) endRounds(z *zone, nowUs int64) {
-	z.beginAnew()
-	z.firstSeq = t.seq + 1
-	z.untilUs = nowUs + t.config.IdleUs
+	z.resetRounds()
+	z.minSeq = t.seq + 1
+	z.nextRoundUs = nowUs + t.config.IdleUs
 }
 
-// Unreachable returns the zones that are unreachable, and since when.
+// Unreachable returns the unreachable zones and since when each of them has been unreachable.
 func (t *Tracker) Unreachable() map[string]int64 {
 	var out map[string]int64
 	for name, z := range t.zones {
-		if z.sinceUs == 0 {
+		if z.unreachableSinceUs == 0 {
 			continue
 		}
 		if out == nil {
 			out = map[string]int64{}
 		}
-		out[name] = z.sinceUs
+		out[name] = z.unreachableSinceUs
 	}
 	return out
 }
