--- a/internal/clocksync/shared.go
+++ b/internal/clocksync/shared.go
@@ -12,30 +12,30 @@
 	clock Clock
 }
 
-// SetVotes says that this node's own offset counts beside those of others.
+// SetVotes sets Clock.Votes, so that this node's own offset counts in the median.
 func (s *Shared) SetVotes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock.Votes = true
 }
 
-// Observe is Clock.Observe.
+// Observe calls Clock.Observe.
 func (s *Shared) Observe(timeOfDayUs, nowUs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock.Observe(timeOfDayUs, nowUs)
 }
 
-// Compare takes the time of day of a controller from its answer to a comparison of
-// versions.
+// Compare calls Clock.Compare with the time of day of a controller, from its answer to a
+// comparison of versions.
 func (s *Shared) Compare(addr string, answer messages.Versions, sentUs, answeredUs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock.Compare(addr, answer.TimeUs, answer.TimeAgreed, sentUs, answeredUs)
 }
 
-// TimeUs is Clock.TimeUs.
-func (s *Shared) TimeUs(nowUs int64) (timeOfDayUs int64, agreed bool) {
+// TimeUs calls Clock.TimeUs.
+func (s *Shared) TimeUs(nowUs int64) (timeOfDayUs int64, synchronized bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.clock.TimeUs(nowUs)
