--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// maxMarkedDead considers the nodes from first up to but excluding last, and returns the largest number
-// of them that any one of them has marked dead.
+// maxMarkedDead considers the nodes from first up to but excluding last, and returns the largest
+// number of them that any one of them has marked dead.
 func (n *network) maxMarkedDead(first, last int) int {
 	maxDead := 0
 	for i := first; i < last; i++ {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -64,8 +64,8 @@
 	return []Datagram{v.newProbe(target, messages.Probe{Seq: v.seq, Gossip: v.gossip(v.peers[target])})}
 }
 
-// maxVerifyProbesPerTick bounds the probes of suspects in one tick: after a partition of a large fleet
-// heals, hundreds of peers become suspect at once.
+// maxVerifyProbesPerTick bounds the probes of suspects in one tick: after a partition of a large
+// fleet heals, hundreds of peers become suspect at once.
 const maxVerifyProbesPerTick = 20
 
 // probeSuspects probes peers that have become suspect, in most cases because of an entry
@@ -146,7 +146,7 @@
 	return out
 }
 
-// pickAlive returns up to n random peers that are alive, excluding the one at except.
+// pickAlive returns the addresses of up to n random live peers, excluding the one at except.
 func (v *View) pickAlive(n int, except string) []string {
 	var alive []string
 	for addr, state := range v.peers {
@@ -164,14 +164,14 @@
 
 // Receive handles a message from another node and returns the datagrams to send.
 func (v *View) Receive(kind int, msg messages.Probe, nowUs int64) []Datagram {
-	peersBefore, known := len(v.peers), v.HasEntry(msg.From.Addr)
+	peersBefore, hadEntry := len(v.peers), v.HasEntry(msg.From.Addr)
 	v.setStatus(msg.From, messages.Alive, nowUs)
 	for _, peer := range msg.Gossip {
 		v.merge(peer, nowUs)
 	}
 	switch kind {
 	case transport.KindProbe:
-		return append(v.queryPeer(msg, nowUs), v.receiveProbe(msg, known))
+		return append(v.queryPeer(msg, nowUs), v.receiveProbe(msg, hadEntry))
 	case transport.KindAck:
 		return append(v.queryPeer(msg, nowUs), v.receiveAck(msg, nowUs)...)
 	case transport.KindPeerQuery:
@@ -182,14 +182,14 @@
 	return nil
 }
 
-func (v *View) receiveProbe(msg messages.Probe, known bool) Datagram {
+func (v *View) receiveProbe(msg messages.Probe, hadEntry bool) Datagram {
 	from := msg.From.Addr
 	switch {
 	case msg.Of != "" && msg.Of != v.self.Addr: // a request to probe another peer
 		return v.newProbe(msg.Of, messages.Probe{Seq: msg.Seq, Through: from, Gossip: v.gossip(nil)})
 	case msg.Through != "": // a probe sent by a relay
 		return v.newAck(from, messages.Probe{Seq: msg.Seq, Through: msg.Through, Gossip: v.gossip(nil)})
-	case known, msg.Digest != 0: // a sender with a digest queries the entries it lacks
+	case hadEntry, msg.Digest != 0: // a sender with a digest queries the entries it lacks
 		return v.newAck(from, messages.Probe{Seq: msg.Seq, Gossip: v.gossip(v.peers[from])})
 	default:
 		return v.newAck(from, messages.Probe{Seq: msg.Seq, Gossip: v.joinGossip(v.peers[from])})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -164,8 +164,8 @@
 	return append(out, v.probeNext(nowUs)...)
 }
 
-// AwaitingReply reports whether an acknowledgement or a refutation is pending, in which case Tick is to
-// be called at short intervals.
+// AwaitingReply reports whether an acknowledgement or a refutation is pending, in which case Tick
+// must be called at short intervals.
 func (v *View) AwaitingReply() bool {
 	if len(v.pendingProbes) > 0 {
 		return true
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -84,8 +84,8 @@
 // there are fewer than Config.PingsPerRetryRound, no control pings are sent.
 func (t *Tracker) SetOwnNodes(nodes []string) { t.ownNodes = nodes }
 
-// Doubted returns how often a zone would have become unreachable if control pings had not gone
-// unanswered.
+// Doubted returns how often a zone would have become unreachable if control pings had not
+// gone unanswered.
 func (t *Tracker) Doubted() int64 { return t.suppressed }
 
 // SetIdle changes Config.IdleUs, the time between two pings to a zone that answers.
--- a/internal/tally/log.go
+++ b/internal/tally/log.go
@@ -93,8 +93,8 @@
 	return opened, opened.beginFirstSegment(unsealedRuns, replaced)
 }
 
-// beginFirstSegment writes the first segment since the start of the process and removes those that it
-// replaces.
+// beginFirstSegment writes the first segment since the start of the process and removes the
+// segments that it replaces.
 func (o *OpenResult) beginFirstSegment(runs []Run, replaced []int64) error {
 	if err := o.Log.beginSegment(o.Origin, joinRuns(runs)); err != nil {
 		return err
@@ -165,7 +165,8 @@
 	}
 }
 
-// applyRecord applies a record and reports whether it was valid. Records of unknown kinds are skipped.
+// applyRecord applies a record and reports whether it was valid. Records of unknown kinds are
+// skipped.
 func (s *segmentContent) applyRecord(payload []byte) bool {
 	switch payload[0] {
 	case recordOrigin:
@@ -260,7 +261,8 @@
 	return l.beginSegment(l.origin, nil)
 }
 
-// beginFirstSegment creates the next segment with the given runs, durably, and makes it the active one.
+// beginSegment creates the next segment with the given runs, durably, and makes it the active
+// one.
 func (l *Log) beginSegment(origin Origin, runs []Run) error {
 	l.origin = origin
 	l.lastNumber++
@@ -320,8 +322,8 @@
 	}
 }
 
-// listSegments returns the numbers of the segments, oldest first, and removes the temporary files of
-// interrupted writes.
+// listSegments returns the numbers of the segments, oldest first, and removes the temporary files
+// of interrupted writes.
 func listSegments(files filesystem.FileSystem) ([]int64, error) {
 	names, err := files.List()
 	if err != nil {
--- a/internal/tally/log_test.go
+++ b/internal/tally/log_test.go
@@ -17,8 +17,8 @@
 
 const testSegmentSize = 2000 // bytes
 
-// appendAndWrite appends adds to the own log and writes them. It returns the number up to which the log
-// is durable for certain.
+// appendAndWrite appends adds to the own log and writes them. It returns the number up to which the
+// log is durable for certain.
 func appendAndWrite(random *rand.Rand, opened *OpenResult, serial *int) (durable uint64) {
 	replica := NewReplica(Config{Origin: opened.Origin, Durable: true}, opened.Set)
 	durable = opened.Set.Held(opened.Origin)
@@ -161,18 +161,18 @@
 	must.Eq(t, first.Origin, again.Origin)
 	replica := NewReplica(Config{Origin: again.Origin, Durable: true}, again.Set)
 	replica.RewriteAll()
-	held := again.Set.Held(again.Origin)
-	must.Positive(t, held)
+	length := again.Set.Held(again.Origin)
+	must.Positive(t, length)
 	must.Eq(t, 0, replica.Durable(again.Origin))
 	files.SetFull(false)
 	must.NoError(t, again.Log.Resume())
 	must.NoError(t, again.Log.Write(replica.Unwritten(1<<20)))
 	replica.WriteEnded(true)
-	must.Eq(t, held, replica.Durable(again.Origin))
+	must.Eq(t, length, replica.Durable(again.Origin))
 	files.LosePower()
 	last, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.NoError(t, err)
-	must.Eq(t, held, last.Set.Held(again.Origin))
+	must.Eq(t, length, last.Set.Held(again.Origin))
 }
 
 func TestCompactionReducesSizeAndKeepsAllAdds(t *testing.T) {
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -17,12 +17,12 @@
 	// Quorum is the number of disks and zones that must have an add before it is acknowledged.
 	Quorum Quorum
 	// MaxAdds bounds the number of adds in all logs; 0: no bound. Adds of this replica's own
-	// clients are limited to less (see peerReserveShare).
+	// clients are limited to less: peerReserveShare of it is reserved for other replicas.
 	MaxAdds int
 }
 
-// peerReserveShare is the share of MaxAdds that is reserved for adds from other replicas, so that the
-// others can store every add that one replica has accepted.
+// peerReserveShare is the share of MaxAdds that is reserved for adds from other replicas, so that
+// the others can store every add that one replica has accepted.
 const peerReserveShare = 0.1
 
 // Outgoing is the next run of a replica's own log for a peer.
@@ -58,7 +58,7 @@
 	config          Config
 	set             *Set
 	peers           map[string]*peerState
-	written         Vector // returned by Unwritten, including writes in progress
+	written         Vector // written or being written to disk
 	durable         Vector // on disk
 	confirmedNumber uint64 // number up to which the own log is confirmed
 	newestWaiterUs  int64  // arrival time of the newest add with a waiting caller
@@ -102,8 +102,8 @@
 }
 
 // Append appends an add to the own log and returns its number. The caller may acknowledge the add
-// once Acknowledged returns true for the number. An add that is already in the own log keeps its
-// number.
+// once Replica.Acknowledged returns true for the number. An add that is already in the own log
+// keeps its number.
 func (r *Replica) Append(add Add) (number uint64) {
 	if number, ok := r.ownNumber(add.Key); ok {
 		return number
@@ -143,7 +143,7 @@
 }
 
 // Unwritten returns the runs to write to disk next, up to the given number of adds, and marks them
-// as written. The caller reports the result of the write with WriteEnded.
+// as written. The caller reports the result of the write with Replica.WriteEnded.
 func (r *Replica) Unwritten(limit int) []Run {
 	if !r.config.Durable {
 		return nil
@@ -155,8 +155,8 @@
 	return runs
 }
 
-// WriteEnded records the result of writing all runs that Unwritten has returned. After a failure,
-// Unwritten returns them again.
+// WriteEnded records the result of writing all runs that Replica.Unwritten has returned. After a
+// failure, the runs are returned again.
 func (r *Replica) WriteEnded(ok bool) {
 	if !ok {
 		r.written = maps.Clone(r.durable)
@@ -192,10 +192,10 @@
 	return runs
 }
 
-// Next returns the next run of the own log to send to a peer, and false if the peer lacks nothing.
-// An add is sent only once it is on this replica's disk: if it were lost afterwards, its number
-// would be used a second time. Until the first acknowledgement of the peer the run is empty and
-// serves to find out how much the peer has.
+// Next returns the next run of the own log to send to a peer, and false if the peer lacks
+// nothing. An add is sent only once it is on this replica's disk: otherwise its number would be
+// used a second time if it were lost here. Until the first acknowledgement of the peer the run is
+// empty and serves to find out how much the peer has.
 func (r *Replica) Next(addr string) (Outgoing, bool) {
 	p := r.peers[addr]
 	if p == nil {
@@ -242,8 +242,8 @@
 	p.witness = WitnessUnknown
 }
 
-// Witnessed records the evidence of witnesses, queried at witnessQueriedUs, about a peer that does not
-// answer.
+// Witnessed records the evidence of witnesses, queried at queriedUs, about a peer that does
+// not answer.
 func (r *Replica) Witnessed(addr string, witness Witness, queriedUs int64) {
 	if p := r.peers[addr]; p != nil && p.calls.failing {
 		p.witness, p.witnessQueriedUs = witness, queriedUs
@@ -283,7 +283,8 @@
 // Confirmed returns the number up to which the own log is confirmed.
 func (r *Replica) Confirmed() uint64 { return r.confirmedNumber }
 
-// Await records that a caller waits for the acknowledgement of an add that arrived at arrivedUs.
+// Await records that a caller waits for the acknowledgement of an add that arrived at
+// arrivedUs.
 func (r *Replica) Await(arrivedUs int64) { r.newestWaiterUs = max(r.newestWaiterUs, arrivedUs) }
 
 // Acknowledged reports whether an add of the own log whose request arrived at arrivedUs may be
@@ -317,8 +318,8 @@
 	}
 }
 
-// confirmationCandidates returns the numbers that could become the confirmed one: those up to which this
-// replica or a peer has the own log.
+// confirmationCandidates returns the numbers that could become the confirmed one: those up to which
+// this replica or a peer has the own log.
 func (r *Replica) confirmationCandidates() []uint64 {
 	own := r.Durable(r.config.Origin)
 	numbers := []uint64{own}
--- a/internal/tally/replica_test.go
+++ b/internal/tally/replica_test.go
@@ -58,12 +58,12 @@
 func TestAddIsSentOnlyAfterLocalWrite(t *testing.T) {
 	r := testReplica()
 	r.Append(testAdd(1))
-	_, wanted := r.Next("b1")
-	must.False(t, wanted)
+	_, needed := r.Next("b1")
+	must.False(t, needed)
 	must.SliceEmpty(t, r.Since(Vector{}, 10))
 	completeWrite(r)
-	next, wanted := r.Next("b1")
-	must.True(t, wanted)
+	next, needed := r.Next("b1")
+	must.True(t, needed)
 	must.Eq(t, Run{Origin: "self", First: 1, Adds: []Add{testAdd(1)}}, next.Run)
 	must.Len(t, 1, r.Since(Vector{}, 10))
 }
@@ -150,11 +150,11 @@
 	}
 	completeWrite(r)
 	r.Acked("b1", Ack{Held: 5, Durable: true, Zone: "b"})
-	_, wanted := r.Next("b1")
-	must.False(t, wanted)
+	_, needed := r.Next("b1")
+	must.False(t, needed)
 	r.Acked("b1", Ack{Held: 0, Durable: true, Zone: "b"})
-	next, wanted := r.Next("b1")
-	must.True(t, wanted)
+	next, needed := r.Next("b1")
+	must.True(t, needed)
 	must.Len(t, 5, next.Adds)
 }
 
--- a/internal/tally/set.go
+++ b/internal/tally/set.go
@@ -71,7 +71,8 @@
 // Held returns the number up to which the set has the log of an origin.
 func (s *Set) Held(origin Origin) uint64 { return uint64(len(s.logs[origin])) }
 
-// Vector returns the version vector of the set: what Held returns for each origin.
+// Vector returns the version vector of the set: for each origin, the number up to which the set
+// has its log.
 func (s *Set) Vector() Vector {
 	vector := make(Vector, len(s.logs))
 	for origin, log := range s.logs {
@@ -87,16 +88,16 @@
 // Merge appends a run to the log of its origin and returns the part that was new. Adds that the
 // set already has are skipped; a run that would leave a gap after the log is ignored.
 func (s *Set) Merge(run Run) (added Run) {
-	held := s.Held(run.Origin)
+	length := s.Held(run.Origin)
 	end := run.First + uint64(len(run.Adds)) // the number after the last
-	if run.First == 0 || run.First > held+1 || end <= held+1 {
-		return Run{Origin: run.Origin, First: held + 1}
+	if run.First == 0 || run.First > length+1 || end <= length+1 {
+		return Run{Origin: run.Origin, First: length + 1}
 	}
-	missing := run.Adds[held+1-run.First:]
+	missing := run.Adds[length+1-run.First:]
 	for _, add := range missing {
 		s.append(run.Origin, add)
 	}
-	return Run{Origin: run.Origin, First: held + 1, Adds: missing}
+	return Run{Origin: run.Origin, First: length + 1, Adds: missing}
 }
 
 // append appends an add to an origin's log.
--- a/internal/tally/set_test.go
+++ b/internal/tally/set_test.go
@@ -33,7 +33,7 @@
 	counted := map[Key]Add{}
 	for _, run := range runs {
 		for _, add := range run.Adds {
-			if known, ok := counted[add.Key]; !ok || add.Amount > known.Amount {
+			if existing, ok := counted[add.Key]; !ok || add.Amount > existing.Amount {
 				counted[add.Key] = add
 			}
 		}
