--- a/internal/clocksync/clock.go
+++ b/internal/clocksync/clock.go
@@ -88,10 +88,10 @@
 	return !c.synchronized && nowUs-c.startUs < SyncWaitUs
 }
 
-// Compare records the time of day that another node returned in its answer to a request. The
+// AddSample records the time of day that another node returned in its answer to a request. The
 // request was sent at sentUs and answered at answeredUs, by this node's monotonic clock.
 // synchronized is true if the other node has compared its offset with further nodes.
-func (c *Clock) Compare(node string, timeOfDayUs int64, synchronized bool, sentUs, answeredUs int64) {
+func (c *Clock) AddSample(node string, timeOfDayUs int64, synchronized bool, sentUs, answeredUs int64) {
 	if timeOfDayUs == 0 || answeredUs < sentUs {
 		return
 	}
--- a/internal/clocksync/clock_test.go
+++ b/internal/clocksync/clock_test.go
@@ -55,7 +55,7 @@
 	must.Eq(t, -2*second, clockErrorUs(t, &c, 0))
 	const sentUs, answeredUs = 100 * ms, 104 * ms
 	for _, node := range []string{"a", "b"} {
-		c.Compare(node, epochUs+102*ms, true, sentUs, answeredUs)
+		c.AddSample(node, epochUs+102*ms, true, sentUs, answeredUs)
 	}
 	must.Between(t, -2*ms, clockErrorUs(t, &c, second), 2*ms)
 	_, synchronized := c.TimeUs(second)
@@ -67,7 +67,7 @@
 func TestOwnOffsetIsKeptWithinErrorOfMedian(t *testing.T) {
 	c := Clock{Votes: true}
 	c.Observe(epochUs, 0)
-	c.Compare("a", epochUs+130*ms, true, 100*ms, 150*ms)
+	c.AddSample("a", epochUs+130*ms, true, 100*ms, 150*ms)
 	must.Zero(t, clockErrorUs(t, &c, second))
 }
 
@@ -75,20 +75,20 @@
 	c := Clock{Votes: true}
 	c.Observe(epochUs+2*second, 0)
 	for _, node := range []string{"a", "b", "c"} {
-		c.Compare(node, epochUs+2*second, false, 0, 0) // started during the same jump
+		c.AddSample(node, epochUs+2*second, false, 0, 0) // started during the same jump
 	}
-	c.Compare("d", epochUs, true, 0, 0)
+	c.AddSample("d", epochUs, true, 0, 0)
 	must.Zero(t, clockErrorUs(t, &c, 0))
 }
 
 func TestMoreAccurateSampleIsKept(t *testing.T) {
 	var c Clock
-	c.Compare("a", epochUs, true, -ms, ms)
-	c.Compare("a", epochUs+second+300*ms, true, second, second+400*ms)
+	c.AddSample("a", epochUs, true, -ms, ms)
+	c.AddSample("a", epochUs+second+300*ms, true, second, second+400*ms)
 	must.Zero(t, clockErrorUs(t, &c, 2*second))
-	c.Compare("a", epochUs+3*second+second, true, 3*second-200*ms, 3*second+200*ms)
+	c.AddSample("a", epochUs+3*second+second, true, 3*second-200*ms, 3*second+200*ms)
 	must.Eq(t, second, clockErrorUs(t, &c, 3*second), must.Sprint("the earlier sample is inconsistent with the new one"))
-	c.Compare("b", 0, true, 0, 0)
+	c.AddSample("b", 0, true, 0, 0)
 	must.MapLen(t, 1, c.samples)
 }
 
@@ -134,7 +134,7 @@
 func (f *fleet) requestTime(i, j int, nowUs int64) {
 	requestUs, responseUs := f.random.Int64N(10*ms), f.random.Int64N(10*ms)
 	timeUs, synchronized := f.clocks[j].TimeUs(nowUs - f.startUs[j])
-	f.clocks[i].Compare(string(rune('a'+j)), timeUs, synchronized, nowUs-requestUs-f.startUs[i], nowUs+responseUs-f.startUs[i])
+	f.clocks[i].AddSample(string(rune('a'+j)), timeUs, synchronized, nowUs-requestUs-f.startUs[i], nowUs+responseUs-f.startUs[i])
 }
 
 // disturb, at random, resets all clocks and makes those of up to two of the five machines jump,
@@ -172,12 +172,12 @@
 func TestSingleUnsynchronizedSampleIsNotAdopted(t *testing.T) {
 	var c Clock
 	c.Observe(epochUs, 0)
-	c.Compare("jumped", epochUs+SyncWaitUs-2*second, false, SyncWaitUs, SyncWaitUs+2*ms)
+	c.AddSample("jumped", epochUs+SyncWaitUs-2*second, false, SyncWaitUs, SyncWaitUs+2*ms)
 	_, synchronized := c.TimeUs(SyncWaitUs)
 	must.False(t, synchronized)
 	must.Zero(t, clockErrorUs(t, &c, SyncWaitUs+2*ms))
 	for _, node := range []string{"a", "b"} {
-		c.Compare(node, epochUs+SyncWaitUs+11*ms, false, SyncWaitUs+10*ms, SyncWaitUs+12*ms)
+		c.AddSample(node, epochUs+SyncWaitUs+11*ms, false, SyncWaitUs+10*ms, SyncWaitUs+12*ms)
 	}
 	_, synchronized = c.TimeUs(SyncWaitUs + 12*ms)
 	must.True(t, synchronized)
--- a/internal/clocksync/shared.go
+++ b/internal/clocksync/shared.go
@@ -26,12 +26,12 @@
 	s.clock.Observe(timeOfDayUs, nowUs)
 }
 
-// Compare calls Clock.Compare with the time of day of a controller, from its answer to a
+// AddSample calls Clock.AddSample with the time of day of a controller, from its answer to a
 // comparison of versions.
-func (s *Shared) Compare(addr string, answer messages.Versions, sentUs, answeredUs int64) {
+func (s *Shared) AddSample(addr string, answer messages.Versions, sentUs, answeredUs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock.Compare(addr, answer.TimeUs, answer.TimeAgreed, sentUs, answeredUs)
+	s.clock.AddSample(addr, answer.TimeUs, answer.TimeAgreed, sentUs, answeredUs)
 }
 
 // TimeUs calls Clock.TimeUs.
--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -45,7 +45,7 @@
 // that count, where some do.
 func coreView(alive []messages.Peer) (view string, core map[string]bool) {
 	core = map[string]bool{}
-	for _, p := range membership.Core(alive) {
+	for _, p := range membership.CountedControllers(alive) {
 		view += p.Addr + p.MemberID + " "
 		core[p.Addr] = true
 	}
@@ -92,7 +92,7 @@
 	go c.tallies.Compared(ctx, p.Addr, m.TallyDigest)
 	c.publishRunners(c.registry.ApplyLaterHeartbeats(m.LaterHeartbeats, sentUs, c.clock())...)
 	c.targets.observe(m.TargetAges, c.clock())
-	c.timeOfDay.Compare(p.Addr, m, sentUs, c.clock())
+	c.timeOfDay.AddSample(p.Addr, m, sentUs, c.clock())
 	c.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // the earlier format has none
 	for part := range min(len(m.Parts), consensus.RegisterCount) {
 		if m.Parts[part] > mine.Parts[part] {
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -105,7 +105,7 @@
 // that is cut off sends them to another each time: one of them is in contact, and
 // none need be.
 func (c *Controller) beatElsewhere(all []messages.Peer, n messages.RunnerRecord) string {
-	core := membership.Core(all)
+	core := membership.CountedControllers(all)
 	if c.cutOff() {
 		return beatAnywhere(core, c.transport.Addr(), n)
 	}
--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -285,7 +285,7 @@
 // differs with each fence, so that the same controller is not always the first.
 func (l *Leases) rank(current messages.Lease) (rank int, candidate bool) {
 	var addrs []string
-	for _, peer := range membership.Core(l.config.Membership.Alive(messages.Controller)) {
+	for _, peer := range membership.CountedControllers(l.config.Membership.Alive(messages.Controller)) {
 		if peer.MemberID != current.Holder && (peer.Addr == l.config.Addr || !l.config.IsCut(peer.Addr)) {
 			addrs = append(addrs, peer.Addr)
 		}
--- a/internal/controller/stored_data_test.go
+++ b/internal/controller/stored_data_test.go
@@ -84,7 +84,7 @@
 	must.NoError(t, err)
 	opened, err := tally.OpenLog(files, func() tally.Origin { return "new" })
 	must.NoError(t, err)
-	must.SliceEmpty(t, opened.Damaged)
+	must.SliceEmpty(t, opened.DamagedSegments)
 	must.Eq(t, 3, opened.Set.Len())
 	must.Eq(t, 9, opened.Set.Total("visits"))
 	opened.Log.Close()
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -43,7 +43,7 @@
 	want := map[string]bool{}
 	all := c.monitor.Alive(messages.Controller)
 	if !c.inCore(all) {
-		if near := nearest(membership.Core(all), c.set.Zone); near != "" {
+		if near := nearest(membership.CountedControllers(all), c.set.Zone); near != "" {
 			want[near] = true
 		}
 		return want
@@ -56,7 +56,7 @@
 
 // inCore tells whether this controller counts, or nobody does.
 func (c *Controller) inCore(all []messages.Peer) bool {
-	for _, p := range membership.Core(all) {
+	for _, p := range membership.CountedControllers(all) {
 		if p.Addr == c.transport.Addr() {
 			return true
 		}
--- a/internal/controller/tallies/calls.go
+++ b/internal/controller/tallies/calls.go
@@ -40,7 +40,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, amendTimeout)
 	defer cancel()
-	if !s.await(ctx, func() bool { return s.replica.Acknowledged(number, arrivedUs) }) {
+	if !s.await(ctx, func() bool { return s.replica.MayAcknowledge(number, arrivedUs) }) {
 		s.countLate()
 		httpapi.Reject(rc, 504, "", "not on enough disks yet; repeat it under the same id")
 		return
@@ -58,13 +58,13 @@
 		return 0, "starting"
 	case s.diskErr != nil:
 		return 0, "the disk takes no writes"
-	case !s.replica.Confirmable():
+	case !s.replica.CanConfirm():
 		return 0, "too few disks can be reached"
 	case s.replica.Full() && !s.replica.Set().Contains(add.Key):
 		return 0, "no room for further adds"
 	}
 	number = s.replica.Append(add)
-	s.replica.Await(arrivedUs)
+	s.replica.RecordWaiter(arrivedUs)
 	s.signal()
 	return number, ""
 }
--- a/internal/controller/tallies/witness.go
+++ b/internal/controller/tallies/witness.go
@@ -37,10 +37,10 @@
 		askedUs := s.config.Clock()
 		judged := s.judge(ctx, addr, zone)
 		s.mu.Lock()
-		s.replica.Witnessed(addr, judged, askedUs)
+		s.replica.RecordWitness(addr, judged, askedUs)
 		s.signal()
 		s.mu.Unlock()
-		s.pauseUnless(ctx, witnessPause, func() bool { return s.replica.WantsWitness(addr) })
+		s.pauseUnless(ctx, witnessPause, func() bool { return s.replica.NeedsWitness(addr) })
 	}
 }
 
--- a/internal/controller/three_test.go
+++ b/internal/controller/three_test.go
@@ -47,7 +47,7 @@
 	}
 	for _, d := range nodes {
 		until(t, func() bool {
-			return d.inContact() && len(membership.Core(d.monitor.Alive(messages.Controller))) == len(nodes)
+			return d.inContact() && len(membership.CountedControllers(d.monitor.Alive(messages.Controller))) == len(nodes)
 		})
 	}
 	for _, control := range seeds {
--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -18,7 +18,7 @@
 // anybody moves when nodes come and go.
 func Parents(self string, zone string, controllers, routers []messages.Peer) []string {
 	var near, far, row []string
-	for _, d := range membership.Core(controllers) {
+	for _, d := range membership.CountedControllers(controllers) {
 		if d.Zone == zone {
 			near = append(near, d.Addr)
 		} else {
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -4,9 +4,9 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Core returns the controllers that count towards the fault tolerance (the
+// CountedControllers returns the controllers that count towards the fault tolerance (the
 // number of machines that may be lost), or all controllers if none counts.
-func Core(controllers []messages.Peer) []messages.Peer {
+func CountedControllers(controllers []messages.Peer) []messages.Peer {
 	var counted []messages.Peer
 	for _, c := range controllers {
 		if c.Counted {
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -84,12 +84,12 @@
 // there are fewer than Config.PingsPerRetryRound, no control pings are sent.
 func (t *Tracker) SetOwnNodes(nodes []string) { t.ownNodes = nodes }
 
-// Doubted returns how often a zone would have become unreachable if control pings had not
+// SuppressedCount returns how often a zone would have become unreachable if control pings had not
 // gone unanswered.
-func (t *Tracker) Doubted() int64 { return t.suppressed }
+func (t *Tracker) SuppressedCount() int64 { return t.suppressed }
 
-// SetIdle changes Config.IdleUs, the time between two pings to a zone that answers.
-func (t *Tracker) SetIdle(us int64) { t.config.IdleUs = us }
+// SetIdleInterval changes Config.IdleUs, the time between two pings to a zone that answers.
+func (t *Tracker) SetIdleInterval(us int64) { t.config.IdleUs = us }
 
 // SetNodes sets the nodes of the other zones by zone. Zones without nodes are removed.
 func (t *Tracker) SetNodes(byZone map[string][]string) {
@@ -207,8 +207,8 @@
 	return pings
 }
 
-// Acked records the answer to a ping by a node of a zone, which may be the node's own zone.
-func (t *Tracker) Acked(name string, seq, nowUs int64) {
+// RecordAck records the answer to a ping by a node of a zone, which may be the node's own zone.
+func (t *Tracker) RecordAck(name string, seq, nowUs int64) {
 	if c := t.controls[seq]; c != nil {
 		c.acks++
 		delete(t.controls, seq)
@@ -227,9 +227,9 @@
 	t.endRounds(z, nowUs)
 }
 
-// Answered records that a node or a runner of a zone has answered a request that was sent at
+// RecordAnswer records that a node or a runner of a zone has answered a request that was sent at
 // sentUs. It does not make an unreachable zone reachable again: only answers to pings do.
-func (t *Tracker) Answered(name string, sentUs, nowUs int64) {
+func (t *Tracker) RecordAnswer(name string, sentUs, nowUs int64) {
 	if z := t.zones[name]; z != nil && z.unreachableSinceUs == 0 && z.unansweredRounds > 0 && sentUs >= z.firstRoundUs {
 		t.endRounds(z, nowUs)
 	}
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -62,10 +62,10 @@
 			w.pings++
 			zone := w.zoneOf[p.To]
 			if w.runnersAnswer && zone != ownZone {
-				w.tracker.Answered(zone, w.nowUs, w.nowUs+answerUs)
+				w.tracker.RecordAnswer(zone, w.nowUs, w.nowUs+answerUs)
 			}
 			if !w.cutZones[zone] && !w.deadNodes[p.To] && w.random.Float64() >= w.lossRate {
-				w.tracker.Acked(zone, p.Seq, w.nowUs+answerUs)
+				w.tracker.RecordAck(zone, p.Seq, w.nowUs+answerUs)
 			}
 		}
 		each(w.tracker.Unreachable())
@@ -126,12 +126,12 @@
 	w.cutZones["z0"] = true
 	w.run(2*second, func(map[string]int64) {})
 	must.MapContainsKey(t, w.tracker.Unreachable(), "z0")
-	w.tracker.Acked("z0", 1, w.nowUs) // answers to pings from before the cut
-	w.tracker.Acked("z0", 2, w.nowUs)
+	w.tracker.RecordAck("z0", 1, w.nowUs) // answers to pings from before the cut
+	w.tracker.RecordAck("z0", 2, w.nowUs)
 	must.MapContainsKey(t, w.tracker.Unreachable(), "z0")
-	w.tracker.Acked("z0", w.tracker.seq, w.nowUs)
+	w.tracker.RecordAck("z0", w.tracker.seq, w.nowUs)
 	must.MapContainsKey(t, w.tracker.Unreachable(), "z0")
-	w.tracker.Acked("z0", w.tracker.seq, w.nowUs)
+	w.tracker.RecordAck("z0", w.tracker.seq, w.nowUs)
 	must.MapEmpty(t, w.tracker.Unreachable())
 }
 
@@ -161,7 +161,7 @@
 			w.run(second, func(u map[string]int64) { must.MapEmpty(t, u, must.Sprint("seed ", seed)) })
 			w.lossRate = 0
 		}
-		must.Positive(t, w.tracker.Doubted())
+		must.Positive(t, w.tracker.SuppressedCount())
 	}
 }
 
@@ -184,7 +184,7 @@
 	w.runnersAnswer = false
 	w.run(2*second, func(map[string]int64) {})
 	must.MapContainsKey(t, w.tracker.Unreachable(), "z1")
-	w.tracker.Answered("z1", w.nowUs, w.nowUs)
+	w.tracker.RecordAnswer("z1", w.nowUs, w.nowUs)
 	must.MapContainsKey(t, w.tracker.Unreachable(), "z1", must.Sprint("only answers to pings make it reachable again"))
 }
 
@@ -193,6 +193,6 @@
 	w.run(second, func(map[string]int64) {})
 	w.cutZones["z0"] = true
 	sentUs := w.nowUs
-	w.run(2*second, func(map[string]int64) { w.tracker.Answered("z0", sentUs-1, w.nowUs) })
+	w.run(2*second, func(map[string]int64) { w.tracker.RecordAnswer("z0", sentUs-1, w.nowUs) })
 	must.MapContainsKey(t, w.tracker.Unreachable(), "z0")
 }
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -55,7 +55,7 @@
 // all gives the core in view, suspected members too, or the last one that was.
 func (m *coreMemory) all(controllers []messages.Peer) []string {
 	var list []string
-	for _, p := range membership.Core(controllers) {
+	for _, p := range membership.CountedControllers(controllers) {
 		list = append(list, p.Addr)
 	}
 	slices.Sort(list)
@@ -71,7 +71,7 @@
 // are none.
 func (m *coreMemory) likely(controllers []messages.Peer) []string {
 	var list []string
-	for _, p := range membership.Core(controllers) {
+	for _, p := range membership.CountedControllers(controllers) {
 		if p.Status == messages.Alive {
 			list = append(list, p.Addr)
 		}
@@ -126,7 +126,7 @@
 	if _, err := m.UnmarshalMsg(b); err != nil {
 		return m, err
 	}
-	r.timeOfDay.Compare(addr, m, sentUs, r.clock())
+	r.timeOfDay.AddSample(addr, m, sentUs, r.clock())
 	r.takeVersions(m)
 	return m, nil
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -59,7 +59,7 @@
 // coreAddrs returns the addresses of the controllers of the core that are alive.
 func coreAddrs(monitor *membership.Monitor) []string {
 	var addrs []string
-	for _, peer := range membership.Core(monitor.Alive(messages.Controller)) {
+	for _, peer := range membership.CountedControllers(monitor.Alive(messages.Controller)) {
 		addrs = append(addrs, peer.Addr)
 	}
 	return addrs
--- a/internal/router/zoneping/prober.go
+++ b/internal/router/zoneping/prober.go
@@ -134,7 +134,7 @@
 		}
 	}
 	p.tracker.SetNodes(byZone)
-	p.tracker.SetIdle(idleUs(len(alive)))
+	p.tracker.SetIdleInterval(idleUs(len(alive)))
 }
 
 // idleUs is the time between two rounds of pings in a fleet of so many routers.
@@ -171,7 +171,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.tracker.Acked(p.nodes[from].zone, ping.Seq, p.config.Clock())
+	p.tracker.RecordAck(p.nodes[from].zone, ping.Seq, p.config.Clock())
 	p.mu.Unlock()
 	p.publish()
 }
@@ -180,14 +180,14 @@
 func (p *Prober) RunnerAnswered(zone string, askedUs int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Answered(zone, askedUs, p.config.Clock())
+	p.tracker.RecordAnswer(zone, askedUs, p.config.Clock())
 }
 
 // Doubted returns how often silence of a zone was put down to this node.
 func (p *Prober) Doubted() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.Doubted()
+	return p.tracker.SuppressedCount()
 }
 
 // publish puts a change of the unreachable zones in force. The mutex is held until then: a later
--- a/internal/simulation/tally_actors.go
+++ b/internal/simulation/tally_actors.go
@@ -141,7 +141,7 @@
 			r.write()
 			return
 		}
-		runs := r.replica.Unwritten(tallySimBatch)
+		runs := r.replica.BeginWrite(tallySimBatch)
 		if r.writing = len(runs) > 0; !r.writing {
 			return
 		}
@@ -149,7 +149,7 @@
 		if err == nil {
 			err = r.log.Write(runs)
 		}
-		r.replica.WriteEnded(err == nil)
+		r.replica.EndWrite(err == nil)
 		r.write()
 		r.wake()
 	})
@@ -172,7 +172,7 @@
 				net.Send(other.addr, r.addr, r.process.inLifeOf(life, func() {
 					if !ended {
 						ended = true
-						r.replica.Answered(other.addr)
+						r.replica.RecordAnswer(other.addr)
 						receive()
 					}
 				}))
@@ -185,7 +185,7 @@
 		}
 		ended = true
 		if nowUs := r.process.NowUs(); nowUs-sentUs < waitUs+tallyLateUs {
-			r.replica.Failed(other.addr, sentUs, nowUs)
+			r.replica.RecordFailure(other.addr, sentUs, nowUs)
 		}
 		failed()
 	})
@@ -201,7 +201,7 @@
 		}, again)
 		return
 	}
-	next, wanted := r.replica.Next(other.addr)
+	next, wanted := r.replica.NextOutgoing(other.addr)
 	if !wanted {
 		r.idle[other.addr] = other
 		return
@@ -221,7 +221,7 @@
 		return
 	}
 	untilUs := r.process.NowUs() + tallyIdlePauseUs
-	r.await(untilUs, func() bool { return r.replica.WantsCall(other.addr) }, func(wanted bool) {
+	r.await(untilUs, func() bool { return r.replica.NeedsCall(other.addr) }, func(wanted bool) {
 		if !wanted {
 			r.sendTo(other)
 			return
@@ -235,11 +235,11 @@
 func (r *tallyReplica) receive(origin tally.Origin, runs []tally.Run, answer func(func()), from *tallyReplica) {
 	r.replica.Merge(runs)
 	r.wake()
-	held, untilUs := r.replica.Set().Held(origin), r.process.NowUs()+tallyAppendWaitUs
+	held, untilUs := r.replica.Set().LogLength(origin), r.process.NowUs()+tallyAppendWaitUs
 	r.await(untilUs, func() bool { return r.replica.Durable(origin) >= held }, func(bool) {
 		ack := tally.Ack{Held: r.replica.Durable(origin), Durable: true, Zone: r.zone}
 		answer(func() {
-			from.replica.Acked(r.addr, ack)
+			from.replica.RecordAck(r.addr, ack)
 			from.process.After(0, func() { from.sendTo(r) })
 		})
 	})
@@ -307,17 +307,17 @@
 
 // amend serves a client. answer gets false where nothing was done or where it is not known.
 func (r *tallyReplica) amend(add tally.Add, answer func(number uint64, ok bool)) {
-	if r.replica == nil || !r.ready || !r.replica.Confirmable() {
+	if r.replica == nil || !r.ready || !r.replica.CanConfirm() {
 		answer(0, false)
 		return
 	}
 	number, arrivedUs := r.replica.Append(add), r.process.NowUs()
-	r.replica.Await(arrivedUs)
+	r.replica.RecordWaiter(arrivedUs)
 	if r.history.defects.TrustOldEvidence {
 		arrivedUs = 0
 	}
 	r.wake()
-	r.await(r.process.NowUs()+tallyAmendWaitUs, func() bool { return r.replica.Acknowledged(number, arrivedUs) }, func(ok bool) { answer(number, ok) })
+	r.await(r.process.NowUs()+tallyAmendWaitUs, func() bool { return r.replica.MayAcknowledge(number, arrivedUs) }, func(ok bool) { answer(number, ok) })
 }
 
 // watch asks a router about a replica that does not answer.
@@ -342,9 +342,9 @@
 		if r.history.defects.TrustSilence {
 			verdict = tally.WitnessCut
 		}
-		r.replica.Witnessed(other.addr, verdict, askedUs)
+		r.replica.RecordWitness(other.addr, verdict, askedUs)
 		untilUs := r.process.NowUs() + tallyWitnessPause
-		r.await(untilUs, func() bool { return r.replica.WantsWitness(other.addr) }, func(bool) { r.watch(other) })
+		r.await(untilUs, func() bool { return r.replica.NeedsWitness(other.addr) }, func(bool) { r.watch(other) })
 	})
 }
 
--- a/internal/simulation/traffic/cut.go
+++ b/internal/simulation/traffic/cut.go
@@ -73,7 +73,7 @@
 	for _, p := range tracker.Tick(f.kernel.NowUs()) {
 		zone := p.To[:1]
 		if !f.separated(f.zoneOf(router), zone) {
-			f.kernel.After(pingUs, func() { tracker.Acked(zone, p.Seq, f.kernel.NowUs()) })
+			f.kernel.After(pingUs, func() { tracker.RecordAck(zone, p.Seq, f.kernel.NowUs()) })
 		}
 	}
 	f.routers[router].SetUnreachable(tracker.Unreachable(), f.kernel.NowUs())
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -140,7 +140,7 @@
 		}
 		sentUs, timeUs, agreed := p.nowUs(), int64(0), false
 		p.ask(other.leaseMember, func() { timeUs, agreed = other.clock.TimeUs(other.nowUs()) }, func() {
-			p.clock.Compare(other.addr, timeUs, agreed, sentUs, p.nowUs())
+			p.clock.AddSample(other.addr, timeUs, agreed, sentUs, p.nowUs())
 		})
 	}
 }
@@ -332,7 +332,7 @@
 	other := m.history.reporters[m.history.kernel.Below(len(m.history.reporters))]
 	sentUs, timeUs, agreed := m.process.NowUs(), int64(0), false
 	m.ask(other, func() { timeUs, agreed = other.clock.TimeUs(other.nowUs()) }, func() {
-		m.clock.Compare(other.addr, timeUs, agreed, sentUs, m.process.NowUs())
+		m.clock.AddSample(other.addr, timeUs, agreed, sentUs, m.process.NowUs())
 	})
 }
 
--- a/internal/tally/log.go
+++ b/internal/tally/log.go
@@ -47,9 +47,9 @@
 	Set *Set
 	// Origin names this replica's log. It is new if the disk was empty or damaged.
 	Origin Origin
-	// Damaged lists the sealed segments that could not be read to their end; the adds after
+	// DamagedSegments lists the sealed segments that could not be read to their end; the adds after
 	// the damage have to be fetched from other replicas.
-	Damaged []string
+	DamagedSegments []string
 }
 
 // OpenLog reads a directory and creates a new segment in it. newOrigin returns an origin that was
@@ -84,7 +84,7 @@
 		}
 		opened.Log.totalSize += int64(len(content))
 		if !decoded.intact {
-			opened.Damaged = append(opened.Damaged, segmentName(number))
+			opened.DamagedSegments = append(opened.DamagedSegments, segmentName(number))
 		}
 	}
 	if opened.Origin == "" || !intact {
--- a/internal/tally/log_test.go
+++ b/internal/tally/log_test.go
@@ -21,17 +21,17 @@
 // log is durable for certain.
 func appendAndWrite(random *rand.Rand, opened *OpenResult, serial *int) (durable uint64) {
 	replica := NewReplica(Config{Origin: opened.Origin, Durable: true}, opened.Set)
-	durable = opened.Set.Held(opened.Origin)
+	durable = opened.Set.LogLength(opened.Origin)
 	for range 1 + random.IntN(60) {
 		*serial++
 		replica.Append(Add{Tally: "t", Key: KeyOf("t", fmt.Sprint(*serial)), Amount: 1})
 		if random.IntN(3) > 0 {
 			continue
 		}
-		if opened.Log.Write(replica.Unwritten(100)) != nil {
+		if opened.Log.Write(replica.BeginWrite(100)) != nil {
 			return durable
 		}
-		replica.WriteEnded(true)
+		replica.EndWrite(true)
 		durable = replica.Durable(opened.Origin)
 	}
 	return durable
@@ -132,14 +132,14 @@
 	replica := NewReplica(Config{Origin: opened.Origin, Durable: true}, opened.Set)
 	replica.Append(Add{Tally: "t", Key: KeyOf("t", "1"), Amount: 4})
 	files.SetFull(true)
-	must.ErrorIs(t, opened.Log.Write(replica.Unwritten(10)), ErrStore)
-	replica.WriteEnded(false)
+	must.ErrorIs(t, opened.Log.Write(replica.BeginWrite(10)), ErrStore)
+	replica.EndWrite(false)
 	must.Eq(t, 0, replica.Durable(opened.Origin))
 	must.ErrorIs(t, opened.Log.Resume(), ErrStore)
 	files.SetFull(false)
 	must.NoError(t, opened.Log.Resume())
-	must.NoError(t, opened.Log.Write(replica.Unwritten(10)))
-	replica.WriteEnded(true)
+	must.NoError(t, opened.Log.Write(replica.BeginWrite(10)))
+	replica.EndWrite(true)
 	must.Eq(t, 1, replica.Durable(opened.Origin))
 	files.LosePower()
 	again, err := openSegments(files, originGenerator(rand.New(rand.NewPCG(9, 8))), testSegmentSize)
@@ -160,19 +160,19 @@
 	must.ErrorIs(t, err, ErrStore)
 	must.Eq(t, first.Origin, again.Origin)
 	replica := NewReplica(Config{Origin: again.Origin, Durable: true}, again.Set)
-	replica.RewriteAll()
-	length := again.Set.Held(again.Origin)
+	replica.MarkAllUnwritten()
+	length := again.Set.LogLength(again.Origin)
 	must.Positive(t, length)
 	must.Eq(t, 0, replica.Durable(again.Origin))
 	files.SetFull(false)
 	must.NoError(t, again.Log.Resume())
-	must.NoError(t, again.Log.Write(replica.Unwritten(1<<20)))
-	replica.WriteEnded(true)
+	must.NoError(t, again.Log.Write(replica.BeginWrite(1<<20)))
+	replica.EndWrite(true)
 	must.Eq(t, length, replica.Durable(again.Origin))
 	files.LosePower()
 	last, err := openSegments(files, originGenerator(random), testSegmentSize)
 	must.NoError(t, err)
-	must.Eq(t, length, last.Set.Held(again.Origin))
+	must.Eq(t, length, last.Set.LogLength(again.Origin))
 }
 
 func TestCompactionReducesSizeAndKeepsAllAdds(t *testing.T) {
@@ -183,8 +183,8 @@
 	const adds = 4000
 	for i := range adds {
 		replica.Append(Add{Tally: "t", Key: KeyOf("t", fmt.Sprint(i)), Amount: 1})
-		must.NoError(t, opened.Log.Write(replica.Unwritten(10)))
-		replica.WriteEnded(true)
+		must.NoError(t, opened.Log.Write(replica.BeginWrite(10)))
+		replica.EndWrite(true)
 	}
 	must.Less(t, int64(25*adds), opened.Log.Size())
 	must.Eq(t, opened.Log.Size(), int64(files.Bytes()))
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -70,9 +70,9 @@
 	return &Replica{config: config, set: set, peers: map[string]*peerState{}, written: set.Vector(), durable: set.Vector()}
 }
 
-// RewriteAll marks all adds as not yet written. It is called when OpenLog could not create a
+// MarkAllUnwritten marks all adds as not yet written. It is called when OpenLog could not create a
 // segment, since the content read from disk may not survive a loss of power.
-func (r *Replica) RewriteAll() { r.written, r.durable = Vector{}, Vector{} }
+func (r *Replica) MarkAllUnwritten() { r.written, r.durable = Vector{}, Vector{} }
 
 // Set returns the set of adds. Callers must not modify it.
 func (r *Replica) Set() *Set { return r.set }
@@ -102,13 +102,13 @@
 }
 
 // Append appends an add to the own log and returns its number. The caller may acknowledge the add
-// once Replica.Acknowledged returns true for the number. An add that is already in the own log
+// once Replica.MayAcknowledge returns true for the number. An add that is already in the own log
 // keeps its number.
 func (r *Replica) Append(add Add) (number uint64) {
 	if number, ok := r.ownNumber(add.Key); ok {
 		return number
 	}
-	number = r.set.Held(r.config.Origin) + 1
+	number = r.set.LogLength(r.config.Origin) + 1
 	r.set.Merge(Run{Origin: r.config.Origin, First: number, Adds: []Add{add}})
 	return number
 }
@@ -142,9 +142,9 @@
 	}
 }
 
-// Unwritten returns the runs to write to disk next, up to the given number of adds, and marks them
-// as written. The caller reports the result of the write with Replica.WriteEnded.
-func (r *Replica) Unwritten(limit int) []Run {
+// BeginWrite returns the runs to write to disk next, up to the given number of adds, and marks them
+// as written. The caller reports the result of the write with Replica.EndWrite.
+func (r *Replica) BeginWrite(limit int) []Run {
 	if !r.config.Durable {
 		return nil
 	}
@@ -155,9 +155,9 @@
 	return runs
 }
 
-// WriteEnded records the result of writing all runs that Replica.Unwritten has returned. After a
+// EndWrite records the result of writing all runs that Replica.BeginWrite has returned. After a
 // failure, the runs are returned again.
-func (r *Replica) WriteEnded(ok bool) {
+func (r *Replica) EndWrite(ok bool) {
 	if !ok {
 		r.written = maps.Clone(r.durable)
 		return
@@ -170,7 +170,7 @@
 // memory if it has no disk.
 func (r *Replica) Durable(origin Origin) uint64 {
 	if !r.config.Durable {
-		return r.set.Held(origin)
+		return r.set.LogLength(origin)
 	}
 	return r.durable[origin]
 }
@@ -192,11 +192,11 @@
 	return runs
 }
 
-// Next returns the next run of the own log to send to a peer, and false if the peer lacks
+// NextOutgoing returns the next run of the own log to send to a peer, and false if the peer lacks
 // nothing. An add is sent only once it is on this replica's disk: otherwise its number would be
 // used a second time if it were lost here. Until the first acknowledgement of the peer the run is
 // empty and serves to find out how much the peer has.
-func (r *Replica) Next(addr string) (Outgoing, bool) {
+func (r *Replica) NextOutgoing(addr string) (Outgoing, bool) {
 	p := r.peers[addr]
 	if p == nil {
 		return Outgoing{}, false
@@ -219,19 +219,19 @@
 	Zone    string // zone of the peer
 }
 
-// Acked records an acknowledgement of a peer.
-func (r *Replica) Acked(addr string, ack Ack) {
+// RecordAck records an acknowledgement of a peer.
+func (r *Replica) RecordAck(addr string, ack Ack) {
 	p := r.peers[addr]
 	if p == nil {
 		return
 	}
-	p.hasAcked, p.ackedNumber, p.durable, p.zone = true, min(ack.Held, r.set.Held(r.config.Origin)), ack.Durable, ack.Zone
+	p.hasAcked, p.ackedNumber, p.durable, p.zone = true, min(ack.Held, r.set.LogLength(r.config.Origin)), ack.Durable, ack.Zone
 	p.recordAnswer()
 	r.advanceConfirmed()
 }
 
-// Answered records that a peer has answered a call of any kind.
-func (r *Replica) Answered(addr string) {
+// RecordAnswer records that a peer has answered a call of any kind.
+func (r *Replica) RecordAnswer(addr string) {
 	if p := r.peers[addr]; p != nil {
 		p.recordAnswer()
 	}
@@ -242,9 +242,9 @@
 	p.witness = WitnessUnknown
 }
 
-// Witnessed records the evidence of witnesses, queried at queriedUs, about a peer that does
+// RecordWitness records the evidence of witnesses, queried at queriedUs, about a peer that does
 // not answer.
-func (r *Replica) Witnessed(addr string, witness Witness, queriedUs int64) {
+func (r *Replica) RecordWitness(addr string, witness Witness, queriedUs int64) {
 	if p := r.peers[addr]; p != nil && p.calls.failing {
 		p.witness, p.witnessQueriedUs = witness, queriedUs
 	}
@@ -265,8 +265,8 @@
 	return ""
 }
 
-// Failed records that a call to a peer, started at sentUs, has failed.
-func (r *Replica) Failed(addr string, sentUs, nowUs int64) {
+// RecordFailure records that a call to a peer, started at sentUs, has failed.
+func (r *Replica) RecordFailure(addr string, sentUs, nowUs int64) {
 	if p := r.peers[addr]; p != nil {
 		p.calls.recordFailure(sentUs, nowUs)
 	}
@@ -283,28 +283,28 @@
 // Confirmed returns the number up to which the own log is confirmed.
 func (r *Replica) Confirmed() uint64 { return r.confirmedNumber }
 
-// Await records that a caller waits for the acknowledgement of an add that arrived at
+// RecordWaiter records that a caller waits for the acknowledgement of an add that arrived at
 // arrivedUs.
-func (r *Replica) Await(arrivedUs int64) { r.newestWaiterUs = max(r.newestWaiterUs, arrivedUs) }
+func (r *Replica) RecordWaiter(arrivedUs int64) { r.newestWaiterUs = max(r.newestWaiterUs, arrivedUs) }
 
-// Acknowledged reports whether an add of the own log whose request arrived at arrivedUs may be
+// MayAcknowledge reports whether an add of the own log whose request arrived at arrivedUs may be
 // acknowledged now: it is on enough disks, or every peer that does not have it is cut off, by
 // evidence that is not older than the request. Older evidence may be of a partition that has
 // healed since.
-func (r *Replica) Acknowledged(number uint64, arrivedUs int64) bool {
+func (r *Replica) MayAcknowledge(number uint64, arrivedUs int64) bool {
 	return number <= r.Durable(r.config.Origin) && r.replicated(number, arrivedUs)
 }
 
-// WantsCall reports whether an unreachable peer is to be called now: a caller waits for an add
+// NeedsCall reports whether an unreachable peer is to be called now: a caller waits for an add
 // that arrived after the last call started.
-func (r *Replica) WantsCall(addr string) bool {
+func (r *Replica) NeedsCall(addr string) bool {
 	p := r.peers[addr]
 	return p != nil && p.calls.unreachable() && p.calls.lastSentUs < r.newestWaiterUs
 }
 
-// WantsWitness reports whether witnesses are to be queried now about an unreachable peer: a caller
+// NeedsWitness reports whether witnesses are to be queried now about an unreachable peer: a caller
 // waits for an add that arrived after the last query.
-func (r *Replica) WantsWitness(addr string) bool {
+func (r *Replica) NeedsWitness(addr string) bool {
 	p := r.peers[addr]
 	return p != nil && p.calls.unreachable() && p.witnessQueriedUs < r.newestWaiterUs
 }
@@ -350,9 +350,9 @@
 	return r.config.Quorum.satisfied(holders) || !missing
 }
 
-// Confirmable reports whether an add that arrives now can be expected to be confirmed. It returns
+// CanConfirm reports whether an add that arrives now can be expected to be confirmed. It returns
 // false if the reachable replicas are too few for the quorum and another one may be down.
-func (r *Replica) Confirmable() bool {
+func (r *Replica) CanConfirm() bool {
 	var reached copies
 	reached.add(r.config.Zone)
 	down := false
--- a/internal/tally/replica_test.go
+++ b/internal/tally/replica_test.go
@@ -14,22 +14,22 @@
 	r := NewReplica(Config{Origin: "self", Zone: "a", Durable: true, Quorum: QuorumFor(2, 1)}, NewSet())
 	r.SetPeers([]string{"a2", "b1", "c1"})
 	for _, addr := range []string{"a2", "b1", "c1"} {
-		r.Acked(addr, Ack{Durable: true, Zone: addr[:1]})
+		r.RecordAck(addr, Ack{Durable: true, Zone: addr[:1]})
 	}
 	return r
 }
 
 func completeWrite(r *Replica) {
-	r.Unwritten(100)
-	r.WriteEnded(true)
+	r.BeginWrite(100)
+	r.EndWrite(true)
 }
 
 // failCalls records two failed calls to a peer, the second of which ends unreachableUs after the
 // start of the first, and the result of a query to witnesses.
 func failCalls(r *Replica, addr string, witness Witness) {
-	r.Failed(addr, 0, 300_000)
-	r.Failed(addr, 300_000, unreachableUs)
-	r.Witnessed(addr, witness, 300_000)
+	r.RecordFailure(addr, 0, 300_000)
+	r.RecordFailure(addr, 300_000, unreachableUs)
+	r.RecordWitness(addr, witness, 300_000)
 }
 
 func TestConfirmedRequiresZoneQuorum(t *testing.T) {
@@ -37,9 +37,9 @@
 	number := r.Append(testAdd(1))
 	must.Eq(t, 1, number)
 	completeWrite(r)
-	r.Acked("a2", Ack{Held: 1, Durable: true, Zone: "a"})
+	r.RecordAck("a2", Ack{Held: 1, Durable: true, Zone: "a"})
 	must.Eq(t, 0, r.Confirmed())
-	r.Acked("b1", Ack{Held: 1, Durable: true, Zone: "b"})
+	r.RecordAck("b1", Ack{Held: 1, Durable: true, Zone: "b"})
 	must.Eq(t, 1, r.Confirmed())
 }
 
@@ -47,22 +47,22 @@
 	r := testReplica()
 	r.Append(testAdd(1))
 	completeWrite(r)
-	r.Acked("b1", Ack{Held: 1, Durable: true, Zone: "b"})
+	r.RecordAck("b1", Ack{Held: 1, Durable: true, Zone: "b"})
 	must.Eq(t, 0, r.Confirmed())
-	r.Acked("c1", Ack{Held: 1, Durable: false, Zone: "c"})
+	r.RecordAck("c1", Ack{Held: 1, Durable: false, Zone: "c"})
 	must.Eq(t, 0, r.Confirmed())
-	r.Acked("c1", Ack{Held: 1, Durable: true, Zone: "c"})
+	r.RecordAck("c1", Ack{Held: 1, Durable: true, Zone: "c"})
 	must.Eq(t, 1, r.Confirmed())
 }
 
 func TestAddIsSentOnlyAfterLocalWrite(t *testing.T) {
 	r := testReplica()
 	r.Append(testAdd(1))
-	_, needed := r.Next("b1")
+	_, needed := r.NextOutgoing("b1")
 	must.False(t, needed)
 	must.SliceEmpty(t, r.Since(Vector{}, 10))
 	completeWrite(r)
-	next, needed := r.Next("b1")
+	next, needed := r.NextOutgoing("b1")
 	must.True(t, needed)
 	must.Eq(t, Run{Origin: "self", First: 1, Adds: []Add{testAdd(1)}}, next.Run)
 	must.Len(t, 1, r.Since(Vector{}, 10))
@@ -75,7 +75,7 @@
 	failCalls(r, "b1", WitnessCut)
 	failCalls(r, "c1", WitnessCut)
 	must.Eq(t, 0, r.Confirmed(), must.Sprint("a2 is reachable and has not acknowledged the add"))
-	r.Acked("a2", Ack{Held: 1, Durable: true, Zone: "a"})
+	r.RecordAck("a2", Ack{Held: 1, Durable: true, Zone: "a"})
 	must.Eq(t, 1, r.Confirmed())
 }
 
@@ -85,12 +85,12 @@
 	completeWrite(r)
 	failCalls(r, "b1", WitnessDown)
 	failCalls(r, "c1", WitnessCut)
-	r.Acked("a2", Ack{Held: 1, Durable: true, Zone: "a"})
+	r.RecordAck("a2", Ack{Held: 1, Durable: true, Zone: "a"})
 	must.Eq(t, 0, r.Confirmed())
-	must.False(t, r.Confirmable())
-	r.Answered("b1")
-	must.True(t, r.Confirmable())
-	r.Acked("b1", Ack{Held: 1, Durable: true, Zone: "b"})
+	must.False(t, r.CanConfirm())
+	r.RecordAnswer("b1")
+	must.True(t, r.CanConfirm())
+	r.RecordAck("b1", Ack{Held: 1, Durable: true, Zone: "b"})
 	must.Eq(t, 1, r.Confirmed())
 }
 
@@ -103,32 +103,32 @@
 	}
 	number := r.Append(testAdd(1))
 	completeWrite(r)
-	must.True(t, r.Acknowledged(number, 300_000), must.Sprint("the last calls started when the add arrived"))
+	must.True(t, r.MayAcknowledge(number, 300_000), must.Sprint("the last calls started when the add arrived"))
 	const laterUs = 900_000
-	must.False(t, r.Acknowledged(number, laterUs), must.Sprint("the same holds for a retry by the client"))
-	r.Await(laterUs)
+	must.False(t, r.MayAcknowledge(number, laterUs), must.Sprint("the same holds for a retry by the client"))
+	r.RecordWaiter(laterUs)
 	for _, addr := range []string{"a2", "b1", "c1"} {
-		must.True(t, r.WantsCall(addr))
-		must.True(t, r.WantsWitness(addr))
-		r.Failed(addr, laterUs, laterUs+150_000)
-		must.False(t, r.WantsCall(addr))
-		must.False(t, r.Acknowledged(number, laterUs))
-		r.Witnessed(addr, WitnessCut, laterUs)
-		must.False(t, r.WantsWitness(addr))
+		must.True(t, r.NeedsCall(addr))
+		must.True(t, r.NeedsWitness(addr))
+		r.RecordFailure(addr, laterUs, laterUs+150_000)
+		must.False(t, r.NeedsCall(addr))
+		must.False(t, r.MayAcknowledge(number, laterUs))
+		r.RecordWitness(addr, WitnessCut, laterUs)
+		must.False(t, r.NeedsWitness(addr))
 	}
-	must.True(t, r.Acknowledged(number, laterUs))
+	must.True(t, r.MayAcknowledge(number, laterUs))
 }
 
 func TestPeerIsUnreachableAfterSustainedFailures(t *testing.T) {
 	r := testReplica()
-	r.Failed("b1", 0, 300_000)
+	r.RecordFailure("b1", 0, 300_000)
 	must.False(t, r.Unreachable("b1"))
-	r.Answered("b1")
-	r.Failed("b1", 500_000, 800_000)
+	r.RecordAnswer("b1")
+	r.RecordFailure("b1", 500_000, 800_000)
 	must.False(t, r.Unreachable("b1"))
-	r.Failed("b1", 800_000, 1_100_000)
+	r.RecordFailure("b1", 800_000, 1_100_000)
 	must.True(t, r.Unreachable("b1"))
-	r.Acked("b1", Ack{Durable: true, Zone: "b"})
+	r.RecordAck("b1", Ack{Durable: true, Zone: "b"})
 	must.False(t, r.Unreachable("b1"))
 }
 
@@ -149,11 +149,11 @@
 		r.Append(testAdd(id))
 	}
 	completeWrite(r)
-	r.Acked("b1", Ack{Held: 5, Durable: true, Zone: "b"})
-	_, needed := r.Next("b1")
+	r.RecordAck("b1", Ack{Held: 5, Durable: true, Zone: "b"})
+	_, needed := r.NextOutgoing("b1")
 	must.False(t, needed)
-	r.Acked("b1", Ack{Held: 0, Durable: true, Zone: "b"})
-	next, needed := r.Next("b1")
+	r.RecordAck("b1", Ack{Held: 0, Durable: true, Zone: "b"})
+	next, needed := r.NextOutgoing("b1")
 	must.True(t, needed)
 	must.Len(t, 5, next.Adds)
 }
--- a/internal/tally/set.go
+++ b/internal/tally/set.go
@@ -68,8 +68,8 @@
 	return ok
 }
 
-// Held returns the number up to which the set has the log of an origin.
-func (s *Set) Held(origin Origin) uint64 { return uint64(len(s.logs[origin])) }
+// LogLength returns the number up to which the set has the log of an origin.
+func (s *Set) LogLength(origin Origin) uint64 { return uint64(len(s.logs[origin])) }
 
 // Vector returns the version vector of the set: for each origin, the number up to which the set
 // has its log.
@@ -88,7 +88,7 @@
 // Merge appends a run to the log of its origin and returns the part that was new. Adds that the
 // set already has are skipped; a run that would leave a gap after the log is ignored.
 func (s *Set) Merge(run Run) (added Run) {
-	length := s.Held(run.Origin)
+	length := s.LogLength(run.Origin)
 	end := run.First + uint64(len(run.Adds)) // the number after the last
 	if run.First == 0 || run.First > length+1 || end <= length+1 {
 		return Run{Origin: run.Origin, First: length + 1}
--- a/internal/tally/set_test.go
+++ b/internal/tally/set_test.go
@@ -130,7 +130,7 @@
 	run := Run{Origin: "o", First: 2, Adds: []Add{{Tally: "t", Key: KeyOf("t", "1"), Amount: 1}}}
 	must.Len(t, 0, set.Merge(run).Adds)
 	must.Eq(t, 0, set.Total("t"))
-	must.Eq(t, 0, set.Held("o"))
+	must.Eq(t, 0, set.LogLength("o"))
 }
 
 func TestSameIDInTwoTalliesCountsInBoth(t *testing.T) {
