--- a/internal/rollout/actions.go
+++ b/internal/rollout/actions.go
@@ -4,20 +4,20 @@
 type Order struct {
 	ID       string // the runner's identity
 	Version  int64
-	Expected *int64 // the runner's sequence, if known; it rejects the order at another
+	Expected *int64 // the runner's sequence number, nil if unknown; the runner rejects the order if its own differs
 }
 
-// Cordon is the state in which the registry is to list a runner. With neither flag set
-// the runner gets all requests again.
+// Cordon is the desired registry state of a runner. With neither flag set the runner
+// gets all requests.
 type Cordon struct {
 	ID       string
 	Draining bool // no long requests
-	Cordoned bool // none at all
+	Cordoned bool // no requests
 }
 
-// Actions are what the caller has to do after a step.
+// Actions are the operations that the caller has to carry out after a step.
 type Actions struct {
 	Cordons []Cordon
 	Orders  []Order
-	Poll    []string // identities of the runners to ask for their report
+	Poll    []string // IDs of the runners whose report to request
 }
--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -3,17 +3,18 @@
 // Answer is the outcome of an order.
 type Answer int
 
-// Answers to an order.
+// Outcomes of an order.
 const (
 	NoAnswer     Answer = iota // the runner may have accepted it
-	Accepted                   // the runner carries it out
+	Accepted                   // the runner carries out the order
 	AlreadyHolds               // the runner holds the weights
 	Conflict                   // another order is in progress, or the sequence differs
-	Rejected                   // the runner does not carry it out
+	Rejected                   // the runner does not carry out the order
 	FenceRefused               // the runner has seen a higher fencing token
 )
 
-// AnswerOf returns the answer that an HTTP status stands for; 0 means no response.
+// AnswerOf maps the HTTP status of a runner's response to an answer; status 0 means
+// that there was no response.
 func AnswerOf(status int) Answer {
 	switch status {
 	case 0:
@@ -34,7 +35,7 @@
 type Report struct {
 	Version  int64 // of the model's weights; 0 if it reports none
 	Busy     bool  // an order is in progress
-	Idle     bool  // no request runs: if it was ordered, it loads the weights
+	Idle     bool  // no request runs; if it was ordered, it is loading the weights
 	Sequence int64 // number of orders accepted
 }
 
@@ -55,13 +56,13 @@
 	}
 }
 
-// Reported records a runner's report that was requested at askedUs.
-func (p *Plan) Reported(id string, r Report, askedUs, nowUs int64) {
+// Reported records a runner's report that was requested at requestedUs.
+func (p *Plan) Reported(id string, r Report, requestedUs, nowUs int64) {
 	j := p.jobs[id]
 	if j == nil {
 		return
 	}
-	j.unanswered, j.askedUs, j.report = 0, max(j.askedUs, askedUs), r
+	j.unansweredPolls, j.reportRequestedUs, j.report = 0, max(j.reportRequestedUs, requestedUs), r
 	if !r.Busy {
 		j.version = max(j.version, r.Version)
 	}
@@ -71,18 +72,18 @@
 	}
 	if j.inherited && r.Busy {
 		j.inherited, j.accepted, j.attempts = false, true, 1
-		j.answeredUs = askedUs - reportLagUs
-		j.move(Ordered, nowUs)
+		j.answeredUs = requestedUs - reportLagUs
+		j.setStage(Ordered, nowUs)
 	}
-	if j.stage == Ordered && r.Busy && r.Idle && j.loadUs == 0 {
-		j.loadUs = nowUs
-		p.loads.begun()
+	if j.stage == Ordered && r.Busy && r.Idle && j.loadBeganUs == 0 {
+		j.loadBeganUs = nowUs
+		p.loads.loadBegan()
 	}
 }
 
 // NotReported records that a runner did not answer the request for its report.
 func (p *Plan) NotReported(id string) {
 	if j := p.jobs[id]; j != nil {
-		j.unanswered++
+		j.unansweredPolls++
 	}
 }
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -15,38 +15,38 @@
 
 var testTimes = lease.Times{LeaseUs: 3 * second, ActUs: 400 * ms, SpareUs: 800 * ms}
 
-// testRunner is a runner that handles orders as the protocol defines: once ordered it
-// begins no request, lets the running ones finish, and loads the weights.
+// testRunner simulates a runner that handles orders as the protocol defines: after an
+// order it starts no new requests, finishes the running ones, and loads the weights.
 type testRunner struct {
-	version  int64
-	holdUs   int64 // how long its requests run on after an order
-	loadUs   int64
-	lost     int // orders that are to be lost
-	unacked  int // orders that are to be accepted without an answer
-	target   int64
-	readyUs  int64
-	sequence int64
-	orders   []int64 // when each order was accepted
-	listed   Runner
+	version       int64
+	requestUs     int64 // how long its requests run on after an order
+	loadUs        int64
+	ordersToLose  int // number of orders to lose
+	answersToLose int // number of orders to accept without an answer
+	target        int64
+	readyUs       int64
+	sequence      int64
+	acceptedUs    []int64 // when each order was accepted
+	listed        Runner
 }
 
-// fleet is the runners of a model, and their records in the registry.
+// fleet holds the runners of a model and their records in the registry.
 type fleet struct {
-	runners map[string]*testRunner
-	sent    int
-	maxOut  int
+	runners     map[string]*testRunner
+	ordersSent  int
+	maxCordoned int
 }
 
-func newFleet(n int, version, holdUs, loadUs int64) *fleet {
+func newFleet(n int, version, requestUs, loadUs int64) *fleet {
 	f := &fleet{runners: map[string]*testRunner{}}
 	for i := range n {
 		id := fmt.Sprint("i-", i)
-		f.runners[id] = &testRunner{version: version, holdUs: holdUs, loadUs: loadUs, listed: Runner{ID: id, Version: version}}
+		f.runners[id] = &testRunner{version: version, requestUs: requestUs, loadUs: loadUs, listed: Runner{ID: id, Version: version}}
 	}
 	return f
 }
 
-func (f *fleet) list() []Runner {
+func (f *fleet) registryRunners() []Runner {
 	var out []Runner
 	for _, r := range f.runners {
 		out = append(out, r.listed)
@@ -54,8 +54,8 @@
 	return out
 }
 
-// tick completes the loads that are due.
-func (f *fleet) tick(nowUs int64) {
+// completeLoads completes the loads that are due by nowUs.
+func (f *fleet) completeLoads(nowUs int64) {
 	for _, r := range f.runners {
 		if r.target > 0 && nowUs >= r.readyUs {
 			r.version, r.target = r.target, 0
@@ -63,10 +63,10 @@
 	}
 }
 
-// handle returns the runner's answer to an order.
+// handle applies an order to the runner and returns its answer.
 func (r *testRunner) handle(o Order, nowUs int64) Answer {
-	if r.lost > 0 {
-		r.lost--
+	if r.ordersToLose > 0 {
+		r.ordersToLose--
 		return NoAnswer
 	}
 	answer := Accepted
@@ -76,12 +76,12 @@
 	case r.version >= o.Version:
 		return AlreadyHolds
 	default:
-		r.target, r.readyUs = o.Version, nowUs+r.holdUs+r.loadUs
+		r.target, r.readyUs = o.Version, nowUs+r.requestUs+r.loadUs
 		r.sequence++
-		r.orders = append(r.orders, nowUs)
+		r.acceptedUs = append(r.acceptedUs, nowUs)
 	}
-	if r.unacked > 0 {
-		r.unacked--
+	if r.answersToLose > 0 {
+		r.answersToLose--
 		return NoAnswer
 	}
 	return answer
@@ -91,13 +91,14 @@
 	return Report{Version: r.version, Busy: r.target > 0, Idle: r.target > 0 && nowUs >= r.readyUs-r.loadUs, Sequence: r.sequence}
 }
 
-// carryOut carries out the actions of a plan, as the controller does.
-func (f *fleet) carryOut(p *Plan, a Actions, nowUs int64) {
+// execute executes the actions of a plan as the controller does, and records the
+// maximum number of cordoned runners.
+func (f *fleet) execute(p *Plan, a Actions, nowUs int64) {
 	for _, c := range a.Cordons {
 		f.runners[c.ID].listed.Cordoned, f.runners[c.ID].listed.Draining = c.Cordoned, c.Draining
 	}
 	for _, o := range a.Orders {
-		f.sent++
+		f.ordersSent++
 		answer := f.runners[o.ID].handle(o, nowUs)
 		p.Answered(o, answer, nowUs)
 	}
@@ -109,34 +110,35 @@
 		}
 		p.Reported(id, report, nowUs, nowUs)
 	}
-	out := 0
+	cordoned := 0
 	for _, r := range f.runners {
 		if r.listed.Cordoned {
-			out++
+			cordoned++
 		}
 	}
-	f.maxOut = max(f.maxOut, out)
+	f.maxCordoned = max(f.maxCordoned, cordoned)
 }
 
-// lastFirstOrder returns when the last runner got its first order; -1 if one has none.
+// lastFirstOrder returns when the last runner got its first order; -1 if a runner has
+// got none.
 func (f *fleet) lastFirstOrder() int64 {
 	last := int64(0)
 	for _, r := range f.runners {
-		if len(r.orders) == 0 {
+		if len(r.acceptedUs) == 0 {
 			return -1
 		}
-		last = max(last, r.orders[0])
+		last = max(last, r.acceptedUs[0])
 	}
 	return last
 }
 
-// play steps a plan for forUs from startUs under a lease that may act, or until the step
-// after the last runner holds the weights.
-func (f *fleet) play(p *Plan, namings []Naming, startUs, forUs int64) (endUs int64) {
+// run steps a plan for forUs from startUs with permission to send orders. It stops
+// early, one step after the last runner holds the weights.
+func (f *fleet) run(p *Plan, namings []Naming, startUs, forUs int64) (endUs int64) {
 	for now := startUs; now < startUs+forUs; now += stepUs {
 		finished := p.Finished() && now > startUs
-		f.tick(now)
-		f.carryOut(p, p.Step(Input{NowUs: now, Namings: namings, Runners: f.list(), MayPrepare: true, MayOrder: true}), now)
+		f.completeLoads(now)
+		f.execute(p, p.Step(Input{NowUs: now, Namings: namings, Runners: f.registryRunners(), MayPrepare: true, MayOrder: true}), now)
 		if finished {
 			return now
 		}
--- a/internal/rollout/invariants_test.go
+++ b/internal/rollout/invariants_test.go
@@ -10,9 +10,9 @@
 
 func TestMain(m *testing.M) { os.Exit(invarianttest.Main(m)) }
 
-func TestFenceThatGoesBackViolatesInvariant(t *testing.T) {
-	invarianttest.Expect(t, fenceGoesForward)
+func TestDecreasingFenceViolatesInvariant(t *testing.T) {
+	invarianttest.Expect(t, fenceNeverDecreases)
 	s := NewShard(1)
-	s.Step(1, lease.Grant{Fence: 4}, behindModel())
-	s.Step(2, lease.Grant{Fence: 3}, behindModel())
+	s.Step(1, lease.Grant{Fence: 4}, outdatedModels())
+	s.Step(2, lease.Grant{Fence: 3}, outdatedModels())
 }
--- a/internal/rollout/known.go
+++ b/internal/rollout/known.go
@@ -7,12 +7,12 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// freshSequence is the highest heartbeat sequence of a runner that has just registered.
-const freshSequence = 2
+// maxNewRunnerSequence is the highest heartbeat sequence of a runner that has just registered.
+const maxNewRunnerSequence = 2
 
-// RunnersOf returns the runners that serve a model, sorted by identity. A runner that
-// has not reported its models counts as serving it if it belongs to the service.
-// Draining runners are left out; stale ones are not, as they may still be running.
+// RunnersOf returns the runners that serve a model, sorted by ID. A runner that has not
+// reported its models counts as serving it if it belongs to the service. Draining
+// runners are excluded. Stale ones are included, as they may still be running.
 func RunnersOf(records map[string]messages.RunnerRecord, model, service string) []Runner {
 	var out []Runner
 	for id, record := range records {
@@ -21,7 +21,7 @@
 		if record.Draining || !serves && !unknown {
 			continue
 		}
-		out = append(out, Runner{ID: id, Version: version, Cordoned: record.Cordoned, Draining: record.DrainingLong, Fresh: record.Seq <= freshSequence})
+		out = append(out, Runner{ID: id, Version: version, Cordoned: record.Cordoned, Draining: record.DrainingLong, Fresh: record.Seq <= maxNewRunnerSequence})
 	}
 	slices.SortFunc(out, func(a, b Runner) int { return cmp.Compare(a.ID, b.ID) })
 	return out
--- a/internal/rollout/known_test.go
+++ b/internal/rollout/known_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-func TestRunnersOfIncludesStaleAndUnknownOnes(t *testing.T) {
+func TestRunnersOfIncludesStaleRunnersAndThoseWithoutModels(t *testing.T) {
 	carries := []messages.Target{{Model: "m", Version: 1}}
 	records := map[string]messages.RunnerRecord{
 		"a": {ID: "a", Service: "s", Seq: 9, Models: carries},
@@ -25,7 +25,8 @@
 	must.Eq(t, []Runner{{ID: "a", Version: 1}, stale, fresh}, RunnersOf(records, "m", ""), must.Sprint("without a configuration"))
 }
 
-// A version loaded from disk may have been named long ago; other nodes send its age.
+// A version loaded from disk has an unknown age, which counts as the bound until another
+// node sends the actual age.
 func TestNamingOfUnknownAgeCountsAsBoundAgo(t *testing.T) {
 	var table targets.Table
 	table.Recall("m", 2, 11*second)
--- a/internal/rollout/loads.go
+++ b/internal/rollout/loads.go
@@ -1,40 +1,40 @@
 package rollout
 
-// loadSlackUs is how much longer a load may appear than it is, in microseconds: reports
-// are delayed and polled at intervals.
-const loadSlackUs = int64(700_000)
+// loadMeasurementErrorUs is the maximum error of a measured load time, in microseconds:
+// reports are delayed and polled at intervals, so that a load may appear longer than it is.
+const loadMeasurementErrorUs = int64(700_000)
 
 // loadLimit estimates how many runners may load weights at once: loads take longer when
-// more of them run than the site's storage sustains. The plan keeps to the limit unless
-// a runner's turn has come by the schedule.
+// more of them run than the site's storage sustains. The plan exceeds the limit only for
+// a runner whose scheduled time has come.
 type loadLimit struct {
-	running   int
-	fastestUs int64
-	most      int // 0 while no load was slow
+	running       int
+	fastestUs     int64
+	maxConcurrent int // 0 until a load was slow
 }
 
-// begun records that a load has begun.
-func (l *loadLimit) begun() { l.running++ }
+// loadBegan records the start of a load.
+func (l *loadLimit) loadBegan() { l.running++ }
 
-// ended records the end of a load that began at begunUs; 0 if its beginning was not seen.
-func (l *loadLimit) ended(begunUs, nowUs int64) {
-	if begunUs == 0 {
+// loadEnded records the end of a load that began at beganUs; 0 if its start was not observed.
+func (l *loadLimit) loadEnded(beganUs, nowUs int64) {
+	if beganUs == 0 {
 		return
 	}
-	tookUs, running := nowUs-begunUs, l.running
+	tookUs, running := nowUs-beganUs, l.running
 	l.running = max(l.running-1, 0)
 	if l.fastestUs == 0 || tookUs < l.fastestUs {
 		l.fastestUs = tookUs
 	}
-	if running > 1 && tookUs > 2*l.fastestUs+loadSlackUs {
-		l.most = running - 1
+	if running > 1 && tookUs > 2*l.fastestUs+loadMeasurementErrorUs {
+		l.maxConcurrent = running - 1
 	}
 }
 
 // limit returns how many of n runners may load at once.
 func (l *loadLimit) limit(n int) int {
-	if l.most == 0 {
+	if l.maxConcurrent == 0 {
 		return n
 	}
-	return l.most
+	return l.maxConcurrent
 }
--- a/internal/rollout/namings.go
+++ b/internal/rollout/namings.go
@@ -8,9 +8,9 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// NamingsOf returns the versions of a model in the table, oldest first, with the time of
-// each on the clock of nowUs. A version of unknown age counts as named boundUs ago:
-// orders that are sent early do no harm.
+// NamingsOf returns the versions of a model in the table, oldest first, with the time at
+// which each was named, on the clock of nowUs. A version of unknown age counts as named
+// boundUs ago: orders that are sent early do no harm.
 func NamingsOf(table *targets.Table, model string, boundUs, nowUs int64) []Naming {
 	var out []Naming
 	for _, target := range table.Of(model) {
@@ -21,8 +21,8 @@
 }
 
 // Name records a model's newest version in the body of a register, and reports whether
-// that changed it. If the lease was never held, the same change gives it to holder,
-// unless holder is empty.
+// that changed the body. If the lease was never held and holder is not empty, the same
+// change assigns the lease to holder.
 func Name(body *messages.LeaseBody, target messages.Target, holder string) (changed bool) {
 	i := slices.IndexFunc(body.Targets, func(t messages.Target) bool { return t.Model == target.Model })
 	switch {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,32 +1,32 @@
-// Package rollout brings the runners of a model to the weights version that was named
-// for it, before the bound after which nothing may begin on older weights.
+// Package rollout plans the update of a model's runners to the newest named version of
+// its weights, before the bound after which no request may start on older weights.
 //
-// # What it is given and what it returns
+// # Input and output
 //
-// Plan is the plan for one model. Given its runners and named versions, Plan.Step
-// returns which runners are drained of long requests, cordoned, sent an order, or
-// polled for their report. Shard is one controller's part in the singleton role for
-// all models of one register: given a View, Shard.Step returns when to acquire the
-// lease, when to have it confirmed by a majority, and the actions of the plans under
-// it. The caller carries them out and reports the outcomes (Acquired, Confirmed,
-// Answered, Reported, NotReported).
+// Plan covers one model. Plan.Step takes its runners and named versions, and returns
+// which runners to drain of long requests, to cordon, to send an order, or to poll for
+// their report. Shard holds the plans of all models of one register. Shard.Step takes
+// the grant of the register's lease (internal/lease) and returns the actions of the
+// plans under it. The caller carries out the actions and records their outcomes
+// (Answered, Reported, NotReported).
 //
-// # What it guarantees
+// # Guarantees
 //
-// If its caller may send orders, an order for the newest weights has gone out to every
-// runner before the bound. Under method hold a runner that was ordered begins nothing
-// more on its old weights, so that the time of the order is the only one that counts;
-// how long its running requests or the loading of the weights take does not. The plan
-// is made backwards from the bound: ordinarily a third of the runners is out at once
-// and the next one waits until another is back; a runner whose turn has come by the
-// schedule is ordered whoever else is out. Orders carry the fencing token of the lease
-// and are returned only while the lease allows its holder to act.
+// If the caller may send orders, an order for the newest weights is sent to every runner
+// before the bound. Under order method hold, a runner that has received an order starts
+// no more requests on its old weights. Only the time of the order is therefore bounded,
+// not the duration of running requests or of loading the weights. The schedule is
+// computed backwards from the bound: normally up to a third of the runners is
+// unavailable at once and the next one waits until another is back, but a runner whose
+// scheduled time has come is ordered however many are unavailable. Orders carry the
+// fencing token of the lease and are returned only while the lease allows its holder to
+// act.
 //
-// # Who owns which state
+// # Concurrency
 //
-// Everything here is pure: times are microseconds of the caller's monotonic clock,
-// given as arguments. No type is safe for concurrent use; controller.rolloutManager
-// guards its shards with a mutex.
+// The package has no I/O and no clock: times are microseconds of the caller's monotonic
+// clock, passed as arguments. No type is safe for concurrent use; the caller
+// synchronizes access to a Shard.
 package rollout
 
 import (
@@ -39,54 +39,54 @@
 
 // Stages of a runner.
 const (
-	Serving   Stage = iota // on older weights, and gets requests
+	Serving   Stage = iota // has older weights and gets requests
 	Draining               // gets no more long requests
 	Cordoned               // gets no more requests
-	Ordered                // was sent an order
+	Ordered                // an order was sent to it
 	Completed              // holds the newest weights
 )
 
 // Delays of a plan, in microseconds.
 const (
-	// DrainUs is how long a runner gets no long requests before it is cordoned.
+	// DrainUs is the time between draining a runner of long requests and cordoning it.
 	DrainUs = int64(700_000)
-	// SettleUs is how long a cordoned runner has to begin the requests in flight to
-	// it before it is sent an order.
+	// SettleUs is the time between cordoning a runner and sending it an order, in which
+	// requests already in flight to it can start.
 	SettleUs = int64(300_000)
-	// reportWaitUs is how long the plan waits for the report of a runner that an
-	// earlier holder has cordoned, which says whether it was ordered already.
+	// reportWaitUs is the maximum wait for the report of a runner that an earlier lease
+	// holder cordoned. The report shows whether the runner was ordered already.
 	reportWaitUs = int64(500_000)
-	// reportLagUs is the maximum age of a report's content when it is sent.
+	// reportLagUs is the maximum age of the state in a report when the report is sent.
 	reportLagUs = int64(400_000)
-	// retryUs is the initial backoff of an order that got no answer, or no clear one.
-	retryUs = int64(300_000)
+	// minRetryUs is the initial backoff before an order is sent again.
+	minRetryUs = int64(300_000)
 	// maxRetryUs is the maximum backoff of an order.
 	maxRetryUs = int64(2_500_000)
-	// lostOrderUs is the time after which an accepted order is sent again if no
-	// report shows it.
+	// lostOrderUs is the time after which an accepted order is sent again if no report
+	// shows it in progress.
 	lostOrderUs = int64(4_000_000)
-	// pollUs is the poll interval of a runner that was ordered.
-	pollUs = int64(200_000)
+	// minPollUs is the poll interval of a runner that answers.
+	minPollUs = int64(200_000)
 	// maxPollUs is the maximum poll interval of a runner that does not answer.
 	maxPollUs = int64(3_000_000)
 )
 
 // Plan is the rollout of one model's weights.
 type Plan struct {
-	boundUs  int64 // after a naming, by when all orders have gone out
-	startUs  int64 // from when the schedule spreads the turns
-	namings  []Naming
-	jobs     map[string]*job
-	started  bool // the first list of runners has been merged
-	prepared bool // the schedule has begun
-	loads    loadLimit
+	boundUs         int64 // time after a naming within which all orders are sent
+	scheduleStartUs int64 // start of the schedule
+	namings         []Naming
+	jobs            map[string]*job
+	runnersMerged   bool // the first list of runners has been merged
+	scheduleStarted bool // the schedule has started
+	loads           loadLimit
 }
 
 // NewPlan returns a plan that sends all orders within boundUs after a naming.
 func NewPlan(boundUs int64) *Plan { return &Plan{boundUs: boundUs, jobs: map[string]*job{}} }
 
-// Step updates the plan from the current namings and runners and returns what the
-// caller has to do.
+// Step updates the plan from the current namings and runners and returns the actions
+// that are due.
 func (p *Plan) Step(in Input) Actions {
 	p.updateNamings(in)
 	p.updateRunners(in)
@@ -95,16 +95,16 @@
 		p.advance(in.NowUs)
 	}
 	for _, r := range in.Runners {
-		if want := p.jobs[r.ID].cordon(); want.Draining != r.Draining || want.Cordoned != r.Cordoned {
-			actions.Cordons = append(actions.Cordons, want)
+		if desired := p.jobs[r.ID].cordon(); desired.Draining != r.Draining || desired.Cordoned != r.Cordoned {
+			actions.Cordons = append(actions.Cordons, desired)
 		}
 	}
-	for _, j := range p.sorted() {
+	for _, j := range p.sortedJobs() {
 		if in.MayOrder && p.orderDue(j, in.NowUs) {
-			actions.Orders = append(actions.Orders, p.send(j, in.NowUs))
+			actions.Orders = append(actions.Orders, p.createOrder(j, in.NowUs))
 		}
 		if p.pollDue(j, in.NowUs) {
-			j.polledUs = in.NowUs
+			j.lastPollUs = in.NowUs
 			actions.Poll = append(actions.Poll, j.id)
 		}
 	}
@@ -137,8 +137,9 @@
 	return p.namings[len(p.namings)-1].Version
 }
 
-// updateNamings restarts the schedule if a newer version was named. Runners keep their
-// stages: a cordoned one stays cordoned and is ordered to the newest version next.
+// updateNamings restarts the schedule if a newer version was named. Completed runners
+// return to Serving; the others keep their stages: a cordoned runner stays cordoned and
+// its next order is for the newest version.
 func (p *Plan) updateNamings(in Input) {
 	before := p.newest()
 	p.namings = slices.Clone(in.Namings)
@@ -146,63 +147,65 @@
 	if p.newest() == before {
 		return
 	}
-	p.startUs = in.NowUs
+	p.scheduleStartUs = in.NowUs
 	for _, j := range p.jobs {
 		if j.stage == Completed {
-			j.move(Serving, in.NowUs)
+			j.setStage(Serving, in.NowUs)
 		}
 	}
 }
 
-// updateRunners adds the runners that are new and removes those that are gone.
+// updateRunners adds newly listed runners and removes those no longer listed.
 func (p *Plan) updateRunners(in Input) {
-	listed := map[string]bool{}
+	listedIDs := map[string]bool{}
 	for _, r := range in.Runners {
-		listed[r.ID] = true
+		listedIDs[r.ID] = true
 		j := p.jobs[r.ID]
 		if j == nil {
-			j = p.adopt(r, in.NowUs)
+			j = p.newJob(r, in.NowUs)
 			p.jobs[r.ID] = j
 		}
 		j.version = max(j.version, r.Version)
 		p.complete(j, in.NowUs)
 	}
 	for id := range p.jobs {
-		if !listed[id] {
+		if !listedIDs[id] {
 			delete(p.jobs, id)
 		}
 	}
-	p.started = true
+	p.runnersMerged = true
 }
 
-// adopt returns the job of a runner in the state in which an earlier holder left it. A
-// cordoned runner may have been ordered already; its report says so.
-func (p *Plan) adopt(r Runner, nowUs int64) *job {
-	j := &job{id: r.ID, sinceUs: nowUs}
+// newJob returns the job of a newly listed runner, in the stage that its registry state
+// implies. A cordoned runner may have been ordered by an earlier lease holder; its
+// report shows whether it was. A runner that registered after the first step is cordoned
+// and due for an order at once.
+func (p *Plan) newJob(r Runner, nowUs int64) *job {
+	j := &job{id: r.ID, stageBeganUs: nowUs}
 	switch {
 	case r.Cordoned:
 		j.stage, j.inherited = Cordoned, true
 	case r.Draining:
-		j.stage, j.sinceUs = Draining, nowUs-DrainUs
-	case p.started && r.Fresh:
-		j.stage, j.sinceUs = Cordoned, nowUs-SettleUs
+		j.stage, j.stageBeganUs = Draining, nowUs-DrainUs
+	case p.runnersMerged && r.Fresh:
+		j.stage, j.stageBeganUs = Cordoned, nowUs-SettleUs
 	}
 	return j
 }
 
-// complete moves a runner that holds the newest weights to the last stage.
+// complete moves a runner that holds the newest weights to Completed.
 func (p *Plan) complete(j *job, nowUs int64) {
 	if j.stage == Completed || j.version < p.newest() {
 		return
 	}
 	if j.stage == Ordered {
-		p.loads.ended(j.loadUs, nowUs)
+		p.loads.loadEnded(j.loadBeganUs, nowUs)
 	}
-	j.move(Completed, nowUs)
+	j.setStage(Completed, nowUs)
 }
 
-// sorted returns the jobs in the order of their runners' identities.
-func (p *Plan) sorted() []*job {
+// sortedJobs returns the jobs sorted by runner ID.
+func (p *Plan) sortedJobs() []*job {
 	var out []*job
 	for _, j := range p.jobs {
 		out = append(out, j)
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -5,63 +5,63 @@
 	"slices"
 )
 
-// maxOut returns how many of n runners may be unavailable at once while no deadline is
-// near.
-func maxOut(n int) int { return max(2, (n+2)/3) }
+// maxUnavailable returns how many of n runners may be unavailable at once, apart from those
+// whose scheduled time has come.
+func maxUnavailable(n int) int { return max(2, (n+2)/3) }
 
-// deadlineUs returns the time by which a runner must have been ordered: the bound after
-// the first naming that is newer than its weights. Each version counts from its own
-// acknowledgement, so a later naming postpones nothing.
+// deadlineUs returns the time by which an order must have been sent to a runner: the
+// bound after the first naming that is newer than its weights. Each version counts from
+// its own acknowledgement, so a later naming does not postpone the deadline.
 func (p *Plan) deadlineUs(j *job) int64 {
 	for _, n := range p.namings {
 		if n.Version > j.version {
 			return n.NamedUs + p.boundUs
 		}
 	}
-	return p.startUs + p.boundUs
+	return p.scheduleStartUs + p.boundUs
 }
 
-// turnUs returns the time at which a runner is cordoned at the latest, given how many
-// runners have their turn after it. The turns are spread evenly between the start of
-// the plan and the deadline, so that few runners are unavailable at once.
-func (p *Plan) turnUs(j *job, fromLast int) int64 {
+// latestCordonUs returns the latest time at which a runner is cordoned, given how many runners
+// are scheduled after it. These times are spread evenly between the start of the
+// schedule and the deadline, so that few runners are unavailable at once.
+func (p *Plan) latestCordonUs(j *job, laterRunners int) int64 {
 	deadlineUs := p.deadlineUs(j)
-	spacingUs := max(deadlineUs-p.startUs, 0) / int64(len(p.jobs)+1)
-	return deadlineUs - SettleUs - spacingUs*int64(fromLast+1)
+	spacingUs := max(deadlineUs-p.scheduleStartUs, 0) / int64(len(p.jobs)+1)
+	return deadlineUs - SettleUs - spacingUs*int64(laterRunners+1)
 }
 
-// advance moves runners to their next stages: when their turn has come by the schedule,
-// and earlier as long as enough other runners serve.
+// advance drains and cordons runners: when their scheduled time has come, and earlier
+// while the number of unavailable runners is below the limit.
 func (p *Plan) advance(nowUs int64) {
-	if !p.prepared {
-		p.prepared, p.startUs = true, nowUs
+	if !p.scheduleStarted {
+		p.scheduleStarted, p.scheduleStartUs = true, nowUs
 	}
-	waiting := p.waiting()
-	out, draining := p.out()
-	limit := min(maxOut(len(p.jobs)), p.loads.limit(len(p.jobs)))
+	waiting := p.waitingJobs()
+	unavailable, draining := p.countUnavailable()
+	limit := min(maxUnavailable(len(p.jobs)), p.loads.limit(len(p.jobs)))
 	for i, j := range waiting {
-		turnUs := p.turnUs(j, len(waiting)-1-i)
-		due := nowUs >= turnUs
-		drained := j.stage == Draining && nowUs-j.sinceUs >= DrainUs
+		cordonUs := p.latestCordonUs(j, len(waiting)-1-i)
+		due := nowUs >= cordonUs
+		drained := j.stage == Draining && nowUs-j.stageBeganUs >= DrainUs
 		switch {
-		case due, drained && out < limit:
+		case due, drained && unavailable < limit:
 			if j.stage == Draining {
 				draining--
 			}
-			out++
-			j.move(Cordoned, nowUs)
-		case j.stage == Serving && (draining < limit || nowUs >= turnUs-DrainUs):
+			unavailable++
+			j.setStage(Cordoned, nowUs)
+		case j.stage == Serving && (draining < limit || nowUs >= cordonUs-DrainUs):
 			draining++
-			j.move(Draining, nowUs)
+			j.setStage(Draining, nowUs)
 		}
 	}
 }
 
-// waiting returns the runners that are not yet cordoned, in the order of their turns: by
-// deadline, then draining ones first, then by identity.
-func (p *Plan) waiting() []*job {
+// waitingJobs returns the jobs of runners that are not yet cordoned, in scheduled order: by
+// deadline, then draining ones first, then by ID.
+func (p *Plan) waitingJobs() []*job {
 	var out []*job
-	for _, j := range p.sorted() {
+	for _, j := range p.sortedJobs() {
 		if j.stage == Serving || j.stage == Draining {
 			out = append(out, j)
 		}
@@ -72,21 +72,21 @@
 	return out
 }
 
-// out counts the runners that are cordoned or ordered, and those that drain. Silent ones
-// are not counted: they may have ended.
-func (p *Plan) out() (out, draining int) {
+// countUnavailable counts the runners that are cordoned or ordered, and those that are draining.
+// Runners that leave orders unanswered are not counted: they may have terminated.
+func (p *Plan) countUnavailable() (unavailable, draining int) {
 	for _, j := range p.jobs {
 		switch j.stage {
 		case Draining:
 			draining++
 		case Cordoned:
-			out++
+			unavailable++
 		case Ordered:
-			if !j.silent() {
-				out++
+			if !j.unresponsive() {
+				unavailable++
 			}
 		case Serving, Completed:
 		}
 	}
-	return out, draining
+	return unavailable, draining
 }
--- a/internal/rollout/shard.go
+++ b/internal/rollout/shard.go
@@ -6,7 +6,7 @@
 	"beechtide.org/beechtide/internal/lease"
 )
 
-// Model is a model whose weights were named, with its runners.
+// Model is a model with its named weights versions and its runners.
 type Model struct {
 	Name    string
 	Namings []Naming
@@ -39,7 +39,7 @@
 	Actions
 }
 
-// Step is what the holder of the lease has to do.
+// Step is the result of Shard.Step: the actions of the lease holder.
 type Step struct {
 	Fence  int64 // fencing token of the orders
 	Models []ModelActions
@@ -55,14 +55,14 @@
 	return false
 }
 
-// Unfinished reports whether a model has a runner with an older or unknown version, or
-// one that is still cordoned or draining: whether there is work for the holder.
+// Unfinished reports whether there is work for the lease holder: a model has a runner
+// with an older or unknown version, or one that is still cordoned or draining.
 func Unfinished(models []Model) bool {
 	return slices.ContainsFunc(models, Model.unfinished)
 }
 
-// Shard plans the rollouts of the models of one register while this controller holds
-// its lease.
+// Shard plans the rollouts of the models of one register while this controller holds the
+// register's lease.
 type Shard struct {
 	boundUs int64
 	plans   map[string]*Plan
@@ -74,13 +74,15 @@
 	return &Shard{boundUs: boundUs, plans: map[string]*Plan{}}
 }
 
-// Step returns what to do for the models under a grant of the lease.
+// Step returns the actions for the models under a grant of the lease. Plans made under
+// another fencing token are discarded. Without a grant or unfinished work it returns an
+// empty step.
 func (s *Shard) Step(nowUs int64, grant lease.Grant, models []Model) Step {
 	if grant.Fence == 0 || !Unfinished(models) {
 		return Step{}
 	}
 	if grant.Fence < s.fence {
-		fenceGoesForward.Violated("before", s.fence, "next", grant.Fence)
+		fenceNeverDecreases.Violated("before", s.fence, "next", grant.Fence)
 	}
 	if s.fence != grant.Fence {
 		s.fence, s.plans = grant.Fence, map[string]*Plan{}
@@ -94,7 +96,7 @@
 	return step
 }
 
-// plan returns the plan of a model, a new one if there is none yet.
+// plan returns the plan of a model and creates it if there is none.
 func (s *Shard) plan(model string) *Plan {
 	p := s.plans[model]
 	if p == nil {
@@ -111,10 +113,10 @@
 	}
 }
 
-// Reported records a runner's report that was requested at askedUs.
-func (s *Shard) Reported(model, id string, r Report, askedUs, nowUs int64) {
+// Reported records a runner's report that was requested at requestedUs.
+func (s *Shard) Reported(model, id string, r Report, requestedUs, nowUs int64) {
 	if p := s.plans[model]; p != nil {
-		p.Reported(id, r, askedUs, nowUs)
+		p.Reported(id, r, requestedUs, nowUs)
 	}
 }
 
