--- a/internal/canary/doc.go
+++ b/internal/canary/doc.go
@@ -1,20 +1,21 @@
-// Package canary decides about the rollout of a new software version of a service: a small
-// share of the service's requests goes to runners of that version; if it fails them more often
-// than the other versions do, all requests go back, and else all of them go over to it, in time
-// for the term of the order.
+// Package canary controls the rollout of a new software version of a service. A small share
+// of the service's requests is routed to runners of the new version. If that version fails
+// them more often than the other versions do, the rollout is reverted; otherwise all requests
+// are shifted to it before the deadline of the order.
 //
-// A rollout is agreed state (messages.ServiceRollout in a register), of which Begin and Advance
-// make the next value. Plan is what the holder of the register's lease goes by: Step says which
-// stage is due, from the outcomes of the requests to the new and the other versions (Evidence).
+// The state of a rollout is replicated (messages.ServiceRollout in a register); Begin and
+// Advance compute its next value. The holder of the register's lease runs a Plan: Plan.Step
+// returns the stage that is due, from the outcomes of the requests to the new and the other
+// versions (Evidence).
 //
-// # What it guarantees
+// # Guarantees
 //
-//   - Stages only go forward, as nextStages has them; the two last ones never change.
-//   - The new version gets Share of the requests until it has been compared with the others to the
-//     end, and all of them only if no comparison says that it is worse.
-//   - A version that is worse is found with a chance of error that evidenceFor bounds for each
-//     comparison, as soon as the outcomes show it.
+//   - Stages only advance along nextStages; Settled and Reverted are final.
+//   - Until the trial has ended, the new version gets at most Share of the requests. It gets all
+//     of them only if no comparison finds it worse.
+//   - A version that is worse is found as soon as the outcomes show it, with an error probability
+//     for each comparison that worseThreshold bounds.
 //
-// Everything here is pure: times are whole microseconds, given as arguments. No type is safe
-// for concurrent use.
+// The package has no I/O and no clock: times are whole microseconds, passed as arguments. No
+// type is safe for concurrent use.
 package canary
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -4,104 +4,109 @@
 	"math"
 )
 
-// Outcome is how the requests to some runners ended, so far.
+// Outcome counts the answers of some runners so far, and how many of them were bad.
 type Outcome struct {
 	Answers int
 	Bad     int
 }
 
-func (o Outcome) minus(earlier Outcome) Outcome {
+func (o Outcome) subtract(earlier Outcome) Outcome {
 	return Outcome{Answers: o.Answers - earlier.Answers, Bad: o.Bad - earlier.Bad}
 }
 
-func (o Outcome) valid() bool { return o.Bad >= 0 && o.Answers >= o.Bad }
+func (o Outcome) isValid() bool { return o.Bad >= 0 && o.Answers >= o.Bad }
 
-// Pair is the outcomes of the same kind of requests, looked at in the same way, at the new
-// version and at the others.
+// Pair holds the outcomes of one comparison at the new version and at the others.
 type Pair struct{ New, Other Outcome }
 
-// Evidence is pairs of outcomes by the name of the comparison: a kind of request and what is
-// looked at.
+// Evidence holds the outcomes by the name of the comparison, which stands for a kind of
+// request and a criterion for bad answers.
 type Evidence map[string]Pair
 
 // Parameters of the comparisons.
 const (
-	// minBad is how many bad answers a version has to give at least to be found worse.
-	minBad = 4
-	// errorExponent bounds the chance, e to the power of minus it, that a comparison finds a
-	// version worse that is as bad as tolerated, if it is made once.
-	errorExponent = 11.0
-	// tolerated is the least share of bad answers that is not held against a version.
-	tolerated = 0.03
-	// toleratedFactor is how much worse than the others a version may be.
-	toleratedFactor = 1.5
-	// worseBy is by how much the share of bad answers of a version is larger that is worse.
-	worseBy = 0.15
-	// fineExponent is the same as errorExponent for a version that is as good as the others. It is
-	// lower: such a version is watched on.
-	fineExponent = 2.0
-	// openExponent is the same for the outcomes of one kind of request, of which there are fewer:
-	// they must not leave it open which way they lean.
-	openExponent = -0.5
-	// priorAnswers and priorBad stand for what is known of the others before the first answers.
+	// minBadAnswers is the minimum number of bad answers for a version to be found worse.
+	minBadAnswers = 4
+	// worseThreshold is the log-likelihood ratio above which a version is found worse. The
+	// probability that a single comparison finds a version worse whose share of bad answers is
+	// just tolerable is at most exp(-worseThreshold).
+	worseThreshold = 11.0
+	// minTolerableShare is the share of bad answers that is tolerable however few the others have.
+	minTolerableShare = 0.03
+	// tolerableRatio is the tolerable ratio of the version's share of bad answers to that of
+	// the others.
+	tolerableRatio = 1.5
+	// worseShareDifference is the difference between the tolerable share of bad answers and the
+	// share of a version that is worse.
+	worseShareDifference = 0.15
+	// acceptThreshold is the negated log-likelihood ratio below which a version is as good as the
+	// others, by all requests. It is lower than worseThreshold because the version is monitored
+	// further.
+	acceptThreshold = 2.0
+	// partialAcceptThreshold is the log-likelihood ratio below which a version is as good as the
+	// others, by the requests of one kind. There are fewer of these, so the ratio only has to be
+	// clearly negative.
+	partialAcceptThreshold = -0.5
+	// priorAnswers and priorBad are the assumed outcomes of the others before their first answers.
 	priorAnswers = 20.0
 	priorBad     = 0.3
-	// maxOtherBad is the share of bad answers of the others above which nothing can be told.
-	maxOtherBad = 0.5
+	// maxOtherBadShare is the share of bad answers of the others above which a comparison has no
+	// result.
+	maxOtherBadShare = 0.5
 )
 
-// evidenceFor returns how much the outcomes speak for a version that is worse than the others:
-// the logarithm of the likelihood ratio of Wald's sequential test, between a share of bad answers
-// that is tolerated and one that is not. Both follow from the outcomes of the other versions at
-// the same time, so that what is wrong with the network, the clients or the load counts for both.
-func evidenceFor(pair Pair) float64 {
-	other := (float64(pair.Other.Bad) + priorBad) / (float64(pair.Other.Answers) + priorAnswers)
-	if other > maxOtherBad {
+// logLikelihoodRatio returns the log-likelihood ratio of Wald's sequential probability ratio test
+// that the new version is worse than the others, between a tolerable share of bad answers and one
+// that is not. Both shares are derived from the outcomes of the other versions over the same time,
+// so that faults of the network, the clients or the load affect both sides alike.
+func logLikelihoodRatio(pair Pair) float64 {
+	otherShare := (float64(pair.Other.Bad) + priorBad) / (float64(pair.Other.Answers) + priorAnswers)
+	if otherShare > maxOtherBadShare {
 		return 0
 	}
-	fine := max(tolerated, toleratedFactor*other)
-	worse := fine + worseBy
+	tolerableShare := max(minTolerableShare, tolerableRatio*otherShare)
+	worseShare := tolerableShare + worseShareDifference
 	good := float64(pair.New.Answers - pair.New.Bad)
-	return float64(pair.New.Bad)*math.Log(worse/fine) + good*math.Log((1-worse)/(1-fine))
+	return float64(pair.New.Bad)*math.Log(worseShare/tolerableShare) + good*math.Log((1-worseShare)/(1-tolerableShare))
 }
 
-// isFine reports whether the outcomes show that the new version is as good as the others.
-func isFine(name string, pair Pair) bool {
-	bound := openExponent
+// isAcceptable reports whether the outcomes show that the new version is as good as the others.
+func isAcceptable(name string, pair Pair) bool {
+	threshold := partialAcceptThreshold
 	if name == AllRequests {
-		bound = -fineExponent
+		threshold = -acceptThreshold
 	}
-	return pair.New.valid() && pair.Other.valid() && evidenceFor(pair) < bound
+	return pair.New.isValid() && pair.Other.isValid() && logLikelihoodRatio(pair) < threshold
 }
 
 // isWorse reports whether the outcomes show that the new version is worse.
 func isWorse(pair Pair) bool {
-	return pair.New.valid() && pair.Other.valid() && pair.New.Bad >= minBad && evidenceFor(pair) > errorExponent
+	return pair.New.isValid() && pair.Other.isValid() && pair.New.Bad >= minBadAnswers && logLikelihoodRatio(pair) > worseThreshold
 }
 
-// sample is the evidence as it was at one time.
+// sample is the evidence at one time.
 type sample struct {
 	atUs     int64
 	evidence Evidence
 }
 
 const (
-	// windowUs is how far back the recent outcomes go that are compared beside all of them: a
-	// version may turn bad after a good while.
-	windowUs      = int64(2_500_000)
-	samplePauseUs = int64(250_000)
+	// windowUs is the time span of the recent outcomes, which are compared in addition to all
+	// outcomes: a version may turn bad after a long time without failures.
+	windowUs         = int64(2_500_000)
+	sampleIntervalUs = int64(250_000)
 )
 
-// monitor compares the outcomes of a rollout.
+// monitor compares all and the recent outcomes of a rollout.
 type monitor struct {
 	newest  Evidence
 	samples []sample
 }
 
-// observe takes the outcomes so far.
+// observe records the outcomes so far, and samples them for the recent window.
 func (m *monitor) observe(evidence Evidence, nowUs int64) {
 	m.newest = evidence
-	if n := len(m.samples); n > 0 && nowUs-m.samples[n-1].atUs < samplePauseUs {
+	if n := len(m.samples); n > 0 && nowUs-m.samples[n-1].atUs < sampleIntervalUs {
 		return
 	}
 	m.samples = append(m.samples, sample{nowUs, evidence})
@@ -110,50 +115,51 @@
 	}
 }
 
-// worse returns the comparison that finds the new version worse, empty for none: by all outcomes,
-// or by the recent ones.
-func (m *monitor) worse() string {
+// findWorse returns the name of a comparison that finds the new version worse, by all outcomes or
+// by the recent ones; empty for none.
+func (m *monitor) findWorse() string {
 	for name, pair := range m.newest {
 		if isWorse(pair) {
 			return name
 		}
-		if isWorse(m.recent(name, pair)) {
+		if isWorse(m.recentOutcomes(name, pair)) {
 			return name + " of late"
 		}
 	}
 	return ""
 }
 
-// suspect returns a comparison of which the outcomes do not show that the new version is as good
-// as the others; empty for none. One with few answers is left out.
-func (m *monitor) suspect() string {
+// findUnproven returns the name of a comparison whose outcomes do not show that the new version is
+// as good as the others; empty for none. Comparisons with fewer than minAnswers answers of the new
+// version are skipped.
+func (m *monitor) findUnproven() string {
 	for name, pair := range m.newest {
-		if pair.New.Answers >= minAnswers && !isFine(name, pair) {
+		if pair.New.Answers >= minAnswers && !isAcceptable(name, pair) {
 			return name
 		}
 	}
 	return ""
 }
 
-// leans returns a comparison in which the recent outcomes speak for a version that is worse, be
-// it weakly; empty for none.
-func (m *monitor) leans() string {
+// findWeaklyWorse returns the name of a comparison whose recent outcomes are weak evidence that the
+// new version is worse; empty for none.
+func (m *monitor) findWeaklyWorse() string {
 	for name, pair := range m.newest {
-		if recent := m.recent(name, pair); recent.New.Bad >= minBad && recent.New.valid() && recent.Other.valid() && evidenceFor(recent) > fineExponent {
+		if recent := m.recentOutcomes(name, pair); recent.New.Bad >= minBadAnswers && recent.New.isValid() && recent.Other.isValid() && logLikelihoodRatio(recent) > acceptThreshold {
 			return name
 		}
 	}
 	return ""
 }
 
-// recent is the outcomes of a comparison within the window.
-func (m *monitor) recent(name string, pair Pair) Pair {
+// recentOutcomes returns the outcomes of a comparison within the window.
+func (m *monitor) recentOutcomes(name string, pair Pair) Pair {
 	if len(m.samples) == 0 {
 		return pair
 	}
-	before := m.samples[0].evidence[name]
-	return Pair{New: pair.New.minus(before.New), Other: pair.Other.minus(before.Other)}
+	earliest := m.samples[0].evidence[name]
+	return Pair{New: pair.New.subtract(earliest.New), Other: pair.Other.subtract(earliest.Other)}
 }
 
-// AllRequests is the name of the comparison that has every answer, by whether it failed.
+// AllRequests is the name of the comparison that counts every answer; a failed one is bad.
 const AllRequests = "all"
--- a/internal/canary/keys.go
+++ b/internal/canary/keys.go
@@ -7,16 +7,16 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Outcomes travel with the loads of runners, under keys of their own: the sums over all routers
-// come to the controllers in the same way.
+// Outcomes are sent to the controllers as runner loads, under keys of their own, because both
+// are summed over all routers in the same way.
 
 const (
-	evidencePrefix = "canary"
-	keySeparator   = "\x1f"
-	keyFields      = 5
+	keyPrefix    = "canary"
+	keySeparator = "\x1f"
+	keyFields    = 5
 )
 
-// Side says which versions outcomes are of.
+// Side is the side of a comparison whose outcomes a key identifies.
 type Side string
 
 // Sides of a comparison.
@@ -25,7 +25,7 @@
 	OtherSide Side = "other"
 )
 
-// Key names outcomes on their way through the fleet.
+// Key identifies the outcomes of one side of a comparison in messages between nodes.
 type Key struct {
 	Service    string
 	Number     int64 // of the rollout
@@ -33,27 +33,27 @@
 	Comparison string
 }
 
-// String returns the key as it is sent.
+// String returns the key in its wire format.
 func (k Key) String() string {
-	return strings.Join([]string{evidencePrefix, k.Service, strconv.FormatInt(k.Number, 10), string(k.Side), k.Comparison}, keySeparator)
+	return strings.Join([]string{keyPrefix, k.Service, strconv.FormatInt(k.Number, 10), string(k.Side), k.Comparison}, keySeparator)
 }
 
-// ParseKey returns the key that a text is, and false for the key of a runner's load.
+// ParseKey parses the wire format of a key; ok is false for the ID of a runner.
 func ParseKey(text string) (Key, bool) {
 	parts := strings.Split(text, keySeparator)
-	if len(parts) != keyFields || parts[0] != evidencePrefix {
+	if len(parts) != keyFields || parts[0] != keyPrefix {
 		return Key{}, false
 	}
 	number, err := strconv.ParseInt(parts[2], 10, 64)
 	return Key{Service: parts[1], Number: number, Side: Side(parts[3]), Comparison: parts[4]}, err == nil
 }
 
-// Load returns an outcome in the form in which it is sent.
+// Load returns the message that carries an outcome.
 func (k Key) Load(o Outcome) messages.RunnerLoad {
 	return messages.RunnerLoad{ID: k.String(), Tried: o.Answers, Failed: o.Bad}
 }
 
-// Collect adds a load to the evidence, if it is an outcome of the given rollout.
+// Collect stores a load in the evidence if it carries an outcome of the given rollout.
 func Collect(evidence Evidence, rollout messages.ServiceRollout, id string, load messages.RunnerLoad) {
 	key, ok := ParseKey(id)
 	if !ok || key.Service != rollout.Service || key.Number != rollout.Number {
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -2,32 +2,37 @@
 
 // Times of a rollout, in microseconds.
 const (
-	// A version is tried until leadPart of the time is left, within bounds.
-	leadPart  = 0.3
-	minLeadUs = int64(1_200_000)
-	maxLeadUs = int64(3_500_000)
-	// minShiftUs is for how long all requests go to the new version before it is settled.
+	// A version is tried until the fraction leadFraction of the rollout's duration is left, bounded
+	// by minLeadUs and maxLeadUs.
+	leadFraction = 0.3
+	minLeadUs    = int64(1_200_000)
+	maxLeadUs    = int64(3_500_000)
+	// minShiftUs is the minimum time for which all requests go to the new version before it is
+	// settled.
 	minShiftUs = int64(500_000)
-	// earliestSettleUs and latestSettleUs are how long before the term it is settled: there is no
-	// way back then, so it is watched as long as the term allows.
+	// earliestSettleUs and latestSettleUs bound the time before the deadline at which a version
+	// is settled. It cannot be reverted afterwards, so it is monitored as long as the deadline
+	// allows.
 	earliestSettleUs = int64(1_500_000)
 	latestSettleUs   = int64(700_000)
-	// revertMarginUs is how long before the term a version is given up that could not be tried.
+	// revertMarginUs is the time before the deadline at which a version that could not be tried
+	// is reverted.
 	revertMarginUs = int64(1_000_000)
-	// shareAfterUs is how long after the order the share is set by the requests seen by then.
-	shareAfterUs = int64(1_500_000)
+	// adjustShareAfterUs is the time after the order at which the share is adjusted to the observed
+	// request rate.
+	adjustShareAfterUs = int64(1_500_000)
 )
 
 const (
-	// minAnswers is how many answers a version has given that is taken for good, unless the
-	// service gets fewer than fewRequests in all.
-	minAnswers  = 12
-	fewRequests = 150
+	// minAnswers is the minimum number of answers of the new version before it gets all requests,
+	// unless the service has given fewer than lowTrafficAnswers answers in total.
+	minAnswers        = 12
+	lowTrafficAnswers = 150
 )
 
-// View is what a Plan goes by.
+// View is the input of Plan.Step.
 type View struct {
-	TimeUs      int64 // the time of day
+	TimeUs      int64 // time of day
 	BegunAtUs   int64
 	OverUs      int64
 	Stage       Stage
@@ -39,99 +44,101 @@
 	Bounds      Bounds
 }
 
-// Step is what is due.
+// Step is the stage and the share that are due, and the reason for a change of stage.
 type Step struct {
 	Stage         Stage
 	SharePerMille int
 	Reason        string
 }
 
-// Plan is the rollout of one version, as the holder of the lease drives it. The zero Plan is at
-// the beginning of what this holder has seen.
+// Plan decides the stages of the rollout of one version for the holder of the lease. The zero
+// Plan is ready to use; a new holder starts with one.
 type Plan struct {
-	monitor   monitor
-	shiftedUs int64 // since when the stage is Shifting, as far as this holder knows
-	shared    bool  // the share has been set by the requests
+	monitor       monitor
+	shiftBeganUs  int64 // when this holder first observed the stage Shifting; 0 if it has not
+	shareAdjusted bool  // the share has been adjusted to the request rate
 }
 
-// Step returns the stage that is due; the present one for none.
+// Step records the view and returns the stage that is due, which is the current one if nothing
+// is to be changed.
 func (p *Plan) Step(v View) Step {
 	p.monitor.observe(v.Evidence, v.TimeUs)
-	stay := Step{Stage: v.Stage, SharePerMille: v.Share}
+	current := Step{Stage: v.Stage, SharePerMille: v.Share}
 	if !v.Stage.Running() {
-		return stay
+		return current
 	}
-	if worse := p.monitor.worse(); worse != "" {
-		return Step{Stage: Reverted, Reason: "worse than the others: " + worse}
+	if comparison := p.monitor.findWorse(); comparison != "" {
+		return Step{Stage: Reverted, Reason: "worse than the others: " + comparison}
 	}
 	if v.Stage == Shifting {
-		return p.stepShifting(v, stay)
+		return p.stepShifting(v, current)
 	}
-	return p.stepTrying(v, stay)
+	return p.stepTrying(v, current)
 }
 
-// lead is how long before the term the requests go over to the new version.
+// leadUs returns how long before the deadline the requests are shifted to the new version.
 func (v *View) leadUs() int64 {
-	return min(max(int64(leadPart*float64(v.OverUs)), minLeadUs), maxLeadUs)
+	return min(max(int64(leadFraction*float64(v.OverUs)), minLeadUs), maxLeadUs)
 }
 
-func (v *View) termUs() int64 { return v.BegunAtUs + v.OverUs }
+func (v *View) deadlineUs() int64 { return v.BegunAtUs + v.OverUs }
 
-// stepTrying waits as long as the term allows, for as much evidence as there can be.
-func (p *Plan) stepTrying(v View, stay Step) Step {
+// stepTrying returns the step due in stage Trying. The stage lasts as long as the deadline
+// allows, to collect as much evidence as possible.
+func (p *Plan) stepTrying(v View, current Step) Step {
 	switch {
-	case v.TimeUs < v.termUs()-v.leadUs():
-		return p.adjustShare(v, stay)
-	case v.triedEnough() && v.canShift() && p.monitor.suspect() == "":
+	case v.TimeUs < v.deadlineUs()-v.leadUs():
+		return p.adjustShare(v, current)
+	case v.hasEnoughAnswers() && v.hasEnoughRunners() && p.monitor.findUnproven() == "":
 		return Step{Stage: Shifting, SharePerMille: v.Share, Reason: "not worse than the others"}
-	case v.TimeUs >= v.termUs()-revertMarginUs:
+	case v.TimeUs >= v.deadlineUs()-revertMarginUs:
 		return Step{Stage: Reverted, Reason: "could not be tried"}
 	}
-	return stay
+	return current
 }
 
-// adjustShare sets the share once, by the requests that the service gets.
-func (p *Plan) adjustShare(v View, stay Step) Step {
+// adjustShare adjusts the share once, to the request rate of the service.
+func (p *Plan) adjustShare(v View, step Step) Step {
 	sinceUs := v.TimeUs - v.BegunAtUs
-	if p.shared || sinceUs < shareAfterUs {
-		return stay
+	if p.shareAdjusted || sinceUs < adjustShareAfterUs {
+		return step
 	}
-	p.shared = true
-	if seen := v.answers(); seen > 0 {
-		stay.SharePerMille = v.Bounds.Share(float64(seen) * float64(v.OverUs) / float64(sinceUs))
+	p.shareAdjusted = true
+	if answers := v.totalAnswers(); answers > 0 {
+		step.SharePerMille = v.Bounds.Share(float64(answers) * float64(v.OverUs) / float64(sinceUs))
 	}
-	return stay
+	return step
 }
 
-// answers is how many answers the service has given since the order.
-func (v *View) answers() int {
+// totalAnswers returns how many answers the service has given since the order.
+func (v *View) totalAnswers() int {
 	all := v.Evidence[AllRequests]
 	return all.New.Answers + all.Other.Answers
 }
 
-// triedEnough reports whether the new version has answered enough requests, or the service gets
-// so few that the slack bears them.
-func (v *View) triedEnough() bool {
-	return v.Evidence[AllRequests].New.Answers >= minAnswers || v.answers() < fewRequests
+// hasEnoughAnswers reports whether the new version has answered enough requests, or the service
+// gets so few that the slack covers them.
+func (v *View) hasEnoughAnswers() bool {
+	return v.Evidence[AllRequests].New.Answers >= minAnswers || v.totalAnswers() < lowTrafficAnswers
 }
 
-// canShift reports whether the runners of the new version can take all requests: there are at
-// least half as many as of the others.
-func (v *View) canShift() bool { return v.NewReady > 0 && 2*v.NewReady >= v.OtherReady }
+// hasEnoughRunners reports whether the new version has enough runners for all requests: at least
+// half as many as the others.
+func (v *View) hasEnoughRunners() bool { return v.NewReady > 0 && 2*v.NewReady >= v.OtherReady }
 
-// stepShifting settles once nothing runs on the other versions, in time for the term at the
-// latest.
-func (p *Plan) stepShifting(v View, stay Step) Step {
-	if p.shiftedUs == 0 {
-		p.shiftedUs = v.TimeUs
+// stepShifting returns the step due in stage Shifting. The version is settled once no request
+// runs on the other versions, and at the latest latestSettleUs before the deadline.
+func (p *Plan) stepShifting(v View, current Step) Step {
+	if p.shiftBeganUs == 0 {
+		p.shiftBeganUs = v.TimeUs
 	}
-	leftUs := v.termUs() - v.TimeUs
-	ended := v.OtherActive == 0 && leftUs <= earliestSettleUs
-	if v.TimeUs-p.shiftedUs < minShiftUs || !ended && leftUs > latestSettleUs {
-		return stay
+	leftUs := v.deadlineUs() - v.TimeUs
+	drained := v.OtherActive == 0 && leftUs <= earliestSettleUs
+	if v.TimeUs-p.shiftBeganUs < minShiftUs || !drained && leftUs > latestSettleUs {
+		return current
 	}
-	if leans := p.monitor.leans(); leans != "" {
-		return Step{Stage: Reverted, Reason: "perhaps worse than the others: " + leans}
+	if comparison := p.monitor.findWeaklyWorse(); comparison != "" {
+		return Step{Stage: Reverted, Reason: "perhaps worse than the others: " + comparison}
 	}
 	return Step{Stage: Settled, SharePerMille: perMille, Reason: "all requests are on it"}
 }
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -8,18 +8,18 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Stage is how far a rollout has come.
+// Stage is the progress of a rollout.
 type Stage int
 
 // Stages of a rollout. Their numbers are part of the records on disk.
 const (
 	Trying   Stage = iota // a small share of the requests goes to the new version
-	Shifting              // all requests go to the new version, those on the others end
+	Shifting              // all new requests go to the new version, running ones on the others finish
 	Settled               // the new version is the service's version
-	Reverted              // nothing goes to the new version
+	Reverted              // no requests go to the new version
 )
 
-// nextStages are the stages that may follow.
+// nextStages are the stages that may follow a stage.
 var nextStages = map[Stage][]Stage{
 	Trying:   {Shifting, Reverted},
 	Shifting: {Settled, Reverted},
@@ -28,7 +28,7 @@
 // Running reports whether the rollout has not ended.
 func (s Stage) Running() bool { return s == Trying || s == Shifting }
 
-// String returns the state as the operator is told it.
+// String returns the state in its form for operators.
 func (s Stage) String() string {
 	switch s {
 	case Settled:
@@ -39,36 +39,38 @@
 	return "running"
 }
 
-// ErrOtherRunning says that another rollout of the service is running.
+// ErrOtherRunning is returned for an order while another rollout of the service is running.
 var ErrOtherRunning = errors.New("canary: another rollout of the service is running")
 
-// Bounds is how much of a service's requests a version may get that has not been shown good.
+// Bounds limits how many of a service's requests may go to a version that has not passed its
+// trial.
 type Bounds struct {
-	Exposure float64 // share of the requests, from the order to its term
-	Slack    float64 // requests beside that
+	Exposure float64 // share of the requests between the order and its deadline
+	Slack    float64 // additional number of requests
 }
 
-// exposurePart is the part of the bounds that is used while a version is tried. The rest is for
-// one that turns bad after the requests have gone over to it, until they are back.
-const exposurePart = 0.3
+// trialExposureFraction is the fraction of the bounds that is used while a version is tried. The
+// rest is reserved for a version that turns bad after the shift, until its requests are rerouted.
+const trialExposureFraction = 0.3
 
 const (
 	perMille = 1000
-	// maxShare bounds the share of the requests to a version that is tried.
-	maxShare = 0.3
+	// maxTrialShare is the maximum share of the requests that go to a version while it is tried.
+	maxTrialShare = 0.3
 )
 
 // Share returns the share of a service's requests that a version gets while it is tried, in
-// thousandths, where so many requests are expected until the term; 0: not known.
+// thousandths. expected is the number of requests expected between the order and its deadline;
+// 0 if unknown.
 func (b Bounds) Share(expected float64) int {
-	share := exposurePart * b.Exposure
+	share := trialExposureFraction * b.Exposure
 	if expected > 0 {
-		share += exposurePart * b.Slack / expected
+		share += trialExposureFraction * b.Slack / expected
 	}
-	return max(int(min(share, maxShare)*perMille), 1)
+	return max(int(min(share, maxTrialShare)*perMille), 1)
 }
 
-// Order is what the operator asks for.
+// Order is an operator's order to roll out version Target of a service within OverUs.
 type Order struct {
 	Service, Target string
 	OverUs          int64
@@ -83,32 +85,34 @@
 	return list[i], true
 }
 
-// Begin returns the rollouts after an order that came at timeUs, by the time of day. An order
-// of the version that the service's newest rollout has is a repeat, and changes nothing.
+// Begin returns the rollouts after an order received at timeUs, a time of day. An order for the
+// version of the service's newest rollout is a repeat and changes nothing. While a rollout to
+// another version is running, it returns ErrOtherRunning.
 func Begin(list []messages.ServiceRollout, order Order, bounds Bounds, timeUs int64) (next []messages.ServiceRollout, changed bool, err error) {
-	former, known := Find(list, order.Service)
+	previous, found := Find(list, order.Service)
 	switch {
-	case known && former.Target == order.Target:
+	case found && previous.Target == order.Target:
 		return list, false, nil
-	case known && Stage(former.Stage).Running():
+	case found && Stage(previous.Stage).Running():
 		return list, false, ErrOtherRunning
 	}
 	next = slices.DeleteFunc(slices.Clone(list), func(r messages.ServiceRollout) bool { return r.Service == order.Service })
 	next = append(next, messages.ServiceRollout{
 		Service: order.Service, Target: order.Target, OverUs: order.OverUs, BegunAtUs: timeUs,
-		Stage: int(Trying), SharePerMille: bounds.Share(0), Number: former.Number + 1,
+		Stage: int(Trying), SharePerMille: bounds.Share(0), Number: previous.Number + 1,
 	})
 	return next, true, nil
 }
 
-// Advance returns the rollouts with a step taken in one of them. changed is false where that
-// rollout is not there any more as it was, or the step may not follow.
-func Advance(list []messages.ServiceRollout, was messages.ServiceRollout, step Step) (next []messages.ServiceRollout, changed bool) {
-	i := slices.Index(list, was)
-	if i < 0 || step.Stage != Stage(was.Stage) && !slices.Contains(nextStages[Stage(was.Stage)], step.Stage) {
+// Advance applies a step to one of the rollouts and returns the new list. changed is false if the
+// list no longer contains that rollout unchanged, if its stage must not be followed by that of
+// the step, or if the step changes nothing.
+func Advance(list []messages.ServiceRollout, previous messages.ServiceRollout, step Step) (next []messages.ServiceRollout, changed bool) {
+	i := slices.Index(list, previous)
+	if i < 0 || step.Stage != Stage(previous.Stage) && !slices.Contains(nextStages[Stage(previous.Stage)], step.Stage) {
 		return list, false
 	}
 	next = slices.Clone(list)
 	next[i].Stage, next[i].SharePerMille = int(step.Stage), step.SharePerMille
-	return next, next[i] != was
+	return next, next[i] != previous
 }
--- a/internal/rollout/known.go
+++ b/internal/rollout/known.go
@@ -7,7 +7,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// maxNewRunnerSequence is the highest heartbeat sequence of a runner that has just registered.
+// maxNewRunnerSequence is the highest heartbeat sequence of a runner that has just
+// registered.
 const maxNewRunnerSequence = 2
 
 // RunnersOf returns the runners that serve a model, sorted by ID. A runner that has not
--- a/internal/rollout/loads.go
+++ b/internal/rollout/loads.go
@@ -16,7 +16,8 @@
 // loadBegan records the start of a load.
 func (l *loadLimit) loadBegan() { l.running++ }
 
-// loadEnded records the end of a load that began at beganUs; 0 if its start was not observed.
+// loadEnded records the end of a load that began at beganUs; 0 if its start was not
+// observed.
 func (l *loadLimit) loadEnded(beganUs, nowUs int64) {
 	if beganUs == 0 {
 		return
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -21,8 +21,8 @@
 	return p.scheduleStartUs + p.boundUs
 }
 
-// latestCordonUs returns the latest time at which a runner is cordoned, given how many runners
-// are scheduled after it. These times are spread evenly between the start of the
+// latestCordonUs returns the latest time at which a runner is cordoned, given how many
+// runners are scheduled after it. These times are spread evenly between the start of the
 // schedule and the deadline, so that few runners are unavailable at once.
 func (p *Plan) latestCordonUs(j *job, laterRunners int) int64 {
 	deadlineUs := p.deadlineUs(j)
@@ -72,8 +72,8 @@
 	return out
 }
 
-// countUnavailable counts the runners that are cordoned or ordered, and those that are draining.
-// Runners that leave orders unanswered are not counted: they may have terminated.
+// countUnavailable counts the runners that are cordoned or ordered, and those that are
+// draining. Runners that leave orders unanswered are not counted: they may have terminated.
 func (p *Plan) countUnavailable() (unavailable, draining int) {
 	for _, j := range p.jobs {
 		switch j.stage {
--- a/internal/rollout/shard_test.go
+++ b/internal/rollout/shard_test.go
@@ -47,8 +47,8 @@
 	h.shard.Answered(model, o, answer, nowUs)
 }
 
-// timeToFirstOrder steps a holder, confirms its lease on every request, and returns the time
-// until its first order.
+// timeToFirstOrder steps a holder, confirms its lease on every request, and returns the
+// time until its first order.
 func timeToFirstOrder(t *testing.T, s leaseHolder, v leaseHolderView) int64 {
 	t.Helper()
 	from := v.NowUs
