--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -1,15 +1,17 @@
-// Package autoscale decides how many runners a service is to have in each zone.
+// Package autoscale computes how many runners each service needs in each zone. The
+// controllers step a Plan and publish its orders as setpoints.
 //
-// It tracks a target: the demand of a zone is the number of runners that its requests
-// would keep busy all the time, in whichever of slots, cache memory and prefill time is the
-// scarcest at each runner, and so many runners are wanted that each is busy for TargetLoad
-// of its time. More are ordered at once, and ahead of a rise by what demand grows while
-// a runner starts. Fewer are ordered slowly: by the highest demand of a while, never below
-// what the remaining zones need if one is lost, and not while the demand is not known, the
-// core is unstable or weights are rolled out.
+// It tracks a target utilization. The demand of a zone is the number of runners that its
+// requests would fully utilize, by the scarcest resource of each runner: slots, cache
+// memory or prefill time. The number of runners is chosen so that each is utilized to
+// TargetUtilization. Scaling up is immediate, and follows the demand forecast for the time at
+// which a new runner is ready. Scaling down is gradual: it follows a slowly decaying peak
+// of the demand, leaves enough runners for the other zones to serve the demand if one zone
+// is lost, and is suspended while the demand is unknown, the core is unstable or weights
+// are rolled out.
 //
-// A Plan is pure: times are whole microseconds given as arguments. It is not safe for
-// concurrent use.
+// The package has no I/O and no clock: times are whole microseconds, passed as arguments. A
+// Plan is not safe for concurrent use.
 package autoscale
 
 import (
@@ -19,78 +21,78 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Config are the parameters of a plan; Defaults has their defaults. Times are
-// microseconds.
+// Config holds the parameters of a plan. Times are in microseconds.
 type Config struct {
-	TargetLoad   float64 // busy time of a runner that is aimed at
-	LossLoad     float64 // that is accepted after the loss of a zone
-	Hysteresis   float64 // part by which the busy time may differ before more or fewer are ordered
-	SmoothUs     int64   // time constant of the average that demand is taken for
-	PeakUs       int64   // time constant with which a peak is forgotten
-	ObserveUs    int64   // for how long demand is known before fewer runners are ordered
-	GrowHoldUs   int64   // how long after an order of more none of fewer follows
-	ShrinkHoldUs int64   // the least time between two orders of fewer in a zone
-	MostShrink   float64 // the part of a zone's runners that one order removes at most
+	TargetUtilization   float64 // target utilization of a runner
+	ZoneLossUtilization float64 // acceptable utilization after the loss of a zone
+	Hysteresis          float64 // relative deviation of the utilization that triggers no order
+	SmoothingUs         int64   // time constant of the average demand
+	PeakDecayUs         int64   // time constant of the decay of the peak demand
+	MinObservationUs    int64   // minimum time for which the demand is known before scaling down
+	GrowthCooldownUs    int64   // minimum time between scaling a service up and scaling it down
+	ShrinkCooldownUs    int64   // minimum time between scaling a zone down twice
+	MaxShrinkFraction   float64 // maximum fraction of a zone's runners that one order removes
 }
 
 // Defaults are the default parameters.
 var Defaults = Config{
-	TargetLoad: 0.5, LossLoad: 0.8, Hysteresis: 0.15, SmoothUs: 1_000_000, PeakUs: 60_000_000, ObserveUs: 4_000_000,
-	GrowHoldUs: 60_000_000, ShrinkHoldUs: 20_000_000, MostShrink: 0.25,
+	TargetUtilization: 0.5, ZoneLossUtilization: 0.8, Hysteresis: 0.15, SmoothingUs: 1_000_000, PeakDecayUs: 60_000_000, MinObservationUs: 4_000_000,
+	GrowthCooldownUs: 60_000_000, ShrinkCooldownUs: 20_000_000, MaxShrinkFraction: 0.25,
 }
 
-// Reason is why a number of runners is ordered.
+// Reason is the reason for an order.
 type Reason string
 
 // Reasons for an order.
 const (
-	Rising   Reason = "demand"       // the demand needs more
-	Falling  Reason = "spare"        // fewer are enough
-	Bounded  Reason = "bounds"       // the number was outside floor and ceiling
-	ZoneLoss Reason = "loss of zone" // the remaining zones could not bear the loss of one
+	Rising   Reason = "demand"       // the demand requires more runners
+	Falling  Reason = "spare"        // fewer runners are sufficient
+	Bounded  Reason = "bounds"       // the number is limited by floor or ceiling
+	ZoneLoss Reason = "loss of zone" // the remaining zones could not serve the demand without one zone
 )
 
-// Order is a number of runners that a zone is to have.
+// Order is the desired number of a service's runners in a zone.
 type Order struct {
 	messages.Setpoint
 	Reason Reason
 }
 
-// Key names a service in a zone.
+// Key identifies a service in a zone.
 type Key struct{ Service, Zone string }
 
-// Plan remembers the demand.
+// Plan computes orders from the demand over time.
 type Plan struct {
-	config  Config
-	zones   map[Key]*zoneState
-	knownUs int64 // since when the demand is known; 0 while it is not
-	grownUs map[string]int64
+	config             Config
+	zones              map[Key]*zoneState
+	demandKnownSinceUs int64            // since when the demand is known; 0 while it is not
+	lastGrowthUs       map[string]int64 // by service, when more runners were last due
 }
 
-// zoneState is the demand of a zone over time.
+// zoneState is the demand of a service in a zone over time.
 type zoneState struct {
-	atUs     int64
-	smooth   float64 // average
-	slow     float64 // average over a longer time: the difference is the trend
-	peak     float64
-	shrunkUs int64
+	observedUs   int64
+	average      float64 // exponential average with time constant SmoothingUs
+	slowAverage  float64 // the same with a longer time constant; the difference shows the trend
+	peak         float64 // decaying maximum of the average
+	lastShrinkUs int64   // when fewer runners were last ordered; 0 if never
 }
 
-// slowFactor is how much longer than SmoothUs the slow average looks back.
+// slowFactor is the ratio of the slow average's time constant to SmoothingUs.
 const slowFactor = 4
 
 // NewPlan returns a plan.
 func NewPlan(config Config) *Plan {
-	return &Plan{config: config, zones: map[Key]*zoneState{}, grownUs: map[string]int64{}}
+	return &Plan{config: config, zones: map[Key]*zoneState{}, lastGrowthUs: map[string]int64{}}
 }
 
-// Step returns the orders that are due now, by service and zone.
+// Step updates the demand and returns the orders that are due, in the order of the view's
+// services and zones.
 func (p *Plan) Step(v View) []Order {
 	switch {
 	case !v.Known:
-		p.knownUs = 0
-	case p.knownUs == 0:
-		p.knownUs = v.NowUs
+		p.demandKnownSinceUs = 0
+	case p.demandKnownSinceUs == 0:
+		p.demandKnownSinceUs = v.NowUs
 	}
 	var orders []Order
 	for _, s := range v.Services {
@@ -106,27 +108,27 @@
 	return orders
 }
 
-// observe takes the demand of each zone.
+// observe updates the averages and the peak of each zone of a service.
 func (p *Plan) observe(nowUs int64, s Service) {
 	for _, z := range s.Zones {
 		state := p.zones[Key{s.Name, z.Name}]
 		if state == nil {
-			state = &zoneState{atUs: nowUs, smooth: z.Demand, slow: z.Demand}
+			state = &zoneState{observedUs: nowUs, average: z.Demand, slowAverage: z.Demand}
 			p.zones[Key{s.Name, z.Name}] = state
 		}
-		passed := float64(nowUs - state.atUs)
-		state.atUs = nowUs
-		smoothUs := float64(p.config.SmoothUs)
-		state.smooth += (z.Demand - state.smooth) * (1 - math.Exp(-passed/smoothUs))
-		state.slow += (z.Demand - state.slow) * (1 - math.Exp(-passed/smoothUs/slowFactor))
-		state.peak = max(state.smooth, state.peak*math.Exp(-passed/float64(p.config.PeakUs)))
+		elapsedUs := float64(nowUs - state.observedUs)
+		state.observedUs = nowUs
+		smoothUs := float64(p.config.SmoothingUs)
+		state.average += (z.Demand - state.average) * (1 - math.Exp(-elapsedUs/smoothUs))
+		state.slowAverage += (z.Demand - state.slowAverage) * (1 - math.Exp(-elapsedUs/smoothUs/slowFactor))
+		state.peak = max(state.average, state.peak*math.Exp(-elapsedUs/float64(p.config.PeakDecayUs)))
 	}
 }
 
-// forecast is the demand of a zone once a runner that is ordered now serves.
+// forecast returns the expected demand of a zone when a runner that is ordered now is ready.
 func (p *Plan) forecast(state *zoneState, bootUs int64) float64 {
-	slopePerUs := (state.smooth - state.slow) / float64((slowFactor-1)*p.config.SmoothUs)
-	return state.smooth + max(slopePerUs, 0)*float64(bootUs)
+	slopePerUs := (state.average - state.slowAverage) / float64((slowFactor-1)*p.config.SmoothingUs)
+	return state.average + max(slopePerUs, 0)*float64(bootUs)
 }
 
 // order returns the order for a zone, if one is due.
@@ -139,38 +141,40 @@
 	if current == 0 {
 		current = z.Present
 	}
-	wanted, reason := p.wanted(s, state, 1)
-	least, _ := p.wanted(s, state, p.growAt(v))
-	most, _ := p.wanted(s, state, 1+p.config.Hysteresis)
+	required, reason := p.requiredRunners(s, state, 1)
+	minimum, _ := p.requiredRunners(s, state, p.growthThreshold(v))
+	maximum, _ := p.requiredRunners(s, state, 1+p.config.Hysteresis)
 	switch {
 	case !v.Known:
 		return Order{}, false
-	case least > current:
-		p.grownUs[s.Name] = v.NowUs
-	case most < current && p.mayShrink(v, s, z, state):
-		wanted = max(wanted, current-max(int(float64(current)*p.config.MostShrink), 1))
-		state.shrunkUs, reason = v.NowUs, Falling
+	case minimum > current:
+		p.lastGrowthUs[s.Name] = v.NowUs
+	case maximum < current && p.mayScaleDown(v, s, z, state):
+		required = max(required, current-max(int(float64(current)*p.config.MaxShrinkFraction), 1))
+		state.lastShrinkUs, reason = v.NowUs, Falling
 	default:
 		return Order{}, false
 	}
-	return Order{messages.Setpoint{Service: s.Name, Zone: z.Name, Desired: wanted}, reason}, true
+	return Order{messages.Setpoint{Service: s.Name, Zone: z.Name, Desired: required}, reason}, true
 }
 
-// growAt returns the part of the demand that must need more runners before more are
-// ordered. Where runners are cordoned for a rollout or the core has changed, the others
-// are busier for a short while, and only what they could not bear counts.
-func (p *Plan) growAt(v View) float64 {
+// growthThreshold returns the factor of the demand at which more runners are ordered: those
+// present must be too few for this fraction of it. While runners are cordoned for a rollout or
+// the core is unstable, the other runners have a higher utilization for a short time, so more
+// are ordered only if it would exceed ZoneLossUtilization.
+func (p *Plan) growthThreshold(v View) float64 {
 	if v.Steady {
 		return 1 - p.config.Hysteresis
 	}
-	return p.config.TargetLoad / p.config.LossLoad
+	return p.config.TargetUtilization / p.config.ZoneLossUtilization
 }
 
-// wanted returns how many runners a zone needs for so many times its demand, and what for.
-func (p *Plan) wanted(s Service, state *zoneState, times float64) (runners int, reason Reason) {
+// requiredRunners returns how many runners a zone needs for its demand times a factor, and
+// which constraint determines the number.
+func (p *Plan) requiredRunners(s Service, state *zoneState, factor float64) (runners int, reason Reason) {
 	forecast := max(p.forecast(state, s.BootUs), state.peak)
-	runners, reason = int(math.Ceil(times*forecast/p.config.TargetLoad)), Rising
-	if needed := p.afterLoss(s, times); needed > runners {
+	runners, reason = int(math.Ceil(factor*forecast/p.config.TargetUtilization)), Rising
+	if needed := p.runnersForZoneLoss(s, factor); needed > runners {
 		runners, reason = needed, ZoneLoss
 	}
 	if bounded := min(max(runners, s.Floor), s.Ceiling); bounded != runners {
@@ -179,9 +183,10 @@
 	return runners, reason
 }
 
-// afterLoss returns how many runners each zone needs so that all the others bear the loss
-// of one.
-func (p *Plan) afterLoss(s Service, times float64) int {
+// runnersForZoneLoss returns how many runners each zone needs so that the remaining zones can
+// serve the total demand at a utilization of ZoneLossUtilization after the loss of one zone; 0
+// for a service in a single zone.
+func (p *Plan) runnersForZoneLoss(s Service, factor float64) int {
 	if len(s.Zones) < 2 {
 		return 0
 	}
@@ -191,20 +196,20 @@
 			total += state.peak
 		}
 	}
-	return int(math.Ceil(times * total / float64(len(s.Zones)-1) / p.config.LossLoad))
+	return int(math.Ceil(factor * total / float64(len(s.Zones)-1) / p.config.ZoneLossUtilization))
 }
 
-// mayShrink reports whether a zone may get fewer runners now.
-func (p *Plan) mayShrink(v View, s Service, z Zone, state *zoneState) bool {
-	grownUs, grown := p.grownUs[s.Name]
+// mayScaleDown reports whether a zone may be scaled down now.
+func (p *Plan) mayScaleDown(v View, s Service, z Zone, state *zoneState) bool {
+	lastGrowthUs, hasGrown := p.lastGrowthUs[s.Name]
 	missing := slices.ContainsFunc(s.Zones, func(other Zone) bool { return other.Present*2 < other.Ordered })
 	switch {
 	case !v.Steady, missing, z.Present < z.Ordered:
 		return false
-	case v.NowUs-p.knownUs < p.config.ObserveUs:
+	case v.NowUs-p.demandKnownSinceUs < p.config.MinObservationUs:
 		return false
-	case grown && v.NowUs-grownUs < p.config.GrowHoldUs:
+	case hasGrown && v.NowUs-lastGrowthUs < p.config.GrowthCooldownUs:
 		return false
 	}
-	return state.shrunkUs == 0 || v.NowUs-state.shrunkUs >= p.config.ShrinkHoldUs
+	return state.lastShrinkUs == 0 || v.NowUs-state.lastShrinkUs >= p.config.ShrinkCooldownUs
 }
--- a/internal/autoscale/load.go
+++ b/internal/autoscale/load.go
@@ -1,16 +1,16 @@
 package autoscale
 
-// Load is what requests have at one runner, against what it has.
+// Load is the resource usage of one runner and its capacity.
 type Load struct {
-	Slots, Blocks float64 // in use, and what the runner has of each; 0 for unknown
-	SlotsTotal    float64
-	BlocksTotal   float64
-	Flow          float64 // prompt tokens per second that are to be read
-	Rate          float64 // prompt tokens that it reads in a microsecond; 0 for unknown
+	Slots, Blocks float64 // slots and cache blocks in use
+	SlotsTotal    float64 // capacity; 0 if unknown
+	BlocksTotal   float64 // capacity; 0 if unknown
+	Flow          float64 // prompt tokens per second to prefill
+	Rate          float64 // prefill capacity in tokens per microsecond; 0 if unknown
 }
 
-// Busy returns the busy part of a runner, in the scarcest of what it has. It may exceed 1
-// where requests wait.
+// Busy returns the utilization of a runner's scarcest resource. It may exceed 1 if requests
+// are waiting.
 func (l Load) Busy() float64 {
 	busy := 0.0
 	if l.SlotsTotal > 0 {
--- a/internal/autoscale/view.go
+++ b/internal/autoscale/view.go
@@ -1,27 +1,28 @@
 package autoscale
 
-// Zone is what is known of a service's runners in a zone.
+// Zone is the state of a service's runners in a zone.
 type Zone struct {
 	Name    string
 	Present int     // runners that are ready
-	Ordered int     // the newest order; 0 if there was none
-	Demand  float64 // runners that the requests there would keep busy all the time
+	Ordered int     // number of runners in the newest order; 0 if there was none
+	Demand  float64 // number of runners that the zone's requests would fully utilize
 }
 
-// Service is what is known of a service.
+// Service is the state of a service.
 type Service struct {
 	Name           string
-	Floor, Ceiling int // for each zone
-	BootUs         int64
+	Floor, Ceiling int   // bounds of the number of runners in each zone
+	BootUs         int64 // time from an order until the runner is ready
 	Zones          []Zone
 }
 
-// View is the input of a step.
+// View is the input of Plan.Step.
 type View struct {
 	NowUs    int64
 	Services []Service
-	// Known says that the demand is that of all routers.
+	// Known is set if the demand includes the loads of all routers.
 	Known bool
-	// Steady says that nothing is going on beside which runners should not be removed.
+	// Steady is set if the core is stable and no weights are being rolled out. Runners are
+	// removed only then.
 	Steady bool
 }
