--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -1,16 +1,16 @@
-// Package usage counts how many requests of each tenant began to run in each window of
-// the time of day, over all routers, so that every window is reported to the platform
-// once and with one set of counts.
+// Package usage counts how many requests of each tenant started to run in each time window,
+// over all routers. Every window is reported to the platform with a single set of counts,
+// and a report that is repeated is identical to the first.
 //
-// A router counts with a Counter and sends its rows to a few controllers. Counts of a row
-// only grow, so a Collector merges rows that arrive twice, late or by several ways by
-// taking the larger count. The holder of the role collects the rows of a window from all
-// controllers some time after its end, and closes it: the sums become a value of a
-// consensus register (Close) before the first call for the window leaves. Whoever reports
-// the window later sends exactly that value. A Plan says what the holder does next.
+// A router counts with a Counter and sends its rows to several controllers. Counts only
+// grow, so a Collector merges rows that arrive repeatedly, late or over several paths by
+// taking the larger count. Some time after the end of a window, the lease holder collects
+// its rows from all controllers and closes it: the sums are stored in a consensus register
+// (Close) before the first report of the window is sent. Every report of the window, also
+// by a later holder, sends the stored value. A Plan returns what the holder does next.
 //
-// Everything here is pure: times are whole microseconds given as arguments. No type is
-// safe for concurrent use.
+// The package has no I/O and no clock: times are whole microseconds, passed as arguments.
+// No type is safe for concurrent use.
 package usage
 
 import (
@@ -21,80 +21,83 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// MaxWindows bounds how many windows are kept that are not closed. Older ones are dropped.
+// MaxWindows is the maximum number of windows stored by a counter or a collector, and of
+// closed windows waiting to be reported. Counters and collectors drop the oldest window
+// beyond it.
 const MaxWindows = 720
 
-// HoldUs is how long after its start a router waits for the time of day of the
-// controllers before it goes by its own.
+// HoldUs is how long after its start a router waits for the time of day of the controllers
+// before it uses its own.
 const HoldUs = int64(2_000_000)
 
-// WindowOf returns the window that a time of day belongs to: window k begins k times the
-// length after the start of 1970.
+// WindowOf returns the number of the window that contains a time of day: window k begins k
+// window lengths after the Unix epoch.
 func WindowOf(timeOfDayUs, lengthUs int64) int64 { return timeOfDayUs / lengthUs }
 
-// Counter is the counts of one router. Each change has a number, so that a receiver is
-// sent what has changed since the last one that it has.
+// Counter holds the counts of one router. Changes are numbered, so that a receiver can be
+// sent only the counts that changed after the last change it has.
 type Counter struct {
-	router  string
-	change  int64
-	windows map[int64]*counted
-	held    []heldRequest
+	router     string
+	lastChange int64
+	windows    map[int64]*windowCounts
+	deferred   []deferredRequest
 }
 
-// heldRequest is a request that began before the time of day was known.
-type heldRequest struct {
-	tenant string
-	atUs   int64 // on the monotonic clock
+// deferredRequest is a request that started before the time of day was known.
+type deferredRequest struct {
+	tenant    string
+	startedUs int64 // on the monotonic clock
 }
 
-// counted is a window of a Counter.
-type counted struct {
-	change int64 // the last change of any tenant
-	counts map[string]tenantCount
+// windowCounts holds the counts of one window.
+type windowCounts struct {
+	lastChange int64 // number of the last change of any tenant
+	counts     map[string]tenantCount
 }
 
 type tenantCount struct{ count, change int64 }
 
-// NewCounter returns a counter of a router. The name is unique to the process.
+// NewCounter returns the counter of a router. The name must be unique to the process.
 func NewCounter(router string) *Counter {
-	return &Counter{router: router, windows: map[int64]*counted{}}
+	return &Counter{router: router, windows: map[int64]*windowCounts{}}
 }
 
-// Add counts a request of a tenant that has begun to run.
+// Add counts a request of a tenant that started to run in a window.
 func (c *Counter) Add(window int64, tenant string) {
 	w := c.windows[window]
 	if w == nil {
-		w = &counted{counts: map[string]tenantCount{}}
+		w = &windowCounts{counts: map[string]tenantCount{}}
 		c.windows[window] = w
 		dropOldest(c.windows)
 	}
-	c.change++
-	w.change = c.change
-	w.counts[tenant] = tenantCount{w.counts[tenant].count + 1, c.change}
+	c.lastChange++
+	w.lastChange = c.lastChange
+	w.counts[tenant] = tenantCount{w.counts[tenant].count + 1, c.lastChange}
 }
 
-// Hold keeps a request that began at a moment of the monotonic clock until Place counts it.
+// Hold defers counting a request that started at a time of the monotonic clock until Place
+// is called.
 func (c *Counter) Hold(tenant string, atUs int64) {
-	c.held = append(c.held, heldRequest{tenant, atUs})
+	c.deferred = append(c.deferred, deferredRequest{tenant, atUs})
 }
 
-// Holding reports whether there are such requests.
-func (c *Counter) Holding() bool { return len(c.held) > 0 }
+// Holding reports whether there are deferred requests.
+func (c *Counter) Holding() bool { return len(c.deferred) > 0 }
 
-// Place counts the requests that Hold has kept, in the windows of their moments.
+// Place counts the deferred requests in the windows of their start times.
 func (c *Counter) Place(windowAt func(atUs int64) int64) {
-	for _, request := range c.held {
-		c.Add(windowAt(request.atUs), request.tenant)
+	for _, request := range c.deferred {
+		c.Add(windowAt(request.startedUs), request.tenant)
 	}
-	c.held = nil
+	c.deferred = nil
 }
 
-// RowsSince returns the counts that have changed after the change with this number, and
-// the number of the newest one.
+// RowsSince returns the counts that changed after the change with the given number, and the
+// number of the newest change.
 func (c *Counter) RowsSince(change int64) (rows []messages.UsageRow, newest int64) {
 	for _, window := range slices.Sorted(maps.Keys(c.windows)) {
 		w := c.windows[window]
-		if w.change <= change {
+		if w.lastChange <= change {
 			continue
 		}
 		row := messages.UsageRow{Window: window, Router: c.router}
@@ -105,16 +108,16 @@
 		}
 		rows = append(rows, row)
 	}
-	return rows, c.change
+	return rows, c.lastChange
 }
 
-// Closed forgets the windows before the first one that is not closed.
-func (c *Counter) Closed(next int64) { forgetBefore(c.windows, next) }
+// Closed drops the windows before next, the first window that is not closed.
+func (c *Counter) Closed(next int64) { dropBefore(c.windows, next) }
 
-// Collector is the rows of all routers, as one controller has them.
+// Collector holds the rows of all routers that one controller has received.
 type Collector struct {
-	next    int64 // the first window that is not closed
-	windows map[int64]map[string]map[string]int64
+	next    int64                                 // the first window that is not closed
+	windows map[int64]map[string]map[string]int64 // counts by window, router and tenant
 }
 
 // NewCollector returns an empty collector.
@@ -122,8 +125,8 @@
 	return &Collector{windows: map[int64]map[string]map[string]int64{}}
 }
 
-// Merge takes rows. It returns how many of them are for a window that is closed; these
-// change nothing.
+// Merge merges rows into the collector. It returns the number of rows that are ignored
+// because their window is closed.
 func (c *Collector) Merge(rows []messages.UsageRow) (late int) {
 	for _, row := range rows {
 		if row.Window < c.next {
@@ -149,7 +152,7 @@
 	return c.windows[window][router]
 }
 
-// Rows returns the rows of the windows from one to another, both included.
+// Rows returns the rows of the windows in the closed interval [from, to].
 func (c *Collector) Rows(from, to int64) []messages.UsageRow {
 	rows := []messages.UsageRow{}
 	for window, routers := range c.windows {
@@ -157,13 +160,13 @@
 			continue
 		}
 		for router, counts := range routers {
-			rows = append(rows, messages.UsageRow{Window: window, Router: router, Counts: sorted(counts)})
+			rows = append(rows, messages.UsageRow{Window: window, Router: router, Counts: sortedCounts(counts)})
 		}
 	}
 	return rows
 }
 
-// Total returns the sums of a window, ordered by tenant.
+// Total returns the sums of a window over all routers, sorted by tenant.
 func (c *Collector) Total(window int64) []messages.UsageCount {
 	total := map[string]int64{}
 	for _, counts := range c.windows[window] {
@@ -171,10 +174,10 @@
 			total[tenant] += count
 		}
 	}
-	return sorted(total)
+	return sortedCounts(total)
 }
 
-// Oldest returns the oldest window with a count; false where there is none.
+// Oldest returns the oldest window with a count; ok is false if there is none.
 func (c *Collector) Oldest() (window int64, ok bool) {
 	for w := range c.windows {
 		if !ok || w < window {
@@ -184,13 +187,13 @@
 	return window, ok
 }
 
-// Closed forgets the windows before the first one that is not closed.
+// Closed drops the windows before next, the first window that is not closed.
 func (c *Collector) Closed(next int64) {
 	c.next = max(c.next, next)
-	forgetBefore(c.windows, c.next)
+	dropBefore(c.windows, c.next)
 }
 
-func sorted(counts map[string]int64) []messages.UsageCount {
+func sortedCounts(counts map[string]int64) []messages.UsageCount {
 	out := make([]messages.UsageCount, 0, len(counts))
 	for tenant, count := range counts {
 		out = append(out, messages.UsageCount{Tenant: tenant, Count: count})
@@ -199,7 +202,7 @@
 	return out
 }
 
-func forgetBefore[T any](windows map[int64]T, next int64) {
+func dropBefore[T any](windows map[int64]T, next int64) {
 	for window := range windows {
 		if window < next {
 			delete(windows, window)
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -1,4 +1,4 @@
-// The ledger: the closed windows, as a consensus register has them.
+// The ledger holds the closed windows and is stored in a consensus register.
 
 package usage
 
@@ -8,9 +8,9 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Close closes a window with its counts, and removes the windows that the platform has
-// accepted up to reported. It returns false, and changes nothing, if another window
-// is the next one to be closed.
+// Close appends a window with its counts to the ledger, and removes the windows up to
+// reported, which the platform has accepted. It returns false and changes nothing if
+// another window is the next one to be closed.
 func Close(ledger *messages.UsageLedger, window int64, counts []messages.UsageCount, reported int64) bool {
 	if ledger.Next != 0 && ledger.Next != window {
 		return false
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-func TestRowsSinceHasOnlyWhatChanged(t *testing.T) {
+func TestRowsSinceReturnsOnlyChangedCounts(t *testing.T) {
 	c := NewCounter("r")
 	c.Add(7, "a")
 	c.Add(7, "b")
@@ -41,8 +41,9 @@
 	must.Len(t, 1, rows)
 }
 
-// A request whose moment is known before the time of day is counted once that is known.
-func TestHeldRequestsAreCountedWhenTheTimeIsKnown(t *testing.T) {
+// A request that starts before the time of day is known is counted as soon as it is, in the
+// window of its start.
+func TestDeferredRequestsAreCountedInWindowsOfTheirStart(t *testing.T) {
 	c := NewCounter("r")
 	c.Hold("a", 3*second)
 	c.Hold("b", 6*second)
@@ -55,8 +56,8 @@
 	must.Eq(t, []messages.UsageRow{{Window: 100, Router: "r", Counts: counts("a", 1)}, {Window: 101, Router: "r", Counts: counts("b", 1)}}, rows)
 }
 
-// Rows may come twice, in any order and by several ways.
-func TestTotalDoesNotDependOnOrderOrRepeats(t *testing.T) {
+// Rows may arrive repeatedly, in any order and over several paths.
+func TestTotalIsIndependentOfRowOrderAndRepeats(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		truth, collector := map[string]int64{}, NewCollector()
@@ -81,14 +82,14 @@
 		for _, row := range sent {
 			must.Zero(t, collector.Merge([]messages.UsageRow{row}))
 		}
-		must.Eq(t, sorted(truth), collector.Total(3))
+		must.Eq(t, sortedCounts(truth), collector.Total(3))
 		other := NewCollector()
 		other.Merge(collector.Rows(3, 3))
-		must.Eq(t, sorted(truth), other.Total(3))
+		must.Eq(t, sortedCounts(truth), other.Total(3))
 	}
 }
 
-func TestRowsOfClosedWindowsChangeNothing(t *testing.T) {
+func TestRowsOfClosedWindowsAreIgnored(t *testing.T) {
 	c := NewCollector()
 	row := messages.UsageRow{Window: 4, Router: "r", Counts: counts("a", 1)}
 	c.Merge([]messages.UsageRow{row})
@@ -111,7 +112,7 @@
 	must.Len(t, MaxWindows, collector.Rows(0, 1<<62))
 }
 
-func TestWindowIsClosedOnceAndInTurn(t *testing.T) {
+func TestWindowsAreClosedOnceAndInOrder(t *testing.T) {
 	var ledger messages.UsageLedger
 	must.True(t, Close(&ledger, 10, counts("a", 1), 0))
 	must.False(t, Close(&ledger, 10, counts("a", 2), 0))
@@ -123,8 +124,9 @@
 	must.SliceEmpty(t, Pending(ledger, 12))
 }
 
-// A copy of the ledger, as another reader has it, is not changed by the next closing.
-func TestCloseLeavesEarlierCopiesAlone(t *testing.T) {
+// Closing a window must not change the slices of an earlier copy of the ledger, which
+// another reader may hold.
+func TestCloseDoesNotChangeEarlierCopies(t *testing.T) {
 	ledger := messages.UsageLedger{Next: 3, Pending: make([]messages.UsageWindow, 2, 8)}
 	ledger.Pending[0].Window, ledger.Pending[1].Window = 1, 2
 	before := ledger
@@ -137,28 +139,28 @@
 	return NewPlan(Config{LengthUs: lengthUs, Jitter: func() float64 { return 1 }})
 }
 
-func TestWindowIsClosedOnceItHasSettled(t *testing.T) {
+func TestWindowIsClosedAfterSettleTime(t *testing.T) {
 	p := newTestPlan()
 	v := View{NowUs: 1, Ledger: messages.UsageLedger{Next: 4}, IsHolder: true}
-	must.False(t, p.Step(v).Needed(), must.Sprint("the time of day is not known"))
+	must.False(t, p.Step(v).Needed(), must.Sprint("the time of day is unknown"))
 	v.TimeUs = 5*lengthUs + SettleUs - 1
 	must.False(t, p.Step(v).Needed())
 	v.TimeUs++
 	must.Eq(t, int64(4), p.Step(v).Close)
 	p.Closing(4, v.NowUs)
-	must.False(t, p.MayClose(4, v.TimeUs, v.NowUs+TryUs), must.Sprint("it ended a short while ago"))
-	must.False(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs-1), must.Sprint("the first try was a short while ago"))
+	must.False(t, p.MayClose(4, v.TimeUs, v.NowUs+TryUs), must.Sprint("the window ended less than GiveUpUs ago"))
+	must.False(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs-1), must.Sprint("the first attempt was less than TryUs ago"))
 	must.True(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs))
-	must.Zero(t, p.Step(v).Close, must.Sprint("one at a time"))
+	must.Zero(t, p.Step(v).Close, must.Sprint("a window is being closed already"))
 	p.Closed(false, v.NowUs)
 	must.Zero(t, p.Step(v).Close)
-	v.NowUs += closePauseUs
+	v.NowUs += closeBackoffUs
 	must.Eq(t, int64(4), p.Step(v).Close)
 }
 
-// Before the first request there is nothing to report. The holder looks once a window
-// whether another controller has counts.
-func TestFirstWindowIsTheOldestWithACount(t *testing.T) {
+// Before the first request there is nothing to report. The holder checks once for each
+// window whether another controller has counts.
+func TestFirstClosedWindowIsOldestWithCounts(t *testing.T) {
 	p := newTestPlan()
 	v := View{NowUs: 1, TimeUs: 9*lengthUs + SettleUs}
 	must.False(t, p.Step(v).Needed())
@@ -169,22 +171,22 @@
 	v.Counted, v.Oldest = true, 6
 	must.Eq(t, int64(6), p.Step(v).Close)
 	v.Oldest = 9
-	must.False(t, p.Step(v).Needed(), must.Sprint("that window has not ended"))
+	must.False(t, p.Step(v).Needed(), must.Sprint("the window has not settled"))
 }
 
-func TestWindowsAreReportedOldestFirstWithPauses(t *testing.T) {
+func TestWindowsAreReportedOldestFirstWithBackoff(t *testing.T) {
 	p := newTestPlan()
 	v := View{NowUs: second, Ledger: messages.UsageLedger{Next: 6, Pending: []messages.UsageWindow{{Window: 4}, {Window: 5}}}}
 	must.Eq(t, int64(4), p.Step(v).Report.Window)
 	p.Reporting()
 	must.Nil(t, p.Step(v).Report)
-	pauseUs := minPauseUs
+	pauseUs := minBackoffUs
 	for range 8 {
 		p.Answered(4, false, v.NowUs)
 		must.Nil(t, p.Step(v).Report)
 		v.NowUs += pauseUs
 		must.Eq(t, int64(4), p.Step(v).Report.Window)
-		pauseUs = min(2*pauseUs, maxPauseUs)
+		pauseUs = min(2*pauseUs, maxBackoffUs)
 	}
 	p.Answered(4, true, v.NowUs)
 	must.Eq(t, int64(5), p.Step(v).Report.Window)
@@ -193,7 +195,7 @@
 	must.Eq(t, int64(5), p.Reported())
 }
 
-func TestNothingIsClosedWhileTooManyWindowsWait(t *testing.T) {
+func TestNoWindowIsClosedWhileLedgerIsFull(t *testing.T) {
 	p := newTestPlan()
 	v := View{NowUs: 1, TimeUs: 1 << 50, Ledger: messages.UsageLedger{Next: 4, Pending: make([]messages.UsageWindow, MaxWindows)}}
 	must.Zero(t, p.Step(v).Close)
