--- a/internal/compliance/check_trail.go
+++ b/internal/compliance/check_trail.go
@@ -6,7 +6,7 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// Violation is an entry that a correct trail does not hold.
+// Violation is an entry that violates a rule, and the reason.
 type Violation struct {
 	Entry  Entry
 	Reason string
@@ -16,26 +16,27 @@
 	return fmt.Sprintf("%s seq %d attempt %s runner %s: %s", v.Entry.Node, v.Entry.Seq, v.Entry.Attempt, v.Entry.Runner, v.Reason)
 }
 
-// CheckTrail names each violation: a regulated request sent to a runner that
-// the configuration in force did not allow, one that ended twice, one without
-// an end. Configurations are matched by their version; an entry whose version is
-// not among them cannot be checked and is a violation as well.
+// CheckTrail returns the violations of a trail: a regulated request that was sent to
+// a runner that the configuration in force did not allow, that was sent after it was
+// answered, that ended twice, or that has no end. Configurations are matched by
+// version; an entry with another version cannot be checked and is a violation as
+// well.
 func CheckTrail(entries []Entry, configs []api.Configuration) []Violation {
 	checker := newTrailChecker(configs)
 	for _, e := range entries {
-		checker.check(e)
+		checker.checkEntry(e)
 	}
-	checker.checkAllEnded()
+	checker.reportMissingEnds()
 	return checker.violations
 }
 
-// trailChecker follows the requests of a trail from entry to entry.
+// trailChecker tracks the state of each request while it reads a trail.
 type trailChecker struct {
-	rules      map[int64]versionRules // by version of the configuration
-	received   map[string]Entry       // entry of each request, by its name
-	order      []string               // names of requests, in order of arrival
-	ends       map[string]Step        // how each request ended, by its name
-	violations []Violation
+	rules            map[int64]versionRules // by configuration version
+	received         map[string]Entry       // the entry of each request's receipt, by attempt ID
+	receivedAttempts []string               // attempt IDs in order of receipt
+	ends             map[string]Step        // how each request ended, by attempt ID
+	violations       []Violation
 }
 
 // versionRules are the rules of one configuration.
@@ -44,8 +45,8 @@
 	regimes  map[string]string // by tenant; empty or missing: not regulated
 }
 
-// newTrailChecker takes the configurations that compile; an entry of any other
-// is one of an unknown version.
+// newTrailChecker returns a checker for the configurations that compile. The versions
+// of the others count as unknown.
 func newTrailChecker(configs []api.Configuration) *trailChecker {
 	rules := map[int64]versionRules{}
 	for _, config := range configs {
@@ -62,11 +63,11 @@
 	return &trailChecker{rules: rules, received: map[string]Entry{}, ends: map[string]Step{}}
 }
 
-func (t *trailChecker) report(e Entry, reason string) {
+func (t *trailChecker) addViolation(e Entry, reason string) {
 	t.violations = append(t.violations, Violation{e, reason})
 }
 
-func (t *trailChecker) check(e Entry) {
+func (t *trailChecker) checkEntry(e Entry) {
 	switch e.Step {
 	case Asked:
 		t.onReceived(e)
@@ -75,43 +76,43 @@
 	case Answered, Rejected, Cut:
 		t.onEnded(e)
 	default:
-		t.report(e, fmt.Sprintf("unknown step %q", e.Step))
+		t.addViolation(e, fmt.Sprintf("unknown step %q", e.Step))
 	}
 }
 
 func (t *trailChecker) onReceived(e Entry) {
 	if _, known := t.received[e.Attempt]; !known {
-		t.order = append(t.order, e.Attempt)
+		t.receivedAttempts = append(t.receivedAttempts, e.Attempt)
 	}
 	t.received[e.Attempt] = e
 }
 
 func (t *trailChecker) onSent(e Entry) {
 	if reason := t.sendViolation(e); reason != "" {
-		t.report(e, reason)
+		t.addViolation(e, reason)
 	}
 	if t.ends[e.Attempt] == Answered {
-		t.report(e, "sent after it was answered")
+		t.addViolation(e, "sent after it was answered")
 	}
 }
 
 func (t *trailChecker) onEnded(e Entry) {
 	if earlier, ended := t.ends[e.Attempt]; ended {
-		t.report(e, fmt.Sprintf("ended twice: %s and %s", earlier, e.Step))
+		t.addViolation(e, fmt.Sprintf("ended twice: %s and %s", earlier, e.Step))
 	}
 	t.ends[e.Attempt] = e.Step
 }
 
-func (t *trailChecker) checkAllEnded() {
-	for _, name := range t.order {
-		if _, ended := t.ends[name]; !ended {
-			t.report(t.received[name], "its end is missing")
+func (t *trailChecker) reportMissingEnds() {
+	for _, attempt := range t.receivedAttempts {
+		if _, ended := t.ends[attempt]; !ended {
+			t.addViolation(t.received[attempt], "its end is missing")
 		}
 	}
 }
 
-// sendViolation tells what is wrong with sending a request to a runner, or ""
-// where the configuration in force allowed it.
+// sendViolation returns why the configuration in force did not allow sending a
+// request to a runner; empty if it did.
 func (t *trailChecker) sendViolation(e Entry) string {
 	rules, known := t.rules[e.Version]
 	if !known {
--- a/internal/compliance/compile.go
+++ b/internal/compliance/compile.go
@@ -13,14 +13,14 @@
 // maxNodes bounds the size of a policy's syntax tree.
 const maxNodes = 128
 
-// defaultPolicy is the policy of a regime that declares none: a runner needs a
-// certificate.
+// defaultPolicy is the policy of a regime without one: a runner needs a certificate
+// for the regime.
 const defaultPolicy = "regime in certificates"
 
-// ConfigError names the field of a configuration that declares something
-// invalid about regimes, certificates or tenants.
+// ConfigError reports an invalid declaration of a regime, certificate or tenant in a
+// configuration.
 type ConfigError struct {
-	Field  string // path in the configuration, as regimes[1].policy
+	Field  string // path in the configuration, such as regimes[1].policy
 	Reason string
 }
 
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("compliance: field %s: %s", c.Field, c.Reason)
 }
 
-// Compile checks what a configuration declares and compiles its policies. The
-// error is a *ConfigError for the first field that is invalid.
+// Compile validates the regimes, certificates and tenants of a configuration and
+// compiles its policies. The error is a *ConfigError for the first invalid field.
 func Compile(config api.Configuration) (*Policies, error) {
 	programs, err := compileRegimes(config.Regimes)
 	if err != nil {
@@ -62,9 +62,9 @@
 	return programs, nil
 }
 
-// compilePolicy compiles one policy. It cannot read the clock, so that the same
-// runner and configuration always give the same decision, and it cannot call
-// repeat, whose result may be of any size.
+// compilePolicy compiles one policy. A policy cannot read the clock, so that its
+// decision depends only on the runner and the configuration, and cannot call repeat,
+// whose result may have any size.
 func compilePolicy(source string) (*vm.Program, error) {
 	if source == "" {
 		source = defaultPolicy
--- a/internal/compliance/policies.go
+++ b/internal/compliance/policies.go
@@ -1,14 +1,14 @@
-// Package compliance decides which runners may serve a regulated tenant, and
-// keeps and checks the audit trail of what was decided.
+// Package compliance decides which runners may serve a regulated tenant, and stores
+// and checks the audit trail of regulated requests.
 //
 // Regimes and certificates are declared in the operator's configuration. Compile
-// turns each regime's policy into bytecode when a configuration is checked; a
-// policy runs once for each runner and configuration, not once for each request.
-// What a runner says of itself certifies nothing. A policy that fails, or costs
-// more than its budget, allows nothing.
+// compiles each regime's policy to bytecode when a configuration is checked; a policy
+// runs once for each runner and configuration, not once for each request. Only the
+// configuration certifies a runner, never the runner's own reports. A policy that
+// fails or exceeds its memory budget allows nothing.
 //
-// Policies are immutable and may be shared by goroutines; a Trail guards itself.
-// The package starts no goroutine.
+// Policies are immutable and may be shared by goroutines; a Trail is safe for
+// concurrent use. The package starts no goroutine.
 package compliance
 
 import (
@@ -19,18 +19,19 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// memoryBudget bounds what one run of a policy may allocate, in the units of
-// the expression library.
+// memoryBudget is the maximum allocation of one run of a policy, in units of the
+// expression library.
 const memoryBudget = 10_000
 
-// noCertificate stands for a runner that has no certificate for a regime.
+// noCertificate is the certificate index of a runner without a certificate for a
+// regime.
 const noCertificate = -1
 
-// Runner is a runner, or a cache store, as a policy sees it.
+// Runner holds the attributes of a runner or a cache store that a policy can read.
 type Runner struct {
 	ID      string `expr:"id"`
 	Service string `expr:"service"`
-	Zone    string `expr:"site"` // the name in the users' policies
+	Zone    string `expr:"site"` // policies written by users use the name site
 }
 
 // policyInput holds the variables of a policy.
@@ -47,9 +48,10 @@
 	certificates []api.Certificate
 }
 
-// Allows tells whether a runner may serve a regime, and the index in the
-// configuration of the certificate it has for it: -1 where the policy allows it
-// without one. An unknown regime and a policy that fails allow nothing.
+// Allows reports whether a runner may serve a regime. It also returns the index in the
+// configuration of the runner's certificate for the regime; -1 if the runner is
+// allowed without one or not allowed. An unknown regime and a policy that fails allow
+// nothing.
 func (p *Policies) Allows(regime string, r Runner) (certificate int, ok bool) {
 	program := p.programs[regime]
 	if program == nil {
@@ -67,8 +69,8 @@
 	return noCertificate, true
 }
 
-// certifiedRegimes names the regimes that a runner is certified for, and for
-// each the index of the first certificate that covers the runner.
+// certifiedRegimes returns the regimes that a runner is certified for, and for each
+// the index of the first certificate that covers the runner.
 func (p *Policies) certifiedRegimes(r Runner) (regimes []string, certificates map[string]int) {
 	certificates = map[string]int{}
 	for index, c := range p.certificates {
@@ -83,18 +85,18 @@
 	return regimes, certificates
 }
 
-// covers tells whether a certificate covers a runner. A field that the
-// certificate leaves empty covers every runner.
+// covers reports whether a certificate covers a runner. An empty field of the
+// certificate matches every runner.
 func covers(c api.Certificate, r Runner) bool {
 	return (c.Service == "" || c.Service == r.Service) &&
 		(c.Zone == "" || c.Zone == r.Zone) &&
 		(len(c.Runners) == 0 || slices.Contains(c.Runners, r.ID))
 }
 
-// None tells that no regime is declared; nil Policies have none.
+// None reports whether no regime is declared. It may be called on nil.
 func (p *Policies) None() bool { return p == nil || len(p.programs) == 0 }
 
-// Names lists the declared regimes in alphabetical order.
+// Names returns the names of the declared regimes in alphabetical order.
 func (p *Policies) Names() []string {
 	var names []string
 	for name := range p.programs {
--- a/internal/compliance/policies_test.go
+++ b/internal/compliance/policies_test.go
@@ -10,8 +10,8 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// testConfig declares two regimes, three certificates and two tenants, of which
-// one is regulated.
+// testConfig returns a configuration with two regimes, three certificates and two
+// tenants, of which one is regulated.
 func testConfig() api.Configuration {
 	return api.Configuration{
 		Version:  1,
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestCompileNamesInvalidField(t *testing.T) {
+func TestCompileReportsInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		field   string
 		corrupt func(*api.Configuration)
--- a/internal/compliance/trail.go
+++ b/internal/compliance/trail.go
@@ -10,11 +10,12 @@
 	"github.com/pkg/errors"
 )
 
-// Step is what happened to a request. Its text is part of the trail's format.
+// Step is the event in the life of a request that an entry records. Its text is part
+// of the trail's format.
 type Step string
 
-// The steps of a request: it is received, sent to a runner, once or more often,
-// and ends in one of the three other ways.
+// The steps of a request: it is received, sent to runners once or several times,
+// and ends with one of the three other steps.
 const (
 	Asked    Step = "asked"
 	Sent     Step = "sent"
@@ -28,7 +29,7 @@
 	Seq         int64  `json:"seq"` // counts the entries of a node from 1
 	Node        string `json:"node"`
 	Step        Step   `json:"step"`
-	Attempt     string `json:"attempt"` // names the request
+	Attempt     string `json:"attempt"` // ID that identifies the request
 	Tenant      string `json:"tenant"`
 	Regime      string `json:"regime"`
 	Runner      string `json:"runner,omitempty"`
@@ -38,30 +39,30 @@
 	Version     int64  `json:"version"`     // of the configuration in force at the node
 }
 
-// trailSize bounds how many entries a node keeps.
-const trailSize = 4096
+// trailCapacity is the maximum number of entries that a node stores.
+const trailCapacity = 4096
 
-// Trail is the audit trail of regulated requests at one node: a ring that keeps
-// the newest 4096 entries. It is safe for concurrent use, and its zero value is
-// ready to use.
+// Trail is the audit trail of regulated requests at one node: a ring buffer of the
+// newest 4096 entries. It is safe for concurrent use, and its zero value is ready to
+// use.
 type Trail struct {
-	mu   sync.Mutex // guards the fields below
-	ring []Entry
-	seq  int64 // of the newest entry
+	mu      sync.Mutex // guards the fields below
+	ring    []Entry
+	lastSeq int64 // of the newest entry
 }
 
-// Note appends an entry and numbers it; the oldest is dropped when the ring is
-// full.
+// Note appends an entry with the next sequence number. If the ring is full, it
+// overwrites the oldest entry.
 func (t *Trail) Note(e Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.seq++
-	e.Seq = t.seq
-	if len(t.ring) < trailSize {
+	t.lastSeq++
+	e.Seq = t.lastSeq
+	if len(t.ring) < trailCapacity {
 		t.ring = append(t.ring, e)
 		return
 	}
-	t.ring[int((t.seq-1)%trailSize)] = e
+	t.ring[int((t.lastSeq-1)%trailCapacity)] = e
 }
 
 // Write writes the entries as JSON lines, oldest first.
@@ -75,14 +76,14 @@
 	return nil
 }
 
-// entries copies the entries, oldest first.
+// entries returns a copy of the entries, oldest first.
 func (t *Trail) entries() []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.ring) < trailSize {
+	if len(t.ring) < trailCapacity {
 		return slices.Clone(t.ring)
 	}
-	oldest := int(t.seq % trailSize)
+	oldest := int(t.lastSeq % trailCapacity)
 	return slices.Concat(t.ring[oldest:], t.ring[:oldest])
 }
 
--- a/internal/compliance/trail_test.go
+++ b/internal/compliance/trail_test.go
@@ -10,16 +10,16 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// answeredRequest gives the entries of a request that one runner answered.
-func answeredRequest(name, runner string, certificate int) []Entry {
-	e := Entry{Node: "n", Attempt: name, Tenant: "directorate", Regime: "allergen", Version: 1, Certificate: -1}
-	asked, sent, answered := e, e, e
-	asked.Step, sent.Step, answered.Step = Asked, Sent, Answered
+// answeredRequest returns the entries of a request that one runner answered.
+func answeredRequest(attempt, runner string, certificate int) []Entry {
+	e := Entry{Node: "n", Attempt: attempt, Tenant: "directorate", Regime: "allergen", Version: 1, Certificate: -1}
+	received, sent, answered := e, e, e
+	received.Step, sent.Step, answered.Step = Asked, Sent, Answered
 	sent.Runner, sent.Service, sent.Zone, sent.Certificate = runner, "s", "a", certificate
-	return []Entry{asked, sent, answered}
+	return []Entry{received, sent, answered}
 }
 
-func TestCheckTrailPassesCorrectTrailAndNamesEachViolation(t *testing.T) {
+func TestCheckTrailAcceptsCorrectTrailAndReportsEachViolation(t *testing.T) {
 	configs := []api.Configuration{testConfig()}
 	correct := append(answeredRequest("1", "r1", 0), answeredRequest("2", "r2", 0)...)
 	must.SliceEmpty(t, CheckTrail(correct, configs))
@@ -42,18 +42,18 @@
 	}
 }
 
-func TestTrailKeepsNewestEntriesAndReadsBack(t *testing.T) {
+func TestTrailRetainsNewestEntriesAndReadsBack(t *testing.T) {
 	var trail Trail
-	for range trailSize + 10 {
+	for range trailCapacity + 10 {
 		trail.Note(Entry{Step: Asked, Attempt: "x"})
 	}
 	var b bytes.Buffer
 	must.NoError(t, trail.Write(&b))
 	entries, err := ReadTrail(&b)
 	must.NoError(t, err)
-	must.Len(t, trailSize, entries)
+	must.Len(t, trailCapacity, entries)
 	must.Eq(t, int64(11), entries[0].Seq)
-	must.Eq(t, int64(trailSize+10), entries[trailSize-1].Seq)
+	must.Eq(t, int64(trailCapacity+10), entries[trailCapacity-1].Seq)
 }
 
 func TestTrailWritesPartlyFilledRingInOrder(t *testing.T) {
@@ -69,7 +69,7 @@
 	must.Eq(t, "second", entries[1].Attempt)
 }
 
-func TestReadTrailNamesInvalidLine(t *testing.T) {
+func TestReadTrailReportsInvalidLine(t *testing.T) {
 	_, err := ReadTrail(strings.NewReader("{}\n\nnot JSON\n"))
 	must.ErrorContains(t, err, "line 3")
 }
