--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -16,7 +16,8 @@
 
 func (o Outcome) isValid() bool { return o.Bad >= 0 && o.Answers >= o.Bad }
 
-// Pair holds the outcomes of one comparison at the new version and at the others.
+// Pair holds the outcomes of one comparison at the new version and at the others, which
+// are its baseline.
 type Pair struct{ New, Other Outcome }
 
 // Evidence holds the outcomes by the name of the comparison, which stands for a kind of
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -83,7 +83,7 @@
 
 func (v *View) deadlineUs() int64 { return v.BegunAtUs + v.OverUs }
 
-// stepTrying returns the step due in stage Trying. The stage lasts as long as the deadline
+// stepTrying returns the step due in the trial stage, which lasts as long as the deadline
 // allows, to collect as much evidence as possible.
 func (p *Plan) stepTrying(v View, current Step) Step {
 	switch {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -8,7 +8,7 @@
 // their report. Shard holds the plans of all models of one register. Shard.Step takes
 // the grant of the register's lease (internal/lease) and returns the actions of the
 // plans under it. The caller carries out the actions and records their outcomes
-// (Answered, Reported, NotReported).
+// (Shard.Answered, Shard.Reported, Shard.NotReported).
 //
 // # Guarantees
 //
@@ -73,7 +73,7 @@
 
 // Plan is the rollout of one model's weights.
 type Plan struct {
-	boundUs         int64 // time after a naming within which all orders are sent
+	boundUs         int64 // time after a version was named within which all orders are sent
 	scheduleStartUs int64 // start of the schedule
 	namings         []Naming
 	jobs            map[string]*job
@@ -82,11 +82,11 @@
 	loads           loadLimit
 }
 
-// NewPlan returns a plan that sends all orders within boundUs after a naming.
+// NewPlan returns a plan that sends all orders within boundUs after a version was named.
 func NewPlan(boundUs int64) *Plan { return &Plan{boundUs: boundUs, jobs: map[string]*job{}} }
 
-// Step updates the plan from the current namings and runners and returns the actions
-// that are due.
+// Step updates the plan from the current named versions and runners and returns the
+// actions that are due.
 func (p *Plan) Step(in Input) Actions {
 	p.updateNamings(in)
 	p.updateRunners(in)
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -10,8 +10,8 @@
 func maxUnavailable(n int) int { return max(2, (n+2)/3) }
 
 // deadlineUs returns the time by which an order must have been sent to a runner: the
-// bound after the first naming that is newer than its weights. Each version counts from
-// its own acknowledgement, so a later naming does not postpone the deadline.
+// bound after the first named version that is newer than its weights. Each version counts
+// from its own acknowledgement, so naming a later one does not postpone the deadline.
 func (p *Plan) deadlineUs(j *job) int64 {
 	for _, n := range p.namings {
 		if n.Version > j.version {
--- a/internal/rollout/shard.go
+++ b/internal/rollout/shard.go
@@ -69,7 +69,7 @@
 	fence   int64 // fencing token under which the plans were made
 }
 
-// NewShard returns a shard that sends all orders within boundUs after a naming.
+// NewShard returns a shard that sends all orders within boundUs after a version was named.
 func NewShard(boundUs int64) *Shard {
 	return &Shard{boundUs: boundUs, plans: map[string]*Plan{}}
 }
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -75,8 +75,8 @@
 	w.counts[tenant] = tenantCount{w.counts[tenant].count + 1, c.lastChange}
 }
 
-// Hold defers counting a request that started at a time of the monotonic clock until Place
-// is called.
+// Hold defers counting a request that started at a time of the monotonic clock, until
+// Counter.Place is called.
 func (c *Counter) Hold(tenant string, atUs int64) {
 	c.deferred = append(c.deferred, deferredRequest{tenant, atUs})
 }
--- a/internal/usage/plan.go
+++ b/internal/usage/plan.go
@@ -68,8 +68,8 @@
 // NewPlan returns a plan.
 func NewPlan(config Config) *Plan { return &Plan{config: config} }
 
-// Step returns what to do next. It returns no window to close between Closing and Closed,
-// and no window to report between Reporting and Answered.
+// Step returns what to do next. It returns no window to close between the calls of
+// Plan.Closing and Plan.Closed, and none to report between Plan.Reporting and Plan.Answered.
 func (p *Plan) Step(v View) Step {
 	var step Step
 	if !p.closing && v.NowUs >= p.nextCloseUs {
