--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -148,8 +148,8 @@
 	v.TimeUs++
 	must.Eq(t, int64(4), p.Step(v).Close)
 	p.Closing(4, v.NowUs)
-	must.False(t, p.MayClose(4, v.TimeUs, v.NowUs+TryUs), must.Sprint("the window ended less than GiveUpUs ago"))
-	must.False(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs-1), must.Sprint("the first attempt was less than TryUs ago"))
+	must.False(t, p.MayClose(4, v.TimeUs, v.NowUs+TryUs), must.Sprint("the window ended too recently to be closed without all rows"))
+	must.False(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs-1), must.Sprint("the first attempt to close the window was too recent"))
 	must.True(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs))
 	must.Zero(t, p.Step(v).Close, must.Sprint("a window is being closed already"))
 	p.Closed(false, v.NowUs)
