--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -13,7 +13,7 @@
 	boundUs = 5_500 * ms
 )
 
-var testTimes = lease.Times{LeaseUs: 3 * second, ActUs: 400 * ms, SpareUs: 800 * ms}
+var testTimes = lease.Times{LeaseUs: 3 * second, ActUs: 400 * ms, InFlightUs: 800 * ms}
 
 // testRunner simulates a runner that handles orders as the protocol defines: after an
 // order it starts no new requests, finishes the running ones, and loads the weights.
--- a/internal/rollout/known_test.go
+++ b/internal/rollout/known_test.go
@@ -29,10 +29,10 @@
 // node sends the actual age.
 func TestNamingOfUnknownAgeCountsAsBoundAgo(t *testing.T) {
 	var table targets.Table
-	table.Recall("m", 2, 11*second)
-	table.Named("m", 3, 20*second)
+	table.RecordUnknownAge("m", 2, 11*second)
+	table.RecordNamed("m", 3, 20*second)
 	must.Eq(t, []Naming{{2, 21*second - boundUs}, {3, 20 * second}}, NamingsOf(&table, "m", boundUs, 21*second))
 	must.Eq(t, []Naming{{2, 60*second - boundUs}, {3, 60*second - boundUs}}, NamingsOf(&table, "m", boundUs, 60*second), must.Sprint("no older than the bound"))
-	table.Observe([]messages.TargetAge{{Model: "m", Version: 2, AgeUs: second}}, 21*second)
+	table.MergeAges([]messages.TargetAge{{Model: "m", Version: 2, AgeUs: second}}, 21*second)
 	must.Eq(t, []Naming{{2, 20 * second}, {3, 20 * second}}, NamingsOf(&table, "m", boundUs, 21*second))
 }
--- a/internal/rollout/namings.go
+++ b/internal/rollout/namings.go
@@ -13,7 +13,7 @@
 // boundUs ago: orders that are sent early do no harm.
 func NamingsOf(table *targets.Table, model string, boundUs, nowUs int64) []Naming {
 	var out []Naming
-	for _, target := range table.Of(model) {
+	for _, target := range table.Targets(model) {
 		ageUs := min(target.AgeUs(nowUs), boundUs)
 		out = append(out, Naming{Version: target.Version, NamedUs: nowUs - ageUs})
 	}
--- a/internal/rollout/shard_test.go
+++ b/internal/rollout/shard_test.go
@@ -42,7 +42,7 @@
 // Answered passes an answer to the role and the shard as the controller does.
 func (h leaseHolder) Answered(model string, o Order, fence int64, answer Answer, nowUs int64) {
 	if answer == FenceRefused {
-		h.Refuse(fence)
+		h.RecordRefusal(fence)
 	}
 	h.shard.Answered(model, o, answer, nowUs)
 }
@@ -87,7 +87,7 @@
 	must.Eq(t, messages.Lease{Holder: "a", Fence: 4}, v.Lease)
 	s.Acquired(was, v.Lease, false, v.NowUs)
 	waited := timeToFirstOrder(t, s, v)
-	full := testTimes.LeaseUs + testTimes.ActUs + testTimes.SpareUs
+	full := testTimes.LeaseUs + testTimes.ActUs + testTimes.InFlightUs
 	must.Between(t, full, waited, full+3*stepUs)
 }
 
