--- a/internal/admission/rollout.go
+++ b/internal/admission/rollout.go
@@ -60,7 +60,7 @@
 		return
 	}
 	o.canaryRunners = nil
-	if o.stage() != canary.Trying {
+	if o.stage() != canary.Trial {
 		return
 	}
 	var updated []string
@@ -87,7 +87,7 @@
 // at random, for the rollout's share of requests.
 func (a *Admitter) DrawCanary(service string) bool {
 	o := a.pool(service).rollout
-	return o != nil && o.stage() == canary.Trying && a.random.IntN(perMille) < o.SharePerMille
+	return o != nil && o.stage() == canary.Trial && a.random.IntN(perMille) < o.SharePerMille
 }
 
 // versionPreference returns the best preference class that a runner's version allows for a
@@ -99,7 +99,7 @@
 	}
 	updated := o.hasTargetVersion(r)
 	switch o.stage() {
-	case canary.Trying:
+	case canary.Trial:
 		if updated {
 			return 0, request.Canary && o.canaryRunners[r.record.ID]
 		}
@@ -154,7 +154,7 @@
 	if rollout == nil || !rollout.stage().Running() {
 		return
 	}
-	side := canary.OtherSide
+	side := canary.BaselineSide
 	if rollout.hasTargetVersion(r) {
 		side = canary.NewSide
 	}
--- a/internal/admission/rollout_test.go
+++ b/internal/admission/rollout_test.go
@@ -43,8 +43,8 @@
 		old, updated                  int
 		usualVersions, canaryVersions map[string]int
 	}{
-		{"tried on few runners", canary.Trying, 40, 40, map[string]int{"v1": 40}, map[string]int{"v2": 2}},
-		{"tried without runners", canary.Trying, 40, 0, map[string]int{"v1": 40}, map[string]int{"v1": 40}},
+		{"tried on few runners", canary.Trial, 40, 40, map[string]int{"v1": 40}, map[string]int{"v2": 2}},
+		{"tried without runners", canary.Trial, 40, 0, map[string]int{"v1": 40}, map[string]int{"v1": 40}},
 		{"shifting", canary.Shifting, 4, 4, map[string]int{"v2": 4}, map[string]int{"v2": 4}},
 		{"shifting without runners", canary.Shifting, 4, 0, map[string]int{"v1": 4}, map[string]int{"v1": 4}},
 		{"settled", canary.Settled, 4, 4, map[string]int{"v2": 4}, map[string]int{"v2": 4}},
@@ -59,7 +59,7 @@
 
 func TestCanaryShareIsDrawnOnlyWhileVersionIsTried(t *testing.T) {
 	const draws = 10_000
-	for stage, share := range map[canary.Stage]int{canary.Trying: draws / 10, canary.Shifting: 0, canary.Reverted: 0} {
+	for stage, share := range map[canary.Stage]int{canary.Trial: draws / 10, canary.Shifting: 0, canary.Reverted: 0} {
 		a, drawn := newRolloutAdmitter(stage, 4, 4), 0
 		for range draws {
 			if a.DrawCanary("s") {
@@ -75,7 +75,7 @@
 func TestNodesChooseTheSameCanaryRunners(t *testing.T) {
 	canaryRequest := Request{Service: "s", TokensIn: 10, Canary: true}
 	ids := func(seed uint64) (out []string) {
-		a := newRolloutAdmitter(canary.Trying, 40, 40)
+		a := newRolloutAdmitter(canary.Trial, 40, 40)
 		a.Zone = fmt.Sprint("zone", seed)
 		for _, c := range a.Candidates(canaryRequest, 1) {
 			out = append(out, c.ID)
@@ -86,7 +86,7 @@
 }
 
 func TestOutcomesAreCountedByVersionAndClass(t *testing.T) {
-	a := newRolloutAdmitter(canary.Trying, 1, 1)
+	a := newRolloutAdmitter(canary.Trial, 1, 1)
 	end := func(isCanary, succeeded bool, firstTokenUs int64) {
 		request := Request{Service: "s", TokensIn: 100, Canary: isCanary, Class: "500 ms", TimeLeftUs: 1_000_000}
 		decision := a.Submit(request, 1000)
@@ -106,9 +106,9 @@
 		canary.Collect(evidence, a.Rollouts()[0], id, load)
 	}
 	must.Eq(t, canary.Evidence{
-		canary.AllRequests: {New: canary.Outcome{Answers: 3, Bad: 1}, Other: canary.Outcome{Answers: 1}},
-		"500 ms failed":    {New: canary.Outcome{Answers: 3, Bad: 1}, Other: canary.Outcome{Answers: 1}},
-		"500 ms slow":      {New: canary.Outcome{Answers: 2, Bad: 1}, Other: canary.Outcome{Answers: 1}},
+		canary.AllRequests: {New: canary.Outcome{Answers: 3, Bad: 1}, Baseline: canary.Outcome{Answers: 1}},
+		"500 ms failed":    {New: canary.Outcome{Answers: 3, Bad: 1}, Baseline: canary.Outcome{Answers: 1}},
+		"500 ms slow":      {New: canary.Outcome{Answers: 2, Bad: 1}, Baseline: canary.Outcome{Answers: 1}},
 	}, evidence)
 	a.SetRollouts([]messages.ServiceRollout{{Service: "s", Target: "v2", Stage: int(canary.Settled), Number: 1}})
 	for id := range a.OwnLoads(2000) {
--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -89,14 +89,14 @@
 // services and zones.
 func (p *Plan) Step(v View) []Order {
 	switch {
-	case !v.Known:
+	case !v.DemandKnown:
 		p.demandKnownSinceUs = 0
 	case p.demandKnownSinceUs == 0:
 		p.demandKnownSinceUs = v.NowUs
 	}
 	var orders []Order
 	for _, s := range v.Services {
-		if v.Known {
+		if v.DemandKnown {
 			p.observe(v.NowUs, s)
 		}
 		for _, z := range s.Zones {
@@ -145,7 +145,7 @@
 	minimum, _ := p.requiredRunners(s, state, p.growthThreshold(v))
 	maximum, _ := p.requiredRunners(s, state, 1+p.config.Hysteresis)
 	switch {
-	case !v.Known:
+	case !v.DemandKnown:
 		return Order{}, false
 	case minimum > current:
 		p.lastGrowthUs[s.Name] = v.NowUs
@@ -172,7 +172,7 @@
 // requiredRunners returns how many runners a zone needs for its demand times a factor, and
 // which constraint determines the number.
 func (p *Plan) requiredRunners(s Service, state *zoneState, factor float64) (runners int, reason Reason) {
-	forecast := max(p.forecast(state, s.BootUs), state.peak)
+	forecast := max(p.forecast(state, s.StartupUs), state.peak)
 	runners, reason = int(math.Ceil(factor*forecast/p.config.TargetUtilization)), Rising
 	if needed := p.runnersForZoneLoss(s, factor); needed > runners {
 		runners, reason = needed, ZoneLoss
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -14,23 +14,23 @@
 	stepUs = 100 * ms
 )
 
-// fleet simulates a service whose runners are ready BootUs after an order and terminate at
+// fleet simulates a service whose runners are ready StartupUs after an order and terminate at
 // once.
 type fleet struct {
-	plan     *Plan
-	service  Service
-	starting map[string][]int64 // by zone, when ordered runners become ready
-	nowUs    int64
-	orders   []Order
-	known    bool
-	steady   bool
+	plan        *Plan
+	service     Service
+	starting    map[string][]int64 // by zone, when ordered runners become ready
+	nowUs       int64
+	orders      []Order
+	demandKnown bool
+	steady      bool
 
 	runnerSeconds float64 // runner-seconds of all runners present
 	unmetSeconds  float64 // runner-seconds of demand in excess of the runners present
 }
 
 func newFleet(zones, each int) *fleet {
-	f := &fleet{plan: NewPlan(Defaults), service: Service{Name: "s", Floor: 4, Ceiling: 40, BootUs: 8 * second}, starting: map[string][]int64{}, nowUs: 1, known: true, steady: true}
+	f := &fleet{plan: NewPlan(Defaults), service: Service{Name: "s", Floor: 4, Ceiling: 40, StartupUs: 8 * second}, starting: map[string][]int64{}, nowUs: 1, demandKnown: true, steady: true}
 	for i := range zones {
 		f.service.Zones = append(f.service.Zones, Zone{Name: string(rune('a' + i)), Present: each})
 	}
@@ -47,7 +47,7 @@
 			f.runnerSeconds += float64(z.Present) * float64(stepUs) / float64(second)
 			f.unmetSeconds += max(z.Demand-float64(z.Present), 0) * float64(stepUs) / float64(second)
 		}
-		for _, order := range f.plan.Step(View{NowUs: f.nowUs, Services: []Service{f.service}, Known: f.known, Steady: f.steady}) {
+		for _, order := range f.plan.Step(View{NowUs: f.nowUs, Services: []Service{f.service}, DemandKnown: f.demandKnown, Steady: f.steady}) {
 			f.applyOrder(order)
 		}
 	}
@@ -71,7 +71,7 @@
 		}
 		z.Ordered = order.Desired
 		for z.Present+len(f.starting[z.Name]) < order.Desired {
-			f.starting[z.Name] = append(f.starting[z.Name], f.nowUs+f.service.BootUs)
+			f.starting[z.Name] = append(f.starting[z.Name], f.nowUs+f.service.StartupUs)
 		}
 		if z.Present > order.Desired {
 			z.Present = order.Desired
@@ -140,10 +140,10 @@
 func TestNothingIsRemovedWhileDemandIsUnknown(t *testing.T) {
 	f := newFleet(2, 10)
 	f.run(2*second, constant(2))
-	f.known = false
+	f.demandKnown = false
 	f.run(200*second, constant(0))
 	must.SliceEmpty(t, f.orders)
-	f.known, f.steady = true, false
+	f.demandKnown, f.steady = true, false
 	f.run(200*second, constant(0))
 	must.SliceEmpty(t, f.orders)
 }
@@ -218,8 +218,8 @@
 	}
 }
 
-func TestBusyReturnsUtilizationOfScarcestResource(t *testing.T) {
-	must.Zero(t, Load{}.Busy())
-	must.Eq(t, 0.5, Load{Slots: 6, SlotsTotal: 12, Blocks: 10, BlocksTotal: 100}.Busy())
-	must.Eq(t, 1.5, Load{Slots: 6, SlotsTotal: 12, Flow: 30_000, Rate: 0.02}.Busy())
+func TestUtilizationIsThatOfScarcestResource(t *testing.T) {
+	must.Zero(t, Load{}.Utilization())
+	must.Eq(t, 0.5, Load{Slots: 6, SlotsTotal: 12, Blocks: 10, BlocksTotal: 100}.Utilization())
+	must.Eq(t, 1.5, Load{Slots: 6, SlotsTotal: 12, Flow: 30_000, Rate: 0.02}.Utilization())
 }
--- a/internal/autoscale/load.go
+++ b/internal/autoscale/load.go
@@ -9,9 +9,9 @@
 	Rate          float64 // prefill capacity in tokens per microsecond; 0 if unknown
 }
 
-// Busy returns the utilization of a runner's scarcest resource. It may exceed 1 if requests
+// Utilization returns the utilization of a runner's scarcest resource. It may exceed 1 if requests
 // are waiting.
-func (l Load) Busy() float64 {
+func (l Load) Utilization() float64 {
 	busy := 0.0
 	if l.SlotsTotal > 0 {
 		busy = max(busy, l.Slots/l.SlotsTotal)
--- a/internal/autoscale/view.go
+++ b/internal/autoscale/view.go
@@ -12,7 +12,7 @@
 type Service struct {
 	Name           string
 	Floor, Ceiling int   // bounds of the number of runners in each zone
-	BootUs         int64 // time from an order until the runner is ready
+	StartupUs      int64 // time from an order until the runner is ready
 	Zones          []Zone
 }
 
@@ -20,8 +20,8 @@
 type View struct {
 	NowUs    int64
 	Services []Service
-	// Known is set if the demand includes the loads of all routers.
-	Known bool
+	// DemandKnown is set if the demand includes the loads of all routers.
+	DemandKnown bool
 	// Steady is set if the core is stable and no weights are being rolled out. Runners are
 	// removed only then.
 	Steady bool
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	testOrder  = Order{Service: "s", Target: "v2", OverUs: 15_000_000}
+	testOrder  = Order{Service: "s", Target: "v2", DurationUs: 15_000_000}
 	testBounds = Bounds{Exposure: 0.1, Slack: 50}
 )
 
@@ -24,7 +24,7 @@
 
 func TestBeginIgnoresRepeatedOrder(t *testing.T) {
 	list := beginTestRollout(t)
-	must.Eq(t, messages.ServiceRollout{Service: "s", Target: "v2", OverUs: 15_000_000, BegunAtUs: 1000, Stage: int(Trying), SharePerMille: 30, Number: 1}, list[0])
+	must.Eq(t, messages.ServiceRollout{Service: "s", Target: "v2", OverUs: 15_000_000, BegunAtUs: 1000, Stage: int(Trial), SharePerMille: 30, Number: 1}, list[0])
 	again, changed, err := Begin(list, testOrder, testBounds, 9000)
 	must.NoError(t, err)
 	must.False(t, changed)
@@ -36,7 +36,7 @@
 	other := testOrder
 	other.Target = "v3"
 	_, changed, err := Begin(list, other, testBounds, 9000)
-	must.ErrorIs(t, err, ErrOtherRunning)
+	must.ErrorIs(t, err, ErrRolloutRunning)
 	must.False(t, changed)
 	list, _ = Advance(list, list[0], Step{Stage: Reverted})
 	list, changed, err = Begin(list, other, testBounds, 9000)
@@ -51,15 +51,15 @@
 		from, to Stage
 		follows  bool
 	}{
-		{Trying, Shifting, true},
-		{Trying, Reverted, true},
-		{Trying, Settled, false},
+		{Trial, Shifting, true},
+		{Trial, Reverted, true},
+		{Trial, Settled, false},
 		{Shifting, Settled, true},
 		{Shifting, Reverted, true},
-		{Shifting, Trying, false},
+		{Shifting, Trial, false},
 		{Settled, Reverted, false},
-		{Settled, Trying, false},
-		{Reverted, Trying, false},
+		{Settled, Trial, false},
+		{Reverted, Trial, false},
 		{Reverted, Settled, false},
 	} {
 		list := beginTestRollout(t)
@@ -112,12 +112,12 @@
 
 // answersUntilFoundWorse draws answers of both sides in batches and returns how many answers of the
 // new version were drawn when it was found worse; more than most if it never was.
-func answersUntilFoundWorse(random *rand.Rand, maxAnswers int, newShare, otherShare float64) int {
+func answersUntilFoundWorse(random *rand.Rand, maxAnswers int, newShare, baselineShare float64) int {
 	pair := Pair{}
 	for pair.New.Answers < maxAnswers {
-		fresh, others := drawOutcome(random, 2, newShare), drawOutcome(random, 60, otherShare)
+		fresh, others := drawOutcome(random, 2, newShare), drawOutcome(random, 60, baselineShare)
 		pair.New = Outcome{pair.New.Answers + fresh.Answers, pair.New.Bad + fresh.Bad}
-		pair.Other = Outcome{pair.Other.Answers + others.Answers, pair.Other.Bad + others.Bad}
+		pair.Baseline = Outcome{pair.Baseline.Answers + others.Answers, pair.Baseline.Bad + others.Bad}
 		if isWorse(pair) {
 			return pair.New.Answers
 		}
@@ -158,21 +158,21 @@
 // rolloutSimulation simulates a rollout with a fixed request rate for both sides and a step of the
 // plan every 100 ms.
 type rolloutSimulation struct {
-	newBadShare func(sinceUs int64) float64 // share of bad answers
-	newReady    int
-	otherActive func(sinceUs int64) int // requests at the other versions
+	newBadShare    func(sinceUs int64) float64 // share of bad answers
+	newReady       int
+	baselineActive func(sinceUs int64) int // requests at the other versions
 }
 
 // run runs the simulation and returns the stages that were entered, with their start times
 // since the order.
-func (q rolloutSimulation) run(overUs int64) map[Stage]int64 {
+func (q rolloutSimulation) run(durationUs int64) map[Stage]int64 {
 	const stepUs = 100_000
 	random := rand.New(rand.NewPCG(3, 4))
 	var plan Plan
 	reached := map[Stage]int64{}
-	view := View{BegunAtUs: 5_000_000, OverUs: overUs, NewReady: q.newReady, OtherReady: 10, Bounds: testBounds, Share: 30, Stage: Trying}
+	view := View{BegunAtUs: 5_000_000, DurationUs: durationUs, NewReady: q.newReady, BaselineReady: 10, Bounds: testBounds, Share: 30, Stage: Trial}
 	pair := Pair{}
-	for sinceUs := int64(0); sinceUs < 2*overUs && view.Stage.Running(); sinceUs += stepUs {
+	for sinceUs := int64(0); sinceUs < 2*durationUs && view.Stage.Running(); sinceUs += stepUs {
 		newAnswers := 2
 		if view.Stage == Shifting {
 			newAnswers = 60
@@ -180,9 +180,9 @@
 		newAnswers = min(newAnswers, newAnswers*q.newReady)
 		answers, others := drawOutcome(random, newAnswers, q.newBadShare(sinceUs)), drawOutcome(random, 62-newAnswers, 0.01)
 		pair.New = Outcome{pair.New.Answers + answers.Answers, pair.New.Bad + answers.Bad}
-		pair.Other = Outcome{pair.Other.Answers + others.Answers, pair.Other.Bad + others.Bad}
+		pair.Baseline = Outcome{pair.Baseline.Answers + others.Answers, pair.Baseline.Bad + others.Bad}
 		view.TimeUs, view.Evidence = view.BegunAtUs+sinceUs, Evidence{AllRequests: pair}
-		view.OtherActive = q.otherActive(sinceUs)
+		view.BaselineActive = q.baselineActive(sinceUs)
 		step := plan.Step(view)
 		if step.Stage != view.Stage {
 			reached[step.Stage] = sinceUs
@@ -236,14 +236,14 @@
 // as evidence against a version.
 func TestDecreasingOutcomesAreNotEvidence(t *testing.T) {
 	var m monitor
-	m.observe(Evidence{AllRequests: Pair{New: Outcome{50, 3}, Other: Outcome{500, 2}}}, 1)
-	m.observe(Evidence{AllRequests: Pair{New: Outcome{20, 2}, Other: Outcome{200, 1}}}, 1_000_000)
+	m.observe(Evidence{AllRequests: Pair{New: Outcome{50, 3}, Baseline: Outcome{500, 2}}}, 1)
+	m.observe(Evidence{AllRequests: Pair{New: Outcome{20, 2}, Baseline: Outcome{200, 1}}}, 1_000_000)
 	must.Eq(t, "", m.findWorse())
 }
 
 func TestVersionThatTurnsBadIsFoundByRecentOutcomes(t *testing.T) {
 	var m monitor
-	m.observe(Evidence{AllRequests: Pair{New: Outcome{2000, 10}, Other: Outcome{2000, 10}}}, 1)
-	m.observe(Evidence{AllRequests: Pair{New: Outcome{2040, 28}, Other: Outcome{2100, 11}}}, 1_000_000)
+	m.observe(Evidence{AllRequests: Pair{New: Outcome{2000, 10}, Baseline: Outcome{2000, 10}}}, 1)
+	m.observe(Evidence{AllRequests: Pair{New: Outcome{2040, 28}, Baseline: Outcome{2100, 11}}}, 1_000_000)
 	must.Eq(t, AllRequests+" of late", m.findWorse())
 }
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -18,7 +18,7 @@
 
 // Pair holds the outcomes of one comparison at the new version and at the others, which
 // are its baseline.
-type Pair struct{ New, Other Outcome }
+type Pair struct{ New, Baseline Outcome }
 
 // Evidence holds the outcomes by the name of the comparison, which stands for a kind of
 // request and a criterion for bad answers.
@@ -51,9 +51,9 @@
 	// priorAnswers and priorBad are the assumed outcomes of the others before their first answers.
 	priorAnswers = 20.0
 	priorBad     = 0.3
-	// maxOtherBadShare is the share of bad answers of the others above which a comparison has no
+	// maxBaselineBadShare is the share of bad answers of the others above which a comparison has no
 	// result.
-	maxOtherBadShare = 0.5
+	maxBaselineBadShare = 0.5
 )
 
 // logLikelihoodRatio returns the log-likelihood ratio of Wald's sequential probability ratio test
@@ -61,11 +61,11 @@
 // that is not. Both shares are derived from the outcomes of the other versions over the same time,
 // so that faults of the network, the clients or the load affect both sides alike.
 func logLikelihoodRatio(pair Pair) float64 {
-	otherShare := (float64(pair.Other.Bad) + priorBad) / (float64(pair.Other.Answers) + priorAnswers)
-	if otherShare > maxOtherBadShare {
+	baselineShare := (float64(pair.Baseline.Bad) + priorBad) / (float64(pair.Baseline.Answers) + priorAnswers)
+	if baselineShare > maxBaselineBadShare {
 		return 0
 	}
-	tolerableShare := max(minTolerableShare, tolerableRatio*otherShare)
+	tolerableShare := max(minTolerableShare, tolerableRatio*baselineShare)
 	worseShare := tolerableShare + worseShareDifference
 	good := float64(pair.New.Answers - pair.New.Bad)
 	return float64(pair.New.Bad)*math.Log(worseShare/tolerableShare) + good*math.Log((1-worseShare)/(1-tolerableShare))
@@ -77,12 +77,12 @@
 	if name == AllRequests {
 		threshold = -acceptThreshold
 	}
-	return pair.New.isValid() && pair.Other.isValid() && logLikelihoodRatio(pair) < threshold
+	return pair.New.isValid() && pair.Baseline.isValid() && logLikelihoodRatio(pair) < threshold
 }
 
 // isWorse reports whether the outcomes show that the new version is worse.
 func isWorse(pair Pair) bool {
-	return pair.New.isValid() && pair.Other.isValid() && pair.New.Bad >= minBadAnswers && logLikelihoodRatio(pair) > worseThreshold
+	return pair.New.isValid() && pair.Baseline.isValid() && pair.New.Bad >= minBadAnswers && logLikelihoodRatio(pair) > worseThreshold
 }
 
 // sample is the evidence at one time.
@@ -146,7 +146,7 @@
 // new version is worse; empty for none.
 func (m *monitor) findWeaklyWorse() string {
 	for name, pair := range m.newest {
-		if recent := m.recentOutcomes(name, pair); recent.New.Bad >= minBadAnswers && recent.New.isValid() && recent.Other.isValid() && logLikelihoodRatio(recent) > acceptThreshold {
+		if recent := m.recentOutcomes(name, pair); recent.New.Bad >= minBadAnswers && recent.New.isValid() && recent.Baseline.isValid() && logLikelihoodRatio(recent) > acceptThreshold {
 			return name
 		}
 	}
@@ -159,7 +159,7 @@
 		return pair
 	}
 	earliest := m.samples[0].evidence[name]
-	return Pair{New: pair.New.subtract(earliest.New), Other: pair.Other.subtract(earliest.Other)}
+	return Pair{New: pair.New.subtract(earliest.New), Baseline: pair.Baseline.subtract(earliest.Baseline)}
 }
 
 // AllRequests is the name of the comparison that counts every answer; a failed one is bad.
--- a/internal/canary/keys.go
+++ b/internal/canary/keys.go
@@ -21,8 +21,8 @@
 
 // Sides of a comparison.
 const (
-	NewSide   Side = "new"
-	OtherSide Side = "other"
+	NewSide      Side = "new"
+	BaselineSide Side = "other"
 )
 
 // Key identifies the outcomes of one side of a comparison in messages between nodes.
@@ -64,7 +64,7 @@
 	if key.Side == NewSide {
 		pair.New = outcome
 	} else {
-		pair.Other = outcome
+		pair.Baseline = outcome
 	}
 	evidence[key.Comparison] = pair
 }
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -32,16 +32,16 @@
 
 // View is the input of Plan.Step.
 type View struct {
-	TimeUs      int64 // time of day
-	BegunAtUs   int64
-	OverUs      int64
-	Stage       Stage
-	Share       int // in thousandths
-	Evidence    Evidence
-	NewReady    int // runners of the new version that are ready
-	OtherReady  int // runners of the other versions
-	OtherActive int // requests at runners of the other versions
-	Bounds      Bounds
+	TimeUs         int64 // time of day
+	BegunAtUs      int64
+	DurationUs     int64
+	Stage          Stage
+	Share          int // in thousandths
+	Evidence       Evidence
+	NewReady       int // runners of the new version that are ready
+	BaselineReady  int // runners of the other versions
+	BaselineActive int // requests at runners of the other versions
+	Bounds         Bounds
 }
 
 // Step is the stage and the share that are due, and the reason for a change of stage.
@@ -73,19 +73,19 @@
 	if v.Stage == Shifting {
 		return p.stepShifting(v, current)
 	}
-	return p.stepTrying(v, current)
+	return p.stepTrial(v, current)
 }
 
 // leadUs returns how long before the deadline the requests are shifted to the new version.
 func (v *View) leadUs() int64 {
-	return min(max(int64(leadFraction*float64(v.OverUs)), minLeadUs), maxLeadUs)
+	return min(max(int64(leadFraction*float64(v.DurationUs)), minLeadUs), maxLeadUs)
 }
 
-func (v *View) deadlineUs() int64 { return v.BegunAtUs + v.OverUs }
+func (v *View) deadlineUs() int64 { return v.BegunAtUs + v.DurationUs }
 
-// stepTrying returns the step due in the trial stage, which lasts as long as the deadline
+// stepTrial returns the step due in the trial stage, which lasts as long as the deadline
 // allows, to collect as much evidence as possible.
-func (p *Plan) stepTrying(v View, current Step) Step {
+func (p *Plan) stepTrial(v View, current Step) Step {
 	switch {
 	case v.TimeUs < v.deadlineUs()-v.leadUs():
 		return p.adjustShare(v, current)
@@ -105,7 +105,7 @@
 	}
 	p.shareAdjusted = true
 	if answers := v.totalAnswers(); answers > 0 {
-		step.SharePerMille = v.Bounds.Share(float64(answers) * float64(v.OverUs) / float64(sinceUs))
+		step.SharePerMille = v.Bounds.Share(float64(answers) * float64(v.DurationUs) / float64(sinceUs))
 	}
 	return step
 }
@@ -113,7 +113,7 @@
 // totalAnswers returns how many answers the service has given since the order.
 func (v *View) totalAnswers() int {
 	all := v.Evidence[AllRequests]
-	return all.New.Answers + all.Other.Answers
+	return all.New.Answers + all.Baseline.Answers
 }
 
 // hasEnoughAnswers reports whether the new version has answered enough requests, or the service
@@ -124,7 +124,7 @@
 
 // hasEnoughRunners reports whether the new version has enough runners for all requests: at least
 // half as many as the others.
-func (v *View) hasEnoughRunners() bool { return v.NewReady > 0 && 2*v.NewReady >= v.OtherReady }
+func (v *View) hasEnoughRunners() bool { return v.NewReady > 0 && 2*v.NewReady >= v.BaselineReady }
 
 // stepShifting returns the step due in stage Shifting. The version is settled once no request
 // runs on the other versions, and at the latest latestSettleUs before the deadline.
@@ -133,7 +133,7 @@
 		p.shiftBeganUs = v.TimeUs
 	}
 	leftUs := v.deadlineUs() - v.TimeUs
-	drained := v.OtherActive == 0 && leftUs <= earliestSettleUs
+	drained := v.BaselineActive == 0 && leftUs <= earliestSettleUs
 	if v.TimeUs-p.shiftBeganUs < minShiftUs || !drained && leftUs > latestSettleUs {
 		return current
 	}
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -13,7 +13,7 @@
 
 // Stages of a rollout. Their numbers are part of the records on disk.
 const (
-	Trying   Stage = iota // a small share of the requests goes to the new version
+	Trial    Stage = iota // a small share of the requests goes to the new version
 	Shifting              // all new requests go to the new version, running ones on the others finish
 	Settled               // the new version is the service's version
 	Reverted              // no requests go to the new version
@@ -21,12 +21,12 @@
 
 // nextStages are the stages that may follow a stage.
 var nextStages = map[Stage][]Stage{
-	Trying:   {Shifting, Reverted},
+	Trial:    {Shifting, Reverted},
 	Shifting: {Settled, Reverted},
 }
 
 // Running reports whether the rollout has not ended.
-func (s Stage) Running() bool { return s == Trying || s == Shifting }
+func (s Stage) Running() bool { return s == Trial || s == Shifting }
 
 // String returns the state in its form for operators.
 func (s Stage) String() string {
@@ -39,8 +39,8 @@
 	return "running"
 }
 
-// ErrOtherRunning is returned for an order while another rollout of the service is running.
-var ErrOtherRunning = errors.New("canary: another rollout of the service is running")
+// ErrRolloutRunning is returned for an order while another rollout of the service is running.
+var ErrRolloutRunning = errors.New("canary: another rollout of the service is running")
 
 // Bounds limits how many of a service's requests may go to a version that has not passed its
 // trial.
@@ -70,10 +70,10 @@
 	return max(int(min(share, maxTrialShare)*perMille), 1)
 }
 
-// Order is an operator's order to roll out version Target of a service within OverUs.
+// Order is an operator's order to roll out version Target of a service within DurationUs.
 type Order struct {
 	Service, Target string
-	OverUs          int64
+	DurationUs      int64
 }
 
 // Find returns the newest rollout of a service.
@@ -87,19 +87,19 @@
 
 // Begin returns the rollouts after an order received at timeUs, a time of day. An order for the
 // version of the service's newest rollout is a repeat and changes nothing. While a rollout to
-// another version is running, it returns ErrOtherRunning.
+// another version is running, it returns ErrRolloutRunning.
 func Begin(list []messages.ServiceRollout, order Order, bounds Bounds, timeUs int64) (next []messages.ServiceRollout, changed bool, err error) {
 	previous, found := Find(list, order.Service)
 	switch {
 	case found && previous.Target == order.Target:
 		return list, false, nil
 	case found && Stage(previous.Stage).Running():
-		return list, false, ErrOtherRunning
+		return list, false, ErrRolloutRunning
 	}
 	next = slices.DeleteFunc(slices.Clone(list), func(r messages.ServiceRollout) bool { return r.Service == order.Service })
 	next = append(next, messages.ServiceRollout{
-		Service: order.Service, Target: order.Target, OverUs: order.OverUs, BegunAtUs: timeUs,
-		Stage: int(Trying), SharePerMille: bounds.Share(0), Number: previous.Number + 1,
+		Service: order.Service, Target: order.Target, OverUs: order.DurationUs, BegunAtUs: timeUs,
+		Stage: int(Trial), SharePerMille: bounds.Share(0), Number: previous.Number + 1,
 	})
 	return next, true, nil
 }
--- a/internal/compliance/check_trail.go
+++ b/internal/compliance/check_trail.go
@@ -69,7 +69,7 @@
 
 func (t *trailChecker) checkEntry(e Entry) {
 	switch e.Step {
-	case Asked:
+	case Received:
 		t.onReceived(e)
 	case Sent:
 		t.onSent(e)
--- a/internal/compliance/policies.go
+++ b/internal/compliance/policies.go
@@ -93,11 +93,11 @@
 		(len(c.Runners) == 0 || slices.Contains(c.Runners, r.ID))
 }
 
-// None reports whether no regime is declared. It may be called on nil.
-func (p *Policies) None() bool { return p == nil || len(p.programs) == 0 }
+// IsEmpty reports whether no regime is declared. It may be called on nil.
+func (p *Policies) IsEmpty() bool { return p == nil || len(p.programs) == 0 }
 
-// Names returns the names of the declared regimes in alphabetical order.
-func (p *Policies) Names() []string {
+// RegimeNames returns the names of the declared regimes in alphabetical order.
+func (p *Policies) RegimeNames() []string {
 	var names []string
 	for name := range p.programs {
 		names = append(names, name)
--- a/internal/compliance/trail.go
+++ b/internal/compliance/trail.go
@@ -17,7 +17,7 @@
 // The steps of a request: it is received, sent to runners once or several times,
 // and ends with one of the three other steps.
 const (
-	Asked    Step = "asked"
+	Received Step = "asked"
 	Sent     Step = "sent"
 	Answered Step = "answered"
 	Rejected Step = "denied"
@@ -51,9 +51,9 @@
 	lastSeq int64 // of the newest entry
 }
 
-// Note appends an entry with the next sequence number. If the ring is full, it
+// Append appends an entry with the next sequence number. If the ring is full, it
 // overwrites the oldest entry.
-func (t *Trail) Note(e Entry) {
+func (t *Trail) Append(e Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastSeq++
--- a/internal/compliance/trail_test.go
+++ b/internal/compliance/trail_test.go
@@ -14,7 +14,7 @@
 func answeredRequest(attempt, runner string, certificate int) []Entry {
 	e := Entry{Node: "n", Attempt: attempt, Tenant: "directorate", Regime: "allergen", Version: 1, Certificate: -1}
 	received, sent, answered := e, e, e
-	received.Step, sent.Step, answered.Step = Asked, Sent, Answered
+	received.Step, sent.Step, answered.Step = Received, Sent, Answered
 	sent.Runner, sent.Service, sent.Zone, sent.Certificate = runner, "s", "a", certificate
 	return []Entry{received, sent, answered}
 }
@@ -45,7 +45,7 @@
 func TestTrailRetainsNewestEntriesAndReadsBack(t *testing.T) {
 	var trail Trail
 	for range trailCapacity + 10 {
-		trail.Note(Entry{Step: Asked, Attempt: "x"})
+		trail.Append(Entry{Step: Received, Attempt: "x"})
 	}
 	var b bytes.Buffer
 	must.NoError(t, trail.Write(&b))
@@ -58,8 +58,8 @@
 
 func TestTrailWritesPartlyFilledRingInOrder(t *testing.T) {
 	var trail Trail
-	trail.Note(Entry{Attempt: "first"})
-	trail.Note(Entry{Attempt: "second"})
+	trail.Append(Entry{Attempt: "first"})
+	trail.Append(Entry{Attempt: "second"})
 	var b bytes.Buffer
 	must.NoError(t, trail.Write(&b))
 	entries, err := ReadTrail(&b)
--- a/internal/controller/operatorapi/weights.go
+++ b/internal/controller/operatorapi/weights.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if !rollout.Name(&body, messages.Target{Model: w.Model, Version: w.Version}, holder) {
+	if !rollout.RecordTarget(&body, messages.Target{Model: w.Model, Version: w.Version}, holder) {
 		return nil, nil, consensus.ErrNoChange
 	}
 	b, err := body.MarshalMsg(nil)
--- a/internal/controller/servicerollout/driver.go
+++ b/internal/controller/servicerollout/driver.go
@@ -123,13 +123,13 @@
 func (d *Driver) view(rollout messages.ServiceRollout) (canary.View, bool) {
 	timeUs, agreed := d.config.TimeOfDay()
 	view := canary.View{
-		TimeUs:    timeUs,
-		BegunAtUs: rollout.BegunAtUs,
-		OverUs:    rollout.OverUs,
-		Stage:     canary.Stage(rollout.Stage),
-		Share:     rollout.SharePerMille,
-		Evidence:  canary.Evidence{},
-		Bounds:    d.config.Bounds,
+		TimeUs:     timeUs,
+		BegunAtUs:  rollout.BegunAtUs,
+		DurationUs: rollout.OverUs,
+		Stage:      canary.Stage(rollout.Stage),
+		Share:      rollout.SharePerMille,
+		Evidence:   canary.Evidence{},
+		Bounds:     d.config.Bounds,
 	}
 	runners := d.config.Runners().ByService[rollout.Service]
 	d.config.ReadLoads(func(loads *statesync.Loads) {
@@ -149,7 +149,7 @@
 		}
 		return
 	}
-	view.OtherReady++
+	view.BaselineReady++
 	load, _ := loads.Get(runner.ID)
-	view.OtherActive += max(load.Count, 0)
+	view.BaselineActive += max(load.Count, 0)
 }
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -74,8 +74,8 @@
 }
 
 // Namings are the versions of a model for the plan of its rollout.
-func (n *namedTargets) Namings(model string, boundUs, nowUs int64) []rollout.Naming {
+func (n *namedTargets) Namings(model string, boundUs, nowUs int64) []rollout.NamedVersion {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return rollout.NamingsOf(&n.table, model, boundUs, nowUs)
+	return rollout.NamedVersions(&n.table, model, boundUs, nowUs)
 }
--- a/internal/controller/weightrollout/calls.go
+++ b/internal/controller/weightrollout/calls.go
@@ -16,7 +16,7 @@
 	if runner, ok := d.config.Runners.Snapshot().ByID[order.ID]; ok {
 		answer = d.sendOrder(ctx, part, model, runner, order, grant.Fence)
 	}
-	if answer == rollout.AlreadyHolds {
+	if answer == rollout.AlreadyLoaded {
 		d.recordWeights(order.ID, model, order.Version)
 	}
 	if answer == rollout.FenceRefused {
@@ -24,7 +24,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shards[part].Answered(model, order, answer, d.config.Clock())
+	d.shards[part].RecordAnswer(model, order, answer, d.config.Clock())
 }
 
 // sendOrder sends an order under a fence.
@@ -41,7 +41,7 @@
 	mayGo := func() bool { return d.config.Fences.MayCall(part, fence) }
 	status, err := d.config.API.Order(ctx, runner, body, mayGo)
 	d.config.Log.Info("order", "runner", runner.ID, "version", order.Version, "fence", fence, "status", status, "err", err)
-	return rollout.AnswerOf(status)
+	return rollout.AnswerForStatus(status)
 }
 
 // poll asks a runner for its report, one at a time, and hands over what it says of
@@ -70,9 +70,9 @@
 	defer d.mu.Unlock()
 	delete(d.polling, runner.ID)
 	if err == nil {
-		d.shards[part].Reported(model, runner.ID, state, askedUs, d.config.Clock())
+		d.shards[part].RecordReport(model, runner.ID, state, askedUs, d.config.Clock())
 	} else {
-		d.shards[part].NotReported(model, runner.ID)
+		d.shards[part].RecordMissingReport(model, runner.ID)
 	}
 }
 
--- a/internal/controller/weightrollout/driver.go
+++ b/internal/controller/weightrollout/driver.go
@@ -158,9 +158,9 @@
 			continue
 		}
 		out = append(out, rollout.Model{
-			Name:    name,
-			Namings: d.config.Targets.Namings(name, d.boundUs, d.config.Clock()),
-			Runners: d.RunnersOf(name),
+			Name:          name,
+			NamedVersions: d.config.Targets.Namings(name, d.boundUs, d.config.Clock()),
+			Runners:       d.RunnersOf(name),
 		})
 	}
 	return out
@@ -174,7 +174,7 @@
 
 // carryOut does what a step asks for at the runners.
 func (d *Driver) carryOut(ctx context.Context, part int, grant lease.Grant, step rollout.Step) {
-	if step.Orders() {
+	if step.HasOrders() {
 		d.config.Fences.RecordFenceUsed(part, step.Fence)
 	}
 	for _, actions := range step.Models {
--- a/internal/doctor/partitions.go
+++ b/internal/doctor/partitions.go
@@ -49,7 +49,7 @@
 
 // stageNames are the stages of a rollout by number (canary.Stage).
 var stageNames = map[int]string{
-	int(canary.Trying): "tried", int(canary.Shifting): "shifting", int(canary.Settled): "settled", int(canary.Reverted): "reverted",
+	int(canary.Trial): "tried", int(canary.Shifting): "shifting", int(canary.Settled): "settled", int(canary.Reverted): "reverted",
 }
 
 // conditionsOf lists the conditions of the nodes of a role that answered, by name.
--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -5,24 +5,24 @@
 
 // Outcomes of an order.
 const (
-	NoAnswer     Answer = iota // the runner may have accepted it
-	Accepted                   // the runner carries out the order
-	AlreadyHolds               // the runner holds the weights
-	Conflict                   // another order is in progress, or the sequence differs
-	Rejected                   // the runner does not carry out the order
-	FenceRefused               // the runner has seen a higher fencing token
+	NoAnswer      Answer = iota // the runner may have accepted it
+	Accepted                    // the runner carries out the order
+	AlreadyLoaded               // the runner holds the weights
+	Conflict                    // another order is in progress, or the sequence differs
+	Rejected                    // the runner does not carry out the order
+	FenceRefused                // the runner has seen a higher fencing token
 )
 
-// AnswerOf maps the HTTP status of a runner's response to an answer; status 0 means
+// AnswerForStatus maps the HTTP status of a runner's response to an answer; status 0 means
 // that there was no response.
-func AnswerOf(status int) Answer {
+func AnswerForStatus(status int) Answer {
 	switch status {
 	case 0:
 		return NoAnswer
 	case 202:
 		return Accepted
 	case 200:
-		return AlreadyHolds
+		return AlreadyLoaded
 	case 409:
 		return Conflict
 	case 412:
@@ -39,8 +39,8 @@
 	Sequence int64 // number of orders accepted
 }
 
-// Answered records the outcome of an order.
-func (p *Plan) Answered(o Order, answer Answer, nowUs int64) {
+// RecordAnswer records the outcome of an order.
+func (p *Plan) RecordAnswer(o Order, answer Answer, nowUs int64) {
 	j := p.jobs[o.ID]
 	if j == nil {
 		return
@@ -49,15 +49,15 @@
 	switch answer {
 	case Accepted:
 		j.accepted, j.attempts = true, 1
-	case AlreadyHolds:
+	case AlreadyLoaded:
 		j.version = max(j.version, o.Version)
 		p.complete(j, nowUs)
 	case NoAnswer, Conflict, Rejected, FenceRefused:
 	}
 }
 
-// Reported records a runner's report that was requested at requestedUs.
-func (p *Plan) Reported(id string, r Report, requestedUs, nowUs int64) {
+// RecordReport records a runner's report that was requested at requestedUs.
+func (p *Plan) RecordReport(id string, r Report, requestedUs, nowUs int64) {
 	j := p.jobs[id]
 	if j == nil {
 		return
@@ -81,8 +81,8 @@
 	}
 }
 
-// NotReported records that a runner did not answer the request for its report.
-func (p *Plan) NotReported(id string) {
+// RecordMissingReport records that a runner did not answer the request for its report.
+func (p *Plan) RecordMissingReport(id string) {
 	if j := p.jobs[id]; j != nil {
 		j.unansweredPolls++
 	}
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -74,7 +74,7 @@
 	case r.target > 0, o.Expected != nil && *o.Expected != r.sequence:
 		return Conflict
 	case r.version >= o.Version:
-		return AlreadyHolds
+		return AlreadyLoaded
 	default:
 		r.target, r.readyUs = o.Version, nowUs+r.requestUs+r.loadUs
 		r.sequence++
@@ -100,7 +100,7 @@
 	for _, o := range a.Orders {
 		f.ordersSent++
 		answer := f.runners[o.ID].handle(o, nowUs)
-		p.Answered(o, answer, nowUs)
+		p.RecordAnswer(o, answer, nowUs)
 	}
 	for _, id := range a.Poll {
 		r := f.runners[id]
@@ -108,7 +108,7 @@
 		if !report.Busy {
 			r.listed.Version = max(r.listed.Version, report.Version)
 		}
-		p.Reported(id, report, nowUs, nowUs)
+		p.RecordReport(id, report, nowUs, nowUs)
 	}
 	cordoned := 0
 	for _, r := range f.runners {
@@ -134,11 +134,11 @@
 
 // run steps a plan for forUs from startUs with permission to send orders. It stops
 // early, one step after the last runner holds the weights.
-func (f *fleet) run(p *Plan, namings []Naming, startUs, forUs int64) (endUs int64) {
+func (f *fleet) run(p *Plan, namedVersions []NamedVersion, startUs, forUs int64) (endUs int64) {
 	for now := startUs; now < startUs+forUs; now += stepUs {
 		finished := p.Finished() && now > startUs
 		f.completeLoads(now)
-		f.execute(p, p.Step(Input{NowUs: now, Namings: namings, Runners: f.registryRunners(), MayPrepare: true, MayOrder: true}), now)
+		f.execute(p, p.Step(Input{NowUs: now, NamedVersions: namedVersions, Runners: f.registryRunners(), MayPrepare: true, MayOrder: true}), now)
 		if finished {
 			return now
 		}
--- a/internal/rollout/input.go
+++ b/internal/rollout/input.go
@@ -1,26 +1,26 @@
 package rollout
 
-// Naming is a version of a model's weights and the time at which it was acknowledged,
+// NamedVersion is a version of a model's weights and the time at which it was acknowledged,
 // on the caller's clock. For an unknown time the caller passes one long past.
-type Naming struct {
+type NamedVersion struct {
 	Version int64
 	NamedUs int64
 }
 
 // Runner is the registry's state of one runner of the model.
 type Runner struct {
-	ID       string
-	Version  int64 // of its weights; 0 if unknown
-	Cordoned bool
-	Draining bool // gets no long requests
-	Fresh    bool // registered for the first time a moment ago
+	ID              string
+	Version         int64 // of its weights; 0 if unknown
+	Cordoned        bool
+	Draining        bool // gets no long requests
+	NewlyRegistered bool // registered for the first time a moment ago
 }
 
 // Input is the input of Plan.Step.
 type Input struct {
-	NowUs      int64
-	Namings    []Naming
-	Runners    []Runner
-	MayPrepare bool // the caller may send orders soon; runners may be drained and cordoned
-	MayOrder   bool // the caller may send orders now
+	NowUs         int64
+	NamedVersions []NamedVersion
+	Runners       []Runner
+	MayPrepare    bool // the caller may send orders soon; runners may be drained and cordoned
+	MayOrder      bool // the caller may send orders now
 }
--- a/internal/rollout/known.go
+++ b/internal/rollout/known.go
@@ -22,7 +22,7 @@
 		if record.Draining || !serves && !unknown {
 			continue
 		}
-		out = append(out, Runner{ID: id, Version: version, Cordoned: record.Cordoned, Draining: record.DrainingLong, Fresh: record.Seq <= maxNewRunnerSequence})
+		out = append(out, Runner{ID: id, Version: version, Cordoned: record.Cordoned, Draining: record.DrainingLong, NewlyRegistered: record.Seq <= maxNewRunnerSequence})
 	}
 	slices.SortFunc(out, func(a, b Runner) int { return cmp.Compare(a.ID, b.ID) })
 	return out
--- a/internal/rollout/known_test.go
+++ b/internal/rollout/known_test.go
@@ -20,19 +20,19 @@
 		"f": {ID: "f", Service: "other", Seq: 9},
 		"g": {ID: "g", Service: "s", Seq: 1, Models: carries, Cordoned: true, DrainingLong: true},
 	}
-	stale, fresh := Runner{ID: "b", Version: 1}, Runner{ID: "g", Version: 1, Cordoned: true, Draining: true, Fresh: true}
+	stale, fresh := Runner{ID: "b", Version: 1}, Runner{ID: "g", Version: 1, Cordoned: true, Draining: true, NewlyRegistered: true}
 	must.Eq(t, []Runner{{ID: "a", Version: 1}, stale, {ID: "c"}, fresh}, RunnersOf(records, "m", "s"))
 	must.Eq(t, []Runner{{ID: "a", Version: 1}, stale, fresh}, RunnersOf(records, "m", ""), must.Sprint("without a configuration"))
 }
 
 // A version loaded from disk has an unknown age, which counts as the bound until another
 // node sends the actual age.
-func TestNamingOfUnknownAgeCountsAsBoundAgo(t *testing.T) {
+func TestVersionOfUnknownAgeCountsAsNamedBoundAgo(t *testing.T) {
 	var table targets.Table
 	table.RecordUnknownAge("m", 2, 11*second)
 	table.RecordNamed("m", 3, 20*second)
-	must.Eq(t, []Naming{{2, 21*second - boundUs}, {3, 20 * second}}, NamingsOf(&table, "m", boundUs, 21*second))
-	must.Eq(t, []Naming{{2, 60*second - boundUs}, {3, 60*second - boundUs}}, NamingsOf(&table, "m", boundUs, 60*second), must.Sprint("no older than the bound"))
+	must.Eq(t, []NamedVersion{{2, 21*second - boundUs}, {3, 20 * second}}, NamedVersions(&table, "m", boundUs, 21*second))
+	must.Eq(t, []NamedVersion{{2, 60*second - boundUs}, {3, 60*second - boundUs}}, NamedVersions(&table, "m", boundUs, 60*second), must.Sprint("no older than the bound"))
 	table.MergeAges([]messages.TargetAge{{Model: "m", Version: 2, AgeUs: second}}, 21*second)
-	must.Eq(t, []Naming{{2, 20 * second}, {3, 20 * second}}, NamingsOf(&table, "m", boundUs, 21*second))
+	must.Eq(t, []NamedVersion{{2, 20 * second}, {3, 20 * second}}, NamedVersions(&table, "m", boundUs, 21*second))
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -8,7 +8,7 @@
 // their report. Shard holds the plans of all models of one register. Shard.Step takes
 // the grant of the register's lease (internal/lease) and returns the actions of the
 // plans under it. The caller carries out the actions and records their outcomes
-// (Shard.Answered, Shard.Reported, Shard.NotReported).
+// (Shard.RecordAnswer, Shard.RecordReport, Shard.RecordMissingReport).
 //
 // # Guarantees
 //
@@ -75,7 +75,7 @@
 type Plan struct {
 	boundUs         int64 // time after a version was named within which all orders are sent
 	scheduleStartUs int64 // start of the schedule
-	namings         []Naming
+	namedVersions   []NamedVersion
 	jobs            map[string]*job
 	runnersMerged   bool // the first list of runners has been merged
 	scheduleStarted bool // the schedule has started
@@ -88,7 +88,7 @@
 // Step updates the plan from the current named versions and runners and returns the
 // actions that are due.
 func (p *Plan) Step(in Input) Actions {
-	p.updateNamings(in)
+	p.updateNamedVersions(in)
 	p.updateRunners(in)
 	var actions Actions
 	if in.MayPrepare {
@@ -131,19 +131,19 @@
 
 // newest returns the newest named version; 0 if there is none.
 func (p *Plan) newest() int64 {
-	if len(p.namings) == 0 {
+	if len(p.namedVersions) == 0 {
 		return 0
 	}
-	return p.namings[len(p.namings)-1].Version
+	return p.namedVersions[len(p.namedVersions)-1].Version
 }
 
-// updateNamings restarts the schedule if a newer version was named. Completed runners
+// updateNamedVersions restarts the schedule if a newer version was named. Completed runners
 // return to Serving; the others keep their stages: a cordoned runner stays cordoned and
 // its next order is for the newest version.
-func (p *Plan) updateNamings(in Input) {
+func (p *Plan) updateNamedVersions(in Input) {
 	before := p.newest()
-	p.namings = slices.Clone(in.Namings)
-	slices.SortFunc(p.namings, func(a, b Naming) int { return cmp.Compare(a.Version, b.Version) })
+	p.namedVersions = slices.Clone(in.NamedVersions)
+	slices.SortFunc(p.namedVersions, func(a, b NamedVersion) int { return cmp.Compare(a.Version, b.Version) })
 	if p.newest() == before {
 		return
 	}
@@ -187,7 +187,7 @@
 		j.stage, j.inherited = Cordoned, true
 	case r.Draining:
 		j.stage, j.stageBeganUs = Draining, nowUs-DrainUs
-	case p.runnersMerged && r.Fresh:
+	case p.runnersMerged && r.NewlyRegistered:
 		j.stage, j.stageBeganUs = Cordoned, nowUs-SettleUs
 	}
 	return j
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -6,12 +6,12 @@
 	"github.com/shoenig/test/must"
 )
 
-var namedAtStart = []Naming{{Version: 2, NamedUs: 1}}
+var versionNamedAtStart = []NamedVersion{{Version: 2, NamedUs: 1}}
 
 func TestUnavailableRunnersStayWithinLimitBeforeDeadline(t *testing.T) {
 	f := newFleet(9, 1, 300*ms, 400*ms)
 	p := NewPlan(boundUs)
-	end := f.run(p, namedAtStart, 1, 60*second)
+	end := f.run(p, versionNamedAtStart, 1, 60*second)
 	must.True(t, p.Finished())
 	must.LessEq(t, maxUnavailable(9), f.maxCordoned)
 	must.Less(t, boundUs+second, end)
@@ -27,13 +27,13 @@
 func TestAllOrdersAreSentBeforeBoundDespiteLongStreams(t *testing.T) {
 	f := newFleet(9, 1, 20*second, 400*ms)
 	p := NewPlan(boundUs)
-	f.run(p, namedAtStart, 1, boundUs/2)
+	f.run(p, versionNamedAtStart, 1, boundUs/2)
 	half := 0
 	for _, r := range f.runners {
 		half += len(r.acceptedUs)
 	}
 	must.Between(t, 3, half, 6)
-	f.run(p, namedAtStart, 1+boundUs/2, 60*second)
+	f.run(p, versionNamedAtStart, 1+boundUs/2, 60*second)
 	must.Between(t, 1, f.lastFirstOrder(), boundUs)
 	must.Eq(t, 9, f.ordersSent)
 }
@@ -44,7 +44,7 @@
 		f.runners[id].requestUs *= 100
 	}
 	p := NewPlan(boundUs)
-	f.run(p, namedAtStart, 1, 60*second)
+	f.run(p, versionNamedAtStart, 1, 60*second)
 	must.Between(t, 1, f.lastFirstOrder(), boundUs)
 }
 
@@ -52,17 +52,17 @@
 	f := newFleet(9, 1, second, 400*ms)
 	p := NewPlan(boundUs)
 	start := 1 + boundUs + second
-	f.run(p, namedAtStart, start, 60*second)
+	f.run(p, versionNamedAtStart, start, 60*second)
 	must.Eq(t, start, f.lastFirstOrder())
 }
 
 // The deadline of a version counts from its own acknowledgement: naming a later version
 // must not postpone it.
-func TestLaterNamingDoesNotPostponeOrders(t *testing.T) {
+func TestLaterVersionDoesNotPostponeOrders(t *testing.T) {
 	f := newFleet(9, 1, 20*second, 400*ms)
 	p := NewPlan(boundUs)
-	f.run(p, namedAtStart, 1, second)
-	f.run(p, []Naming{{2, 1}, {3, 1 + second}}, 1+second, 60*second)
+	f.run(p, versionNamedAtStart, 1, second)
+	f.run(p, []NamedVersion{{2, 1}, {3, 1 + second}}, 1+second, 60*second)
 	must.Between(t, 1, f.lastFirstOrder(), boundUs)
 }
 
@@ -72,16 +72,16 @@
 func TestNewerVersionKeepsStagesOfOrderedRunners(t *testing.T) {
 	f := newFleet(9, 1, 500*ms, 500*ms)
 	p := NewPlan(boundUs)
-	f.run(p, namedAtStart, 1, 1_500*ms)
+	f.run(p, versionNamedAtStart, 1, 1_500*ms)
 	ordered := map[string]bool{}
 	for id := range f.runners {
 		ordered[id] = p.StageOf(id) == Ordered
 	}
 	must.Positive(t, f.ordersSent)
-	namings := []Naming{{2, 1}, {3, 1_500 * ms}}
+	namings := []NamedVersion{{2, 1}, {3, 1_500 * ms}}
 	for now := 1_500 * ms; now < 60*second && !p.Finished(); now += stepUs {
 		f.completeLoads(now)
-		f.execute(p, p.Step(Input{NowUs: now, Namings: namings, Runners: f.registryRunners(), MayPrepare: true, MayOrder: true}), now)
+		f.execute(p, p.Step(Input{NowUs: now, NamedVersions: namings, Runners: f.registryRunners(), MayPrepare: true, MayOrder: true}), now)
 		for id, was := range ordered {
 			if was && f.runners[id].version < 3 {
 				must.True(t, f.runners[id].listed.Cordoned, must.Sprint(id, " was uncordoned on version 2"))
@@ -101,7 +101,7 @@
 	f := newFleet(1, 1, 0, 400*ms)
 	f.runners["i-0"].ordersToLose = 2
 	p := NewPlan(boundUs)
-	end := f.run(p, namedAtStart, 1, 60*second)
+	end := f.run(p, versionNamedAtStart, 1, 60*second)
 	must.Eq(t, 3, f.ordersSent)
 	must.Less(t, 4*second, end)
 }
@@ -112,7 +112,7 @@
 	f := newFleet(1, 1, 3*second, 400*ms)
 	f.runners["i-0"].answersToLose = 1
 	p := NewPlan(boundUs)
-	f.run(p, namedAtStart, 1, 60*second)
+	f.run(p, versionNamedAtStart, 1, 60*second)
 	must.True(t, p.Finished())
 	must.Len(t, 1, f.runners["i-0"].acceptedUs)
 }
@@ -122,9 +122,9 @@
 	f.runners["i-0"].listed.Version = 0
 	f.runners["i-1"].listed.Version, f.runners["i-1"].version = 0, 2
 	p := NewPlan(boundUs)
-	a := p.Step(Input{NowUs: 1, Namings: namedAtStart, Runners: f.registryRunners()})
+	a := p.Step(Input{NowUs: 1, NamedVersions: versionNamedAtStart, Runners: f.registryRunners()})
 	must.Eq(t, []string{"i-0", "i-1"}, a.Poll)
-	f.run(p, namedAtStart, 1, 60*second)
+	f.run(p, versionNamedAtStart, 1, 60*second)
 	must.True(t, p.Finished())
 	must.SliceEmpty(t, f.runners["i-1"].acceptedUs)
 	must.Len(t, 1, f.runners["i-0"].acceptedUs)
@@ -133,9 +133,9 @@
 func TestNewlyRegisteredRunnerOnOlderWeightsIsOrderedAtOnce(t *testing.T) {
 	f := newFleet(9, 1, 20*second, 400*ms)
 	p := NewPlan(boundUs)
-	f.run(p, namedAtStart, 1, second)
-	f.runners["new"] = &testRunner{version: 1, loadUs: second, listed: Runner{ID: "new", Version: 1, Fresh: true}}
-	f.run(p, namedAtStart, 1+second, 2*stepUs)
+	f.run(p, versionNamedAtStart, 1, second)
+	f.runners["new"] = &testRunner{version: 1, loadUs: second, listed: Runner{ID: "new", Version: 1, NewlyRegistered: true}}
+	f.run(p, versionNamedAtStart, 1+second, 2*stepUs)
 	must.Len(t, 1, f.runners["new"].acceptedUs)
 }
 
@@ -145,11 +145,11 @@
 func TestNewHolderResumesWithoutOrderingTwice(t *testing.T) {
 	for stopUs := stepUs; stopUs < 8*second; stopUs += stepUs {
 		f := newFleet(9, 1, 4*second, 500*ms)
-		f.run(NewPlan(boundUs), namedAtStart, 1, stopUs)
+		f.run(NewPlan(boundUs), versionNamedAtStart, 1, stopUs)
 		for waited := int64(0); waited < 2*second; waited += stepUs {
 			f.completeLoads(stopUs + waited)
 		}
-		f.run(NewPlan(boundUs), namedAtStart, 1+stopUs+2*second, 60*second)
+		f.run(NewPlan(boundUs), versionNamedAtStart, 1+stopUs+2*second, 60*second)
 		for id, r := range f.runners {
 			must.Eq(t, int64(2), r.version, must.Sprint(id, " when the holder stopped at ", stopUs))
 			must.Len(t, 1, r.acceptedUs, must.Sprint(id, " when the holder stopped at ", stopUs))
@@ -161,9 +161,9 @@
 func TestUnlistedRunnersAreRemovedFromPlan(t *testing.T) {
 	f := newFleet(2, 1, 20*second, 400*ms)
 	p := NewPlan(boundUs)
-	f.run(p, namedAtStart, 1, 2*second)
+	f.run(p, versionNamedAtStart, 1, 2*second)
 	must.False(t, p.Finished())
-	p.Step(Input{NowUs: 3 * second, Namings: namedAtStart})
+	p.Step(Input{NowUs: 3 * second, NamedVersions: versionNamedAtStart})
 	must.True(t, p.Finished())
 }
 
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -13,7 +13,7 @@
 // bound after the first named version that is newer than its weights. Each version counts
 // from its own acknowledgement, so naming a later one does not postpone the deadline.
 func (p *Plan) deadlineUs(j *job) int64 {
-	for _, n := range p.namings {
+	for _, n := range p.namedVersions {
 		if n.Version > j.version {
 			return n.NamedUs + p.boundUs
 		}
--- a/internal/rollout/shard.go
+++ b/internal/rollout/shard.go
@@ -8,15 +8,15 @@
 
 // Model is a model with its named weights versions and its runners.
 type Model struct {
-	Name    string
-	Namings []Naming
-	Runners []Runner
+	Name          string
+	NamedVersions []NamedVersion
+	Runners       []Runner
 }
 
 // newest returns the newest named version; 0 if there is none.
 func (m Model) newest() int64 {
 	version := int64(0)
-	for _, n := range m.Namings {
+	for _, n := range m.NamedVersions {
 		version = max(version, n.Version)
 	}
 	return version
@@ -45,8 +45,8 @@
 	Models []ModelActions
 }
 
-// Orders reports whether a step has any orders.
-func (s Step) Orders() bool {
+// HasOrders reports whether a step has any orders.
+func (s Step) HasOrders() bool {
 	for _, m := range s.Models {
 		if len(m.Orders) > 0 {
 			return true
@@ -90,7 +90,7 @@
 	mayPrepare := grant.MayAct || grant.ReadyInUs <= DrainUs+SettleUs
 	step := Step{Fence: grant.Fence}
 	for _, m := range models {
-		actions := s.plan(m.Name).Step(Input{NowUs: nowUs, Namings: m.Namings, Runners: m.Runners, MayPrepare: mayPrepare, MayOrder: grant.MayAct})
+		actions := s.plan(m.Name).Step(Input{NowUs: nowUs, NamedVersions: m.NamedVersions, Runners: m.Runners, MayPrepare: mayPrepare, MayOrder: grant.MayAct})
 		step.Models = append(step.Models, ModelActions{m.Name, actions})
 	}
 	return step
@@ -106,23 +106,23 @@
 	return p
 }
 
-// Answered records the outcome of an order.
-func (s *Shard) Answered(model string, o Order, answer Answer, nowUs int64) {
+// RecordAnswer records the outcome of an order.
+func (s *Shard) RecordAnswer(model string, o Order, answer Answer, nowUs int64) {
 	if p := s.plans[model]; p != nil {
-		p.Answered(o, answer, nowUs)
+		p.RecordAnswer(o, answer, nowUs)
 	}
 }
 
-// Reported records a runner's report that was requested at requestedUs.
-func (s *Shard) Reported(model, id string, r Report, requestedUs, nowUs int64) {
+// RecordReport records a runner's report that was requested at requestedUs.
+func (s *Shard) RecordReport(model, id string, r Report, requestedUs, nowUs int64) {
 	if p := s.plans[model]; p != nil {
-		p.Reported(id, r, requestedUs, nowUs)
+		p.RecordReport(id, r, requestedUs, nowUs)
 	}
 }
 
-// NotReported records that a runner did not answer the request for its report.
-func (s *Shard) NotReported(model, id string) {
+// RecordMissingReport records that a runner did not answer the request for its report.
+func (s *Shard) RecordMissingReport(model, id string) {
 	if p := s.plans[model]; p != nil {
-		p.NotReported(id)
+		p.RecordMissingReport(id)
 	}
 }
--- a/internal/rollout/shard_test.go
+++ b/internal/rollout/shard_test.go
@@ -10,7 +10,7 @@
 )
 
 func outdatedModels() []Model {
-	return []Model{{Name: "m", Namings: namedAtStart, Runners: []Runner{{ID: "i-0", Version: 1}}}}
+	return []Model{{Name: "m", NamedVersions: versionNamedAtStart, Runners: []Runner{{ID: "i-0", Version: 1}}}}
 }
 
 // leaseHolderView is a controller's view of the lease and the models of its shard.
@@ -39,12 +39,12 @@
 	return leaseHolderStep{role, h.shard.Step(v.NowUs, role.Grant, v.Models)}
 }
 
-// Answered passes an answer to the role and the shard as the controller does.
-func (h leaseHolder) Answered(model string, o Order, fence int64, answer Answer, nowUs int64) {
+// RecordAnswer passes an answer to the role and the shard as the controller does.
+func (h leaseHolder) RecordAnswer(model string, o Order, fence int64, answer Answer, nowUs int64) {
 	if answer == FenceRefused {
 		h.RecordRefusal(fence)
 	}
-	h.shard.Answered(model, o, answer, nowUs)
+	h.shard.RecordAnswer(model, o, answer, nowUs)
 }
 
 // timeToFirstOrder steps a holder, confirms its lease on every request, and returns the
@@ -57,7 +57,7 @@
 		if step.Confirm {
 			s.Confirmed(v.Lease, v.NowUs, v.NowUs)
 		}
-		if step.Orders() {
+		if step.HasOrders() {
 			must.Eq(t, v.Lease.Fence, step.Fence)
 			return v.NowUs - from
 		}
@@ -113,7 +113,7 @@
 	v := leaseHolderView{lease.RoleView{NowUs: 1, Self: "a", Lease: low, FenceFloor: 6, InContact: true}, outdatedModels()}
 	step := s.Step(v)
 	must.True(t, step.Acquire)
-	must.False(t, step.Orders())
+	must.False(t, step.HasOrders())
 	v.Lease = s.NextLease(low, 6)
 	must.Eq(t, int64(7), v.Lease.Fence)
 	s.Acquired(low, v.Lease, true, v.NowUs)
@@ -135,7 +135,7 @@
 
 func TestNoActionsWhenAllRunnersHoldNewestWeights(t *testing.T) {
 	s := newLeaseHolder()
-	models := []Model{{Name: "m", Namings: namedAtStart, Runners: []Runner{{ID: "i-0", Version: 2}}}}
+	models := []Model{{Name: "m", NamedVersions: versionNamedAtStart, Runners: []Runner{{ID: "i-0", Version: 2}}}}
 	v := leaseHolderView{lease.RoleView{NowUs: 1, Self: "a", Lease: messages.Lease{Holder: "a", Fence: 3}, InContact: true}, models}
 	must.Eq(t, leaseHolderStep{}, s.Step(v))
 	v.Lease.Holder, v.HolderGone = "b", true
@@ -152,12 +152,12 @@
 	own := messages.Lease{Holder: "a", Fence: 1}
 	v := leaseHolderView{lease.RoleView{NowUs: 1, Self: "a", Lease: own, InContact: true}, outdatedModels()}
 	timeToFirstOrder(t, s, v)
-	s.Answered("m", Order{ID: "i-0", Version: 2}, own.Fence, FenceRefused, v.NowUs)
+	s.RecordAnswer("m", Order{ID: "i-0", Version: 2}, own.Fence, FenceRefused, v.NowUs)
 	must.True(t, s.Refused(own.Fence))
 	v.NowUs += second
 	s.Confirmed(own, v.NowUs, v.NowUs)
 	step := s.Step(v)
-	must.False(t, step.Orders())
+	must.False(t, step.HasOrders())
 	must.True(t, step.Acquire)
 	v.Lease = s.NextLease(own, 0)
 	must.False(t, s.Refused(v.Lease.Fence))
@@ -166,6 +166,6 @@
 }
 
 func TestAnswerOfRefusedFence(t *testing.T) {
-	must.Eq(t, FenceRefused, AnswerOf(412))
-	must.Eq(t, Rejected, AnswerOf(400))
+	must.Eq(t, FenceRefused, AnswerForStatus(412))
+	must.Eq(t, Rejected, AnswerForStatus(400))
 }
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -152,7 +152,7 @@
 	if name == "" {
 		return "", -1, true
 	}
-	if t.Policies.None() {
+	if t.Policies.IsEmpty() {
 		return name, -1, false
 	}
 	certificate, ok = t.Policies.Allows(name, r)
--- a/internal/router/evening_test.go
+++ b/internal/router/evening_test.go
@@ -113,7 +113,7 @@
 	if r != nil {
 		x.Runner, x.Service, x.Zone = r.ID, r.Service, r.Zone
 	}
-	n.trail.Note(x)
+	n.trail.Append(x)
 }
 
 func (e *evening) arrive() {
@@ -127,7 +127,7 @@
 	if e.rnd.IntN(2) == 0 {
 		g.ask.Tenant = "directorate"
 		g.ask.Regime = n.table.RegimeOf("directorate")
-		n.note(compliance.Asked, g, nil, -1)
+		n.note(compliance.Received, g, nil, -1)
 	}
 	e.open = append(e.open, g)
 	e.offer(g)
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -166,7 +166,7 @@
 	conn.setResponseDeadline(time.Now().Add(time.Duration(e.deadlineUs-r.clock()) * time.Microsecond))
 	e.buildAdmissionRequest(t)
 	if e.request.Regime != "" {
-		e.recordAudit(compliance.Asked, nil, -1)
+		e.recordAudit(compliance.Received, nil, -1)
 		defer func() { e.recordAudit(e.outcome, nil, -1) }()
 	}
 	if conn != nil {
@@ -243,7 +243,7 @@
 	if runner != nil {
 		entry.Runner, entry.Service, entry.Zone = runner.ID, runner.Service, runner.Zone
 	}
-	e.router.trail.Note(entry)
+	e.router.trail.Append(entry)
 }
 
 // find looks up the route and the tenant. It returns 0, or the status of the denial.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -352,11 +352,11 @@
 
 // certified works out which runners and stores each regime lets in.
 func certified(t *routeconfig.Table, notes []messages.RunnerRecord) map[string]map[string]bool {
-	if t == nil || t.Policies.None() {
+	if t == nil || t.Policies.IsEmpty() {
 		return nil
 	}
 	out := map[string]map[string]bool{}
-	for _, name := range t.Policies.Names() {
+	for _, name := range t.Policies.RegimeNames() {
 		out[name] = map[string]bool{}
 		for _, n := range notes {
 			if _, ok := t.Policies.Allows(name, sightOf(n)); ok {
--- a/internal/router/usagereport/reports.go
+++ b/internal/router/usagereport/reports.go
@@ -101,7 +101,7 @@
 	if r.timeKnown(nowUs) {
 		r.counter.Add(r.windowAt(nowUs), tenant)
 	} else {
-		r.counter.Hold(tenant, nowUs)
+		r.counter.Defer(tenant, nowUs)
 	}
 }
 
@@ -109,7 +109,7 @@
 // there was time for it.
 func (r *Reports) timeKnown(nowUs int64) bool {
 	_, agreed := r.config.TimeOfDay(nowUs)
-	return agreed || nowUs-r.startUs > usage.HoldUs
+	return agreed || nowUs-r.startUs > usage.ClockWaitUs
 }
 
 func (r *Reports) windowAt(atUs int64) int64 {
@@ -121,8 +121,8 @@
 func (r *Reports) place() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.counter.Holding() && r.timeKnown(r.config.Clock()) {
-		r.counter.Place(r.windowAt)
+	if r.counter.HasDeferred() && r.timeKnown(r.config.Clock()) {
+		r.counter.CountDeferred(r.windowAt)
 	}
 }
 
@@ -130,7 +130,7 @@
 func (r *Reports) Closed(next int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counter.Closed(next)
+	r.counter.DropClosed(next)
 }
 
 // report sends each receiver what has changed.
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -74,7 +74,7 @@
 	first := false
 	edit := func(body *messages.LeaseBody) bool {
 		first = body.Lease.Holder == ""
-		return rollout.Name(body, target, c.member())
+		return rollout.RecordTarget(body, target, c.member())
 	}
 	c.round(edit, func(ok bool, now messages.LeaseBody) {
 		if !ok {
@@ -99,13 +99,13 @@
 
 func (c *coordinator) models() []rollout.Model {
 	return []rollout.Model{{
-		Name: rolloutModel, Namings: rollout.NamingsOf(&c.targets, rolloutModel, c.history.bound(), c.nowUs()),
+		Name: rolloutModel, NamedVersions: rollout.NamedVersions(&c.targets, rolloutModel, c.history.bound(), c.nowUs()),
 		Runners: rollout.RunnersOf(c.registrar.runners.Snapshot().ByID, rolloutModel, rolloutService),
 	}}
 }
 
 func (c *coordinator) carryOut(step rollout.Step) {
-	if step.Orders() {
+	if step.HasOrders() {
 		c.recordFenceUsed(step.Fence)
 	}
 	for _, a := range step.Models {
@@ -137,7 +137,7 @@
 			if a == rollout.FenceRefused {
 				c.role.RecordRefusal(step.Fence)
 			}
-			c.shard.Answered(rolloutModel, o, a, c.nowUs())
+			c.shard.RecordAnswer(rolloutModel, o, a, c.nowUs())
 		}
 	}
 	if !c.role.MayCall(step.Fence, c.nowUs()) {
@@ -148,7 +148,7 @@
 	c.call(o.ID, func(e *engine) func() {
 		a := e.order(o, step.Fence, c)
 		return func() {
-			if a == rollout.AlreadyHolds {
+			if a == rollout.AlreadyLoaded {
 				c.recordWeights(o.ID, o.Version)
 			}
 			answer(a)
@@ -182,7 +182,7 @@
 	c.process.After(reportWaitUs, func() {
 		delete(c.polling, id)
 		if !answered {
-			c.shard.NotReported(rolloutModel, id)
+			c.shard.RecordMissingReport(rolloutModel, id)
 		}
 	})
 	c.call(id, func(e *engine) func() {
@@ -193,7 +193,7 @@
 			if !said.Busy {
 				c.recordWeights(id, said.Version)
 			}
-			c.shard.Reported(rolloutModel, id, said, askedUs, c.nowUs())
+			c.shard.RecordReport(rolloutModel, id, said, askedUs, c.nowUs())
 		}
 	})
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -156,7 +156,7 @@
 	}
 	e.fence = fence
 	if e.version >= o.Version {
-		return rollout.AlreadyHolds
+		return rollout.AlreadyLoaded
 	}
 	e.history.kernel.Note("%s is ordered to version %d under fence %d by %s", e.id(), o.Version, fence, from.addr)
 	e.target = o.Version
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -79,7 +79,7 @@
 		p := &reporter{history: h, leaseMember: h.group.add(fmt.Sprintf("c%d", i+1), NewProcess(k))}
 		p.learned = func(body messages.LeaseBody) {
 			if !defects.ReportUnagreed {
-				p.collector.Closed(body.Usage.Next)
+				p.collector.DropClosed(body.Usage.Next)
 			}
 		}
 		h.reporters = append(h.reporters, p)
@@ -155,19 +155,19 @@
 	}
 	oldest, counted := p.collector.Oldest()
 	step := p.plan.Step(usage.View{
-		NowUs: p.nowUs(), TimeUs: p.timeUs(), Ledger: p.known.Usage, Counted: counted, Oldest: oldest,
+		NowUs: p.nowUs(), TimeUs: p.timeUs(), Ledger: p.known.Usage, HasCounts: counted, Oldest: oldest,
 		IsHolder: p.known.Lease.Holder == p.member(),
 	})
-	grant := p.stepRole(step.Needed(), p.step)
+	grant := p.stepRole(step.HasWork(), p.step)
 	if !grant.MayAct {
 		return
 	}
 	if step.Close > 0 && !p.refilling() {
-		p.plan.Closing(step.Close, p.nowUs())
+		p.plan.BeginClose(step.Close, p.nowUs())
 		p.closeWindow(step.Close)
 	}
 	if step.Report != nil {
-		p.plan.Reporting()
+		p.plan.BeginReport()
 		p.report(*step.Report, grant.Fence)
 	}
 }
@@ -213,24 +213,24 @@
 }
 
 func (p *reporter) agree(body messages.LeaseBody, window int64, complete bool) {
-	mayClose := complete || p.plan.MayClose(window, p.timeUs(), p.nowUs())
+	mayClose := complete || p.plan.MayCloseIncomplete(window, p.timeUs(), p.nowUs())
 	oldest, counted := p.collector.Oldest()
 	if body.Usage.Next == 0 && counted {
 		window = min(window, oldest)
 	}
 	if body.Usage.Next == 0 && !counted && mayClose {
-		p.plan.Searched(window)
+		p.plan.RecordEmpty(window)
 		mayClose = false
 	}
 	if !mayClose {
-		p.plan.Closed(false, p.nowUs())
+		p.plan.EndClose(false, p.nowUs())
 		return
 	}
 	counts, reported := p.collector.Total(window), p.plan.Reported()
 	edit := func(b *messages.LeaseBody) bool {
 		return b.Lease == body.Lease && usage.Close(&b.Usage, window, counts, reported)
 	}
-	p.round(edit, func(ok bool, _ messages.LeaseBody) { p.plan.Closed(ok, p.nowUs()) })
+	p.round(edit, func(ok bool, _ messages.LeaseBody) { p.plan.EndClose(ok, p.nowUs()) })
 }
 
 // report tells the platform a window, unless the confirmation of the lease has run out.
@@ -239,7 +239,7 @@
 	answer := func(accepted bool) {
 		if !answered {
 			answered = true
-			p.plan.Answered(window.Window, accepted, p.nowUs())
+			p.plan.EndReport(window.Window, accepted, p.nowUs())
 		}
 	}
 	if p.history.defects.ReportUnagreed {
@@ -311,7 +311,7 @@
 // known reports whether the time of day has been compared, or there was time for it.
 func (m *meter) known() bool {
 	_, agreed := m.clock.TimeUs(m.process.NowUs())
-	return agreed || m.history.defects.TrustOwnClock || m.process.NowUs() > usage.HoldUs
+	return agreed || m.history.defects.TrustOwnClock || m.process.NowUs() > usage.ClockWaitUs
 }
 
 // serve counts a request that begins to run now.
@@ -320,7 +320,7 @@
 	if m.known() {
 		m.counter.Add(usage.WindowOf(m.timeUs(), windowUs), tenant)
 	} else {
-		m.counter.Hold(tenant, m.process.NowUs())
+		m.counter.Defer(tenant, m.process.NowUs())
 		m.heldUs = append(m.heldUs, m.history.kernel.NowUs())
 	}
 	m.recent = append(m.recent, m.history.kernel.NowUs())
@@ -348,9 +348,9 @@
 
 // report sends what has changed to the live controllers that come first.
 func (m *meter) report() {
-	if m.counter.Holding() && m.known() {
+	if m.counter.HasDeferred() && m.known() {
 		sinceUs := m.process.NowUs()
-		m.counter.Place(func(atUs int64) int64 { return usage.WindowOf(m.timeUs()-sinceUs+atUs, windowUs) })
+		m.counter.CountDeferred(func(atUs int64) int64 { return usage.WindowOf(m.timeUs()-sinceUs+atUs, windowUs) })
 		m.heldUs = nil
 	}
 	sent := 0
--- a/internal/simulation/usage_platform.go
+++ b/internal/simulation/usage_platform.go
@@ -114,7 +114,7 @@
 
 // lose is called where a router is about to be killed. What is on no controller's disk may
 // die with it; where all controllers were up for a while, that is what began in the last
-// usageLossUs, and in the first usage.HoldUs of a process before that.
+// usageLossUs, and in the first usage.ClockWaitUs of a process before that.
 func (c *usageChecks) lose(m *meter) {
 	unkept := int64(0)
 	rows, _ := m.counter.RowsSince(0)
@@ -134,8 +134,8 @@
 	}
 	now, recent := c.history.kernel.NowUs(), int64(0)
 	lossUs := usageLossUs
-	if now-m.bootUs < usage.HoldUs+usageLossUs {
-		lossUs += usage.HoldUs // what began before the time of day was known is sent that much later
+	if now-m.bootUs < usage.ClockWaitUs+usageLossUs {
+		lossUs += usage.ClockWaitUs // what began before the time of day was known is sent that much later
 	}
 	for _, atUs := range m.recent {
 		if now-atUs < lossUs {
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -132,7 +132,7 @@
 
 // order is what the operator asks for.
 func (h *versionHistory) order() {
-	wanted := canary.Order{Service: versionService, Target: versionTarget, OverUs: h.overUs}
+	wanted := canary.Order{Service: versionService, Target: versionTarget, DurationUs: h.overUs}
 	bounds := canary.Bounds{Exposure: versionExposure, Slack: versionSlack}
 	next, _, err := canary.Begin(h.register, wanted, bounds, h.kernel.NowUs())
 	if err != nil {
@@ -190,7 +190,7 @@
 	was := h.register[0]
 	view := h.view(was)
 	step := c.plan.Step(view)
-	if h.defects.ShiftUntried && view.Stage == canary.Trying {
+	if h.defects.ShiftUntried && view.Stage == canary.Trial {
 		step = canary.Step{Stage: canary.Shifting, SharePerMille: view.Share}
 	}
 	if step.Stage == view.Stage && step.SharePerMille == view.Share {
@@ -230,20 +230,20 @@
 		}
 	}
 	view := canary.View{
-		TimeUs: h.kernel.NowUs(), BegunAtUs: r.BegunAtUs, OverUs: r.OverUs, Stage: canary.Stage(r.Stage), Share: r.SharePerMille,
-		Evidence: canary.Evidence{}, NewReady: versionRunners, OtherReady: versionRunners,
+		TimeUs: h.kernel.NowUs(), BegunAtUs: r.BegunAtUs, DurationUs: r.OverUs, Stage: canary.Stage(r.Stage), Share: r.SharePerMille,
+		Evidence: canary.Evidence{}, NewReady: versionRunners, BaselineReady: versionRunners,
 		Bounds: canary.Bounds{Exposure: versionExposure, Slack: versionSlack},
 	}
 	for id, load := range sums {
 		canary.Collect(view.Evidence, r, id, load)
 	}
 	for i := range versionRunners {
-		view.OtherActive += sums[fmt.Sprint("old", i)].Count
+		view.BaselineActive += sums[fmt.Sprint("old", i)].Count
 	}
 	for name, pair := range view.Evidence {
 		switch {
 		case h.defects.IgnoreOutcomes:
-			view.Evidence[name] = canary.Pair{New: canary.Outcome{Answers: pair.New.Answers}, Other: pair.Other}
+			view.Evidence[name] = canary.Pair{New: canary.Outcome{Answers: pair.New.Answers}, Baseline: pair.Baseline}
 		case h.defects.CompareWithNothing:
 			view.Evidence[name] = canary.Pair{New: pair.New}
 		}
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -26,9 +26,9 @@
 // beyond it.
 const MaxWindows = 720
 
-// HoldUs is how long after its start a router waits for the time of day of the controllers
+// ClockWaitUs is how long after its start a router waits for the time of day of the controllers
 // before it uses its own.
-const HoldUs = int64(2_000_000)
+const ClockWaitUs = int64(2_000_000)
 
 // WindowOf returns the number of the window that contains a time of day: window k begins k
 // window lengths after the Unix epoch.
@@ -75,17 +75,17 @@
 	w.counts[tenant] = tenantCount{w.counts[tenant].count + 1, c.lastChange}
 }
 
-// Hold defers counting a request that started at a time of the monotonic clock, until
-// Counter.Place is called.
-func (c *Counter) Hold(tenant string, atUs int64) {
+// Defer defers counting a request that started at a time of the monotonic clock, until
+// Counter.CountDeferred is called.
+func (c *Counter) Defer(tenant string, atUs int64) {
 	c.deferred = append(c.deferred, deferredRequest{tenant, atUs})
 }
 
-// Holding reports whether there are deferred requests.
-func (c *Counter) Holding() bool { return len(c.deferred) > 0 }
+// HasDeferred reports whether there are deferred requests.
+func (c *Counter) HasDeferred() bool { return len(c.deferred) > 0 }
 
-// Place counts the deferred requests in the windows of their start times.
-func (c *Counter) Place(windowAt func(atUs int64) int64) {
+// CountDeferred counts the deferred requests in the windows of their start times.
+func (c *Counter) CountDeferred(windowAt func(atUs int64) int64) {
 	for _, request := range c.deferred {
 		c.Add(windowAt(request.startedUs), request.tenant)
 	}
@@ -111,8 +111,8 @@
 	return rows, c.lastChange
 }
 
-// Closed drops the windows before next, the first window that is not closed.
-func (c *Counter) Closed(next int64) { dropBefore(c.windows, next) }
+// DropClosed drops the windows before next, the first window that is not closed.
+func (c *Counter) DropClosed(next int64) { dropBefore(c.windows, next) }
 
 // Collector holds the rows of all routers that one controller has received.
 type Collector struct {
@@ -187,8 +187,8 @@
 	return window, ok
 }
 
-// Closed drops the windows before next, the first window that is not closed.
-func (c *Collector) Closed(next int64) {
+// DropClosed drops the windows before next, the first window that is not closed.
+func (c *Collector) DropClosed(next int64) {
 	c.next = max(c.next, next)
 	dropBefore(c.windows, c.next)
 }
--- a/internal/usage/plan.go
+++ b/internal/usage/plan.go
@@ -9,12 +9,12 @@
 	// SettleUs is the time after the end of a window at which it is closed. Reports of
 	// routers arrive within less.
 	SettleUs = int64(2_000_000)
-	// GiveUpUs is the time after the end of a window from which it is closed even if the
+	// IncompleteCloseUs is the time after the end of a window from which it is closed even if the
 	// rows of a controller are missing.
-	GiveUpUs = int64(4_500_000)
-	// TryUs is the minimum time for which the holder tries to collect the rows of all
+	IncompleteCloseUs = int64(4_500_000)
+	// MinCollectUs is the minimum time for which the holder tries to collect the rows of all
 	// controllers before it closes a window without some of them.
-	TryUs = int64(1_500_000)
+	MinCollectUs = int64(1_500_000)
 	// RefillUs is the time after the start of a controller by which the routers have sent it
 	// again the rows that its previous process had.
 	RefillUs = int64(2_000_000)
@@ -35,12 +35,12 @@
 
 // View is the input of Plan.Step.
 type View struct {
-	NowUs    int64 // time of the monotonic clock
-	TimeUs   int64 // time of day; 0 if unknown
-	Ledger   messages.UsageLedger
-	Counted  bool  // this controller's collector has a window with counts
-	Oldest   int64 // the oldest such window
-	IsHolder bool
+	NowUs     int64 // time of the monotonic clock
+	TimeUs    int64 // time of day; 0 if unknown
+	Ledger    messages.UsageLedger
+	HasCounts bool  // this controller's collector has a window with counts
+	Oldest    int64 // the oldest such window
+	IsHolder  bool
 }
 
 // Step is what the lease holder does next.
@@ -69,7 +69,7 @@
 func NewPlan(config Config) *Plan { return &Plan{config: config} }
 
 // Step returns what to do next. It returns no window to close between the calls of
-// Plan.Closing and Plan.Closed, and none to report between Plan.Reporting and Plan.Answered.
+// Plan.BeginClose and Plan.EndClose, and none to report between Plan.BeginReport and Plan.EndReport.
 func (p *Plan) Step(v View) Step {
 	var step Step
 	if !p.closing && v.NowUs >= p.nextCloseUs {
@@ -81,8 +81,8 @@
 	return step
 }
 
-// Needed reports whether the step has work for the holder.
-func (s Step) Needed() bool { return s.Close > 0 || s.Report != nil }
+// HasWork reports whether the step has work for the holder.
+func (s Step) HasWork() bool { return s.Close > 0 || s.Report != nil }
 
 // windowToClose returns the window to close now; 0 if there is none.
 func (p *Plan) windowToClose(v View) int64 {
@@ -94,7 +94,7 @@
 		return v.Ledger.Next
 	case v.Ledger.Next > 0:
 		return 0
-	case v.Counted && v.Oldest <= newestSettled:
+	case v.HasCounts && v.Oldest <= newestSettled:
 		return v.Oldest
 	case v.IsHolder && newestSettled > p.emptyThrough:
 		return newestSettled // other controllers may have counts of it or of an earlier window
@@ -107,40 +107,40 @@
 	return WindowOf(timeUs-agoUs, p.config.LengthUs) - 1
 }
 
-// MayClose reports whether a window may be closed although the rows of a controller are
+// MayCloseIncomplete reports whether a window may be closed although the rows of a controller are
 // missing.
-func (p *Plan) MayClose(window, timeUs, nowUs int64) bool {
-	return window <= p.newestEndedWindow(timeUs, GiveUpUs) && nowUs-p.firstAttemptUs >= TryUs
+func (p *Plan) MayCloseIncomplete(window, timeUs, nowUs int64) bool {
+	return window <= p.newestEndedWindow(timeUs, IncompleteCloseUs) && nowUs-p.firstAttemptUs >= MinCollectUs
 }
 
-// Closing records the start of closing a window.
-func (p *Plan) Closing(window, nowUs int64) {
+// BeginClose records the start of closing a window.
+func (p *Plan) BeginClose(window, nowUs int64) {
 	p.closing = true
 	if p.attemptedWindow != window {
 		p.attemptedWindow, p.firstAttemptUs = window, nowUs
 	}
 }
 
-// Reporting records the start of a call that reports a window.
-func (p *Plan) Reporting() { p.reporting = true }
+// BeginReport records the start of a call that reports a window.
+func (p *Plan) BeginReport() { p.reporting = true }
 
-// Closed records the end of an attempt to close a window, and whether it succeeded.
-func (p *Plan) Closed(done bool, nowUs int64) {
+// EndClose records the end of an attempt to close a window, and whether it succeeded.
+func (p *Plan) EndClose(done bool, nowUs int64) {
 	p.closing = false
 	if !done {
 		p.nextCloseUs = nowUs + closeBackoffUs
 	}
 }
 
-// Searched records that no controller has a count of a window or of an earlier one.
-func (p *Plan) Searched(window int64) { p.emptyThrough = max(p.emptyThrough, window) }
+// RecordEmpty records that no controller has a count of a window or of an earlier one.
+func (p *Plan) RecordEmpty(window int64) { p.emptyThrough = max(p.emptyThrough, window) }
 
 // Reported returns the newest window that the platform has accepted from this process.
 func (p *Plan) Reported() int64 { return p.reported }
 
-// Answered records the end of a call that reports a window, and whether the platform has
+// EndReport records the end of a call that reports a window, and whether the platform has
 // accepted it.
-func (p *Plan) Answered(window int64, accepted bool, nowUs int64) {
+func (p *Plan) EndReport(window int64, accepted bool, nowUs int64) {
 	p.reporting = false
 	if accepted {
 		p.reported, p.backoffUs, p.nextCallUs = max(p.reported, window), 0, nowUs
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -36,7 +36,7 @@
 	rows, again := c.RowsSince(newest)
 	must.SliceEmpty(t, rows)
 	must.Eq(t, newest, again)
-	c.Closed(8)
+	c.DropClosed(8)
 	rows, _ = c.RowsSince(0)
 	must.Len(t, 1, rows)
 }
@@ -45,13 +45,13 @@
 // window of its start.
 func TestDeferredRequestsAreCountedInWindowsOfTheirStart(t *testing.T) {
 	c := NewCounter("r")
-	c.Hold("a", 3*second)
-	c.Hold("b", 6*second)
+	c.Defer("a", 3*second)
+	c.Defer("b", 6*second)
 	rows, _ := c.RowsSince(0)
 	must.SliceEmpty(t, rows)
-	must.True(t, c.Holding())
-	c.Place(func(atUs int64) int64 { return WindowOf(100*lengthUs+atUs, lengthUs) })
-	must.False(t, c.Holding())
+	must.True(t, c.HasDeferred())
+	c.CountDeferred(func(atUs int64) int64 { return WindowOf(100*lengthUs+atUs, lengthUs) })
+	must.False(t, c.HasDeferred())
 	rows, _ = c.RowsSince(0)
 	must.Eq(t, []messages.UsageRow{{Window: 100, Router: "r", Counts: counts("a", 1)}, {Window: 101, Router: "r", Counts: counts("b", 1)}}, rows)
 }
@@ -93,7 +93,7 @@
 	c := NewCollector()
 	row := messages.UsageRow{Window: 4, Router: "r", Counts: counts("a", 1)}
 	c.Merge([]messages.UsageRow{row})
-	c.Closed(5)
+	c.DropClosed(5)
 	must.Eq(t, 1, c.Merge([]messages.UsageRow{row}))
 	must.SliceEmpty(t, c.Total(4))
 	_, counted := c.Oldest()
@@ -142,17 +142,17 @@
 func TestWindowIsClosedAfterSettleTime(t *testing.T) {
 	p := newTestPlan()
 	v := View{NowUs: 1, Ledger: messages.UsageLedger{Next: 4}, IsHolder: true}
-	must.False(t, p.Step(v).Needed(), must.Sprint("the time of day is unknown"))
+	must.False(t, p.Step(v).HasWork(), must.Sprint("the time of day is unknown"))
 	v.TimeUs = 5*lengthUs + SettleUs - 1
-	must.False(t, p.Step(v).Needed())
+	must.False(t, p.Step(v).HasWork())
 	v.TimeUs++
 	must.Eq(t, int64(4), p.Step(v).Close)
-	p.Closing(4, v.NowUs)
-	must.False(t, p.MayClose(4, v.TimeUs, v.NowUs+TryUs), must.Sprint("the window ended too recently to be closed without all rows"))
-	must.False(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs-1), must.Sprint("the first attempt to close the window was too recent"))
-	must.True(t, p.MayClose(4, 5*lengthUs+GiveUpUs, v.NowUs+TryUs))
+	p.BeginClose(4, v.NowUs)
+	must.False(t, p.MayCloseIncomplete(4, v.TimeUs, v.NowUs+MinCollectUs), must.Sprint("the window ended too recently to be closed without all rows"))
+	must.False(t, p.MayCloseIncomplete(4, 5*lengthUs+IncompleteCloseUs, v.NowUs+MinCollectUs-1), must.Sprint("the first attempt to close the window was too recent"))
+	must.True(t, p.MayCloseIncomplete(4, 5*lengthUs+IncompleteCloseUs, v.NowUs+MinCollectUs))
 	must.Zero(t, p.Step(v).Close, must.Sprint("a window is being closed already"))
-	p.Closed(false, v.NowUs)
+	p.EndClose(false, v.NowUs)
 	must.Zero(t, p.Step(v).Close)
 	v.NowUs += closeBackoffUs
 	must.Eq(t, int64(4), p.Step(v).Close)
@@ -163,35 +163,35 @@
 func TestFirstClosedWindowIsOldestWithCounts(t *testing.T) {
 	p := newTestPlan()
 	v := View{NowUs: 1, TimeUs: 9*lengthUs + SettleUs}
-	must.False(t, p.Step(v).Needed())
+	must.False(t, p.Step(v).HasWork())
 	v.IsHolder = true
 	must.Eq(t, int64(8), p.Step(v).Close)
-	p.Searched(8)
-	must.False(t, p.Step(v).Needed())
-	v.Counted, v.Oldest = true, 6
+	p.RecordEmpty(8)
+	must.False(t, p.Step(v).HasWork())
+	v.HasCounts, v.Oldest = true, 6
 	must.Eq(t, int64(6), p.Step(v).Close)
 	v.Oldest = 9
-	must.False(t, p.Step(v).Needed(), must.Sprint("the window has not settled"))
+	must.False(t, p.Step(v).HasWork(), must.Sprint("the window has not settled"))
 }
 
 func TestWindowsAreReportedOldestFirstWithBackoff(t *testing.T) {
 	p := newTestPlan()
 	v := View{NowUs: second, Ledger: messages.UsageLedger{Next: 6, Pending: []messages.UsageWindow{{Window: 4}, {Window: 5}}}}
 	must.Eq(t, int64(4), p.Step(v).Report.Window)
-	p.Reporting()
+	p.BeginReport()
 	must.Nil(t, p.Step(v).Report)
 	pauseUs := minBackoffUs
 	for range 8 {
-		p.Answered(4, false, v.NowUs)
+		p.EndReport(4, false, v.NowUs)
 		must.Nil(t, p.Step(v).Report)
 		v.NowUs += pauseUs
 		must.Eq(t, int64(4), p.Step(v).Report.Window)
 		pauseUs = min(2*pauseUs, maxBackoffUs)
 	}
-	p.Answered(4, true, v.NowUs)
+	p.EndReport(4, true, v.NowUs)
 	must.Eq(t, int64(5), p.Step(v).Report.Window)
-	p.Answered(5, true, v.NowUs)
-	must.False(t, p.Step(v).Needed())
+	p.EndReport(5, true, v.NowUs)
+	must.False(t, p.Step(v).HasWork())
 	must.Eq(t, int64(5), p.Reported())
 }
 
