--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -1,7 +1,6 @@
-// Comparisons: beside its place in the tree a router asks controllers that are not its
-// parent for their versions, in turn. Updates normally reach it through its parent;
-// this covers a parent that is slow, or on the wrong side of a partition without
-// knowing it.
+// Comparisons: outside the tree, a router periodically requests the versions of controllers that
+// are not its parent, in turn. Updates normally reach it through its parent; this covers a parent
+// that is slow, or that is cut off from the core by a partition it has not detected.
 
 package router
 
@@ -17,10 +16,10 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// defaultConverge stands for convergeMs where the settings name none.
+// defaultConverge is used if the settings do not set convergeMs.
 const defaultConverge = 2 * time.Second
 
-// convergeTime is the time within which a change must be in force.
+// convergeTime returns the time within which a change must be in force on all nodes.
 func (r *Router) convergeTime() time.Duration {
 	if r.set.Bounds.ConvergeMs <= 0 {
 		return defaultConverge
@@ -28,8 +27,8 @@
 	return time.Duration(r.set.Bounds.ConvergeMs) * time.Millisecond
 }
 
-// compareVersions asks the controllers in turn what they hold, and takes what is
-// newer. A comparison that takes long does not put off the next.
+// compareVersions returns a function that compares versions with the next controllers in turn and
+// fetches what is newer. A slow comparison does not delay the next one.
 func (r *Router) compareVersions(ctx context.Context) func() {
 	return func() {
 		overdue := r.clock()-r.lastUpdateUs.Load() > max(r.convergeTime()/dissemination.OverdueParts, 2*dissemination.UpdateInterval).Microseconds()
@@ -44,15 +43,15 @@
 	}
 }
 
-// coreMemory remembers the core that was last in view. A router that stood still for
-// a while may take all others for dead, which is no reason to ask nobody. The
-// zero value is ready for use.
+// coreMemory stores the core as last seen in the membership. A router whose process was paused may
+// consider all other nodes dead; it must still query the core then. The zero value is ready for use.
 type coreMemory struct {
 	mu   sync.Mutex
 	last []string
 }
 
-// all gives the core in view, suspected members too, or the last one that was.
+// all returns the addresses of the core in the membership, including suspected members, or of the
+// last one seen if there is none.
 func (m *coreMemory) all(controllers []messages.Peer) []string {
 	var list []string
 	for _, p := range membership.Core(controllers) {
@@ -67,8 +66,7 @@
 	return m.last
 }
 
-// likely gives the members of the core that are not suspected, or all where there
-// are none.
+// likely returns the addresses of the core members that are not suspected, or all if there are none.
 func (m *coreMemory) likely(controllers []messages.Peer) []string {
 	var list []string
 	for _, p := range membership.Core(controllers) {
@@ -83,15 +81,16 @@
 	return list
 }
 
-// wholeCore is everybody who may know a newer configuration.
+// wholeCore returns the addresses of all controllers that may have a newer configuration.
 func (r *Router) wholeCore() []string { return r.core.all(r.monitor.Alive(messages.Controller)) }
 
-// likelyCore is whom to ask where an answer is wanted soon.
+// likelyCore returns the addresses of the controllers that are likely to answer soon.
 func (r *Router) likelyCore() []string { return r.core.likely(r.monitor.Alive(messages.Controller)) }
 
-// compareWith asks one controller for its versions. Where it has had something newer for
-// longer than the tree is given to bring it, or runners differ again and again, the
-// changes since this node's are fetched from it. ok says that it has answered.
+// compareWith requests the versions of one controller. If a newer version has not arrived through
+// the tree within a grace period, or the lists of runners have differed repeatedly, it fetches the
+// changes since this node's versions from that controller. ok reports whether the controller has
+// answered and a fetch, if one was needed, has succeeded.
 func (r *Router) compareWith(ctx context.Context, addr string, overdue bool) (m messages.Versions, ok bool) {
 	m, err := r.askVersions(ctx, addr)
 	if err != nil {
@@ -106,7 +105,7 @@
 	runners := r.comparisons.WantRunners()
 	due := r.comparisons.FetchDue(held, m.Parts, grace, r.clock())
 	if dissemination.Behind(held, m.Parts) {
-		r.log.Info("a controller has newer versions", "controller", addr, "theirs", m.Parts, "held", held, "overdue", overdue, "fetch", due)
+		r.log.Info("controller has newer versions", "controller", addr, "theirs", m.Parts, "held", held, "overdue", overdue, "fetch", due)
 	}
 	if !due && !runners {
 		return m, true
@@ -114,7 +113,7 @@
 	return m, r.fetchMissing(ctx, addr, runners)
 }
 
-// askVersions asks one controller which versions it has.
+// askVersions requests the versions of one controller.
 func (r *Router) askVersions(ctx context.Context, addr string) (m messages.Versions, err error) {
 	r.counters.comparisons.begin()
 	sentUs := r.clock()
@@ -131,12 +130,12 @@
 	return m, nil
 }
 
-// fetchMissing fetches from one controller the changes since this node's versions, and
-// all runners where they are wanted. One fetch goes on at a time. It tells whether what
-// came was applied; also true where another fetch is under way.
+// fetchMissing fetches from one controller the changes since this node's versions, including
+// runners if requested. Only one fetch runs at a time. It reports whether the changes were applied;
+// also true if another fetch is in progress.
 func (r *Router) fetchMissing(ctx context.Context, addr string, runners bool) bool {
 	if !r.comparisons.StartFetch() {
-		r.log.V(1).Info("another fetch is under way", "controller", addr)
+		r.log.V(1).Info("fetch skipped: another one is in progress", "controller", addr)
 		return true
 	}
 	defer r.comparisons.EndFetch()
@@ -157,6 +156,6 @@
 		return false
 	}
 	fits := r.applyFeed("", f)
-	r.log.Info("fetched", "controller", addr, "versions", f.Versions, "held", h.Configuration.Version, "changes", len(f.Configuration), "bytes", len(b), "fits", fits)
+	r.log.Info("fetched missing changes", "controller", addr, "versions", f.Versions, "held", h.Configuration.Version, "changes", len(f.Configuration), "bytes", len(b), "fits", fits)
 	return fits
 }
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// The second request comes while the first one's check is under way: it must not be
-// rejected before that has come out.
+// A request that arrives while the check of another one is in progress must wait for its result
+// before it is rejected.
 func TestConfirmWaitsForACheckUnderWay(t *testing.T) {
 	var c freshnessChecks
 	clock := func() int64 { return 1 }
@@ -22,10 +22,10 @@
 		})
 	}()
 	<-begun
-	go func() { results <- c.confirm(clock, func() bool { t.Error("a second check"); return false }) }()
+	go func() { results <- c.confirm(clock, func() bool { t.Error("a second check was started"); return false }) }()
 	select {
 	case <-results:
-		t.Fatal("answered before the check came out")
+		t.Fatal("confirm returned before the check ended")
 	case <-time.After(20 * time.Millisecond):
 	}
 	answer <- true
@@ -40,7 +40,7 @@
 		return c.confirm(func() int64 { return now }, func() bool { asked++; return answer })
 	}
 	must.False(t, confirm(false))
-	must.False(t, confirm(true), must.Sprint("one that did not come out holds for as long"))
+	must.False(t, confirm(true), must.Sprint("a failed check must be reused for as long as a successful one"))
 	must.Eq(t, 1, asked)
 	now += confirmationTTLUs
 	must.True(t, confirm(true))
@@ -48,8 +48,8 @@
 	must.Eq(t, 2, asked)
 }
 
-// A controller that is alive and gives no answer leaves it open whether a route is
-// unknown; once it answers, the route is.
+// While a live controller does not answer, a request for an unknown route gets 503; once the
+// controller confirms the configuration, it gets 404.
 func TestUnknownRouteIsPutOffUntilAControllerConfirms(t *testing.T) {
 	c, front, _ := start(t, newRunner(t))
 	s := startCore(t, c, 1)
@@ -67,7 +67,7 @@
 	must.Eq(t, 404, ans.StatusCode)
 }
 
-// A router that takes the whole core for suspected or dead goes on asking it.
+// A router that considers the whole core suspected or dead must continue to query it.
 func TestCoreMemoryKeepsTheLastCoreInView(t *testing.T) {
 	var m coreMemory
 	must.SliceEmpty(t, m.all(nil))
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -1,4 +1,4 @@
-// What a router reports of itself to the doctor.
+// The state that a router reports to the diagnostic command (doctor).
 
 package router
 
@@ -11,6 +11,7 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
+// condition returns the state of this router for the diagnostic report.
 func (r *Router) condition() messages.Condition {
 	x := messages.Condition{Node: r.set.Node, Role: messages.Router, Zone: r.set.Zone, Addr: r.transport.Addr(), TimeUs: time.Now().UnixMicro()}
 	r.stateMu.Lock()
@@ -31,7 +32,7 @@
 	return x
 }
 
-// OnRing tells how the doctor gets the log ring.
+// OnRing sets the function that returns the log ring to the diagnostic command.
 func (r *Router) OnRing(show func() ([]byte, error)) {
 	r.transport.OnCall(transport.KindRing, func(context.Context, *transport.Conn, []byte) ([]byte, error) { return show() })
 }
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -1,5 +1,5 @@
-// Counters of a router for its metrics: how requests and attempts end, and how the
-// router learns of a new configuration.
+// Counters of a router for its metrics: how requests and attempts end, and how new versions of the
+// configuration arrive.
 
 package router
 
@@ -19,15 +19,16 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// counters are safe for concurrent use, and their zero value is ready for use.
+// counters holds the totals since the start. It is safe for concurrent use; the zero value is ready
+// for use.
 type counters struct {
 	answered           atomic.Int64
 	rejections         rejections
 	cuts               [cutReasonCount]atomic.Int64
 	attempts           [len(attemptNames)]atomic.Int64
 	takenWhileDraining atomic.Int64
-	streamsLeft        atomic.Int64 // taken from runners that could not be reached
-	streamsStayed      atomic.Int64 // not taken, as there was no other place
+	streamsLeft        atomic.Int64 // moved away from runners in unreachable zones
+	streamsStayed      atomic.Int64 // not moved, as no other runner had capacity
 
 	comparisons   callCounts
 	fetches       callCounts
@@ -35,19 +36,19 @@
 	subscriptions dissemination.SubscriptionCounts
 }
 
-// attemptNames are the results of attempts, in the order of the type attempt.Result.
+// attemptNames are the metric labels of attempt results, indexed by attempt.Result.
 var attemptNames = [...]string{
 	attempt.Answered: "answered", attempt.NotSent: "not_sent", attempt.NotRun: "not_run", attempt.Unknown: "unknown", attempt.BrokenOff: "broke_off",
 	attempt.ClientGone: "client_gone", attempt.Moving: "moved",
 }
 
-// rejection is what the client is told.
+// rejection is the status and reason that the client of a rejected request receives.
 type rejection struct {
 	status int
 	reason admission.Reason
 }
 
-// rejections counts requests that were rejected, by status and reason.
+// rejections counts rejected requests by status and reason.
 type rejections struct {
 	mu     sync.Mutex
 	counts map[rejection]int64
@@ -62,7 +63,7 @@
 	r.counts[rejection{status, reason}]++
 }
 
-// visit calls see with each count.
+// visit calls see for each count.
 func (r *rejections) visit(see func(rejection, int64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,21 +72,22 @@
 	}
 }
 
-// cutReason is why a request ended without a complete answer or a rejection.
+// cutReason is the reason why a request ended without a complete answer or a rejection.
 type cutReason int
 
 const (
-	cutClientGone  cutReason = iota // the client left, or took nothing more
+	cutClientGone  cutReason = iota // the client disconnected or stopped reading
 	cutTimeOver                     // the deadline or the route's cutoff was reached
-	cutRunner                       // the runner broke the answer off
-	cutByLeaving                    // this process ended while it was in flight
+	cutRunner                       // the runner's response was incomplete
+	cutByLeaving                    // this process ended while the request was in flight
 	cutUnexplained                  // none of these
 	cutReasonCount
 )
 
 var cutReasonNames = [cutReasonCount]string{"client_gone", "time_over", "runner_broke_off", "grace_over", "unexplained"}
 
-// recordEnd counts how a request ended, and checks that it was not just dropped.
+// recordEnd counts how a request ended, and checks the invariant that a request without an answer
+// or a rejection has a known reason for that.
 func (e *exchange) recordEnd() {
 	counters := &e.router.counters
 	switch e.outcome {
@@ -102,7 +104,7 @@
 	}
 }
 
-// cutReason tells why the request has no complete answer.
+// cutReason returns the reason why the request has no complete answer.
 func (e *exchange) cutReason() cutReason {
 	switch {
 	case e.client.isGone() || e.lastResult == attempt.ClientGone:
@@ -124,20 +126,21 @@
 	e.router.counters.attempts[end].Add(1)
 }
 
-// recordCutByLeaving counts the requests that end with the process.
+// recordCutByLeaving counts the requests that are in flight when the process ends.
 func (r *Router) recordCutByLeaving() {
 	if left := r.inFlight.Load(); left > 0 {
 		r.counters.cuts[cutByLeaving].Add(left)
-		r.log.Info("left with requests in flight", "count", left)
+		r.log.Info("shutdown cut requests in flight", "count", left)
 	}
 }
 
-// recheckOutcome is how a check of the configuration before a denial came out.
+// recheckOutcome is the result of a check with the core, before a denial, that the local
+// configuration is the newest.
 type recheckOutcome int
 
 const (
-	recheckConfirmed   recheckOutcome = iota // it is the newest
-	recheckNewer                             // a newer one was found
+	recheckConfirmed   recheckOutcome = iota // the local configuration is the newest
+	recheckNewer                             // a newer configuration was found
 	recheckUnconfirmed                       // too few controllers answered
 	recheckOutcomeCount
 )
@@ -156,7 +159,7 @@
 	c.rechecks[outcome].Add(1)
 }
 
-// callCounts counts requests to other nodes.
+// callCounts counts calls to other nodes by outcome.
 type callCounts struct{ asked, answered, timedOut, failed, inProgress atomic.Int64 }
 
 func (c *callCounts) begin() {
@@ -176,17 +179,17 @@
 	}
 }
 
-// configLag measures how long after this node first heard of a newer version of the
-// configuration it has that version in force. Its zero value is ready for use.
+// configLag measures the time from when this node first observes a newer version of the
+// configuration at another node until that version is in force here. The zero value is ready for
+// use.
 type configLag struct {
 	mu       sync.Mutex
-	version  int64 // the first version heard of that is not in force; 0 for none
-	sinceUs  int64 // when it was heard of
+	version  int64 // the first observed version that is not in force; 0 for none
+	sinceUs  int64 // when it was first observed
 	catchUps histogram.Durations
 }
 
-// heardOf records the versions of the registers that another node has; mine are those
-// of this node.
+// heardOf records the register versions of another node, theirs; mine are those of this node.
 func (l *configLag) heardOf(mine, theirs []int64, nowUs int64) {
 	if len(mine) <= consensus.ConfigPart || len(theirs) <= consensus.ConfigPart {
 		return
@@ -198,7 +201,7 @@
 	}
 }
 
-// inForce records the version of the register that has come into force.
+// inForce records that a version of the configuration register is in force.
 func (l *configLag) inForce(version, nowUs int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,7 +212,8 @@
 	l.version = 0
 }
 
-// lag is for how long a newer version has been known and not in force.
+// lag returns the time since a newer version was first observed that is not in force; 0 if there
+// is none.
 func (l *configLag) lag(nowUs int64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/router/evacuation.go
+++ b/internal/router/evacuation.go
@@ -1,11 +1,11 @@
-// Evacuated zones and warm-ups, as this router goes by them.
+// Evacuated zones, as received from the registers.
 
 package router
 
 import "beechtide.org/beechtide/internal/messages"
 
-// recordEvacuations takes what a register says of evacuated zones. The caller has the mutex of
-// what was received.
+// recordEvacuations stores the evacuations of a register and passes the zones that are evacuated
+// in any register to the admission control. The caller holds stateMu.
 func (r *Router) recordEvacuations(part int, evacuations []messages.Evacuation, nowUs int64) {
 	if len(evacuations) == 0 {
 		return
--- a/internal/router/evacuation_test.go
+++ b/internal/router/evacuation_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// evacuate has the router take what a register says of the zone of its runners.
+// evacuate applies a register update that begins or ends the evacuation of the runners' zone.
 func (r *Router) evacuate(t *testing.T, evacuated bool, version int64) {
 	t.Helper()
 	body := messages.LeaseBody{Targets: []messages.Target{}, Evacuations: []messages.Evacuation{{Zone: "a", Changes: version, Evacuated: evacuated}}}
@@ -29,7 +29,7 @@
 	a, _, err = roundTrip(t, front, request("/pay/1", ""))
 	must.NoError(t, err)
 	must.Eq(t, 503, a.StatusCode)
-	c.evacuate(t, false, 3) // an older word
+	c.evacuate(t, false, 3) // an older version
 	must.Eq(t, []string{"a"}, c.condition().Partition.Evacuated)
 	must.Eq(t, before, r.requestCount())
 	c.evacuate(t, false, 5)
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -1,6 +1,6 @@
-// The feed: what a router receives down the tree, applied as deltas. Whatever does not
-// fit the state that is held is requested again, by naming that state; nothing is ever
-// guessed, and no version goes back.
+// The feed: the updates that a router receives from its parent in the tree, applied as deltas. A
+// delta that does not follow the local state is rejected and requested again by sending the local
+// versions (SyncState); no version ever goes back.
 
 package router
 
@@ -13,8 +13,8 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// stats are for the doctor: how many changes were taken, how many wholes of a
-// stream that was held already, and how many could not be read.
+// stats are totals for the diagnostic report: deltas applied, snapshots of a stream that was
+// already known, and malformed updates.
 type stats struct {
 	changes, wholes, malformed atomic.Int64
 }
@@ -28,13 +28,14 @@
 	}
 }
 
-// fits counts a result, and tells whether the change fitted what was held.
+// fits counts a result and reports whether the change followed the local state or was already
+// known.
 func (s *stats) fits(r statesync.Result, again bool) bool {
 	s.count(r, again)
 	return r == statesync.Applied || r == statesync.Known
 }
 
-// syncState names what this node holds of every stream.
+// syncState returns the versions of this node's replica of every stream.
 func (r *Router) syncState() messages.SyncState {
 	var h messages.SyncState
 	r.stateMu.Lock()
@@ -55,7 +56,7 @@
 	return h
 }
 
-// deltaSince gives what a node below lacks.
+// deltaSince returns the changes that a subscriber with the given state lacks.
 func (r *Router) deltaSince(h messages.SyncState) messages.Feed {
 	f := messages.Feed{FromRelay: true}
 	r.admissionMu.Lock()
@@ -88,7 +89,7 @@
 	return f
 }
 
-// versions is heldVersions for a caller that has the mutex.
+// versions is heldVersions for a caller that holds stateMu.
 func (r *Router) versions() []int64 {
 	out := []int64{r.configuration.Version()}
 	for p, n := range r.parts {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// behind tells whether a node with these versions has something newer.
+// behind reports whether a node with these versions has a newer one than this node.
 func (r *Router) behind(versions []int64) bool {
 	r.stateMu.Lock()
 	defer r.stateMu.Unlock()
@@ -109,14 +110,15 @@
 	return dissemination.Behind(held, versions)
 }
 
-// heldVersions are those of the parts that are held.
+// heldVersions returns the versions of this node's replicas, by register.
 func (r *Router) heldVersions() []int64 {
 	r.stateMu.Lock()
 	defer r.stateMu.Unlock()
 	return r.versions()
 }
 
-// receiveFeed takes what the parent sent and passes it on.
+// receiveFeed applies a feed of the parent and forwards it to the routers below. It returns the
+// local state if something is missing, so that the parent sends it.
 func (r *Router) receiveFeed(parent string, f messages.Feed, raw []byte) *messages.SyncState {
 	r.parent.Store(&parent)
 	if !f.CutOff {
@@ -130,8 +132,8 @@
 	return nil
 }
 
-// applyFeed takes a feed in; parent is empty where it came from another node than
-// the parent. It tells whether all of it fitted.
+// applyFeed applies a feed; parent is empty if it was sent by a node other than the parent. It
+// reports whether all of its changes followed the local state.
 func (r *Router) applyFeed(parent string, f messages.Feed) (fits bool) {
 	now := r.clock()
 	r.takeTargetAges(f, now)
@@ -160,8 +162,8 @@
 	return fits
 }
 
-// applyConfigs takes changes of the configuration. It tells whether all of them fitted, and
-// whether one was put in force. The caller has the mutex.
+// applyConfigs applies changes of the configuration. It reports whether all of them followed the
+// local state, and whether one of them took effect. The caller holds stateMu.
 func (r *Router) applyConfigs(changes []messages.EntryChange) (fits, changed bool) {
 	fits = true
 	for _, ch := range changes {
@@ -173,33 +175,33 @@
 	return fits, changed
 }
 
-// applyList takes a change of the list of runners: of the parent's, or of another node's
-// where parent is empty. It tells whether it fitted, and whether a runner has changed. The
-// caller has the mutex.
+// applyList applies a change of the list of runners of the parent, or of another node if parent is
+// empty. It reports whether the change followed the local state, and whether a runner has changed.
+// The caller holds stateMu.
 func (r *Router) applyList(parent string, in statesync.Change[string, string], nowUs int64) (fits, changed bool) {
-	believed := parent // whose beliefs are taken along with the facts
+	believed := parent // the parent whose records are mirrored as they are; if empty, they are merged
 	fits = true
 	if parent != "" {
 		again := in.Snapshot && r.runners.Epoch == in.Epoch
 		result := r.runners.Apply(in)
 		fits = r.feedStats.fits(result, again)
 		if result == statesync.Mismatch || result == statesync.Known {
-			return fits, false // what is known already may be older than what is held
+			return fits, false // a change that is already known may be older than the local records
 		}
 		if result == statesync.Gap {
-			believed = "" // of a parent that was left, or to come again in order
+			believed = "" // sent by a former parent, or will be sent again in order
 		}
 	}
 	for _, p := range in.Puts {
 		changed = r.applyRecord(believed, p, nowUs) || changed
 	}
 	if len(in.Puts) > 0 && !r.informed.Swap(true) {
-		r.log.Info("runners known", "count", len(in.Puts))
+		r.log.Info("first runner records received", "count", len(in.Puts))
 	}
 	return fits, changed
 }
 
-// applyRecord takes the encoded record of a runner.
+// applyRecord decodes and applies the record of a runner.
 func (r *Router) applyRecord(believed string, p statesync.Put[string, string], nowUs int64) (changed bool) {
 	if p.Deleted {
 		return false
@@ -212,8 +214,8 @@
 	return r.applyRunner(believed, n, nowUs)
 }
 
-// applyCached takes what a feed says of cached prefixes and reports of runners, and brings
-// admission up to date with the loads. It tells whether all of it fitted.
+// applyCached applies the cached prefixes and runner reports of a feed and updates admission with
+// the loads. It reports whether all changes followed the local state.
 func (r *Router) applyCached(parent string, f messages.Feed, nowUs int64) (fits bool) {
 	fits = true
 	r.admissionMu.Lock()
@@ -232,8 +234,8 @@
 	return fits
 }
 
-// applyRunner takes the record of a runner: the parent's as it stands, of another
-// node only the facts.
+// applyRunner applies the record of a runner: one of the parent replaces the local record, one of
+// another node is merged into it (registry.Mirror, registry.Merge).
 func (r *Router) applyRunner(parent string, n messages.RunnerRecord, nowUs int64) (changed bool) {
 	if parent == "" {
 		return r.registry.Merge(n, nowUs)
@@ -241,7 +243,7 @@
 	return r.registry.Mirror(n, nowUs)
 }
 
-// forgetUnlisted drops runners that the parent has not listed for long.
+// forgetUnlisted removes runners that the parent has not listed for some time.
 func (r *Router) forgetUnlisted() {
 	r.stateMu.Lock()
 	listed := func(id string) bool {
@@ -255,22 +257,25 @@
 	}
 }
 
-// applyConfig takes a change of the configuration; a new table is swapped in.
+// applyConfig applies a change of the configuration and, if it results in a new table, puts that
+// in force.
 func (r *Router) applyConfig(ch messages.EntryChange) (result statesync.Result, renewed bool) {
 	result, renewed, err := r.configuration.Apply(ch)
 	if err != nil {
-		r.log.Error(err, "a change of the configuration is left aside")
+		r.log.Error(err, "ignored a malformed configuration change")
 		r.feedStats.malformed.Add(1)
 	}
 	if renewed {
 		t := r.configuration.Table()
 		routeconfig.PutInForce(&r.table, t)
 		r.lag.inForce(r.configuration.Version(), r.clock())
-		r.log.Info("configuration in place", "version", t.Version, "entries", len(ch.Entries), "whole", ch.Snapshot)
+		r.log.Info("configuration in force", "version", t.Version, "entries", len(ch.Entries), "whole", ch.Snapshot)
 	}
 	return result, renewed
 }
 
+// applyPart applies an update of a register unless the local version is as new. The caller holds
+// stateMu.
 func (r *Router) applyPart(p messages.RegisterUpdate, nowUs int64) {
 	if old, ok := r.parts[p.Part]; p.Part == 0 || ok && old.Version >= p.Version {
 		return
@@ -282,7 +287,7 @@
 	}
 	r.assumeTargets(body.Targets, nowUs)
 	if r.usage != nil {
-		r.usage.Closed(body.Usage.Next)
+		r.usage.DiscardClosed(body.Usage.Next)
 	}
 	r.parts[p.Part] = p
 	r.recordEvacuations(p.Part, body.Evacuations, nowUs)
--- a/internal/router/fleet_pauses_test.go
+++ b/internal/router/fleet_pauses_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// What each router does by itself is done less often in a large fleet, within bounds.
+// Each router reports less often in a larger fleet, within bounds.
 func TestReportPauseGrowsWithTheFleet(t *testing.T) {
 	c := &Router{}
 	for _, row := range []struct {
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -1,6 +1,6 @@
-// Loads: what this node and those below it have in flight at the runners goes up the
-// tree as deltas; the sum over all nodes comes down. The parent acknowledges which of
-// the reports the sum holds, so that a node can subtract its own exactly.
+// Loads: the requests that this node and those below it have in flight at the runners are reported
+// up the tree as deltas; the sum over all nodes is sent down. The parent acknowledges which of
+// the reports the sum includes, so that a node can subtract its own load exactly.
 
 package router
 
@@ -18,47 +18,47 @@
 )
 
 const (
-	// minReportPause is the least time between two reports.
+	// minReportPause is the minimum time between two reports.
 	minReportPause = 2 * time.Millisecond
-	// reportDelay is how long a change waits for others that is not urgent; the time grows with the
-	// number of routers, as each report goes up the tree.
+	// reportDelay is the minimum time for which changes that are not urgent are batched. The time
+	// grows with the number of routers, as each report is sent up the tree.
 	reportDelay    = 50 * time.Millisecond
-	reportPart     = 640 * time.Microsecond // a router
+	reportPart     = 640 * time.Microsecond // per router
 	maxReportDelay = 200 * time.Millisecond
-	// reportInterval is how often loads are looked at without a change: the flow of
-	// prompts decays by itself, and nodes come and go.
+	// reportInterval is the interval at which loads are checked without a change: the flow of
+	// prompts decays over time, and nodes join and leave.
 	reportInterval = 500 * time.Millisecond
 
-	// maxUnacknowledged bounds the reports that are remembered until the parent
+	// maxUnacknowledged bounds the reports that are stored until the parent
 	// acknowledges one.
 	maxUnacknowledged = 32
 
-	// ownSender is the name of the node's own loads in the sum of its subtree.
+	// ownSender identifies the node's own loads in the sum of its subtree.
 	ownSender = "itself"
 )
 
-// sentReport is the node's own loads as a report had them.
+// sentReport holds the node's own loads as sent in a report.
 type sentReport struct {
 	seq int64
 	own map[string]messages.RunnerLoad
 }
 
-// loads are the loads of this node, of its subtree and of all nodes. It is safe for
+// loads holds the loads of this node, of its subtree and of all nodes. It is safe for
 // concurrent use.
 type loads struct {
-	mu             sync.Mutex // guards all below
+	mu             sync.Mutex // guards the fields below
 	own            *statesync.Loads
-	subtree        *statesync.Sum // this node's and those below it
+	subtree        *statesync.Sum // of this node and those below it
 	total          *statesync.Loads
 	pending        []messages.CachedPrefixes // prefixes that will be cached, for the next report
-	absent         []string                  // runners that were not at their address
+	absent         []string                  // runners that were not at their address, for the next report
 	seq            int64
-	sendAll        bool // the next report has all loads, not the changes
+	sendAll        bool // the next report contains all loads instead of the changes
 	unacknowledged []sentReport
-	acknowledged   map[string]messages.RunnerLoad // of this node's own, what the total holds
+	acknowledged   map[string]messages.RunnerLoad // this node's own loads as included in total
 
-	changed    map[string]bool // runners of which the load of the other nodes has changed
-	allChanged bool            // that of any runner may have
+	changed    map[string]bool // runners whose load from other nodes has changed
+	allChanged bool            // the load from other nodes may have changed at any runner
 }
 
 func (l *loads) init(epoch int64) {
@@ -68,7 +68,7 @@
 	l.sendAll, l.allChanged, l.changed = true, true, map[string]bool{}
 }
 
-// cursor is the state of the total that this node holds.
+// cursor returns the position of this node's replica of the total.
 func (l *loads) cursor() messages.Cursor {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,8 +76,7 @@
 	return messages.Cursor{Epoch: epoch, Version: version}
 }
 
-// deltaSince returns the change of the total that a receiver needs; false where it is up
-// to date.
+// deltaSince returns the change of the total that a receiver needs; false if it is up to date.
 func (l *loads) deltaSince(h messages.Cursor) (messages.LoadChange, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +98,7 @@
 	return r
 }
 
-// acknowledge notes that the total holds the report with the given number.
+// acknowledge records that the total includes the report with the given number.
 func (l *loads) acknowledge(seq int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +116,7 @@
 	}
 }
 
-// peerLoad is what the other nodes have at a runner.
+// peerLoad returns the load of the other nodes at a runner.
 func (l *loads) peerLoad(id string) messages.RunnerLoad {
 	load, _ := l.total.Get(id)
 	own := l.acknowledged[id]
@@ -130,7 +129,7 @@
 	return load
 }
 
-// updateAdmission brings the admission control up to date with the loads of the others.
+// updateAdmission updates the admission control with the changed loads of the other nodes.
 func (l *loads) updateAdmission(a *admission.Admitter, nowUs int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,14 +145,14 @@
 	clear(l.changed)
 }
 
-// markAllChanged makes the next updateAdmission one of all runners.
+// markAllChanged makes the next updateAdmission cover all runners.
 func (l *loads) markAllChanged() {
 	l.mu.Lock()
 	l.allChanged = true
 	l.mu.Unlock()
 }
 
-// nextReport makes the report that is to go up; false where there is nothing to report.
+// nextReport builds the next report to the parent; false if there is nothing to report.
 func (l *loads) nextReport(own map[string]messages.RunnerLoad, pending []messages.CachedPrefixes, absent []string) (messages.LoadReport, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +182,7 @@
 	return report, true
 }
 
-// resendLoads makes the next report one of all loads, for a parent that lacks earlier ones.
+// resendLoads makes the next report contain all loads, for a parent that lacks earlier reports.
 func (r *Router) resendLoads() {
 	r.loads.mu.Lock()
 	r.loads.sendAll, r.loads.unacknowledged, r.loads.acknowledged, r.loads.allChanged = true, nil, nil, true
@@ -191,7 +190,7 @@
 	signal(r.loadsChanged)
 }
 
-// applyReport takes the report of a node below; false asks it for all of its loads.
+// applyReport applies the report of a node below; false requests all of its loads.
 func (r *Router) applyReport(from string, report messages.LoadReport) bool {
 	l := &r.loads
 	l.mu.Lock()
@@ -212,19 +211,19 @@
 	return ok
 }
 
-// removeSender drops the loads of a node below that has unsubscribed.
+// removeSender removes the loads of a node below that has unsubscribed.
 func (r *Router) removeSender(from string) {
 	r.loads.mu.Lock()
 	r.loads.subtree.Remove(from)
 	r.loads.mu.Unlock()
 }
 
-// joiningUs is for how long after its start a router may not have heard of the others yet.
+// joiningUs is the time after its start during which a router may not have learned of the others.
 const joiningUs = 3_000_000
 
-// fleetSize is how many routers share the runners, as far as this one knows. One that has just
-// started and knows no other does not take itself for the only one: it would compare all runners,
-// and hundreds that start at once would send all of their first requests to the same ones.
+// fleetSize estimates how many routers share the runners. A router that has just started and has
+// seen no other one assumes that there is another: as the only one it would compare all runners,
+// and hundreds that start at once would send all of their first requests to the same runners.
 func fleetSize(alive int, uptimeUs int64) int {
 	if uptimeUs < joiningUs {
 		return max(alive, 2)
@@ -232,7 +231,7 @@
 	return max(alive, 1)
 }
 
-// report sends one report up the tree, if there is something to report.
+// report sends one report to the parent if there is something to report.
 func (r *Router) report() {
 	r.nodes.Store(int64(fleetSize(len(r.monitor.Alive(messages.Router)), r.clock()-r.startUs)))
 	r.admissionMu.Lock()
@@ -244,13 +243,13 @@
 	}
 }
 
-// reportPause is how long a change waits for others in a fleet of the present size.
+// reportPause returns the time for which changes are batched in a fleet of the current size.
 func (r *Router) reportPause() time.Duration {
 	return min(max(time.Duration(r.nodes.Load())*reportPart, reportDelay), maxReportDelay)
 }
 
-// reportLoads sends reports up the tree: at once when a runner has been sent shared
-// parts to read, a little later after any other change.
+// reportLoads sends reports to the parent: at once after a request with prefixes that others may
+// share has been sent to a runner, and after reportPause for any other change.
 func (r *Router) reportLoads(ctx context.Context) {
 	t := time.NewTicker(reportInterval)
 	defer t.Stop()
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -19,7 +19,7 @@
 	)...)
 }
 
-// requestMetrics are the figures of requests and attempts.
+// requestMetrics returns the metrics of requests and attempts.
 func (r *Router) requestMetrics() []prometheus.Collector {
 	counters := &r.counters
 	return []prometheus.Collector{
@@ -69,7 +69,7 @@
 	}
 }
 
-// configMetrics are the figures of how the configuration reaches this node.
+// configMetrics returns the metrics of the distribution of the configuration to this node.
 func (r *Router) configMetrics() []prometheus.Collector {
 	counters := &r.counters
 	return []prometheus.Collector{
@@ -105,7 +105,7 @@
 	}
 }
 
-// emit gives the counts by outcome.
+// emit emits the counts by outcome.
 func (c *callCounts) emit(emit metrics.Emit) {
 	emit(float64(c.asked.Load()), "asked")
 	emit(float64(c.answered.Load()), "answered")
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -27,7 +27,7 @@
 		must.NoError(t, err)
 	}
 	text := ""
-	for range 200 { // the end of a request is counted after its answer has gone out
+	for range 200 { // the end of a request is counted after its answer has been sent
 		if text = metricsOf(t, c); strings.Contains(text, "beechtide_requests_in_flight 0\n") {
 			break
 		}
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -1,6 +1,6 @@
-// Absent runners. One that answers 421 leaves the candidates (package admission says
-// how); its idle connections are closed, and probes check whether it is there after
-// all, so that a response that meant something else removes no runner for good.
+// Absent runners. A runner that answers 421 is removed from the candidates (see package admission)
+// and its idle connections are closed. Probes then check whether it is present after all, so that
+// a 421 with another cause does not remove a runner permanently.
 
 package router
 
@@ -18,25 +18,25 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// statusWrongInstance is what a runner answers that is not the one named, or
-// whose weights have another version; it has not run the request.
+// statusWrongInstance is the status of a runner that is not the one addressed, or whose weights
+// have another version than expected. It has not run the request.
 const statusWrongInstance = http.StatusMisdirectedRequest
 
-// Probes of runners that may be gone.
+// Timing of probes of runners that may be absent.
 const (
-	missingEvery = 100 * time.Millisecond // how often due probes are looked for while a runner is missing
-	missingWait  = time.Second            // for one answer
+	missingEvery = 100 * time.Millisecond // interval of checks for due probes while a runner is missing
+	missingWait  = time.Second            // timeout of one probe
 )
 
-// otherWeights tells whether the 421 of a runner says that it is about the weights:
-// it names a version, and not the one that was asked for.
+// otherWeights reports whether a 421 was caused by the weights: the response names a version other
+// than the expected one.
 func otherWeights(adm *admission.Admission, r *protocol.Response) bool {
 	version, err := strconv.ParseInt(r.Header.Get(hWeights), 10, 64)
 	return err == nil && adm.Version > 0 && version != adm.Version
 }
 
-// wrongInstance notes that a runner answered 421. One that only has other weights
-// is there; it has no place for a short while, until its new version is known.
+// wrongInstance records that a runner answered 421. A runner that only has other weights is
+// present; it is treated as full for a short time, until its new version has been received.
 func (r *Router) wrongInstance(adm *admission.Admission, otherWeights bool) {
 	expected := adm.Version > 0
 	left := false
@@ -56,15 +56,15 @@
 	signal(r.missing)
 }
 
-// confirmAbsent closes the connections to the address of a runner that is not
-// there, and has the others told.
+// confirmAbsent closes the connections to the address of an absent runner and schedules a load
+// report, which carries the absence to the other nodes.
 func (r *Router) confirmAbsent(n messages.RunnerRecord) {
-	r.log.Info("a runner is not at its address", "runner", n.ID, "address", n.Addr)
+	r.log.Info("runner is not at its address", "runner", n.ID, "address", n.Addr)
 	r.connPool.Drop(n.Addr)
 	signal(r.loadsChanged)
 }
 
-// probeAbsent probes missing runners for as long as there are any.
+// probeAbsent probes missing runners while there are any, until ctx ends.
 func (r *Router) probeAbsent(ctx context.Context) {
 	for {
 		select {
@@ -78,7 +78,7 @@
 	}
 }
 
-// probeDue makes the probes that are due and tells whether a runner is missing.
+// probeDue runs the probes that are due and reports whether a runner is still missing.
 func (r *Router) probeDue(ctx context.Context) bool {
 	r.admissionMu.Lock()
 	due, missing := r.admission.DueProbes(r.clock())
@@ -91,7 +91,8 @@
 	return missing && ctx.Err() == nil
 }
 
-// probe looks which instance answers at a runner's address.
+// probe checks which instance answers at a runner's address and passes the result to the admission
+// control.
 func (r *Router) probe(ctx context.Context, n messages.RunnerRecord) {
 	t := r.table.Load()
 	if t == nil {
@@ -114,7 +115,7 @@
 	r.wakeQueue()
 }
 
-// identifyInstance asks at a runner's address whether it is there.
+// identifyInstance sends a probe to a runner's address and evaluates which instance has answered.
 func (r *Router) identifyInstance(ctx context.Context, n messages.RunnerRecord, path string) admission.Presence {
 	ctx, cancel := context.WithTimeout(ctx, missingWait)
 	defer cancel()
--- a/internal/router/missing_test.go
+++ b/internal/router/missing_test.go
@@ -35,8 +35,8 @@
 	r.next = func() string { return answer }
 }
 
-// fresh is a request with a prompt of its own, so that no runner is preferred for
-// what it keeps.
+// fresh returns a request with a unique prompt, so that no runner is preferred for its prefix
+// cache.
 func fresh(path string, i int) string {
 	return strings.Replace(request(path, "x"), "ab:15,cd:5", fmt.Sprintf("%x:15,%x:5", 1000+i, 2000+i), 1)
 }
@@ -48,8 +48,8 @@
 	return isMissing
 }
 
-// TestARunnerWhoseAddressIsAnothersGetsNothingMore has one of two runners gone
-// and its address taken by another service's.
+// One of two runners is gone and its address is reused by a runner of another service, which
+// answers 421.
 func TestARunnerWhoseAddressIsAnothersGetsNothingMore(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	a.say(elsewhere)
@@ -57,7 +57,7 @@
 	for i := 0; a.requestCount() == 0; i++ {
 		ans, body, err := roundTrip(t, front, fresh("/pay/", i))
 		must.NoError(t, err)
-		must.Eq(t, 200, ans.StatusCode, must.Sprint("a request that has not run goes on to the other"))
+		must.Eq(t, 200, ans.StatusCode, must.Sprint("a request that has not run must be sent to the other runner"))
 		must.Eq(t, "ok", body)
 	}
 	must.True(t, missing(c))
@@ -74,13 +74,13 @@
 	a.say("HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok")
 	back := messages.RunnerRecord{ID: "r0", Service: "s", Addr: a.addr, Zone: "a", Capacity: 9, Seq: 2, Models: []messages.Target{{Model: "m", Version: 4}}}
 	must.True(t, c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, back)}}))
-	must.False(t, missing(c), must.Sprint("a newer registration brings it back"))
+	must.False(t, missing(c), must.Sprint("a newer registration must make the runner available again"))
 	for i := 0; a.requestCount() == 1+a.probes(); i++ {
 		ans, _, err := roundTrip(t, front, fresh("/open/", 200+i))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
-	must.Eq(t, 2+a.probes(), a.connections(), must.Sprint("the connections from before were closed"))
+	must.Eq(t, 2+a.probes(), a.connections(), must.Sprint("the earlier connections must have been closed"))
 }
 
 func TestARunnerThatOnlyHasOtherWeightsComesBackByAProbe(t *testing.T) {
@@ -106,5 +106,5 @@
 	must.True(t, some)
 	must.Eq(t, []string{"x", "y"}, w.Absent)
 	_, some = c.loads.nextReport(nil, nil, nil)
-	must.False(t, some, must.Sprint("each is told once"))
+	must.False(t, some, must.Sprint("each absent runner must be reported once"))
 }
--- a/internal/router/partition_metrics.go
+++ b/internal/router/partition_metrics.go
@@ -1,5 +1,5 @@
-// The metrics of what outlasts partitions: evacuated zones and warm-ups
-// (docs/operating/metrics.md).
+// Metrics of the state that matters during and after network partitions: evacuated and unreachable
+// zones, rollouts, withheld runners and warm-ups (docs/operating/metrics.md).
 
 package router
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// reachMetrics are the figures of the ways to other zones.
+// reachMetrics returns the metrics of the reachability of other zones.
 func (r *Router) reachMetrics() []prometheus.Collector {
 	return []prometheus.Collector{
 		metrics.Gauge("beechtide_router_zone_unreachable_seconds", "For how long each zone that this router cannot reach has been so.", []string{"zone"}, func(emit metrics.Emit) {
@@ -67,7 +67,7 @@
 			}
 		}),
 		metrics.Counter("beechtide_router_zone_silence_doubted_total", "Silences of a zone that were put down to this router or its link, as nodes of its own zone did not answer either.", nil, func(emit metrics.Emit) {
-			emit(float64(r.zones.Doubted()))
+			emit(float64(r.zones.DoubtedSilences()))
 		}),
 		metrics.Counter("beechtide_router_unreachable_streams_total", "Streams that delivered nothing from runners of unreachable zones: left, they go on at other runners; stayed, there was no place.", []string{"outcome"}, func(emit metrics.Emit) {
 			emit(float64(r.counters.streamsLeft.Load()), "left")
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -1,6 +1,5 @@
-// What this router does together with other nodes, in packages of their own: it gets tokens for
-// tenants with a limit (quotaclient), reports usage (usagereport), and finds out which zones it
-// cannot reach (zoneping).
+// Setup of the clients for cooperation with other nodes: tokens for rate-limited tenants
+// (quotaclient), usage reports (usagereport), and detection of unreachable zones (zoneping).
 
 package router
 
@@ -16,10 +15,11 @@
 	"beechtide.org/beechtide/internal/router/zoneping"
 )
 
-// timeOfDayPeriod is how often the machine's clock is compared with the fleet's time of day.
+// timeOfDayPeriod is the interval at which the machine's clock is compared with the fleet's time of
+// day.
 const timeOfDayPeriod = 400 * time.Millisecond
 
-// newClientsOfOthers makes what works together with other nodes.
+// newClientsOfOthers creates the clients for cooperation with other nodes.
 func (r *Router) newClientsOfOthers() (err error) {
 	r.quotas, err = quotaclient.New(quotaclient.Config{
 		Addr:        r.transport.Addr(),
@@ -65,7 +65,7 @@
 	return addrs
 }
 
-// setUnreachable has the runners of these zones get no requests.
+// setUnreachable excludes the runners of these zones from new requests.
 func (r *Router) setUnreachable(sinceUs map[string]int64) {
 	r.admissionMu.Lock()
 	r.admission.SetUnreachable(sinceUs, r.clock())
@@ -73,7 +73,8 @@
 	r.wakeQueue()
 }
 
-// seeRouters tells those that share something among all routers which ones are alive.
+// seeRouters passes the addresses of the live routers to the components that divide limits among
+// them: the admission control and the quota client.
 func (r *Router) seeRouters() {
 	var addrs []string
 	for _, peer := range r.monitor.Alive(messages.Router) {
@@ -85,7 +86,7 @@
 	r.quotas.Sweep(addrs)
 }
 
-// countUsage counts a request once, when a runner has begun it.
+// countUsage counts a tenant's request once, when a runner has begun to answer it with status 2xx.
 func (e *exchange) countUsage(r *protocol.Response) {
 	if e.usageCounted || e.tenant == nil || r.StatusCode()/100 != 2 || e.router.usage == nil {
 		return
--- a/internal/router/quotaclient/client.go
+++ b/internal/router/quotaclient/client.go
@@ -1,7 +1,11 @@
-// Package quotaclient gets the tokens with which requests of limited tenants run (package quota).
-// Tokens come from the controller that owns the tenant's count; requests of a tenant that arrive
-// while a question is under way share the next one. Where no owner answers, a few routers, the
-// lenders, share what a limit leaves for this (lending.go).
+// Package quotaclient acquires the quota tokens that requests of rate-limited tenants need before
+// they are sent to a runner (package quota). The router calls Acquire before an attempt, and Return
+// if the attempt did not run.
+//
+// Tokens are granted by the controller that owns the tenant's quota shard. At most one token
+// request per tenant is in progress; requests that arrive meanwhile are batched into the next one.
+// While no owner answers, a few routers, the lenders, let requests run within the allowance that
+// the limit reserves for this case (lending.go).
 package quotaclient
 
 import (
@@ -21,24 +25,24 @@
 )
 
 const (
-	// answerTimeout is after how long without an answer another controller is asked.
+	// answerTimeout is the time without an answer after which the next controller is tried.
 	answerTimeout = 45 * time.Millisecond
-	// lateAnswerTimeout is how long an answer is still taken.
+	// lateAnswerTimeout is the time during which a late answer is still used.
 	lateAnswerTimeout = 400 * time.Millisecond
-	// maxAsksOfOne is how often a controller is asked in a round that others name as the owner:
-	// its first answer may be late.
-	maxAsksOfOne = 2
-	// roundPause is the pause after no controller was the owner.
+	// maxRequestsPerController limits the requests per round to a controller that others name as the owner:
+	// the answer to the first one may be late.
+	maxRequestsPerController = 2
+	// roundPause is the pause after a round in which no controller was the owner.
 	roundPause = 25 * time.Millisecond
-	// silentUs is after how long without an owner requests wait for one for silentWaitUs
-	// only, before they run without a token, if they may.
-	silentUs     = 60_000
-	silentWaitUs = 5_000
-	// Times after which a client may come back.
+	// Once no owner has answered for unownedAfterUs, requests wait for one only for unownedWaitUs
+	// before they try to run without a token.
+	unownedAfterUs = 60_000
+	unownedWaitUs  = 5_000
+	// Times after which a client may retry.
 	minDeniedRetryUs = 50_000
 	maxDeniedRetryUs = 2_000_000
 	noOwnerRetryUs   = 250_000
-	// SweepInterval is how often Sweep is to be called.
+	// SweepInterval is the interval at which the caller calls Sweep.
 	SweepInterval = time.Second
 )
 
@@ -47,23 +51,23 @@
 	Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error)
 }
 
-// Config is what a Client is given. All fields are required.
+// Config holds the dependencies and parameters of a Client. All fields are required.
 type Config struct {
 	// Addr is the address of this router.
 	Addr string
-	// Bounds is how far the sum over all routers may exceed a limit.
+	// Bounds limit how far the sum over all routers may exceed a limit.
 	Bounds quota.Bounds
 	Clock  func() int64 // microseconds, monotonic
 	Log    logr.Logger
 	Peers  Caller
-	// Controllers returns the addresses of the controllers that may own a count.
+	// Controllers returns the addresses of the controllers that may own a quota shard.
 	Controllers func() []string
 }
 
 // ErrConfig means that a field of a Config is missing.
 var ErrConfig = errors.New("quotaclient: incomplete configuration")
 
-// Client asks the owners of tenants' counts. It is safe for concurrent use.
+// Client requests tokens from the owners of the tenants' quotas. It is safe for concurrent use.
 type Client struct {
 	config  Config
 	granted atomic.Int64
@@ -74,18 +78,18 @@
 	mu      sync.Mutex // guards what follows
 	grantee *quota.Grantee
 	tenants map[string]*tenantQueue
-	owners  map[int]string // by shard: who was the owner last
+	owners  map[int]string // last known owner, by shard
 }
 
-// tenantQueue is the requests of a tenant that wait for a token.
+// tenantQueue holds the requests of a tenant that wait for a token.
 type tenantQueue struct {
-	limit    quota.Limit
-	waiting  []*waiter
-	asking   bool
-	silentUs int64 // since when no owner has answered; 0: one has
+	limit          quota.Limit
+	waiting        []*waiter
+	requesting     bool
+	noOwnerSinceUs int64 // start of the period without an answer of an owner; 0 if the owner answers
 }
 
-// waiter is a request that waits.
+// waiter is a request that waits for a token.
 type waiter struct{ answer chan Answer }
 
 // New returns a client without tokens.
@@ -101,40 +105,42 @@
 	}, nil
 }
 
-// Sweep forgets tenants that send nothing, and takes note of the routers that are alive.
+// Sweep removes the state of idle tenants and updates the list of live routers, from which the
+// lenders are chosen.
 func (c *Client) Sweep(routers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.grantee.SetRouters(routers, c.config.Clock())
 	c.grantee.Sweep(c.config.Clock())
 	for tenant, queue := range c.tenants {
-		if !queue.asking && queue.silentUs == 0 {
+		if !queue.requesting && queue.noOwnerSinceUs == 0 {
 			delete(c.tenants, tenant)
 		}
 	}
 }
 
-// Acquire returns a token for a request, or why there is none. It waits for waitUs at most.
-// arrives tells that the request is new.
-func (c *Client) Acquire(tenant string, limit quota.Limit, arrives bool, waitUs int64, left <-chan struct{}) Answer {
+// Acquire returns a token for a request, or the reason why there is none. It waits for at most
+// waitUs, or until clientGone is closed. isNew is true for a new request and false for a retry of one
+// that was already counted.
+func (c *Client) Acquire(tenant string, limit quota.Limit, isNew bool, waitUs int64, clientGone <-chan struct{}) Answer {
 	untilUs := c.config.Clock() + waitUs
 	for {
-		answer := c.acquireOnce(tenant, limit, arrives, untilUs, left)
+		answer := c.acquireOnce(tenant, limit, isNew, untilUs, clientGone)
 		nowUs := c.config.Clock()
 		if answer.Outcome != Denied || nowUs+answer.WaitUs > untilUs {
 			return answer
 		}
-		// A token will be there in time.
+		// A token is expected before the time is up.
 		time.Sleep(time.Duration(answer.WaitUs) * time.Microsecond)
-		arrives = false
+		isNew = false
 	}
 }
 
-func (c *Client) acquireOnce(tenant string, limit quota.Limit, arrives bool, untilUs int64, left <-chan struct{}) Answer {
+func (c *Client) acquireOnce(tenant string, limit quota.Limit, isNew bool, untilUs int64, clientGone <-chan struct{}) Answer {
 	nowUs := c.config.Clock()
 	c.mu.Lock()
 	token, ok := quota.Token{}, false
-	if arrives {
+	if isNew {
 		token, ok = c.grantee.Arrive(tenant, nowUs)
 	} else {
 		token, ok = c.grantee.Take(tenant, nowUs)
@@ -151,37 +157,37 @@
 	if limit.Version >= t.limit.Version {
 		t.limit = limit
 	}
-	silent := t.silentUs > 0 && nowUs-t.silentUs > silentUs
+	unowned := t.noOwnerSinceUs > 0 && nowUs-t.noOwnerSinceUs > unownedAfterUs
 	w := &waiter{answer: make(chan Answer, 1)}
 	t.waiting = append(t.waiting, w)
-	if !t.asking {
-		t.asking = true
-		go c.ask(tenant, t)
+	if !t.requesting {
+		t.requesting = true
+		go c.requestTokens(tenant, t)
 	}
 	c.mu.Unlock()
-	if silent {
-		untilUs = min(untilUs, nowUs+silentWaitUs)
+	if unowned {
+		untilUs = min(untilUs, nowUs+unownedWaitUs)
 	}
-	return c.wait(tenant, t, w, untilUs-nowUs, left)
+	return c.wait(tenant, t, w, untilUs-nowUs, clientGone)
 }
 
-// wait waits for the answer to a question. Without one, the request may run on a token of a
-// lender.
-func (c *Client) wait(tenant string, t *tenantQueue, w *waiter, waitUs int64, left <-chan struct{}) Answer {
+// wait waits for a token from the owner. If none comes in time, the request may run within the
+// allowance of a lender.
+func (c *Client) wait(tenant string, t *tenantQueue, w *waiter, waitUs int64, clientGone <-chan struct{}) Answer {
 	timer := time.NewTimer(time.Duration(waitUs) * time.Microsecond)
 	defer timer.Stop()
 	select {
 	case a := <-w.answer:
 		return a
 	case <-timer.C:
-	case <-left:
+	case <-clientGone:
 	}
 	c.mu.Lock()
 	t.waiting = slices.DeleteFunc(t.waiting, func(other *waiter) bool { return other == w })
 	limit := t.limit
 	c.mu.Unlock()
 	select {
-	case a := <-w.answer: // it came in between
+	case a := <-w.answer: // it arrived before the waiter was removed
 		return a
 	default:
 	}
@@ -194,28 +200,29 @@
 	return Answer{Outcome: Unknown, WaitUs: noOwnerRetryUs}
 }
 
-// ask asks for tokens until no request of the tenant waits.
-func (c *Client) ask(tenant string, t *tenantQueue) {
+// requestTokens requests tokens until no request of the tenant waits.
+func (c *Client) requestTokens(tenant string, t *tenantQueue) {
 	for {
 		c.mu.Lock()
 		need := len(t.waiting)
 		if need == 0 {
-			t.asking = false
+			t.requesting = false
 			c.mu.Unlock()
 			return
 		}
 		limit := t.limit
 		want := c.grantee.Want(tenant, limit, need, c.config.Clock())
 		c.mu.Unlock()
-		ask := messages.QuotaAsk{Tenant: tenant, Need: need, Want: want, RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version}
-		if !c.askRound(tenant, t, &ask) {
+		request := messages.QuotaAsk{Tenant: tenant, Need: need, Want: want, RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version}
+		if !c.requestRound(tenant, t, &request) {
 			time.Sleep(roundPause)
 		}
 	}
 }
 
-// askRound asks one controller after the other, until one is the owner.
-func (c *Client) askRound(tenant string, t *tenantQueue, ask *messages.QuotaAsk) bool {
+// requestRound sends the request to one controller after the other until one answers as the owner,
+// following their hints. It reports whether one did.
+func (c *Client) requestRound(tenant string, t *tenantQueue, request *messages.QuotaAsk) bool {
 	shard := quota.ShardOf(tenant)
 	addrs := c.candidates(shard)
 	tries := map[string]int{}
@@ -229,26 +236,26 @@
 			}
 		}
 		tries[addr]++
-		grant, answered := c.call(addr, tenant, t, ask)
+		grant, answered := c.call(addr, tenant, t, request)
 		if answered && grant.Owner {
 			return true
 		}
 		next = ""
-		if answered && tries[grant.Hint] < maxAsksOfOne {
+		if answered && tries[grant.Hint] < maxRequestsPerController {
 			next = grant.Hint
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.owners, shard)
-	if t.silentUs == 0 {
-		t.silentUs = c.config.Clock()
-		c.config.Log.Info("no owner of the count answers", "tenant", tenant, "shard", shard, "asked", len(tries))
+	if t.noOwnerSinceUs == 0 {
+		t.noOwnerSinceUs = c.config.Clock()
+		c.config.Log.Info("no quota owner answers", "tenant", tenant, "shard", shard, "asked", len(tries))
 	}
 	return false
 }
 
-// candidates is the controllers that may own a shard, the most likely first.
+// candidates returns the controllers that may own a shard, the most likely first.
 func (c *Client) candidates(shard int) []string {
 	out := quota.Order(shard, c.config.Controllers())
 	c.mu.Lock()
@@ -259,15 +266,16 @@
 	return out
 }
 
-// call asks one controller. An answer that comes late is used all the same.
-func (c *Client) call(addr, tenant string, t *tenantQueue, ask *messages.QuotaAsk) (messages.QuotaGrant, bool) {
+// call sends the request to one controller. A grant that arrives after answerTimeout is still
+// distributed.
+func (c *Client) call(addr, tenant string, t *tenantQueue, request *messages.QuotaAsk) (messages.QuotaGrant, bool) {
 	answers := make(chan messages.QuotaGrant, 1)
 	go func() {
 		defer close(answers)
 		ctx, cancel := context.WithTimeout(context.Background(), lateAnswerTimeout)
 		defer cancel()
-		askedUs := c.config.Clock()
-		b, err := c.config.Peers.Call(ctx, addr, transport.KindQuotaAsk, ask)
+		sentUs := c.config.Clock()
+		b, err := c.config.Peers.Call(ctx, addr, transport.KindQuotaAsk, request)
 		var grant messages.QuotaGrant
 		if err == nil {
 			_, err = grant.UnmarshalMsg(b)
@@ -276,7 +284,7 @@
 			return
 		}
 		if grant.Owner {
-			c.settle(addr, tenant, t, ask.Need, grant, askedUs)
+			c.distributeGrant(addr, tenant, t, request.Need, grant, sentUs)
 		}
 		answers <- grant
 	}()
@@ -290,18 +298,18 @@
 	}
 }
 
-// settle hands out what an owner has granted.
-func (c *Client) settle(addr, tenant string, t *tenantQueue, need int, grant messages.QuotaGrant, askedUs int64) {
+// distributeGrant distributes the tokens of a grant to the waiting requests.
+func (c *Client) distributeGrant(addr, tenant string, t *tenantQueue, need int, grant messages.QuotaGrant, sentUs int64) {
 	nowUs := c.config.Clock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.owners[quota.ShardOf(tenant)] = addr
-	if t.silentUs > 0 {
-		c.config.Log.Info("the owner of the count answers again", "tenant", tenant, "owner", addr, "afterMs", (nowUs-t.silentUs)/1000)
-		t.silentUs = 0
+	if t.noOwnerSinceUs > 0 {
+		c.config.Log.Info("quota owner answers again", "tenant", tenant, "owner", addr, "afterMs", (nowUs-t.noOwnerSinceUs)/1000)
+		t.noOwnerSinceUs = 0
 	}
 	c.granted.Add(int64(grant.Granted))
-	c.grantee.Granted(tenant, t.limit, grant.Granted, askedUs, nowUs)
+	c.grantee.Granted(tenant, t.limit, grant.Granted, sentUs, nowUs)
 	served := 0
 	for len(t.waiting) > 0 {
 		token, ok := c.grantee.Take(tenant, nowUs)
@@ -312,8 +320,8 @@
 		t.waiting = t.waiting[1:]
 		served++
 	}
-	// Those that the question was for and that got nothing are over the limit; the others
-	// came later.
+	// Requests that were included in this token request and got no token are over the limit;
+	// the others arrived later and stay in the queue.
 	if grant.Granted >= need {
 		return
 	}
@@ -324,7 +332,7 @@
 	}
 }
 
-// Return returns the token of a request that did not run.
+// Return gives back the token of a request that did not run.
 func (c *Client) Return(tenant string, token quota.Token) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/router/quotaclient/lending.go
+++ b/internal/router/quotaclient/lending.go
@@ -9,11 +9,11 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// borrowTimeout bounds a question to a lender.
+// borrowTimeout bounds a call to a lender.
 const borrowTimeout = 20 * time.Millisecond
 
-// borrow reports whether a request may run without a token: a lender of the tenant, which may
-// be this router, has one left in this window.
+// borrow reports whether a request may run without a token of the owner: a lender of the tenant,
+// which may be this router, has allowance left in the current window.
 func (c *Client) borrow(tenant string, limit quota.Limit) bool {
 	c.mu.Lock()
 	lenders := c.grantee.Lenders(tenant)
@@ -22,19 +22,19 @@
 	if lent {
 		return true
 	}
-	ask := messages.QuotaAsk{Tenant: tenant, Need: 1, Want: 1, RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version}
+	request := messages.QuotaAsk{Tenant: tenant, Need: 1, Want: 1, RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version}
 	for _, addr := range lenders {
-		if addr != c.config.Addr && c.borrowFrom(addr, &ask) {
+		if addr != c.config.Addr && c.borrowFrom(addr, &request) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Client) borrowFrom(addr string, ask *messages.QuotaAsk) bool {
+func (c *Client) borrowFrom(addr string, request *messages.QuotaAsk) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), borrowTimeout)
 	defer cancel()
-	b, err := c.config.Peers.Call(ctx, addr, transport.KindQuotaUnowned, ask)
+	b, err := c.config.Peers.Call(ctx, addr, transport.KindQuotaUnowned, request)
 	if err != nil {
 		return false
 	}
@@ -43,16 +43,17 @@
 	return err == nil && grant.Granted > 0
 }
 
-// HandleBorrow lends to another router.
+// HandleBorrow answers the request of another router to run one request within this router's
+// allowance as a lender.
 func (c *Client) HandleBorrow(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
-	var ask messages.QuotaAsk
-	if _, err := ask.UnmarshalMsg(body); err != nil {
+	var request messages.QuotaAsk
+	if _, err := request.UnmarshalMsg(body); err != nil {
 		return nil, err
 	}
-	limit := quota.Limit{Version: ask.Version, RatePerS: ask.RatePerS, Burst: ask.Burst}
+	limit := quota.Limit{Version: request.Version, RatePerS: request.RatePerS, Burst: request.Burst}
 	var grant messages.QuotaGrant
 	c.mu.Lock()
-	if c.grantee.Lend(ask.Tenant, limit, c.config.Clock()) {
+	if c.grantee.Lend(request.Tenant, limit, c.config.Clock()) {
 		grant.Granted = 1
 	}
 	c.mu.Unlock()
--- a/internal/router/reach.go
+++ b/internal/router/reach.go
@@ -8,11 +8,12 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// reachWait bounds the call by which a router looks whether it reaches another node.
+// reachWait bounds the call with which a router checks whether it can reach another node.
 const reachWait = 150 * time.Millisecond
 
-// answerReach answers a controller that does not reach another one and wants to know whether
-// that one is down or the way there is cut, as the indirect probes of SWIM do.
+// answerReach checks on behalf of a controller whether this router can reach another node, like
+// the indirect probes of SWIM: the controller cannot reach that node itself, and must distinguish a
+// node that is down from a broken link.
 func (r *Router) answerReach(ctx context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	var query messages.ReachQuery
 	if _, err := query.UnmarshalMsg(body); err != nil {
--- a/internal/router/retired_test.go
+++ b/internal/router/retired_test.go
@@ -11,7 +11,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// retire has the router take a configuration that retires the weights below 5 of the model.
+// retire applies a configuration that retires the weights of the model below version 5.
 func (r *Router) retire(t *testing.T, version int64) {
 	t.Helper()
 	retiring := strings.Replace(configText, `"limits":{`, `"retired":[{"model":"m","before":5}],"limits":{`, 1)
@@ -19,7 +19,7 @@
 	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, retiring, version)}}))
 }
 
-// listBoth has the router know a runner with weights 4 and one with weights 5.
+// listBoth registers a runner with weights 4 and one with weights 5.
 func (r *Router) listBoth(t *testing.T, old, renewed *runner) {
 	t.Helper()
 	var notes []messages.RunnerRecord
@@ -31,7 +31,7 @@
 	r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, notes...)}})
 }
 
-// load has the router take the runner of weights 5 for loaded, or for idle.
+// load sets the prefill load of other nodes at the runner with weights 5.
 func (r *Router) load(prefill int) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
@@ -65,7 +65,7 @@
 	must.Eq(t, "w5/t1", renewed.lastRequest().Header.Get(hSalt))
 }
 
-// A configuration that comes late, from before, does not bring retired weights back.
+// An earlier configuration that arrives late does not make retired weights usable again.
 func TestAnEarlierConfigurationDoesNotBringRetiredWeightsBack(t *testing.T) {
 	old := newRunner(t)
 	c, front, _ := start(t, old)
@@ -100,8 +100,8 @@
 	must.Zero(t, renewed.requestCount())
 }
 
-// A request that waits at a runner with retired weights goes to another one, if it may run
-// again; one that may run once is left where it is.
+// A request that waits at a runner with retired weights is sent to another runner if its route is
+// repeatable; otherwise it stays where it is.
 func TestWaitingRequestOnRetiredWeightsIsAnsweredOnce(t *testing.T) {
 	for _, c := range []struct {
 		path  string
--- a/internal/router/retirements.go
+++ b/internal/router/retirements.go
@@ -1,4 +1,4 @@
-// Retired weights, as this router goes by them.
+// Retired weights, as listed in the configuration.
 
 package router
 
@@ -9,11 +9,12 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// retirements notes since when weights count as retired here. The mutex of the admitter
-// guards it.
+// retirements records since when weights have been retired on this node. It is guarded by
+// admissionMu.
 type retirements struct{ sinceUs map[messages.Target]int64 }
 
-// observe takes what a configuration says: by model the first version that is not retired.
+// observe applies the retirements of a configuration: by model, the first version that is not
+// retired.
 func (r *retirements) observe(retired map[string]int64, nowUs int64) {
 	next := map[messages.Target]int64{}
 	for model, before := range retired {
@@ -26,7 +27,8 @@
 	r.sinceUs = next
 }
 
-// retiredConditions are the retired weights and what is left of them.
+// retiredConditions returns the retired weights, the number of runners that still have them and of
+// the prompt parts that these have cached.
 func (r *Router) retiredConditions() []messages.RetiredCondition {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -2,7 +2,7 @@
 // package admission for a runner, sends attempts to runners and streams the responses
 // back.
 //
-// # What it is given and what it guarantees
+// # Inputs and guarantees
 //
 // New takes the settings, a pool of goroutines, a monotonic clock in microseconds and
 // a logger. Configuration, runners, cached prefixes and loads arrive as feeds from a
@@ -21,11 +21,11 @@
 //
 // front.go checks a request, attempts.go makes its attempts, send.go each of them, responses.go streams the
 // response, move.go resumes streams elsewhere, withdraw.go ends attempts,
-// client_watch.go notices clients that leave, feed.go applies feeds, loads.go reports
-// load, compare.go and recheck.go ask controllers beside the tree, missing.go probes
+// client_watch.go detects clients that disconnect, feed.go applies feeds, loads.go reports
+// load, compare.go and recheck.go query controllers outside the tree, missing.go probes
 // absent runners, leave.go shuts down by the plan of shutdown_plan.go.
 //
-// # Who owns which state
+// # Ownership of state
 //
 // Run starts a goroutine for each periodic task, for the subscription and for each
 // server. A request belongs to the goroutine of the HTTP server that serves its
@@ -43,7 +43,7 @@
 //   - The registry, the connection pool, the slab, the attempts under way and the
 //     audit trail guard themselves.
 //
-// Where several of the first three are held they are taken in this order. None is held
+// If several of the first three are held, they are locked in this order. None is held
 // while a runner or another node is called.
 package router
 
@@ -78,7 +78,7 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// Router is the running role.
+// Router is the state of a running router.
 type Router struct {
 	set       settings.Settings
 	log       logr.Logger
@@ -95,7 +95,7 @@
 	parts         map[int]messages.RegisterUpdate
 	evacuations   map[int][]messages.Evacuation // by register
 	configuration *routeconfig.Replica
-	runners       *statesync.Entries // as the parent has them
+	runners       *statesync.Entries // replica of the parent's list
 	feedStats     stats
 
 	up     dissemination.Subscriber
@@ -107,18 +107,18 @@
 	budgets         map[string]*upstream.Budget
 	slab            inflight.Slab[admission.Decision]
 	queueChanged    chan struct{}
-	prefixesPending chan struct{} // shared parts have been sent to be read
+	prefixesPending chan struct{} // a runner has begun to prefill prefixes that others may share
 	loadsChanged    chan struct{} // this node's loads have changed
 	missing         chan struct{} // a runner was not at its address
 	sent            sentAttempts
-	movableStreams  sentAttempts               // streams that have begun and that another attempt may take up
-	pendingConnects activeSet[*pendingConnect] // connections in the making
-	undelivered     sentAttempts               // begun, and the client has nothing of the answer yet
+	movableStreams  sentAttempts               // streams that have begun and that another attempt may resume
+	pendingConnects activeSet[*pendingConnect] // connections being established
+	undelivered     sentAttempts               // begun, but the client has received no part of the response
 
 	freshness    freshnessChecks
 	comparisons  *dissemination.Comparisons
 	core         coreMemory
-	lastUpdateUs atomic.Int64 // when the parent, in reach of the core, last sent a feed
+	lastUpdateUs atomic.Int64 // when a parent that reaches the core last sent a feed
 
 	trail    compliance.Trail
 	seeds    atomic.Pointer[[]string]
@@ -129,10 +129,10 @@
 
 	shutdown   atomic.Pointer[shutdownPlan] // nil until SIGTERM
 	drainBegun chan struct{}                // closed when shutdown is set
-	finalPhase chan struct{}                // closed when what has no answer yet gets its last one
+	finalPhase chan struct{}                // closed when requests without a response get their final one
 
 	timeOfDay clocksync.Shared
-	usage     *usagereport.Reports // nil where no usage is wanted
+	usage     *usagereport.Sender // nil if usage reporting is disabled
 	quotas    *quotaclient.Client
 	zones     *zoneping.Prober
 
@@ -146,11 +146,11 @@
 // usPerMs converts milliseconds into microseconds.
 const usPerMs = int64(1000)
 
-// comparisonOrders is among how many orders a router chooses the one in which it asks the
-// controllers, so that not all ask the same one at a time.
+// comparisonOrders is the number of orders in which routers query the controllers. Each router
+// chooses one at random, so that not all query the same controller at a time.
 const comparisonOrders = 64
 
-// New builds the role. It takes no part in anything before Run.
+// New creates a router. It sends nothing and serves nothing before Run.
 func New(set settings.Settings, pool *ants.Pool, clock func() int64, log logr.Logger) (*Router, error) {
 	trans, err := transport.New(set.RouterAddr(), pool, log)
 	if err != nil {
@@ -215,8 +215,8 @@
 	return admitter
 }
 
-// joinTree makes both ends of this router's place in the relay tree: the link to its parent and what
-// it sends to the routers below it.
+// joinTree sets up this router's part of the relay tree: the subscription to its parent and the
+// publisher for the routers below it.
 func (r *Router) joinTree() {
 	r.publisher = dissemination.NewPublisher(r.transport, dissemination.Upstream{
 		DeltaSince:   r.deltaSince,
@@ -232,7 +232,7 @@
 	r.up.Counts = &r.counters.subscriptions
 }
 
-// Run serves until ctx ends; it then leaves in order.
+// Run serves until ctx ends and then shuts down gracefully.
 func (r *Router) Run(ctx context.Context) error {
 	live, stop := context.WithCancel(context.Background())
 	defer r.transport.Close()
@@ -277,20 +277,20 @@
 	return nil
 }
 
-// zoneParentWaitUs is for how long a router that has just started waits until it has heard of a
-// controller of its own zone. All routers know the same few seeds: if hundreds that start at once
-// took their first snapshot there, and another one from their own zone a moment later, the
-// snapshots would fill the seeds' links for seconds.
+// zoneParentWaitUs is the time that a starting router waits for a controller of its own zone to
+// appear in the membership. All routers have the same few seeds: if hundreds that start at once
+// fetched their first snapshot from these, and another one from their own zone a moment later, the
+// snapshots would saturate the seeds' links for seconds.
 const zoneParentWaitUs = 400_000
 
-// waitsForZone reports whether a router still waits to hear of a controller of its zone.
+// waitsForZone reports whether a starting router still waits for a controller of its zone.
 func waitsForZone(uptimeUs int64, zone string, controllers []messages.Peer) bool {
 	inZone := func(p messages.Peer) bool { return p.Zone == zone }
 	return uptimeUs < zoneParentWaitUs && !slices.ContainsFunc(controllers, inZone)
 }
 
-// parents lists whom this router may take updates from, the first choice first; nobody yet while
-// it waits for a controller of its zone.
+// parents returns the nodes to which this router may subscribe, the preferred one first; none
+// while it waits for a controller of its zone.
 func (r *Router) parents() []string {
 	controllers := r.monitor.Alive(messages.Controller)
 	if waitsForZone(r.clock()-r.startUs, r.set.Zone, controllers) {
@@ -303,8 +303,7 @@
 	return list
 }
 
-// Reload takes what may change in a running process from newly read settings:
-// the seeds.
+// Reload applies the settings that may change in a running process: the seeds.
 func (r *Router) Reload(set settings.Settings) { r.seeds.Store(&set.Seeds) }
 
 func (r *Router) seedAddrs() []string {
@@ -313,9 +312,9 @@
 	return set.SeedAddrs()
 }
 
-// syncAdmission brings the admission control to the runners and services that are
-// known. Several feeds may be taken in at the same time; what is known is read
-// under the lock, so that the last to get it leaves the newest behind.
+// syncAdmission updates the admission control from the current configuration and registry. Feeds
+// may be applied concurrently; both are read with the admission lock held, so that the last call
+// to acquire it applies the newest state.
 func (r *Router) syncAdmission() {
 	r.loads.markAllChanged()
 	r.admissionMu.Lock()
@@ -350,7 +349,8 @@
 	}
 }
 
-// certified works out which runners and stores each regime lets in.
+// certified returns the runners and stores that each regime allows, by regime and ID; nil if there
+// are no regimes.
 func certified(t *routeconfig.Table, notes []messages.RunnerRecord) map[string]map[string]bool {
 	if t == nil || t.Policies.None() {
 		return nil
@@ -376,8 +376,8 @@
 	return compliance.Runner{ID: n.ID, Service: n.Service, Zone: n.Zone}
 }
 
-// storesFor lists the stores that the runners of a service may use: all there
-// are, where moving memory is possible at all.
+// storesFor returns the cache stores that the runners of a service may use: all stores with a
+// link rate, if the service's engine supports cache transfers.
 func storesFor(t *routeconfig.Table, service string) []admission.Store {
 	if t == nil {
 		return nil
@@ -395,11 +395,11 @@
 	return out
 }
 
-// returnColdBeats is for how many heartbeats the runners of a zone count as cold that is taken
-// back from an evacuation: by then they have said what they are.
+// returnColdBeats is the number of heartbeat periods for which the runners of a zone count as cold
+// after its evacuation has ended: by then their heartbeats have reported their state.
 const returnColdBeats = 2
 
-// forgetEvery is how often runners that the parent no longer lists are looked for.
+// forgetEvery is the interval at which runners that the parent no longer lists are removed.
 const forgetEvery = 5 * time.Second
 
 func (r *Router) wakeQueue() { signal(r.queueChanged) }
@@ -411,7 +411,7 @@
 	}
 }
 
-// pump lets the admission control's time pass while requests wait.
+// pump calls tick at every tickInterval while requests are queued.
 func (r *Router) pump(ctx context.Context) {
 	for {
 		select {
@@ -425,10 +425,11 @@
 	}
 }
 
-// tickInterval is how often decisions on queued requests are made.
+// tickInterval is the interval of decisions on queued requests.
 const tickInterval = 8 * time.Millisecond
 
-// tick decides on queued requests, and resumes those that are decided on.
+// tick resumes the queued requests on which the admission control has decided. If a request is no
+// longer waiting, its reservation is released.
 func (r *Router) tick() {
 	r.admissionMu.Lock()
 	decisions := r.admission.Tick(r.clock())
--- a/internal/router/runner_leaves_test.go
+++ b/internal/router/runner_leaves_test.go
@@ -11,8 +11,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A runner that leaves serves on for a while: what runs there ends there, nothing
-// more is sent to it, and what is heard late does not bring it back.
+// A runner that has left continues to serve for a while: requests in progress complete there, no
+// new ones are sent to it, and late records of it do not make it available again.
 func TestRunnerThatLeftEndsWhatItHasAndGetsNothingMore(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	finish := make(chan struct{})
--- a/internal/router/service_rollouts.go
+++ b/internal/router/service_rollouts.go
@@ -1,4 +1,4 @@
-// Rollouts of services, as this router goes by them.
+// Rollouts of services, as received from the registers.
 
 package router
 
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// recordRollouts takes what a register says of rollouts. The caller has the mutex of what was
-// received.
+// recordRollouts passes the rollouts of a register to the admission control. The caller holds
+// stateMu.
 func (r *Router) recordRollouts(list []messages.ServiceRollout) {
 	if len(list) == 0 {
 		return
@@ -20,8 +20,8 @@
 	r.admission.SetRollouts(list)
 }
 
-// classOf is the kind of request that outcomes are compared by: routes with the same aim are
-// of one kind.
+// classOf returns the class within which the outcomes of requests are compared: routes with the
+// same latency setpoint are in one class.
 func classOf(route *routeconfig.Route) string {
 	const usPerMs = 1000
 	return strconv.FormatInt(route.SetpointUs/usPerMs, 10) + " ms"
--- a/internal/router/sync_test.go
+++ b/internal/router/sync_test.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// One feed is taken in and waits for its turn at the admission control while
-// another one, which names a runner of another service, is taken in too.
+// While one feed is being applied and waits for the admission lock, another one adds a runner of
+// another service. The admission control must have that runner afterwards.
 func TestSyncAdmissionLeavesTheNewestRunnersBehind(t *testing.T) {
 	c, _, _ := start(t)
 	known := func(service string) bool {
@@ -32,7 +32,7 @@
 		c.syncAdmission()
 		close(done)
 	}()
-	for waiting := false; !waiting; runtime.Gosched() { // it is on its way to the lock
+	for waiting := false; !waiting; runtime.Gosched() { // allChanged is set shortly before the lock is requested
 		c.loads.mu.Lock()
 		waiting = c.loads.allChanged
 		c.loads.mu.Unlock()
--- a/internal/router/targets.go
+++ b/internal/router/targets.go
@@ -1,12 +1,12 @@
-// Target weights versions: what this router receives about named versions, their ages,
-// and contact with the controllers that send them.
+// Target versions of weights: this router receives the named versions and their ages, and records
+// its contact with the controllers that send them.
 
 package router
 
 import "beechtide.org/beechtide/internal/messages"
 
-// takeTargetAges takes the ages that came with a feed. A feed that a controller
-// sent which has the core in reach also shows that this node is in contact.
+// takeTargetAges applies the target ages of a feed. A feed sent by a controller that reaches the
+// core also renews this node's contact.
 func (r *Router) takeTargetAges(f messages.Feed, nowUs int64) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
@@ -16,12 +16,12 @@
 	}
 }
 
-// takeVersions takes the same from a controller's answer to a call.
+// takeVersions applies the target ages of a controller's answer to a call, likewise.
 func (r *Router) takeVersions(m messages.Versions) {
 	r.takeTargetAges(messages.Feed{TargetAges: m.TargetAges, CutOff: m.CutOff}, r.clock())
 }
 
-// assumeTargets notes named versions that may have come without their ages.
+// assumeTargets records named versions that may have been received without their ages.
 func (r *Router) assumeTargets(named []messages.Target, nowUs int64) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
--- a/internal/router/targets_test.go
+++ b/internal/router/targets_test.go
@@ -30,8 +30,8 @@
 	must.False(t, c.admission.WeightsAllowed(adm, lostUs))
 }
 
-// A node above that recalled its targets learns their ages from this one, and one
-// below gets them with whatever else it lacks.
+// A parent that has lost the ages of its targets receives them with this node's sync state, and a
+// subscriber receives them with its delta.
 func TestAgesOfTargetsGoBothWaysInTheTree(t *testing.T) {
 	c, _, _ := start(t)
 	c.applyFeed("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: 1_000_000}}})
--- a/internal/router/usagereport/reports.go
+++ b/internal/router/usagereport/reports.go
@@ -1,7 +1,11 @@
-// Package usagereport sends the controllers how many requests of each tenant began to run, in
-// windows of the time of day (package usage). Counts go to the controllers of this zone, or to
-// others where it has fewer than two, and are kept here until their window is closed: a
-// controller that has restarted, or that takes the place of one, gets them again.
+// Package usagereport sends the controllers the number of requests of each tenant that a runner has
+// begun, in windows of the fleet's time of day (package usage). The router calls Add for each such
+// request.
+//
+// Counts go to two controllers, those of the router's zone first. They are retained until the
+// controllers have closed their window, so that a controller that has restarted, or that replaces
+// another as receiver, gets all of them again. The counts of about one period are lost if the
+// router dies.
 package usagereport
 
 import (
@@ -24,13 +28,13 @@
 )
 
 const (
-	// period is how often counts are sent; the counts of so long are lost with a router.
-	period        = 400 * time.Millisecond
-	reportTimeout = 350 * time.Millisecond
-	// receiverCount is how many controllers get the counts.
+	// reportInterval is the interval between reports; a router that dies loses the counts of up to one period.
+	reportInterval = 400 * time.Millisecond
+	reportTimeout  = 350 * time.Millisecond
+	// receiverCount is the number of controllers that receive the counts.
 	receiverCount = 2
-	// checkAfterIdle is after how many periods without a change a receiver is asked
-	// whether it still has the counts.
+	// checkAfterIdle is the number of periods without a change after which an empty report checks
+	// whether the receiver has restarted and lost the counts.
 	checkAfterIdle = 5
 )
 
@@ -39,7 +43,7 @@
 	Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error)
 }
 
-// Config is what Reports are given. All fields are required.
+// Config holds the dependencies and parameters of a Sender. All fields are required.
 type Config struct {
 	// Addr and Zone are those of this router.
 	Addr, Zone string
@@ -49,16 +53,16 @@
 	Peers    Caller
 	// Controllers returns the controllers that are alive.
 	Controllers func() []messages.Peer
-	// TimeOfDay returns the fleet's time of day at a moment of the clock, in microseconds,
-	// and whether it has been compared with a controller's.
+	// TimeOfDay converts a reading of Clock into the fleet's time of day, in microseconds, and
+	// reports whether that has been compared with a controller's clock.
 	TimeOfDay func(atUs int64) (timeUs int64, agreed bool)
 }
 
 // ErrConfig means that a field of a Config is missing.
 var ErrConfig = errors.New("usagereport: incomplete configuration")
 
-// Reports is safe for concurrent use.
-type Reports struct {
+// Sender counts requests and sends the counts to controllers. It is safe for concurrent use.
+type Sender struct {
 	config  Config
 	startUs int64
 
@@ -67,20 +71,20 @@
 	receivers map[string]*receiver
 }
 
-// receiver is a controller that gets the counts.
+// receiver is the state of a controller that receives the counts.
 type receiver struct {
-	epoch   int64 // of its process
-	change  int64 // the newest change that it has
-	waiting bool  // a report is under way
-	idle    int   // periods without a report
+	epoch              int64 // identifies its process
+	acknowledgedChange int64 // newest change that it has acknowledged
+	inFlight           bool  // a report is in flight
+	idlePeriods        int   // periods since the last report
 }
 
-// New returns reports without counts.
-func New(config Config) (*Reports, error) {
+// New returns a Sender without counts.
+func New(config Config) (*Sender, error) {
 	if config.Addr == "" || config.WindowUs <= 0 || config.Clock == nil || config.Peers == nil || config.Controllers == nil || config.TimeOfDay == nil {
 		return nil, ErrConfig
 	}
-	return &Reports{
+	return &Sender{
 		config:    config,
 		startUs:   config.Clock(),
 		counter:   usage.NewCounter(fmt.Sprintf("%s/%x", config.Addr, rand.Uint64())),
@@ -89,12 +93,12 @@
 }
 
 // Run sends the counts until ctx ends.
-func (r *Reports) Run(ctx context.Context) {
-	loop.Every(ctx, period, func() { r.report(ctx) })
+func (r *Sender) Run(ctx context.Context) {
+	loop.Every(ctx, reportInterval, func() { r.report(ctx) })
 }
 
 // Add counts a request of a tenant that a runner has begun.
-func (r *Reports) Add(tenant string) {
+func (r *Sender) Add(tenant string) {
 	nowUs := r.config.Clock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,19 +110,19 @@
 }
 
 // timeKnown reports whether the time of day has been compared with a controller's, or
-// there was time for it.
-func (r *Reports) timeKnown(nowUs int64) bool {
+// usage.HoldUs has passed without a comparison, after which the local time is used.
+func (r *Sender) timeKnown(nowUs int64) bool {
 	_, agreed := r.config.TimeOfDay(nowUs)
 	return agreed || nowUs-r.startUs > usage.HoldUs
 }
 
-func (r *Reports) windowAt(atUs int64) int64 {
+func (r *Sender) windowAt(atUs int64) int64 {
 	timeUs, _ := r.config.TimeOfDay(atUs)
 	return usage.WindowOf(timeUs, r.config.WindowUs)
 }
 
-// place counts the requests that began before the time of day was known.
-func (r *Reports) place() {
+// assignWindows assigns the requests that began before the time of day was known to their windows.
+func (r *Sender) assignWindows() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.counter.Holding() && r.timeKnown(r.config.Clock()) {
@@ -126,28 +130,28 @@
 	}
 }
 
-// Closed forgets the windows before the first one that is not closed.
-func (r *Reports) Closed(next int64) {
+// DiscardClosed discards the counts of closed windows, that is, of those before next.
+func (r *Sender) DiscardClosed(firstOpen int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counter.Closed(next)
+	r.counter.Closed(firstOpen)
 }
 
-// report sends each receiver what has changed.
-func (r *Reports) report(ctx context.Context) {
-	r.place()
-	for _, addr := range r.receiving() {
+// report sends each receiver the counts that have changed since its last acknowledgement.
+func (r *Sender) report(ctx context.Context) {
+	r.assignWindows()
+	for _, addr := range r.selectReceivers() {
 		if rows, newest, due := r.due(addr); due {
 			go r.send(ctx, addr, rows, newest)
 		}
 	}
 }
 
-// receiving returns the controllers that get the counts: those of this zone first, each
-// time in the order of this router.
-func (r *Reports) receiving() []string {
+// selectReceivers selects the controllers that receive the counts: those of this zone first, in an
+// order hashed from both addresses, so that it is stable and differs between routers.
+func (r *Sender) selectReceivers() []string {
 	controllers := slices.Clone(r.config.Controllers())
-	away := func(p messages.Peer) int {
+	zoneRank := func(p messages.Peer) int {
 		if p.Zone == r.config.Zone {
 			return 0
 		}
@@ -155,51 +159,52 @@
 	}
 	weight := func(p messages.Peer) uint64 { return statesync.HashText(p.Addr, r.config.Addr) }
 	slices.SortFunc(controllers, func(a, b messages.Peer) int {
-		return cmp.Or(cmp.Compare(away(a), away(b)), cmp.Compare(weight(a), weight(b)))
+		return cmp.Or(cmp.Compare(zoneRank(a), zoneRank(b)), cmp.Compare(weight(a), weight(b)))
 	})
 	var addrs []string
 	for _, p := range controllers[:min(receiverCount, len(controllers))] {
 		addrs = append(addrs, p.Addr)
 	}
-	r.forgetOthers(addrs)
+	r.removeUnselected(addrs)
 	return addrs
 }
 
-// forgetOthers drops the receivers that get the counts no longer.
-func (r *Reports) forgetOthers(addrs []string) {
+// removeUnselected removes the receivers that are no longer selected, unless a report to them is in
+// flight.
+func (r *Sender) removeUnselected(selected []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for addr, to := range r.receivers {
-		if !to.waiting && !slices.Contains(addrs, addr) {
+	for addr, state := range r.receivers {
+		if !state.inFlight && !slices.Contains(selected, addr) {
 			delete(r.receivers, addr)
 		}
 	}
 }
 
-// due returns the report that a receiver is to be sent now.
-func (r *Reports) due(addr string) (rows []messages.UsageRow, newest int64, due bool) {
+// due returns the rows to send to a receiver now; due is false if there is nothing to send.
+func (r *Sender) due(addr string) (rows []messages.UsageRow, newest int64, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	to := r.receivers[addr]
-	if to == nil {
-		to = &receiver{}
-		r.receivers[addr] = to
+	state := r.receivers[addr]
+	if state == nil {
+		state = &receiver{}
+		r.receivers[addr] = state
 	}
-	if to.waiting {
+	if state.inFlight {
 		return nil, 0, false
 	}
-	rows, newest = r.counter.RowsSince(to.change)
-	to.idle++
-	if len(rows) == 0 && (newest == 0 || to.idle < checkAfterIdle) {
+	rows, newest = r.counter.RowsSince(state.acknowledgedChange)
+	state.idlePeriods++
+	if len(rows) == 0 && (newest == 0 || state.idlePeriods < checkAfterIdle) {
 		return nil, 0, false
 	}
-	to.waiting, to.idle = true, 0
+	state.inFlight, state.idlePeriods = true, 0
 	return rows, newest, true
 }
 
-// send sends a report. A receiver whose process is another than before gets all counts
-// with the next one.
-func (r *Reports) send(ctx context.Context, addr string, rows []messages.UsageRow, newest int64) {
+// send sends a report. If the acknowledgement carries a new epoch, the receiver has restarted and
+// gets all counts with the next report.
+func (r *Sender) send(ctx context.Context, addr string, rows []messages.UsageRow, newest int64) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var ack messages.UsageAck
@@ -209,22 +214,22 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	to := r.receivers[addr]
-	to.waiting = false
+	state := r.receivers[addr]
+	state.inFlight = false
 	switch {
 	case err != nil:
-	case to.epoch == 0 || to.epoch == ack.Epoch:
-		to.epoch, to.change = ack.Epoch, newest
+	case state.epoch == 0 || state.epoch == ack.Epoch:
+		state.epoch, state.acknowledgedChange = ack.Epoch, newest
 	default:
-		to.epoch, to.change = ack.Epoch, 0
+		state.epoch, state.acknowledgedChange = ack.Epoch, 0
 	}
 }
 
-// Flush sends what has changed before the process ends.
-func (r *Reports) Flush() {
-	r.place()
+// Flush sends the changed counts before the process ends, and waits for the acknowledgements.
+func (r *Sender) Flush() {
+	r.assignWindows()
 	var sending sync.WaitGroup
-	for _, addr := range r.receiving() {
+	for _, addr := range r.selectReceivers() {
 		if rows, newest, due := r.due(addr); due {
 			sending.Go(func() { r.send(context.Background(), addr, rows, newest) })
 		}
--- a/internal/router/usagereport/reports_test.go
+++ b/internal/router/usagereport/reports_test.go
@@ -11,14 +11,14 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// receivers take all rows, as processes of one epoch.
-type receivers struct {
+// controllerStub records the rows that controllers of one epoch receive.
+type controllerStub struct {
 	mu    sync.Mutex
 	epoch int64
 	rows  map[string][]messages.UsageRow
 }
 
-func (r *receivers) Call(_ context.Context, addr string, _ int, body msgp.Marshaler) ([]byte, error) {
+func (r *controllerStub) Call(_ context.Context, addr string, _ int, body msgp.Marshaler) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rows, ok := body.(*messages.UsageRows); ok {
@@ -28,9 +28,9 @@
 	return ack.MarshalMsg(nil)
 }
 
-func newTestReports(t *testing.T, peers Caller) *Reports {
+func newTestSender(t *testing.T, peers Caller) *Sender {
 	t.Helper()
-	reports, err := New(Config{
+	sender, err := New(Config{
 		Addr:     "r:1",
 		Zone:     "a",
 		WindowUs: 5_000_000,
@@ -42,20 +42,20 @@
 		TimeOfDay: func(int64) (int64, bool) { return 12_000_000, true },
 	})
 	must.NoError(t, err)
-	return reports
+	return sender
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{Addr: "r:1"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-func TestCountsGoToTheControllersOfTheZone(t *testing.T) {
-	peers := &receivers{epoch: 7, rows: map[string][]messages.UsageRow{}}
-	reports := newTestReports(t, peers)
-	reports.Add("x")
-	reports.Add("x")
-	reports.Flush()
+func TestCountsAreSentToControllersOfOwnZone(t *testing.T) {
+	peers := &controllerStub{epoch: 7, rows: map[string][]messages.UsageRow{}}
+	sender := newTestSender(t, peers)
+	sender.Add("x")
+	sender.Add("x")
+	sender.Flush()
 	must.MapLen(t, 2, peers.rows)
 	for _, addr := range []string{"near1", "near2"} {
 		must.Len(t, 1, peers.rows[addr])
@@ -64,14 +64,14 @@
 	}
 }
 
-func TestReceiverThatHasRestartedGetsAllCountsAgain(t *testing.T) {
-	peers := &receivers{epoch: 7, rows: map[string][]messages.UsageRow{}}
-	reports := newTestReports(t, peers)
-	reports.Add("x")
-	reports.Flush()
+func TestRestartedReceiverGetsAllCountsAgain(t *testing.T) {
+	peers := &controllerStub{epoch: 7, rows: map[string][]messages.UsageRow{}}
+	sender := newTestSender(t, peers)
+	sender.Add("x")
+	sender.Flush()
 	peers.epoch = 8
-	reports.Add("y")
-	reports.Flush() // its answer tells that the receiver is another process
-	reports.Flush()
+	sender.Add("y")
+	sender.Flush() // the acknowledgement carries the new epoch
+	sender.Flush()
 	must.Len(t, 2, peers.rows["near1"][0].Counts)
 }
--- a/internal/router/zoneping/prober.go
+++ b/internal/router/zoneping/prober.go
@@ -1,5 +1,7 @@
-// Package zoneping finds out which zones this router cannot reach: a Prober pings routers of the
-// other zones, as package reachability decides, and publishes every change.
+// Package zoneping detects which zones this router cannot reach. A Prober pings routers of the
+// other zones with datagrams and passes every change of the set of unreachable zones to a callback,
+// with which the router excludes the runners of those zones. Package reachability decides which
+// nodes are pinged and when a zone counts as unreachable.
 package zoneping
 
 import (
@@ -19,17 +21,17 @@
 )
 
 const (
-	// minWait is the least time between two looks at the pings.
-	minWait = 10 * time.Millisecond
-	// nodesInterval is how often the nodes to ping are brought up to date.
+	// minTickInterval is the minimum time between two calls of tick.
+	minTickInterval = 10 * time.Millisecond
+	// nodesInterval is the interval at which the nodes to ping are updated.
 	nodesInterval = time.Second
-	// Each router pings every other zone; the time between two rounds grows with the fleet, or the
-	// pings would grow with its square for each zone.
-	idlePartUs = int64(2_000) // a router
-	maxIdleUs  = int64(600_000)
-	// deadNodeUs is for how long a node is pinged, where its zone has no other, that
-	// membership takes for dead: behind a cut it takes all for dead.
-	deadNodeUs = int64(60_000_000)
+	// Each router pings every other zone. The time between two rounds grows with the number of
+	// routers; otherwise the pings that a zone receives would grow with the fleet without limit.
+	idlePerRouterUs = int64(2_000) // per router
+	maxIdleUs       = int64(600_000)
+	// deadNodeTimeoutUs is the time for which a node that membership considers dead is still pinged if its
+	// zone has no live one: during a partition membership considers all nodes of the zone dead.
+	deadNodeTimeoutUs = int64(60_000_000)
 )
 
 // Sender sends a datagram to another node (transport.Transport).
@@ -37,7 +39,7 @@
 	SendDatagram(addr string, kind int, body msgp.Marshaler)
 }
 
-// Config is what a Prober is given. All fields are required.
+// Config holds the dependencies and parameters of a Prober. All fields are required.
 type Config struct {
 	// Addr and Zone are those of this router.
 	Addr, Zone string
@@ -46,32 +48,33 @@
 	Peers      Sender
 	// Routers returns the routers that are alive, this one included.
 	Routers func() []messages.Peer
-	// SetUnreachable puts a change of the unreachable zones in force, with the time since when
-	// each cannot be reached. It is called with the prober's mutex held, so that a later change
-	// is not overtaken by an earlier one.
+	// SetUnreachable receives the unreachable zones after each change, with the time since when
+	// each cannot be reached. It is called with the prober's mutex held, so that changes are
+	// applied in order.
 	SetUnreachable func(sinceUs map[string]int64)
 }
 
 // ErrConfig means that a field of a Config is missing.
 var ErrConfig = errors.New("zoneping: incomplete configuration")
 
-// Prober is safe for concurrent use.
+// Prober pings the nodes of other zones and publishes which zones are unreachable. It is safe for
+// concurrent use.
 type Prober struct {
 	config Config
 
-	mu      sync.Mutex // guards what follows
-	tracker *reachability.Tracker
-	nodes   map[string]node  // by address
-	known   map[string]int64 // the unreachable zones, and since when, as last set
+	mu        sync.Mutex // guards what follows
+	tracker   *reachability.Tracker
+	nodes     map[string]node  // by address
+	published map[string]int64 // unreachable zones as last published, with the time since when
 }
 
 // node is a router of another zone.
 type node struct {
-	zone   string
-	seenUs int64 // when membership last took it for alive
+	zone        string
+	lastAliveUs int64 // when membership last listed it as alive
 }
 
-// New returns a prober that takes all zones for reachable.
+// New returns a prober that considers all zones reachable.
 func New(config Config) (*Prober, error) {
 	if config.Addr == "" || config.Clock == nil || config.Peers == nil || config.Routers == nil || config.SetUnreachable == nil {
 		return nil, ErrConfig
@@ -83,7 +86,7 @@
 	}, nil
 }
 
-// Run works until ctx ends. It wakes when a ping is due, not all the time.
+// Run pings until ctx ends. It sleeps until the next ping is due.
 func (p *Prober) Run(ctx context.Context) {
 	nodesDueUs := int64(0)
 	for ctx.Err() == nil {
@@ -96,18 +99,19 @@
 			nextUs = nodesDueUs
 		}
 		wait := time.Duration(nextUs-p.config.Clock()) * time.Microsecond
-		loop.Pause(ctx, max(wait, minWait))
+		loop.Pause(ctx, max(wait, minTickInterval))
 	}
 }
 
-// updateNodes brings the nodes of the other zones up to date.
+// updateNodes updates the nodes to ping from the live routers. Dead nodes are pinged only in zones
+// without a live one.
 func (p *Prober) updateNodes() {
 	alive, nowUs := p.config.Routers(), p.config.Clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range alive {
 		if peer.Zone != p.config.Zone {
-			p.nodes[peer.Addr] = node{zone: peer.Zone, seenUs: nowUs}
+			p.nodes[peer.Addr] = node{zone: peer.Zone, lastAliveUs: nowUs}
 		}
 	}
 	var own []string
@@ -118,14 +122,14 @@
 	}
 	p.tracker.SetOwnNodes(own)
 	byZone, dead := map[string][]string{}, map[string][]string{}
-	for addr, known := range p.nodes {
+	for addr, n := range p.nodes {
 		switch {
-		case known.seenUs == nowUs:
-			byZone[known.zone] = append(byZone[known.zone], addr)
-		case nowUs-known.seenUs > deadNodeUs:
+		case n.lastAliveUs == nowUs:
+			byZone[n.zone] = append(byZone[n.zone], addr)
+		case nowUs-n.lastAliveUs > deadNodeTimeoutUs:
 			delete(p.nodes, addr)
 		default:
-			dead[known.zone] = append(dead[known.zone], addr)
+			dead[n.zone] = append(dead[n.zone], addr)
 		}
 	}
 	for zone, addrs := range dead {
@@ -139,11 +143,11 @@
 
 // idleUs is the time between two rounds of pings in a fleet of so many routers.
 func idleUs(routers int) int64 {
-	return min(max(int64(routers)*idlePartUs, reachability.DefaultConfig.IdleUs), maxIdleUs)
+	return min(max(int64(routers)*idlePerRouterUs, reachability.DefaultConfig.IdleUs), maxIdleUs)
 }
 
-// tick sends the pings that are due, and returns when it is next to be called; 0 where there is
-// nobody to ping.
+// tick sends the pings that are due and returns the time at which it must be called next; 0 if
+// there is no node to ping.
 func (p *Prober) tick() (nextUs int64) {
 	p.mu.Lock()
 	pings := p.tracker.Tick(p.config.Clock())
@@ -164,7 +168,7 @@
 	}
 }
 
-// HandleAck takes an answer.
+// HandleAck records the answer to a ping.
 func (p *Prober) HandleAck(from string, body []byte) {
 	var ping messages.ReachPing
 	if _, err := ping.UnmarshalMsg(body); err != nil {
@@ -176,45 +180,47 @@
 	p.publish()
 }
 
-// RunnerAnswered takes note that a runner of a zone has answered what it was asked at askedUs.
-func (p *Prober) RunnerAnswered(zone string, askedUs int64) {
+// RunnerAnswered records that a runner of a zone has answered a request that was sent at askedUs.
+func (p *Prober) RunnerAnswered(zone string, sentUs int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Answered(zone, askedUs, p.config.Clock())
+	p.tracker.Answered(zone, sentUs, p.config.Clock())
 }
 
-// Doubted returns how often silence of a zone was put down to this node.
-func (p *Prober) Doubted() int64 {
+// DoubtedSilences returns how often the silence of a zone was attributed to this node or its link, because
+// nodes of its own zone did not answer either.
+func (p *Prober) DoubtedSilences() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Doubted()
 }
 
-// publish puts a change of the unreachable zones in force. The mutex is held until then: a later
-// change is not overtaken by an earlier one.
+// publish passes the unreachable zones on if they have changed. It holds the mutex during the
+// callback, so that changes are applied in order.
 func (p *Prober) publish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.tracker.Unreachable()
-	changed := len(now) != len(p.known)
-	for zone := range now {
-		_, before := p.known[zone]
-		changed = changed || !before
+	unreachable := p.tracker.Unreachable()
+	changed := len(unreachable) != len(p.published)
+	for zone := range unreachable {
+		_, wasPublished := p.published[zone]
+		changed = changed || !wasPublished
 	}
 	if !changed {
 		return
 	}
-	p.known = now
-	p.config.Log.Info("unreachable zones", "zones", now)
-	p.config.SetUnreachable(now)
+	p.published = unreachable
+	p.config.Log.Info("unreachable zones changed", "zones", unreachable)
+	p.config.SetUnreachable(unreachable)
 }
 
-// Conditions are for the doctor.
+// Conditions returns the unreachable zones for the diagnostic report, each with the time for which
+// it has been unreachable.
 func (p *Prober) Conditions() []messages.UnreachableZone {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []messages.UnreachableZone
-	for zone, sinceUs := range p.known {
+	for zone, sinceUs := range p.published {
 		out = append(out, messages.UnreachableZone{Zone: zone, SinceUs: p.config.Clock() - sinceUs})
 	}
 	return out
--- a/internal/router/zoneping/prober_test.go
+++ b/internal/router/zoneping/prober_test.go
@@ -11,12 +11,12 @@
 	"beechtide.org/beechtide/internal/reachability"
 )
 
-// silence loses all datagrams, and counts them.
-type silence struct{ sent int }
+// droppingSender drops all datagrams and counts them.
+type droppingSender struct{ sent int }
 
-func (s *silence) SendDatagram(string, int, msgp.Marshaler) { s.sent++ }
+func (s *droppingSender) SendDatagram(string, int, msgp.Marshaler) { s.sent++ }
 
-// testNodes are three nodes of each of two zones.
+// testNodes returns three nodes in each of two zones.
 func testNodes() []messages.Peer {
 	return []messages.Peer{
 		{Addr: "a1", Zone: "a"},
@@ -28,21 +28,21 @@
 	}
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{Addr: "a1"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-// What each router does by itself is done less often in a large fleet, within bounds.
-func TestPauseGrowsWithTheFleet(t *testing.T) {
+// The pause between two rounds of pings grows with the number of routers, within bounds.
+func TestIdleTimeGrowsWithRouterCountWithinBounds(t *testing.T) {
 	must.Eq(t, reachability.DefaultConfig.IdleUs, idleUs(0))
 	must.Eq(t, reachability.DefaultConfig.IdleUs, idleUs(78))
 	must.Eq(t, 400_000, idleUs(200))
 	must.Eq(t, maxIdleUs, idleUs(5000))
 }
 
-func TestZoneThatAnswersNothingIsPublishedOnce(t *testing.T) {
-	nowUs, published, peers := int64(1), 0, &silence{}
+func TestSilentZoneIsPublishedOnce(t *testing.T) {
+	nowUs, published, peers := int64(1), 0, &droppingSender{}
 	p, err := New(Config{
 		Addr:           "a1",
 		Zone:           "a",
