--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -32,27 +32,27 @@
 func (r *Router) compareVersions(ctx context.Context) func() {
 	return func() {
 		overdue := r.clock()-r.lastUpdateUs.Load() > max(r.convergeTime()/dissemination.OverdueParts, 2*dissemination.UpdateInterval).Microseconds()
-		for _, addr := range r.comparisons.Next(r.likelyCore(), *r.parent.Load(), overdue) {
+		for _, addr := range r.comparisons.Next(r.unsuspectedCoreAddrs(), *r.parent.Load(), overdue) {
 			go func() {
-				cctx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonWaitParts)
+				callCtx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonWaitParts)
 				defer cancel()
-				m, ok := r.compareWith(cctx, addr, overdue)
-				r.comparisons.Ended(addr, ok, m.RegistrySum == r.registry.Snapshot().Sum)
+				remote, ok := r.compareWith(callCtx, addr, overdue)
+				r.comparisons.Ended(addr, ok, remote.RegistrySum == r.registry.Snapshot().Sum)
 			}()
 		}
 	}
 }
 
-// coreMemory stores the core as last seen in the membership. A router whose process was paused may
+// coreHistory stores the core as last seen in the membership. A router whose process was paused may
 // consider all other nodes dead; it must still query the core then. The zero value is ready for use.
-type coreMemory struct {
-	mu   sync.Mutex
-	last []string
+type coreHistory struct {
+	mu        sync.Mutex
+	lastAddrs []string
 }
 
-// all returns the addresses of the core in the membership, including suspected members, or of the
-// last one seen if there is none.
-func (m *coreMemory) all(controllers []messages.Peer) []string {
+// allAddrs returns the addresses of the core members in the membership, suspected ones included. If
+// there are none, it returns the last ones seen.
+func (m *coreHistory) allAddrs(controllers []messages.Peer) []string {
 	var list []string
 	for _, p := range membership.Core(controllers) {
 		list = append(list, p.Addr)
@@ -61,13 +61,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(list) > 0 {
-		m.last = list
+		m.lastAddrs = list
 	}
-	return m.last
+	return m.lastAddrs
 }
 
-// likely returns the addresses of the core members that are not suspected, or all if there are none.
-func (m *coreMemory) likely(controllers []messages.Peer) []string {
+// unsuspectedAddrs returns the addresses of the core members that are not suspected. If there are
+// none, it returns all.
+func (m *coreHistory) unsuspectedAddrs(controllers []messages.Peer) []string {
 	var list []string
 	for _, p := range membership.Core(controllers) {
 		if p.Status == messages.Alive {
@@ -75,87 +76,91 @@
 		}
 	}
 	if len(list) == 0 {
-		return m.all(controllers)
+		return m.allAddrs(controllers)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// wholeCore returns the addresses of all controllers that may have a newer configuration.
-func (r *Router) wholeCore() []string { return r.core.all(r.monitor.Alive(messages.Controller)) }
+// allCoreAddrs returns the addresses of all controllers that may have a newer configuration.
+func (r *Router) allCoreAddrs() []string {
+	return r.core.allAddrs(r.monitor.Alive(messages.Controller))
+}
 
-// likelyCore returns the addresses of the controllers that are likely to answer soon.
-func (r *Router) likelyCore() []string { return r.core.likely(r.monitor.Alive(messages.Controller)) }
+// unsuspectedCoreAddrs returns the addresses of the controllers that are likely to answer soon.
+func (r *Router) unsuspectedCoreAddrs() []string {
+	return r.core.unsuspectedAddrs(r.monitor.Alive(messages.Controller))
+}
 
 // compareWith requests the versions of one controller. If a newer version has not arrived through
 // the tree within a grace period, or the lists of runners have differed repeatedly, it fetches the
 // changes since this node's versions from that controller. ok reports whether the controller has
 // answered and a fetch, if one was needed, has succeeded.
-func (r *Router) compareWith(ctx context.Context, addr string, overdue bool) (m messages.Versions, ok bool) {
-	m, err := r.askVersions(ctx, addr)
+func (r *Router) compareWith(ctx context.Context, addr string, overdue bool) (remote messages.Versions, ok bool) {
+	remote, err := r.requestVersions(ctx, addr)
 	if err != nil {
 		r.log.V(1).Info("comparison failed", "controller", addr, "overdue", overdue, "err", err.Error())
-		return m, false
+		return remote, false
 	}
 	grace := r.convergeTime() / dissemination.ComparisonParts
 	if overdue {
 		grace = 0
 	}
-	held := r.heldVersions()
-	runners := r.comparisons.WantRunners()
-	due := r.comparisons.FetchDue(held, m.Parts, grace, r.clock())
-	if dissemination.Behind(held, m.Parts) {
-		r.log.Info("controller has newer versions", "controller", addr, "theirs", m.Parts, "held", held, "overdue", overdue, "fetch", due)
+	local := r.localVersions()
+	wantRunners := r.comparisons.WantRunners()
+	due := r.comparisons.FetchDue(local, remote.Parts, grace, r.clock())
+	if dissemination.Behind(local, remote.Parts) {
+		r.log.Info("controller has newer versions", "controller", addr, "theirs", remote.Parts, "held", local, "overdue", overdue, "fetch", due)
 	}
-	if !due && !runners {
-		return m, true
+	if !due && !wantRunners {
+		return remote, true
 	}
-	return m, r.fetchMissing(ctx, addr, runners)
+	return remote, r.fetchMissing(ctx, addr, wantRunners)
 }
 
-// askVersions requests the versions of one controller.
-func (r *Router) askVersions(ctx context.Context, addr string) (m messages.Versions, err error) {
+// requestVersions requests the versions of one controller.
+func (r *Router) requestVersions(ctx context.Context, addr string) (versions messages.Versions, err error) {
 	r.counters.comparisons.begin()
 	sentUs := r.clock()
-	b, err := r.transport.Call(ctx, addr, transport.KindVersions, &messages.Versions{Parts: []int64{}})
-	r.counters.comparisons.ended(err)
+	body, err := r.transport.Call(ctx, addr, transport.KindVersions, &messages.Versions{Parts: []int64{}})
+	r.counters.comparisons.end(err)
 	if err != nil {
-		return m, err
+		return versions, err
 	}
-	if _, err := m.UnmarshalMsg(b); err != nil {
-		return m, err
+	if _, err := versions.UnmarshalMsg(body); err != nil {
+		return versions, err
 	}
-	r.timeOfDay.Compare(addr, m, sentUs, r.clock())
-	r.takeVersions(m)
-	return m, nil
+	r.timeOfDay.Compare(addr, versions, sentUs, r.clock())
+	r.applyVersions(versions)
+	return versions, nil
 }
 
 // fetchMissing fetches from one controller the changes since this node's versions, including
 // runners if requested. Only one fetch runs at a time. It reports whether the changes were applied;
 // also true if another fetch is in progress.
-func (r *Router) fetchMissing(ctx context.Context, addr string, runners bool) bool {
+func (r *Router) fetchMissing(ctx context.Context, addr string, wantRunners bool) bool {
 	if !r.comparisons.StartFetch() {
 		r.log.V(1).Info("fetch skipped: another one is in progress", "controller", addr)
 		return true
 	}
 	defer r.comparisons.EndFetch()
-	h := r.syncState()
-	h.ConfigOnly, h.Cached = true, nil
-	if !runners {
-		h.Registry.Epoch = -1
+	state := r.syncState()
+	state.ConfigOnly, state.Cached = true, nil
+	if !wantRunners {
+		state.Registry.Epoch = -1
 	}
 	r.counters.fetches.begin()
-	b, err := r.transport.Call(ctx, addr, transport.KindSince, &h)
-	r.counters.fetches.ended(err)
-	var f messages.Feed
+	b, err := r.transport.Call(ctx, addr, transport.KindSince, &state)
+	r.counters.fetches.end(err)
+	var feed messages.Feed
 	if err == nil {
-		_, err = f.UnmarshalMsg(b)
+		_, err = feed.UnmarshalMsg(b)
 	}
 	if err != nil {
-		r.log.Info("fetch failed", "controller", addr, "held", h.Configuration.Version, "err", err.Error())
+		r.log.Info("fetch failed", "controller", addr, "held", state.Configuration.Version, "err", err.Error())
 		return false
 	}
-	fits := r.applyFeed("", f)
-	r.log.Info("fetched missing changes", "controller", addr, "versions", f.Versions, "held", h.Configuration.Version, "changes", len(f.Configuration), "bytes", len(b), "fits", fits)
-	return fits
+	applied := r.applyFeed("", feed)
+	r.log.Info("fetched missing changes", "controller", addr, "versions", feed.Versions, "held", state.Configuration.Version, "changes", len(feed.Configuration), "bytes", len(b), "fits", applied)
+	return applied
 }
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -11,7 +11,7 @@
 
 // A request that arrives while the check of another one is in progress must wait for its result
 // before it is rejected.
-func TestConfirmWaitsForACheckUnderWay(t *testing.T) {
+func TestConfirmWaitsForCheckInProgress(t *testing.T) {
 	var c freshnessChecks
 	clock := func() int64 { return 1 }
 	begun, answer, results := make(chan bool), make(chan bool), make(chan bool, 2)
@@ -22,7 +22,9 @@
 		})
 	}()
 	<-begun
-	go func() { results <- c.confirm(clock, func() bool { t.Error("a second check was started"); return false }) }()
+	go func() {
+		results <- c.confirm(clock, func() bool { t.Error("a second check was started"); return false })
+	}()
 	select {
 	case <-results:
 		t.Fatal("confirm returned before the check ended")
@@ -33,33 +35,33 @@
 	must.True(t, <-results)
 }
 
-func TestConfirmAsksAgainOnceACheckIsOld(t *testing.T) {
+func TestConfirmChecksAgainAfterTTL(t *testing.T) {
 	var c freshnessChecks
-	now, asked := int64(1), 0
+	now, checks := int64(1), 0
 	confirm := func(answer bool) bool {
-		return c.confirm(func() int64 { return now }, func() bool { asked++; return answer })
+		return c.confirm(func() int64 { return now }, func() bool { checks++; return answer })
 	}
 	must.False(t, confirm(false))
 	must.False(t, confirm(true), must.Sprint("a failed check must be reused for as long as a successful one"))
-	must.Eq(t, 1, asked)
+	must.Eq(t, 1, checks)
 	now += confirmationTTLUs
 	must.True(t, confirm(true))
 	must.True(t, confirm(false))
-	must.Eq(t, 2, asked)
+	must.Eq(t, 2, checks)
 }
 
 // While a live controller does not answer, a request for an unknown route gets 503; once the
 // controller confirms the configuration, it gets 404.
-func TestUnknownRouteIsPutOffUntilAControllerConfirms(t *testing.T) {
+func TestUnknownRouteGets503UntilControllerConfirms(t *testing.T) {
 	c, front, _ := start(t, newRunner(t))
-	s := startCore(t, c, 1)
-	s.set(func() { s.versions[0] = func() *messages.Versions { return nil } })
+	core := startCore(t, c, 1)
+	core.set(func() { core.versions[0] = func() *messages.Versions { return nil } })
 	unknown := unknownRouteRequest()
 	ans, _, err := roundTrip(t, front, unknown)
 	must.NoError(t, err)
 	must.Eq(t, 503, ans.StatusCode)
 	must.NotEq(t, "", ans.Header.Get(hRetryAfter))
-	s.set(func() { s.versions[0] = func() *messages.Versions { return s.confirmedVersion(0, 1) } })
+	core.set(func() { core.versions[0] = func() *messages.Versions { return core.confirmedVersion(0, 1) } })
 	for ans.StatusCode == 503 {
 		ans, _, err = roundTrip(t, front, unknown)
 		must.NoError(t, err)
@@ -68,15 +70,15 @@
 }
 
 // A router that considers the whole core suspected or dead must continue to query it.
-func TestCoreMemoryKeepsTheLastCoreInView(t *testing.T) {
-	var m coreMemory
-	must.SliceEmpty(t, m.all(nil))
+func TestCoreHistoryReturnsLastCoreWhenNoneIsAlive(t *testing.T) {
+	var m coreHistory
+	must.SliceEmpty(t, m.allAddrs(nil))
 	core := func(a, b messages.Status) []messages.Peer {
 		return []messages.Peer{{Addr: "b", Counted: true, Status: b}, {Addr: "a", Counted: true, Status: a}, {Addr: "other"}}
 	}
-	must.Eq(t, []string{"a"}, m.likely(core(messages.Alive, messages.Suspect)))
-	must.Eq(t, []string{"a", "b"}, m.all(core(messages.Alive, messages.Suspect)))
-	must.Eq(t, []string{"a", "b"}, m.likely(core(messages.Suspect, messages.Suspect)))
-	must.Eq(t, []string{"a", "b"}, m.likely(nil))
-	must.Eq(t, []string{"a", "b"}, m.all(nil))
+	must.Eq(t, []string{"a"}, m.unsuspectedAddrs(core(messages.Alive, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, m.allAddrs(core(messages.Alive, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, m.unsuspectedAddrs(core(messages.Suspect, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, m.unsuspectedAddrs(nil))
+	must.Eq(t, []string{"a", "b"}, m.allAddrs(nil))
 }
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -13,23 +13,23 @@
 
 // condition returns the state of this router for the diagnostic report.
 func (r *Router) condition() messages.Condition {
-	x := messages.Condition{Node: r.set.Node, Role: messages.Router, Zone: r.set.Zone, Addr: r.transport.Addr(), TimeUs: time.Now().UnixMicro()}
+	condition := messages.Condition{Node: r.set.Node, Role: messages.Router, Zone: r.set.Zone, Addr: r.transport.Addr(), TimeUs: time.Now().UnixMicro()}
 	r.stateMu.Lock()
-	x.Versions = r.versions()
+	condition.Versions = r.versionsLocked()
 	r.stateMu.Unlock()
 	r.admissionMu.Lock()
-	x.Blind = r.admission.Blind(r.clock())
-	x.Partition.Evacuated = r.admission.EvacuatedZones()
-	x.Partition.Rollouts = r.admission.Rollouts()
-	x.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
+	condition.Blind = r.admission.Blind(r.clock())
+	condition.Partition.Evacuated = r.admission.EvacuatedZones()
+	condition.Partition.Rollouts = r.admission.Rollouts()
+	condition.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
 	r.admissionMu.Unlock()
-	x.Partition.UnreachableZones = r.zones.Conditions()
-	x.Retired = r.retiredConditions()
-	x.Wholes, x.Changes = r.feedStats.wholes.Load(), r.feedStats.changes.Load()
-	x.Malformed = r.feedStats.malformed.Load() + r.up.Malformed.Load()
-	x.Violations = invariant.Violations()
-	x.Runners = len(r.registry.Snapshot().ByID)
-	return x
+	condition.Partition.UnreachableZones = r.zones.Conditions()
+	condition.Retired = r.retiredConditions()
+	condition.Wholes, condition.Changes = r.feedCounters.snapshots.Load(), r.feedCounters.changes.Load()
+	condition.Malformed = r.feedCounters.malformed.Load() + r.subscriber.Malformed.Load()
+	condition.Violations = invariant.Violations()
+	condition.Runners = len(r.registry.Snapshot().ByID)
+	return condition
 }
 
 // OnRing sets the function that returns the log ring to the diagnostic command.
--- a/internal/router/core_stub_test.go
+++ b/internal/router/core_stub_test.go
@@ -67,7 +67,7 @@
 	for i := range size {
 		s.startMember(ctx, t, router, i)
 	}
-	for len(router.wholeCore()) < size {
+	for len(router.allCoreAddrs()) < size {
 		time.Sleep(time.Millisecond)
 	}
 	return s
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -22,13 +22,13 @@
 // counters holds the totals since the start. It is safe for concurrent use; the zero value is ready
 // for use.
 type counters struct {
-	answered           atomic.Int64
-	rejections         rejections
-	cuts               [cutReasonCount]atomic.Int64
-	attempts           [len(attemptNames)]atomic.Int64
-	takenWhileDraining atomic.Int64
-	streamsLeft        atomic.Int64 // moved away from runners in unreachable zones
-	streamsStayed      atomic.Int64 // not moved, as no other runner had capacity
+	answered                 atomic.Int64
+	rejections               rejections
+	cuts                     [cutReasonCount]atomic.Int64
+	attempts                 [len(attemptNames)]atomic.Int64
+	acceptedWhileDraining    atomic.Int64
+	unreachableStreamsMoved  atomic.Int64 // moved away from runners in unreachable zones
+	unreachableStreamsStayed atomic.Int64 // not moved, as no other runner had capacity
 
 	comparisons   callCounts
 	fetches       callCounts
@@ -64,11 +64,11 @@
 }
 
 // visit calls see for each count.
-func (r *rejections) visit(see func(rejection, int64)) {
+func (r *rejections) visit(fn func(rejection, int64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for what, count := range r.counts {
-		see(what, count)
+	for key, count := range r.counts {
+		fn(key, count)
 	}
 }
 
@@ -77,9 +77,9 @@
 
 const (
 	cutClientGone  cutReason = iota // the client disconnected or stopped reading
-	cutTimeOver                     // the deadline or the route's cutoff was reached
-	cutRunner                       // the runner's response was incomplete
-	cutByLeaving                    // this process ended while the request was in flight
+	cutTimeExpired                  // the deadline or the route's cutoff was reached
+	cutByRunner                     // the runner's response was incomplete
+	cutByShutdown                   // this process ended while the request was in flight
 	cutUnexplained                  // none of these
 	cutReasonCount
 )
@@ -110,9 +110,9 @@
 	case e.client.isGone() || e.lastResult == attempt.ClientGone:
 		return cutClientGone
 	case e.deadlineUs > 0 && e.timeExpired():
-		return cutTimeOver
+		return cutTimeExpired
 	case e.sequence.Sent() > 0 && (e.brokenOff || e.lastResult == attempt.Unknown):
-		return cutRunner
+		return cutByRunner
 	case e.sequence.Sent() > 0 && e.lastResult == attempt.Answered: // the end of the answer could not be written
 		return cutClientGone
 	}
@@ -126,10 +126,10 @@
 	e.router.counters.attempts[end].Add(1)
 }
 
-// recordCutByLeaving counts the requests that are in flight when the process ends.
-func (r *Router) recordCutByLeaving() {
+// recordCutByShutdown counts the requests that are in flight when the process ends.
+func (r *Router) recordCutByShutdown() {
 	if left := r.inFlight.Load(); left > 0 {
-		r.counters.cuts[cutByLeaving].Add(left)
+		r.counters.cuts[cutByShutdown].Add(left)
 		r.log.Info("shutdown cut requests in flight", "count", left)
 	}
 }
@@ -160,14 +160,14 @@
 }
 
 // callCounts counts calls to other nodes by outcome.
-type callCounts struct{ asked, answered, timedOut, failed, inProgress atomic.Int64 }
+type callCounts struct{ begun, answered, timedOut, failed, inProgress atomic.Int64 }
 
 func (c *callCounts) begin() {
-	c.asked.Add(1)
+	c.begun.Add(1)
 	c.inProgress.Add(1)
 }
 
-func (c *callCounts) ended(err error) {
+func (c *callCounts) end(err error) {
 	c.inProgress.Add(-1)
 	switch {
 	case err == nil:
@@ -189,15 +189,16 @@
 	catchUps histogram.Durations
 }
 
-// heardOf records the register versions of another node, theirs; mine are those of this node.
-func (l *configLag) heardOf(mine, theirs []int64, nowUs int64) {
-	if len(mine) <= consensus.ConfigPart || len(theirs) <= consensus.ConfigPart {
+// observeRemote compares the register versions of another node, remote, with those of this node,
+// local, and notes when a newer configuration is first observed.
+func (l *configLag) observeRemote(local, remote []int64, nowUs int64) {
+	if len(local) <= consensus.ConfigPart || len(remote) <= consensus.ConfigPart {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if theirs[consensus.ConfigPart] > mine[consensus.ConfigPart] && l.version == 0 {
-		l.version, l.sinceUs = theirs[consensus.ConfigPart], nowUs
+	if remote[consensus.ConfigPart] > local[consensus.ConfigPart] && l.version == 0 {
+		l.version, l.sinceUs = remote[consensus.ConfigPart], nowUs
 	}
 }
 
--- a/internal/router/cut_streams.go
+++ b/internal/router/cut_streams.go
@@ -72,10 +72,10 @@
 	mustLeave := func(admission.Request) bool { return router.admission.LeavesUnreachable(attempt.adm) }
 	accepts := func(next *admission.Admission) bool { return !router.admission.OutOfReach(next) }
 	if resumable && e.reserveAttempt(attempt.adm, mustLeave, accepts) {
-		router.counters.streamsLeft.Add(1)
+		router.counters.unreachableStreamsMoved.Add(1)
 		return false
 	}
-	router.counters.streamsStayed.Add(1)
+	router.counters.unreachableStreamsStayed.Add(1)
 	attempt.nextMoveUs.Store(router.clock() + moveRetryUs)
 	attempt.conn.Resume(e.deadlineTime(lateReadUs))
 	return true
--- a/internal/router/evacuation.go
+++ b/internal/router/evacuation.go
@@ -6,11 +6,11 @@
 
 // recordEvacuations stores the evacuations of a register and passes the zones that are evacuated
 // in any register to the admission control. The caller holds stateMu.
-func (r *Router) recordEvacuations(part int, evacuations []messages.Evacuation, nowUs int64) {
+func (r *Router) recordEvacuations(register int, evacuations []messages.Evacuation, nowUs int64) {
 	if len(evacuations) == 0 {
 		return
 	}
-	r.evacuations[part] = evacuations
+	r.evacuations[register] = evacuations
 	zones := map[string]bool{}
 	for _, list := range r.evacuations {
 		for _, e := range list {
--- a/internal/router/evening_test.go
+++ b/internal/router/evening_test.go
@@ -20,29 +20,29 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// evening plays a busy evening against the machines that decide: runners join,
-// leave, lose and regain certificates by new configurations, nodes die and come
-// back with nothing, links are cut so that news comes late. Time is an argument;
-// the order of events comes from a seed.
-type evening struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	nowUs   int64
-	nodes   []*deskNode
-	runners map[string]messages.RunnerRecord
-	certs   map[string]bool
-	retired int64 // weights below this version are retired
-	newest  int64 // version of the weights that runners get
-	version int64
-	menus   []api.Configuration
-	ends    map[string]int
-	count   int
-	sent    map[string]int // regulated requests by runner
-	open    []*guest
-	older   int // requests that went to weights that are not the newest
+// fleetSimulation simulates a fleet under load with the real admission control, registry,
+// configuration and audit trail: runners join and leave, new configurations grant and revoke
+// certificates, nodes crash and restart without state, and partitions delay updates. Time is
+// simulated; the order of events is derived from a seed.
+type fleetSimulation struct {
+	t                  *testing.T
+	rnd                *rand.Rand
+	nowUs              int64
+	nodes              []*simulatedNode
+	runners            map[string]messages.RunnerRecord
+	certified          map[string]bool
+	retiredBelow       int64 // weights below this version are retired
+	newestWeights      int64 // newest version of the weights
+	version            int64
+	configurations     []api.Configuration
+	endCounts          map[string]int
+	requestCount       int
+	sentRegulated      map[string]int // regulated requests by runner
+	openRequests       []*simulatedRequest
+	sentToOlderWeights int // requests sent to weights that are not the newest
 }
 
-type deskNode struct {
+type simulatedNode struct {
 	name      string
 	table     *routeconfig.Table
 	registry  *registry.Registry
@@ -53,128 +53,129 @@
 	up        bool
 }
 
-type guest struct {
-	id     string
-	node   *deskNode
-	ask    admission.Request
-	adm    *admission.Admission
-	endsUs int64
+type simulatedRequest struct {
+	id       string
+	node     *simulatedNode
+	request  admission.Request
+	admitted *admission.Admission
+	endsUs   int64
 }
 
-func (e *evening) configuration() api.Configuration {
-	m := api.Configuration{Version: e.version, Services: []api.Service{{Name: "s", Engine: api.Engine{CacheTokens: 16000}}}, Regimes: []api.Regime{{Name: "allergen"}}, Tenants: []api.Tenant{{Name: "directorate", Regime: "allergen"}, {Name: "taxi"}}}
-	if e.retired > 0 {
-		m.Retired = []api.Retirement{{Model: "m", Before: e.retired}}
+func (e *fleetSimulation) configuration() api.Configuration {
+	config := api.Configuration{Version: e.version, Services: []api.Service{{Name: "s", Engine: api.Engine{CacheTokens: 16000}}}, Regimes: []api.Regime{{Name: "regime-1"}}, Tenants: []api.Tenant{{Name: "regulated-tenant", Regime: "regime-1"}, {Name: "other-tenant"}}}
+	if e.retiredBelow > 0 {
+		config.Retired = []api.Retirement{{Model: "m", Before: e.retiredBelow}}
 	}
 	var ids []string
-	for id := range e.certs {
+	for id := range e.certified {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	if len(ids) > 0 {
-		m.Certificates = []api.Certificate{{Regime: "allergen", Runners: ids}}
+		config.Certificates = []api.Certificate{{Regime: "regime-1", Runners: ids}}
 	}
-	return m
+	return config
 }
 
-// publish brings a new configuration to the nodes that are not cut off.
-func (e *evening) publish() {
+// publish creates a new version of the configuration and delivers it to the connected nodes.
+func (e *fleetSimulation) publish() {
 	e.version++
-	e.menus = append(e.menus, e.configuration())
-	e.tell()
+	e.configurations = append(e.configurations, e.configuration())
+	e.updateNodes()
 }
 
-func (e *evening) tell() {
+// updateNodes updates the nodes that are up and not cut off.
+func (e *fleetSimulation) updateNodes() {
 	for _, n := range e.nodes {
 		if n.up && !n.cut {
-			n.hear(e)
+			n.update(e)
 		}
 	}
 }
 
-func (n *deskNode) hear(e *evening) {
-	n.table = routeconfig.Compile(e.menus[len(e.menus)-1])
+func (n *simulatedNode) update(e *fleetSimulation) {
+	n.table = routeconfig.Compile(e.configurations[len(e.configurations)-1])
 	for _, r := range e.runners {
 		n.registry.Merge(r, e.nowUs)
 	}
-	notes := n.registry.Snapshot().ByService["s"]
-	n.admission.SetService("s", notes, 16000, 2)
+	records := n.registry.Snapshot().ByService["s"]
+	n.admission.SetService("s", records, 16000, 2)
 	n.admission.SetRetired(n.table.Retired)
-	n.admission.SetCertified("s", certified(n.table, notes))
+	n.admission.SetCertified("s", certifiedByRegime(n.table, records))
 }
 
-func (n *deskNode) start(e *evening) {
+func (n *simulatedNode) start(e *fleetSimulation) {
 	n.registry, n.admission, n.up = registry.New(), admission.New(admission.Defaults, "a", 1), true
-	n.hear(e)
+	n.update(e)
 }
 
-func (n *deskNode) note(step compliance.Step, g *guest, r *messages.RunnerRecord, cert int) {
-	x := compliance.Entry{Node: n.name, Step: step, Attempt: g.id, Tenant: g.ask.Tenant, Regime: g.ask.Regime, Certificate: cert, Version: n.table.Version}
+func (n *simulatedNode) recordStep(step compliance.Step, g *simulatedRequest, r *messages.RunnerRecord, cert int) {
+	entry := compliance.Entry{Node: n.name, Step: step, Attempt: g.id, Tenant: g.request.Tenant, Regime: g.request.Regime, Certificate: cert, Version: n.table.Version}
 	if r != nil {
-		x.Runner, x.Service, x.Zone = r.ID, r.Service, r.Zone
+		entry.Runner, entry.Service, entry.Zone = r.ID, r.Service, r.Zone
 	}
-	n.trail.Note(x)
+	n.trail.Note(entry)
 }
 
-func (e *evening) arrive() {
+func (e *fleetSimulation) arrive() {
 	n := e.nodes[e.rnd.IntN(len(e.nodes))]
 	if !n.up {
 		return
 	}
-	e.count++
-	g := &guest{id: fmt.Sprint(e.count), node: n}
-	g.ask = admission.Request{Service: "s", Tenant: "taxi", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, LeftUs: 6_000_000}
+	e.requestCount++
+	g := &simulatedRequest{id: fmt.Sprint(e.requestCount), node: n}
+	g.request = admission.Request{Service: "s", Tenant: "other-tenant", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, LeftUs: 6_000_000}
 	if e.rnd.IntN(2) == 0 {
-		g.ask.Tenant = "directorate"
-		g.ask.Regime = n.table.RegimeOf("directorate")
-		n.note(compliance.Asked, g, nil, -1)
+		g.request.Tenant = "regulated-tenant"
+		g.request.Regime = n.table.RegimeOf("regulated-tenant")
+		n.recordStep(compliance.Asked, g, nil, -1)
 	}
-	e.open = append(e.open, g)
-	e.offer(g)
+	e.openRequests = append(e.openRequests, g)
+	e.submit(g)
 }
 
-func (e *evening) offer(g *guest) {
+func (e *fleetSimulation) submit(g *simulatedRequest) {
 	n := g.node
-	g.ask.Ref = n.slab.Put(func(r admission.Decision) { e.ruled(g, r) })
-	r := n.admission.Submit(g.ask, e.nowUs)
-	if !r.Hold {
-		n.slab.Resume(g.ask.Ref, r)
+	g.request.Ref = n.slab.Put(func(decision admission.Decision) { e.decided(g, decision) })
+	decision := n.admission.Submit(g.request, e.nowUs)
+	if !decision.Hold {
+		n.slab.Resume(g.request.Ref, decision)
 	}
 }
 
-func (e *evening) ruled(g *guest, r admission.Decision) {
-	if r.Admit == nil {
+func (e *fleetSimulation) decided(g *simulatedRequest, decision admission.Decision) {
+	if decision.Admit == nil {
 		e.end(g, compliance.Rejected)
 		return
 	}
-	_, cert, ok := g.node.table.Allows(g.ask.Tenant, sightOf(r.Admit.Runner))
+	_, cert, ok := g.node.table.Allows(g.request.Tenant, complianceRunner(decision.Admit.Runner))
 	if !ok {
-		g.node.admission.Done(r.Admit, true, e.nowUs)
-		g.ask.Avoid = append(g.ask.Avoid, r.Admit.Runner.ID)
-		if len(g.ask.Avoid) > attempt.MaxUnsent {
+		g.node.admission.Done(decision.Admit, true, e.nowUs)
+		g.request.Avoid = append(g.request.Avoid, decision.Admit.Runner.ID)
+		if len(g.request.Avoid) > attempt.MaxUnsent {
 			e.end(g, compliance.Rejected)
 			return
 		}
-		e.offer(g)
+		e.submit(g)
 		return
 	}
-	must.False(e.t, r.Admit.Version < g.node.table.Retired["m"], must.Sprintf("%s is sent to weights %d in version %d", g.id, r.Admit.Version, g.node.table.Version))
-	must.Eq(e.t, admission.Salt(g.ask.Tenant, false, g.ask.Regime, r.Admit.Version), r.Admit.Salt)
-	if r.Admit.Version < e.newest {
-		e.older++
+	must.False(e.t, decision.Admit.Version < g.node.table.Retired["m"], must.Sprintf("%s was sent to weights %d under configuration %d", g.id, decision.Admit.Version, g.node.table.Version))
+	must.Eq(e.t, admission.Salt(g.request.Tenant, false, g.request.Regime, decision.Admit.Version), decision.Admit.Salt)
+	if decision.Admit.Version < e.newestWeights {
+		e.sentToOlderWeights++
 	}
-	g.adm, g.endsUs = r.Admit, e.nowUs+200_000+int64(e.rnd.IntN(1_500_000))
-	if g.ask.Regime != "" {
-		g.node.note(compliance.Sent, g, &r.Admit.Runner, cert)
-		e.sent[r.Admit.Runner.ID]++
-		must.True(e.t, e.certifiedAt(g.node.table.Version, r.Admit.Runner.ID), must.Sprintf("%s in version %d", r.Admit.Runner.ID, g.node.table.Version))
+	g.admitted, g.endsUs = decision.Admit, e.nowUs+200_000+int64(e.rnd.IntN(1_500_000))
+	if g.request.Regime != "" {
+		g.node.recordStep(compliance.Sent, g, &decision.Admit.Runner, cert)
+		e.sentRegulated[decision.Admit.Runner.ID]++
+		must.True(e.t, e.certifiedAt(g.node.table.Version, decision.Admit.Runner.ID), must.Sprintf("runner %s is not certified in configuration %d", decision.Admit.Runner.ID, g.node.table.Version))
 	}
 }
 
-func (e *evening) certifiedAt(version int64, id string) bool {
-	for _, m := range e.menus {
-		if m.Version == version && len(m.Certificates) > 0 {
-			for _, r := range m.Certificates[0].Runners {
+func (e *fleetSimulation) certifiedAt(version int64, id string) bool {
+	for _, config := range e.configurations {
+		if config.Version == version && len(config.Certificates) > 0 {
+			for _, r := range config.Certificates[0].Runners {
 				if r == id {
 					return true
 				}
@@ -184,29 +185,28 @@
 	return false
 }
 
-func (e *evening) end(g *guest, step compliance.Step) {
-	e.ends[g.id]++
-	if g.ask.Regime != "" {
-		g.node.note(step, g, nil, -1)
+func (e *fleetSimulation) end(g *simulatedRequest, step compliance.Step) {
+	e.endCounts[g.id]++
+	if g.request.Regime != "" {
+		g.node.recordStep(step, g, nil, -1)
 	}
 	g.endsUs = -1
 }
 
-// step is 20 ms of the evening: what is due ends, requests arrive, and now and then
-// something changes.
-func (e *evening) step() {
+// step simulates 20 ms: requests that are due end, new ones arrive, and a random event may occur.
+func (e *fleetSimulation) step() {
 	e.tick()
 	e.endDue(func(runner string) bool { _, alive := e.runners[runner]; return alive })
 	for range e.rnd.IntN(4) {
 		e.arrive()
 	}
-	if i := e.rnd.IntN(60); i < len(changes) {
-		changes[i](e)
+	if i := e.rnd.IntN(60); i < len(randomEvents) {
+		randomEvents[i](e)
 	}
 }
 
-// tick lets time pass at the nodes.
-func (e *evening) tick() {
+// tick advances the time at the nodes that are up.
+func (e *fleetSimulation) tick() {
 	e.nowUs += 20_000
 	for _, n := range e.nodes {
 		if !n.up {
@@ -218,38 +218,38 @@
 	}
 }
 
-// endDue ends the requests whose time has come: answered, or cut where the runner is gone.
-func (e *evening) endDue(alive func(runner string) bool) {
-	left := []*guest{}
-	for _, g := range e.open {
-		if g.adm != nil && g.endsUs > 0 && g.endsUs <= e.nowUs {
+// endDue ends the requests that are due: answered, or cut if the runner is gone.
+func (e *fleetSimulation) endDue(alive func(runner string) bool) {
+	remaining := []*simulatedRequest{}
+	for _, g := range e.openRequests {
+		if g.admitted != nil && g.endsUs > 0 && g.endsUs <= e.nowUs {
 			step := compliance.Answered
-			if !alive(g.adm.Runner.ID) {
+			if !alive(g.admitted.Runner.ID) {
 				step = compliance.Cut
 			}
 			e.end(g, step)
-			g.node.admission.Done(g.adm, true, e.nowUs)
+			g.node.admission.Done(g.admitted, true, e.nowUs)
 		}
 		if g.endsUs >= 0 {
-			left = append(left, g)
+			remaining = append(remaining, g)
 		}
 	}
-	e.open = left
+	e.openRequests = remaining
 }
 
-// changes are what happens now and then.
-var changes = []func(e *evening){
-	(*evening).joinRunner, (*evening).leaveRunner, (*evening).certify, (*evening).revokeCertificate, (*evening).cutNode,
-	(*evening).killOrStartNode, (*evening).nameWeights, (*evening).renew, (*evening).renew, (*evening).renew, (*evening).retireWeights,
+// randomEvents are the events from which step chooses; an event listed several times is more likely.
+var randomEvents = []func(e *fleetSimulation){
+	(*fleetSimulation).joinRunner, (*fleetSimulation).leaveRunner, (*fleetSimulation).grantCertificate, (*fleetSimulation).revokeCertificate, (*fleetSimulation).cutNode,
+	(*fleetSimulation).killOrStartNode, (*fleetSimulation).addWeightsVersion, (*fleetSimulation).loadNewestWeights, (*fleetSimulation).loadNewestWeights, (*fleetSimulation).loadNewestWeights, (*fleetSimulation).retireWeights,
 }
 
-func (e *evening) joinRunner() {
+func (e *fleetSimulation) joinRunner() {
 	id := fmt.Sprintf("r%d", e.rnd.IntN(1_000_000))
 	e.runners[id] = messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Zone: "a", Capacity: 4, Seq: 1, Models: []messages.Target{{Model: "m", Version: 1}}}
-	e.tell()
+	e.updateNodes()
 }
 
-func (e *evening) leaveRunner() {
+func (e *fleetSimulation) leaveRunner() {
 	id := e.anyRunner()
 	if id == "" || len(e.runners) <= 2 {
 		return
@@ -262,33 +262,33 @@
 		}
 	}
 	delete(e.runners, id)
-	e.tell()
+	e.updateNodes()
 }
 
-func (e *evening) certify() {
+func (e *fleetSimulation) grantCertificate() {
 	if id := e.anyRunner(); id != "" {
-		e.certs[id] = true
+		e.certified[id] = true
 		e.publish()
 	}
 }
 
-func (e *evening) revokeCertificate() {
-	for id := range e.certs {
-		delete(e.certs, id)
+func (e *fleetSimulation) revokeCertificate() {
+	for id := range e.certified {
+		delete(e.certified, id)
 		break
 	}
 	e.publish()
 }
 
-// cutNode cuts a node off, or ends that.
-func (e *evening) cutNode() {
+// cutNode begins or ends the partition of a node.
+func (e *fleetSimulation) cutNode() {
 	n := e.nodes[e.rnd.IntN(len(e.nodes))]
 	n.cut = !n.cut
-	e.tell()
+	e.updateNodes()
 }
 
-// killOrStartNode kills a node, with its clients' connections, or starts it again.
-func (e *evening) killOrStartNode() {
+// killOrStartNode crashes a node, which cuts its open requests, or starts it again.
+func (e *fleetSimulation) killOrStartNode() {
 	n := e.nodes[e.rnd.IntN(len(e.nodes))]
 	if !n.up {
 		n.cut = false
@@ -296,42 +296,42 @@
 		return
 	}
 	n.up = false
-	for _, g := range e.open {
+	for _, g := range e.openRequests {
 		if g.node == n {
 			e.end(g, compliance.Cut)
 		}
 	}
 }
 
-// nameWeights names new weights, and a runner gets them.
-func (e *evening) nameWeights() {
-	e.newest++
-	e.renew()
+// addWeightsVersion adds a new version of the weights, which one runner loads.
+func (e *fleetSimulation) addWeightsVersion() {
+	e.newestWeights++
+	e.loadNewestWeights()
 }
 
 // retireWeights retires all weights but the newest.
-func (e *evening) retireWeights() {
-	if e.newest > e.retired {
-		e.retired = e.newest
+func (e *fleetSimulation) retireWeights() {
+	if e.newestWeights > e.retiredBelow {
+		e.retiredBelow = e.newestWeights
 		e.publish()
 	}
 }
 
-// renew has a runner load the newest weights. Nodes that are cut off hear of it late, or
-// never.
-func (e *evening) renew() {
+// loadNewestWeights makes a runner load the newest weights. Nodes that are cut off learn of it late
+// or never.
+func (e *fleetSimulation) loadNewestWeights() {
 	id := e.anyRunner()
 	if id == "" {
 		return
 	}
 	r := e.runners[id]
 	r.Seq++
-	r.Models = []messages.Target{{Model: "m", Version: e.newest}}
+	r.Models = []messages.Target{{Model: "m", Version: e.newestWeights}}
 	e.runners[id] = r
-	e.tell()
+	e.updateNodes()
 }
 
-func (e *evening) anyRunner() string {
+func (e *fleetSimulation) anyRunner() string {
 	var ids []string
 	for id := range e.runners {
 		ids = append(ids, id)
@@ -343,37 +343,37 @@
 	return ids[e.rnd.IntN(len(ids))]
 }
 
-func play(t *testing.T, seed uint64) *evening {
-	e := &evening{t: t, rnd: rand.New(rand.NewPCG(seed, 3)), nowUs: 1, newest: 1, runners: map[string]messages.RunnerRecord{}, certs: map[string]bool{}, ends: map[string]int{}, sent: map[string]int{}}
+func simulateFleet(t *testing.T, seed uint64) *fleetSimulation {
+	e := &fleetSimulation{t: t, rnd: rand.New(rand.NewPCG(seed, 3)), nowUs: 1, newestWeights: 1, runners: map[string]messages.RunnerRecord{}, certified: map[string]bool{}, endCounts: map[string]int{}, sentRegulated: map[string]int{}}
 	for i := range 6 {
 		id := fmt.Sprintf("r%d", i)
 		e.runners[id] = messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Zone: "a", Capacity: 4, Seq: 1, Models: []messages.Target{{Model: "m", Version: 1}}}
 		if i < 2 {
-			e.certs[id] = true
+			e.certified[id] = true
 		}
 	}
-	e.version, e.menus = 1, nil
-	e.menus = append(e.menus, e.configuration())
+	e.version, e.configurations = 1, nil
+	e.configurations = append(e.configurations, e.configuration())
 	for i := range 4 {
-		n := &deskNode{name: fmt.Sprint("n", i), trail: &compliance.Trail{}}
+		n := &simulatedNode{name: fmt.Sprint("n", i), trail: &compliance.Trail{}}
 		n.start(e)
 		e.nodes = append(e.nodes, n)
 	}
 	for range 900 {
 		e.step()
 	}
-	for _, n := range e.nodes { // the evening ends: everything waits out its time
+	for _, n := range e.nodes { // no more events: the open requests complete
 		n.cut = false
 	}
 	e.rnd = rand.New(rand.NewPCG(seed, 4))
-	for len(e.open) > 0 {
+	for len(e.openRequests) > 0 {
 		e.tick()
 		e.endDue(func(string) bool { return true })
 	}
 	return e
 }
 
-func (e *evening) trail() []compliance.Entry {
+func (e *fleetSimulation) trail() []compliance.Entry {
 	var out []compliance.Entry
 	for _, n := range e.nodes {
 		var b bytes.Buffer
@@ -385,30 +385,30 @@
 	return out
 }
 
-func TestBusyEveningKeepsRegulatedRequestsOnCertifiedRunners(t *testing.T) {
+func TestRegulatedRequestsStayOnCertifiedRunnersUnderFaults(t *testing.T) {
 	regulated, older := 0, 0
 	for seed := range uint64(40) {
-		e := play(t, seed)
-		must.Greater(t, 100, e.count)
-		for id := 1; id <= e.count; id++ {
-			must.Eq(t, 1, e.ends[fmt.Sprint(id)], must.Sprintf("seed %d: request %d ended %d times", seed, id, e.ends[fmt.Sprint(id)]))
+		simulation := simulateFleet(t, seed)
+		must.Greater(t, 100, simulation.requestCount)
+		for id := 1; id <= simulation.requestCount; id++ {
+			must.Eq(t, 1, simulation.endCounts[fmt.Sprint(id)], must.Sprintf("seed %d: request %d ended %d times", seed, id, simulation.endCounts[fmt.Sprint(id)]))
 		}
-		list := e.trail()
-		bad := compliance.CheckTrail(list, e.menus)
-		must.SliceEmpty(t, bad, must.Sprint(seed, bad))
-		older += e.older
-		for _, n := range e.sent {
+		list := simulation.trail()
+		violations := compliance.CheckTrail(list, simulation.configurations)
+		must.SliceEmpty(t, violations, must.Sprint(seed, violations))
+		older += simulation.sentToOlderWeights
+		for _, n := range simulation.sentRegulated {
 			regulated += n
 		}
-		// a planted violation is found
+		// a violation inserted into the trail must be detected
 		for i := range list {
 			if list[i].Step == compliance.Sent {
 				list[i].Runner = "nobody"
 				break
 			}
 		}
-		must.SliceNotEmpty(t, compliance.CheckTrail(list, e.menus), must.Sprint(seed))
+		must.SliceNotEmpty(t, compliance.CheckTrail(list, simulation.configurations), must.Sprint(seed))
 	}
-	must.Positive(t, older, must.Sprint("nothing ever ran on older weights"))
-	must.Greater(t, 2000, regulated, must.Sprint("too few regulated requests were sent to show anything"))
+	must.Positive(t, older, must.Sprint("no request was sent to older weights"))
+	must.Greater(t, 2000, regulated, must.Sprint("too few regulated requests for a meaningful result"))
 }
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -13,86 +13,86 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// stats are totals for the diagnostic report: deltas applied, snapshots of a stream that was
+// feedCounters are totals for the diagnostic report: deltas applied, snapshots of a stream that was
 // already known, and malformed updates.
-type stats struct {
-	changes, wholes, malformed atomic.Int64
+type feedCounters struct {
+	changes, snapshots, malformed atomic.Int64
 }
 
-func (s *stats) count(r statesync.Result, again bool) {
+func (s *feedCounters) count(r statesync.Result, repeated bool) {
 	switch {
-	case r == statesync.Applied && again:
-		s.wholes.Add(1)
+	case r == statesync.Applied && repeated:
+		s.snapshots.Add(1)
 	case r == statesync.Applied:
 		s.changes.Add(1)
 	}
 }
 
-// fits counts a result and reports whether the change followed the local state or was already
-// known.
-func (s *stats) fits(r statesync.Result, again bool) bool {
-	s.count(r, again)
+// recordResult counts the result of a change and reports whether the change followed the local state
+// or was already known.
+func (s *feedCounters) recordResult(r statesync.Result, repeated bool) bool {
+	s.count(r, repeated)
 	return r == statesync.Applied || r == statesync.Known
 }
 
 // syncState returns the versions of this node's replica of every stream.
 func (r *Router) syncState() messages.SyncState {
-	var h messages.SyncState
+	var state messages.SyncState
 	r.stateMu.Lock()
-	for p, n := range r.parts {
-		for len(h.Parts) <= p {
-			h.Parts = append(h.Parts, 0)
+	for p, n := range r.registers {
+		for len(state.Parts) <= p {
+			state.Parts = append(state.Parts, 0)
 		}
-		h.Parts[p] = n.Version
+		state.Parts[p] = n.Version
 	}
-	h.Configuration = r.configuration.Cursor()
-	h.Registry.Epoch, h.Registry.Version = r.runners.Cursor()
+	state.Configuration = r.configuration.Cursor()
+	state.Registry.Epoch, state.Registry.Version = r.runners.Cursor()
 	r.stateMu.Unlock()
-	h.Loads = r.loads.cursor()
+	state.Loads = r.loads.cursor()
 	r.admissionMu.Lock()
-	h.Cached = r.admission.Index.Cursors()
-	h.TargetAges = r.admission.TargetAges(r.clock())
+	state.Cached = r.admission.Index.Cursors()
+	state.TargetAges = r.admission.TargetAges(r.clock())
 	r.admissionMu.Unlock()
-	return h
+	return state
 }
 
 // deltaSince returns the changes that a subscriber with the given state lacks.
-func (r *Router) deltaSince(h messages.SyncState) messages.Feed {
-	f := messages.Feed{FromRelay: true}
+func (r *Router) deltaSince(state messages.SyncState) messages.Feed {
+	feed := messages.Feed{FromRelay: true}
 	r.admissionMu.Lock()
-	r.admission.ObserveTargets(h.TargetAges, r.clock())
-	f.TargetAges = r.admission.TargetAges(r.clock())
+	r.admission.ObserveTargets(state.TargetAges, r.clock())
+	feed.TargetAges = r.admission.TargetAges(r.clock())
 	r.admissionMu.Unlock()
 	r.stateMu.Lock()
-	f.Versions = r.versions()
-	for p, n := range r.parts {
-		if p > 0 && (p >= len(h.Parts) || h.Parts[p] < n.Version) {
-			f.Parts = append(f.Parts, n)
+	feed.Versions = r.versionsLocked()
+	for p, n := range r.registers {
+		if p > 0 && (p >= len(state.Parts) || state.Parts[p] < n.Version) {
+			feed.Parts = append(feed.Parts, n)
 		}
 	}
-	if ch, lacks := r.configuration.DeltaSince(h.Configuration); lacks {
-		f.Configuration = append(f.Configuration, ch)
+	if change, lacks := r.configuration.DeltaSince(state.Configuration); lacks {
+		feed.Configuration = append(feed.Configuration, change)
 	}
-	if ch, lacks := r.runners.DeltaSince(h.Registry.Epoch, h.Registry.Version); lacks {
-		f.Registry = append(f.Registry, statesync.EncodeEntries(ch))
+	if change, lacks := r.runners.DeltaSince(state.Registry.Epoch, state.Registry.Version); lacks {
+		feed.Registry = append(feed.Registry, statesync.EncodeEntries(change))
 	}
 	r.stateMu.Unlock()
-	if h.ConfigOnly {
-		return f
+	if state.ConfigOnly {
+		return feed
 	}
-	if ch, lacks := r.loads.deltaSince(h.Loads); lacks {
-		f.Loads = append(f.Loads, ch)
+	if change, lacks := r.loads.deltaSince(state.Loads); lacks {
+		feed.Loads = append(feed.Loads, change)
 	}
 	r.admissionMu.Lock()
-	f.Cached = r.admission.Index.DeltasSince(h.Cached, func(string) bool { return true })
+	feed.Cached = r.admission.Index.DeltasSince(state.Cached, func(string) bool { return true })
 	r.admissionMu.Unlock()
-	return f
+	return feed
 }
 
-// versions is heldVersions for a caller that holds stateMu.
-func (r *Router) versions() []int64 {
+// versionsLocked is localVersions for a caller that holds stateMu.
+func (r *Router) versionsLocked() []int64 {
 	out := []int64{r.configuration.Version()}
-	for p, n := range r.parts {
+	for p, n := range r.registers {
 		for len(out) <= p {
 			out = append(out, 0)
 		}
@@ -101,62 +101,62 @@
 	return out
 }
 
-// behind reports whether a node with these versions has a newer one than this node.
-func (r *Router) behind(versions []int64) bool {
+// hasNewer reports whether a node with these versions has a newer one than this node.
+func (r *Router) hasNewer(remote []int64) bool {
 	r.stateMu.Lock()
 	defer r.stateMu.Unlock()
-	held := r.versions()
-	r.lag.heardOf(held, versions, r.clock())
-	return dissemination.Behind(held, versions)
+	local := r.versionsLocked()
+	r.lag.observeRemote(local, remote, r.clock())
+	return dissemination.Behind(local, remote)
 }
 
-// heldVersions returns the versions of this node's replicas, by register.
-func (r *Router) heldVersions() []int64 {
+// localVersions returns the versions of this node's replicas, by register.
+func (r *Router) localVersions() []int64 {
 	r.stateMu.Lock()
 	defer r.stateMu.Unlock()
-	return r.versions()
+	return r.versionsLocked()
 }
 
 // receiveFeed applies a feed of the parent and forwards it to the routers below. It returns the
 // local state if something is missing, so that the parent sends it.
-func (r *Router) receiveFeed(parent string, f messages.Feed, raw []byte) *messages.SyncState {
+func (r *Router) receiveFeed(parent string, feed messages.Feed, raw []byte) *messages.SyncState {
 	r.parent.Store(&parent)
-	if !f.CutOff {
+	if !feed.CutOff {
 		r.lastUpdateUs.Store(r.clock())
 	}
 	r.publisher.Forward(dissemination.ToRouters, raw)
-	if !r.applyFeed(parent, f) || r.behind(f.Versions) {
-		h := r.syncState()
-		return &h
+	if !r.applyFeed(parent, feed) || r.hasNewer(feed.Versions) {
+		state := r.syncState()
+		return &state
 	}
 	return nil
 }
 
 // applyFeed applies a feed; parent is empty if it was sent by a node other than the parent. It
 // reports whether all of its changes followed the local state.
-func (r *Router) applyFeed(parent string, f messages.Feed) (fits bool) {
-	now := r.clock()
-	r.takeTargetAges(f, now)
+func (r *Router) applyFeed(parent string, feed messages.Feed) (fits bool) {
+	nowUs := r.clock()
+	r.applyTargetAges(feed, nowUs)
 	r.stateMu.Lock()
-	fits, changed := r.applyConfigs(f.Configuration)
-	for _, p := range f.Parts {
-		r.applyPart(p, now)
+	fits, changed := r.applyConfigs(feed.Configuration)
+	for _, update := range feed.Parts {
+		r.applyRegister(update, nowUs)
 	}
-	for _, ch := range f.Registry {
-		in := statesync.DecodeEntries(ch)
-		listFits, listChanged := r.applyList(parent, in, now)
+	for _, change := range feed.Registry {
+		listChange := statesync.DecodeEntries(change)
+		listFits, listChanged := r.applyRunnerChange(parent, listChange, nowUs)
 		fits, changed = fits && listFits, changed || listChanged
 	}
 	r.stateMu.Unlock()
 	if changed {
 		r.syncAdmission()
 	}
-	for _, ch := range f.Loads {
-		again := ch.Snapshot && r.loads.cursor().Epoch == ch.Epoch
-		fits = r.feedStats.fits(r.loads.apply(ch), again) && fits
+	for _, change := range feed.Loads {
+		repeated := change.Snapshot && r.loads.cursor().Epoch == change.Epoch
+		fits = r.feedCounters.recordResult(r.loads.apply(change), repeated) && fits
 	}
-	fits = r.applyCached(parent, f, now) && fits
-	if changed || len(f.Reports)+len(f.Loads) > 0 {
+	fits = r.applyCached(parent, feed, nowUs) && fits
+	if changed || len(feed.Reports)+len(feed.Loads) > 0 {
 		r.wakeQueue()
 	}
 	return fits
@@ -166,67 +166,67 @@
 // local state, and whether one of them took effect. The caller holds stateMu.
 func (r *Router) applyConfigs(changes []messages.EntryChange) (fits, changed bool) {
 	fits = true
-	for _, ch := range changes {
-		again := ch.Snapshot && r.configuration.Cursor().Epoch == ch.Epoch
-		result, renewed := r.applyConfig(ch)
-		fits = r.feedStats.fits(result, again) && fits
-		changed = changed || renewed
+	for _, change := range changes {
+		repeated := change.Snapshot && r.configuration.Cursor().Epoch == change.Epoch
+		result, tableChanged := r.applyConfig(change)
+		fits = r.feedCounters.recordResult(result, repeated) && fits
+		changed = changed || tableChanged
 	}
 	return fits, changed
 }
 
-// applyList applies a change of the list of runners of the parent, or of another node if parent is
-// empty. It reports whether the change followed the local state, and whether a runner has changed.
-// The caller holds stateMu.
-func (r *Router) applyList(parent string, in statesync.Change[string, string], nowUs int64) (fits, changed bool) {
-	believed := parent // the parent whose records are mirrored as they are; if empty, they are merged
+// applyRunnerChange applies a change of the parent's list of runners, or of another node's list if
+// parent is empty. It reports whether the change followed the local state, and whether a runner has
+// changed. The caller holds stateMu.
+func (r *Router) applyRunnerChange(parent string, change statesync.Change[string, string], nowUs int64) (fits, changed bool) {
+	mirrored := parent // the parent whose records are mirrored as they are; if empty, they are merged
 	fits = true
 	if parent != "" {
-		again := in.Snapshot && r.runners.Epoch == in.Epoch
-		result := r.runners.Apply(in)
-		fits = r.feedStats.fits(result, again)
+		repeated := change.Snapshot && r.runners.Epoch == change.Epoch
+		result := r.runners.Apply(change)
+		fits = r.feedCounters.recordResult(result, repeated)
 		if result == statesync.Mismatch || result == statesync.Known {
 			return fits, false // a change that is already known may be older than the local records
 		}
 		if result == statesync.Gap {
-			believed = "" // sent by a former parent, or will be sent again in order
+			mirrored = "" // sent by a former parent, or will be sent again in order
 		}
 	}
-	for _, p := range in.Puts {
-		changed = r.applyRecord(believed, p, nowUs) || changed
+	for _, put := range change.Puts {
+		changed = r.applyRecord(mirrored, put, nowUs) || changed
 	}
-	if len(in.Puts) > 0 && !r.informed.Swap(true) {
-		r.log.Info("first runner records received", "count", len(in.Puts))
+	if len(change.Puts) > 0 && !r.runnersReceived.Swap(true) {
+		r.log.Info("first runner records received", "count", len(change.Puts))
 	}
 	return fits, changed
 }
 
 // applyRecord decodes and applies the record of a runner.
-func (r *Router) applyRecord(believed string, p statesync.Put[string, string], nowUs int64) (changed bool) {
-	if p.Deleted {
+func (r *Router) applyRecord(parent string, put statesync.Put[string, string], nowUs int64) (changed bool) {
+	if put.Deleted {
 		return false
 	}
-	var n messages.RunnerRecord
-	if _, err := n.UnmarshalMsg([]byte(p.Value)); err != nil {
-		r.feedStats.malformed.Add(1)
+	var record messages.RunnerRecord
+	if _, err := record.UnmarshalMsg([]byte(put.Value)); err != nil {
+		r.feedCounters.malformed.Add(1)
 		return false
 	}
-	return r.applyRunner(believed, n, nowUs)
+	return r.applyRunner(parent, record, nowUs)
 }
 
 // applyCached applies the cached prefixes and runner reports of a feed and updates admission with
 // the loads. It reports whether all changes followed the local state.
-func (r *Router) applyCached(parent string, f messages.Feed, nowUs int64) (fits bool) {
+func (r *Router) applyCached(parent string, feed messages.Feed, nowUs int64) (fits bool) {
 	fits = true
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	for _, k := range f.Cached {
-		again := k.Snapshot && r.admission.Index.CachedPrefixes(k.ID).Epoch == k.Epoch
-		fits = r.feedStats.fits(r.admission.Index.Apply(k), again) && fits
+	for _, prefixes := range feed.Cached {
+		repeated := prefixes.Snapshot && r.admission.Index.CachedPrefixes(prefixes.ID).Epoch == prefixes.Epoch
+		fits = r.feedCounters.recordResult(r.admission.Index.Apply(prefixes), repeated) && fits
 	}
-	r.admission.ExpectBlocks(f.PendingBlocks)
-	for _, result := range f.Reports {
-		r.admission.Report(result, nowUs)
+	r.admission.ExpectBlocks(feed.PendingBlocks)
+	for _, report := range feed.Reports {
+		r.admission.Report(report, nowUs)
 	}
 	if parent != "" {
 		r.loads.updateAdmission(r.admission, nowUs)
@@ -236,60 +236,60 @@
 
 // applyRunner applies the record of a runner: one of the parent replaces the local record, one of
 // another node is merged into it (registry.Mirror, registry.Merge).
-func (r *Router) applyRunner(parent string, n messages.RunnerRecord, nowUs int64) (changed bool) {
+func (r *Router) applyRunner(parent string, record messages.RunnerRecord, nowUs int64) (changed bool) {
 	if parent == "" {
-		return r.registry.Merge(n, nowUs)
+		return r.registry.Merge(record, nowUs)
 	}
-	return r.registry.Mirror(n, nowUs)
+	return r.registry.Mirror(record, nowUs)
 }
 
-// forgetUnlisted removes runners that the parent has not listed for some time.
-func (r *Router) forgetUnlisted() {
+// removeUnlisted removes runners that the parent has not listed for some time.
+func (r *Router) removeUnlisted() {
 	r.stateMu.Lock()
 	listed := func(id string) bool {
 		_, ok := r.runners.Get(id)
 		return ok
 	}
-	went := r.registry.Retain(listed, r.clock())
+	removed := r.registry.Retain(listed, r.clock())
 	r.stateMu.Unlock()
-	if went {
+	if removed {
 		r.syncAdmission()
 	}
 }
 
 // applyConfig applies a change of the configuration and, if it results in a new table, puts that
 // in force.
-func (r *Router) applyConfig(ch messages.EntryChange) (result statesync.Result, renewed bool) {
-	result, renewed, err := r.configuration.Apply(ch)
+func (r *Router) applyConfig(change messages.EntryChange) (result statesync.Result, tableChanged bool) {
+	result, tableChanged, err := r.configuration.Apply(change)
 	if err != nil {
 		r.log.Error(err, "ignored a malformed configuration change")
-		r.feedStats.malformed.Add(1)
+		r.feedCounters.malformed.Add(1)
 	}
-	if renewed {
+	if tableChanged {
 		t := r.configuration.Table()
 		routeconfig.PutInForce(&r.table, t)
 		r.lag.inForce(r.configuration.Version(), r.clock())
-		r.log.Info("configuration in force", "version", t.Version, "entries", len(ch.Entries), "whole", ch.Snapshot)
+		r.log.Info("configuration in force", "version", t.Version, "entries", len(change.Entries), "whole", change.Snapshot)
 	}
-	return result, renewed
+	return result, tableChanged
 }
 
-// applyPart applies an update of a register unless the local version is as new. The caller holds
+// applyRegister applies an update of a register unless the local version is as new. The caller holds
 // stateMu.
-func (r *Router) applyPart(p messages.RegisterUpdate, nowUs int64) {
-	if old, ok := r.parts[p.Part]; p.Part == 0 || ok && old.Version >= p.Version {
+func (r *Router) applyRegister(update messages.RegisterUpdate, nowUs int64) {
+	if old, ok := r.registers[update.Part]; update.Part == 0 || ok && old.Version >= update.Version {
 		return
 	}
 	var body messages.LeaseBody
-	if _, err := body.UnmarshalMsg(p.Body); err != nil {
-		r.feedStats.malformed.Add(1)
+	if _, err := body.UnmarshalMsg(update.Body); err != nil {
+		r.feedCounters.malformed.Add(1)
 		return
 	}
 	r.assumeTargets(body.Targets, nowUs)
 	if r.usage != nil {
 		r.usage.DiscardClosed(body.Usage.Next)
 	}
-	r.parts[p.Part] = p
-	r.recordEvacuations(p.Part, body.Evacuations, nowUs)
+	r.registers[update.Part] = update
+	r.recordEvacuations(update.Part, body.Evacuations, nowUs)
 	r.recordRollouts(body.Rollouts)
 }
--- a/internal/router/fleet_pauses_test.go
+++ b/internal/router/fleet_pauses_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each router reports less often in a larger fleet, within bounds.
-func TestReportPauseGrowsWithTheFleet(t *testing.T) {
+func TestReportBatchDelayGrowsWithRouterCount(t *testing.T) {
 	c := &Router{}
 	for _, row := range []struct {
 		routers int
@@ -20,14 +20,14 @@
 		{5000, maxReportDelay},
 	} {
 		c.nodes.Store(int64(row.routers))
-		must.Eq(t, row.report, c.reportPause())
+		must.Eq(t, row.report, c.reportBatchDelay())
 	}
 }
 
-func TestRouterThatHasJustStartedDoesNotTakeItselfForTheOnlyOne(t *testing.T) {
+func TestFleetSizeOfStartingRouterIsAtLeastTwo(t *testing.T) {
 	must.Eq(t, 2, fleetSize(1, 0))
-	must.Eq(t, 2, fleetSize(0, joiningUs-1))
+	must.Eq(t, 2, fleetSize(0, startupUs-1))
 	must.Eq(t, 300, fleetSize(300, 0))
-	must.Eq(t, 1, fleetSize(1, joiningUs))
-	must.Eq(t, 1, fleetSize(0, joiningUs))
+	must.Eq(t, 1, fleetSize(1, startupUs))
+	must.Eq(t, 1, fleetSize(0, startupUs))
 }
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -49,7 +49,7 @@
 }
 
 func (r *Router) ready() bool {
-	return r.table.Load() != nil && r.informed.Load() && !r.draining()
+	return r.table.Load() != nil && r.runnersReceived.Load() && !r.draining()
 }
 
 // durationOrDefault converts a limit in milliseconds to a duration. It uses the fallback where the
@@ -137,7 +137,7 @@
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	if r.draining() {
-		r.counters.takenWhileDraining.Add(1)
+		r.counters.acceptedWhileDraining.Add(1)
 	}
 	conn := clientConn(ctx)
 	defer func() {
@@ -214,7 +214,7 @@
 	tokensOut, _ := strconv.Atoi(strings.TrimSpace(out))
 	e.request = admission.Request{
 		Service: e.service, Rank: e.route.Rank, TokensIn: max(tokensIn, 0), TokensOut: max(tokensOut, 0),
-		Class: classOf(e.route), Model: headerValue(e.rc, hModel), Parts: prefixindex.ParseParts(headerValue(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, LeftUs: e.deadlineUs - e.router.clock(),
+		Class: outcomeClass(e.route), Model: headerValue(e.rc, hModel), Parts: prefixindex.ParseParts(headerValue(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, LeftUs: e.deadlineUs - e.router.clock(),
 	}
 	var tenantHomes []string
 	if e.tenant != nil {
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -46,9 +46,9 @@
 		{"answered", compliance.Answered, attempt.Answered, 1, 1, cutReasonCount},
 		{"rejected", compliance.Rejected, attempt.NotSent, 0, 1, cutReasonCount},
 		{"client gone", compliance.Cut, attempt.ClientGone, 1, 1, cutClientGone},
-		{"time over", compliance.Cut, attempt.Moving, 1, 1_000_000, cutTimeOver},
-		{"runner broke off", compliance.Cut, attempt.BrokenOff, 1, 1, cutRunner},
-		{"result unknown", compliance.Cut, attempt.Unknown, 1, 1, cutRunner},
+		{"time over", compliance.Cut, attempt.Moving, 1, 1_000_000, cutTimeExpired},
+		{"runner broke off", compliance.Cut, attempt.BrokenOff, 1, 1, cutByRunner},
+		{"result unknown", compliance.Cut, attempt.Unknown, 1, 1, cutByRunner},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newExchangeAt(c.nowUs, 1_000_000)
@@ -88,7 +88,7 @@
 func TestDenialOnUnconfirmedConfigViolatesInvariant(t *testing.T) {
 	router, _, _ := start(t)
 	router.core.mu.Lock()
-	router.core.last = []string{"10.0.0.1:7001"}
+	router.core.lastAddrs = []string{"10.0.0.1:7001"}
 	router.core.mu.Unlock()
 	e := &exchange{router: router}
 	router.majorityUs.Store(router.clock())
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -22,9 +22,9 @@
 	minReportPause = 2 * time.Millisecond
 	// reportDelay is the minimum time for which changes that are not urgent are batched. The time
 	// grows with the number of routers, as each report is sent up the tree.
-	reportDelay    = 50 * time.Millisecond
-	reportPart     = 640 * time.Microsecond // per router
-	maxReportDelay = 200 * time.Millisecond
+	reportDelay          = 50 * time.Millisecond
+	reportDelayPerRouter = 640 * time.Microsecond // per router
+	maxReportDelay       = 200 * time.Millisecond
 	// reportInterval is the interval at which loads are checked without a change: the flow of
 	// prompts decays over time, and nodes join and leave.
 	reportInterval = 500 * time.Millisecond
@@ -77,25 +77,25 @@
 }
 
 // deltaSince returns the change of the total that a receiver needs; false if it is up to date.
-func (l *loads) deltaSince(h messages.Cursor) (messages.LoadChange, bool) {
+func (l *loads) deltaSince(cursor messages.Cursor) (messages.LoadChange, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, lacks := l.total.DeltaSince(h.Epoch, h.Version)
-	return statesync.EncodeLoads(c), lacks
+	change, lacks := l.total.DeltaSince(cursor.Epoch, cursor.Version)
+	return statesync.EncodeLoads(change), lacks
 }
 
 // apply applies a change of the total.
-func (l *loads) apply(c messages.LoadChange) statesync.Result {
+func (l *loads) apply(change messages.LoadChange) statesync.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.total.Apply(statesync.DecodeLoads(c))
-	if r == statesync.Applied {
-		l.allChanged = l.allChanged || c.Snapshot
-		for i := range c.Loads {
-			l.changed[c.Loads[i].ID] = true
+	result := l.total.Apply(statesync.DecodeLoads(change))
+	if result == statesync.Applied {
+		l.allChanged = l.allChanged || change.Snapshot
+		for i := range change.Loads {
+			l.changed[change.Loads[i].ID] = true
 		}
 	}
-	return r
+	return result
 }
 
 // acknowledge records that the total includes the report with the given number.
@@ -110,8 +110,8 @@
 	}
 }
 
-func (l *loads) markChanged(at map[string]messages.RunnerLoad) {
-	for id := range at {
+func (l *loads) markChanged(byRunner map[string]messages.RunnerLoad) {
+	for id := range byRunner {
 		l.changed[id] = true
 	}
 }
@@ -218,50 +218,50 @@
 	r.loads.mu.Unlock()
 }
 
-// joiningUs is the time after its start during which a router may not have learned of the others.
-const joiningUs = 3_000_000
+// startupUs is the time after its start during which a router may not have learned of the others.
+const startupUs = 3_000_000
 
 // fleetSize estimates how many routers share the runners. A router that has just started and has
 // seen no other one assumes that there is another: as the only one it would compare all runners,
 // and hundreds that start at once would send all of their first requests to the same runners.
 func fleetSize(alive int, uptimeUs int64) int {
-	if uptimeUs < joiningUs {
+	if uptimeUs < startupUs {
 		return max(alive, 2)
 	}
 	return max(alive, 1)
 }
 
-// report sends one report to the parent if there is something to report.
-func (r *Router) report() {
+// sendReport sends one report to the parent if there is something to report.
+func (r *Router) sendReport() {
 	r.nodes.Store(int64(fleetSize(len(r.monitor.Alive(messages.Router)), r.clock()-r.startUs)))
 	r.admissionMu.Lock()
 	r.admission.SetNodes(int(r.nodes.Load()))
 	own, pending, absent := r.admission.Own(r.clock()), r.admission.TakeFresh(), r.admission.TakeAbsent()
 	r.admissionMu.Unlock()
-	if report, some := r.loads.nextReport(own, pending, absent); some && !r.up.Send(transport.KindLoadReport, &report) {
+	if report, due := r.loads.nextReport(own, pending, absent); due && !r.subscriber.Send(transport.KindLoadReport, &report) {
 		r.resendLoads()
 	}
 }
 
-// reportPause returns the time for which changes are batched in a fleet of the current size.
-func (r *Router) reportPause() time.Duration {
-	return min(max(time.Duration(r.nodes.Load())*reportPart, reportDelay), maxReportDelay)
+// reportBatchDelay returns the time for which changes are batched in a fleet of the current size.
+func (r *Router) reportBatchDelay() time.Duration {
+	return min(max(time.Duration(r.nodes.Load())*reportDelayPerRouter, reportDelay), maxReportDelay)
 }
 
 // reportLoads sends reports to the parent: at once after a request with prefixes that others may
-// share has been sent to a runner, and after reportPause for any other change.
+// share has been sent to a runner, and after reportBatchDelay for any other change.
 func (r *Router) reportLoads(ctx context.Context) {
 	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	for {
-		r.report()
+		r.sendReport()
 		select {
 		case <-r.prefixesPending:
 		case <-t.C:
 		case <-r.loadsChanged:
 			select {
 			case <-r.prefixesPending:
-			case <-time.After(r.reportPause()):
+			case <-time.After(r.reportBatchDelay()):
 			case <-ctx.Done():
 				return
 			}
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -64,7 +64,7 @@
 			emit(metrics.Bool(r.draining()))
 		}),
 		metrics.Counter("beechtide_requests_taken_while_draining_total", "Requests that began while the process shut down.", nil, func(emit metrics.Emit) {
-			emit(float64(counters.takenWhileDraining.Load()))
+			emit(float64(counters.acceptedWhileDraining.Load()))
 		}),
 	}
 }
@@ -107,7 +107,7 @@
 
 // emit emits the counts by outcome.
 func (c *callCounts) emit(emit metrics.Emit) {
-	emit(float64(c.asked.Load()), "asked")
+	emit(float64(c.begun.Load()), "asked")
 	emit(float64(c.answered.Load()), "answered")
 	emit(float64(c.timedOut.Load()), "timed_out")
 	emit(float64(c.failed.Load()), "failed")
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -19,7 +19,7 @@
 	return text.String()
 }
 
-func TestMetricsTellHowRequestsEnd(t *testing.T) {
+func TestMetricsCountHowRequestsEnd(t *testing.T) {
 	c, front, _ := start(t, newRunner(t, "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok"))
 	withoutID := strings.Replace(request("/pay/x", ""), hAttempt, "X-Other", 1)
 	for _, raw := range []string{request("/pay/x", ""), withoutID} {
@@ -47,21 +47,21 @@
 	for _, err := range []error{nil, errors.Wrap(transport.ErrTimeout, "x"), transport.ErrClosed} {
 		c.begin()
 		must.Eq(t, 1, c.inProgress.Load())
-		c.ended(err)
+		c.end(err)
 	}
-	must.Eq(t, 3, c.asked.Load())
+	must.Eq(t, 3, c.begun.Load())
 	must.Eq(t, 1, c.answered.Load())
 	must.Eq(t, 1, c.timedOut.Load())
 	must.Eq(t, 1, c.failed.Load())
 	must.Eq(t, 0, c.inProgress.Load())
 }
 
-func TestConfigLagRunsFromFirstWordOfANewerVersion(t *testing.T) {
+func TestConfigLagStartsWhenNewerVersionIsFirstObserved(t *testing.T) {
 	var l configLag
-	l.heardOf([]int64{3}, []int64{3}, 10)
+	l.observeRemote([]int64{3}, []int64{3}, 10)
 	must.Eq(t, 0, l.lag(20))
-	l.heardOf([]int64{3}, []int64{5}, 1_000_000)
-	l.heardOf([]int64{4}, []int64{6}, 2_000_000)
+	l.observeRemote([]int64{3}, []int64{5}, 1_000_000)
+	l.observeRemote([]int64{4}, []int64{6}, 2_000_000)
 	l.inForce(4, 2_500_000)
 	must.Eq(t, 2*time.Second, l.lag(3_000_000))
 	l.inForce(6, 4_000_000)
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -24,43 +24,43 @@
 
 // Timing of probes of runners that may be absent.
 const (
-	missingEvery = 100 * time.Millisecond // interval of checks for due probes while a runner is missing
-	missingWait  = time.Second            // timeout of one probe
+	probeCheckInterval = 100 * time.Millisecond // interval of checks for due probes while a runner is missing
+	probeTimeout       = time.Second            // timeout of one probe
 )
 
-// otherWeights reports whether a 421 was caused by the weights: the response names a version other
+// hasOtherWeights reports whether a 421 was caused by the weights: the response names a version other
 // than the expected one.
-func otherWeights(adm *admission.Admission, r *protocol.Response) bool {
+func hasOtherWeights(adm *admission.Admission, r *protocol.Response) bool {
 	version, err := strconv.ParseInt(r.Header.Get(hWeights), 10, 64)
 	return err == nil && adm.Version > 0 && version != adm.Version
 }
 
-// wrongInstance records that a runner answered 421. A runner that only has other weights is
+// handleMisdirected records that a runner answered 421. A runner that only has other weights is
 // present; it is treated as full for a short time, until its new version has been received.
-func (r *Router) wrongInstance(adm *admission.Admission, otherWeights bool) {
-	expected := adm.Version > 0
-	left := false
+func (r *Router) handleMisdirected(adm *admission.Admission, otherWeights bool) {
+	hasExpectedVersion := adm.Version > 0
+	removed := false
 	r.admissionMu.Lock()
 	if otherWeights {
 		r.admission.Full(adm, r.clock())
 	} else {
-		left = r.admission.WrongInstance(adm, expected, r.clock())
+		removed = r.admission.WrongInstance(adm, hasExpectedVersion, r.clock())
 	}
 	r.admissionMu.Unlock()
-	if !left {
+	if !removed {
 		return
 	}
-	if !expected {
+	if !hasExpectedVersion {
 		r.confirmAbsent(adm.Runner)
 	}
-	signal(r.missing)
+	signal(r.probesPending)
 }
 
 // confirmAbsent closes the connections to the address of an absent runner and schedules a load
 // report, which carries the absence to the other nodes.
-func (r *Router) confirmAbsent(n messages.RunnerRecord) {
-	r.log.Info("runner is not at its address", "runner", n.ID, "address", n.Addr)
-	r.connPool.Drop(n.Addr)
+func (r *Router) confirmAbsent(runner messages.RunnerRecord) {
+	r.log.Info("runner is not at its address", "runner", runner.ID, "address", runner.Addr)
+	r.connPool.Drop(runner.Addr)
 	signal(r.loadsChanged)
 }
 
@@ -68,12 +68,12 @@
 func (r *Router) probeAbsent(ctx context.Context) {
 	for {
 		select {
-		case <-r.missing:
+		case <-r.probesPending:
 		case <-ctx.Done():
 			return
 		}
 		for r.probeDue(ctx) {
-			loop.Pause(ctx, missingEvery)
+			loop.Pause(ctx, probeCheckInterval)
 		}
 	}
 }
@@ -84,8 +84,8 @@
 	due, missing := r.admission.DueProbes(r.clock())
 	r.admissionMu.Unlock()
 	var wg sync.WaitGroup
-	for _, n := range due {
-		wg.Go(func() { r.probe(ctx, n) })
+	for _, runner := range due {
+		wg.Go(func() { r.probe(ctx, runner) })
 	}
 	wg.Wait()
 	return missing && ctx.Err() == nil
@@ -93,39 +93,39 @@
 
 // probe checks which instance answers at a runner's address and passes the result to the admission
 // control.
-func (r *Router) probe(ctx context.Context, n messages.RunnerRecord) {
-	t := r.table.Load()
-	if t == nil {
+func (r *Router) probe(ctx context.Context, runner messages.RunnerRecord) {
+	table := r.table.Load()
+	if table == nil {
 		return
 	}
-	s := t.Service(n.Service)
-	if s == nil {
+	service := table.Service(runner.Service)
+	if service == nil {
 		return
 	}
-	what := admission.PresenceUnprobed
-	if s.Probe != "" {
-		what = r.identifyInstance(ctx, n, s.Probe)
+	presence := admission.PresenceUnprobed
+	if service.Probe != "" {
+		presence = r.identifyInstance(ctx, runner, service.Probe)
 	}
 	r.admissionMu.Lock()
-	sure := r.admission.Found(n, what, r.clock())
+	absent := r.admission.Found(runner, presence, r.clock())
 	r.admissionMu.Unlock()
-	if sure {
-		r.confirmAbsent(n)
+	if absent {
+		r.confirmAbsent(runner)
 	}
 	r.wakeQueue()
 }
 
 // identifyInstance sends a probe to a runner's address and evaluates which instance has answered.
-func (r *Router) identifyInstance(ctx context.Context, n messages.RunnerRecord, path string) admission.Presence {
-	ctx, cancel := context.WithTimeout(ctx, missingWait)
+func (r *Router) identifyInstance(ctx context.Context, runner messages.RunnerRecord, path string) admission.Presence {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	status, found, err := r.connPool.Probe(ctx, n.Addr, path, hInstance, map[string]string{hTarget: n.ID})
+	status, instance, err := r.connPool.Probe(ctx, runner.Addr, path, hInstance, map[string]string{hTarget: runner.ID})
 	switch {
 	case err != nil:
 		return admission.PresenceUnknown
-	case found == n.ID:
+	case instance == runner.ID:
 		return admission.PresenceConfirmed
-	case status == statusWrongInstance || found != "":
+	case status == statusWrongInstance || instance != "":
 		return admission.PresenceMismatch
 	}
 	return admission.PresenceUnknown
--- a/internal/router/parents_test.go
+++ b/internal/router/parents_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestStartingRouterWaitsForAControllerOfItsZone(t *testing.T) {
+func TestStartingRouterWaitsForControllerOfItsZone(t *testing.T) {
 	seeds := []messages.Peer{{Addr: "d1", Zone: "a"}, {Addr: "d2", Zone: "b"}}
 	must.True(t, waitsForZone(0, "c", nil))
 	must.True(t, waitsForZone(zoneParentWaitUs-1, "c", seeds))
--- a/internal/router/partition_metrics.go
+++ b/internal/router/partition_metrics.go
@@ -70,8 +70,8 @@
 			emit(float64(r.zones.DoubtedSilences()))
 		}),
 		metrics.Counter("beechtide_router_unreachable_streams_total", "Streams that delivered nothing from runners of unreachable zones: left, they go on at other runners; stayed, there was no place.", []string{"outcome"}, func(emit metrics.Emit) {
-			emit(float64(r.counters.streamsLeft.Load()), "left")
-			emit(float64(r.counters.streamsStayed.Load()), "stayed")
+			emit(float64(r.counters.unreachableStreamsMoved.Load()), "left")
+			emit(float64(r.counters.unreachableStreamsStayed.Load()), "stayed")
 		}),
 	}
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -19,8 +19,8 @@
 // day.
 const timeOfDayPeriod = 400 * time.Millisecond
 
-// newClientsOfOthers creates the clients for cooperation with other nodes.
-func (r *Router) newClientsOfOthers() (err error) {
+// newPeerClients creates the clients for cooperation with other nodes.
+func (r *Router) newPeerClients() (err error) {
 	r.quotas, err = quotaclient.New(quotaclient.Config{
 		Addr:        r.transport.Addr(),
 		Bounds:      r.set.QuotaBounds(),
@@ -73,9 +73,9 @@
 	r.wakeQueue()
 }
 
-// seeRouters passes the addresses of the live routers to the components that divide limits among
+// updateLiveRouters passes the addresses of the live routers to the components that divide limits among
 // them: the admission control and the quota client.
-func (r *Router) seeRouters() {
+func (r *Router) updateLiveRouters() {
 	var addrs []string
 	for _, peer := range r.monitor.Alive(messages.Router) {
 		addrs = append(addrs, peer.Addr)
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -87,8 +87,8 @@
 func TestRouterFollowsHintToQuotaOwner(t *testing.T) {
 	r := newRunner(t)
 	router, core, front := startLimited(t, 3, r)
-	owner := quota.Order(quota.ShardOf("t1"), router.wholeCore())[2]
-	addrs := router.wholeCore()
+	owner := quota.Order(quota.ShardOf("t1"), router.allCoreAddrs())[2]
+	addrs := router.allCoreAddrs()
 	core.set(func() {
 		core.quota = func(i int, ask messages.QuotaAsk) messages.QuotaGrant {
 			if core.addrs[i] == owner {
--- a/internal/router/quotaclient/client.go
+++ b/internal/router/quotaclient/client.go
@@ -120,8 +120,8 @@
 }
 
 // Acquire returns a token for a request, or the reason why there is none. It waits for at most
-// waitUs, or until clientGone is closed. isNew is true for a new request and false for a retry of one
-// that was already counted.
+// waitUs, or until clientGone is closed. isNew is true for a new request and false for one that has
+// been counted as an arrival before.
 func (c *Client) Acquire(tenant string, limit quota.Limit, isNew bool, waitUs int64, clientGone <-chan struct{}) Answer {
 	untilUs := c.config.Clock() + waitUs
 	for {
--- a/internal/router/reach.go
+++ b/internal/router/reach.go
@@ -8,8 +8,8 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// reachWait bounds the call with which a router checks whether it can reach another node.
-const reachWait = 150 * time.Millisecond
+// reachCallTimeout bounds the call with which a router checks whether it can reach another node.
+const reachCallTimeout = 150 * time.Millisecond
 
 // answerReach checks on behalf of a controller whether this router can reach another node, like
 // the indirect probes of SWIM: the controller cannot reach that node itself, and must distinguish a
@@ -19,9 +19,9 @@
 	if _, err := query.UnmarshalMsg(body); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, reachWait)
+	ctx, cancel := context.WithTimeout(ctx, reachCallTimeout)
 	defer cancel()
 	_, err := r.transport.Call(ctx, query.Addr, transport.KindVersions, &messages.Versions{Parts: []int64{}})
-	answer := messages.ReachAnswer{Reached: err == nil}
-	return answer.MarshalMsg(nil)
+	response := messages.ReachAnswer{Reached: err == nil}
+	return response.MarshalMsg(nil)
 }
--- a/internal/router/recheck.go
+++ b/internal/router/recheck.go
@@ -72,7 +72,7 @@
 // began, at most confirmationTTLUs ago. It fetches a newer configuration first.
 func (r *Router) confirmCurrent() bool {
 	return r.freshness.confirm(r.clock, func() bool {
-		confirmed := r.readNewest(r.wholeCore())
+		confirmed := r.readNewest(r.allCoreAddrs())
 		if confirmed {
 			r.majorityUs.Store(r.clock())
 		}
@@ -96,7 +96,7 @@
 	answers := make(chan versionsResponse, len(controllers))
 	for _, addr := range controllers {
 		go func() {
-			m, err := r.askVersions(ctx, addr)
+			m, err := r.requestVersions(ctx, addr)
 			answers <- versionsResponse{addr, m, err}
 		}()
 	}
@@ -114,10 +114,10 @@
 	if !read.hasQuorum() {
 		return false
 	}
-	if !r.behind([]int64{read.committed}) {
+	if !r.hasNewer([]int64{read.committed}) {
 		return true
 	}
-	return r.fetchMissing(ctx, read.newestAt, false) && !r.behind([]int64{read.committed})
+	return r.fetchMissing(ctx, read.newestAt, false) && !r.hasNewer([]int64{read.committed})
 }
 
 // confirmationValid reports whether the last confirmation is recent enough. It is checked again
--- a/internal/router/request_rules_test.go
+++ b/internal/router/request_rules_test.go
@@ -89,7 +89,7 @@
 func TestDrainingRouterIsNotReadyWithRequestsInFlight(t *testing.T) {
 	r, reached, ended := newBlockingRunner(t, streamHead+chunk("id: 1\ndata: a\n\n"))
 	router, front, cancel := start(t, r)
-	router.informed.Store(true)
+	router.runnersReceived.Store(true)
 	router.receiveConfig(t, longCutoffConfig)
 	dialAndSend(t, front, longRequest("/chat/"))
 	awaitEvent(t, reached, "the request at the runner")
--- a/internal/router/retired_test.go
+++ b/internal/router/retired_test.go
@@ -19,20 +19,20 @@
 	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, retiring, version)}}))
 }
 
-// listBoth registers a runner with weights 4 and one with weights 5.
-func (r *Router) listBoth(t *testing.T, old, renewed *runner) {
+// addOldAndNewWeights registers a runner with weights 4 and one with weights 5.
+func (r *Router) addOldAndNewWeights(t *testing.T, oldWeights, newWeights *runner) {
 	t.Helper()
-	var notes []messages.RunnerRecord
-	for i, server := range []*runner{old, renewed} {
-		notes = append(notes, messages.RunnerRecord{
+	var records []messages.RunnerRecord
+	for i, server := range []*runner{oldWeights, newWeights} {
+		records = append(records, messages.RunnerRecord{
 			ID: fmt.Sprintf("r%d", i), Service: "s", Addr: server.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: int64(4 + i)}},
 		})
 	}
-	r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, notes...)}})
+	r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, records...)}})
 }
 
-// load sets the prefill load of other nodes at the runner with weights 5.
-func (r *Router) load(prefill int) {
+// setPeerLoad sets the prefill load of other nodes at the runner with weights 5.
+func (r *Router) setPeerLoad(prefill int) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
 	r.admission.Others(func(id string) messages.RunnerLoad {
@@ -43,17 +43,17 @@
 	}, r.clock())
 }
 
-func TestNothingGoesToRetiredWeights(t *testing.T) {
+func TestRetiredWeightsReceiveNoRequests(t *testing.T) {
 	old, renewed := newRunner(t), newRunner(t)
 	c, front, _ := start(t, old)
-	c.listBoth(t, old, renewed)
+	c.addOldAndNewWeights(t, old, renewed)
 	for old.requestCount() == 0 {
-		c.load(2_000)
+		c.setPeerLoad(2_000)
 		_, _, err := roundTrip(t, front, request("/pay/1", ""))
 		must.NoError(t, err)
 	}
 	before, others := old.requestCount(), renewed.requestCount()
-	c.load(0)
+	c.setPeerLoad(0)
 	c.retire(t, 2)
 	for range 8 {
 		a, _, err := roundTrip(t, front, request("/pay/1", ""))
@@ -66,7 +66,7 @@
 }
 
 // An earlier configuration that arrives late does not make retired weights usable again.
-func TestAnEarlierConfigurationDoesNotBringRetiredWeightsBack(t *testing.T) {
+func TestLateEarlierConfigurationDoesNotRestoreRetiredWeights(t *testing.T) {
 	old := newRunner(t)
 	c, front, _ := start(t, old)
 	c.retire(t, 2)
@@ -90,7 +90,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	renewed := newRunner(t)
-	c.listBoth(t, old, renewed)
+	c.addOldAndNewWeights(t, old, renewed)
 	c.retire(t, 2)
 	c.withdrawFromOldWeights()
 	close(retired)
@@ -120,7 +120,7 @@
 			answer := roundTripAsync(t, front, request(c.path, "x"))
 			awaitRequest(old)
 			renewed := newRunner(t)
-			router.listBoth(t, old, renewed)
+			router.addOldAndNewWeights(t, old, renewed)
 			router.retire(t, 2)
 			if !c.moves {
 				router.withdrawFromOldWeights()
--- a/internal/router/retirements.go
+++ b/internal/router/retirements.go
@@ -32,7 +32,7 @@
 func (r *Router) retiredConditions() []messages.RetiredCondition {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	var out []messages.RetiredCondition
+	var conditions []messages.RetiredCondition
 	byModel := func(a, b messages.Target) int {
 		if a.Model < b.Model {
 			return -1
@@ -41,7 +41,7 @@
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(r.retirements.sinceUs), byModel) {
 		runners, parts := r.admission.RetiredLeft(key.Model)
-		out = append(out, messages.RetiredCondition{Model: key.Model, Before: key.Version, SinceUs: r.clock() - r.retirements.sinceUs[key], Runners: runners, Parts: parts})
+		conditions = append(conditions, messages.RetiredCondition{Model: key.Model, Before: key.Version, SinceUs: r.clock() - r.retirements.sinceUs[key], Runners: runners, Parts: parts})
 	}
-	return out
+	return conditions
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router is the role that serves clients: it takes their requests, asks
-// package admission for a runner, sends attempts to runners and streams the responses
+// Package router implements the role that serves clients: it receives their requests, has
+// package admission choose a runner, sends attempts to runners and streams the responses
 // back.
 //
 // # Inputs and guarantees
@@ -30,7 +30,7 @@
 // Run starts a goroutine for each periodic task, for the subscription and for each
 // server. A request belongs to the goroutine of the HTTP server that serves its
 // connection; while it is queued that goroutine waits for its continuation in the
-// slab, which is resumed by the goroutine of pump, or by that of a request of higher
+// slab, which is resumed by the goroutine of runQueue, or by that of a request of higher
 // priority that sheds it.
 //
 //   - The compiled configuration is immutable and swapped by an atomic pointer; a
@@ -92,15 +92,15 @@
 	table     atomic.Pointer[routeconfig.Table]
 
 	stateMu       sync.Mutex
-	parts         map[int]messages.RegisterUpdate
+	registers     map[int]messages.RegisterUpdate
 	evacuations   map[int][]messages.Evacuation // by register
 	configuration *routeconfig.Replica
 	runners       *statesync.Entries // replica of the parent's list
-	feedStats     stats
+	feedCounters  feedCounters
 
-	up     dissemination.Subscriber
-	parent atomic.Pointer[string]
-	loads  loads
+	subscriber dissemination.Subscriber
+	parent     atomic.Pointer[string]
+	loads      loads
 
 	admissionMu     sync.Mutex
 	admission       *admission.Admitter
@@ -109,7 +109,7 @@
 	queueChanged    chan struct{}
 	prefixesPending chan struct{} // a runner has begun to prefill prefixes that others may share
 	loadsChanged    chan struct{} // this node's loads have changed
-	missing         chan struct{} // a runner was not at its address
+	probesPending   chan struct{} // a runner was not at its address
 	sent            sentAttempts
 	movableStreams  sentAttempts               // streams that have begun and that another attempt may resume
 	pendingConnects activeSet[*pendingConnect] // connections being established
@@ -117,15 +117,15 @@
 
 	freshness    freshnessChecks
 	comparisons  *dissemination.Comparisons
-	core         coreMemory
+	core         coreHistory
 	lastUpdateUs atomic.Int64 // when a parent that reaches the core last sent a feed
 
-	trail    compliance.Trail
-	seeds    atomic.Pointer[[]string]
-	nodes    atomic.Int64
-	informed atomic.Bool
-	inFlight atomic.Int64
-	front    atomic.Pointer[timedListener]
+	trail           compliance.Trail
+	seeds           atomic.Pointer[[]string]
+	nodes           atomic.Int64
+	runnersReceived atomic.Bool
+	inFlight        atomic.Int64
+	front           atomic.Pointer[timedListener]
 
 	shutdown   atomic.Pointer[shutdownPlan] // nil until SIGTERM
 	drainBegun chan struct{}                // closed when shutdown is set
@@ -164,7 +164,7 @@
 		transport:       trans,
 		registry:        registry.New(),
 		connPool:        upstream.NewConnPool(clock),
-		parts:           map[int]messages.RegisterUpdate{},
+		registers:       map[int]messages.RegisterUpdate{},
 		evacuations:     map[int][]messages.Evacuation{},
 		configuration:   routeconfig.NewReplica(),
 		runners:         statesync.NewEntries(),
@@ -173,7 +173,7 @@
 		queueChanged:    make(chan struct{}, 1),
 		prefixesPending: make(chan struct{}, 1),
 		loadsChanged:    make(chan struct{}, 1),
-		missing:         make(chan struct{}, 1),
+		probesPending:   make(chan struct{}, 1),
 		comparisons:     dissemination.NewComparisons(rand.IntN(comparisonOrders)),
 		drainBegun:      make(chan struct{}),
 		finalPhase:      make(chan struct{}),
@@ -183,10 +183,10 @@
 	r.nodes.Store(1)
 	r.seeds.Store(&set.Seeds)
 	r.timeOfDay.Observe(time.Now().UnixMicro(), clock())
-	r.joinTree()
+	r.initDissemination()
 	self := messages.Peer{Addr: set.RouterAddr(), Role: messages.Router, Zone: set.Zone, Node: set.Node}
 	r.monitor = membership.NewMonitor(trans, self, clock, r.seedAddrs)
-	if err := r.newClientsOfOthers(); err != nil {
+	if err := r.newPeerClients(); err != nil {
 		return nil, err
 	}
 	trans.OnDatagram(transport.KindReachPing, r.zones.HandlePing)
@@ -215,21 +215,21 @@
 	return admitter
 }
 
-// joinTree sets up this router's part of the relay tree: the subscription to its parent and the
+// initDissemination sets up this router's part of the relay tree: the subscription to its parent and the
 // publisher for the routers below it.
-func (r *Router) joinTree() {
+func (r *Router) initDissemination() {
 	r.publisher = dissemination.NewPublisher(r.transport, dissemination.Upstream{
 		DeltaSince:   r.deltaSince,
 		ApplyReport:  r.applyReport,
 		Unsubscribed: r.removeSender,
 	})
-	r.up.SyncState = r.syncState
-	r.up.Parents = r.parents
-	r.up.ApplyUpdate = r.receiveFeed
-	r.up.Acked = r.loads.acknowledge
-	r.up.ResendAll = r.resendLoads
-	r.up.Unsubscribed = func(string) {}
-	r.up.Counts = &r.counters.subscriptions
+	r.subscriber.SyncState = r.syncState
+	r.subscriber.Parents = r.parents
+	r.subscriber.ApplyUpdate = r.receiveFeed
+	r.subscriber.Acked = r.loads.acknowledge
+	r.subscriber.ResendAll = r.resendLoads
+	r.subscriber.Unsubscribed = func(string) {}
+	r.subscriber.Counts = &r.counters.subscriptions
 }
 
 // Run serves until ctx ends and then shuts down gracefully.
@@ -239,15 +239,15 @@
 	defer stop()
 	r.transport.Run(live)
 	go r.monitor.Run(live)
-	go r.up.Listen(live, r.transport)
+	go r.subscriber.Listen(live, r.transport)
 	go loop.Every(live, r.convergeTime()/dissemination.ComparisonParts, r.compareVersions(live))
 	go r.reportLoads(live)
 	go loop.Every(live, time.Second, func() { r.connPool.Sweep(func(string) bool { return true }) })
-	go loop.Every(live, forgetEvery, r.forgetUnlisted)
-	go r.pump(live)
+	go loop.Every(live, unlistedSweepInterval, r.removeUnlisted)
+	go r.runQueue(live)
 	go r.zones.Run(live)
 	go r.probeAbsent(live)
-	go loop.Every(live, quotaclient.SweepInterval, r.seeRouters)
+	go loop.Every(live, quotaclient.SweepInterval, r.updateLiveRouters)
 	go loop.Every(live, withdrawInterval, r.withdrawFromOldWeights)
 	go r.metricsServer().Run(live)
 	if r.usage != nil {
@@ -273,7 +273,7 @@
 	case <-ctx.Done():
 	}
 	r.shutDown()
-	r.recordCutByLeaving()
+	r.recordCutByShutdown()
 	return nil
 }
 
@@ -298,7 +298,7 @@
 	}
 	list := dissemination.Parents(r.transport.Addr(), r.set.Zone, controllers, r.monitor.Alive(messages.Router))
 	if len(list) == 0 {
-		return append(r.seedAddrs(), r.wholeCore()...)
+		return append(r.seedAddrs(), r.allCoreAddrs()...)
 	}
 	return list
 }
@@ -319,28 +319,28 @@
 	r.loads.markAllChanged()
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	t := r.table.Load()
+	table := r.table.Load()
 	snap := r.registry.Snapshot()
-	if t != nil {
-		r.admission.SetRelinquished(t.Relinquished, r.clock())
-		r.admission.SetRetired(t.Retired)
-		r.retirements.observe(t.Retired, r.clock())
+	if table != nil {
+		r.admission.SetRelinquished(table.Relinquished, r.clock())
+		r.admission.SetRetired(table.Retired)
+		r.retirements.observe(table.Retired, r.clock())
 	}
-	for service, notes := range snap.ByService {
+	for service, records := range snap.ByService {
 		tokens, moveUs, links, coldPerS := 0, 0.0, 0, 0.0
-		if t != nil {
-			if s := t.Service(service); s != nil {
-				tokens, links, coldPerS = s.Engine.CacheTokens, s.LinkLimit, s.ColdPerS
-				if s.Engine.LinkMbps > 0 {
-					moveUs = float64(s.Engine.TokenBytes) * 8 / float64(s.Engine.LinkMbps)
+		if table != nil {
+			if svc := table.Service(service); svc != nil {
+				tokens, links, coldPerS = svc.Engine.CacheTokens, svc.LinkLimit, svc.ColdPerS
+				if svc.Engine.LinkMbps > 0 {
+					moveUs = float64(svc.Engine.TokenBytes) * 8 / float64(svc.Engine.LinkMbps)
 				}
 			}
 		}
-		r.admission.SetService(service, notes, tokens, moveUs)
+		r.admission.SetService(service, records, tokens, moveUs)
 		r.admission.SetWarmups(service, coldPerS, r.clock())
 		r.admission.SetLinks(service, links)
-		r.admission.SetStores(service, storesFor(t, service))
-		r.admission.SetCertified(service, certified(t, notes))
+		r.admission.SetStores(service, storesFor(table, service))
+		r.admission.SetCertified(service, certifiedByRegime(table, records))
 	}
 	for _, name := range r.admission.Services() {
 		if _, ok := snap.ByService[name]; !ok {
@@ -349,47 +349,47 @@
 	}
 }
 
-// certified returns the runners and stores that each regime allows, by regime and ID; nil if there
+// certifiedByRegime returns the runners and stores that each regime allows, by regime and ID; nil if there
 // are no regimes.
-func certified(t *routeconfig.Table, notes []messages.RunnerRecord) map[string]map[string]bool {
-	if t == nil || t.Policies.None() {
+func certifiedByRegime(table *routeconfig.Table, records []messages.RunnerRecord) map[string]map[string]bool {
+	if table == nil || table.Policies.None() {
 		return nil
 	}
 	out := map[string]map[string]bool{}
-	for _, name := range t.Policies.Names() {
+	for _, name := range table.Policies.Names() {
 		out[name] = map[string]bool{}
-		for _, n := range notes {
-			if _, ok := t.Policies.Allows(name, sightOf(n)); ok {
-				out[name][n.ID] = true
+		for _, record := range records {
+			if _, ok := table.Policies.Allows(name, complianceRunner(record)); ok {
+				out[name][record.ID] = true
 			}
 		}
-		for _, box := range t.Stores {
-			if _, ok := t.Policies.Allows(name, compliance.Runner{ID: box.CacheStore, Service: box.Name, Zone: box.Zone}); ok {
-				out[name][box.CacheStore] = true
+		for _, store := range table.Stores {
+			if _, ok := table.Policies.Allows(name, compliance.Runner{ID: store.CacheStore, Service: store.Name, Zone: store.Zone}); ok {
+				out[name][store.CacheStore] = true
 			}
 		}
 	}
 	return out
 }
 
-func sightOf(n messages.RunnerRecord) compliance.Runner {
-	return compliance.Runner{ID: n.ID, Service: n.Service, Zone: n.Zone}
+func complianceRunner(record messages.RunnerRecord) compliance.Runner {
+	return compliance.Runner{ID: record.ID, Service: record.Service, Zone: record.Zone}
 }
 
 // storesFor returns the cache stores that the runners of a service may use: all stores with a
 // link rate, if the service's engine supports cache transfers.
-func storesFor(t *routeconfig.Table, service string) []admission.Store {
-	if t == nil {
+func storesFor(table *routeconfig.Table, service string) []admission.Store {
+	if table == nil {
 		return nil
 	}
-	s := t.Service(service)
-	if s == nil || s.Engine.TokenBytes == 0 {
+	svc := table.Service(service)
+	if svc == nil || svc.Engine.TokenBytes == 0 {
 		return nil
 	}
 	var out []admission.Store
-	for _, box := range t.Stores {
-		if box.LinkMbps > 0 {
-			out = append(out, admission.Store{ID: box.CacheStore, Addr: box.CacheStore, Zone: box.Zone, MoveUs: float64(s.Engine.TokenBytes) * 8 / float64(box.LinkMbps)})
+	for _, store := range table.Stores {
+		if store.LinkMbps > 0 {
+			out = append(out, admission.Store{ID: store.CacheStore, Addr: store.CacheStore, Zone: store.Zone, MoveUs: float64(svc.Engine.TokenBytes) * 8 / float64(store.LinkMbps)})
 		}
 	}
 	return out
@@ -399,8 +399,8 @@
 // after its evacuation has ended: by then their heartbeats have reported their state.
 const returnColdBeats = 2
 
-// forgetEvery is the interval at which runners that the parent no longer lists are removed.
-const forgetEvery = 5 * time.Second
+// unlistedSweepInterval is the interval at which runners that the parent no longer lists are removed.
+const unlistedSweepInterval = 5 * time.Second
 
 func (r *Router) wakeQueue() { signal(r.queueChanged) }
 
@@ -411,8 +411,8 @@
 	}
 }
 
-// pump calls tick at every tickInterval while requests are queued.
-func (r *Router) pump(ctx context.Context) {
+// runQueue calls tick every tickInterval while requests are queued.
+func (r *Router) runQueue(ctx context.Context) {
 	for {
 		select {
 		case <-r.queueChanged:
--- a/internal/router/runner_leaves_test.go
+++ b/internal/router/runner_leaves_test.go
@@ -13,7 +13,7 @@
 
 // A runner that has left continues to serve for a while: requests in progress complete there, no
 // new ones are sent to it, and late records of it do not make it available again.
-func TestRunnerThatLeftEndsWhatItHasAndGetsNothingMore(t *testing.T) {
+func TestRunnerThatLeftCompletesRequestsAndReceivesNoMore(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	finish := make(chan struct{})
 	a.stream = func(write func(string), _ <-chan struct{}) {
@@ -29,14 +29,14 @@
 	other := messages.RunnerRecord{ID: "r1", Service: "s", Addr: b.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: 4}}}
 	left := c.registry.Snapshot().ByID["r0"]
 	left.Gone = true
-	tell := func(parent string, n ...messages.RunnerRecord) {
+	applyRecords := func(parent string, n ...messages.RunnerRecord) {
 		c.applyFeed(parent, messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, n...)}})
 	}
-	tell("", left, other)
+	applyRecords("", left, other)
 	late := left
 	late.Gone, late.Seq = false, left.Seq+9
-	tell("", late)
-	tell("p", late, other)
+	applyRecords("", late)
+	applyRecords("p", late, other)
 	for range 6 {
 		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -112,7 +112,7 @@
 	switch {
 	case status == statusWrongInstance:
 		router.discardResponse(adm, conn, r)
-		router.wrongInstance(adm, otherWeights(adm, r))
+		router.handleMisdirected(adm, hasOtherWeights(adm, r))
 		e.refundToken()
 		return attempt.NotRun
 	case r.Header.Get(hNotRun) != "":
@@ -188,7 +188,7 @@
 		e.request.Regime, e.regimeChanged = now, true
 		return false
 	}
-	_, certificate, ok := t.Allows(e.tenant.Name, sightOf(adm.Runner))
+	_, certificate, ok := t.Allows(e.tenant.Name, complianceRunner(adm.Runner))
 	if ok {
 		e.recordAudit(compliance.Sent, &adm.Runner, certificate)
 	}
--- a/internal/router/service_rollouts.go
+++ b/internal/router/service_rollouts.go
@@ -11,18 +11,18 @@
 
 // recordRollouts passes the rollouts of a register to the admission control. The caller holds
 // stateMu.
-func (r *Router) recordRollouts(list []messages.ServiceRollout) {
-	if len(list) == 0 {
+func (r *Router) recordRollouts(rollouts []messages.ServiceRollout) {
+	if len(rollouts) == 0 {
 		return
 	}
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	r.admission.SetRollouts(list)
+	r.admission.SetRollouts(rollouts)
 }
 
-// classOf returns the class within which the outcomes of requests are compared: routes with the
+// outcomeClass returns the class within which the outcomes of requests are compared: routes with the
 // same latency setpoint are in one class.
-func classOf(route *routeconfig.Route) string {
+func outcomeClass(route *routeconfig.Route) string {
 	const usPerMs = 1000
 	return strconv.FormatInt(route.SetpointUs/usPerMs, 10) + " ms"
 }
--- a/internal/router/sync_test.go
+++ b/internal/router/sync_test.go
@@ -11,7 +11,7 @@
 
 // While one feed is being applied and waits for the admission lock, another one adds a runner of
 // another service. The admission control must have that runner afterwards.
-func TestSyncAdmissionLeavesTheNewestRunnersBehind(t *testing.T) {
+func TestConcurrentSyncAdmissionAppliesNewestRunners(t *testing.T) {
 	c, _, _ := start(t)
 	known := func(service string) bool {
 		c.admissionMu.Lock()
--- a/internal/router/targets_test.go
+++ b/internal/router/targets_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestOnlyAControllerWithTheCoreInReachCountsAsContact(t *testing.T) {
+func TestOnlyFeedOfControllerThatReachesCoreRenewsContact(t *testing.T) {
 	const versionUs, contactLossUs = 8_000_000, 3_000_000
 	c := &Router{admission: admission.New(admission.Defaults, "a", 1)}
 	c.admission.Bound = admission.WeightsBound{VersionUs: versionUs, ContactLossUs: contactLossUs}
@@ -18,21 +18,21 @@
 	adm := c.admission.Submit(admission.Request{Service: "s", Model: "m", TokensIn: 8, LeftUs: 1_000_000}, 1).Admit
 	must.NotNil(t, adm)
 
-	c.takeTargetAges(messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: versionUs}}}, 1)
+	c.applyTargetAges(messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: versionUs}}}, 1)
 	must.False(t, c.admission.WeightsAllowed(adm, contactLossUs))
 	lostUs := int64(1 + contactLossUs)
 	must.True(t, c.admission.WeightsAllowed(adm, lostUs))
 	for _, f := range []messages.Feed{{CutOff: true}, {FromRelay: true}, {CutOff: true, FromRelay: true}} {
-		c.takeTargetAges(f, lostUs)
+		c.applyTargetAges(f, lostUs)
 		must.True(t, c.admission.WeightsAllowed(adm, lostUs), must.Sprintf("%+v", f))
 	}
-	c.takeTargetAges(messages.Feed{}, lostUs)
+	c.applyTargetAges(messages.Feed{}, lostUs)
 	must.False(t, c.admission.WeightsAllowed(adm, lostUs))
 }
 
 // A parent that has lost the ages of its targets receives them with this node's sync state, and a
 // subscriber receives them with its delta.
-func TestAgesOfTargetsGoBothWaysInTheTree(t *testing.T) {
+func TestTargetAgesAreSentToParentAndSubscribers(t *testing.T) {
 	c, _, _ := start(t)
 	c.applyFeed("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: 1_000_000}}})
 	up := c.syncState().TargetAges
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -177,10 +177,10 @@
 	}
 	router, front, _ := start(t, a, b)
 	for i := 0; a.requestCount() == 0; i++ {
-		ans, _, err := roundTrip(t, front, fresh("/pay/", i))
+		ans, _, err := roundTrip(t, front, uniqueRequest("/pay/", i))
 		must.NoError(t, err)
 		must.Eq(t, 200, ans.StatusCode)
 	}
-	must.False(t, missing(router))
-	must.Eq(t, 0, a.probes())
+	must.False(t, hasMissingRunner(router))
+	must.Eq(t, 0, a.probeCount())
 }
--- a/internal/router/zones_test.go
+++ b/internal/router/zones_test.go
@@ -176,8 +176,8 @@
 		write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n")
 	})
 	must.Eq(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", body)
-	must.Positive(t, router.counters.streamsStayed.Load())
-	must.Zero(t, router.counters.streamsLeft.Load())
+	must.Positive(t, router.counters.unreachableStreamsStayed.Load())
+	must.Zero(t, router.counters.unreachableStreamsMoved.Load())
 }
 
 func TestOnlySilentStreamsLeaveUnreachableRunners(t *testing.T) {
