--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -52,34 +52,34 @@
 
 // allAddrs returns the addresses of the core members in the membership, suspected ones included. If
 // there are none, it returns the last ones seen.
-func (m *coreHistory) allAddrs(controllers []messages.Peer) []string {
-	var list []string
+func (h *coreHistory) allAddrs(controllers []messages.Peer) []string {
+	var addrs []string
 	for _, p := range membership.Core(controllers) {
-		list = append(list, p.Addr)
+		addrs = append(addrs, p.Addr)
 	}
-	slices.Sort(list)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(list) > 0 {
-		m.lastAddrs = list
+	slices.Sort(addrs)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(addrs) > 0 {
+		h.lastAddrs = addrs
 	}
-	return m.lastAddrs
+	return h.lastAddrs
 }
 
 // unsuspectedAddrs returns the addresses of the core members that are not suspected. If there are
 // none, it returns all.
-func (m *coreHistory) unsuspectedAddrs(controllers []messages.Peer) []string {
-	var list []string
+func (h *coreHistory) unsuspectedAddrs(controllers []messages.Peer) []string {
+	var addrs []string
 	for _, p := range membership.Core(controllers) {
 		if p.Status == messages.Alive {
-			list = append(list, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
 	}
-	if len(list) == 0 {
-		return m.allAddrs(controllers)
+	if len(addrs) == 0 {
+		return h.allAddrs(controllers)
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(addrs)
+	return addrs
 }
 
 // allCoreAddrs returns the addresses of all controllers that may have a newer configuration.
--- a/internal/router/compare_test.go
+++ b/internal/router/compare_test.go
@@ -71,14 +71,14 @@
 
 // A router that considers the whole core suspected or dead must continue to query it.
 func TestCoreHistoryReturnsLastCoreWhenNoneIsAlive(t *testing.T) {
-	var m coreHistory
-	must.SliceEmpty(t, m.allAddrs(nil))
+	var history coreHistory
+	must.SliceEmpty(t, history.allAddrs(nil))
 	core := func(a, b messages.Status) []messages.Peer {
 		return []messages.Peer{{Addr: "b", Counted: true, Status: b}, {Addr: "a", Counted: true, Status: a}, {Addr: "other"}}
 	}
-	must.Eq(t, []string{"a"}, m.unsuspectedAddrs(core(messages.Alive, messages.Suspect)))
-	must.Eq(t, []string{"a", "b"}, m.allAddrs(core(messages.Alive, messages.Suspect)))
-	must.Eq(t, []string{"a", "b"}, m.unsuspectedAddrs(core(messages.Suspect, messages.Suspect)))
-	must.Eq(t, []string{"a", "b"}, m.unsuspectedAddrs(nil))
-	must.Eq(t, []string{"a", "b"}, m.allAddrs(nil))
+	must.Eq(t, []string{"a"}, history.unsuspectedAddrs(core(messages.Alive, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, history.allAddrs(core(messages.Alive, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, history.unsuspectedAddrs(core(messages.Suspect, messages.Suspect)))
+	must.Eq(t, []string{"a", "b"}, history.unsuspectedAddrs(nil))
+	must.Eq(t, []string{"a", "b"}, history.allAddrs(nil))
 }
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -13,23 +13,23 @@
 
 // condition returns the state of this router for the diagnostic report.
 func (r *Router) condition() messages.Condition {
-	condition := messages.Condition{Node: r.set.Node, Role: messages.Router, Zone: r.set.Zone, Addr: r.transport.Addr(), TimeUs: time.Now().UnixMicro()}
+	report := messages.Condition{Node: r.set.Node, Role: messages.Router, Zone: r.set.Zone, Addr: r.transport.Addr(), TimeUs: time.Now().UnixMicro()}
 	r.stateMu.Lock()
-	condition.Versions = r.versionsLocked()
+	report.Versions = r.versionsLocked()
 	r.stateMu.Unlock()
 	r.admissionMu.Lock()
-	condition.Blind = r.admission.Blind(r.clock())
-	condition.Partition.Evacuated = r.admission.EvacuatedZones()
-	condition.Partition.Rollouts = r.admission.Rollouts()
-	condition.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
+	report.Blind = r.admission.Blind(r.clock())
+	report.Partition.Evacuated = r.admission.EvacuatedZones()
+	report.Partition.Rollouts = r.admission.Rollouts()
+	report.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
 	r.admissionMu.Unlock()
-	condition.Partition.UnreachableZones = r.zones.Conditions()
-	condition.Retired = r.retiredConditions()
-	condition.Wholes, condition.Changes = r.feedCounters.snapshots.Load(), r.feedCounters.changes.Load()
-	condition.Malformed = r.feedCounters.malformed.Load() + r.subscriber.Malformed.Load()
-	condition.Violations = invariant.Violations()
-	condition.Runners = len(r.registry.Snapshot().ByID)
-	return condition
+	report.Partition.UnreachableZones = r.zones.Conditions()
+	report.Retired = r.retiredConditions()
+	report.Wholes, report.Changes = r.feedCounters.snapshots.Load(), r.feedCounters.changes.Load()
+	report.Malformed = r.feedCounters.malformed.Load() + r.subscriber.Malformed.Load()
+	report.Violations = invariant.Violations()
+	report.Runners = len(r.registry.Snapshot().ByID)
+	return report
 }
 
 // OnRing sets the function that returns the log ring to the diagnostic command.
--- a/internal/router/missing_test.go
+++ b/internal/router/missing_test.go
@@ -72,8 +72,8 @@
 	must.Eq(t, 1, a.requestCount()-a.probeCount())
 
 	a.setResponse("HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nok")
-	back := messages.RunnerRecord{ID: "r0", Service: "s", Addr: a.addr, Zone: "a", Capacity: 9, Seq: 2, Models: []messages.Target{{Model: "m", Version: 4}}}
-	must.True(t, c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, back)}}))
+	registration := messages.RunnerRecord{ID: "r0", Service: "s", Addr: a.addr, Zone: "a", Capacity: 9, Seq: 2, Models: []messages.Target{{Model: "m", Version: 4}}}
+	must.True(t, c.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, registration)}}))
 	must.False(t, hasMissingRunner(c), must.Sprint("a newer registration must make the runner available again"))
 	for i := 0; a.requestCount() == 1+a.probeCount(); i++ {
 		ans, _, err := roundTrip(t, front, uniqueRequest("/open/", 200+i))
@@ -102,9 +102,9 @@
 	c.loads.init(1)
 	must.True(t, c.applyReport("n", messages.LoadReport{Absent: []string{"x"}}))
 	c.loads.sendAll = false
-	w, some := c.loads.nextReport(nil, nil, []string{"y"})
-	must.True(t, some)
-	must.Eq(t, []string{"x", "y"}, w.Absent)
-	_, some = c.loads.nextReport(nil, nil, nil)
-	must.False(t, some, must.Sprint("each absent runner must be reported once"))
+	report, due := c.loads.nextReport(nil, nil, []string{"y"})
+	must.True(t, due)
+	must.Eq(t, []string{"x", "y"}, report.Absent)
+	_, due = c.loads.nextReport(nil, nil, nil)
+	must.False(t, due, must.Sprint("each absent runner must be reported once"))
 }
--- a/internal/router/quotaclient/client.go
+++ b/internal/router/quotaclient/client.go
@@ -29,8 +29,8 @@
 	answerTimeout = 45 * time.Millisecond
 	// lateAnswerTimeout is the time during which a late answer is still used.
 	lateAnswerTimeout = 400 * time.Millisecond
-	// maxRequestsPerController limits the requests per round to a controller that others name as the owner:
-	// the answer to the first one may be late.
+	// maxRequestsPerController limits the requests per round to a controller that others name as
+	// the owner: the answer to the first one may be late.
 	maxRequestsPerController = 2
 	// roundPause is the pause after a round in which no controller was the owner.
 	roundPause = 25 * time.Millisecond
--- a/internal/router/retired_test.go
+++ b/internal/router/retired_test.go
@@ -14,9 +14,9 @@
 // retire applies a configuration that retires the weights of the model below version 5.
 func (r *Router) retire(t *testing.T, version int64) {
 	t.Helper()
-	retiring := strings.Replace(configText, `"limits":{`, `"retired":[{"model":"m","before":5}],"limits":{`, 1)
-	retiring = strings.Replace(retiring, `"version":3`, `"version":4`, 1)
-	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, retiring, version)}}))
+	config := strings.Replace(configText, `"limits":{`, `"retired":[{"model":"m","before":5}],"limits":{`, 1)
+	config = strings.Replace(config, `"version":3`, `"version":4`, 1)
+	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, config, version)}}))
 }
 
 // addOldAndNewWeights registers a runner with weights 4 and one with weights 5.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -122,7 +122,7 @@
 
 	trail           compliance.Trail
 	seeds           atomic.Pointer[[]string]
-	nodes           atomic.Int64
+	nodes           atomic.Int64 // number of routers, as estimated by fleetSize
 	runnersReceived atomic.Bool
 	inFlight        atomic.Int64
 	front           atomic.Pointer[timedListener]
@@ -215,8 +215,8 @@
 	return admitter
 }
 
-// initDissemination sets up this router's part of the relay tree: the subscription to its parent and the
-// publisher for the routers below it.
+// initDissemination sets up this router's part of the relay tree: the subscription to its parent
+// and the publisher for the routers below it.
 func (r *Router) initDissemination() {
 	r.publisher = dissemination.NewPublisher(r.transport, dissemination.Upstream{
 		DeltaSince:   r.deltaSince,
--- a/internal/router/runner_leaves_test.go
+++ b/internal/router/runner_leaves_test.go
@@ -33,10 +33,10 @@
 		c.applyFeed(parent, messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, n...)}})
 	}
 	applyRecords("", left, other)
-	late := left
-	late.Gone, late.Seq = false, left.Seq+9
-	applyRecords("", late)
-	applyRecords("p", late, other)
+	lateRecord := left
+	lateRecord.Gone, lateRecord.Seq = false, left.Seq+9
+	applyRecords("", lateRecord)
+	applyRecords("p", lateRecord, other)
 	for range 6 {
 		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
--- a/internal/router/sync_test.go
+++ b/internal/router/sync_test.go
@@ -13,7 +13,7 @@
 // another service. The admission control must have that runner afterwards.
 func TestConcurrentSyncAdmissionAppliesNewestRunners(t *testing.T) {
 	c, _, _ := start(t)
-	known := func(service string) bool {
+	hasService := func(service string) bool {
 		c.admissionMu.Lock()
 		defer c.admissionMu.Unlock()
 		for _, name := range c.admission.Services() {
@@ -40,5 +40,5 @@
 	c.registry.Merge(messages.RunnerRecord{ID: "added", Service: "added", Addr: "127.0.0.1:9", Capacity: 1, Seq: 1, Models: []messages.Target{}}, c.clock())
 	c.admissionMu.Unlock()
 	<-done
-	must.True(t, known("added"))
+	must.True(t, hasService("added"))
 }
--- a/internal/router/targets_test.go
+++ b/internal/router/targets_test.go
@@ -13,8 +13,8 @@
 	const versionUs, contactLossUs = 8_000_000, 3_000_000
 	c := &Router{admission: admission.New(admission.Defaults, "a", 1)}
 	c.admission.Bound = admission.WeightsBound{VersionUs: versionUs, ContactLossUs: contactLossUs}
-	old := messages.RunnerRecord{ID: "r0", Service: "s", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 4}}}
-	c.admission.SetService("s", []messages.RunnerRecord{old}, 1000, 0)
+	record := messages.RunnerRecord{ID: "r0", Service: "s", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 4}}}
+	c.admission.SetService("s", []messages.RunnerRecord{record}, 1000, 0)
 	adm := c.admission.Submit(admission.Request{Service: "s", Model: "m", TokensIn: 8, LeftUs: 1_000_000}, 1).Admit
 	must.NotNil(t, adm)
 
@@ -35,11 +35,11 @@
 func TestTargetAgesAreSentToParentAndSubscribers(t *testing.T) {
 	c, _, _ := start(t)
 	c.applyFeed("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: 1_000_000}}})
-	up := c.syncState().TargetAges
-	must.Len(t, 1, up)
-	must.GreaterEq(t, 1_000_000, up[0].AgeUs)
-	below := messages.SyncState{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: 60_000_000}}}
-	f := c.deltaSince(below)
+	sentToParent := c.syncState().TargetAges
+	must.Len(t, 1, sentToParent)
+	must.GreaterEq(t, 1_000_000, sentToParent[0].AgeUs)
+	subscriber := messages.SyncState{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: 60_000_000}}}
+	f := c.deltaSince(subscriber)
 	must.True(t, f.FromRelay)
 	must.Len(t, 1, f.TargetAges)
 	must.GreaterEq(t, 60_000_000, f.TargetAges[0].AgeUs)
--- a/internal/router/zoneping/prober.go
+++ b/internal/router/zoneping/prober.go
@@ -29,8 +29,9 @@
 	// routers; otherwise the pings that a zone receives would grow with the fleet without limit.
 	idlePerRouterUs = int64(2_000) // per router
 	maxIdleUs       = int64(600_000)
-	// deadNodeTimeoutUs is the time for which a node that membership considers dead is still pinged if its
-	// zone has no live one: during a partition membership considers all nodes of the zone dead.
+	// deadNodeTimeoutUs is the time for which a node that membership considers dead is still pinged
+	// if its zone has no live one: during a partition membership considers all nodes of the zone
+	// dead.
 	deadNodeTimeoutUs = int64(60_000_000)
 )
 
