--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -37,7 +37,7 @@
 				callCtx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonWaitParts)
 				defer cancel()
 				remote, ok := r.compareWith(callCtx, addr, overdue)
-				r.comparisons.Ended(addr, ok, remote.RegistrySum == r.registry.Snapshot().Sum)
+				r.comparisons.Ended(addr, ok, remote.RegistrySum == r.registry.Snapshot().Checksum)
 			}()
 		}
 	}
@@ -54,7 +54,7 @@
 // there are none, it returns the last ones seen.
 func (h *coreHistory) allAddrs(controllers []messages.Peer) []string {
 	var addrs []string
-	for _, p := range membership.Core(controllers) {
+	for _, p := range membership.CountedControllers(controllers) {
 		addrs = append(addrs, p.Addr)
 	}
 	slices.Sort(addrs)
@@ -70,7 +70,7 @@
 // none, it returns all.
 func (h *coreHistory) unsuspectedAddrs(controllers []messages.Peer) []string {
 	var addrs []string
-	for _, p := range membership.Core(controllers) {
+	for _, p := range membership.CountedControllers(controllers) {
 		if p.Status == messages.Alive {
 			addrs = append(addrs, p.Addr)
 		}
@@ -130,7 +130,7 @@
 	if _, err := versions.UnmarshalMsg(body); err != nil {
 		return versions, err
 	}
-	r.timeOfDay.Compare(addr, versions, sentUs, r.clock())
+	r.timeOfDay.AddSample(addr, versions, sentUs, r.clock())
 	r.applyVersions(versions)
 	return versions, nil
 }
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -18,7 +18,7 @@
 	report.Versions = r.versionsLocked()
 	r.stateMu.Unlock()
 	r.admissionMu.Lock()
-	report.Blind = r.admission.Blind(r.clock())
+	report.Blind = r.admission.UnmeasuredRunners(r.clock())
 	report.Partition.Evacuated = r.admission.EvacuatedZones()
 	report.Partition.Rollouts = r.admission.Rollouts()
 	report.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -38,7 +38,7 @@
 
 // attemptNames are the metric labels of attempt results, indexed by attempt.Result.
 var attemptNames = [...]string{
-	attempt.Answered: "answered", attempt.NotSent: "not_sent", attempt.NotRun: "not_run", attempt.Unknown: "unknown", attempt.BrokenOff: "broke_off",
+	attempt.Answered: "answered", attempt.NotSent: "not_sent", attempt.NotExecuted: "not_run", attempt.Unknown: "unknown", attempt.Interrupted: "broke_off",
 	attempt.ClientGone: "client_gone", attempt.Moving: "moved",
 }
 
@@ -122,7 +122,7 @@
 // recordAttempt counts an attempt that has ended.
 func (e *exchange) recordAttempt(end attempt.Result) {
 	e.lastResult = end
-	e.brokenOff = e.brokenOff || end == attempt.BrokenOff
+	e.brokenOff = e.brokenOff || end == attempt.Interrupted
 	e.router.counters.attempts[end].Add(1)
 }
 
@@ -192,13 +192,13 @@
 // observeRemote compares the register versions of another node, remote, with those of this node,
 // local, and notes when a newer configuration is first observed.
 func (l *configLag) observeRemote(local, remote []int64, nowUs int64) {
-	if len(local) <= consensus.ConfigPart || len(remote) <= consensus.ConfigPart {
+	if len(local) <= consensus.ConfigRegister || len(remote) <= consensus.ConfigRegister {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if remote[consensus.ConfigPart] > local[consensus.ConfigPart] && l.version == 0 {
-		l.version, l.sinceUs = remote[consensus.ConfigPart], nowUs
+	if remote[consensus.ConfigRegister] > local[consensus.ConfigRegister] && l.version == 0 {
+		l.version, l.sinceUs = remote[consensus.ConfigRegister], nowUs
 	}
 }
 
--- a/internal/router/cut_streams.go
+++ b/internal/router/cut_streams.go
@@ -34,12 +34,12 @@
 	now := r.clock()
 	r.admissionMu.Lock()
 	for _, s := range streams {
-		if r.admission.LeavesUnreachable(s.adm) && now >= s.nextMoveUs.Load() && s.conn.SilentFor() >= minStreamSilence {
+		if r.admission.MustLeaveUnreachableZone(s.adm) && now >= s.nextMoveUs.Load() && s.conn.SilentFor() >= minStreamSilence {
 			withdrawn = append(withdrawn, s)
 		}
 	}
 	for _, d := range connects {
-		if r.admission.LeavesUnreachable(d.adm) {
+		if r.admission.MustLeaveUnreachableZone(d.adm) {
 			d.cancel()
 		}
 	}
@@ -69,8 +69,8 @@
 		return false // interrupted for another reason, which ends the attempt
 	}
 	resumable := !stream.started || stream.splitter.LastID != ""
-	mustLeave := func(admission.Request) bool { return router.admission.LeavesUnreachable(attempt.adm) }
-	accepts := func(next *admission.Admission) bool { return !router.admission.OutOfReach(next) }
+	mustLeave := func(admission.Request) bool { return router.admission.MustLeaveUnreachableZone(attempt.adm) }
+	accepts := func(next *admission.Admission) bool { return !router.admission.InUnreachableZone(next) }
 	if resumable && e.reserveAttempt(attempt.adm, mustLeave, accepts) {
 		router.counters.unreachableStreamsMoved.Add(1)
 		return false
--- a/internal/router/evening_test.go
+++ b/internal/router/evening_test.go
@@ -100,7 +100,7 @@
 	}
 	records := n.registry.Snapshot().ByService["s"]
 	n.admission.SetService("s", records, 16000, 2)
-	n.admission.SetRetired(n.table.Retired)
+	n.admission.SetRetired(n.table.MinWeightsVersionByModel)
 	n.admission.SetCertified("s", certifiedByRegime(n.table, records))
 }
 
@@ -114,7 +114,7 @@
 	if r != nil {
 		entry.Runner, entry.Service, entry.Zone = r.ID, r.Service, r.Zone
 	}
-	n.trail.Note(entry)
+	n.trail.Append(entry)
 }
 
 func (e *fleetSimulation) arrive() {
@@ -124,11 +124,11 @@
 	}
 	e.requestCount++
 	g := &simulatedRequest{id: fmt.Sprint(e.requestCount), node: n}
-	g.request = admission.Request{Service: "s", Tenant: "other-tenant", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, LeftUs: 6_000_000}
+	g.request = admission.Request{Service: "s", Tenant: "other-tenant", TokensIn: 200, TokensOut: 50, Model: "m", Parts: []prefixindex.Part{{ID: "own", Tokens: 200}}, SetpointUs: 400_000, TimeLeftUs: 6_000_000}
 	if e.rnd.IntN(2) == 0 {
 		g.request.Tenant = "regulated-tenant"
 		g.request.Regime = n.table.RegimeOf("regulated-tenant")
-		n.recordStep(compliance.Asked, g, nil, -1)
+		n.recordStep(compliance.Received, g, nil, -1)
 	}
 	e.openRequests = append(e.openRequests, g)
 	e.submit(g)
@@ -136,39 +136,39 @@
 
 func (e *fleetSimulation) submit(g *simulatedRequest) {
 	n := g.node
-	g.request.Ref = n.slab.Put(func(decision admission.Decision) { e.decided(g, decision) })
+	g.request.Ref = n.slab.Store(func(decision admission.Decision) { e.decided(g, decision) })
 	decision := n.admission.Submit(g.request, e.nowUs)
-	if !decision.Hold {
+	if !decision.Queued {
 		n.slab.Resume(g.request.Ref, decision)
 	}
 }
 
 func (e *fleetSimulation) decided(g *simulatedRequest, decision admission.Decision) {
-	if decision.Admit == nil {
+	if decision.Admission == nil {
 		e.end(g, compliance.Rejected)
 		return
 	}
-	_, cert, ok := g.node.table.Allows(g.request.Tenant, complianceRunner(decision.Admit.Runner))
+	_, cert, ok := g.node.table.Allows(g.request.Tenant, complianceRunner(decision.Admission.Runner))
 	if !ok {
-		g.node.admission.Done(decision.Admit, true, e.nowUs)
-		g.request.Avoid = append(g.request.Avoid, decision.Admit.Runner.ID)
-		if len(g.request.Avoid) > attempt.MaxUnsent {
+		g.node.admission.Release(decision.Admission, true, e.nowUs)
+		g.request.ExcludedRunners = append(g.request.ExcludedRunners, decision.Admission.Runner.ID)
+		if len(g.request.ExcludedRunners) > attempt.MaxUnsent {
 			e.end(g, compliance.Rejected)
 			return
 		}
 		e.submit(g)
 		return
 	}
-	must.False(e.t, decision.Admit.Version < g.node.table.Retired["m"], must.Sprintf("%s was sent to weights %d under configuration %d", g.id, decision.Admit.Version, g.node.table.Version))
-	must.Eq(e.t, admission.Salt(g.request.Tenant, false, g.request.Regime, decision.Admit.Version), decision.Admit.Salt)
-	if decision.Admit.Version < e.newestWeights {
+	must.False(e.t, decision.Admission.WeightsVersion < g.node.table.MinWeightsVersionByModel["m"], must.Sprintf("%s was sent to weights %d under configuration %d", g.id, decision.Admission.WeightsVersion, g.node.table.Version))
+	must.Eq(e.t, admission.CacheSalt(g.request.Tenant, false, g.request.Regime, decision.Admission.WeightsVersion), decision.Admission.CacheSalt)
+	if decision.Admission.WeightsVersion < e.newestWeights {
 		e.sentToOlderWeights++
 	}
-	g.admitted, g.endsUs = decision.Admit, e.nowUs+200_000+int64(e.rnd.IntN(1_500_000))
+	g.admitted, g.endsUs = decision.Admission, e.nowUs+200_000+int64(e.rnd.IntN(1_500_000))
 	if g.request.Regime != "" {
-		g.node.recordStep(compliance.Sent, g, &decision.Admit.Runner, cert)
-		e.sentRegulated[decision.Admit.Runner.ID]++
-		must.True(e.t, e.certifiedAt(g.node.table.Version, decision.Admit.Runner.ID), must.Sprintf("runner %s is not certified in configuration %d", decision.Admit.Runner.ID, g.node.table.Version))
+		g.node.recordStep(compliance.Sent, g, &decision.Admission.Runner, cert)
+		e.sentRegulated[decision.Admission.Runner.ID]++
+		must.True(e.t, e.certifiedAt(g.node.table.Version, decision.Admission.Runner.ID), must.Sprintf("runner %s is not certified in configuration %d", decision.Admission.Runner.ID, g.node.table.Version))
 	}
 }
 
@@ -228,7 +228,7 @@
 				step = compliance.Cut
 			}
 			e.end(g, step)
-			g.node.admission.Done(g.admitted, true, e.nowUs)
+			g.node.admission.Release(g.admitted, true, e.nowUs)
 		}
 		if g.endsUs >= 0 {
 			remaining = append(remaining, g)
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -32,7 +32,7 @@
 // or was already known.
 func (s *feedCounters) recordResult(r statesync.Result, repeated bool) bool {
 	s.count(r, repeated)
-	return r == statesync.Applied || r == statesync.Known
+	return r == statesync.Applied || r == statesync.AlreadyApplied
 }
 
 // syncState returns the versions of this node's replica of every stream.
@@ -185,10 +185,10 @@
 		repeated := change.Snapshot && r.runners.Epoch == change.Epoch
 		result := r.runners.Apply(change)
 		fits = r.feedCounters.recordResult(result, repeated)
-		if result == statesync.Mismatch || result == statesync.Known {
+		if result == statesync.DigestMismatch || result == statesync.AlreadyApplied {
 			return fits, false // a change that is already known may be older than the local records
 		}
-		if result == statesync.Gap {
+		if result == statesync.VersionGap {
 			mirrored = "" // sent by a former parent, or will be sent again in order
 		}
 	}
@@ -224,9 +224,9 @@
 		repeated := prefixes.Snapshot && r.admission.Index.CachedPrefixes(prefixes.ID).Epoch == prefixes.Epoch
 		fits = r.feedCounters.recordResult(r.admission.Index.Apply(prefixes), repeated) && fits
 	}
-	r.admission.ExpectBlocks(feed.PendingBlocks)
+	r.admission.ExpectPrefixes(feed.PendingBlocks)
 	for _, report := range feed.Reports {
-		r.admission.Report(report, nowUs)
+		r.admission.RecordRunnerReport(report, nowUs)
 	}
 	if parent != "" {
 		r.loads.updateAdmission(r.admission, nowUs)
@@ -250,7 +250,7 @@
 		_, ok := r.runners.Get(id)
 		return ok
 	}
-	removed := r.registry.Retain(listed, r.clock())
+	removed := r.registry.DeleteUnlisted(listed, r.clock())
 	r.stateMu.Unlock()
 	if removed {
 		r.syncAdmission()
@@ -267,7 +267,7 @@
 	}
 	if tableChanged {
 		t := r.configuration.Table()
-		routeconfig.PutInForce(&r.table, t)
+		routeconfig.SetActive(&r.table, t)
 		r.lag.inForce(r.configuration.Version(), r.clock())
 		r.log.Info("configuration in force", "version", t.Version, "entries", len(change.Entries), "whole", change.Snapshot)
 	}
--- a/internal/router/front.go
+++ b/internal/router/front.go
@@ -166,7 +166,7 @@
 	conn.setResponseDeadline(time.Now().Add(time.Duration(e.deadlineUs-r.clock()) * time.Microsecond))
 	e.buildAdmissionRequest(t)
 	if e.request.Regime != "" {
-		e.recordAudit(compliance.Asked, nil, -1)
+		e.recordAudit(compliance.Received, nil, -1)
 		defer func() { e.recordAudit(e.outcome, nil, -1) }()
 	}
 	if conn != nil {
@@ -214,7 +214,7 @@
 	tokensOut, _ := strconv.Atoi(strings.TrimSpace(out))
 	e.request = admission.Request{
 		Service: e.service, Rank: e.route.Rank, TokensIn: max(tokensIn, 0), TokensOut: max(tokensOut, 0),
-		Class: outcomeClass(e.route), Model: headerValue(e.rc, hModel), Parts: prefixindex.ParseParts(headerValue(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, LeftUs: e.deadlineUs - e.router.clock(),
+		Class: outcomeClass(e.route), Model: headerValue(e.rc, hModel), Parts: prefixindex.ParseParts(headerValue(e.rc, hPrefix)), SetpointUs: e.route.SetpointUs, TimeLeftUs: e.deadlineUs - e.router.clock(),
 	}
 	var tenantHomes []string
 	if e.tenant != nil {
@@ -225,7 +225,7 @@
 		e.request.Regime = t.RegimeOf(e.tenant.Name)
 		e.quotaLimit = quota.Limit{Version: t.Version, RatePerS: e.tenant.RatePerS, Burst: e.tenant.Burst}
 	}
-	e.request.Homes, e.request.Bound = admission.Homes(e.route.Homes, tenantHomes)
+	e.request.HomeRegions, e.request.RegionRestricted = admission.CombineHomeRegions(e.route.Homes, tenantHomes)
 }
 
 // onAccept returns the context in which the requests of a connection are served. It carries the
@@ -243,7 +243,7 @@
 	if runner != nil {
 		entry.Runner, entry.Service, entry.Zone = runner.ID, runner.Service, runner.Zone
 	}
-	e.router.trail.Note(entry)
+	e.router.trail.Append(entry)
 }
 
 // find looks up the route and the tenant. It returns 0, or the status of the denial.
@@ -252,7 +252,7 @@
 		return 404
 	}
 	e.tenant = nil
-	if t.Tenants == 0 || e.route.Unkeyed {
+	if t.TenantCount == 0 || e.route.Unkeyed {
 		return 0
 	}
 	if scheme, key, ok := strings.Cut(headerValue(e.rc, hAuth), " "); ok && strings.EqualFold(scheme, "Token") {
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -24,7 +24,7 @@
 
 func TestDroppedRequestViolatesInvariant(t *testing.T) {
 	invarianttest.Expect(t, requestEnds)
-	for _, last := range []attempt.Result{attempt.NotSent, attempt.NotRun, attempt.Moving} {
+	for _, last := range []attempt.Result{attempt.NotSent, attempt.NotExecuted, attempt.Moving} {
 		before := requestEnds.Violations()
 		e := newExchangeAt(1, 1_000_000)
 		e.sequence.Begin()
@@ -47,7 +47,7 @@
 		{"rejected", compliance.Rejected, attempt.NotSent, 0, 1, cutReasonCount},
 		{"client gone", compliance.Cut, attempt.ClientGone, 1, 1, cutClientGone},
 		{"time over", compliance.Cut, attempt.Moving, 1, 1_000_000, cutTimeExpired},
-		{"runner broke off", compliance.Cut, attempt.BrokenOff, 1, 1, cutByRunner},
+		{"runner broke off", compliance.Cut, attempt.Interrupted, 1, 1, cutByRunner},
 		{"result unknown", compliance.Cut, attempt.Unknown, 1, 1, cutByRunner},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 }
 
 func TestAttemptAfterPossibleRunViolatesInvariant(t *testing.T) {
-	for _, end := range []attempt.Result{attempt.Unknown, attempt.BrokenOff} {
+	for _, end := range []attempt.Result{attempt.Unknown, attempt.Interrupted} {
 		e := newExchangeAt(1, 1_000_000)
 		e.sequence.Begin()
 		e.lastResult = end
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -48,7 +48,7 @@
 type loads struct {
 	mu             sync.Mutex // guards the fields below
 	own            *statesync.Loads
-	subtree        *statesync.Sum // of this node and those below it
+	subtree        *statesync.LoadSum // of this node and those below it
 	total          *statesync.Loads
 	pending        []messages.CachedPrefixes // prefixes that will be cached, for the next report
 	absent         []string                  // runners that were not at their address, for the next report
@@ -64,7 +64,7 @@
 func (l *loads) init(epoch int64) {
 	l.own, l.total = statesync.NewLoads(), statesync.NewLoads()
 	l.own.Begin(epoch, 0)
-	l.subtree = statesync.NewSum(epoch)
+	l.subtree = statesync.NewLoadSum(epoch)
 	l.sendAll, l.allChanged, l.changed = true, true, map[string]bool{}
 }
 
@@ -134,12 +134,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.allChanged {
-		a.Others(l.peerLoad, nowUs)
+		a.SetPeerLoads(l.peerLoad, nowUs)
 	} else {
 		for id := range l.changed {
-			a.Other(id, l.peerLoad(id))
+			a.SetPeerLoad(id, l.peerLoad(id))
 		}
-		a.LoadsUpdated(nowUs)
+		a.PeerLoadsUpdated(nowUs)
 	}
 	l.allChanged = false
 	clear(l.changed)
@@ -159,7 +159,7 @@
 	l.own.Replace(own)
 	if l.own.Dirty() {
 		l.own.Commit(l.own.Version + 1)
-		l.subtree.Follow(ownSender, l.own)
+		l.subtree.SyncFrom(ownSender, l.own)
 	}
 	total := l.subtree.Total
 	report := messages.LoadReport{PendingBlocks: append(l.pending, pending...), Absent: append(l.absent, absent...)}
@@ -197,13 +197,13 @@
 	ok := true
 	for _, change := range report.Loads {
 		result := l.subtree.Apply(from, change)
-		ok = ok && (result == statesync.Applied || result == statesync.Known)
+		ok = ok && (result == statesync.Applied || result == statesync.AlreadyApplied)
 	}
 	l.pending, l.absent = append(l.pending, report.PendingBlocks...), append(l.absent, report.Absent...)
 	l.mu.Unlock()
 	if len(report.PendingBlocks) > 0 {
 		r.admissionMu.Lock()
-		r.admission.ExpectBlocks(report.PendingBlocks)
+		r.admission.ExpectPrefixes(report.PendingBlocks)
 		r.admissionMu.Unlock()
 		signal(r.prefixesPending)
 	}
@@ -236,7 +236,7 @@
 	r.nodes.Store(int64(fleetSize(len(r.monitor.Alive(messages.Router)), r.clock()-r.startUs)))
 	r.admissionMu.Lock()
 	r.admission.SetNodes(int(r.nodes.Load()))
-	own, pending, absent := r.admission.Own(r.clock()), r.admission.TakeFresh(), r.admission.TakeAbsent()
+	own, pending, absent := r.admission.OwnLoads(r.clock()), r.admission.TakeExpectedPrefixes(), r.admission.TakeConfirmedAbsent()
 	r.admissionMu.Unlock()
 	if report, due := r.loads.nextReport(own, pending, absent); due && !r.subscriber.Send(transport.KindLoadReport, &report) {
 		r.resendLoads()
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -32,19 +32,19 @@
 // than the expected one.
 func hasOtherWeights(adm *admission.Admission, r *protocol.Response) bool {
 	version, err := strconv.ParseInt(r.Header.Get(hWeights), 10, 64)
-	return err == nil && adm.Version > 0 && version != adm.Version
+	return err == nil && adm.WeightsVersion > 0 && version != adm.WeightsVersion
 }
 
 // handleMisdirected records that a runner answered 421. A runner that only has other weights is
 // present; it is treated as full for a short time, until its new version has been received.
 func (r *Router) handleMisdirected(adm *admission.Admission, otherWeights bool) {
-	hasExpectedVersion := adm.Version > 0
+	hasExpectedVersion := adm.WeightsVersion > 0
 	removed := false
 	r.admissionMu.Lock()
 	if otherWeights {
-		r.admission.Full(adm, r.clock())
+		r.admission.RecordRejection(adm, r.clock())
 	} else {
-		removed = r.admission.WrongInstance(adm, hasExpectedVersion, r.clock())
+		removed = r.admission.RecordWrongInstance(adm, hasExpectedVersion, r.clock())
 	}
 	r.admissionMu.Unlock()
 	if !removed {
@@ -107,7 +107,7 @@
 		presence = r.identifyInstance(ctx, runner, service.Probe)
 	}
 	r.admissionMu.Lock()
-	absent := r.admission.Found(runner, presence, r.clock())
+	absent := r.admission.RecordProbe(runner, presence, r.clock())
 	r.admissionMu.Unlock()
 	if absent {
 		r.confirmAbsent(runner)
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -59,7 +59,7 @@
 // coreAddrs returns the addresses of the controllers of the core that are alive.
 func coreAddrs(monitor *membership.Monitor) []string {
 	var addrs []string
-	for _, peer := range membership.Core(monitor.Alive(messages.Controller)) {
+	for _, peer := range membership.CountedControllers(monitor.Alive(messages.Controller)) {
 		addrs = append(addrs, peer.Addr)
 	}
 	return addrs
@@ -81,7 +81,7 @@
 		addrs = append(addrs, peer.Addr)
 	}
 	r.admissionMu.Lock()
-	r.admission.SeeNodes(addrs, r.clock())
+	r.admission.RecordVisibleNodes(addrs, r.clock())
 	r.admissionMu.Unlock()
 	r.quotas.Sweep(addrs)
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -87,7 +87,7 @@
 func TestRouterFollowsHintToQuotaOwner(t *testing.T) {
 	r := newRunner(t)
 	router, core, front := startLimited(t, 3, r)
-	owner := quota.Order(quota.ShardOf("t1"), router.allCoreAddrs())[2]
+	owner := quota.OwnerOrder(quota.ShardOf("t1"), router.allCoreAddrs())[2]
 	addrs := router.allCoreAddrs()
 	core.set(func() {
 		core.quota = func(i int, ask messages.QuotaAsk) messages.QuotaGrant {
@@ -169,7 +169,7 @@
 	t.Helper()
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	admitted := r.admission.Submit(admission.Request{Service: "s", LeftUs: 1_000_000}, r.clock()).Admit
+	admitted := r.admission.Submit(admission.Request{Service: "s", TimeLeftUs: 1_000_000}, r.clock()).Admission
 	must.NotNil(t, admitted)
 	return admitted
 }
--- a/internal/router/quotaclient/client.go
+++ b/internal/router/quotaclient/client.go
@@ -141,9 +141,9 @@
 	c.mu.Lock()
 	token, ok := quota.Token{}, false
 	if isNew {
-		token, ok = c.grantee.Arrive(tenant, nowUs)
+		token, ok = c.grantee.CountAndAcquire(tenant, nowUs)
 	} else {
-		token, ok = c.grantee.Take(tenant, nowUs)
+		token, ok = c.grantee.Acquire(tenant, nowUs)
 	}
 	if ok {
 		c.mu.Unlock()
@@ -194,7 +194,7 @@
 	if c.borrow(tenant, limit) {
 		c.unowned.Add(1)
 		nowUs := c.config.Clock()
-		return Answer{Outcome: Granted, Token: quota.Token{ExpiresUs: nowUs + c.grantee.Allowance(limit).DelayUs}}
+		return Answer{Outcome: Granted, Token: quota.Token{ExpiresUs: nowUs + c.grantee.Allowance(limit).TokenLifetimeUs}}
 	}
 	c.unknown.Add(1)
 	return Answer{Outcome: Unknown, WaitUs: noOwnerRetryUs}
@@ -211,7 +211,7 @@
 			return
 		}
 		limit := t.limit
-		want := c.grantee.Want(tenant, limit, need, c.config.Clock())
+		want := c.grantee.RequestSize(tenant, limit, need, c.config.Clock())
 		c.mu.Unlock()
 		request := messages.QuotaAsk{Tenant: tenant, Need: need, Want: want, RatePerS: limit.RatePerS, Burst: limit.Burst, Version: limit.Version}
 		if !c.requestRound(tenant, t, &request) {
@@ -257,7 +257,7 @@
 
 // candidates returns the controllers that may own a shard, the most likely first.
 func (c *Client) candidates(shard int) []string {
-	out := quota.Order(shard, c.config.Controllers())
+	out := quota.OwnerOrder(shard, c.config.Controllers())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if owner := c.owners[shard]; owner != "" {
@@ -309,10 +309,10 @@
 		t.noOwnerSinceUs = 0
 	}
 	c.granted.Add(int64(grant.Granted))
-	c.grantee.Granted(tenant, t.limit, grant.Granted, sentUs, nowUs)
+	c.grantee.AddGranted(tenant, t.limit, grant.Granted, sentUs, nowUs)
 	served := 0
 	for len(t.waiting) > 0 {
-		token, ok := c.grantee.Take(tenant, nowUs)
+		token, ok := c.grantee.Acquire(tenant, nowUs)
 		if !ok {
 			break
 		}
--- a/internal/router/retired_test.go
+++ b/internal/router/retired_test.go
@@ -35,7 +35,7 @@
 func (r *Router) setPeerLoad(prefill int) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	r.admission.Others(func(id string) messages.RunnerLoad {
+	r.admission.SetPeerLoads(func(id string) messages.RunnerLoad {
 		if id == "r1" {
 			return messages.RunnerLoad{ID: id, Prefill: prefill}
 		}
--- a/internal/router/retirements.go
+++ b/internal/router/retirements.go
@@ -40,7 +40,7 @@
 		return 1
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(r.retirements.sinceUs), byModel) {
-		runners, parts := r.admission.RetiredLeft(key.Model)
+		runners, parts := r.admission.CountRetired(key.Model)
 		conditions = append(conditions, messages.RetiredCondition{Model: key.Model, Before: key.Version, SinceUs: r.clock() - r.retirements.sinceUs[key], Runners: runners, Parts: parts})
 	}
 	return conditions
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -203,14 +203,14 @@
 // newAdmitter returns the admission control of a router with these settings.
 func newAdmitter(set settings.Settings, nowUs int64) *admission.Admitter {
 	admitter := admission.New(admission.Defaults, set.Zone, rand.Uint64())
-	admitter.Bound = admission.WeightsBound{
+	admitter.WeightsBound = admission.WeightsBound{
 		VersionUs:     int64(set.Bounds.VersionMs) * usPerMs,
 		ContactLossUs: int64(set.Bounds.ContactMs) * usPerMs,
 	}
-	admitter.Contact(nowUs)
+	admitter.RecordContact(nowUs)
 	warmup := admission.WarmupBounds{Overshoot: set.Bounds.ColdOvershoot, Slack: set.Bounds.ColdSlack}
 	admitter.SetWarmup(set.RouterAddr(), warmup, nowUs)
-	admitter.SetReturnCold(returnColdBeats * int64(set.BeatPeriodMs) * usPerMs)
+	admitter.SetReturnWarmup(returnColdBeats * int64(set.BeatPeriodMs) * usPerMs)
 	admitter.SetRegions(set.Zones)
 	return admitter
 }
@@ -322,9 +322,9 @@
 	table := r.table.Load()
 	snap := r.registry.Snapshot()
 	if table != nil {
-		r.admission.SetRelinquished(table.Relinquished, r.clock())
-		r.admission.SetRetired(table.Retired)
-		r.retirements.observe(table.Retired, r.clock())
+		r.admission.SetRelinquished(table.RelinquishUsByZone, r.clock())
+		r.admission.SetRetired(table.MinWeightsVersionByModel)
+		r.retirements.observe(table.MinWeightsVersionByModel, r.clock())
 	}
 	for service, records := range snap.ByService {
 		tokens, moveUs, links, coldPerS := 0, 0.0, 0, 0.0
@@ -337,8 +337,8 @@
 			}
 		}
 		r.admission.SetService(service, records, tokens, moveUs)
-		r.admission.SetWarmups(service, coldPerS, r.clock())
-		r.admission.SetLinks(service, links)
+		r.admission.SetWarmupRate(service, coldPerS, r.clock())
+		r.admission.SetConnectionLimit(service, links)
 		r.admission.SetStores(service, storesFor(table, service))
 		r.admission.SetCertified(service, certifiedByRegime(table, records))
 	}
@@ -352,18 +352,18 @@
 // certifiedByRegime returns the runners and stores that each regime allows, by regime and ID; nil if there
 // are no regimes.
 func certifiedByRegime(table *routeconfig.Table, records []messages.RunnerRecord) map[string]map[string]bool {
-	if table == nil || table.Policies.None() {
+	if table == nil || table.Policies.IsEmpty() {
 		return nil
 	}
 	out := map[string]map[string]bool{}
-	for _, name := range table.Policies.Names() {
+	for _, name := range table.Policies.RegimeNames() {
 		out[name] = map[string]bool{}
 		for _, record := range records {
 			if _, ok := table.Policies.Allows(name, complianceRunner(record)); ok {
 				out[name][record.ID] = true
 			}
 		}
-		for _, store := range table.Stores {
+		for _, store := range table.CacheStoreServices {
 			if _, ok := table.Policies.Allows(name, compliance.Runner{ID: store.CacheStore, Service: store.Name, Zone: store.Zone}); ok {
 				out[name][store.CacheStore] = true
 			}
@@ -387,9 +387,9 @@
 		return nil
 	}
 	var out []admission.Store
-	for _, store := range table.Stores {
+	for _, store := range table.CacheStoreServices {
 		if store.LinkMbps > 0 {
-			out = append(out, admission.Store{ID: store.CacheStore, Addr: store.CacheStore, Zone: store.Zone, MoveUs: float64(svc.Engine.TokenBytes) * 8 / float64(store.LinkMbps)})
+			out = append(out, admission.Store{ID: store.CacheStore, Addr: store.CacheStore, Zone: store.Zone, TransferUsPerToken: float64(svc.Engine.TokenBytes) * 8 / float64(store.LinkMbps)})
 		}
 	}
 	return out
@@ -433,7 +433,7 @@
 func (r *Router) tick() {
 	r.admissionMu.Lock()
 	decisions := r.admission.Tick(r.clock())
-	fresh := r.admission.HasFresh()
+	fresh := r.admission.HasExpectedPrefixes()
 	r.admissionMu.Unlock()
 	if fresh {
 		signal(r.prefixesPending)
@@ -442,11 +442,11 @@
 		signal(r.loadsChanged)
 	}
 	for _, decision := range decisions {
-		if r.slab.Resume(decision.Ref, decision) || decision.Admit == nil {
+		if r.slab.Resume(decision.Ref, decision) || decision.Admission == nil {
 			continue
 		}
 		r.admissionMu.Lock()
-		r.admission.Done(decision.Admit, true, r.clock())
+		r.admission.Release(decision.Admission, true, r.clock())
 		r.admissionMu.Unlock()
 	}
 }
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -114,14 +114,14 @@
 		router.discardResponse(adm, conn, r)
 		router.handleMisdirected(adm, hasOtherWeights(adm, r))
 		e.refundToken()
-		return attempt.NotRun
+		return attempt.NotExecuted
 	case r.Header.Get(hNotRun) != "":
 		router.discardResponse(adm, conn, r)
 		router.admissionMu.Lock()
-		router.admission.Full(adm, router.clock())
+		router.admission.RecordRejection(adm, router.clock())
 		router.admissionMu.Unlock()
 		e.refundToken()
-		return attempt.NotRun
+		return attempt.NotExecuted
 	case impliesNotExecuted(status):
 		// without the header the request may have run, whatever the status implies
 		_, err := upstream.ReadBody(r, maxDiscardedBody)
@@ -219,7 +219,7 @@
 		r.connPool.Alive(conn)
 	}
 	r.admissionMu.Lock()
-	r.admission.Ended(adm, succeeded, r.clock())
+	r.admission.RecordOutcome(adm, succeeded, r.clock())
 	r.admissionMu.Unlock()
 }
 
@@ -238,7 +238,7 @@
 // without a failure of the runner.
 func (r *Router) releaseCapacity(adm *admission.Admission, ok bool) {
 	r.admissionMu.Lock()
-	r.admission.Done(adm, ok, r.clock())
+	r.admission.Release(adm, ok, r.clock())
 	r.admissionMu.Unlock()
 	signal(r.loadsChanged)
 	r.wakeQueue()
--- a/internal/router/targets.go
+++ b/internal/router/targets.go
@@ -12,7 +12,7 @@
 	defer r.admissionMu.Unlock()
 	r.admission.ObserveTargets(feed.TargetAges, nowUs)
 	if !feed.CutOff && !feed.FromRelay {
-		r.admission.Contact(nowUs)
+		r.admission.RecordContact(nowUs)
 	}
 }
 
--- a/internal/router/targets_test.go
+++ b/internal/router/targets_test.go
@@ -12,10 +12,10 @@
 func TestOnlyFeedOfControllerThatReachesCoreRenewsContact(t *testing.T) {
 	const versionUs, contactLossUs = 8_000_000, 3_000_000
 	c := &Router{admission: admission.New(admission.Defaults, "a", 1)}
-	c.admission.Bound = admission.WeightsBound{VersionUs: versionUs, ContactLossUs: contactLossUs}
+	c.admission.WeightsBound = admission.WeightsBound{VersionUs: versionUs, ContactLossUs: contactLossUs}
 	record := messages.RunnerRecord{ID: "r0", Service: "s", Capacity: 4, Models: []messages.Target{{Model: "m", Version: 4}}}
 	c.admission.SetService("s", []messages.RunnerRecord{record}, 1000, 0)
-	adm := c.admission.Submit(admission.Request{Service: "s", Model: "m", TokensIn: 8, LeftUs: 1_000_000}, 1).Admit
+	adm := c.admission.Submit(admission.Request{Service: "s", Model: "m", TokensIn: 8, TimeLeftUs: 1_000_000}, 1).Admission
 	must.NotNil(t, adm)
 
 	c.applyTargetAges(messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: 5, AgeUs: versionUs}}}, 1)
--- a/internal/router/usagereport/reports.go
+++ b/internal/router/usagereport/reports.go
@@ -105,15 +105,15 @@
 	if r.timeKnown(nowUs) {
 		r.counter.Add(r.windowAt(nowUs), tenant)
 	} else {
-		r.counter.Hold(tenant, nowUs)
+		r.counter.Defer(tenant, nowUs)
 	}
 }
 
 // timeKnown reports whether the time of day has been compared with a controller's, or
-// usage.HoldUs has passed without a comparison, after which the local time is used.
+// usage.ClockWaitUs has passed without a comparison, after which the local time is used.
 func (r *Sender) timeKnown(nowUs int64) bool {
 	_, agreed := r.config.TimeOfDay(nowUs)
-	return agreed || nowUs-r.startUs > usage.HoldUs
+	return agreed || nowUs-r.startUs > usage.ClockWaitUs
 }
 
 func (r *Sender) windowAt(atUs int64) int64 {
@@ -125,8 +125,8 @@
 func (r *Sender) assignWindows() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.counter.Holding() && r.timeKnown(r.config.Clock()) {
-		r.counter.Place(r.windowAt)
+	if r.counter.HasDeferred() && r.timeKnown(r.config.Clock()) {
+		r.counter.CountDeferred(r.windowAt)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (r *Sender) DiscardClosed(firstOpen int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counter.Closed(firstOpen)
+	r.counter.DropClosed(firstOpen)
 }
 
 // report sends each receiver the counts that have changed since its last acknowledgement.
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -36,7 +36,7 @@
 // setTargetWeights makes the router receive a target weights version old enough that nothing may
 // begin on older weights any more.
 func (r *Router) setTargetWeights(version int64) {
-	r.applyFeed("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: version, AgeUs: r.admission.Bound.VersionUs}}})
+	r.applyFeed("", messages.Feed{TargetAges: []messages.TargetAge{{Model: "m", Version: version, AgeUs: r.admission.WeightsBound.VersionUs}}})
 }
 
 type requestResult struct {
@@ -120,7 +120,7 @@
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
 	n := 0
-	for _, l := range r.admission.Own(r.clock()) {
+	for _, l := range r.admission.OwnLoads(r.clock()) {
 		if l.Count > 0 && l.Prefill == 0 {
 			n++
 		}
@@ -133,7 +133,7 @@
 	router, _, _ := start(t, old)
 	e, _, _ := newAdmittedExchange(t, router, 1_000_000)
 	e.request.Model = "m"
-	adm := router.admission.Submit(e.request, router.clock()).Admit
+	adm := router.admission.Submit(e.request, router.clock()).Admission
 	must.NotNil(t, adm)
 	must.True(t, router.stillAllowed(adm))
 	router.setTargetWeights(5)
--- a/internal/router/zoneping/prober.go
+++ b/internal/router/zoneping/prober.go
@@ -139,7 +139,7 @@
 		}
 	}
 	p.tracker.SetNodes(byZone)
-	p.tracker.SetIdle(idleUs(len(alive)))
+	p.tracker.SetIdleInterval(idleUs(len(alive)))
 }
 
 // idleUs is the time between two rounds of pings in a fleet of so many routers.
@@ -176,7 +176,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.tracker.Acked(p.nodes[from].zone, ping.Seq, p.config.Clock())
+	p.tracker.RecordAck(p.nodes[from].zone, ping.Seq, p.config.Clock())
 	p.mu.Unlock()
 	p.publish()
 }
@@ -185,7 +185,7 @@
 func (p *Prober) RunnerAnswered(zone string, sentUs int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Answered(zone, sentUs, p.config.Clock())
+	p.tracker.RecordAnswer(zone, sentUs, p.config.Clock())
 }
 
 // DoubtedSilences returns how often the silence of a zone was attributed to this node or its link, because
@@ -193,7 +193,7 @@
 func (p *Prober) DoubtedSilences() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.Doubted()
+	return p.tracker.SuppressedCount()
 }
 
 // publish passes the unreachable zones on if they have changed. It holds the mutex during the
--- a/internal/router/zones_test.go
+++ b/internal/router/zones_test.go
@@ -185,7 +185,7 @@
 	router, _, _ := start(t)
 	router.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, messages.RunnerRecord{ID: "r0", Service: "s", Addr: far.addr, Zone: "b", Capacity: 8, Seq: 9})}})
 	router.admissionMu.Lock()
-	admitted := router.admission.Submit(admission.Request{Service: "s", LeftUs: 1_000_000}, router.clock()).Admit
+	admitted := router.admission.Submit(admission.Request{Service: "s", TimeLeftUs: 1_000_000}, router.clock()).Admission
 	router.admissionMu.Unlock()
 	must.NotNil(t, admitted)
 	router.addRunner(t, "near", newRunner(t), 1)
