--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -1,7 +1,6 @@
-// Comparisons: beside its place in the tree a router asks controllers that are not its
-// parent for their versions, in turn. Updates normally reach it through its parent;
-// this covers a parent that is slow, or on the wrong side of a partition without
-// knowing it.
+// Comparisons: outside the tree, a router periodically requests the versions of controllers that
+// are not its parent, in turn. Updates normally reach it through its parent; this covers a parent
+// that is slow, or that is cut off from the core by a partition it has not detected.
 
 package router
 
@@ -17,10 +16,10 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// defaultConverge stands for convergeMs where the settings name none.
+// defaultConverge is used if the settings do not set convergeMs.
 const defaultConverge = 2 * time.Second
 
-// convergeTime is the time within which a change must be in force.
+// convergeTime returns the time within which a change must be in force on all nodes.
 func (r *Router) convergeTime() time.Duration {
 	if r.set.Bounds.ConvergeMs <= 0 {
 		return defaultConverge
@@ -28,135 +27,140 @@
 	return time.Duration(r.set.Bounds.ConvergeMs) * time.Millisecond
 }
 
-// compareVersions asks the controllers in turn what they hold, and takes what is
-// newer. A comparison that takes long does not put off the next.
+// compareVersions returns a function that compares versions with the next controllers in turn and
+// fetches what is newer. A slow comparison does not delay the next one.
 func (r *Router) compareVersions(ctx context.Context) func() {
 	return func() {
 		overdue := r.clock()-r.lastUpdateUs.Load() > max(r.convergeTime()/dissemination.OverdueParts, 2*dissemination.UpdateInterval).Microseconds()
-		for _, addr := range r.comparisons.Next(r.likelyCore(), *r.parent.Load(), overdue) {
+		for _, addr := range r.comparisons.Next(r.unsuspectedCoreAddrs(), *r.parent.Load(), overdue) {
 			go func() {
-				cctx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonWaitParts)
+				callCtx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonWaitParts)
 				defer cancel()
-				m, ok := r.compareWith(cctx, addr, overdue)
-				r.comparisons.Ended(addr, ok, m.RegistrySum == r.registry.Snapshot().Checksum)
+				remote, ok := r.compareWith(callCtx, addr, overdue)
+				r.comparisons.Ended(addr, ok, remote.RegistrySum == r.registry.Snapshot().Checksum)
 			}()
 		}
 	}
 }
 
-// coreMemory remembers the core that was last in view. A router that stood still for
-// a while may take all others for dead, which is no reason to ask nobody. The
-// zero value is ready for use.
-type coreMemory struct {
-	mu   sync.Mutex
-	last []string
+// coreHistory stores the core as last seen in the membership. A router whose process was paused may
+// consider all other nodes dead; it must still query the core then. The zero value is ready for use.
+type coreHistory struct {
+	mu        sync.Mutex
+	lastAddrs []string
 }
 
-// all gives the core in view, suspected members too, or the last one that was.
-func (m *coreMemory) all(controllers []messages.Peer) []string {
-	var list []string
+// allAddrs returns the addresses of the core members in the membership, suspected ones included. If
+// there are none, it returns the last ones seen.
+func (h *coreHistory) allAddrs(controllers []messages.Peer) []string {
+	var addrs []string
 	for _, p := range membership.CountedControllers(controllers) {
-		list = append(list, p.Addr)
+		addrs = append(addrs, p.Addr)
 	}
-	slices.Sort(list)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(list) > 0 {
-		m.last = list
+	slices.Sort(addrs)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(addrs) > 0 {
+		h.lastAddrs = addrs
 	}
-	return m.last
+	return h.lastAddrs
 }
 
-// likely gives the members of the core that are not suspected, or all where there
-// are none.
-func (m *coreMemory) likely(controllers []messages.Peer) []string {
-	var list []string
+// unsuspectedAddrs returns the addresses of the core members that are not suspected. If there are
+// none, it returns all.
+func (h *coreHistory) unsuspectedAddrs(controllers []messages.Peer) []string {
+	var addrs []string
 	for _, p := range membership.CountedControllers(controllers) {
 		if p.Status == messages.Alive {
-			list = append(list, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
 	}
-	if len(list) == 0 {
-		return m.all(controllers)
+	if len(addrs) == 0 {
+		return h.allAddrs(controllers)
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(addrs)
+	return addrs
 }
 
-// wholeCore is everybody who may know a newer configuration.
-func (r *Router) wholeCore() []string { return r.core.all(r.monitor.Alive(messages.Controller)) }
+// allCoreAddrs returns the addresses of all controllers that may have a newer configuration.
+func (r *Router) allCoreAddrs() []string {
+	return r.core.allAddrs(r.monitor.Alive(messages.Controller))
+}
 
-// likelyCore is whom to ask where an answer is wanted soon.
-func (r *Router) likelyCore() []string { return r.core.likely(r.monitor.Alive(messages.Controller)) }
+// unsuspectedCoreAddrs returns the addresses of the controllers that are likely to answer soon.
+func (r *Router) unsuspectedCoreAddrs() []string {
+	return r.core.unsuspectedAddrs(r.monitor.Alive(messages.Controller))
+}
 
-// compareWith asks one controller for its versions. Where it has had something newer for
-// longer than the tree is given to bring it, or runners differ again and again, the
-// changes since this node's are fetched from it. ok says that it has answered.
-func (r *Router) compareWith(ctx context.Context, addr string, overdue bool) (m messages.Versions, ok bool) {
-	m, err := r.askVersions(ctx, addr)
+// compareWith requests the versions of one controller. If a newer version has not arrived through
+// the tree within a grace period, or the lists of runners have differed repeatedly, it fetches the
+// changes since this node's versions from that controller. ok reports whether the controller has
+// answered and a fetch, if one was needed, has succeeded.
+func (r *Router) compareWith(ctx context.Context, addr string, overdue bool) (remote messages.Versions, ok bool) {
+	remote, err := r.requestVersions(ctx, addr)
 	if err != nil {
 		r.log.V(1).Info("comparison failed", "controller", addr, "overdue", overdue, "err", err.Error())
-		return m, false
+		return remote, false
 	}
 	grace := r.convergeTime() / dissemination.ComparisonParts
 	if overdue {
 		grace = 0
 	}
-	held := r.heldVersions()
-	runners := r.comparisons.WantRunners()
-	due := r.comparisons.FetchDue(held, m.Parts, grace, r.clock())
-	if dissemination.Behind(held, m.Parts) {
-		r.log.Info("a controller has newer versions", "controller", addr, "theirs", m.Parts, "held", held, "overdue", overdue, "fetch", due)
+	local := r.localVersions()
+	wantRunners := r.comparisons.WantRunners()
+	due := r.comparisons.FetchDue(local, remote.Parts, grace, r.clock())
+	if dissemination.Behind(local, remote.Parts) {
+		r.log.Info("controller has newer versions", "controller", addr, "theirs", remote.Parts, "held", local, "overdue", overdue, "fetch", due)
 	}
-	if !due && !runners {
-		return m, true
+	if !due && !wantRunners {
+		return remote, true
 	}
-	return m, r.fetchMissing(ctx, addr, runners)
+	return remote, r.fetchMissing(ctx, addr, wantRunners)
 }
 
-// askVersions asks one controller which versions it has.
-func (r *Router) askVersions(ctx context.Context, addr string) (m messages.Versions, err error) {
+// requestVersions requests the versions of one controller.
+func (r *Router) requestVersions(ctx context.Context, addr string) (versions messages.Versions, err error) {
 	r.counters.comparisons.begin()
 	sentUs := r.clock()
-	b, err := r.transport.Call(ctx, addr, transport.KindVersions, &messages.Versions{Parts: []int64{}})
-	r.counters.comparisons.ended(err)
+	body, err := r.transport.Call(ctx, addr, transport.KindVersions, &messages.Versions{Parts: []int64{}})
+	r.counters.comparisons.end(err)
 	if err != nil {
-		return m, err
+		return versions, err
 	}
-	if _, err := m.UnmarshalMsg(b); err != nil {
-		return m, err
+	if _, err := versions.UnmarshalMsg(body); err != nil {
+		return versions, err
 	}
-	r.timeOfDay.AddSample(addr, m, sentUs, r.clock())
-	r.takeVersions(m)
-	return m, nil
+	r.timeOfDay.AddSample(addr, versions, sentUs, r.clock())
+	r.applyVersions(versions)
+	return versions, nil
 }
 
-// fetchMissing fetches from one controller the changes since this node's versions, and
-// all runners where they are wanted. One fetch goes on at a time. It tells whether what
-// came was applied; also true where another fetch is under way.
-func (r *Router) fetchMissing(ctx context.Context, addr string, runners bool) bool {
+// fetchMissing fetches from one controller the changes since this node's versions, including
+// runners if requested. Only one fetch runs at a time. It reports whether the changes were applied;
+// also true if another fetch is in progress.
+func (r *Router) fetchMissing(ctx context.Context, addr string, wantRunners bool) bool {
 	if !r.comparisons.StartFetch() {
-		r.log.V(1).Info("another fetch is under way", "controller", addr)
+		r.log.V(1).Info("fetch skipped: another one is in progress", "controller", addr)
 		return true
 	}
 	defer r.comparisons.EndFetch()
-	h := r.syncState()
-	h.ConfigOnly, h.Cached = true, nil
-	if !runners {
-		h.Registry.Epoch = -1
+	state := r.syncState()
+	state.ConfigOnly, state.Cached = true, nil
+	if !wantRunners {
+		state.Registry.Epoch = -1
 	}
 	r.counters.fetches.begin()
-	b, err := r.transport.Call(ctx, addr, transport.KindSince, &h)
-	r.counters.fetches.ended(err)
-	var f messages.Feed
+	b, err := r.transport.Call(ctx, addr, transport.KindSince, &state)
+	r.counters.fetches.end(err)
+	var feed messages.Feed
 	if err == nil {
-		_, err = f.UnmarshalMsg(b)
+		_, err = feed.UnmarshalMsg(b)
 	}
 	if err != nil {
-		r.log.Info("fetch failed", "controller", addr, "held", h.Configuration.Version, "err", err.Error())
+		r.log.Info("fetch failed", "controller", addr, "held", state.Configuration.Version, "err", err.Error())
 		return false
 	}
-	fits := r.applyFeed("", f)
-	r.log.Info("fetched", "controller", addr, "versions", f.Versions, "held", h.Configuration.Version, "changes", len(f.Configuration), "bytes", len(b), "fits", fits)
-	return fits
+	applied := r.applyFeed("", feed)
+	r.log.Info("fetched missing changes", "controller", addr, "versions", feed.Versions, "held", state.Configuration.Version, "changes", len(feed.Configuration), "bytes", len(b), "fits", applied)
+	return applied
 }
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -1,4 +1,4 @@
-// What a router reports of itself to the doctor.
+// The state that a router reports to the diagnostic command (doctor).
 
 package router
 
@@ -11,27 +11,28 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
+// condition returns the state of this router for the diagnostic report.
 func (r *Router) condition() messages.Condition {
-	x := messages.Condition{Node: r.set.Node, Role: messages.Router, Zone: r.set.Zone, Addr: r.transport.Addr(), TimeUs: time.Now().UnixMicro()}
+	report := messages.Condition{Node: r.set.Node, Role: messages.Router, Zone: r.set.Zone, Addr: r.transport.Addr(), TimeUs: time.Now().UnixMicro()}
 	r.stateMu.Lock()
-	x.Versions = r.versions()
+	report.Versions = r.versionsLocked()
 	r.stateMu.Unlock()
 	r.admissionMu.Lock()
-	x.Blind = r.admission.UnmeasuredRunners(r.clock())
-	x.Partition.Evacuated = r.admission.EvacuatedZones()
-	x.Partition.Rollouts = r.admission.Rollouts()
-	x.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
+	report.Blind = r.admission.UnmeasuredRunners(r.clock())
+	report.Partition.Evacuated = r.admission.EvacuatedZones()
+	report.Partition.Rollouts = r.admission.Rollouts()
+	report.Partition.WarmingUp = r.admission.WarmingUp(r.clock())
 	r.admissionMu.Unlock()
-	x.Partition.UnreachableZones = r.zones.Conditions()
-	x.Retired = r.retiredConditions()
-	x.Wholes, x.Changes = r.feedStats.wholes.Load(), r.feedStats.changes.Load()
-	x.Malformed = r.feedStats.malformed.Load() + r.up.Malformed.Load()
-	x.Violations = invariant.Violations()
-	x.Runners = len(r.registry.Snapshot().ByID)
-	return x
+	report.Partition.UnreachableZones = r.zones.Conditions()
+	report.Retired = r.retiredConditions()
+	report.Wholes, report.Changes = r.feedCounters.snapshots.Load(), r.feedCounters.changes.Load()
+	report.Malformed = r.feedCounters.malformed.Load() + r.subscriber.Malformed.Load()
+	report.Violations = invariant.Violations()
+	report.Runners = len(r.registry.Snapshot().ByID)
+	return report
 }
 
-// OnRing tells how the doctor gets the log ring.
+// OnRing sets the function that returns the log ring to the diagnostic command.
 func (r *Router) OnRing(show func() ([]byte, error)) {
 	r.transport.OnCall(transport.KindRing, func(context.Context, *transport.Conn, []byte) ([]byte, error) { return show() })
 }
--- a/internal/router/evacuation.go
+++ b/internal/router/evacuation.go
@@ -1,16 +1,16 @@
-// Evacuated zones and warm-ups, as this router goes by them.
+// Evacuated zones, as received from the registers.
 
 package router
 
 import "beechtide.org/beechtide/internal/messages"
 
-// recordEvacuations takes what a register says of evacuated zones. The caller has the mutex of
-// what was received.
-func (r *Router) recordEvacuations(part int, evacuations []messages.Evacuation, nowUs int64) {
+// recordEvacuations stores the evacuations of a register and passes the zones that are evacuated
+// in any register to the admission control. The caller holds stateMu.
+func (r *Router) recordEvacuations(register int, evacuations []messages.Evacuation, nowUs int64) {
 	if len(evacuations) == 0 {
 		return
 	}
-	r.evacuations[part] = evacuations
+	r.evacuations[register] = evacuations
 	zones := map[string]bool{}
 	for _, list := range r.evacuations {
 		for _, e := range list {
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -19,7 +19,7 @@
 	)...)
 }
 
-// requestMetrics are the figures of requests and attempts.
+// requestMetrics returns the metrics of requests and attempts.
 func (r *Router) requestMetrics() []prometheus.Collector {
 	counters := &r.counters
 	return []prometheus.Collector{
@@ -64,12 +64,12 @@
 			emit(metrics.Bool(r.draining()))
 		}),
 		metrics.Counter("beechtide_requests_taken_while_draining_total", "Requests that began while the process shut down.", nil, func(emit metrics.Emit) {
-			emit(float64(counters.takenWhileDraining.Load()))
+			emit(float64(counters.acceptedWhileDraining.Load()))
 		}),
 	}
 }
 
-// configMetrics are the figures of how the configuration reaches this node.
+// configMetrics returns the metrics of the distribution of the configuration to this node.
 func (r *Router) configMetrics() []prometheus.Collector {
 	counters := &r.counters
 	return []prometheus.Collector{
@@ -105,9 +105,9 @@
 	}
 }
 
-// emit gives the counts by outcome.
+// emit emits the counts by outcome.
 func (c *callCounts) emit(emit metrics.Emit) {
-	emit(float64(c.asked.Load()), "asked")
+	emit(float64(c.begun.Load()), "asked")
 	emit(float64(c.answered.Load()), "answered")
 	emit(float64(c.timedOut.Load()), "timed_out")
 	emit(float64(c.failed.Load()), "failed")
--- a/internal/router/retired_test.go
+++ b/internal/router/retired_test.go
@@ -11,28 +11,28 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// retire has the router take a configuration that retires the weights below 5 of the model.
+// retire applies a configuration that retires the weights of the model below version 5.
 func (r *Router) retire(t *testing.T, version int64) {
 	t.Helper()
-	retiring := strings.Replace(configText, `"limits":{`, `"retired":[{"model":"m","before":5}],"limits":{`, 1)
-	retiring = strings.Replace(retiring, `"version":3`, `"version":4`, 1)
-	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, retiring, version)}}))
+	config := strings.Replace(configText, `"limits":{`, `"retired":[{"model":"m","before":5}],"limits":{`, 1)
+	config = strings.Replace(config, `"version":3`, `"version":4`, 1)
+	must.True(t, r.applyFeed("", messages.Feed{Configuration: []messages.EntryChange{configSnapshot(t, config, version)}}))
 }
 
-// listBoth has the router know a runner with weights 4 and one with weights 5.
-func (r *Router) listBoth(t *testing.T, old, renewed *runner) {
+// addOldAndNewWeights registers a runner with weights 4 and one with weights 5.
+func (r *Router) addOldAndNewWeights(t *testing.T, oldWeights, newWeights *runner) {
 	t.Helper()
-	var notes []messages.RunnerRecord
-	for i, server := range []*runner{old, renewed} {
-		notes = append(notes, messages.RunnerRecord{
+	var records []messages.RunnerRecord
+	for i, server := range []*runner{oldWeights, newWeights} {
+		records = append(records, messages.RunnerRecord{
 			ID: fmt.Sprintf("r%d", i), Service: "s", Addr: server.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: int64(4 + i)}},
 		})
 	}
-	r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, notes...)}})
+	r.applyFeed("", messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, records...)}})
 }
 
-// load has the router take the runner of weights 5 for loaded, or for idle.
-func (r *Router) load(prefill int) {
+// setPeerLoad sets the prefill load of other nodes at the runner with weights 5.
+func (r *Router) setPeerLoad(prefill int) {
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
 	r.admission.SetPeerLoads(func(id string) messages.RunnerLoad {
@@ -43,17 +43,17 @@
 	}, r.clock())
 }
 
-func TestNothingGoesToRetiredWeights(t *testing.T) {
+func TestRetiredWeightsReceiveNoRequests(t *testing.T) {
 	old, renewed := newRunner(t), newRunner(t)
 	c, front, _ := start(t, old)
-	c.listBoth(t, old, renewed)
+	c.addOldAndNewWeights(t, old, renewed)
 	for old.requestCount() == 0 {
-		c.load(2_000)
+		c.setPeerLoad(2_000)
 		_, _, err := roundTrip(t, front, request("/pay/1", ""))
 		must.NoError(t, err)
 	}
 	before, others := old.requestCount(), renewed.requestCount()
-	c.load(0)
+	c.setPeerLoad(0)
 	c.retire(t, 2)
 	for range 8 {
 		a, _, err := roundTrip(t, front, request("/pay/1", ""))
@@ -65,8 +65,8 @@
 	must.Eq(t, "w5/t1", renewed.lastRequest().Header.Get(hSalt))
 }
 
-// A configuration that comes late, from before, does not bring retired weights back.
-func TestAnEarlierConfigurationDoesNotBringRetiredWeightsBack(t *testing.T) {
+// An earlier configuration that arrives late does not make retired weights usable again.
+func TestLateEarlierConfigurationDoesNotRestoreRetiredWeights(t *testing.T) {
 	old := newRunner(t)
 	c, front, _ := start(t, old)
 	c.retire(t, 2)
@@ -90,7 +90,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	renewed := newRunner(t)
-	c.listBoth(t, old, renewed)
+	c.addOldAndNewWeights(t, old, renewed)
 	c.retire(t, 2)
 	c.withdrawFromOldWeights()
 	close(retired)
@@ -100,8 +100,8 @@
 	must.Zero(t, renewed.requestCount())
 }
 
-// A request that waits at a runner with retired weights goes to another one, if it may run
-// again; one that may run once is left where it is.
+// A request that waits at a runner with retired weights is sent to another runner if its route is
+// repeatable; otherwise it stays where it is.
 func TestWaitingRequestOnRetiredWeightsIsAnsweredOnce(t *testing.T) {
 	for _, c := range []struct {
 		path  string
@@ -120,7 +120,7 @@
 			answer := roundTripAsync(t, front, request(c.path, "x"))
 			awaitRequest(old)
 			renewed := newRunner(t)
-			router.listBoth(t, old, renewed)
+			router.addOldAndNewWeights(t, old, renewed)
 			router.retire(t, 2)
 			if !c.moves {
 				router.withdrawFromOldWeights()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,8 @@
-// Package router is the role that serves clients: it takes their requests, asks
-// package admission for a runner, sends attempts to runners and streams the responses
+// Package router implements the role that serves clients: it receives their requests, has
+// package admission choose a runner, sends attempts to runners and streams the responses
 // back.
 //
-// # What it is given and what it guarantees
+// # Inputs and guarantees
 //
 // New takes the settings, a pool of goroutines, a monotonic clock in microseconds and
 // a logger. Configuration, runners, cached prefixes and loads arrive as feeds from a
@@ -21,16 +21,16 @@
 //
 // front.go checks a request, attempts.go makes its attempts, send.go each of them, responses.go streams the
 // response, move.go resumes streams elsewhere, withdraw.go ends attempts,
-// client_watch.go notices clients that leave, feed.go applies feeds, loads.go reports
-// load, compare.go and recheck.go ask controllers beside the tree, missing.go probes
+// client_watch.go detects clients that disconnect, feed.go applies feeds, loads.go reports
+// load, compare.go and recheck.go query controllers outside the tree, missing.go probes
 // absent runners, leave.go shuts down by the plan of shutdown_plan.go.
 //
-// # Who owns which state
+// # Ownership of state
 //
 // Run starts a goroutine for each periodic task, for the subscription and for each
 // server. A request belongs to the goroutine of the HTTP server that serves its
 // connection; while it is queued that goroutine waits for its continuation in the
-// slab, which is resumed by the goroutine of pump, or by that of a request of higher
+// slab, which is resumed by the goroutine of runQueue, or by that of a request of higher
 // priority that sheds it.
 //
 //   - The compiled configuration is immutable and swapped by an atomic pointer; a
@@ -43,7 +43,7 @@
 //   - The registry, the connection pool, the slab, the attempts under way and the
 //     audit trail guard themselves.
 //
-// Where several of the first three are held they are taken in this order. None is held
+// If several of the first three are held, they are locked in this order. None is held
 // while a runner or another node is called.
 package router
 
@@ -78,7 +78,7 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// Router is the running role.
+// Router is the state of a running router.
 type Router struct {
 	set       settings.Settings
 	log       logr.Logger
@@ -92,47 +92,47 @@
 	table     atomic.Pointer[routeconfig.Table]
 
 	stateMu       sync.Mutex
-	parts         map[int]messages.RegisterUpdate
+	registers     map[int]messages.RegisterUpdate
 	evacuations   map[int][]messages.Evacuation // by register
 	configuration *routeconfig.Replica
-	runners       *statesync.Entries // as the parent has them
-	feedStats     stats
+	runners       *statesync.Entries // replica of the parent's list
+	feedCounters  feedCounters
 
-	up     dissemination.Subscriber
-	parent atomic.Pointer[string]
-	loads  loads
+	subscriber dissemination.Subscriber
+	parent     atomic.Pointer[string]
+	loads      loads
 
 	admissionMu     sync.Mutex
 	admission       *admission.Admitter
 	budgets         map[string]*upstream.Budget
 	slab            inflight.Slab[admission.Decision]
 	queueChanged    chan struct{}
-	prefixesPending chan struct{} // shared parts have been sent to be read
+	prefixesPending chan struct{} // a runner has begun to prefill prefixes that others may share
 	loadsChanged    chan struct{} // this node's loads have changed
-	missing         chan struct{} // a runner was not at its address
+	probesPending   chan struct{} // a runner was not at its address
 	sent            sentAttempts
-	movableStreams  sentAttempts               // streams that have begun and that another attempt may take up
-	pendingConnects activeSet[*pendingConnect] // connections in the making
-	undelivered     sentAttempts               // begun, and the client has nothing of the answer yet
+	movableStreams  sentAttempts               // streams that have begun and that another attempt may resume
+	pendingConnects activeSet[*pendingConnect] // connections being established
+	undelivered     sentAttempts               // begun, but the client has received no part of the response
 
 	freshness    freshnessChecks
 	comparisons  *dissemination.Comparisons
-	core         coreMemory
-	lastUpdateUs atomic.Int64 // when the parent, in reach of the core, last sent a feed
+	core         coreHistory
+	lastUpdateUs atomic.Int64 // when a parent that reaches the core last sent a feed
 
-	trail    compliance.Trail
-	seeds    atomic.Pointer[[]string]
-	nodes    atomic.Int64
-	informed atomic.Bool
-	inFlight atomic.Int64
-	front    atomic.Pointer[timedListener]
+	trail           compliance.Trail
+	seeds           atomic.Pointer[[]string]
+	nodes           atomic.Int64 // number of routers, as estimated by fleetSize
+	runnersReceived atomic.Bool
+	inFlight        atomic.Int64
+	front           atomic.Pointer[timedListener]
 
 	shutdown   atomic.Pointer[shutdownPlan] // nil until SIGTERM
 	drainBegun chan struct{}                // closed when shutdown is set
-	finalPhase chan struct{}                // closed when what has no answer yet gets its last one
+	finalPhase chan struct{}                // closed when requests without a response get their final one
 
 	timeOfDay clocksync.Shared
-	usage     *usagereport.Reports // nil where no usage is wanted
+	usage     *usagereport.Sender // nil if usage reporting is disabled
 	quotas    *quotaclient.Client
 	zones     *zoneping.Prober
 
@@ -146,11 +146,11 @@
 // usPerMs converts milliseconds into microseconds.
 const usPerMs = int64(1000)
 
-// comparisonOrders is among how many orders a router chooses the one in which it asks the
-// controllers, so that not all ask the same one at a time.
+// comparisonOrders is the number of orders in which routers query the controllers. Each router
+// chooses one at random, so that not all query the same controller at a time.
 const comparisonOrders = 64
 
-// New builds the role. It takes no part in anything before Run.
+// New creates a router. It sends nothing and serves nothing before Run.
 func New(set settings.Settings, pool *ants.Pool, clock func() int64, log logr.Logger) (*Router, error) {
 	trans, err := transport.New(set.RouterAddr(), pool, log)
 	if err != nil {
@@ -164,7 +164,7 @@
 		transport:       trans,
 		registry:        registry.New(),
 		connPool:        upstream.NewConnPool(clock),
-		parts:           map[int]messages.RegisterUpdate{},
+		registers:       map[int]messages.RegisterUpdate{},
 		evacuations:     map[int][]messages.Evacuation{},
 		configuration:   routeconfig.NewReplica(),
 		runners:         statesync.NewEntries(),
@@ -173,7 +173,7 @@
 		queueChanged:    make(chan struct{}, 1),
 		prefixesPending: make(chan struct{}, 1),
 		loadsChanged:    make(chan struct{}, 1),
-		missing:         make(chan struct{}, 1),
+		probesPending:   make(chan struct{}, 1),
 		comparisons:     dissemination.NewComparisons(rand.IntN(comparisonOrders)),
 		drainBegun:      make(chan struct{}),
 		finalPhase:      make(chan struct{}),
@@ -183,10 +183,10 @@
 	r.nodes.Store(1)
 	r.seeds.Store(&set.Seeds)
 	r.timeOfDay.Observe(time.Now().UnixMicro(), clock())
-	r.joinTree()
+	r.initDissemination()
 	self := messages.Peer{Addr: set.RouterAddr(), Role: messages.Router, Zone: set.Zone, Node: set.Node}
 	r.monitor = membership.NewMonitor(trans, self, clock, r.seedAddrs)
-	if err := r.newClientsOfOthers(); err != nil {
+	if err := r.newPeerClients(); err != nil {
 		return nil, err
 	}
 	trans.OnDatagram(transport.KindReachPing, r.zones.HandlePing)
@@ -215,39 +215,39 @@
 	return admitter
 }
 
-// joinTree makes both ends of this router's place in the relay tree: the link to its parent and what
-// it sends to the routers below it.
-func (r *Router) joinTree() {
+// initDissemination sets up this router's part of the relay tree: the subscription to its parent
+// and the publisher for the routers below it.
+func (r *Router) initDissemination() {
 	r.publisher = dissemination.NewPublisher(r.transport, dissemination.Upstream{
 		DeltaSince:   r.deltaSince,
 		ApplyReport:  r.applyReport,
 		Unsubscribed: r.removeSender,
 	})
-	r.up.SyncState = r.syncState
-	r.up.Parents = r.parents
-	r.up.ApplyUpdate = r.receiveFeed
-	r.up.Acked = r.loads.acknowledge
-	r.up.ResendAll = r.resendLoads
-	r.up.Unsubscribed = func(string) {}
-	r.up.Counts = &r.counters.subscriptions
+	r.subscriber.SyncState = r.syncState
+	r.subscriber.Parents = r.parents
+	r.subscriber.ApplyUpdate = r.receiveFeed
+	r.subscriber.Acked = r.loads.acknowledge
+	r.subscriber.ResendAll = r.resendLoads
+	r.subscriber.Unsubscribed = func(string) {}
+	r.subscriber.Counts = &r.counters.subscriptions
 }
 
-// Run serves until ctx ends; it then leaves in order.
+// Run serves until ctx ends and then shuts down gracefully.
 func (r *Router) Run(ctx context.Context) error {
 	live, stop := context.WithCancel(context.Background())
 	defer r.transport.Close()
 	defer stop()
 	r.transport.Run(live)
 	go r.monitor.Run(live)
-	go r.up.Listen(live, r.transport)
+	go r.subscriber.Listen(live, r.transport)
 	go loop.Every(live, r.convergeTime()/dissemination.ComparisonParts, r.compareVersions(live))
 	go r.reportLoads(live)
 	go loop.Every(live, time.Second, func() { r.connPool.Sweep(func(string) bool { return true }) })
-	go loop.Every(live, forgetEvery, r.forgetUnlisted)
-	go r.pump(live)
+	go loop.Every(live, unlistedSweepInterval, r.removeUnlisted)
+	go r.runQueue(live)
 	go r.zones.Run(live)
 	go r.probeAbsent(live)
-	go loop.Every(live, quotaclient.SweepInterval, r.seeRouters)
+	go loop.Every(live, quotaclient.SweepInterval, r.updateLiveRouters)
 	go loop.Every(live, withdrawInterval, r.withdrawFromOldWeights)
 	go r.metricsServer().Run(live)
 	if r.usage != nil {
@@ -273,24 +273,24 @@
 	case <-ctx.Done():
 	}
 	r.shutDown()
-	r.recordCutByLeaving()
+	r.recordCutByShutdown()
 	return nil
 }
 
-// zoneParentWaitUs is for how long a router that has just started waits until it has heard of a
-// controller of its own zone. All routers know the same few seeds: if hundreds that start at once
-// took their first snapshot there, and another one from their own zone a moment later, the
-// snapshots would fill the seeds' links for seconds.
+// zoneParentWaitUs is the time that a starting router waits for a controller of its own zone to
+// appear in the membership. All routers have the same few seeds: if hundreds that start at once
+// fetched their first snapshot from these, and another one from their own zone a moment later, the
+// snapshots would saturate the seeds' links for seconds.
 const zoneParentWaitUs = 400_000
 
-// waitsForZone reports whether a router still waits to hear of a controller of its zone.
+// waitsForZone reports whether a starting router still waits for a controller of its zone.
 func waitsForZone(uptimeUs int64, zone string, controllers []messages.Peer) bool {
 	inZone := func(p messages.Peer) bool { return p.Zone == zone }
 	return uptimeUs < zoneParentWaitUs && !slices.ContainsFunc(controllers, inZone)
 }
 
-// parents lists whom this router may take updates from, the first choice first; nobody yet while
-// it waits for a controller of its zone.
+// parents returns the nodes to which this router may subscribe, the preferred one first; none
+// while it waits for a controller of its zone.
 func (r *Router) parents() []string {
 	controllers := r.monitor.Alive(messages.Controller)
 	if waitsForZone(r.clock()-r.startUs, r.set.Zone, controllers) {
@@ -298,13 +298,12 @@
 	}
 	list := dissemination.Parents(r.transport.Addr(), r.set.Zone, controllers, r.monitor.Alive(messages.Router))
 	if len(list) == 0 {
-		return append(r.seedAddrs(), r.wholeCore()...)
+		return append(r.seedAddrs(), r.allCoreAddrs()...)
 	}
 	return list
 }
 
-// Reload takes what may change in a running process from newly read settings:
-// the seeds.
+// Reload applies the settings that may change in a running process: the seeds.
 func (r *Router) Reload(set settings.Settings) { r.seeds.Store(&set.Seeds) }
 
 func (r *Router) seedAddrs() []string {
@@ -313,35 +312,35 @@
 	return set.SeedAddrs()
 }
 
-// syncAdmission brings the admission control to the runners and services that are
-// known. Several feeds may be taken in at the same time; what is known is read
-// under the lock, so that the last to get it leaves the newest behind.
+// syncAdmission updates the admission control from the current configuration and registry. Feeds
+// may be applied concurrently; both are read with the admission lock held, so that the last call
+// to acquire it applies the newest state.
 func (r *Router) syncAdmission() {
 	r.loads.markAllChanged()
 	r.admissionMu.Lock()
 	defer r.admissionMu.Unlock()
-	t := r.table.Load()
+	table := r.table.Load()
 	snap := r.registry.Snapshot()
-	if t != nil {
-		r.admission.SetRelinquished(t.RelinquishUsByZone, r.clock())
-		r.admission.SetRetired(t.MinWeightsVersionByModel)
-		r.retirements.observe(t.MinWeightsVersionByModel, r.clock())
+	if table != nil {
+		r.admission.SetRelinquished(table.RelinquishUsByZone, r.clock())
+		r.admission.SetRetired(table.MinWeightsVersionByModel)
+		r.retirements.observe(table.MinWeightsVersionByModel, r.clock())
 	}
-	for service, notes := range snap.ByService {
+	for service, records := range snap.ByService {
 		tokens, moveUs, links, coldPerS := 0, 0.0, 0, 0.0
-		if t != nil {
-			if s := t.Service(service); s != nil {
-				tokens, links, coldPerS = s.Engine.CacheTokens, s.LinkLimit, s.ColdPerS
-				if s.Engine.LinkMbps > 0 {
-					moveUs = float64(s.Engine.TokenBytes) * 8 / float64(s.Engine.LinkMbps)
+		if table != nil {
+			if svc := table.Service(service); svc != nil {
+				tokens, links, coldPerS = svc.Engine.CacheTokens, svc.LinkLimit, svc.ColdPerS
+				if svc.Engine.LinkMbps > 0 {
+					moveUs = float64(svc.Engine.TokenBytes) * 8 / float64(svc.Engine.LinkMbps)
 				}
 			}
 		}
-		r.admission.SetService(service, notes, tokens, moveUs)
+		r.admission.SetService(service, records, tokens, moveUs)
 		r.admission.SetWarmupRate(service, coldPerS, r.clock())
 		r.admission.SetConnectionLimit(service, links)
-		r.admission.SetStores(service, storesFor(t, service))
-		r.admission.SetCertified(service, certified(t, notes))
+		r.admission.SetStores(service, storesFor(table, service))
+		r.admission.SetCertified(service, certifiedByRegime(table, records))
 	}
 	for _, name := range r.admission.Services() {
 		if _, ok := snap.ByService[name]; !ok {
@@ -350,57 +349,58 @@
 	}
 }
 
-// certified works out which runners and stores each regime lets in.
-func certified(t *routeconfig.Table, notes []messages.RunnerRecord) map[string]map[string]bool {
-	if t == nil || t.Policies.IsEmpty() {
+// certifiedByRegime returns the runners and stores that each regime allows, by regime and ID; nil if there
+// are no regimes.
+func certifiedByRegime(table *routeconfig.Table, records []messages.RunnerRecord) map[string]map[string]bool {
+	if table == nil || table.Policies.IsEmpty() {
 		return nil
 	}
 	out := map[string]map[string]bool{}
-	for _, name := range t.Policies.RegimeNames() {
+	for _, name := range table.Policies.RegimeNames() {
 		out[name] = map[string]bool{}
-		for _, n := range notes {
-			if _, ok := t.Policies.Allows(name, sightOf(n)); ok {
-				out[name][n.ID] = true
+		for _, record := range records {
+			if _, ok := table.Policies.Allows(name, complianceRunner(record)); ok {
+				out[name][record.ID] = true
 			}
 		}
-		for _, box := range t.CacheStoreServices {
-			if _, ok := t.Policies.Allows(name, compliance.Runner{ID: box.CacheStore, Service: box.Name, Zone: box.Zone}); ok {
-				out[name][box.CacheStore] = true
+		for _, store := range table.CacheStoreServices {
+			if _, ok := table.Policies.Allows(name, compliance.Runner{ID: store.CacheStore, Service: store.Name, Zone: store.Zone}); ok {
+				out[name][store.CacheStore] = true
 			}
 		}
 	}
 	return out
 }
 
-func sightOf(n messages.RunnerRecord) compliance.Runner {
-	return compliance.Runner{ID: n.ID, Service: n.Service, Zone: n.Zone}
+func complianceRunner(record messages.RunnerRecord) compliance.Runner {
+	return compliance.Runner{ID: record.ID, Service: record.Service, Zone: record.Zone}
 }
 
-// storesFor lists the stores that the runners of a service may use: all there
-// are, where moving memory is possible at all.
-func storesFor(t *routeconfig.Table, service string) []admission.Store {
-	if t == nil {
+// storesFor returns the cache stores that the runners of a service may use: all stores with a
+// link rate, if the service's engine supports cache transfers.
+func storesFor(table *routeconfig.Table, service string) []admission.Store {
+	if table == nil {
 		return nil
 	}
-	s := t.Service(service)
-	if s == nil || s.Engine.TokenBytes == 0 {
+	svc := table.Service(service)
+	if svc == nil || svc.Engine.TokenBytes == 0 {
 		return nil
 	}
 	var out []admission.Store
-	for _, box := range t.CacheStoreServices {
-		if box.LinkMbps > 0 {
-			out = append(out, admission.Store{ID: box.CacheStore, Addr: box.CacheStore, Zone: box.Zone, TransferUsPerToken: float64(s.Engine.TokenBytes) * 8 / float64(box.LinkMbps)})
+	for _, store := range table.CacheStoreServices {
+		if store.LinkMbps > 0 {
+			out = append(out, admission.Store{ID: store.CacheStore, Addr: store.CacheStore, Zone: store.Zone, TransferUsPerToken: float64(svc.Engine.TokenBytes) * 8 / float64(store.LinkMbps)})
 		}
 	}
 	return out
 }
 
-// returnColdBeats is for how many heartbeats the runners of a zone count as cold that is taken
-// back from an evacuation: by then they have said what they are.
+// returnColdBeats is the number of heartbeat periods for which the runners of a zone count as cold
+// after its evacuation has ended: by then their heartbeats have reported their state.
 const returnColdBeats = 2
 
-// forgetEvery is how often runners that the parent no longer lists are looked for.
-const forgetEvery = 5 * time.Second
+// unlistedSweepInterval is the interval at which runners that the parent no longer lists are removed.
+const unlistedSweepInterval = 5 * time.Second
 
 func (r *Router) wakeQueue() { signal(r.queueChanged) }
 
@@ -411,8 +411,8 @@
 	}
 }
 
-// pump lets the admission control's time pass while requests wait.
-func (r *Router) pump(ctx context.Context) {
+// runQueue calls tick every tickInterval while requests are queued.
+func (r *Router) runQueue(ctx context.Context) {
 	for {
 		select {
 		case <-r.queueChanged:
@@ -425,10 +425,11 @@
 	}
 }
 
-// tickInterval is how often decisions on queued requests are made.
+// tickInterval is the interval of decisions on queued requests.
 const tickInterval = 8 * time.Millisecond
 
-// tick decides on queued requests, and resumes those that are decided on.
+// tick resumes the queued requests on which the admission control has decided. If a request is no
+// longer waiting, its reservation is released.
 func (r *Router) tick() {
 	r.admissionMu.Lock()
 	decisions := r.admission.Tick(r.clock())
--- a/internal/router/runner_leaves_test.go
+++ b/internal/router/runner_leaves_test.go
@@ -11,9 +11,9 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A runner that leaves serves on for a while: what runs there ends there, nothing
-// more is sent to it, and what is heard late does not bring it back.
-func TestRunnerThatLeftEndsWhatItHasAndGetsNothingMore(t *testing.T) {
+// A runner that has left continues to serve for a while: requests in progress complete there, no
+// new ones are sent to it, and late records of it do not make it available again.
+func TestRunnerThatLeftCompletesRequestsAndReceivesNoMore(t *testing.T) {
 	a, b := newRunner(t), newRunner(t)
 	finish := make(chan struct{})
 	a.stream = func(write func(string), _ <-chan struct{}) {
@@ -29,14 +29,14 @@
 	other := messages.RunnerRecord{ID: "r1", Service: "s", Addr: b.addr, Zone: "a", Capacity: 8, Seq: 1, Models: []messages.Target{{Model: "m", Version: 4}}}
 	left := c.registry.Snapshot().ByID["r0"]
 	left.Gone = true
-	tell := func(parent string, n ...messages.RunnerRecord) {
+	applyRecords := func(parent string, n ...messages.RunnerRecord) {
 		c.applyFeed(parent, messages.Feed{Registry: []messages.EntryChange{runnerEntries(t, n...)}})
 	}
-	tell("", left, other)
-	late := left
-	late.Gone, late.Seq = false, left.Seq+9
-	tell("", late)
-	tell("p", late, other)
+	applyRecords("", left, other)
+	lateRecord := left
+	lateRecord.Gone, lateRecord.Seq = false, left.Seq+9
+	applyRecords("", lateRecord)
+	applyRecords("p", lateRecord, other)
 	for range 6 {
 		ans, _, err := roundTrip(t, front, request("/pay/", "x"))
 		must.NoError(t, err)
--- a/internal/router/sync_test.go
+++ b/internal/router/sync_test.go
@@ -9,11 +9,11 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// One feed is taken in and waits for its turn at the admission control while
-// another one, which names a runner of another service, is taken in too.
-func TestSyncAdmissionLeavesTheNewestRunnersBehind(t *testing.T) {
+// While one feed is being applied and waits for the admission lock, another one adds a runner of
+// another service. The admission control must have that runner afterwards.
+func TestConcurrentSyncAdmissionAppliesNewestRunners(t *testing.T) {
 	c, _, _ := start(t)
-	known := func(service string) bool {
+	hasService := func(service string) bool {
 		c.admissionMu.Lock()
 		defer c.admissionMu.Unlock()
 		for _, name := range c.admission.Services() {
@@ -32,7 +32,7 @@
 		c.syncAdmission()
 		close(done)
 	}()
-	for waiting := false; !waiting; runtime.Gosched() { // it is on its way to the lock
+	for waiting := false; !waiting; runtime.Gosched() { // allChanged is set shortly before the lock is requested
 		c.loads.mu.Lock()
 		waiting = c.loads.allChanged
 		c.loads.mu.Unlock()
@@ -40,5 +40,5 @@
 	c.registry.Merge(messages.RunnerRecord{ID: "added", Service: "added", Addr: "127.0.0.1:9", Capacity: 1, Seq: 1, Models: []messages.Target{}}, c.clock())
 	c.admissionMu.Unlock()
 	<-done
-	must.True(t, known("added"))
+	must.True(t, hasService("added"))
 }
