--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -1,4 +1,4 @@
-// Comparisons with the other controllers: versions, heartbeats, time of day and tallies.
+// Periodic comparison of versions, heartbeats, time of day and tallies with the other controllers.
 
 package controller
 
@@ -13,7 +13,7 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// answerVersions answers a comparison of versions.
+// answerVersions handles a request to compare versions.
 func (c *Controller) answerVersions(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	m := c.versions()
 	var from messages.Versions
@@ -41,8 +41,8 @@
 	return m
 }
 
-// coreView names the controllers whose coming and going unsettles the core: those
-// that count, where some do.
+// coreView returns the controllers whose joining or leaving resets the stability of the core (see
+// membership.Core), as a text to compare and as a set of addresses.
 func coreView(alive []messages.Peer) (view string, core map[string]bool) {
 	core = map[string]bool{}
 	for _, p := range membership.Core(alive) {
@@ -52,9 +52,9 @@
 	return view, core
 }
 
-// catchUp compares versions with the other controllers and pulls what is newer.
-// The same call asks for heartbeats of runners that are silent here, so that the
-// lease of contact, without which no silence counts, rests on calls that asked.
+// catchUp compares versions with the other controllers and pulls newer ones. The same call
+// requests the heartbeats of runners that are silent here. A runner is marked silent only under the
+// contact lease, and the calls that renew that lease thereby also asked for its heartbeats.
 func (c *Controller) catchUp(ctx context.Context) {
 	c.registers.ExpireTransfers()
 	alive := c.monitor.Alive(messages.Controller)
@@ -68,7 +68,7 @@
 	}
 }
 
-// compareWait bounds a comparison with another controller.
+// compareWait is the timeout of a comparison with another controller.
 const compareWait = 450 * time.Millisecond
 
 // compareWith compares versions, time of day and heartbeats with another controller.
@@ -93,7 +93,7 @@
 	c.publishRunners(c.registry.ApplyLaterHeartbeats(m.LaterHeartbeats, sentUs, c.clock())...)
 	c.targets.observe(m.TargetAges, c.clock())
 	c.timeOfDay.Compare(p.Addr, m, sentUs, c.clock())
-	c.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // the earlier format has none
+	c.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // responses of earlier releases have no MemberID
 	for part := range min(len(m.Parts), consensus.RegisterCount) {
 		if m.Parts[part] > mine.Parts[part] {
 			go func() { _ = c.registers.CatchUp(ctx, p.Addr, part) }()
--- a/internal/controller/condition.go
+++ b/internal/controller/condition.go
@@ -1,4 +1,4 @@
-// What a controller reports of itself to the doctor.
+// The condition report of a controller for the doctor command.
 
 package controller
 
@@ -43,7 +43,7 @@
 	return report
 }
 
-// OnRing tells how the doctor gets the log ring.
+// OnRing registers the function that returns the log ring buffer for the doctor command.
 func (c *Controller) OnRing(show func() ([]byte, error)) {
 	c.transport.OnCall(transport.KindRing, func(context.Context, *transport.Conn, []byte) ([]byte, error) { return show() })
 }
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -1,6 +1,5 @@
-// The lease of contact with a majority of the configuration's group (package lease),
-// as this controller holds it, and where it is checked: calls whose answers others
-// rely on pass through inContactOnly.
+// The contact lease with a majority of the configuration register's group (package lease), and its
+// checks: calls whose responses must not be stale are wrapped with inContactOnly.
 
 package controller
 
@@ -17,7 +16,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// contact is the lease, safe for concurrent use.
+// contact is the contact lease of this controller. It is safe for concurrent use.
 type contact struct {
 	mu    sync.Mutex
 	lease lease.Contact
@@ -47,28 +46,29 @@
 	return c.lease.MayAnswer(group, begunUs, nowUs)
 }
 
-// configGroup is the identities of the group that holds the configuration, as far
-// as this node knows.
+// configGroup returns the member IDs of the configuration register's group, as of the newest
+// version known here.
 func (c *Controller) configGroup() []string {
 	v, _ := c.registers.Committed(consensus.ConfigRegister)
 	return identities(v.Group)
 }
 
-// inContact tells whether this controller holds the lease now.
+// inContact reports whether this controller holds the contact lease now.
 func (c *Controller) inContact() bool { return c.contact.holds(c.configGroup(), c.clock()) }
 
-// starting is true while a controller has not had the time to come by a lease.
+// starting reports whether the controller has run for less than the time that acquiring the contact
+// lease may take.
 func (c *Controller) starting() bool { return c.clock()-c.startUs < lease.ContactUs }
 
-// cutOff tells whether the group that holds the configuration is out of this
-// node's reach, so that those below had better listen to another.
+// cutOff reports whether this node has lost contact with the configuration register's group, so
+// that its subscribers should switch to another controller.
 func (c *Controller) cutOff() bool {
 	return len(c.configGroup()) > 1 && !c.starting() && !c.inContact()
 }
 
-// inContactOnly serves a call only under the lease. A controller without it says
-// 503 at once, so that callers go on to another. The check is made again on the
-// answer, after the work: what leaves must not rest on an older confirmation.
+// inContactOnly wraps a handler so that it serves only under the contact lease. Without the lease
+// the call is answered with 503 at once, so that callers try another controller. The lease is
+// checked again after the handler, so that no response depends on an expired one.
 func (c *Controller) inContactOnly(serve app.HandlerFunc) app.HandlerFunc {
 	return func(ctx context.Context, rc *app.RequestContext) {
 		begunUs := c.clock()
@@ -86,14 +86,14 @@
 	}
 }
 
-// outOfContact answers that nothing can be said now, in place of any other answer.
+// outOfContact replaces the response by a 503 for the missing contact lease.
 func outOfContact(c *app.RequestContext) {
 	c.Response.Reset()
 	httpapi.Reject(c, 503, "", "out of contact with a majority")
 }
 
-// hasContact reports whether this controller holds the lease of contact with a
-// majority of a group.
+// hasContact reports whether this controller holds the contact lease with a majority of a
+// group.
 func (c *Controller) hasContact(group []messages.Member) bool {
 	return c.contact.holds(identities(group), c.clock())
 }
@@ -106,7 +106,7 @@
 	return ids
 }
 
-// newRepairer returns what keeps the groups of the registers whole.
+// newRepairer creates the component that replaces failed members in the groups of the registers.
 func (c *Controller) newRepairer(handOver grouprepair.HandOverTimes) (*grouprepair.Repairer, error) {
 	return grouprepair.New(grouprepair.Config{
 		Addr:       c.transport.Addr(),
--- a/internal/controller/contact_caller.go
+++ b/internal/controller/contact_caller.go
@@ -9,19 +9,19 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// mostLookedAt bounds the bytes of a response that is decoded a second time.
+// mostLookedAt is the largest response, in bytes, that contactCaller decodes to check its verdict.
 const mostLookedAt = 4 << 10
 
-// contactCaller carries the registers' requests and notes the responses of members:
-// each is a round trip, which renews the lease without a message more. It matters
-// under many changes, when the comparisons of versions are late.
+// contactCaller sends the registers' requests and records the responses of members: each is a
+// round trip that renews the contact lease without an extra message. This matters under a high
+// rate of changes, when the comparisons of versions are late.
 type contactCaller struct {
 	next    consensus.Caller
 	contact *contact
 	clock   func() int64
 }
 
-// Call carries a request and notes who answered it.
+// Call sends a request and records the member that answered it.
 func (c contactCaller) Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error) {
 	sentUs := c.clock()
 	out, err := c.next.Call(ctx, addr, kind, body)
@@ -36,8 +36,8 @@
 	return out, nil
 }
 
-// namesMember tells a request that only the member it names answers, or else as a
-// stranger. A commit is taken from anybody by anybody.
+// namesMember reports whether a request is accepted only by the member it is addressed to; any
+// other node answers with the verdict Stranger. A commit is accepted by every node.
 func namesMember(r *messages.ConsensusRequest) bool {
 	return r.To != "" && r.Step != messages.Commit
 }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -1,4 +1,4 @@
-// The calls of runners and of the operator (api/calls.yaml).
+// The HTTP calls of runners and of the operator (api/calls.yaml).
 
 package controller
 
@@ -20,19 +20,19 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// controlIdleTimeout is after how long without a call a connection is closed. Runners send a
-// heartbeat every second or so; those that lost their power leave connections that nobody ends.
+// controlIdleTimeout closes connections without calls. Runners send a heartbeat about every
+// second; runners that lost power leave connections that are never closed by the peer.
 const controlIdleTimeout = 15 * time.Second
 
-// serveControl serves the calls of runners and of the operator until ctx ends. A lack of
-// descriptors, as where thousands of runners call at once, does not end it.
+// serveControl serves the calls of runners and of the operator until ctx ends. Running out of
+// file descriptors, as when thousands of runners call at once, does not stop it.
 func (c *Controller) serveControl(ctx context.Context) error {
 	if c.set.Listen.Control == "" {
-		return errors.New("controller: settings name no control address")
+		return errors.New("controller: listen.control is not set")
 	}
 	ln, err := httpserver.Listen(c.set.Listen.Control)
 	if err != nil {
-		return errors.Wrap(err, "controller: control address")
+		return errors.Wrap(err, "controller: listen on the control address")
 	}
 	defer ln.Close()
 	h := httpserver.New(c.set.Listen.Control, server.WithListener(ln), server.WithIdleTimeout(controlIdleTimeout))
@@ -53,13 +53,13 @@
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
-		return errors.Wrap(h.Close(), "controller: close the control address")
+		return errors.Wrap(h.Close(), "controller: close the control server")
 	}
 }
 
-// beat takes a heartbeat. It is noted in any case, also without the lease: nothing
-// rests on it but the list of runners, which merges. One that says draining is
-// acknowledged only once a majority has it.
+// beat handles a heartbeat. The heartbeat is recorded even without the contact lease, since only
+// the runner registry depends on it, and its records merge. A heartbeat with state draining is
+// acknowledged only after a majority has recorded it.
 func (c *Controller) beat(ctx context.Context, rc *app.RequestContext) {
 	begunUs := c.clock()
 	var b api.Heartbeat
@@ -86,12 +86,12 @@
 	c.heartbeats.add(n)
 	elsewhere := c.beatElsewhere(c.monitor.Alive(messages.Controller), n)
 	if elsewhere != "" {
-		rc.SetConnectionClose() // nothing more comes on it, and thousands of idle ones take much memory
+		rc.SetConnectionClose() // the runner stops using it, and thousands of idle connections use much memory
 	}
 	rc.JSON(200, api.HeartbeatResponse{BeatTo: elsewhere})
 }
 
-// confirmLeaving tells the core that a runner drains or is gone, and whether that
+// confirmLeaving replicates to the core that a runner drains or is gone, and reports whether that
 // may be acknowledged now.
 func (c *Controller) confirmLeaving(ctx context.Context, id string, begunUs int64) bool {
 	n, ok := c.registry.Record(id)
@@ -101,9 +101,9 @@
 	return c.clock()-begunUs < lease.ContactUs
 }
 
-// beatElsewhere is where a runner's next beats should go, if not here. A controller
-// that is cut off sends them to another each time: one of them is in contact, and
-// none need be.
+// beatElsewhere returns the control address for a runner's next heartbeats; empty if they should
+// keep coming here. A controller that is cut off returns a different controller each time, since
+// it cannot determine which of them has contact with a majority, if any.
 func (c *Controller) beatElsewhere(all []messages.Peer, n messages.RunnerRecord) string {
 	core := membership.Core(all)
 	if c.cutOff() {
@@ -118,7 +118,7 @@
 	return beatTo(reached, c.transport.Addr(), n)
 }
 
-// beatAnywhere is any other controller, the next one with each beat.
+// beatAnywhere returns the control address of another controller, rotating with each heartbeat.
 func beatAnywhere(core []messages.Peer, self string, n messages.RunnerRecord) string {
 	var others []string
 	for _, p := range core {
@@ -132,8 +132,9 @@
 	return others[uint64(n.Seq)%uint64(len(others))]
 }
 
-// beatTo is where a runner should beat: at a controller of its own zone, each of
-// them taking a part of the runners. It is empty where it beats already.
+// beatTo returns the control address of the controller that receives a runner's heartbeats: one of
+// the runner's zone, whose runners are spread by a hash of their ID. It is empty if that is this
+// controller or if the zone has none.
 func beatTo(core []messages.Peer, self string, n messages.RunnerRecord) string {
 	var near []messages.Peer
 	for _, p := range core {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,45 +1,45 @@
-// Package controller is the role that keeps the control state: it serves the calls of
-// runners and of the operator, agrees with the other controllers on configuration,
-// target weights and leases, and distributes the state to routers.
+// Package controller implements the controller role, which stores the control state: it serves
+// the API calls of runners and of the operator, agrees with the other controllers on
+// configuration, target weights and leases, and distributes the state to routers.
 //
-// # What it is given and what it guarantees
+// # Input and guarantees
 //
-// New takes the settings, a pool of goroutines, a monotonic clock in microseconds and
+// New receives the settings, a goroutine pool, a monotonic clock in microseconds and
 // a logger. Run serves until its context ends.
 //
-//   - A configuration or target version is acknowledged after a majority has it on
+//   - A configuration or target version is acknowledged after a majority has stored it on
 //     disk (package consensus).
-//   - Answers that depend on the state are given only while the controller has contact
-//     with a majority (package lease); without it the call gets 503.
+//   - Responses that depend on the state are sent only while the controller holds the contact
+//     lease with a majority (package lease); without it the call is answered with 503.
 //   - A runner's draining or leaving is acknowledged after a majority of the
-//     controllers has it.
+//     controllers has recorded it.
 //
-// # Concerns
+// # Structure
 //
-// What has an edge is a package below this one, with its own state and mutex, which knows no
-// Controller: singleton (leases and the tasks under them), weightrollout, servicerollout,
+// Self-contained components are subpackages with their own state and mutex, which do not refer
+// to Controller: singleton (leases and the tasks under them), weightrollout, servicerollout,
 // usagereport and scaling (tasks), platform and runnerapi (calls under a lease), grouprepair
-// (the groups of the registers), runnerreader (what runners have
-// cached), quotaowner (the count of tenants' requests), tallies, httpapi.
+// (the groups of the registers), runnerreader (the prefixes that runners
+// have cached), quotaowner (tenant rate limits), tallies, httpapi.
 //
-// Here are: control.go (the HTTP calls), feed.go (distributes state to subscribers),
-// subscriptions.go (receives the feeds of other controllers), readers.go (which runners are read), contact.go (the contact lease), drain.go (replicates draining),
-// saved_runners.go (a copy of the registry on disk), duties.go (wires the singleton roles).
+// This package contains: control.go (the HTTP calls), feed.go (distributes state to subscribers),
+// subscriptions.go (receives the feeds of other controllers), readers.go (selects the runners to read), contact.go (the contact lease), drain.go (replicates draining),
+// saved_runners.go (a copy of the registry on disk), duties.go (sets up the singleton tasks).
 //
-// # Who owns which state
+// # Ownership of state
 //
 // Controller.Run starts a goroutine for each periodic task and one for each server;
 // all end with its context. Calls run on goroutines of the HTTP server, messages on
 // those of the transport.
 //
 //   - Committed values belong to consensus.Registers, the runners to
-//     registry.Registry, the live nodes to membership.Monitor. Each guards itself.
+//     registry.Registry, the live nodes to membership.Monitor. Each is safe for concurrent use.
 //   - The compiled configuration is immutable and swapped by an atomic pointer, under
 //     the mutex of the feed.
-//   - The feed (streams, sums of loads, what waits to be sent) has a mutex of its own.
-//     The goroutine of runFeed sends; any other adds to it.
+//   - The feed (streams, sums of loads, pending updates) has its own mutex.
+//     The goroutine of runFeed sends; all other goroutines only add to it.
 //   - The contact lease, the view of the core, the target versions and the acknowledged
-//     drains each have a mutex beside their state, and so has each package below.
+//     drains each have a mutex beside their state, and so has each subpackage.
 //
 // No lock is held while a call to another node or to a runner is made.
 package controller
@@ -79,7 +79,7 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// Controller is the running role.
+// Controller is a controller node.
 type Controller struct {
 	set       settings.Settings
 	log       logr.Logger
@@ -106,8 +106,8 @@
 	operator  *operatorapi.Service
 	platform  *platform.Client
 	rollouts  *weightrollout.Driver
-	usage     *usagereport.Reporter // nil where the platform wants no usage
-	scaler    *scaling.Scaler       // nil where the platform takes no orders of runners
+	usage     *usagereport.Reporter // nil if the platform has no usage duty
+	scaler    *scaling.Scaler       // nil if the platform has no scaling duty
 	quotas    *quotaowner.Service
 	tallies   *tallies.Service
 	targets   namedTargets
@@ -123,8 +123,8 @@
 	disk *consensus.DiskStore // nil on machines without one
 }
 
-// New builds the role: it opens the disk, restores what it has, and takes no part in anything
-// before Run.
+// New creates a controller: it opens the disk and restores the stored state. The controller
+// neither sends nor serves anything before Run.
 func New(set settings.Settings, pool *ants.Pool, clock func() int64, log logr.Logger) (*Controller, error) {
 	trans, err := transport.New(set.ControllerAddr(), pool, log)
 	if err != nil {
@@ -159,23 +159,23 @@
 	return c, nil
 }
 
-// openDisk opens the disk, if there is one, and restores what only serves as a hint: the runners
-// and the keys of shared parts.
+// openDisk opens the disk store, if a data directory is set, and restores the saved runners, which
+// serve only as a hint.
 func (c *Controller) openDisk() (err error) {
 	if c.set.DataDir == "" {
 		return nil
 	}
-	// The name of the directory is that of earlier versions of the program.
+	// The directory name is kept for compatibility with data of earlier versions.
 	if c.disk, err = consensus.NewDiskStore(filepath.Join(c.set.DataDir, "ledger")); err != nil {
-		return errors.Wrap(err, "controller: open the disk")
+		return errors.Wrap(err, "controller: open the disk store")
 	}
 	c.restoreRunners()
 	c.syncRunners()
 	return nil
 }
 
-// openRegisters opens the replicated registers, and the membership in which this member announces
-// its identity.
+// openRegisters opens the replicated registers and creates the membership monitor, which announces
+// this member's identity.
 func (c *Controller) openRegisters() (err error) {
 	var store consensus.Store = &consensus.MemoryStore{}
 	if c.disk != nil {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// newPeerServices makes what this controller does together with the others.
+// newPeerServices creates the components that work together with the other controllers.
 func (c *Controller) newPeerServices() (err error) {
 	c.publisher = dissemination.NewPublisher(c.transport, dissemination.Upstream{
 		DeltaSince:   c.deltaSince,
@@ -226,7 +226,7 @@
 	return err
 }
 
-// handleMessages sets who handles the messages of other nodes.
+// handleMessages registers the handlers for messages of other nodes.
 func (c *Controller) handleMessages() {
 	trans := c.transport
 	trans.OnCall(transport.KindConsensus, func(ctx context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
@@ -250,8 +250,8 @@
 	trans.OnDatagram(transport.KindRunners, c.receiveHeartbeats)
 }
 
-// knownControllers are the addresses to greet: the seeds and the members known
-// from disk, since all the seeds may be stale.
+// knownControllers returns the addresses that membership contacts: the seeds and the group
+// members of the stored registers, since all seeds may be stale.
 func (c *Controller) knownControllers() []string {
 	set := c.set
 	set.Seeds = *c.seeds.Load()
@@ -266,22 +266,22 @@
 	return out
 }
 
-// Reload takes what may change in a running process from newly read settings: the seeds,
-// and the address of the platform.
+// Reload applies the settings that may change while the process runs: the seeds and the
+// address of the platform.
 func (c *Controller) Reload(set settings.Settings) {
 	c.seeds.Store(&set.Seeds)
 	c.platformAddr.Store(&set.Cloud.Address)
 }
 
-// Periods of tasks that no package of their own runs.
+// Periods of the tasks that this package runs itself.
 const (
-	comparePeriod = 500 * time.Millisecond // comparisons with the other controllers
-	sweepPeriod   = 500 * time.Millisecond // looks for silent runners
-	readersPeriod = 500 * time.Millisecond // the choice of the runners that are read
+	comparePeriod = 500 * time.Millisecond // compares versions with the other controllers
+	sweepPeriod   = 500 * time.Millisecond // checks for silent runners
+	readersPeriod = 500 * time.Millisecond // updates the set of runners to read
 )
 
-// Run serves until ctx ends; then the registers are handed over where a newcomer
-// stands ready, and served on meanwhile.
+// Run serves until ctx ends. It then hands its register memberships over to a spare controller,
+// if there is one, and serves the registers until that is done.
 func (c *Controller) Run(ctx context.Context) error {
 	live, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer c.transport.Close()
@@ -330,7 +330,7 @@
 	return err
 }
 
-// closeWait is how long an ending process waits for writes under way.
+// closeWait bounds how long a shutdown waits for writes in progress.
 const closeWait = 500 * time.Millisecond
 
 func (c *Controller) closeDisk() {
@@ -349,15 +349,15 @@
 	}
 }
 
-// readRegisters reads every part once after the start, so that what was agreed
-// on before a loss of power but not known as such is finished.
+// readRegisters reads every register once after the start, which completes values that a majority
+// had accepted before a power loss but that were not yet known to be committed.
 func (c *Controller) readRegisters(ctx context.Context) {
 	for p := range consensus.RegisterCount {
 		for ctx.Err() == nil {
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			v, err := c.contactRegisters().Read(cctx, p)
 			cancel()
-			c.log.Info("part read", "part", p, "version", v.Version, "members", len(v.Group), "err", err)
+			c.log.Info("register read after start", "part", p, "version", v.Version, "members", len(v.Group), "err", err)
 			if err == nil {
 				break
 			}
@@ -385,12 +385,12 @@
 	}
 }
 
-// onCommittedRole takes what a register with a lease has. Routers need no closed windows, so
-// these do not go along.
+// onCommittedRole applies and publishes the committed body of a register with a lease. Routers do
+// not need the closed usage windows, so these are left out.
 func (c *Controller) onCommittedRole(p int, v messages.Value) {
 	body, err := messages.DecodeLeaseBody(v)
 	if err != nil {
-		c.log.Error(err, "a committed register cannot be read", "part", p)
+		c.log.Error(err, "committed register cannot be decoded", "part", p)
 		return
 	}
 	c.targets.committed(body.Targets, c.starting(), c.clock())
@@ -400,13 +400,13 @@
 	body.Usage.Pending = nil
 	published, err := body.MarshalMsg(nil)
 	if err != nil {
-		c.log.Error(err, "a committed register cannot be sent", "part", p)
+		c.log.Error(err, "committed register cannot be encoded for publishing", "part", p)
 		return
 	}
 	c.publishPart(messages.RegisterUpdate{Part: p, Version: v.Version, Body: published})
 }
 
-// receiveHeartbeat takes a heartbeat that a controller of an earlier release has received.
+// receiveHeartbeat applies a single heartbeat forwarded by a controller of an earlier release.
 func (c *Controller) receiveHeartbeat(_ string, body []byte) {
 	var n messages.RunnerRecord
 	if _, err := n.UnmarshalMsg(body); err == nil && c.registry.ApplyHeartbeat(n, c.clock()) {
@@ -414,7 +414,7 @@
 	}
 }
 
-// silence is the bounds for runners that beat as the settings say.
+// silence returns the silence limits for the heartbeat period of the settings.
 func (c *Controller) silence() registry.SilenceLimits {
 	return registry.SilenceLimitsFor(int64(c.set.BeatPeriodMs) * 1000)
 }
@@ -427,7 +427,7 @@
 	snap := c.registry.Snapshot()
 	c.readers.Retain(func(id string) bool {
 		_, known := snap.ByID[id]
-		return known || strings.Contains(id, ":") // a store is named by its address
+		return known || strings.Contains(id, ":") // the ID of a cache store is its address
 	})
 	c.connPool.Sweep(func(string) bool { return true })
 }
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -1,4 +1,4 @@
-// Counters of a controller for its metrics: the calls of runners and of the operator.
+// Counters for the metrics of a controller: the calls of runners and of the operator.
 
 package controller
 
@@ -16,11 +16,11 @@
 // counters are safe for concurrent use, and their zero value is ready for use.
 type counters struct {
 	calls         [callCount]callCounter
-	publishes     histogram.Durations // from when a configuration was known to be committed to when it was in force here
+	publishes     histogram.Durations // from when a configuration was known to be committed until it was active here
 	subscriptions dissemination.SubscriptionCounts
 }
 
-// callKind is a call of a runner or of the operator.
+// callKind identifies a call of the API for runners and the operator.
 type callKind int
 
 const (
@@ -39,8 +39,8 @@
 
 var callNames = [callCount]string{"heartbeat", "leave", "replace", "read", "name_weights", "amend_tally", "read_tally", "evacuate", "begin_rollout", "read_rollout"}
 
-// callCounter counts the responses to one call. What is not 2xx or 4xx is unsure: the
-// caller asks another controller.
+// callCounter counts the responses to one call. A status other than 2xx or 4xx counts as unsure:
+// the caller tries another controller.
 type callCounter struct {
 	done, rejected, unsure atomic.Int64
 	durations              histogram.Durations
@@ -58,7 +58,7 @@
 	c.durations.Observe(took)
 }
 
-// counted counts the responses to a call.
+// counted wraps a handler so that its responses are counted.
 func (c *Controller) counted(which callKind, serve app.HandlerFunc) app.HandlerFunc {
 	counter := &c.counters.calls[which]
 	return func(ctx context.Context, rc *app.RequestContext) {
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -1,8 +1,7 @@
-// Replication of draining and leaving. A runner whose draining or leaving was
-// acknowledged relies on it: requests that reach it much later fail. So the
-// acknowledgement waits for the other controllers, each of which notifies the routers
-// below it: for a majority of the group in any case, from which the rest learn it, and
-// for all that are reachable if they are quick.
+// Replication of draining and leaving. A runner stops serving after its draining or leaving was
+// acknowledged, so requests that arrive much later fail. The acknowledgement therefore waits for
+// the other controllers, each of which notifies its routers: always for a majority of the group,
+// from which the others receive the record, and for all reachable controllers up to a timeout.
 
 package controller
 
@@ -23,11 +22,11 @@
 // other controllers. The runner itself waits a second before it calls another node.
 const drainTimeout = 400 * time.Millisecond
 
-// maxAckedDrains bounds how many runners are remembered as acknowledged by a majority.
+// maxAckedDrains bounds how many drains are recorded as acknowledged by a majority.
 const maxAckedDrains = 4096
 
-// ackedDrains remembers which drains a majority has acknowledged, so that a repeat of
-// the call costs nothing. The zero value is ready for use; it is safe for concurrent use.
+// ackedDrains records the drains that a majority has acknowledged, so that a repeated call
+// is not replicated again. The zero value is ready for use; it is safe for concurrent use.
 type ackedDrains struct {
 	mu    sync.Mutex
 	acked map[string]bool
@@ -56,15 +55,15 @@
 	a.acked[drainKey(n)] = true
 }
 
-// drainPeer is a controller to be notified. A required one is waited for even after a
-// majority has acknowledged.
+// drainPeer is a controller to be notified. The response of a required one is awaited even after
+// a majority has acknowledged.
 type drainPeer struct {
 	addr     string
 	required bool
 }
 
-// notifyPeer notifies the controller at addr and returns its identity, which stands for
-// its acknowledgement.
+// notifyPeer notifies the controller at addr and returns the ID of the member that
+// acknowledged.
 type notifyPeer func(ctx context.Context, addr string) (member string, err error)
 
 // replicate notifies all peers at once. It returns once a majority of the group has
@@ -149,7 +148,7 @@
 		}
 		var m messages.Member
 		if _, err := m.UnmarshalMsg(b); err != nil {
-			return "", errors.Wrap(err, "controller: decode acknowledgement")
+			return "", errors.Wrap(err, "controller: decode the acknowledgement of a drain")
 		}
 		return m.ID, nil
 	}
@@ -169,8 +168,8 @@
 	return self.MarshalMsg(nil)
 }
 
-// recordDrain records what a runner has said of itself, whatever its heartbeats said
-// since and whatever the other controller believes of it.
+// recordDrain records that a runner drains or is gone, even if its later heartbeats report another
+// state. The other controller's liveness flags for the runner are ignored.
 func (c *Controller) recordDrain(n messages.RunnerRecord) (changed bool) {
 	if n.Gone {
 		_, changed = c.registry.Leave(n.ID, c.clock())
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -1,5 +1,5 @@
-// The singleton roles of this controller (package singleton): which tasks it may hold the lease
-// for, and what the doctor reports of them.
+// The singleton tasks (package singleton) whose leases this controller may hold, and their
+// condition for the doctor command.
 
 package controller
 
@@ -21,17 +21,17 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// hasDuty reports whether the platform has given the core a duty.
+// hasDuty reports whether the settings assign a duty at the platform to the core.
 func hasDuty(set settings.Settings, duty string) bool {
 	return set.Cloud.Address != "" && slices.Contains(set.Cloud.Duties, duty)
 }
 
-// reportsUsage reports whether the platform gets reports of the usage.
+// reportsUsage reports whether the core sends usage reports to the platform.
 func reportsUsage(set settings.Settings) bool {
 	return hasDuty(set, usagereport.Duty) && set.Bounds.UsageWindowS > 0
 }
 
-// notes returns the small files on disk, nil on a machine without one.
+// notes returns the store for small files on disk, or nil without a data directory.
 func (c *Controller) notes() singleton.Notes {
 	if c.disk == nil {
 		return nil
@@ -39,7 +39,7 @@
 	return c.disk
 }
 
-// newSingletons makes the leases and the tasks under them.
+// newSingletons creates the leases and the tasks that run under them.
 func (c *Controller) newSingletons() (err error) {
 	if c.leases, err = c.newLeases(); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	})
 }
 
-// serviceOfModel returns the service whose runners carry a model; empty where none does.
+// serviceOfModel returns the service whose runners serve a model, or "" if there is none.
 func (c *Controller) serviceOfModel(model string) string {
 	table := c.table.Load()
 	if table == nil {
@@ -183,7 +183,7 @@
 	read(f.aggregate.Total)
 }
 
-// dutyConditions are the duties at the platform, for the doctor.
+// dutyConditions returns the state of the duties at the platform for the doctor command.
 func (c *Controller) dutyConditions() []messages.DutyCondition {
 	var out []messages.DutyCondition
 	if c.usage != nil {
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -1,6 +1,6 @@
-// The feed is what a controller sends: to the routers all that it knows, to the other
-// controllers what it is the first to know. Changes between two feeds are merged.
-// Everything is sent as deltas; a receiver that lacks something names what it holds.
+// The feed distributes state: to routers all of it, to the other controllers only what this
+// controller received first. Changes between two updates are merged. State is sent as deltas;
+// a receiver that has missed some sends its cursors and receives the difference.
 
 package controller
 
@@ -19,11 +19,11 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// How often changes of cached prefixes, reports and loads are sent: each update wakes every router,
-// so the time grows with their number.
+// Interval between updates of cached prefixes, reports and loads. Each update wakes every router,
+// so the interval grows with their number.
 const (
 	updateInterval    = 60 * time.Millisecond
-	updatePart        = 400 * time.Microsecond // a router
+	updatePart        = 400 * time.Microsecond // per router
 	maxUpdateInterval = 120 * time.Millisecond
 )
 
@@ -31,12 +31,11 @@
 	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*updatePart, updateInterval), maxUpdateInterval)
 }
 
-// Least time between two updates where something is urgent: a change of runners or of
-// the configuration, or a long prompt that has been sent to a runner. What is urgent
-// grows with the number of nodes, so the pause does too, and what reaches a node does
-// not.
+// Minimum interval between two urgent updates, which carry a change of runners or of the
+// configuration, or a long prompt that has been sent to a runner. The rate of urgent changes grows
+// with the number of nodes, so the interval does too, which bounds the rate of updates per node.
 const (
-	urgentPausePart = 400 * time.Microsecond // a router
+	urgentPausePart = 400 * time.Microsecond // per router
 	minUrgentPause  = 2 * time.Millisecond
 )
 
@@ -44,12 +43,12 @@
 	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*urgentPausePart, minUrgentPause), maxUpdateInterval)
 }
 
-// Least time between two sums of loads to the routers. In a large fleet nearly every
-// runner's load changes within a few milliseconds, so each sum has most runners, and a
-// relay sends a copy to each child: the time grows with the number of routers, or the
-// sums fill the links of the relays and arrive late.
+// Minimum interval between two load updates to the routers. In a large fleet nearly every runner's
+// load changes within a few milliseconds, so each update contains most runners, and a relay sends
+// a copy to each child. The interval grows with the number of routers; otherwise the updates
+// saturate the links of the relays and arrive late.
 const (
-	loadsPart  = 800 * time.Microsecond // a router
+	loadsPart  = 800 * time.Microsecond // per router
 	loadsMost  = 240 * time.Millisecond
 	loadsLeast = updateInterval
 )
@@ -58,7 +57,7 @@
 	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*loadsPart, loadsLeast), loadsMost)
 }
 
-// subtreeSender is the name of the nodes below this one in the sum of all.
+// subtreeSender is the sender ID of the subscribers below this controller in the total load sum.
 const subtreeSender = "below"
 
 type feed struct {
@@ -66,18 +65,18 @@
 	registry      *statesync.Entries
 	configuration *routeconfig.Replica
 	parts         map[int]messages.RegisterUpdate
-	subtree       *statesync.LoadSum // the nodes below this one
-	aggregate     *statesync.LoadSum // those and the ones below the other controllers
+	subtree       *statesync.LoadSum // loads of the nodes below this one
+	aggregate     *statesync.LoadSum // subtree plus the loads below the other controllers
 
-	toControllers, toRouters outbox // to the other controllers, and to the routers
+	toControllers, toRouters outbox // updates pending for the other controllers and the routers
 	urgent                   chan struct{}
-	lastUpdateUs             int64 // when a feed last went out to everybody
-	lastLoadsUs              int64 // when the loads last went out to the routers
+	lastUpdateUs             int64 // when an update was last sent to all subscribers
+	lastLoadsUs              int64 // when the loads were last sent to the routers
 
 	changes, snapshots, malformed atomic.Int64
 }
 
-// outbox is what waits to be sent.
+// outbox holds the changes that wait for the next update.
 type outbox struct {
 	configuration []messages.EntryChange
 	parts         []messages.RegisterUpdate
@@ -107,7 +106,8 @@
 	}
 }
 
-// count counts results for the doctor; again is set for a snapshot of a known stream.
+// count counts a result for the doctor command and reports whether the delta matched the local
+// state. The flag is set for a snapshot of a stream that was already known.
 func (f *feed) count(r statesync.Result, again bool) (fits bool) {
 	switch {
 	case r == statesync.Applied && again:
@@ -118,8 +118,8 @@
 	return r == statesync.Applied || r == statesync.AlreadyApplied
 }
 
-// versions are those of the published state: a version of a register without a body, or
-// with only another group, is not published.
+// versions returns the versions of the published registers: a version that has no body, or that
+// changes only the group, is not published. The caller holds the mutex.
 func (f *feed) versions() []int64 {
 	out := make([]int64, consensus.RegisterCount)
 	out[consensus.ConfigRegister] = f.configuration.Version()
@@ -129,14 +129,14 @@
 	return out
 }
 
-// publishedVersions are the versions that receivers are sent.
+// publishedVersions returns the register versions that subscribers receive.
 func (c *Controller) publishedVersions() []int64 {
 	c.feed.mu.Lock()
 	defer c.feed.mu.Unlock()
 	return c.feed.versions()
 }
 
-// publishRunners sends the records of runners as the registry has them now.
+// publishRunners publishes the current registry records of runners.
 func (c *Controller) publishRunners(ids ...string) {
 	if len(ids) == 0 {
 		return
@@ -146,29 +146,28 @@
 	err := c.registry.Publish(f.registry, ids...)
 	f.mu.Unlock()
 	if err != nil {
-		c.log.Error(err, "a runner's record cannot be sent")
+		c.log.Error(err, "runner record cannot be published")
 	}
 	f.wake()
 }
 
-// syncRunners brings the published records to what the registry has: those recalled from
-// disk are added, those that it has forgotten are deleted.
+// syncRunners synchronizes the published records with the registry: records restored from disk are
+// added, records that the registry has removed are deleted.
 func (c *Controller) syncRunners() {
 	c.feed.mu.Lock()
 	defer c.feed.mu.Unlock()
 	if err := c.registry.Sync(c.feed.registry); err != nil {
-		c.log.Error(err, "a runner's record cannot be sent")
+		c.log.Error(err, "runner record cannot be published")
 	}
 }
 
-// publishConfig puts a newly committed configuration into force here and sends what
-// differs in it. Versions may be learned at the same time, in any order; an older
-// one is left aside. A version of the register that only changes its group has no
-// entries.
+// publishConfig activates a newly committed configuration here and publishes the entries that
+// changed. Versions may arrive concurrently and in any order; an older one is ignored. A
+// version of the register that only changes its group has no changed entries.
 func (c *Controller) publishConfig(version int64, m api.Configuration) {
 	entries, err := routeconfig.Entries(m)
 	if err != nil {
-		c.log.Error(err, "a committed configuration cannot be cut")
+		c.log.Error(err, "committed configuration cannot be split into entries")
 		return
 	}
 	t := routeconfig.Compile(m)
@@ -200,7 +199,7 @@
 	f.mu.Unlock()
 }
 
-// publishCached sends a change of a runner's cached prefixes.
+// publishCached publishes a change of a runner's cached prefixes.
 func (c *Controller) publishCached(change messages.CachedChange) {
 	f := &c.feed
 	f.mu.Lock()
@@ -208,8 +207,8 @@
 	f.mu.Unlock()
 }
 
-// runFeed sends what waits, and an empty update from time to time, from which receivers
-// know that this node is there and which versions it has.
+// runFeed sends pending changes, and an empty update after an idle interval, which serves
+// subscribers as a heartbeat and carries the versions of this node.
 func (c *Controller) runFeed(ctx context.Context) {
 	for {
 		select {
@@ -261,19 +260,19 @@
 	}
 }
 
-// idleIntervalUs is how often an update is sent without news.
+// idleIntervalUs is the interval after which an update is sent without changes.
 const idleIntervalUs = int64(dissemination.UpdateInterval/time.Microsecond) - 50_000
 
 func hasContent(f *messages.Feed) bool {
 	return len(f.Configuration)+len(f.Parts)+len(f.Registry)+len(f.Cached)+len(f.Reports)+len(f.Loads)+len(f.PendingBlocks) > 0
 }
 
-// deltaSince returns what a receiver needs: a router all of the state, a controller what
-// this one is the first to know. Without the lease of contact, a router that has nothing
-// yet gets nothing, since the state here may be old. It asks again, or finds a controller
-// with the lease; if it finds none it says so (Anything), and then gets what there is.
-// While this controller starts, only the configuration is withheld: records of runners
-// are published as they arrive, and one that was missed at first would come late.
+// deltaSince returns the changes that a subscriber lacks: a router receives all state, a controller
+// only what this one received first. Without the contact lease, a router that has no
+// configuration yet receives no state, since the state here may be stale. It tries again or finds
+// a controller that holds the lease; if it finds none it sets Anything and then receives the state
+// as it is. While this controller starts, only the configuration is withheld: records of runners
+// are published as they arrive, and a record missed in this response would be sent again only late.
 func (c *Controller) deltaSince(h messages.SyncState) messages.Feed {
 	c.targets.observe(h.TargetAges, c.clock())
 	out := messages.Feed{StableForUs: c.stability.stableForUs(c.clock()), CutOff: c.cutOff(), TargetAges: c.targets.ages(c.clock())}
@@ -306,8 +305,8 @@
 	return out
 }
 
-// loadsSince returns the change of the loads that a receiver lacks: a controller is sent
-// those of the nodes below this one. The caller has the mutex.
+// loadsSince returns the load changes that a subscriber lacks; a controller receives only the loads
+// of the nodes below this one. The caller holds the mutex.
 func (f *feed) loadsSince(h messages.SyncState) []messages.LoadChange {
 	sum := f.aggregate.Total
 	if h.Controller {
@@ -320,10 +319,11 @@
 	return []messages.LoadChange{statesync.EncodeLoads(change)}
 }
 
-// unsynced reports whether the receiver is a router without a configuration.
+// unsynced reports whether the subscriber is a router without a configuration.
 func unsynced(h messages.SyncState) bool { return !h.Controller && h.Configuration.Version == 0 }
 
-// applyReport applies the loads of a node below.
+// applyReport applies the load report of a subscriber and reports whether its deltas matched the
+// local state.
 func (c *Controller) applyReport(from string, t messages.LoadReport) bool {
 	for _, id := range t.Absent {
 		c.registry.MarkSuspect(id, c.silence())
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,5 +1,5 @@
-// Heartbeats on their way to the other controllers: many together in one datagram, since each
-// datagram costs every one of them a wake-up.
+// Forwarding of heartbeats to the other controllers, batched because each datagram wakes up
+// its receiver.
 
 package controller
 
@@ -12,13 +12,13 @@
 )
 
 const (
-	// heartbeatPause is how long a heartbeat waits for others.
+	// heartbeatPause is the interval at which batches are sent.
 	heartbeatPause = 80 * time.Millisecond
-	// maxBatchBytes bounds what is put into one datagram, so that it fits into a packet.
+	// maxBatchBytes bounds the payload of a datagram, so that it fits into a packet.
 	maxBatchBytes = 1300
 )
 
-// heartbeatBatch is the heartbeats that wait. It is safe for concurrent use.
+// heartbeatBatch queues the heartbeats to be forwarded. It is safe for concurrent use.
 type heartbeatBatch struct {
 	mu      sync.Mutex
 	waiting []messages.RunnerRecord
@@ -38,7 +38,7 @@
 	return waiting
 }
 
-// forwardHeartbeats sends the heartbeats that wait to all other controllers.
+// forwardHeartbeats sends the queued heartbeats to all other controllers.
 func (c *Controller) forwardHeartbeats() {
 	batches := packBatches(c.heartbeats.take())
 	if len(batches) == 0 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// packBatches divides heartbeats into batches that fit into a packet each; one that does not is
-// sent alone.
+// packBatches divides heartbeats into batches that each fit into a packet. A heartbeat that exceeds
+// the limit gets its own batch.
 func packBatches(records []messages.RunnerRecord) (batches []messages.RunnerBatch) {
 	size := 0
 	for i := range records {
@@ -70,7 +70,7 @@
 	return batches
 }
 
-// receiveHeartbeats takes heartbeats that another controller has received.
+// receiveHeartbeats applies a batch of heartbeats forwarded by another controller.
 func (c *Controller) receiveHeartbeats(_ string, body []byte) {
 	var batch messages.RunnerBatch
 	if _, err := batch.UnmarshalMsg(body); err != nil {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -20,7 +20,7 @@
 	)...)
 }
 
-// consensusMetrics are the figures of the registers and of the contact with a majority.
+// consensusMetrics returns the metrics of the registers and of the contact lease.
 func (c *Controller) consensusMetrics() []prometheus.Collector {
 	counts := c.registers.Counts()
 	return []prometheus.Collector{
@@ -65,8 +65,8 @@
 	}
 }
 
-// callMetrics are the figures of the calls of runners and of the operator, and of what
-// they rest on.
+// callMetrics returns the metrics of the calls of runners and of the operator, and the numbers of
+// known runners and nodes.
 func (c *Controller) callMetrics() []prometheus.Collector {
 	calls := &c.counters.calls
 	return []prometheus.Collector{
@@ -89,7 +89,7 @@
 	}
 }
 
-// platformMetrics are the figures of the calls to the platform.
+// platformMetrics returns the metrics of the calls to the platform.
 func (c *Controller) platformMetrics() []prometheus.Collector {
 	collectors := []prometheus.Collector{
 		metrics.Counter("beechtide_platform_calls_total", "Calls to the platform that this controller made as the holder of a lease, by outcome.", []string{"outcome"}, func(emit metrics.Emit) {
@@ -131,7 +131,7 @@
 	)
 }
 
-// quotaMetrics are the figures of the count of tenants' requests.
+// quotaMetrics returns the metrics of the rate limits of tenants.
 func (c *Controller) quotaMetrics() []prometheus.Collector {
 	figure := func(name, help string, labels []string, emit func(metrics.Emit, []messages.QuotaCondition)) prometheus.Collector {
 		return metrics.Gauge(name, help, labels, func(out metrics.Emit) { emit(out, c.quotas.Conditions()) })
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -1,4 +1,5 @@
-// The operator's calls (package operatorapi), and what this controller knows of their outcome.
+// Setup of the operator's API (package operatorapi), and the committed state of rollouts and
+// evacuations.
 
 package controller
 
@@ -20,15 +21,15 @@
 // usPerMs converts milliseconds into microseconds.
 const usPerMs = int64(1000)
 
-// contactRegisters are the registers; a read or change of the configuration's register that a majority
-// has answered renews the lease of contact.
+// contactRegisters wraps the registers: a read or change of the configuration register that a
+// majority has answered renews the contact lease.
 type contactRegisters struct {
 	*consensus.Registers
 	contact *contact
 	clock   func() int64
 }
 
-// Read is a majority's read of a register.
+// Read reads a register from a majority.
 func (r contactRegisters) Read(ctx context.Context, part int) (messages.Value, error) {
 	begunUs := r.clock()
 	value, err := r.Registers.Read(ctx, part)
@@ -38,7 +39,8 @@
 	return value, err
 }
 
-// Change is a change of a register that a majority decides on, also where it says no.
+// Change changes a register. The contact lease is renewed also if the change is rejected, as long as
+// a majority has decided on it.
 func (r contactRegisters) Change(ctx context.Context, part int, change consensus.Change) (messages.Value, error) {
 	begunUs := r.clock()
 	value, err := r.Registers.Change(ctx, part, change)
@@ -49,12 +51,12 @@
 	return value, err
 }
 
-// contactRegisters returns the registers whose answers renew the lease of contact.
+// contactRegisters returns the registers, with calls that renew the contact lease.
 func (c *Controller) contactRegisters() contactRegisters {
 	return contactRegisters{c.registers, &c.contact, c.clock}
 }
 
-// newOperatorAPI returns what serves the operator.
+// newOperatorAPI creates the handlers of the operator's calls.
 func (c *Controller) newOperatorAPI() (*operatorapi.Service, error) {
 	return operatorapi.New(operatorapi.Config{
 		Log:                 c.log,
@@ -70,13 +72,13 @@
 	})
 }
 
-// exposure is how much a version may get that has not been shown good.
+// exposure returns the bounds on the traffic of a version that is still under test.
 func (c *Controller) exposure() canary.Bounds {
 	return canary.Bounds{Exposure: c.set.Bounds.Exposure, Slack: c.set.Bounds.ExposureSlack}
 }
 
-// serviceRollouts lists the newest rollout of each service, as far as this controller knows, in the
-// order of the services' names.
+// serviceRollouts returns the newest rollout of each service that is committed here, sorted by
+// service name.
 func (c *Controller) serviceRollouts() []messages.ServiceRollout {
 	var out []messages.ServiceRollout
 	singleton.CommittedBodies(c.registers, func(_ int, body messages.LeaseBody) { out = append(out, body.Rollouts...) })
@@ -84,7 +86,7 @@
 	return out
 }
 
-// evacuatedZones lists the zones that are evacuated as far as this controller knows.
+// evacuatedZones returns the evacuated zones, by the registers committed here, sorted.
 func (c *Controller) evacuatedZones() []string {
 	var zones []string
 	singleton.CommittedBodies(c.registers, func(_ int, body messages.LeaseBody) {
--- a/internal/controller/partition_metrics.go
+++ b/internal/controller/partition_metrics.go
@@ -1,4 +1,4 @@
-// The metrics of what outlasts partitions: tallies and evacuations (docs/operating/metrics.md).
+// The metrics of tallies, service rollouts and evacuations (docs/operating/metrics.md).
 
 package controller
 
--- a/internal/controller/quota_group.go
+++ b/internal/controller/quota_group.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/quota"
 )
 
-// newQuotaOwner returns this controller's part in the count of tenants' requests.
+// newQuotaOwner creates the service that owns the rate-limit counts of a share of the tenants.
 func (c *Controller) newQuotaOwner() (*quotaowner.Service, error) {
 	return quotaowner.New(quotaowner.Config{
 		Addr:    c.transport.Addr(),
@@ -21,8 +21,8 @@
 	})
 }
 
-// quotaGroup returns the members of the configuration's register, who vote for the owners of
-// counts.
+// quotaGroup returns the members of the configuration register's group, which vote for the owners
+// of rate-limit counts.
 func quotaGroup(registers *consensus.Registers) quota.Group {
 	value, _ := registers.Committed(consensus.ConfigRegister)
 	group := quota.Group{Version: value.Version}
@@ -33,7 +33,7 @@
 	return group
 }
 
-// limitsTenants reports whether the configuration in force limits any tenant.
+// limitsTenants reports whether the active configuration has a rate limit for any tenant.
 func (c *Controller) limitsTenants() bool {
 	table := c.table.Load()
 	return table != nil && table.HasRateLimits
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// newReaders returns what reads the runners that are this controller's to read.
+// newReaders creates the readers of the runners that are assigned to this controller.
 func (c *Controller) newReaders() (*runnerreader.Readers, error) {
 	return runnerreader.New(runnerreader.Config{
 		Addr:          c.transport.Addr(),
@@ -24,7 +24,7 @@
 	})
 }
 
-// configMembers returns the addresses of the members of the configuration's register.
+// configMembers returns the addresses of the members of the configuration register's group.
 func (c *Controller) configMembers() []string {
 	value, _ := c.registers.Committed(consensus.ConfigRegister)
 	var addrs []string
@@ -34,7 +34,7 @@
 	return addrs
 }
 
-// readRunners brings the runners that are read here up to date, once there is a configuration.
+// readRunners updates the set of runners that are read here, once there is a configuration.
 func (c *Controller) readRunners(ctx context.Context) {
 	if c.table.Load() != nil {
 		c.readers.Update(ctx, c.readable())
--- a/internal/controller/saved_runners.go
+++ b/internal/controller/saved_runners.go
@@ -1,7 +1,7 @@
-// A copy of the registry on disk, so that after a loss of power all runners are known
-// at once, and not just the first few that send heartbeats again, which would get all
-// requests. It is a hint only: heartbeats correct it, a runner that is gone becomes
-// stale, and one whose address belongs to another by now answers 421.
+// A copy of the registry on disk. After a power loss all runners are known at once; otherwise the
+// first few runners that send heartbeats again would receive all requests. The copy is a hint
+// only: heartbeats correct it, a runner that is gone becomes stale, and an address that meanwhile
+// belongs to another runner answers with 421.
 
 package controller
 
@@ -30,7 +30,7 @@
 	}
 }
 
-// saveRunners writes the list when it has changed, at most every two seconds.
+// saveRunners writes the runner records to disk when they have changed, at most every two seconds.
 func (c *Controller) saveRunners(ctx context.Context) {
 	var sum uint64
 	loop.Every(ctx, 2*time.Second, func() {
@@ -47,7 +47,7 @@
 			return
 		}
 		if err := c.disk.WriteFile(runnersFile, b); err != nil {
-			c.log.Info("runners not kept", "err", err)
+			c.log.Info("saving the runners to disk failed", "err", err)
 			return
 		}
 		sum = snap.Checksum
--- a/internal/controller/stability.go
+++ b/internal/controller/stability.go
@@ -1,13 +1,13 @@
-// For how long the core has been stable, as this controller sees it: who is alive, and
-// whom it reaches itself. Probes go round a partition between two controllers by way
-// of routers and do not see it, so direct calls count as well.
+// How long the core has been stable, as observed by this controller: the set of live controllers,
+// and which of them answer its direct calls. Membership probes are relayed by routers around a
+// partition between two controllers and do not detect it, so direct calls are checked as well.
 
 package controller
 
 import "sync"
 
-// unreachedUs is after how long without an answer a controller counts as not
-// reached.
+// unreachedUs is the time without an answer to a direct call after which a controller counts as
+// unreachable.
 const unreachedUs = 1_200_000
 
 type stability struct {
@@ -18,7 +18,7 @@
 	sinceUs int64
 }
 
-// observe records who is alive now.
+// observe records the current set of live controllers of the core.
 func (s *stability) observe(view string, nowUs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,14 +45,14 @@
 	}
 }
 
-// isCut tells whether direct calls to a controller have failed for long.
+// isCut reports whether all direct calls to a controller have failed for longer than the limit.
 func (s *stability) isCut(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cut[addr]
 }
 
-// stableForUs returns for how long the view has not changed.
+// stableForUs returns the time since the core, or the reachability of one of its members, last changed.
 func (s *stability) stableForUs(nowUs int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -1,5 +1,5 @@
-// Subscriptions to the other controllers: what this controller receives from them, and
-// passes down to its routers.
+// Subscriptions to the other controllers. Received updates are applied here and forwarded to the
+// routers.
 
 package controller
 
@@ -16,8 +16,8 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// listenToOthers keeps a subscription to every other controller; one that does
-// not count, among others that do, listens to one of those only.
+// listenToOthers maintains a subscription to every other controller. A controller outside the core
+// subscribes to only one controller of the core.
 func (c *Controller) listenToOthers(ctx context.Context) {
 	have := map[string]context.CancelFunc{}
 	loop.Every(ctx, 200*time.Millisecond, func() {
@@ -38,7 +38,8 @@
 	})
 }
 
-// wantedSubscriptions are the controllers to listen to.
+// wantedSubscriptions returns the addresses of the controllers to subscribe to; the entry of this
+// controller is false.
 func (c *Controller) wantedSubscriptions() map[string]bool {
 	want := map[string]bool{}
 	all := c.monitor.Alive(messages.Controller)
@@ -54,7 +55,7 @@
 	return want
 }
 
-// inCore tells whether this controller counts, or nobody does.
+// inCore reports whether this controller belongs to the core (see membership.Core).
 func (c *Controller) inCore(all []messages.Peer) bool {
 	for _, p := range membership.Core(all) {
 		if p.Addr == c.transport.Addr() {
@@ -64,7 +65,7 @@
 	return false
 }
 
-// nearest is the first of a zone, else the first of all.
+// nearest returns the address of the first controller of a zone, else of the first controller.
 func nearest(list []messages.Peer, zone string) string {
 	for _, p := range list {
 		if p.Zone == zone {
@@ -77,9 +78,9 @@
 	return ""
 }
 
-// listenTo keeps the subscription to one other controller.
+// listenTo runs the subscription to another controller until ctx ends.
 func (c *Controller) listenTo(ctx context.Context, addr string) {
-	runners := statesync.NewEntries() // as the other has them
+	runners := statesync.NewEntries() // replica of the records that the other publishes
 	u := dissemination.Subscriber{
 		Controller: true,
 		Parents:    func() []string { return []string{addr} },
@@ -102,8 +103,8 @@
 	c.feed.malformed.Add(u.Malformed.Load())
 }
 
-// syncStateOf names what this node holds of another's streams. The configuration and
-// the parts come through the registers.
+// syncStateOf returns the cursors of this node in another controller's streams. The
+// configuration and the leases are not requested; they are replicated by the registers.
 func (c *Controller) syncStateOf(addr string, runners *statesync.Entries) messages.SyncState {
 	f := &c.feed
 	f.mu.Lock()
@@ -120,11 +121,11 @@
 	return h
 }
 
-// never is a version that is not reached: what is known under it is not sent.
+// never is a version that no stream reaches: a stream with this cursor is not sent.
 const never = 1 << 62
 
-// pullNewer learns at once of a version that another controller has and this one
-// has not: one that is not in the group is not told by the round itself.
+// pullNewer pulls the register versions of another controller that are newer than those here.
+// A consensus round does not notify controllers outside the register's group.
 func (c *Controller) pullNewer(addr string, versions []int64) {
 	mine := c.publishedVersions()
 	for p, v := range versions {
@@ -134,8 +135,8 @@
 	}
 }
 
-// takeRunners takes a change of another controller's list of runners. It reports whether it
-// fits the state that is known of it.
+// takeRunners applies a change of another controller's runner records. It reports whether the change
+// matched the replica of that stream.
 func (c *Controller) takeRunners(delta messages.EntryChange, runners *statesync.Entries, nowUs int64) (fits bool) {
 	f := &c.feed
 	change := statesync.DecodeEntries(delta)
@@ -153,7 +154,8 @@
 	return fits
 }
 
-// takeFeed takes what another controller is the first to know and passes it down.
+// takeFeed applies an update of another controller and queues it for the routers. It reports whether
+// all deltas matched the local replicas.
 func (c *Controller) takeFeed(addr string, in messages.Feed, runners *statesync.Entries) (fits bool) {
 	now := c.clock()
 	fits = true
--- a/internal/controller/tally_replica.go
+++ b/internal/controller/tally_replica.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// tallyDiskBytesPerAdd and tallyMemoryBytesPerAdd are the room that an add takes on the disk,
-	// and in memory, at the most: with what compaction needs beside it.
+	// tallyDiskBytesPerAdd and tallyMemoryBytesPerAdd are the maximum space of an add on disk and
+	// in memory, including the temporary space that compaction needs.
 	tallyDiskBytesPerAdd   = 32
 	tallyMemoryBytesPerAdd = 64
-	// tallyDiskPart and tallyMemoryPart are the parts of the machine's disk and of the
-	// process's memory that tallies may take.
+	// tallyDiskPart and tallyMemoryPart are the fractions of the machine's disk and of the
+	// process's memory that tallies may use.
 	tallyDiskPart   = 0.5
 	tallyMemoryPart = 0.3
 	bytesPerMB      = 1 << 20
 )
 
-// maxTallyAdds bounds the adds that a machine with these limits can hold; 0: no bound.
+// maxTallyAdds returns how many adds a machine with these limits can store; 0 means unlimited.
 func maxTallyAdds(limits settings.Limits) int {
 	bound := int(float64(limits.DiskMb) * bytesPerMB * tallyDiskPart / tallyDiskBytesPerAdd)
 	memory := int(float64(limits.MemoryMb) * bytesPerMB * tallyMemoryPart / tallyMemoryBytesPerAdd)
@@ -31,7 +31,7 @@
 	return bound
 }
 
-// openTallies opens this machine's replica of the tallies.
+// openTallies opens the tally replica of this controller.
 func (c *Controller) openTallies() (*tallies.Service, error) {
 	return tallies.Open(tallies.Config{
 		Zone:           c.set.Zone,
@@ -47,7 +47,7 @@
 	})
 }
 
-// tallyReplicas returns the addresses of all other controllers that are known.
+// tallyReplicas returns the addresses of all other known controllers, sorted.
 func (c *Controller) tallyReplicas() []string {
 	addrs := append(c.knownControllers(), c.otherControllers()...)
 	slices.Sort(addrs)
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -1,8 +1,8 @@
-// Target weights versions: this controller's record of how long ago the versions of
-// each model's weights were acknowledged. The register has the versions and is
-// durable; the moment is not, since no monotonic clock outlives a process. It is
-// therefore sent to the other controllers and to all routers, and a controller that
-// restarts learns it from any of them.
+// Ages of target weights versions: how long ago each version of a model's weights was
+// acknowledged. The register stores the versions durably, but not the time of the
+// acknowledgement, since a monotonic clock does not outlive its process. Ages are therefore sent
+// to the other controllers and to all routers, and a restarted controller receives them from
+// any of these.
 
 package controller
 
@@ -14,15 +14,15 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// namedTargets is the record, safe for concurrent use.
+// namedTargets records the named versions and their ages. It is safe for concurrent use.
 type namedTargets struct {
 	mu    sync.Mutex
 	table targets.Table
 }
 
-// committed notes the versions in a register that are new here; a register also
-// changes for other reasons. What a process finds as it starts was named before
-// it began.
+// committed records the versions of a committed register that are new here; a register also
+// changes for other reasons. Versions found while the process starts were named earlier, so
+// their age is unknown.
 func (n *namedTargets) committed(list []messages.Target, starting bool, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -38,42 +38,42 @@
 	}
 }
 
-// named notes a version that this controller is about to acknowledge.
+// named records a version that this controller is about to acknowledge.
 func (n *namedTargets) named(model string, version, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.RecordNamed(model, version, nowUs)
 }
 
-// observe takes the ages that another node has sent.
+// observe merges the ages received from another node.
 func (n *namedTargets) observe(ages []messages.TargetAge, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.MergeAges(ages, nowUs)
 }
 
-// ages are those of all targets now, for other nodes.
+// ages returns the current ages of all targets, to be sent to other nodes.
 func (n *namedTargets) ages(nowUs int64) []messages.TargetAge {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Ages(nowUs)
 }
 
-// of is the newest target of a model.
+// of returns the newest target of a model.
 func (n *namedTargets) of(model string) targets.Target {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Newest(model)
 }
 
-// Models names the models of which a version was named.
+// Models returns the models that have a named version.
 func (n *namedTargets) Models() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Models()
 }
 
-// Namings are the versions of a model for the plan of its rollout.
+// Namings returns the named versions of a model from which its rollout is planned.
 func (n *namedTargets) Namings(model string, boundUs, nowUs int64) []rollout.Naming {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/unfinished.go
+++ b/internal/controller/unfinished.go
@@ -1,7 +1,6 @@
-// Rounds that were left unfinished are brought to their end. A controller that
-// acknowledges a change and then ends may not have notified any other member that it was
-// committed; the others have accepted it and would learn of it only with the next
-// change.
+// Completion of unfinished consensus rounds. A controller that acknowledges a change and then
+// stops may not have notified any other member of the commit; the others have accepted the value
+// and would otherwise learn of the commit only with the next change.
 
 package controller
 
@@ -14,8 +13,8 @@
 	"beechtide.org/beechtide/internal/loop"
 )
 
-// Times of the look for unfinished rounds. Several members may find the same one,
-// so each waits for a time of its own, drawn anew for each round.
+// Timing of the search for unfinished rounds. Several members may find the same round, so each
+// waits for a random time before it reads the register.
 const (
 	unfinishedPeriod    = 100 * time.Millisecond
 	unfinishedLeastWait = 300 * time.Millisecond
@@ -23,13 +22,14 @@
 	unfinishedReadWait  = time.Second
 )
 
-// unfinishedRounds remembers since when the round of each register is unfinished.
+// unfinishedRounds records the unfinished round of each register and when to complete it.
 type unfinishedRounds [consensus.RegisterCount]struct {
 	slot  int64
 	dueUs int64
 }
 
-// due tells whether a round has been unfinished for long enough to end it.
+// due reports whether a round has been unfinished for the wait time, which starts with the first
+// call for that round.
 func (u *unfinishedRounds) due(part int, slot, nowUs, waitUs int64) bool {
 	at := &u[part]
 	if at.slot != slot {
@@ -39,8 +39,8 @@
 	return nowUs >= at.dueUs
 }
 
-// finishRounds looks for unfinished rounds until ctx ends, and reads the registers
-// that have one.
+// finishRounds checks for unfinished rounds until ctx ends, and reads the registers that have
+// one.
 func (c *Controller) finishRounds(ctx context.Context) {
 	var rounds unfinishedRounds
 	loop.Every(ctx, unfinishedPeriod, func() {
@@ -60,10 +60,10 @@
 	})
 }
 
-// finishRound reads a register by a majority, which ends its round.
+// finishRound reads a register from a majority, which completes its unfinished round.
 func (c *Controller) finishRound(ctx context.Context, part int, slot int64) {
 	ctx, cancel := context.WithTimeout(ctx, unfinishedReadWait)
 	defer cancel()
 	_, err := c.contactRegisters().Read(ctx, part)
-	c.log.Info("an unfinished round was read", "part", part, "slot", slot, "err", err)
+	c.log.Info("unfinished consensus round read", "part", part, "slot", slot, "err", err)
 }
