--- a/internal/controller/absent_test.go
+++ b/internal/controller/absent_test.go
@@ -10,7 +10,7 @@
 	"beechtide.org/beechtide/internal/registry"
 )
 
-func TestAHintFromBelowMakesARunnerStaleAndNoMore(t *testing.T) {
+func TestApplyReportMarksOnlyAbsentRunnersStale(t *testing.T) {
 	d := &Controller{registry: registry.New(), log: logr.Discard()}
 	d.set.BeatPeriodMs = 1000
 	d.feed.init(1)
@@ -18,7 +18,7 @@
 		d.registry.ApplyHeartbeat(messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Seq: 1}, 60_000_000)
 	}
 	must.True(t, d.applyReport("n", messages.LoadReport{Absent: []string{"x", "unknown"}}))
-	must.Len(t, 1, d.registry.Sweep(60_000_001, d.silence(), true))
+	must.Len(t, 1, d.registry.Sweep(60_000_001, d.silenceLimits(), true))
 	must.True(t, d.registry.Snapshot().ByID["x"].Stale)
 	must.False(t, d.registry.Snapshot().ByID["y"].Stale)
 }
--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -32,10 +32,10 @@
 	if v, ok := c.registers.Committed(consensus.ConfigRegister); ok {
 		m.ConfigCommitted, m.ConfigGroup = v.Version, identities(v.Group)
 	}
-	for p := range m.Parts {
-		m.Parts[p] = -1
-		if v, ok := c.registers.Committed(p); ok {
-			m.Parts[p] = v.Version
+	for register := range m.Parts {
+		m.Parts[register] = -1
+		if v, ok := c.registers.Committed(register); ok {
+			m.Parts[register] = v.Version
 		}
 	}
 	return m
@@ -52,32 +52,32 @@
 	return view, core
 }
 
-// catchUp compares versions with the other controllers and pulls newer ones. The same call
+// compareWithPeers compares versions with the other controllers and pulls newer ones. The same call
 // requests the heartbeats of runners that are silent here. A runner is marked silent only under the
 // contact lease, and the calls that renew that lease thereby also asked for its heartbeats.
-func (c *Controller) catchUp(ctx context.Context) {
+func (c *Controller) compareWithPeers(ctx context.Context) {
 	c.registers.ExpireTransfers()
 	alive := c.monitor.Alive(messages.Controller)
 	view, core := coreView(alive)
 	c.stability.observe(view, c.clock())
-	silent := c.registry.SilentRunners(c.clock(), c.silence())
+	silent := c.registry.SilentRunners(c.clock(), c.silenceLimits())
 	for _, p := range alive {
 		if p.Addr != c.transport.Addr() {
-			go c.compareWith(ctx, p, core[p.Addr], silent)
+			go c.compareWithPeer(ctx, p, core[p.Addr], silent)
 		}
 	}
 }
 
-// compareWait is the timeout of a comparison with another controller.
-const compareWait = 450 * time.Millisecond
+// compareTimeout is the timeout of a comparison with another controller.
+const compareTimeout = 450 * time.Millisecond
 
-// compareWith compares versions, time of day and heartbeats with another controller.
-func (c *Controller) compareWith(ctx context.Context, p messages.Peer, inCore bool, silent []messages.LastHeartbeat) {
-	cctx, cancel := context.WithTimeout(ctx, compareWait)
+// compareWithPeer compares versions, time of day and heartbeats with another controller.
+func (c *Controller) compareWithPeer(ctx context.Context, p messages.Peer, inCore bool, silent []messages.LastHeartbeat) {
+	cctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
 	mine, sentUs := c.versions(), c.clock()
 	mine.SilentRunners = silent
-	b, err := c.transport.Call(cctx, p.Addr, transport.KindVersions, &mine)
+	response, err := c.transport.Call(cctx, p.Addr, transport.KindVersions, &mine)
 	if inCore {
 		c.stability.recordCall(p.Addr, err == nil, c.clock())
 	}
@@ -85,18 +85,18 @@
 		c.tallies.NotCompared(p.Addr, sentUs)
 		return
 	}
-	var m messages.Versions
-	if _, err := m.UnmarshalMsg(b); err != nil {
+	var theirs messages.Versions
+	if _, err := theirs.UnmarshalMsg(response); err != nil {
 		return
 	}
-	go c.tallies.Compared(ctx, p.Addr, m.TallyDigest)
-	c.publishRunners(c.registry.ApplyLaterHeartbeats(m.LaterHeartbeats, sentUs, c.clock())...)
-	c.targets.observe(m.TargetAges, c.clock())
-	c.timeOfDay.Compare(p.Addr, m, sentUs, c.clock())
-	c.contact.answered(cmp.Or(m.MemberID, p.MemberID), sentUs) // responses of earlier releases have no MemberID
-	for part := range min(len(m.Parts), consensus.RegisterCount) {
-		if m.Parts[part] > mine.Parts[part] {
-			go func() { _ = c.registers.CatchUp(ctx, p.Addr, part) }()
+	go c.tallies.Compared(ctx, p.Addr, theirs.TallyDigest)
+	c.publishRunners(c.registry.ApplyLaterHeartbeats(theirs.LaterHeartbeats, sentUs, c.clock())...)
+	c.targets.mergeAges(theirs.TargetAges, c.clock())
+	c.timeOfDay.Compare(p.Addr, theirs, sentUs, c.clock())
+	c.contactLease.recordAnswer(cmp.Or(theirs.MemberID, p.MemberID), sentUs) // responses of earlier releases have no MemberID
+	for register := range min(len(theirs.Parts), consensus.RegisterCount) {
+		if theirs.Parts[register] > mine.Parts[register] {
+			go func() { _ = c.registers.CatchUp(ctx, p.Addr, register) }()
 		}
 	}
 }
--- a/internal/controller/condition.go
+++ b/internal/controller/condition.go
@@ -17,8 +17,8 @@
 	report := messages.Condition{Node: c.set.Node, Role: messages.Controller, Zone: c.set.Zone, Addr: c.transport.Addr(), TimeUs: time.Now().UnixMicro(), MemberID: c.registers.ID(), Versions: c.publishedVersions(), HasDisk: c.disk != nil}
 	report.SaveUs, report.SaveFault = c.registers.LastSave()
 	report.Unconfirmed = c.repairs.Unconfirmed()
-	for p := range consensus.RegisterCount {
-		v, _ := c.registers.Committed(p)
+	for register := range consensus.RegisterCount {
+		v, _ := c.registers.Committed(register)
 		report.Groups = append(report.Groups, append([]messages.Member{}, v.Group...))
 	}
 	report.Peers = append(c.monitor.Alive(messages.Controller), c.monitor.Alive(messages.Router)...)
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -1,5 +1,5 @@
 // The contact lease with a majority of the configuration register's group (package lease), and its
-// checks: calls whose responses must not be stale are wrapped with inContactOnly.
+// checks: calls whose responses must not be stale are wrapped with requireContact.
 
 package controller
 
@@ -16,31 +16,31 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// contact is the contact lease of this controller. It is safe for concurrent use.
-type contact struct {
+// contactLease is the contact lease of this controller. It is safe for concurrent use.
+type contactLease struct {
 	mu    sync.Mutex
 	lease lease.Contact
 }
 
-func (c *contact) answered(member string, sentUs int64) {
+func (c *contactLease) recordAnswer(member string, sentUs int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lease.RecordAnswer(member, sentUs)
 }
 
-func (c *contact) vouched(begunUs int64) {
+func (c *contactLease) recordMajorityWork(begunUs int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lease.RecordMajorityWork(begunUs)
 }
 
-func (c *contact) holds(group []string, nowUs int64) bool {
+func (c *contactLease) holds(group []string, nowUs int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.Holds(group, nowUs)
 }
 
-func (c *contact) mayAnswer(group []string, begunUs, nowUs int64) bool {
+func (c *contactLease) mayAnswer(group []string, begunUs, nowUs int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.MayAnswer(group, begunUs, nowUs)
@@ -54,7 +54,7 @@
 }
 
 // inContact reports whether this controller holds the contact lease now.
-func (c *Controller) inContact() bool { return c.contact.holds(c.configGroup(), c.clock()) }
+func (c *Controller) inContact() bool { return c.contactLease.holds(c.configGroup(), c.clock()) }
 
 // starting reports whether the controller has run for less than the time that acquiring the contact
 // lease may take.
@@ -66,28 +66,28 @@
 	return len(c.configGroup()) > 1 && !c.starting() && !c.inContact()
 }
 
-// inContactOnly wraps a handler so that it serves only under the contact lease. Without the lease
+// requireContact wraps a handler so that it serves only under the contact lease. Without the lease
 // the call is answered with 503 at once, so that callers try another controller. The lease is
 // checked again after the handler, so that no response depends on an expired one.
-func (c *Controller) inContactOnly(serve app.HandlerFunc) app.HandlerFunc {
+func (c *Controller) requireContact(serve app.HandlerFunc) app.HandlerFunc {
 	return func(ctx context.Context, rc *app.RequestContext) {
 		begunUs := c.clock()
 		if !c.inContact() && !c.starting() {
-			outOfContact(rc)
+			rejectOutOfContact(rc)
 			return
 		}
 		serve(ctx, rc)
 		if rc.Response.StatusCode() >= 500 {
 			return
 		}
-		if !c.contact.mayAnswer(c.configGroup(), begunUs, c.clock()) {
-			outOfContact(rc)
+		if !c.contactLease.mayAnswer(c.configGroup(), begunUs, c.clock()) {
+			rejectOutOfContact(rc)
 		}
 	}
 }
 
-// outOfContact replaces the response by a 503 for the missing contact lease.
-func outOfContact(c *app.RequestContext) {
+// rejectOutOfContact replaces the response by a 503 for the missing contact lease.
+func rejectOutOfContact(c *app.RequestContext) {
 	c.Response.Reset()
 	httpapi.Reject(c, 503, "", "out of contact with a majority")
 }
@@ -95,7 +95,7 @@
 // hasContact reports whether this controller holds the contact lease with a majority of a
 // group.
 func (c *Controller) hasContact(group []messages.Member) bool {
-	return c.contact.holds(identities(group), c.clock())
+	return c.contactLease.holds(identities(group), c.clock())
 }
 
 func identities(group []messages.Member) []string {
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -23,9 +23,9 @@
 	"beechtide.org/beechtide/internal/settings"
 )
 
-// alone makes a controller whose group is of three and that reaches none of the
-// others, with a clock of the test's; it runs nothing by itself.
-func alone(t *testing.T) (d *Controller, clock *atomic.Int64) {
+// newIsolatedController creates a controller in a group of three that reaches neither of the
+// others. The test sets its clock; only its transport runs.
+func newIsolatedController(t *testing.T) (d *Controller, clock *atomic.Int64) {
 	t.Helper()
 	port := freePort(t)
 	set := settings.Settings{Node: "n", Ip: "127.0.0.1", Zone: "a", Ports: []int{port, port + 1}, Seeds: []string{"127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"}, Bootstrap: true, BeatPeriodMs: 1000}
@@ -43,92 +43,94 @@
 	return d, clock
 }
 
-// touch gives the controller the lease, as a round trip that has just ended would.
-func touch(d *Controller) {
+// grantContactLease grants the controller the contact lease, as a round trip that has just
+// completed does.
+func grantContactLease(d *Controller) {
 	v, _ := d.registers.Committed(consensus.ConfigRegister)
-	d.contact.answered(v.Group[1].ID, d.clock())
+	d.contactLease.recordAnswer(v.Group[1].ID, d.clock())
 }
 
-func status(d *Controller, serve app.HandlerFunc) int {
+// statusUnderContact returns the status of a call under requireContact.
+func statusUnderContact(d *Controller, serve app.HandlerFunc) int {
 	c := app.NewContext(0)
-	d.inContactOnly(serve)(context.Background(), c)
+	d.requireContact(serve)(context.Background(), c)
 	return c.Response.StatusCode()
 }
 
-func TestWithoutTheLeaseNothingIsServed(t *testing.T) {
-	d, _ := alone(t)
+func TestRequireContactRejectsCallsWithoutLease(t *testing.T) {
+	d, _ := newIsolatedController(t)
 	served := 0
 	serve := func(_ context.Context, c *app.RequestContext) {
 		served++
 		c.Status(200)
 	}
-	must.Eq(t, 503, status(d, serve))
+	must.Eq(t, 503, statusUnderContact(d, serve))
 	must.Eq(t, 0, served)
-	touch(d)
-	must.Eq(t, 200, status(d, serve))
+	grantContactLease(d)
+	must.Eq(t, 200, statusUnderContact(d, serve))
 }
 
-// A process that stands still between its work and its answer finds that the answer
-// is too old, also where a new lease came in first.
-func TestAnAnswerIsCheckedAsItLeaves(t *testing.T) {
+// A process that is suspended between its work and its response rejects the response as too old,
+// even if it acquired a new lease in between.
+func TestRequireContactRejectsResponseOlderThanLease(t *testing.T) {
 	for _, final := range []int{200, 400, 404, 412} {
-		d, clock := alone(t)
-		touch(d)
-		must.Eq(t, 503, status(d, func(_ context.Context, c *app.RequestContext) {
+		d, clock := newIsolatedController(t)
+		grantContactLease(d)
+		must.Eq(t, 503, statusUnderContact(d, func(_ context.Context, c *app.RequestContext) {
 			c.Data(final, "application/json", []byte("old"))
 			clock.Add(20_000_000)
 		}))
-		touch(d)
+		grantContactLease(d)
 		c := app.NewContext(0)
-		d.inContactOnly(func(_ context.Context, c *app.RequestContext) {
+		d.requireContact(func(_ context.Context, c *app.RequestContext) {
 			c.Data(final, "application/json", []byte("old"))
 			clock.Add(20_000_000)
-			touch(d)
+			grantContactLease(d)
 		})(context.Background(), c)
 		must.Eq(t, 503, c.Response.StatusCode())
 		must.StrNotContains(t, string(c.Response.Body()), "old")
 	}
 }
 
-// A controller that has just started tries: its own read by a majority is the lease.
-func TestStartingControllerTries(t *testing.T) {
-	d, clock := alone(t)
+// A controller that has just started runs the handler, whose own majority read grants the lease.
+func TestRequireContactServesWhileStarting(t *testing.T) {
+	d, clock := newIsolatedController(t)
 	clock.Store(2)
-	must.Eq(t, 503, status(d, func(_ context.Context, c *app.RequestContext) { c.Status(200) }))
-	must.Eq(t, 200, status(d, func(_ context.Context, c *app.RequestContext) {
-		d.contact.vouched(d.clock())
+	must.Eq(t, 503, statusUnderContact(d, func(_ context.Context, c *app.RequestContext) { c.Status(200) }))
+	must.Eq(t, 200, statusUnderContact(d, func(_ context.Context, c *app.RequestContext) {
+		d.contactLease.recordMajorityWork(d.clock())
 		c.Status(200)
 	}))
 }
 
-// Through the real handlers: cut off, heartbeats are noted, and nothing is confirmed.
-func TestCutOffControllerConfirmsNothing(t *testing.T) {
-	d, _ := alone(t)
+// With the real handlers: a controller that is cut off records heartbeats but confirms nothing.
+func TestCutOffControllerRecordsHeartbeatsAndConfirmsNothing(t *testing.T) {
+	d, _ := newIsolatedController(t)
 	beat := func(state string) int {
 		c := app.NewContext(0)
 		c.Params = append(c.Params, runnerParam("i-1"))
 		c.Request.SetBody([]byte(strings.Replace(`{"service":"s","address":"1.2.3.4:80","zone":"a","version":"v1","capacity":4,"state":"STATE","coldLeftMs":0,"sequence":1}`, "STATE", state, 1)))
-		d.beat(context.Background(), c)
+		d.handleHeartbeat(context.Background(), c)
 		return c.Response.StatusCode()
 	}
 	must.Eq(t, http.StatusOK, beat("ready"))
 	must.MapContainsKey(t, d.registry.Snapshot().ByID, "i-1")
 	must.Eq(t, 503, beat("draining"))
-	must.True(t, d.registry.Snapshot().ByID["i-1"].Draining, must.Sprint("what was heard is kept"))
-	must.Eq(t, 503, beat("draining"), must.Sprint("again, since no majority has it"))
+	must.True(t, d.registry.Snapshot().ByID["i-1"].Draining, must.Sprint("the reported state is recorded"))
+	must.Eq(t, 503, beat("draining"), must.Sprint("a repeat is rejected as well, since no majority has recorded it"))
 	c := app.NewContext(0)
 	c.Params = append(c.Params, runnerParam("i-1"))
-	d.leave(context.Background(), c)
+	d.handleLeave(context.Background(), c)
 	must.Eq(t, 503, c.Response.StatusCode())
 	for _, serve := range []app.HandlerFunc{d.operator.ReplaceConfig, d.operator.ReadConfig, d.operator.NameWeights} {
-		must.Eq(t, 503, status(d, serve))
+		must.Eq(t, 503, statusUnderContact(d, serve))
 	}
 }
 
-// Who holds nothing gets no state from a controller that is cut off, and is told
-// so; who holds a configuration, or has found nobody else, is served on.
-func TestNewcomersGetNoOldState(t *testing.T) {
-	d, clock := alone(t)
+// A subscriber without a configuration receives no state from a controller that is cut off, only
+// the CutOff flag. One that has a configuration, or has found no other controller, is still served.
+func TestDeltaSinceWithholdsStateFromUnsyncedRouterWithoutLease(t *testing.T) {
+	d, clock := newIsolatedController(t)
 	nowUs := clock.Load()
 	d.publishConfig(4, api.Configuration{Version: 4})
 	d.registry.ApplyHeartbeat(messages.RunnerRecord{ID: "i-1", Service: "s", Models: []messages.Target{}}, d.clock())
@@ -138,32 +140,32 @@
 	f := d.deltaSince(messages.SyncState{})
 	must.True(t, empty(f))
 	must.True(t, f.CutOff)
-	must.Eq(t, int64(4), f.Versions[0], must.Sprint("so that the newcomer asks again"))
+	must.Eq(t, int64(4), f.Versions[0], must.Sprint("the subscriber requests the state again because of the newer version"))
 	must.False(t, empty(d.deltaSince(messages.SyncState{Anything: true})))
 	clock.Store(2)
 	f = d.deltaSince(messages.SyncState{})
 	must.SliceEmpty(t, f.Configuration)
-	must.SliceNotEmpty(t, f.Registry, must.Sprint("the list of runners at a start"))
+	must.SliceNotEmpty(t, f.Registry, must.Sprint("runner records are sent during a start"))
 	must.False(t, f.CutOff)
 	clock.Store(nowUs)
 	must.False(t, empty(d.deltaSince(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 3}})))
-	touch(d)
+	grantContactLease(d)
 	f = d.deltaSince(messages.SyncState{})
 	must.False(t, empty(f))
 	must.False(t, f.CutOff)
 }
 
-// One that is cut off sends a runner's beats on, to another with each.
-func TestBeatsGoOnFromACutOffController(t *testing.T) {
+// A controller that is cut off redirects each heartbeat to a different controller.
+func TestRotatingRedirectPicksNextControllerPerHeartbeat(t *testing.T) {
 	core := []messages.Peer{{Addr: "a", Control: "a:1"}, {Addr: "b", Control: "b:1"}, {Addr: "c", Control: "c:1"}}
-	must.Eq(t, "b:1", beatAnywhere(core, "a", messages.RunnerRecord{Seq: 4}))
-	must.Eq(t, "c:1", beatAnywhere(core, "a", messages.RunnerRecord{Seq: 5}))
-	must.Eq(t, "", beatAnywhere(core[:1], "a", messages.RunnerRecord{Seq: 5}))
+	must.Eq(t, "b:1", rotatingRedirect(core, "a", messages.RunnerRecord{Seq: 4}))
+	must.Eq(t, "c:1", rotatingRedirect(core, "a", messages.RunnerRecord{Seq: 5}))
+	must.Eq(t, "", rotatingRedirect(core[:1], "a", messages.RunnerRecord{Seq: 5}))
 }
 
-// spread tells stand-ins of the two other members; each either acknowledges as a
-// member, fails, or stays silent until the wait is over.
-func spread(t *testing.T, answers map[string]string) bool {
+// replicateToStubs replicates to stubs of the two other members. Each either acknowledges with a
+// member ID, fails, or does not answer until the context ends.
+func replicateToStubs(t *testing.T, answers map[string]string) bool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -183,30 +185,31 @@
 	})
 }
 
-func TestLeavingWaitsForAMajority(t *testing.T) {
-	must.True(t, spread(t, map[string]string{"b": "b", "c": "c"}))
-	must.True(t, spread(t, map[string]string{"b": "b", "c": "silent"}))
-	must.True(t, spread(t, map[string]string{"b": "b", "c": "fails"}))
-	must.False(t, spread(t, map[string]string{"b": "fails", "c": "fails"}))
-	must.False(t, spread(t, map[string]string{"b": "b/new", "c": "fails"}), must.Sprint("a new incarnation has no vote"))
-	must.False(t, spread(t, map[string]string{}))
+func TestReplicateRequiresMajority(t *testing.T) {
+	must.True(t, replicateToStubs(t, map[string]string{"b": "b", "c": "c"}))
+	must.True(t, replicateToStubs(t, map[string]string{"b": "b", "c": "silent"}))
+	must.True(t, replicateToStubs(t, map[string]string{"b": "b", "c": "fails"}))
+	must.False(t, replicateToStubs(t, map[string]string{"b": "fails", "c": "fails"}))
+	must.False(t, replicateToStubs(t, map[string]string{"b": "b/new", "c": "fails"}), must.Sprint("the new incarnation of a member has no vote"))
+	must.False(t, replicateToStubs(t, map[string]string{}))
 }
 
-// All that are in reach are waited for, though a majority has it earlier.
-func TestLeavingWaitsForAllInReach(t *testing.T) {
-	late := make(chan struct{})
-	told := make(chan string, 2)
+// The acknowledgement waits for all reachable controllers, even if a majority has acknowledged
+// earlier.
+func TestReplicateWaitsForAllRequiredPeers(t *testing.T) {
+	otherAcked := make(chan struct{})
+	notified := make(chan string, 2)
 	go func() {
-		must.Eq(t, "b", <-told)
-		close(late)
+		must.Eq(t, "b", <-notified)
+		close(otherAcked)
 	}()
 	var done atomic.Bool
 	ok := replicate(context.Background(), "a", []string{"a", "b", "c"}, []drainPeer{{"b", true}, {"c", true}}, func(_ context.Context, addr string) (string, error) {
 		if addr == "b" {
-			told <- addr
+			notified <- addr
 			return addr, nil
 		}
-		<-late
+		<-otherAcked
 		done.Store(true)
 		return addr, nil
 	})
@@ -214,9 +217,9 @@
 	must.True(t, done.Load())
 }
 
-// The word arrives: the other controller has it, and gives its identity for it.
-func TestLeavingIsAcknowledgedOnceItIsNoted(t *testing.T) {
-	d, _ := alone(t)
+// A notified controller records the drain and acknowledges with its member ID.
+func TestHandleDrainRecordsDrainAndReturnsMemberID(t *testing.T) {
+	d, _ := newIsolatedController(t)
 	n := messages.RunnerRecord{ID: "i-1", Service: "s", Seq: 3, Draining: true, Models: []messages.Target{}}
 	b, err := n.MarshalMsg(nil)
 	must.NoError(t, err)
@@ -232,57 +235,57 @@
 	must.NoError(t, err)
 	_, err = d.handleDrain(context.Background(), nil, b)
 	must.NoError(t, err)
-	must.True(t, d.registry.Snapshot().ByID["i-2"].Draining, must.Sprint("what the teller believes beside it is its own"))
+	must.True(t, d.registry.Snapshot().ByID["i-2"].Draining, must.Sprint("the sender's liveness flags are ignored"))
 	later := messages.RunnerRecord{ID: "i-1", Service: "s", Seq: 9, Models: []messages.Target{}}
 	d.registry.ApplyHeartbeat(later, d.clock())
-	must.True(t, d.registry.Snapshot().ByID["i-1"].Draining, must.Sprint("a late beat does not undo it"))
+	must.True(t, d.registry.Snapshot().ByID["i-1"].Draining, must.Sprint("a later heartbeat does not undo it"))
 }
 
 func runnerParam(id string) param.Param { return param.Param{Key: "id", Value: id} }
 
-// A repeat of what a majority has costs no calls; being gone is told after draining.
-func TestWhatIsToldIsNotToldAgain(t *testing.T) {
-	d, _ := alone(t)
+// A drain that a majority has acknowledged is not replicated again; leaving after draining is.
+func TestAcknowledgedDrainIsNotReplicatedAgain(t *testing.T) {
+	d, _ := newIsolatedController(t)
 	draining := messages.RunnerRecord{ID: "i-1", Draining: true}
 	must.False(t, d.replicateDrain(context.Background(), draining))
-	d.drained.add(draining)
+	d.ackedDrains.add(draining)
 	must.True(t, d.replicateDrain(context.Background(), draining))
 	must.False(t, d.replicateDrain(context.Background(), messages.RunnerRecord{ID: "i-1", Gone: true}))
 	for i := range 2 * maxAckedDrains {
-		d.drained.add(messages.RunnerRecord{ID: strings.Repeat("x", i%100) + string(rune('a'+i/100))})
+		d.ackedDrains.add(messages.RunnerRecord{ID: strings.Repeat("x", i%100) + string(rune('a'+i/100))})
 	}
-	must.LessEq(t, maxAckedDrains, len(d.drained.acked))
+	must.LessEq(t, maxAckedDrains, len(d.ackedDrains.acked))
 }
 
-// answering is a stand-in for another member.
-type answering struct {
+// stubCaller is a stub of another member.
+type stubCaller struct {
 	verdict messages.Verdict
 	err     error
 }
 
-func (a answering) Call(context.Context, string, int, msgp.Marshaler) ([]byte, error) {
+func (a stubCaller) Call(context.Context, string, int, msgp.Marshaler) ([]byte, error) {
 	r := messages.ConsensusResponse{Verdict: a.verdict}
 	b, _ := r.MarshalMsg(nil)
 	return b, a.err
 }
 
-// Whatever a member answers renews the lease, from when it was asked; what a
-// stranger at its address answers, or anybody to a commit, does not.
-func TestRoundTripsOfTheRegistersRenewTheLease(t *testing.T) {
+// Each response of a member renews the lease from the time of the request. A response of a stranger
+// at its address, or to a commit, does not.
+func TestContactCallerRenewsLeaseOnMemberResponses(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, c := range []struct {
-		other   answering
+		other   stubCaller
 		request messages.ConsensusRequest
 		renews  bool
 	}{
-		{answering{verdict: messages.Granted}, messages.ConsensusRequest{To: "b", Step: messages.Read}, true},
-		{answering{verdict: messages.Outbid}, messages.ConsensusRequest{To: "b", Step: messages.Prepare}, true},
-		{answering{verdict: messages.Stranger}, messages.ConsensusRequest{To: "b", Step: messages.Prepare}, false},
-		{answering{verdict: messages.Granted}, messages.ConsensusRequest{To: "b", Step: messages.Commit}, false},
-		{answering{verdict: messages.Granted}, messages.ConsensusRequest{Step: messages.Read}, false},
-		{answering{err: errors.New("cut")}, messages.ConsensusRequest{To: "b", Step: messages.Read}, false},
+		{stubCaller{verdict: messages.Granted}, messages.ConsensusRequest{To: "b", Step: messages.Read}, true},
+		{stubCaller{verdict: messages.Outbid}, messages.ConsensusRequest{To: "b", Step: messages.Prepare}, true},
+		{stubCaller{verdict: messages.Stranger}, messages.ConsensusRequest{To: "b", Step: messages.Prepare}, false},
+		{stubCaller{verdict: messages.Granted}, messages.ConsensusRequest{To: "b", Step: messages.Commit}, false},
+		{stubCaller{verdict: messages.Granted}, messages.ConsensusRequest{Step: messages.Read}, false},
+		{stubCaller{err: errors.New("cut")}, messages.ConsensusRequest{To: "b", Step: messages.Read}, false},
 	} {
-		held := contact{lease: lease.Contact{Self: "a"}}
+		held := contactLease{lease: lease.Contact{Self: "a"}}
 		nowUs := int64(4)
 		caller := contactCaller{c.other, &held, func() int64 { nowUs++; return nowUs }}
 		_, _ = caller.Call(context.Background(), "b:1", 1, &c.request)
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -36,17 +36,17 @@
 	}
 	defer ln.Close()
 	h := httpserver.New(c.set.Listen.Control, server.WithListener(ln), server.WithIdleTimeout(controlIdleTimeout))
-	h.POST("/api/Runners.Heartbeat/:id", c.counted(callHeartbeat, c.beat))
-	h.POST("/api/Runners.Leave/:id", c.counted(callLeave, c.leave))
-	h.POST("/api/Config.Replace", c.counted(callReplace, c.inContactOnly(c.operator.ReplaceConfig)))
-	h.GET("/api/Config.Read", c.counted(callRead, c.inContactOnly(c.operator.ReadConfig)))
-	h.POST("/api/version-put", c.counted(callNameWeights, c.inContactOnly(c.operator.NameWeights)))
-	h.POST("/api/Evacuate.Begin/:zone", c.counted(callEvacuate, c.inContactOnly(c.operator.BeginEvacuation)))
-	h.POST("/api/Evacuate.Finish/:zone", c.counted(callEvacuate, c.inContactOnly(c.operator.FinishEvacuation)))
-	h.POST("/api/Rollouts.Begin", c.counted(callBeginRollout, c.inContactOnly(c.operator.BeginRollout)))
-	h.GET("/api/Rollouts.Read/:service", c.counted(callReadRollout, c.inContactOnly(c.operator.ReadRollout)))
-	h.POST("/api/Tallies.Amend/:id", c.counted(callAmend, c.tallies.Amend))
-	h.GET("/api/Tallies.Read/:id", c.counted(callReadTally, c.tallies.Read))
+	h.POST("/api/Runners.Heartbeat/:id", c.countResponses(callHeartbeat, c.handleHeartbeat))
+	h.POST("/api/Runners.Leave/:id", c.countResponses(callLeave, c.handleLeave))
+	h.POST("/api/Config.Replace", c.countResponses(callReplace, c.requireContact(c.operator.ReplaceConfig)))
+	h.GET("/api/Config.Read", c.countResponses(callRead, c.requireContact(c.operator.ReadConfig)))
+	h.POST("/api/version-put", c.countResponses(callNameWeights, c.requireContact(c.operator.NameWeights)))
+	h.POST("/api/Evacuate.Begin/:zone", c.countResponses(callEvacuate, c.requireContact(c.operator.BeginEvacuation)))
+	h.POST("/api/Evacuate.Finish/:zone", c.countResponses(callEvacuate, c.requireContact(c.operator.FinishEvacuation)))
+	h.POST("/api/Rollouts.Begin", c.countResponses(callBeginRollout, c.requireContact(c.operator.BeginRollout)))
+	h.GET("/api/Rollouts.Read/:service", c.countResponses(callReadRollout, c.requireContact(c.operator.ReadRollout)))
+	h.POST("/api/Tallies.Amend/:id", c.countResponses(callAmend, c.tallies.Amend))
+	h.GET("/api/Tallies.Read/:id", c.countResponses(callReadTally, c.tallies.Read))
 	failed := make(chan error, 1)
 	go func() { failed <- h.Run() }()
 	select {
@@ -57,43 +57,43 @@
 	}
 }
 
-// beat handles a heartbeat. The heartbeat is recorded even without the contact lease, since only
-// the runner registry depends on it, and its records merge. A heartbeat with state draining is
-// acknowledged only after a majority has recorded it.
-func (c *Controller) beat(ctx context.Context, rc *app.RequestContext) {
+// handleHeartbeat handles a heartbeat. The heartbeat is recorded even without the contact lease,
+// since only the runner registry depends on it, and its records merge. A heartbeat with state
+// draining is acknowledged only after a majority has recorded it.
+func (c *Controller) handleHeartbeat(ctx context.Context, rc *app.RequestContext) {
 	begunUs := c.clock()
-	var b api.Heartbeat
-	if err := json.Unmarshal(rc.Request.Body(), &b); err != nil {
+	var heartbeat api.Heartbeat
+	if err := json.Unmarshal(rc.Request.Body(), &heartbeat); err != nil {
 		httpapi.Reject(rc, 400, httpapi.BodyField, err.Error())
 		return
 	}
-	if err := httpapi.Check(b); err != nil || !b.State.Valid() {
+	if err := httpapi.Check(heartbeat); err != nil || !heartbeat.State.Valid() {
 		httpapi.Reject(rc, 400, httpapi.BodyField, "not a beat")
 		return
 	}
-	n := messages.RunnerRecord{ID: rc.Param("id"), Service: b.Service, Addr: b.Address, Zone: b.Zone, Capacity: b.Capacity, Seq: b.Sequence, Draining: b.State == api.Draining, Version: b.Version, Models: []messages.Target{}, ColdLeftUs: int64(max(b.ColdLeftMs, 0) * 1000)}
-	for _, m := range b.Models {
-		n.Models = append(n.Models, messages.Target{Model: m.Name, Version: m.Version})
+	record := messages.RunnerRecord{ID: rc.Param("id"), Service: heartbeat.Service, Addr: heartbeat.Address, Zone: heartbeat.Zone, Capacity: heartbeat.Capacity, Seq: heartbeat.Sequence, Draining: heartbeat.State == api.Draining, Version: heartbeat.Version, Models: []messages.Target{}, ColdLeftUs: int64(max(heartbeat.ColdLeftMs, 0) * 1000)}
+	for _, m := range heartbeat.Models {
+		record.Models = append(record.Models, messages.Target{Model: m.Name, Version: m.Version})
 	}
-	changed := c.registry.ApplyHeartbeat(n, c.clock())
-	if n.Draining && c.recordDrain(n) || changed {
-		c.publishRunners(n.ID)
+	changed := c.registry.ApplyHeartbeat(record, c.clock())
+	if record.Draining && c.recordDrain(record) || changed {
+		c.publishRunners(record.ID)
 	}
-	if n.Draining && !c.confirmLeaving(ctx, n.ID, begunUs) {
-		outOfContact(rc)
+	if record.Draining && !c.confirmDrain(ctx, record.ID, begunUs) {
+		rejectOutOfContact(rc)
 		return
 	}
-	c.heartbeats.add(n)
-	elsewhere := c.beatElsewhere(c.monitor.Alive(messages.Controller), n)
-	if elsewhere != "" {
+	c.heartbeats.add(record)
+	redirect := c.heartbeatRedirect(c.monitor.Alive(messages.Controller), record)
+	if redirect != "" {
 		rc.SetConnectionClose() // the runner stops using it, and thousands of idle connections use much memory
 	}
-	rc.JSON(200, api.HeartbeatResponse{BeatTo: elsewhere})
+	rc.JSON(200, api.HeartbeatResponse{BeatTo: redirect})
 }
 
-// confirmLeaving replicates to the core that a runner drains or is gone, and reports whether that
+// confirmDrain replicates to the core that a runner drains or is gone, and reports whether that
 // may be acknowledged now.
-func (c *Controller) confirmLeaving(ctx context.Context, id string, begunUs int64) bool {
+func (c *Controller) confirmDrain(ctx context.Context, id string, begunUs int64) bool {
 	n, ok := c.registry.Record(id)
 	if !ok || !c.replicateDrain(ctx, n) {
 		return false
@@ -101,25 +101,25 @@
 	return c.clock()-begunUs < lease.ContactUs
 }
 
-// beatElsewhere returns the control address for a runner's next heartbeats; empty if they should
+// heartbeatRedirect returns the control address for a runner's next heartbeats; empty if they should
 // keep coming here. A controller that is cut off returns a different controller each time, since
 // it cannot determine which of them has contact with a majority, if any.
-func (c *Controller) beatElsewhere(all []messages.Peer, n messages.RunnerRecord) string {
-	core := membership.Core(all)
+func (c *Controller) heartbeatRedirect(controllers []messages.Peer, n messages.RunnerRecord) string {
+	core := membership.Core(controllers)
 	if c.cutOff() {
-		return beatAnywhere(core, c.transport.Addr(), n)
+		return rotatingRedirect(core, c.transport.Addr(), n)
 	}
-	var reached []messages.Peer
+	var reachable []messages.Peer
 	for _, p := range core {
 		if !c.stability.isCut(p.Addr) {
-			reached = append(reached, p)
+			reachable = append(reachable, p)
 		}
 	}
-	return beatTo(reached, c.transport.Addr(), n)
+	return zoneRedirect(reachable, c.transport.Addr(), n)
 }
 
-// beatAnywhere returns the control address of another controller, rotating with each heartbeat.
-func beatAnywhere(core []messages.Peer, self string, n messages.RunnerRecord) string {
+// rotatingRedirect returns the control address of another controller, rotating with each heartbeat.
+func rotatingRedirect(core []messages.Peer, self string, n messages.RunnerRecord) string {
 	var others []string
 	for _, p := range core {
 		if p.Addr != self && p.Control != "" {
@@ -132,34 +132,34 @@
 	return others[uint64(n.Seq)%uint64(len(others))]
 }
 
-// beatTo returns the control address of the controller that receives a runner's heartbeats: one of
-// the runner's zone, whose runners are spread by a hash of their ID. It is empty if that is this
-// controller or if the zone has none.
-func beatTo(core []messages.Peer, self string, n messages.RunnerRecord) string {
-	var near []messages.Peer
+// zoneRedirect returns the control address of the controller that receives a runner's heartbeats:
+// one of the runner's zone, whose runners are spread by a hash of their ID. It is empty if that is
+// this controller or if the zone has none.
+func zoneRedirect(core []messages.Peer, self string, n messages.RunnerRecord) string {
+	var sameZone []messages.Peer
 	for _, p := range core {
 		if p.Zone == n.Zone && (p.Addr == self || p.Control != "" && p.Status == messages.Alive) {
-			near = append(near, p)
+			sameZone = append(sameZone, p)
 		}
 	}
-	if len(near) == 0 {
+	if len(sameZone) == 0 {
 		return ""
 	}
-	pick := near[statesync.HashText(n.ID, "")%uint64(len(near))]
-	if pick.Addr == self {
+	chosen := sameZone[statesync.HashText(n.ID, "")%uint64(len(sameZone))]
+	if chosen.Addr == self {
 		return ""
 	}
-	return pick.Control
+	return chosen.Control
 }
 
-func (c *Controller) leave(ctx context.Context, rc *app.RequestContext) {
+func (c *Controller) handleLeave(ctx context.Context, rc *app.RequestContext) {
 	begunUs := c.clock()
 	n, changed := c.registry.Leave(rc.Param("id"), begunUs)
 	if changed {
 		c.publishRunners(n.ID)
 	}
-	if !c.confirmLeaving(ctx, n.ID, begunUs) {
-		outOfContact(rc)
+	if !c.confirmDrain(ctx, n.ID, begunUs) {
+		rejectOutOfContact(rc)
 		return
 	}
 	rc.Status(200)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,8 +23,9 @@
 // have cached), quotaowner (tenant rate limits), tallies, httpapi.
 //
 // This package contains: control.go (the HTTP calls), feed.go (distributes state to subscribers),
-// subscriptions.go (receives the feeds of other controllers), readers.go (selects the runners to read), contact.go (the contact lease), drain.go (replicates draining),
-// saved_runners.go (a copy of the registry on disk), duties.go (sets up the singleton tasks).
+// subscriptions.go (receives the feeds of other controllers), readers.go (selects the runners to
+// read), contact.go (the contact lease), drain.go (replicates draining), saved_runners.go (a copy
+// of the registry on disk), duties.go (sets up the singleton tasks).
 //
 // # Ownership of state
 //
@@ -96,26 +97,26 @@
 	// platformAddr is the address of the platform's API.
 	platformAddr atomic.Pointer[string]
 
-	heartbeats heartbeatBatch
+	heartbeats heartbeatQueue
 
 	feed    feed
 	readers *runnerreader.Readers
 
-	leases    *singleton.Leases
-	tasks     *singleton.Runner
-	operator  *operatorapi.Service
-	platform  *platform.Client
-	rollouts  *weightrollout.Driver
-	usage     *usagereport.Reporter // nil if the platform has no usage duty
-	scaler    *scaling.Scaler       // nil if the platform has no scaling duty
-	quotas    *quotaowner.Service
-	tallies   *tallies.Service
-	targets   namedTargets
-	stability stability
-	repairs   *grouprepair.Repairer
-	contact   contact
-	drained   ackedDrains
-	startUs   int64
+	leases       *singleton.Leases
+	tasks        *singleton.Runner
+	operator     *operatorapi.Service
+	platform     *platform.Client
+	rollouts     *weightrollout.Driver
+	usage        *usagereport.Reporter // nil if the platform has no usage duty
+	scaler       *scaling.Scaler       // nil if the platform has no scaling duty
+	quotas       *quotaowner.Service
+	tallies      *tallies.Service
+	targets      namedTargets
+	stability    stability
+	repairs      *grouprepair.Repairer
+	contactLease contactLease
+	ackedDrains  ackedDrains
+	startUs      int64
 
 	timeOfDay clocksync.Shared
 	counters  counters
@@ -151,9 +152,9 @@
 		}
 	}
 	c.handleMessages()
-	for part := range consensus.RegisterCount {
-		if value, ok := c.registers.Committed(part); ok && value.Version > 0 {
-			c.onCommitted(part, value)
+	for register := range consensus.RegisterCount {
+		if value, ok := c.registers.Committed(register); ok && value.Version > 0 {
+			c.onCommitted(register, value)
 		}
 	}
 	return c, nil
@@ -181,12 +182,12 @@
 	if c.disk != nil {
 		store = c.disk
 	}
-	caller := contactCaller{c.transport, &c.contact, c.clock}
+	caller := contactCaller{c.transport, &c.contactLease, c.clock}
 	c.registers, err = consensus.Open(c.set.ControllerAddr(), transport.KindConsensus, c.set.Bootstrap, c.set.SeedAddrs(), caller, store, c.log, c.onCommitted)
 	if err != nil {
 		return errors.Wrap(err, "controller: open the registers")
 	}
-	c.contact.lease.Self = c.registers.ID()
+	c.contactLease.lease.Self = c.registers.ID()
 	self := messages.Peer{
 		Addr:     c.set.ControllerAddr(),
 		Role:     messages.Controller,
@@ -255,15 +256,15 @@
 func (c *Controller) knownControllers() []string {
 	set := c.set
 	set.Seeds = *c.seeds.Load()
-	out := set.SeedAddrs()
-	for p := range consensus.RegisterCount {
-		if v, ok := c.registers.Committed(p); ok {
+	addrs := set.SeedAddrs()
+	for register := range consensus.RegisterCount {
+		if v, ok := c.registers.Committed(register); ok {
 			for _, m := range v.Group {
-				out = append(out, m.Addr)
+				addrs = append(addrs, m.Addr)
 			}
 		}
 	}
-	return out
+	return addrs
 }
 
 // Reload applies the settings that may change while the process runs: the seeds and the
@@ -283,55 +284,55 @@
 // Run serves until ctx ends. It then hands its register memberships over to a spare controller,
 // if there is one, and serves the registers until that is done.
 func (c *Controller) Run(ctx context.Context) error {
-	live, end := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer c.transport.Close()
-	defer end()
-	c.transport.Run(live)
-	go c.monitor.Run(live)
-	go c.listenToOthers(live)
-	go c.repairs.Run(live)
-	go c.readers.Run(live)
-	go loop.Every(live, comparePeriod, func() { c.catchUp(live) })
-	go loop.Every(live, sweepPeriod, c.sweep)
-	go loop.Every(live, heartbeatPause, c.forwardHeartbeats)
-	go loop.Every(live, readersPeriod, func() { c.readRunners(live) })
-	go loop.Every(live, singleton.Period, func() {
+	defer stop()
+	c.transport.Run(runCtx)
+	go c.monitor.Run(runCtx)
+	go c.subscribeToPeers(runCtx)
+	go c.repairs.Run(runCtx)
+	go c.readers.Run(runCtx)
+	go loop.Every(runCtx, comparePeriod, func() { c.compareWithPeers(runCtx) })
+	go loop.Every(runCtx, sweepPeriod, c.sweep)
+	go loop.Every(runCtx, heartbeatBatchInterval, c.forwardHeartbeats)
+	go loop.Every(runCtx, readersPeriod, func() { c.readRunners(runCtx) })
+	go loop.Every(runCtx, singleton.Period, func() {
 		c.timeOfDay.Observe(time.Now().UnixMicro(), c.clock())
-		c.tasks.Step(live)
+		c.tasks.Step(runCtx)
 	})
 	if c.usage != nil {
-		go c.usage.Run(live)
+		go c.usage.Run(runCtx)
 	}
-	counting, endCounting := context.WithCancel(live)
-	defer endCounting()
-	go c.quotas.Run(counting)
-	go c.tallies.Run(live)
-	go c.runFeed(live)
-	go c.readRegisters(live)
-	go c.finishRounds(live)
-	go c.metricsServer().Run(live)
+	quotaCtx, stopQuotas := context.WithCancel(runCtx)
+	defer stopQuotas()
+	go c.quotas.Run(quotaCtx)
+	go c.tallies.Run(runCtx)
+	go c.runFeed(runCtx)
+	go c.readRegisters(runCtx)
+	go c.finishRounds(runCtx)
+	go c.metricsServer().Run(runCtx)
 	if c.disk != nil {
-		go c.saveRunners(live)
+		go c.saveRunners(runCtx)
 	}
 	served := make(chan error, 1)
-	go func() { served <- c.serveControl(live) }()
+	go func() { served <- c.serveControl(runCtx) }()
 	var err error
 	select {
 	case err = <-served:
-		end()
+		stop()
 	case <-ctx.Done():
-		endCounting()
+		stopQuotas()
 		c.quotas.Leave()
-		c.repairs.Leave(live)
-		end()
+		c.repairs.Leave(runCtx)
+		stop()
 		err = <-served
 	}
 	c.closeDisk()
 	return err
 }
 
-// closeWait bounds how long a shutdown waits for writes in progress.
-const closeWait = 500 * time.Millisecond
+// closeTimeout bounds how long a shutdown waits for writes in progress.
+const closeTimeout = 500 * time.Millisecond
 
 func (c *Controller) closeDisk() {
 	if c.disk == nil {
@@ -345,19 +346,19 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
 // readRegisters reads every register once after the start, which completes values that a majority
 // had accepted before a power loss but that were not yet known to be committed.
 func (c *Controller) readRegisters(ctx context.Context) {
-	for p := range consensus.RegisterCount {
+	for register := range consensus.RegisterCount {
 		for ctx.Err() == nil {
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
-			v, err := c.contactRegisters().Read(cctx, p)
+			v, err := c.contactRegisters().Read(cctx, register)
 			cancel()
-			c.log.Info("register read after start", "part", p, "version", v.Version, "members", len(v.Group), "err", err)
+			c.log.Info("register read after start", "part", register, "version", v.Version, "members", len(v.Group), "err", err)
 			if err == nil {
 				break
 			}
@@ -366,11 +367,11 @@
 	}
 }
 
-func (c *Controller) onCommitted(p int, v messages.Value) {
+func (c *Controller) onCommitted(register int, v messages.Value) {
 	if v.Version == 0 || len(v.Body) == 0 {
 		return
 	}
-	if p == consensus.ConfigRegister {
+	if register == consensus.ConfigRegister {
 		var body messages.ConfigBody
 		if _, err := body.UnmarshalMsg(v.Body); err == nil && body.Version > 0 {
 			if m, err := routeconfig.ParseAccepted(body.Raw); err == nil {
@@ -380,30 +381,30 @@
 			}
 		}
 	}
-	if p != consensus.ConfigRegister {
-		c.onCommittedRole(p, v)
+	if register != consensus.ConfigRegister {
+		c.onLeaseCommitted(register, v)
 	}
 }
 
-// onCommittedRole applies and publishes the committed body of a register with a lease. Routers do
+// onLeaseCommitted applies and publishes the committed body of a register with a lease. Routers do
 // not need the closed usage windows, so these are left out.
-func (c *Controller) onCommittedRole(p int, v messages.Value) {
+func (c *Controller) onLeaseCommitted(register int, v messages.Value) {
 	body, err := messages.DecodeLeaseBody(v)
 	if err != nil {
-		c.log.Error(err, "committed register cannot be decoded", "part", p)
+		c.log.Error(err, "committed register cannot be decoded", "part", register)
 		return
 	}
-	c.targets.committed(body.Targets, c.starting(), c.clock())
+	c.targets.recordCommitted(body.Targets, c.starting(), c.clock())
 	if c.usage != nil {
 		c.usage.Closed(body.Usage.Next)
 	}
 	body.Usage.Pending = nil
 	published, err := body.MarshalMsg(nil)
 	if err != nil {
-		c.log.Error(err, "committed register cannot be encoded for publishing", "part", p)
+		c.log.Error(err, "committed register cannot be encoded for publishing", "part", register)
 		return
 	}
-	c.publishPart(messages.RegisterUpdate{Part: p, Version: v.Version, Body: published})
+	c.publishRegister(messages.RegisterUpdate{Part: register, Version: v.Version, Body: published})
 }
 
 // receiveHeartbeat applies a single heartbeat forwarded by a controller of an earlier release.
@@ -414,13 +415,13 @@
 	}
 }
 
-// silence returns the silence limits for the heartbeat period of the settings.
-func (c *Controller) silence() registry.SilenceLimits {
+// silenceLimits returns the silence limits for the heartbeat period of the settings.
+func (c *Controller) silenceLimits() registry.SilenceLimits {
 	return registry.SilenceLimitsFor(int64(c.set.BeatPeriodMs) * 1000)
 }
 
 func (c *Controller) sweep() {
-	for _, n := range c.registry.Sweep(c.clock(), c.silence(), !c.cutOff()) {
+	for _, n := range c.registry.Sweep(c.clock(), c.silenceLimits(), !c.cutOff()) {
 		c.publishRunners(n.ID)
 	}
 	c.syncRunners()
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -28,8 +28,8 @@
 	os.Exit(invarianttest.Main(m))
 }
 
-// core starts a core of one, at the same addresses each time.
-func core(t *testing.T, dir string, port int, bootstrap bool) (*Controller, string, func()) {
+// startSingleController starts a core of one controller, whose addresses depend only on the port.
+func startSingleController(t *testing.T, dir string, port int, bootstrap bool) (*Controller, string, func()) {
 	t.Helper()
 	control := fmt.Sprintf("127.0.0.1:%d", port+2)
 	set := settings.Settings{Node: "n", Ip: "127.0.0.1", Zone: "a", Ports: []int{port, port + 1}, Seeds: []string{control}, Bootstrap: bootstrap, DataDir: dir, BeatPeriodMs: 1000}
@@ -43,18 +43,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- d.Run(ctx) }()
-	until(t, func() bool { return listens(control) })
+	waitUntil(t, func() bool { return listens(control) })
 	return d, "http://" + control, func() {
 		cancel()
 		<-ended
 		if d.disk != nil {
-			d.disk.Close() // all writes have ended before the folder goes
+			d.disk.Close() // ends all writes before the directory is removed
 		}
 	}
 }
 
-// freePort finds three free ports in a row, below those that connections take
-// for themselves.
+// freePort returns the first of three consecutive free ports, below the ephemeral port range.
 func freePort(t *testing.T) int {
 	t.Helper()
 	for {
@@ -74,8 +73,8 @@
 	}
 }
 
-// client opens a connection for each call: one that is kept alive may lead to a controller
-// of an earlier test that had the same port.
+// client opens a connection for each call: a kept-alive connection may lead to a controller of an
+// earlier test on the same port.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func call(t *testing.T, method, url, body string, base int) (int, string) {
@@ -91,12 +90,13 @@
 	return r.StatusCode, string(b)
 }
 
-func text3(version int, service string) string {
+// configText returns a configuration with one route to the named service.
+func configText(version int, service string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h","prefix":"/a/","kind":"idempotent","cutoffMs":100,"service":%q}],"services":[{"name":"s","engine":{"models":[{"name":"m"}]}}]}`, version, service)
 }
 
-func TestOperatorsCalls(t *testing.T) {
-	_, url, stop := core(t, t.TempDir(), freePort(t), true)
+func TestOperatorCallsReturnExpectedStatus(t *testing.T) {
+	_, url, stop := startSingleController(t, t.TempDir(), freePort(t), true)
 	defer stop()
 	status, _ := call(t, "GET", url+"/api/Config.Read", "", 0)
 	must.Eq(t, 404, status)
@@ -104,14 +104,14 @@
 		name, body   string
 		base, status int
 	}{
-		{"first", text3(5, "s"), 0, 200},
-		{"repeated", text3(5, "s"), 0, 200},
-		{"overtaken", text3(6, "s"), 0, 412},
-		{"old version", text3(5, "s") + " ", 5, 400},
-		{"unknown service", text3(9, "x"), 5, 400},
-		{"cut short", text3(9, "s")[:40], 5, 400},
-		{"next", text3(9, "s"), 5, 200},
-		{"first again", text3(5, "s"), 0, 200},
+		{"first", configText(5, "s"), 0, 200},
+		{"repeated", configText(5, "s"), 0, 200},
+		{"overtaken", configText(6, "s"), 0, 412},
+		{"old version", configText(5, "s") + " ", 5, 400},
+		{"unknown service", configText(9, "x"), 5, 400},
+		{"cut short", configText(9, "s")[:40], 5, 400},
+		{"next", configText(9, "s"), 5, 200},
+		{"first again", configText(5, "s"), 0, 200},
 	} {
 		status, body := call(t, "POST", url+"/api/Config.Replace", c.body, c.base)
 		must.Eq(t, c.status, status, must.Sprint(c.name, body))
@@ -121,15 +121,15 @@
 	}
 	status, body := call(t, "GET", url+"/api/Config.Read", "", 0)
 	must.Eq(t, 200, status)
-	must.Eq(t, text3(9, "s"), body)
+	must.Eq(t, configText(9, "s"), body)
 	status, _ = call(t, "POST", url+"/api/version-put", `{"model":"m","version":2}`, 0)
 	must.Eq(t, 200, status)
 	status, _ = call(t, "POST", url+"/api/version-put", `{"model":"m","version":0}`, 0)
 	must.Eq(t, 400, status)
 }
 
-func TestMalformedHeartbeatsAreRejected(t *testing.T) {
-	d, url, stop := core(t, "", freePort(t), true)
+func TestHeartbeatRejectsMalformedBody(t *testing.T) {
+	d, url, stop := startSingleController(t, "", freePort(t), true)
 	defer stop()
 	good := `{"service":"s","address":"1.2.3.4:80","zone":"a","version":"v1","capacity":4,"state":"ready","coldLeftMs":0,"models":[{"name":"m","version":1}],"sequence":1}`
 	for _, bad := range []string{"", "{", strings.Replace(good, "1.2.3.4:80", "nowhere", 1), strings.Replace(good, `"ready"`, `"asleep"`, 1), strings.Replace(good, `"s"`, `""`, 1)} {
@@ -145,49 +145,49 @@
 	must.MapEmpty(t, d.registry.Snapshot().ByID)
 }
 
-// The incident of docs/incidents/restart-lifts-bars.md: a controller that starts
-// again must not tell the others that runners under order are free.
-func TestRestartKeepsWhatWasAcknowledgedAndTheBars(t *testing.T) {
+// Guards against docs/incidents/restart-lifts-bars.md: a restarted controller must not publish
+// cordoned runners as available.
+func TestRestartRestoresAcknowledgedConfigAndCordons(t *testing.T) {
 	dir, port := t.TempDir(), freePort(t)
-	d, url, stop := core(t, dir, port, true)
-	status, _ := call(t, "POST", url+"/api/Config.Replace", text3(5, "s"), 0)
+	d, url, stop := startSingleController(t, dir, port, true)
+	status, _ := call(t, "POST", url+"/api/Config.Replace", configText(5, "s"), 0)
 	must.Eq(t, 200, status)
 	n := messages.RunnerRecord{ID: "i-1", Service: "s", Addr: "1.2.3.4:80", Zone: "a", Seq: 1, Models: []messages.Target{{Model: "m", Version: 1}}}
 	d.registry.ApplyHeartbeat(n, 1)
 	d.registry.SetCordon("i-1", false, true, 77)
-	kept := messages.News{Runners: []messages.RunnerRecord{d.registry.Snapshot().ByID["i-1"]}}
-	b, err := kept.MarshalMsg(nil)
+	saved := messages.News{Runners: []messages.RunnerRecord{d.registry.Snapshot().ByID["i-1"]}}
+	b, err := saved.MarshalMsg(nil)
 	must.NoError(t, err)
 	must.NoError(t, d.disk.WriteFile(runnersFile, b))
 	id := d.registers.ID()
 	stop()
 
-	fresh := &Controller{disk: d.disk, registry: registry.New(), clock: d.clock, log: logr.Discard()}
-	fresh.feed.init(1)
-	fresh.restoreRunners()
-	fresh.syncRunners()
-	lacks, ok := fresh.feed.registry.DeltaSince(0, 0)
+	restarted := &Controller{disk: d.disk, registry: registry.New(), clock: d.clock, log: logr.Discard()}
+	restarted.feed.init(1)
+	restarted.restoreRunners()
+	restarted.syncRunners()
+	delta, ok := restarted.feed.registry.DeltaSince(0, 0)
 	must.True(t, ok)
-	must.Len(t, 1, lacks.Puts, must.Sprint("the routers are told of runners that the disk named"))
-	got := fresh.registry.Snapshot().ByID["i-1"]
+	must.Len(t, 1, delta.Puts, must.Sprint("runners restored from disk are published to the routers"))
+	got := restarted.registry.Snapshot().ByID["i-1"]
 	must.True(t, got.Cordoned)
 	must.Eq(t, int64(77), got.BarVersion)
-	fresh.registry.Leave("i-1", 1)
-	fresh.registry.Sweep(200_000_000, registry.SilenceLimits{StaleUs: 1, LostUs: 1}, true)
-	fresh.syncRunners()
-	must.Eq(t, 0, fresh.feed.registry.Len(), must.Sprint("what the registry forgets is told no longer"))
-	keptID, ok := d.disk.ReadFile("identity")
+	restarted.registry.Leave("i-1", 1)
+	restarted.registry.Sweep(200_000_000, registry.SilenceLimits{StaleUs: 1, LostUs: 1}, true)
+	restarted.syncRunners()
+	must.Eq(t, 0, restarted.feed.registry.Len(), must.Sprint("records that the registry removed are no longer published"))
+	savedID, ok := d.disk.ReadFile("identity")
 	must.True(t, ok)
-	must.Eq(t, id, string(keptID))
+	must.Eq(t, id, string(savedID))
 	rec, ok, err := d.disk.Load(0)
 	must.NoError(t, err)
 	must.True(t, ok)
 	must.True(t, rec.HasAccepted || rec.Committed.Version > 0)
 }
 
-// The incident of docs/incidents/uncounted-unsettled-the-core.md: a controller that
-// does not count comes and goes, and the core is as stable as before.
-func TestOnlyControllersThatCountUnsettleTheCore(t *testing.T) {
+// Guards against docs/incidents/uncounted-unsettled-the-core.md: a controller outside the core that
+// joins and leaves must not reset the stability of the core.
+func TestOnlyCoreMembersResetStability(t *testing.T) {
 	counted := []messages.Peer{{Addr: "a", MemberID: "a/0", Counted: true}, {Addr: "b", MemberID: "b/0", Counted: true}}
 	all := append(append([]messages.Peer{}, counted...), messages.Peer{Addr: "x", MemberID: "x/1"})
 	var s stability
@@ -199,7 +199,7 @@
 	must.Eq(t, int64(4_000_000), s.stableForUs(5_000_000))
 	view, _ = coreView(all[1:])
 	s.observe(view, 6_000_000)
-	must.Eq(t, int64(0), s.stableForUs(6_000_000), must.Sprint("one that counts has gone"))
+	must.Eq(t, int64(0), s.stableForUs(6_000_000), must.Sprint("a counted controller has left"))
 	_, core = coreView(all[2:])
-	must.True(t, core["x"], must.Sprint("where none counts, all do"))
+	must.True(t, core["x"], must.Sprint("without counted controllers, all belong to the core"))
 }
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -58,9 +58,9 @@
 	c.durations.Observe(took)
 }
 
-// counted wraps a handler so that its responses are counted.
-func (c *Controller) counted(which callKind, serve app.HandlerFunc) app.HandlerFunc {
-	counter := &c.counters.calls[which]
+// countResponses wraps a handler so that its responses are counted.
+func (c *Controller) countResponses(kind callKind, serve app.HandlerFunc) app.HandlerFunc {
+	counter := &c.counters.calls[kind]
 	return func(ctx context.Context, rc *app.RequestContext) {
 		begun := time.Now()
 		serve(ctx, rc)
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -74,7 +74,7 @@
 	acked := map[string]bool{self: true}
 	hasMajority := func() bool { return lease.Majority(group, func(m string) bool { return acked[m] }) }
 	required := countRequired(peers)
-	for left := len(peers); left > 0 && (required > 0 || !hasMajority()); left-- {
+	for outstanding := len(peers); outstanding > 0 && (required > 0 || !hasMajority()); outstanding-- {
 		select {
 		case a := <-acks:
 			if a.peer.required {
@@ -122,7 +122,7 @@
 // replicateDrain notifies the core that a runner drains or is gone, and reports whether
 // a majority has acknowledged it, now or earlier.
 func (c *Controller) replicateDrain(ctx context.Context, n messages.RunnerRecord) bool {
-	if c.drained.contains(n) {
+	if c.ackedDrains.contains(n) {
 		return true
 	}
 	var peers []drainPeer
@@ -136,7 +136,7 @@
 	if !replicate(ctx, c.registers.ID(), c.configGroup(), peers, c.notifyOfDrain(n)) {
 		return false
 	}
-	c.drained.add(n)
+	c.ackedDrains.add(n)
 	return true
 }
 
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -197,13 +197,13 @@
 	return out
 }
 
-func (c *Controller) dutyCondition(name string, part int) messages.DutyCondition {
+func (c *Controller) dutyCondition(name string, register int) messages.DutyCondition {
 	duty := messages.DutyCondition{Name: name}
-	value, _ := c.registers.Committed(part)
+	value, _ := c.registers.Committed(register)
 	if body, err := messages.DecodeLeaseBody(value); err == nil {
 		duty.Holder, duty.Fence = body.Lease.Holder, body.Lease.Fence
 	}
-	if last := c.platform.Last(part); last.SentUs > 0 {
+	if last := c.platform.Last(register); last.SentUs > 0 {
 		duty.LastCallUs, duty.Accepted = c.clock()-last.SentUs, last.Answer == platform.Accepted
 	}
 	return duty
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -6,37 +6,38 @@
 	"github.com/shoenig/test/must"
 )
 
-// order sends an order of the operator until it has a clear answer.
-func order(t *testing.T, url string) (status int) {
+// postUntilAnswered repeats an operator's call until its status is below 500, and returns that
+// status.
+func postUntilAnswered(t *testing.T, url string) (status int) {
 	t.Helper()
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		status, _ = call(t, "POST", url, "", 0)
 		return status < 500
 	})
 	return status
 }
 
-func TestEvacuationIsKnownToAllAndOutlastsARepeat(t *testing.T) {
-	nodes, url, _ := three(t)
-	must.Eq(t, 200, order(t, url+"/api/Evacuate.Begin/a"))
-	must.Eq(t, 200, order(t, url+"/api/Evacuate.Begin/a"))
+func TestEvacuationReachesAllControllersAndIsIdempotent(t *testing.T) {
+	nodes, url, _ := startThreeControllers(t)
+	must.Eq(t, 200, postUntilAnswered(t, url+"/api/Evacuate.Begin/a"))
+	must.Eq(t, 200, postUntilAnswered(t, url+"/api/Evacuate.Begin/a"))
 	for _, d := range nodes {
-		until(t, func() bool { return len(d.evacuatedZones()) == 1 && d.evacuatedZones()[0] == "a" })
+		waitUntil(t, func() bool { return len(d.evacuatedZones()) == 1 && d.evacuatedZones()[0] == "a" })
 	}
-	must.Eq(t, 200, order(t, url+"/api/Evacuate.Finish/a"))
-	must.Eq(t, 200, order(t, url+"/api/Evacuate.Finish/a"))
-	must.Eq(t, 200, order(t, url+"/api/Evacuate.Finish/b"), must.Sprint("one that never began is ended as well"))
+	must.Eq(t, 200, postUntilAnswered(t, url+"/api/Evacuate.Finish/a"))
+	must.Eq(t, 200, postUntilAnswered(t, url+"/api/Evacuate.Finish/a"))
+	must.Eq(t, 200, postUntilAnswered(t, url+"/api/Evacuate.Finish/b"), must.Sprint("finishing an evacuation that never began succeeds"))
 	for _, d := range nodes {
-		until(t, func() bool { return len(d.evacuatedZones()) == 0 })
+		waitUntil(t, func() bool { return len(d.evacuatedZones()) == 0 })
 	}
 }
 
-func TestEvacuationsOutlastARestart(t *testing.T) {
+func TestEvacuationSurvivesRestart(t *testing.T) {
 	dir, port := t.TempDir(), freePort(t)
-	_, url, stop := core(t, dir, port, true)
-	must.Eq(t, 200, order(t, url+"/api/Evacuate.Begin/a"))
+	_, url, stop := startSingleController(t, dir, port, true)
+	must.Eq(t, 200, postUntilAnswered(t, url+"/api/Evacuate.Begin/a"))
 	stop()
-	d, _, stop := core(t, dir, port, false)
+	d, _, stop := startSingleController(t, dir, port, false)
 	defer stop()
-	until(t, func() bool { return len(d.evacuatedZones()) == 1 })
+	waitUntil(t, func() bool { return len(d.evacuatedZones()) == 1 })
 }
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -22,25 +22,25 @@
 // Interval between updates of cached prefixes, reports and loads. Each update wakes every router,
 // so the interval grows with their number.
 const (
-	updateInterval    = 60 * time.Millisecond
-	updatePart        = 400 * time.Microsecond // per router
-	maxUpdateInterval = 120 * time.Millisecond
+	minUpdateInterval       = 60 * time.Millisecond
+	updateIntervalPerRouter = 400 * time.Microsecond // per router
+	maxUpdateInterval       = 120 * time.Millisecond
 )
 
-func (c *Controller) updatePause() time.Duration {
-	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*updatePart, updateInterval), maxUpdateInterval)
+func (c *Controller) updatePeriod() time.Duration {
+	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*updateIntervalPerRouter, minUpdateInterval), maxUpdateInterval)
 }
 
 // Minimum interval between two urgent updates, which carry a change of runners or of the
 // configuration, or a long prompt that has been sent to a runner. The rate of urgent changes grows
 // with the number of nodes, so the interval does too, which bounds the rate of updates per node.
 const (
-	urgentPausePart = 400 * time.Microsecond // per router
-	minUrgentPause  = 2 * time.Millisecond
+	urgentPausePerRouter = 400 * time.Microsecond // per router
+	minUrgentPause       = 2 * time.Millisecond
 )
 
 func (c *Controller) urgentPause() time.Duration {
-	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*urgentPausePart, minUrgentPause), maxUpdateInterval)
+	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*urgentPausePerRouter, minUrgentPause), maxUpdateInterval)
 }
 
 // Minimum interval between two load updates to the routers. In a large fleet nearly every runner's
@@ -48,13 +48,13 @@
 // a copy to each child. The interval grows with the number of routers; otherwise the updates
 // saturate the links of the relays and arrive late.
 const (
-	loadsPart  = 800 * time.Microsecond // per router
-	loadsMost  = 240 * time.Millisecond
-	loadsLeast = updateInterval
+	loadsIntervalPerRouter = 800 * time.Microsecond // per router
+	maxLoadsInterval       = 240 * time.Millisecond
+	minLoadsInterval       = minUpdateInterval
 )
 
-func (c *Controller) loadsPause() time.Duration {
-	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*loadsPart, loadsLeast), loadsMost)
+func (c *Controller) loadsInterval() time.Duration {
+	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*loadsIntervalPerRouter, minLoadsInterval), maxLoadsInterval)
 }
 
 // subtreeSender is the sender ID of the subscribers below this controller in the total load sum.
@@ -64,7 +64,7 @@
 	mu            sync.Mutex
 	registry      *statesync.Entries
 	configuration *routeconfig.Replica
-	parts         map[int]messages.RegisterUpdate
+	registers     map[int]messages.RegisterUpdate
 	subtree       *statesync.LoadSum // loads of the nodes below this one
 	aggregate     *statesync.LoadSum // subtree plus the loads below the other controllers
 
@@ -79,14 +79,14 @@
 // outbox holds the changes that wait for the next update.
 type outbox struct {
 	configuration []messages.EntryChange
-	parts         []messages.RegisterUpdate
+	registers     []messages.RegisterUpdate
 	cached        []messages.CachedChange
 	reports       []messages.RunnerReport
 	pending       []messages.CachedPrefixes
 }
 
 func (o *outbox) moveTo(f *messages.Feed) {
-	f.Configuration, f.Parts, f.Cached, f.Reports, f.PendingBlocks = o.configuration, o.parts, o.cached, o.reports, o.pending
+	f.Configuration, f.Parts, f.Cached, f.Reports, f.PendingBlocks = o.configuration, o.registers, o.cached, o.reports, o.pending
 	*o = outbox{}
 }
 
@@ -94,7 +94,7 @@
 	f.registry, f.configuration = statesync.NewEntries(), routeconfig.NewSource()
 	epoch = epoch ^ time.Now().UnixNano()
 	f.registry.Begin(epoch, 0)
-	f.parts = map[int]messages.RegisterUpdate{}
+	f.registers = map[int]messages.RegisterUpdate{}
 	f.subtree, f.aggregate = statesync.NewLoadSum(epoch), statesync.NewLoadSum(epoch+1)
 	f.urgent = make(chan struct{}, 1)
 }
@@ -106,11 +106,11 @@
 	}
 }
 
-// count counts a result for the doctor command and reports whether the delta matched the local
+// countResult counts a result for the doctor command and reports whether the delta matched the local
 // state. The flag is set for a snapshot of a stream that was already known.
-func (f *feed) count(r statesync.Result, again bool) (fits bool) {
+func (f *feed) countResult(r statesync.Result, resync bool) (consistent bool) {
 	switch {
-	case r == statesync.Applied && again:
+	case r == statesync.Applied && resync:
 		f.snapshots.Add(1)
 	case r == statesync.Applied:
 		f.changes.Add(1)
@@ -123,8 +123,8 @@
 func (f *feed) versions() []int64 {
 	out := make([]int64, consensus.RegisterCount)
 	out[consensus.ConfigRegister] = f.configuration.Version()
-	for p, n := range f.parts {
-		out[p] = n.Version
+	for register, update := range f.registers {
+		out[register] = update.Version
 	}
 	return out
 }
@@ -164,38 +164,38 @@
 // publishConfig activates a newly committed configuration here and publishes the entries that
 // changed. Versions may arrive concurrently and in any order; an older one is ignored. A
 // version of the register that only changes its group has no changed entries.
-func (c *Controller) publishConfig(version int64, m api.Configuration) {
-	entries, err := routeconfig.Entries(m)
+func (c *Controller) publishConfig(version int64, config api.Configuration) {
+	entries, err := routeconfig.Entries(config)
 	if err != nil {
 		c.log.Error(err, "committed configuration cannot be split into entries")
 		return
 	}
-	t := routeconfig.Compile(m)
+	table := routeconfig.Compile(config)
 	f := &c.feed
 	f.mu.Lock()
 	if delta, newer := f.configuration.Commit(version, entries); newer {
-		routeconfig.SetActive(&c.table, t)
+		routeconfig.SetActive(&c.table, table)
 		f.toControllers.configuration, f.toRouters.configuration = append(f.toControllers.configuration, delta), append(f.toRouters.configuration, delta)
 	}
 	f.mu.Unlock()
 	f.wake()
 }
 
-func (c *Controller) publishPart(p messages.RegisterUpdate) {
+func (c *Controller) publishRegister(update messages.RegisterUpdate) {
 	f := &c.feed
 	f.mu.Lock()
-	if f.parts[p.Part].Version < p.Version {
-		f.parts[p.Part] = p
-		f.toControllers.parts, f.toRouters.parts = append(f.toControllers.parts, p), append(f.toRouters.parts, p)
+	if f.registers[update.Part].Version < update.Version {
+		f.registers[update.Part] = update
+		f.toControllers.registers, f.toRouters.registers = append(f.toControllers.registers, update), append(f.toRouters.registers, update)
 	}
 	f.mu.Unlock()
 	f.wake()
 }
 
-func (c *Controller) publishReport(n messages.RunnerReport) {
+func (c *Controller) publishReport(report messages.RunnerReport) {
 	f := &c.feed
 	f.mu.Lock()
-	f.toControllers.reports, f.toRouters.reports = append(f.toControllers.reports, n), append(f.toRouters.reports, n)
+	f.toControllers.reports, f.toRouters.reports = append(f.toControllers.reports, report), append(f.toRouters.reports, report)
 	f.mu.Unlock()
 }
 
@@ -212,7 +212,7 @@
 func (c *Controller) runFeed(ctx context.Context) {
 	for {
 		select {
-		case <-time.After(c.updatePause()):
+		case <-time.After(c.updatePeriod()):
 		case <-c.feed.urgent:
 		case <-ctx.Done():
 			return
@@ -227,35 +227,35 @@
 	f := &c.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	up := messages.Feed{Versions: f.versions(), StableForUs: c.stability.stableForUs(c.clock()), CutOff: cutOff}
-	down := up
-	f.toControllers.moveTo(&up)
-	f.toRouters.moveTo(&down)
+	controllerFeed := messages.Feed{Versions: f.versions(), StableForUs: c.stability.stableForUs(c.clock()), CutOff: cutOff}
+	routerFeed := controllerFeed
+	f.toControllers.moveTo(&controllerFeed)
+	f.toRouters.moveTo(&routerFeed)
 	if f.registry.Dirty() {
 		delta := statesync.EncodeEntries(f.registry.Commit(f.registry.Version + 1))
-		up.Registry, down.Registry = append(up.Registry, delta), append(down.Registry, delta)
+		controllerFeed.Registry, routerFeed.Registry = append(controllerFeed.Registry, delta), append(routerFeed.Registry, delta)
 	}
 	if f.subtree.Total.Dirty() {
 		delta := statesync.EncodeLoads(f.subtree.Total.Commit(f.subtree.Total.Version + 1))
-		up.Loads = append(up.Loads, delta)
+		controllerFeed.Loads = append(controllerFeed.Loads, delta)
 		f.aggregate.SyncFrom(subtreeSender, f.subtree.Total)
 	}
-	if now := c.clock(); f.aggregate.Total.Dirty() && now-f.lastLoadsUs >= c.loadsPause().Microseconds() {
+	if now := c.clock(); f.aggregate.Total.Dirty() && now-f.lastLoadsUs >= c.loadsInterval().Microseconds() {
 		f.lastLoadsUs = now
-		down.Loads = append(down.Loads, statesync.EncodeLoads(f.aggregate.Total.Commit(f.aggregate.Total.Version+1)))
+		routerFeed.Loads = append(routerFeed.Loads, statesync.EncodeLoads(f.aggregate.Total.Commit(f.aggregate.Total.Version+1)))
 	}
-	rest := c.clock()-f.lastUpdateUs > idleIntervalUs
-	if rest || len(down.Parts) > 0 {
-		up.TargetAges = c.targets.ages(c.clock())
-		down.TargetAges = up.TargetAges
+	idle := c.clock()-f.lastUpdateUs > idleIntervalUs
+	if idle || len(routerFeed.Parts) > 0 {
+		controllerFeed.TargetAges = c.targets.ages(c.clock())
+		routerFeed.TargetAges = controllerFeed.TargetAges
 	}
-	if rest || hasContent(&up) {
-		c.publisher.Publish(dissemination.ToControllers, up)
+	if idle || hasContent(&controllerFeed) {
+		c.publisher.Publish(dissemination.ToControllers, controllerFeed)
 	}
-	if rest || hasContent(&down) {
-		c.publisher.Publish(dissemination.ToRouters, down)
+	if idle || hasContent(&routerFeed) {
+		c.publisher.Publish(dissemination.ToRouters, routerFeed)
 	}
-	if rest {
+	if idle {
 		f.lastUpdateUs = c.clock()
 	}
 }
@@ -274,7 +274,7 @@
 // as it is. While this controller starts, only the configuration is withheld: records of runners
 // are published as they arrive, and a record missed in this response would be sent again only late.
 func (c *Controller) deltaSince(h messages.SyncState) messages.Feed {
-	c.targets.observe(h.TargetAges, c.clock())
+	c.targets.mergeAges(h.TargetAges, c.clock())
 	out := messages.Feed{StableForUs: c.stability.stableForUs(c.clock()), CutOff: c.cutOff(), TargetAges: c.targets.ages(c.clock())}
 	withheld := unsynced(h) && !h.Anything && !c.inContact()
 	if withheld && !c.starting() {
@@ -287,9 +287,9 @@
 	if delta, lacks := f.configuration.DeltaSince(h.Configuration); lacks && !withheld {
 		out.Configuration = append(out.Configuration, delta)
 	}
-	for p, n := range f.parts {
-		if p >= len(h.Parts) || h.Parts[p] < n.Version {
-			out.Parts = append(out.Parts, n)
+	for register, update := range f.registers {
+		if register >= len(h.Parts) || h.Parts[register] < update.Version {
+			out.Parts = append(out.Parts, update)
 		}
 	}
 	if delta, lacks := f.registry.DeltaSince(h.Registry.Epoch, h.Registry.Version); lacks && h.Registry.Epoch != -1 {
@@ -324,21 +324,21 @@
 
 // applyReport applies the load report of a subscriber and reports whether its deltas matched the
 // local state.
-func (c *Controller) applyReport(from string, t messages.LoadReport) bool {
-	for _, id := range t.Absent {
-		c.registry.MarkSuspect(id, c.silence())
+func (c *Controller) applyReport(from string, report messages.LoadReport) bool {
+	for _, id := range report.Absent {
+		c.registry.MarkSuspect(id, c.silenceLimits())
 	}
-	c.readers.Announce(t.PendingBlocks)
+	c.readers.Announce(report.PendingBlocks)
 	f := &c.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ok := true
-	for _, delta := range t.Loads {
+	for _, delta := range report.Loads {
 		r := f.subtree.Apply(from, delta)
 		ok = ok && (r == statesync.Applied || r == statesync.AlreadyApplied)
 	}
-	f.toControllers.pending, f.toRouters.pending = append(f.toControllers.pending, t.PendingBlocks...), append(f.toRouters.pending, t.PendingBlocks...)
-	if len(t.PendingBlocks) > 0 {
+	f.toControllers.pending, f.toRouters.pending = append(f.toControllers.pending, report.PendingBlocks...), append(f.toRouters.pending, report.PendingBlocks...)
+	if len(report.PendingBlocks) > 0 {
 		f.wake()
 	}
 	return ok
--- a/internal/controller/hand_over_test.go
+++ b/internal/controller/hand_over_test.go
@@ -16,18 +16,18 @@
 	"beechtide.org/beechtide/internal/settings"
 )
 
-// fellow is one of several controllers on addresses of the loopback network.
-type fellow struct {
+// runningController is a running controller on its own loopback address.
+type runningController struct {
 	*Controller
 	stop  context.CancelFunc
 	ended chan error
 }
 
-// patient takes the place of the bounds of a hand-over, so that a slow machine does not
-// decide who takes over.
-const patient = time.Minute
+// handOverTimeout replaces the time limits of a hand-over, so that the result does not depend on
+// the speed of the machine.
+const handOverTimeout = time.Minute
 
-func startFellow(t *testing.T, n, port int, seeds []string, bootstrap bool) *fellow {
+func startController(t *testing.T, n, port int, seeds []string, bootstrap bool) *runningController {
 	t.Helper()
 	ip := fmt.Sprintf("127.0.0.%d", n)
 	set := settings.Settings{Node: ip, Ip: ip, Zone: "a", Ports: []int{port, port + 1}, Seeds: seeds, Bootstrap: bootstrap, DataDir: t.TempDir(), BeatPeriodMs: 1000, Counted: true}
@@ -38,17 +38,16 @@
 	began := time.Now()
 	d, err := New(set, pool, func() int64 { return time.Since(began).Microseconds() + 1 }, logr.Discard())
 	must.NoError(t, err)
-	d.repairs, err = d.newRepairer(grouprepair.HandOverTimes{Total: patient, Confirm: patient, Flush: patient})
+	d.repairs, err = d.newRepairer(grouprepair.HandOverTimes{Total: handOverTimeout, Confirm: handOverTimeout, Flush: handOverTimeout})
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &fellow{Controller: d, stop: cancel, ended: make(chan error, 1)}
+	f := &runningController{Controller: d, stop: cancel, ended: make(chan error, 1)}
 	go func() { f.ended <- d.Run(ctx) }()
 	return f
 }
 
-// groupsWith counts the registers in whose group a member is, as this controller
-// knows them.
-func (f *fellow) groupsWith(id string) int {
+// groupsWith counts the registers whose group, as committed at this controller, contains a member.
+func (f *runningController) groupsWith(id string) int {
 	count := 0
 	for part := range consensus.RegisterCount {
 		v, _ := f.registers.Committed(part)
@@ -61,20 +60,20 @@
 	return count
 }
 
-// A member that is told to end, while a controller stands ready that is none,
-// ends only after that one has its place in every register.
-func TestMemberToldToEndHandsOverFirst(t *testing.T) {
+// A member that is shut down while a spare controller is alive ends only after the spare has
+// replaced it in the group of every register.
+func TestStoppedMemberHandsRegistersOverToSpare(t *testing.T) {
 	port := freePort(t)
 	var seeds []string
 	for n := 1; n <= 3; n++ {
 		seeds = append(seeds, fmt.Sprintf("127.0.0.%d:%d", n, port+2))
 	}
-	var fellows []*fellow
+	var controllers []*runningController
 	for n := 1; n <= 4; n++ {
-		fellows = append(fellows, startFellow(t, n, port, seeds, n <= 3))
+		controllers = append(controllers, startController(t, n, port, seeds, n <= 3))
 	}
-	leaver, other, spare := fellows[0], fellows[1], fellows[3]
-	for len(leaver.monitor.Alive(messages.Controller)) < 4 || !leaver.knowsWell(4) {
+	leaver, other, spare := controllers[0], controllers[1], controllers[3]
+	for len(leaver.monitor.Alive(messages.Controller)) < 4 || !leaver.knowsMembers(4) {
 		_ = spare.registers.CatchUp(t.Context(), other.transport.Addr(), 0)
 	}
 	leaver.stop()
@@ -84,17 +83,17 @@
 	other.stop()
 	must.NoError(t, <-other.ended)
 	for _, p := range other.repairs.Successors() {
-		must.NotEq(t, leaver.transport.Addr(), p.Addr, must.Sprint("one that has ended takes no place"))
+		must.NotEq(t, leaver.transport.Addr(), p.Addr, must.Sprint("a controller that has ended is no successor"))
 	}
 	must.Eq(t, consensus.RegisterCount, other.groupsWith(other.registers.ID()))
-	for _, f := range fellows[2:] {
+	for _, f := range controllers[2:] {
 		f.stop()
 		<-f.ended
 	}
 }
 
-// knowsWell tells whether a number of controllers are known with their identity.
-func (f *fellow) knowsWell(count int) bool {
+// knowsMembers reports whether at least count controllers are alive with a known member ID.
+func (f *runningController) knowsMembers(count int) bool {
 	known := 0
 	for _, p := range f.monitor.Alive(messages.Controller) {
 		if p.MemberID != "" && p.Status == messages.Alive {
--- a/internal/controller/heartbeat_connection_test.go
+++ b/internal/controller/heartbeat_connection_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestConnectionOfARunnerThatIsSentElsewhereIsClosed(t *testing.T) {
-	_, url, _ := three(t)
-	sent, stayed := 0, 0
+func TestHeartbeatClosesConnectionOfRedirectedRunner(t *testing.T) {
+	_, url, _ := startThreeControllers(t)
+	closed, retained := 0, 0
 	for i := range 40 {
 		response, err := http.Post(fmt.Sprintf("%s/api/Runners.Heartbeat/i-%d", url, i), "application/json",
 			strings.NewReader(fmt.Sprintf(`{"service":"s","address":"127.0.0.1:%d","zone":"a","version":"v","capacity":1,"state":"ready","sequence":1,"models":[]}`, 1000+i)))
@@ -20,14 +20,14 @@
 		body := make([]byte, 256)
 		n, _ := response.Body.Read(body)
 		response.Body.Close()
-		elsewhere := strings.Contains(string(body[:n]), "beatTo")
-		must.Eq(t, elsewhere, response.Close, must.Sprint(string(body[:n])))
-		if elsewhere {
-			sent++
+		redirected := strings.Contains(string(body[:n]), "beatTo")
+		must.Eq(t, redirected, response.Close, must.Sprint(string(body[:n])))
+		if redirected {
+			closed++
 		} else {
-			stayed++
+			retained++
 		}
 	}
-	must.Positive(t, sent)
-	must.Positive(t, stayed)
+	must.Positive(t, closed)
+	must.Positive(t, retained)
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// heartbeatPause is the interval at which batches are sent.
-	heartbeatPause = 80 * time.Millisecond
+	// heartbeatBatchInterval is the interval at which batches are sent.
+	heartbeatBatchInterval = 80 * time.Millisecond
 	// maxBatchBytes bounds the payload of a datagram, so that it fits into a packet.
 	maxBatchBytes = 1300
 )
 
-// heartbeatBatch queues the heartbeats to be forwarded. It is safe for concurrent use.
-type heartbeatBatch struct {
+// heartbeatQueue queues the heartbeats to be forwarded. It is safe for concurrent use.
+type heartbeatQueue struct {
 	mu      sync.Mutex
-	waiting []messages.RunnerRecord
+	pending []messages.RunnerRecord
 }
 
-func (b *heartbeatBatch) add(n messages.RunnerRecord) {
+func (b *heartbeatQueue) add(n messages.RunnerRecord) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = append(b.waiting, n)
+	b.pending = append(b.pending, n)
 }
 
-func (b *heartbeatBatch) take() []messages.RunnerRecord {
+func (b *heartbeatQueue) removeAll() []messages.RunnerRecord {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	waiting := b.waiting
-	b.waiting = nil
-	return waiting
+	pending := b.pending
+	b.pending = nil
+	return pending
 }
 
 // forwardHeartbeats sends the queued heartbeats to all other controllers.
 func (c *Controller) forwardHeartbeats() {
-	batches := packBatches(c.heartbeats.take())
+	batches := packBatches(c.heartbeats.removeAll())
 	if len(batches) == 0 {
 		return
 	}
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestHeartbeatsTravelTogetherInPacketsOfBoundedSize(t *testing.T) {
+func TestPackBatchesKeepsHeartbeatsInPacketsOfBoundedSize(t *testing.T) {
 	var records []messages.RunnerRecord
 	for i := range 40 {
 		records = append(records, messages.RunnerRecord{ID: fmt.Sprint("i-", i), Service: "s", Addr: "10.0.0.1:80", Zone: "a", Seq: 1, Models: []messages.Target{{Model: "m", Version: 1}}})
@@ -30,8 +30,8 @@
 	must.SliceEmpty(t, packBatches(nil))
 }
 
-func TestHeartbeatsOfAnotherControllerAreTaken(t *testing.T) {
-	d, clock := alone(t)
+func TestReceiveHeartbeatsAppliesBatchAndIgnoresMalformedOne(t *testing.T) {
+	d, clock := newIsolatedController(t)
 	batch := messages.RunnerBatch{Runners: []messages.RunnerRecord{
 		{ID: "i-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Seq: 1, Models: []messages.Target{}},
 		{ID: "i-2", Service: "s", Addr: "10.0.0.2:80", Zone: "a", Seq: 1, Models: []messages.Target{}},
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -25,15 +25,15 @@
 	counts := c.registers.Counts()
 	return []prometheus.Collector{
 		metrics.Gauge("beechtide_register_version", "Newest committed version of each register that is known here.", []string{"register"}, func(emit metrics.Emit) {
-			for part := range consensus.RegisterCount {
-				v, _ := c.registers.Committed(part)
-				emit(float64(v.Version), strconv.Itoa(part))
+			for register := range consensus.RegisterCount {
+				v, _ := c.registers.Committed(register)
+				emit(float64(v.Version), strconv.Itoa(register))
 			}
 		}),
 		metrics.Gauge("beechtide_register_unfinished", "1 where this member has accepted a value and does not know whether it is committed.", []string{"register"}, func(emit metrics.Emit) {
-			for part := range consensus.RegisterCount {
-				_, unfinished := c.registers.UnfinishedVersion(part)
-				emit(metrics.Bool(unfinished), strconv.Itoa(part))
+			for register := range consensus.RegisterCount {
+				_, unfinished := c.registers.UnfinishedVersion(register)
+				emit(metrics.Bool(unfinished), strconv.Itoa(register))
 			}
 		}),
 		metrics.Gauge("beechtide_config_version", "Version of the configuration: in force as the operator numbers it, and as the register does.", []string{"of"}, func(emit metrics.Emit) {
@@ -71,10 +71,10 @@
 	calls := &c.counters.calls
 	return []prometheus.Collector{
 		metrics.Counter("beechtide_calls_total", "Calls of runners and of the operator: done, rejected for what they ask, or unsure (5xx).", []string{"call", "outcome"}, func(emit metrics.Emit) {
-			for which, name := range callNames {
-				emit(float64(calls[which].done.Load()), name, "done")
-				emit(float64(calls[which].rejected.Load()), name, "rejected")
-				emit(float64(calls[which].unsure.Load()), name, "unsure")
+			for kind, name := range callNames {
+				emit(float64(calls[kind].done.Load()), name, "done")
+				emit(float64(calls[kind].rejected.Load()), name, "rejected")
+				emit(float64(calls[kind].unsure.Load()), name, "unsure")
 			}
 		}),
 		metrics.Durations("beechtide_config_replace_seconds", "How long changes of the configuration took to be answered.", &calls[callReplace].durations),
@@ -133,7 +133,7 @@
 
 // quotaMetrics returns the metrics of the rate limits of tenants.
 func (c *Controller) quotaMetrics() []prometheus.Collector {
-	figure := func(name, help string, labels []string, emit func(metrics.Emit, []messages.QuotaCondition)) prometheus.Collector {
+	gauge := func(name, help string, labels []string, emit func(metrics.Emit, []messages.QuotaCondition)) prometheus.Collector {
 		return metrics.Gauge(name, help, labels, func(out metrics.Emit) { emit(out, c.quotas.Conditions()) })
 	}
 	return []prometheus.Collector{
@@ -145,13 +145,13 @@
 			emit(float64(counts.Questions-counts.Referred), "answered")
 			emit(float64(counts.Referred), "passed")
 		}),
-		figure("beechtide_quota_level", "Tokens left, of each tenant that this controller counts.", []string{"tenant"}, func(emit metrics.Emit, list []messages.QuotaCondition) {
-			for _, condition := range list {
+		gauge("beechtide_quota_level", "Tokens left, of each tenant that this controller counts.", []string{"tenant"}, func(emit metrics.Emit, conditions []messages.QuotaCondition) {
+			for _, condition := range conditions {
 				emit(condition.Level, condition.Tenant)
 			}
 		}),
-		figure("beechtide_quota_tokens", "Tokens granted and denied since this controller owns the tenant's count.", []string{"tenant", "outcome"}, func(emit metrics.Emit, list []messages.QuotaCondition) {
-			for _, condition := range list {
+		gauge("beechtide_quota_tokens", "Tokens granted and denied since this controller owns the tenant's count.", []string{"tenant", "outcome"}, func(emit metrics.Emit, conditions []messages.QuotaCondition) {
+			for _, condition := range conditions {
 				emit(float64(condition.Granted), condition.Tenant, "granted")
 				emit(float64(condition.Denied), condition.Tenant, "denied")
 			}
--- a/internal/controller/metrics_test.go
+++ b/internal/controller/metrics_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestMetricsTellCallsAndRounds(t *testing.T) {
-	d, url, stop := core(t, "", freePort(t), true)
+func TestMetricsReportCallsAndRounds(t *testing.T) {
+	d, url, stop := startSingleController(t, "", freePort(t), true)
 	defer stop()
 	request, err := http.NewRequest(http.MethodPost, url+"/api/Config.Replace", strings.NewReader(`{"version":7,"routes":[],"services":[]}`))
 	must.NoError(t, err)
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -25,35 +25,35 @@
 // majority has answered renews the contact lease.
 type contactRegisters struct {
 	*consensus.Registers
-	contact *contact
+	contact *contactLease
 	clock   func() int64
 }
 
 // Read reads a register from a majority.
-func (r contactRegisters) Read(ctx context.Context, part int) (messages.Value, error) {
+func (r contactRegisters) Read(ctx context.Context, register int) (messages.Value, error) {
 	begunUs := r.clock()
-	value, err := r.Registers.Read(ctx, part)
-	if err == nil && part == consensus.ConfigRegister {
-		r.contact.vouched(begunUs)
+	value, err := r.Registers.Read(ctx, register)
+	if err == nil && register == consensus.ConfigRegister {
+		r.contact.recordMajorityWork(begunUs)
 	}
 	return value, err
 }
 
 // Change changes a register. The contact lease is renewed also if the change is rejected, as long as
 // a majority has decided on it.
-func (r contactRegisters) Change(ctx context.Context, part int, change consensus.Change) (messages.Value, error) {
+func (r contactRegisters) Change(ctx context.Context, register int, change consensus.Change) (messages.Value, error) {
 	begunUs := r.clock()
-	value, err := r.Registers.Change(ctx, part, change)
+	value, err := r.Registers.Change(ctx, register, change)
 	unsure := errors.Is(err, consensus.ErrOutcomeUnknown) || errors.Is(err, consensus.ErrNoGroup)
-	if !unsure && part == consensus.ConfigRegister {
-		r.contact.vouched(begunUs)
+	if !unsure && register == consensus.ConfigRegister {
+		r.contact.recordMajorityWork(begunUs)
 	}
 	return value, err
 }
 
 // contactRegisters returns the registers, with calls that renew the contact lease.
 func (c *Controller) contactRegisters() contactRegisters {
-	return contactRegisters{c.registers, &c.contact, c.clock}
+	return contactRegisters{c.registers, &c.contactLease, c.clock}
 }
 
 // newOperatorAPI creates the handlers of the operator's calls.
@@ -62,7 +62,7 @@
 		Log:                 c.log,
 		Registers:           c.contactRegisters(),
 		Weights:             c.rollouts,
-		WeightsNamed:        func(model string, version int64) { c.targets.named(model, version, c.clock()) },
+		WeightsNamed:        func(model string, version int64) { c.targets.recordNamed(model, version, c.clock()) },
 		RecordInitialHolder: c.leases.RecordInitialHolder,
 		TimeOfDay:           func() (int64, bool) { return c.timeOfDay.TimeUs(c.clock()) },
 		Table:               func() *routeconfig.Table { return c.table.Load() },
--- a/internal/controller/partition_metrics.go
+++ b/internal/controller/partition_metrics.go
@@ -18,18 +18,18 @@
 	}
 	return []prometheus.Collector{
 		metrics.Gauge("beechtide_tally_adds", "Adds that this replica has: in all logs, and distinct ones, which count.", []string{"of"}, func(emit metrics.Emit) {
-			f := c.tallies.Counts()
-			emit(float64(f.Adds), "logs")
-			emit(float64(f.Distinct), "distinct")
+			counts := c.tallies.Counts()
+			emit(float64(counts.Adds), "logs")
+			emit(float64(counts.Distinct), "distinct")
 		}),
-		gauge("beechtide_tally_unconfirmed", "Adds of this replica's clients that wait for disks.", func(f tallies.Counts) float64 { return float64(f.Unconfirmed) }),
-		gauge("beechtide_tally_unreachable", "Replicas that do not answer.", func(f tallies.Counts) float64 { return float64(f.Unreachable) }),
-		gauge("beechtide_tally_disk_bytes", "Bytes of the segments on the disk.", func(f tallies.Counts) float64 { return float64(f.DiskBytes) }),
-		gauge("beechtide_tally_ready", "1 once this replica has asked the others after its start.", func(f tallies.Counts) float64 { return metrics.Bool(f.Ready) }),
-		gauge("beechtide_tally_writable", "1 while this replica takes new adds: there is room, and the disk takes writes.", func(f tallies.Counts) float64 { return metrics.Bool(f.Writable) }),
-		counter("beechtide_tally_conflicts_total", "Adds that came with the id of another one and another amount.", func(f tallies.Counts) int64 { return f.Conflicts }),
-		counter("beechtide_tally_pulled_total", "Adds that this replica has asked another one for.", func(f tallies.Counts) int64 { return f.Pulled }),
-		counter("beechtide_tally_late_total", "Adds that were not on enough disks in time: answered 504.", func(f tallies.Counts) int64 { return f.Late }),
+		gauge("beechtide_tally_unconfirmed", "Adds of this replica's clients that wait for disks.", func(counts tallies.Counts) float64 { return float64(counts.Unconfirmed) }),
+		gauge("beechtide_tally_unreachable", "Replicas that do not answer.", func(counts tallies.Counts) float64 { return float64(counts.Unreachable) }),
+		gauge("beechtide_tally_disk_bytes", "Bytes of the segments on the disk.", func(counts tallies.Counts) float64 { return float64(counts.DiskBytes) }),
+		gauge("beechtide_tally_ready", "1 once this replica has asked the others after its start.", func(counts tallies.Counts) float64 { return metrics.Bool(counts.Ready) }),
+		gauge("beechtide_tally_writable", "1 while this replica takes new adds: there is room, and the disk takes writes.", func(counts tallies.Counts) float64 { return metrics.Bool(counts.Writable) }),
+		counter("beechtide_tally_conflicts_total", "Adds that came with the id of another one and another amount.", func(counts tallies.Counts) int64 { return counts.Conflicts }),
+		counter("beechtide_tally_pulled_total", "Adds that this replica has asked another one for.", func(counts tallies.Counts) int64 { return counts.Pulled }),
+		counter("beechtide_tally_late_total", "Adds that were not on enough disks in time: answered 504.", func(counts tallies.Counts) int64 { return counts.Late }),
 		metrics.Gauge("beechtide_rollout_stage", "Stage of the newest rollout of each service, as this controller knows: 0 tried, 1 shifting, 2 settled, 3 reverted.", []string{"service", "version"}, func(emit metrics.Emit) {
 			for _, r := range c.serviceRollouts() {
 				emit(float64(r.Stage), r.Service, r.Target)
--- a/internal/controller/publish_test.go
+++ b/internal/controller/publish_test.go
@@ -11,21 +11,20 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Versions that are learned at the same time leave the newest in force, whichever is
-// taken in last.
-func TestLearnedVersionsLeaveTheNewestInForce(t *testing.T) {
-	d, _ := alone(t)
+// When versions are committed here concurrently, the newest becomes active whatever their order.
+func TestConcurrentCommitsActivateNewestVersion(t *testing.T) {
+	d, _ := newIsolatedController(t)
 	value := func(version int64) messages.Value {
 		raw := fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)
 		body, err := (&messages.ConfigBody{Version: version, Raw: raw}).MarshalMsg(nil)
 		must.NoError(t, err)
 		return messages.Value{Version: version, Body: body, Group: []messages.Member{{ID: "a"}}}
 	}
-	const rounds, atOnce = 200, 8
+	const rounds, concurrent = 200, 8
 	for round := range int64(rounds) {
 		var wait sync.WaitGroup
-		newest := (round + 1) * atOnce
-		for i := range int64(atOnce) {
+		newest := (round + 1) * concurrent
+		for i := range int64(concurrent) {
 			v := value(newest - i)
 			wait.Go(func() { d.onCommitted(consensus.ConfigRegister, v) })
 		}
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -15,7 +15,7 @@
  "services":[{"name":"s","probe":"/health"}],"limits":{},
  "tenants":[{"name":"t1","apiKeys":["k1"],"ratePerS":10,"burst":10}]}`
 
-// askQuota asks a controller over its transport.
+// askQuota requests tokens of tenant t1 from a controller over its transport.
 func askQuota(t *testing.T, from, to *Controller, need int) messages.QuotaGrant {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -29,7 +29,7 @@
 	return grant
 }
 
-// ownersOf returns the controllers that own a tenant's count.
+// ownersOf returns the controllers that own a tenant's rate-limit count.
 func ownersOf(nodes []*Controller, tenant string) []*Controller {
 	var owners []*Controller
 	for _, d := range nodes {
@@ -40,18 +40,18 @@
 	return owners
 }
 
-func TestNothingIsCountedWhereNoTenantHasALimit(t *testing.T) {
-	nodes, _, _ := three(t)
+func TestNoQuotaOwnerWithoutRateLimits(t *testing.T) {
+	nodes, _, _ := startThreeControllers(t)
 	must.SliceEmpty(t, ownersOf(nodes, "t1"))
 }
 
-func TestATenantIsCountedByOneControllerAndByAnotherOnceThatLeaves(t *testing.T) {
-	nodes, url, _ := three(t)
-	until(t, func() bool {
+func TestTenantHasOneQuotaOwnerAndGetsAnotherWhenItLeaves(t *testing.T) {
+	nodes, url, _ := startThreeControllers(t)
+	waitUntil(t, func() bool {
 		status, _ := call(t, "POST", url+"/api/Config.Replace", limitedConfig, 0)
 		return status == 200
 	})
-	until(t, func() bool { return len(ownersOf(nodes, "t1")) == 1 })
+	waitUntil(t, func() bool { return len(ownersOf(nodes, "t1")) == 1 })
 	owner := ownersOf(nodes, "t1")[0]
 	for _, d := range nodes {
 		grant := askQuota(t, nodes[0], d, 1)
@@ -67,7 +67,7 @@
 	must.Positive(t, conditions[0].Denied)
 
 	owner.quotas.Leave()
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		owners := ownersOf(nodes, "t1")
 		return len(owners) == 1 && owners[0] != owner
 	})
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -37,12 +37,12 @@
 // readRunners updates the set of runners that are read here, once there is a configuration.
 func (c *Controller) readRunners(ctx context.Context) {
 	if c.table.Load() != nil {
-		c.readers.Update(ctx, c.readable())
+		c.readers.Update(ctx, c.readableRunners())
 	}
 }
 
-// readable returns the runners and stores that cache prefixes.
-func (c *Controller) readable() []messages.RunnerRecord {
+// readableRunners returns the runners and stores that cache prefixes.
+func (c *Controller) readableRunners() []messages.RunnerRecord {
 	table := c.table.Load()
 	var out []messages.RunnerRecord
 	for _, runner := range c.registry.Snapshot().ByID {
--- a/internal/controller/rollouts_test.go
+++ b/internal/controller/rollouts_test.go
@@ -13,73 +13,75 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// otherShard is a register that a model does not belong to.
-func otherShard(model string) int { return 1 + consensus.RegisterOf(model)%(consensus.RegisterCount-1) }
+// otherRegister returns a register that a model does not belong to.
+func otherRegister(model string) int {
+	return 1 + consensus.RegisterOf(model)%(consensus.RegisterCount-1)
+}
 
-// commit has a controller learn a register's value.
-func commit(t *testing.T, d *Controller, part int, version int64, body messages.LeaseBody) {
+// learnCommitted makes a controller learn a committed value of a register.
+func learnCommitted(t *testing.T, d *Controller, register int, version int64, body messages.LeaseBody) {
 	t.Helper()
 	raw, err := body.MarshalMsg(nil)
 	must.NoError(t, err)
-	v, _ := d.registers.Committed(part)
+	v, _ := d.registers.Committed(register)
 	v.Version, v.Body, v.Stamp = version, raw, fmt.Sprint("s-", version)
-	d.registers.Learn(part, v)
-	d.onCommitted(part, v)
+	d.registers.Learn(register, v)
+	d.onCommitted(register, v)
 }
 
-// Earlier versions of the program chose the register of a target by the
-// configuration they held. The highest version over all registers counts, the model
-// belongs to the register of its name, and its fences go on above those used before.
-func TestTargetInAnotherRegisterIsHonoured(t *testing.T) {
-	d, _ := alone(t)
+// Earlier versions of the program chose the register of a target by their configuration. The highest
+// version in all registers applies, the model belongs to the register of its name, and its fencing
+// tokens continue above those used before.
+func TestNewestTargetAppliesAcrossRegisters(t *testing.T) {
+	d, _ := newIsolatedController(t)
 	const model = "m-1"
-	home, other := consensus.RegisterOf(model), otherShard(model)
-	commit(t, d, other, 5, messages.LeaseBody{Lease: messages.Lease{Holder: "x/0", Fence: 7}, Targets: []messages.Target{{Model: model, Version: 4}}})
+	home, other := consensus.RegisterOf(model), otherRegister(model)
+	learnCommitted(t, d, other, 5, messages.LeaseBody{Lease: messages.Lease{Holder: "x/0", Fence: 7}, Targets: []messages.Target{{Model: model, Version: 4}}})
 	must.Eq(t, int64(4), d.rollouts.Newest(model))
 	must.Eq(t, int64(7), d.rollouts.FenceFloor(home))
 	must.Zero(t, d.rollouts.FenceFloor(other))
 
-	commit(t, d, home, 3, messages.LeaseBody{Targets: []messages.Target{{Model: model, Version: 3}}})
-	must.Eq(t, int64(4), d.rollouts.Newest(model), must.Sprint("a lower version elsewhere changes nothing"))
+	learnCommitted(t, d, home, 3, messages.LeaseBody{Targets: []messages.Target{{Model: model, Version: 3}}})
+	must.Eq(t, int64(4), d.rollouts.Newest(model), must.Sprint("a lower version in another register changes nothing"))
 	must.SliceLen(t, 1, d.rollouts.Models(home))
 	must.SliceEmpty(t, d.rollouts.Models(other))
 	must.Eq(t, int64(8), d.leases.NextFence(home, d.rollouts.FenceFloor(home)))
 }
 
-// The register of a model is that of its name, with a configuration or without.
-func TestShardOfModelDoesNotDependOnTheConfiguration(t *testing.T) {
+// The register of a model depends only on its name, with or without a configuration.
+func TestRegisterOfModelIsIndependentOfConfiguration(t *testing.T) {
 	port := freePort(t)
-	d, url, stop := core(t, t.TempDir(), port, true)
+	d, url, stop := startSingleController(t, t.TempDir(), port, true)
 	defer stop()
-	named := func(model string, version int64) {
+	nameAndCheckRegister := func(model string, version int64) {
 		status, _ := call(t, "POST", url+"/api/version-put", fmt.Sprintf(`{"model":%q,"version":%d}`, model, version), 0)
 		must.Eq(t, 200, status)
-		for part := 1; part < consensus.RegisterCount; part++ {
-			v, _ := d.registers.Committed(part)
+		for register := 1; register < consensus.RegisterCount; register++ {
+			v, _ := d.registers.Committed(register)
 			body, err := messages.DecodeLeaseBody(v)
 			must.NoError(t, err)
 			for _, target := range body.Targets {
 				if target.Model == model {
-					must.Eq(t, consensus.RegisterOf(model), part)
+					must.Eq(t, consensus.RegisterOf(model), register)
 					must.Eq(t, version, target.Version)
 				}
 			}
 		}
 	}
 	for i := range 8 {
-		named(fmt.Sprint("m-", i), 2)
+		nameAndCheckRegister(fmt.Sprint("m-", i), 2)
 	}
 	status, _ := call(t, "POST", url+"/api/Config.Replace", configWithModels(5, 8), 0)
 	must.Eq(t, 200, status)
-	until(t, func() bool { return d.table.Load() != nil })
+	waitUntil(t, func() bool { return d.table.Load() != nil })
 	must.Eq(t, "s", d.table.Load().ServiceOfModel("m-1"))
 	for i := range 8 {
-		named(fmt.Sprint("m-", i), 3)
+		nameAndCheckRegister(fmt.Sprint("m-", i), 3)
 	}
 }
 
-func TestRunnersOfAModelIncludeUnknownOnes(t *testing.T) {
-	d, _ := alone(t)
+func TestRunnersOfModelIncludesRunnersWithUnknownVersion(t *testing.T) {
+	d, _ := newIsolatedController(t)
 	record := func(id string, models ...messages.Target) messages.RunnerRecord {
 		return messages.RunnerRecord{ID: id, Service: "s", Addr: id + ":1", Seq: 9, Models: models}
 	}
@@ -96,7 +98,7 @@
 	}
 }
 
-// configWithModels is a configuration whose one service carries models m-0 to m-n.
+// configWithModels returns a configuration whose only service has n models, m-0 and up.
 func configWithModels(version, n int) string {
 	var models []string
 	for i := range n {
--- a/internal/controller/scaling_test.go
+++ b/internal/controller/scaling_test.go
@@ -15,16 +15,16 @@
 	"beechtide.org/beechtide/internal/settings"
 )
 
-// scalingConfig is a configuration whose one service has 2 to 9 runners in each zone.
+// scalingConfig is a configuration whose only service scales between 2 and 9 runners per zone.
 const scalingConfig = `{"version":3,"routes":[{"name":"r","host":"h","prefix":"/a/","kind":"idempotent","cutoffMs":100,"service":"s"}],"services":[{"name":"s","engine":{"capacity":4,"cacheTokens":1600},"scaling":{"floor":2,"ceiling":9,"bootS":8}}]}`
 
-// scalingPlatform is a stand-in that keeps the orders it has accepted.
-type scalingPlatform struct {
+// scalingPlatformStub is a stub of the platform that records the orders it has accepted.
+type scalingPlatformStub struct {
 	mu     sync.Mutex
 	orders []api.SetpointOrder
 }
 
-func (p *scalingPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *scalingPlatformStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var order api.SetpointOrder
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil || r.URL.Path != "/setpoint" {
 		w.WriteHeader(http.StatusBadRequest)
@@ -35,19 +35,19 @@
 	p.orders = append(p.orders, order)
 }
 
-func (p *scalingPlatform) seen() []api.SetpointOrder {
+func (p *scalingPlatformStub) acceptedOrders() []api.SetpointOrder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]api.SetpointOrder{}, p.orders...)
 }
 
-// startScaling starts a controller of a core of one that scales, with four runners in a zone.
-func startScaling(t *testing.T) (d *Controller, p *scalingPlatform) {
+// startScaling starts a core of one controller with the scaling duty and four runners in a zone.
+func startScaling(t *testing.T) (d *Controller, p *scalingPlatformStub) {
 	t.Helper()
-	p = &scalingPlatform{}
+	p = &scalingPlatformStub{}
 	server := httptest.NewServer(p)
 	t.Cleanup(server.Close)
-	d, _, stop := withPlatform(t, t.TempDir(), server.Listener.Addr().String(), freePort(t), true, scaling.Duty)
+	d, _, stop := startWithDuty(t, t.TempDir(), server.Listener.Addr().String(), freePort(t), true, scaling.Duty)
 	t.Cleanup(stop)
 	loadTable(t, d, scalingConfig)
 	for i := range 4 {
@@ -56,7 +56,7 @@
 	return d, p
 }
 
-// setLoads reports loads of so many requests at each runner.
+// setLoads sets the load of each runner to a number of requests.
 func setLoads(d *Controller, requests int) {
 	f := &d.feed
 	f.mu.Lock()
@@ -68,17 +68,17 @@
 	f.aggregate.Total.Commit(f.aggregate.Total.Version + 1)
 }
 
-// More runners are ordered of the platform once demand rises; a successor repeats the
-// order as it is recorded.
-func TestOrdersAreRecordedAndSent(t *testing.T) {
+// When demand rises, more runners are ordered from the platform. A successor repeats the recorded
+// order.
+func TestScalingOrderIsRecordedAndSent(t *testing.T) {
 	d, p := startScaling(t)
 	requests := 1
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		requests++
 		setLoads(d, 3+requests%2)
-		return len(p.seen()) > 0
+		return len(p.acceptedOrders()) > 0
 	})
-	first := p.seen()[0]
+	first := p.acceptedOrders()[0]
 	must.Eq(t, api.SetpointOrder{Service: "s", Zone: "z", Desired: first.Desired}, first)
 	must.Between(t, 5, first.Desired, 9)
 	v, _ := d.registers.Committed(scaling.Part)
@@ -89,10 +89,10 @@
 	must.NoError(t, err)
 	job, ok := successor.Prepare(scaling.Part, body)
 	must.True(t, ok)
-	must.True(t, job.Needed, must.Sprint("a successor sends what is recorded"))
+	must.True(t, job.Needed, must.Sprint("a successor sends the recorded order"))
 }
 
-func TestScalingIsWantedByTheSettings(t *testing.T) {
+func TestHasDutyRequiresPlatformAddress(t *testing.T) {
 	must.False(t, hasDuty(settings.Settings{Cloud: settings.Cloud{Duties: []string{scaling.Duty}}}, scaling.Duty))
 	must.True(t, hasDuty(settings.Settings{Cloud: settings.Cloud{Address: "x:1", Duties: []string{scaling.Duty}}}, scaling.Duty))
 }
--- a/internal/controller/stability.go
+++ b/internal/controller/stability.go
@@ -6,16 +6,16 @@
 
 import "sync"
 
-// unreachedUs is the time without an answer to a direct call after which a controller counts as
-// unreachable.
-const unreachedUs = 1_200_000
+// unreachableAfterUs is the time without an answer to a direct call after which a controller counts
+// as unreachable.
+const unreachableAfterUs = 1_200_000
 
 type stability struct {
-	mu      sync.Mutex
-	view    string
-	reached map[string]int64
-	cut     map[string]bool
-	sinceUs int64
+	mu            sync.Mutex
+	view          string
+	lastReachedUs map[string]int64
+	cut           map[string]bool
+	stableSinceUs int64
 }
 
 // observe records the current set of live controllers of the core.
@@ -23,7 +23,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if view != s.view {
-		s.view, s.sinceUs = view, nowUs
+		s.view, s.stableSinceUs = view, nowUs
 	}
 }
 
@@ -31,17 +31,17 @@
 func (s *stability) recordCall(addr string, ok bool, nowUs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reached == nil {
-		s.reached, s.cut = map[string]int64{}, map[string]bool{}
+	if s.lastReachedUs == nil {
+		s.lastReachedUs, s.cut = map[string]int64{}, map[string]bool{}
 	}
-	if _, known := s.reached[addr]; !known {
-		s.reached[addr] = nowUs
+	if _, known := s.lastReachedUs[addr]; !known {
+		s.lastReachedUs[addr] = nowUs
 	}
 	if ok {
-		s.reached[addr] = nowUs
+		s.lastReachedUs[addr] = nowUs
 	}
-	if cut := nowUs-s.reached[addr] > unreachedUs; cut != s.cut[addr] {
-		s.cut[addr], s.sinceUs = cut, nowUs
+	if cut := nowUs-s.lastReachedUs[addr] > unreachableAfterUs; cut != s.cut[addr] {
+		s.cut[addr], s.stableSinceUs = cut, nowUs
 	}
 }
 
@@ -52,9 +52,10 @@
 	return s.cut[addr]
 }
 
-// stableForUs returns the time since the core, or the reachability of one of its members, last changed.
+// stableForUs returns the time since the core, or the reachability of one of its members, last
+// changed.
 func (s *stability) stableForUs(nowUs int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return nowUs - s.sinceUs
+	return nowUs - s.stableSinceUs
 }
--- a/internal/controller/stored_data_test.go
+++ b/internal/controller/stored_data_test.go
@@ -16,9 +16,9 @@
 	"beechtide.org/beechtide/internal/tally"
 )
 
-// storedByEarlierVersion copies the data directory that a controller of version f0fb356 has
-// written: it was sent a configuration, a weights version, an evacuation, a rollout, three adds to
-// a tally and a heartbeat.
+// storedByEarlierVersion copies a data directory written by a controller of version f0fb356 after
+// it had received a configuration, a weights version, an evacuation, a rollout, three adds to a
+// tally and a heartbeat.
 func storedByEarlierVersion(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -26,12 +26,12 @@
 	return dir
 }
 
-// bodies are the committed bodies of the registers with a lease.
+// storedBodies returns the committed bodies of the registers with a lease.
 func storedBodies(t *testing.T, disk *consensus.DiskStore) []messages.LeaseBody {
 	t.Helper()
 	var bodies []messages.LeaseBody
-	for part := 1; part < consensus.RegisterCount; part++ {
-		record, ok, err := disk.Load(part)
+	for register := 1; register < consensus.RegisterCount; register++ {
+		record, ok, err := disk.Load(register)
 		must.NoError(t, err)
 		must.True(t, ok)
 		body, err := messages.DecodeLeaseBody(record.Committed)
@@ -41,7 +41,7 @@
 	return bodies
 }
 
-func TestRecordsOfAnEarlierVersionAreRead(t *testing.T) {
+func TestRegistersOfEarlierVersionAreRead(t *testing.T) {
 	disk, err := consensus.NewDiskStore(filepath.Join(storedByEarlierVersion(t), "ledger"))
 	must.NoError(t, err)
 	identity, ok := disk.ReadFile("identity")
@@ -68,7 +68,7 @@
 	must.True(t, canary.Stage(rollouts[0].Stage).Running())
 }
 
-func TestRunnersOfAnEarlierVersionAreRead(t *testing.T) {
+func TestRunnersOfEarlierVersionAreRead(t *testing.T) {
 	disk, err := consensus.NewDiskStore(filepath.Join(storedByEarlierVersion(t), "ledger"))
 	must.NoError(t, err)
 	c := &Controller{disk: disk, registry: registry.New(), clock: func() int64 { return 1 }, log: logr.Discard()}
@@ -79,7 +79,7 @@
 	must.Eq(t, "v1", runner.Version)
 }
 
-func TestTalliesOfAnEarlierVersionAreRead(t *testing.T) {
+func TestTalliesOfEarlierVersionAreRead(t *testing.T) {
 	files, err := filesystem.Open(filepath.Join(storedByEarlierVersion(t), "tallies"))
 	must.NoError(t, err)
 	opened, err := tally.OpenLog(files, func() tally.Origin { return "new" })
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -16,23 +16,23 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// listenToOthers maintains a subscription to every other controller. A controller outside the core
+// subscribeToPeers maintains a subscription to every other controller. A controller outside the core
 // subscribes to only one controller of the core.
-func (c *Controller) listenToOthers(ctx context.Context) {
-	have := map[string]context.CancelFunc{}
+func (c *Controller) subscribeToPeers(ctx context.Context) {
+	active := map[string]context.CancelFunc{}
 	loop.Every(ctx, 200*time.Millisecond, func() {
 		want := c.wantedSubscriptions()
 		for addr, wanted := range want {
-			if wanted && have[addr] == nil {
+			if wanted && active[addr] == nil {
 				cctx, cancel := context.WithCancel(ctx)
-				have[addr] = cancel
-				go c.listenTo(cctx, addr)
+				active[addr] = cancel
+				go c.subscribeTo(cctx, addr)
 			}
 		}
-		for addr, cancel := range have {
+		for addr, cancel := range active {
 			if !want[addr] {
 				cancel()
-				delete(have, addr)
+				delete(active, addr)
 			}
 		}
 	})
@@ -42,22 +42,22 @@
 // controller is false.
 func (c *Controller) wantedSubscriptions() map[string]bool {
 	want := map[string]bool{}
-	all := c.monitor.Alive(messages.Controller)
-	if !c.inCore(all) {
-		if near := nearest(membership.Core(all), c.set.Zone); near != "" {
-			want[near] = true
+	controllers := c.monitor.Alive(messages.Controller)
+	if !c.inCore(controllers) {
+		if parent := nearest(membership.Core(controllers), c.set.Zone); parent != "" {
+			want[parent] = true
 		}
 		return want
 	}
-	for _, p := range all {
+	for _, p := range controllers {
 		want[p.Addr] = p.Addr != c.transport.Addr()
 	}
 	return want
 }
 
 // inCore reports whether this controller belongs to the core (see membership.Core).
-func (c *Controller) inCore(all []messages.Peer) bool {
-	for _, p := range membership.Core(all) {
+func (c *Controller) inCore(controllers []messages.Peer) bool {
+	for _, p := range membership.Core(controllers) {
 		if p.Addr == c.transport.Addr() {
 			return true
 		}
@@ -66,30 +66,30 @@
 }
 
 // nearest returns the address of the first controller of a zone, else of the first controller.
-func nearest(list []messages.Peer, zone string) string {
-	for _, p := range list {
+func nearest(controllers []messages.Peer, zone string) string {
+	for _, p := range controllers {
 		if p.Zone == zone {
 			return p.Addr
 		}
 	}
-	if len(list) > 0 {
-		return list[0].Addr
+	if len(controllers) > 0 {
+		return controllers[0].Addr
 	}
 	return ""
 }
 
-// listenTo runs the subscription to another controller until ctx ends.
-func (c *Controller) listenTo(ctx context.Context, addr string) {
-	runners := statesync.NewEntries() // replica of the records that the other publishes
-	u := dissemination.Subscriber{
+// subscribeTo runs the subscription to another controller until ctx ends.
+func (c *Controller) subscribeTo(ctx context.Context, addr string) {
+	replica := statesync.NewEntries() // replica of the records that the other publishes
+	subscriber := dissemination.Subscriber{
 		Controller: true,
 		Parents:    func() []string { return []string{addr} },
-		SyncState:  func() messages.SyncState { return c.syncStateOf(addr, runners) },
+		SyncState:  func() messages.SyncState { return c.syncStateOf(addr, replica) },
 		ApplyUpdate: func(_ string, f messages.Feed, _ []byte) *messages.SyncState {
-			if c.takeFeed(addr, f, runners) {
+			if c.applyFeed(addr, f, replica) {
 				return nil
 			}
-			h := c.syncStateOf(addr, runners)
+			h := c.syncStateOf(addr, replica)
 			return &h
 		},
 		Acked: func(int64) {}, ResendAll: func() {}, Counts: &c.counters.subscriptions,
@@ -99,76 +99,76 @@
 			c.feed.mu.Unlock()
 		},
 	}
-	u.Listen(ctx, c.transport)
-	c.feed.malformed.Add(u.Malformed.Load())
+	subscriber.Listen(ctx, c.transport)
+	c.feed.malformed.Add(subscriber.Malformed.Load())
 }
 
 // syncStateOf returns the cursors of this node in another controller's streams. The
 // configuration and the leases are not requested; they are replicated by the registers.
-func (c *Controller) syncStateOf(addr string, runners *statesync.Entries) messages.SyncState {
+func (c *Controller) syncStateOf(addr string, replica *statesync.Entries) messages.SyncState {
 	f := &c.feed
 	f.mu.Lock()
-	h := messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: never}}
-	h.Registry.Epoch, h.Registry.Version = runners.Cursor()
+	state := messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: unreachableVersion}}
+	state.Registry.Epoch, state.Registry.Version = replica.Cursor()
 	if l := f.aggregate.Sender(addr); l != nil {
-		h.Loads.Epoch, h.Loads.Version = l.Cursor()
+		state.Loads.Epoch, state.Loads.Version = l.Cursor()
 	}
 	f.mu.Unlock()
 	for range consensus.RegisterCount {
-		h.Parts = append(h.Parts, never)
+		state.Parts = append(state.Parts, unreachableVersion)
 	}
-	h.Cached = c.readers.Cursors()
-	return h
+	state.Cached = c.readers.Cursors()
+	return state
 }
 
-// never is a version that no stream reaches: a stream with this cursor is not sent.
-const never = 1 << 62
+// unreachableVersion is a version that no stream reaches: a stream with this cursor is not sent.
+const unreachableVersion = 1 << 62
 
-// pullNewer pulls the register versions of another controller that are newer than those here.
-// A consensus round does not notify controllers outside the register's group.
-func (c *Controller) pullNewer(addr string, versions []int64) {
+// pullNewerVersions pulls the register versions of another controller that are newer than those
+// here. A consensus round does not notify controllers outside the register's group.
+func (c *Controller) pullNewerVersions(addr string, versions []int64) {
 	mine := c.publishedVersions()
-	for p, v := range versions {
-		if p < len(mine) && v > mine[p] {
-			go func() { _ = c.registers.CatchUp(context.Background(), addr, p) }()
+	for register, v := range versions {
+		if register < len(mine) && v > mine[register] {
+			go func() { _ = c.registers.CatchUp(context.Background(), addr, register) }()
 		}
 	}
 }
 
-// takeRunners applies a change of another controller's runner records. It reports whether the change
-// matched the replica of that stream.
-func (c *Controller) takeRunners(delta messages.EntryChange, runners *statesync.Entries, nowUs int64) (fits bool) {
+// applyRunners applies a change of another controller's runner records. It reports whether the
+// change matched the replica of that stream.
+func (c *Controller) applyRunners(delta messages.EntryChange, replica *statesync.Entries, nowUs int64) (consistent bool) {
 	f := &c.feed
 	change := statesync.DecodeEntries(delta)
 	f.mu.Lock()
-	again := delta.Snapshot && runners.Epoch == delta.Epoch
-	r := runners.Apply(change)
-	fits = f.count(r, again)
+	resync := delta.Snapshot && replica.Epoch == delta.Epoch
+	result := replica.Apply(change)
+	consistent = f.countResult(result, resync)
 	f.mu.Unlock()
-	if r == statesync.DigestMismatch {
-		return fits
+	if result == statesync.DigestMismatch {
+		return consistent
 	}
 	merged, malformed := c.registry.MergeChange(change, nowUs)
 	f.malformed.Add(int64(malformed))
 	c.publishRunners(merged...)
-	return fits
+	return consistent
 }
 
-// takeFeed applies an update of another controller and queues it for the routers. It reports whether
-// all deltas matched the local replicas.
-func (c *Controller) takeFeed(addr string, in messages.Feed, runners *statesync.Entries) (fits bool) {
+// applyFeed applies an update of another controller and queues it for the routers. It reports
+// whether all deltas matched the local replicas.
+func (c *Controller) applyFeed(addr string, in messages.Feed, replica *statesync.Entries) (consistent bool) {
 	now := c.clock()
-	fits = true
+	consistent = true
 	f := &c.feed
-	c.pullNewer(addr, in.Versions)
-	c.targets.observe(in.TargetAges, now)
+	c.pullNewerVersions(addr, in.Versions)
+	c.targets.mergeAges(in.TargetAges, now)
 	for _, delta := range in.Registry {
-		fits = c.takeRunners(delta, runners, now) && fits
+		consistent = c.applyRunners(delta, replica, now) && consistent
 	}
 	c.readers.Announce(in.PendingBlocks)
 	var applied []messages.CachedChange
 	for _, cached := range c.readers.Apply(in.Cached) {
-		fits = f.count(cached.Result, cached.Again) && fits
+		consistent = f.countResult(cached.Result, cached.Again) && consistent
 		if cached.Result == statesync.Applied {
 			applied = append(applied, cached.Change)
 		}
@@ -177,8 +177,8 @@
 	defer f.mu.Unlock()
 	for _, delta := range in.Loads {
 		known := f.aggregate.Sender(addr)
-		again := delta.Snapshot && known != nil && known.Epoch == delta.Epoch
-		fits = f.count(f.aggregate.Apply(addr, delta), again) && fits
+		resync := delta.Snapshot && known != nil && known.Epoch == delta.Epoch
+		consistent = f.countResult(f.aggregate.Apply(addr, delta), resync) && consistent
 	}
 	f.toRouters.cached = append(f.toRouters.cached, applied...)
 	f.toRouters.reports = append(f.toRouters.reports, in.Reports...)
@@ -186,5 +186,5 @@
 	if len(in.PendingBlocks) > 0 {
 		f.wake()
 	}
-	return fits
+	return consistent
 }
--- a/internal/controller/tally_replica.go
+++ b/internal/controller/tally_replica.go
@@ -14,17 +14,17 @@
 	// in memory, including the temporary space that compaction needs.
 	tallyDiskBytesPerAdd   = 32
 	tallyMemoryBytesPerAdd = 64
-	// tallyDiskPart and tallyMemoryPart are the fractions of the machine's disk and of the
+	// tallyDiskFraction and tallyMemoryFraction are the fractions of the machine's disk and of the
 	// process's memory that tallies may use.
-	tallyDiskPart   = 0.5
-	tallyMemoryPart = 0.3
-	bytesPerMB      = 1 << 20
+	tallyDiskFraction   = 0.5
+	tallyMemoryFraction = 0.3
+	bytesPerMB          = 1 << 20
 )
 
 // maxTallyAdds returns how many adds a machine with these limits can store; 0 means unlimited.
 func maxTallyAdds(limits settings.Limits) int {
-	bound := int(float64(limits.DiskMb) * bytesPerMB * tallyDiskPart / tallyDiskBytesPerAdd)
-	memory := int(float64(limits.MemoryMb) * bytesPerMB * tallyMemoryPart / tallyMemoryBytesPerAdd)
+	bound := int(float64(limits.DiskMb) * bytesPerMB * tallyDiskFraction / tallyDiskBytesPerAdd)
+	memory := int(float64(limits.MemoryMb) * bytesPerMB * tallyMemoryFraction / tallyMemoryBytesPerAdd)
 	if memory > 0 && (bound == 0 || memory < bound) {
 		return memory
 	}
@@ -38,7 +38,7 @@
 		DataDir:        c.set.DataDir,
 		MaxAdds:        maxTallyAdds(c.set.Limits),
 		Quorum:         tally.QuorumFor(c.set.Tolerance.Machines, c.set.Tolerance.Zones),
-		CompareTimeout: compareWait,
+		CompareTimeout: compareTimeout,
 		Clock:          c.clock,
 		Log:            c.log,
 		Peers:          c.transport,
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -20,13 +20,13 @@
 	table targets.Table
 }
 
-// committed records the versions of a committed register that are new here; a register also
+// recordCommitted records the versions of a committed register that are new here; a register also
 // changes for other reasons. Versions found while the process starts were named earlier, so
 // their age is unknown.
-func (n *namedTargets) committed(list []messages.Target, starting bool, nowUs int64) {
+func (n *namedTargets) recordCommitted(committed []messages.Target, starting bool, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, t := range list {
+	for _, t := range committed {
 		if t.Version <= n.table.Newest(t.Model).Version {
 			continue
 		}
@@ -38,15 +38,15 @@
 	}
 }
 
-// named records a version that this controller is about to acknowledge.
-func (n *namedTargets) named(model string, version, nowUs int64) {
+// recordNamed records a version that this controller is about to acknowledge.
+func (n *namedTargets) recordNamed(model string, version, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.RecordNamed(model, version, nowUs)
 }
 
-// observe merges the ages received from another node.
-func (n *namedTargets) observe(ages []messages.TargetAge, nowUs int64) {
+// mergeAges merges the ages received from another node.
+func (n *namedTargets) mergeAges(ages []messages.TargetAge, nowUs int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.MergeAges(ages, nowUs)
@@ -59,8 +59,8 @@
 	return n.table.Ages(nowUs)
 }
 
-// of returns the newest target of a model.
-func (n *namedTargets) of(model string) targets.Target {
+// newest returns the newest target of a model.
+func (n *namedTargets) newest(model string) targets.Target {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Newest(model)
--- a/internal/controller/three_test.go
+++ b/internal/controller/three_test.go
@@ -18,9 +18,10 @@
 	"beechtide.org/beechtide/internal/settings"
 )
 
-// three starts a core of three on the loopback and waits until each reaches the
-// others and serves its control address. The first one's clock can be put on by skipUs.
-func three(t *testing.T) (nodes []*Controller, url string, skipUs *atomic.Int64) {
+// startThreeControllers starts a core of three controllers on loopback addresses and waits until
+// each has contact with the others and serves its control address. skipUs is added to the clock of
+// the first.
+func startThreeControllers(t *testing.T) (nodes []*Controller, url string, skipUs *atomic.Int64) {
 	t.Helper()
 	port, began := freePort(t), time.Now()
 	skipUs = &atomic.Int64{}
@@ -46,12 +47,12 @@
 		go func() { _ = d.Run(ctx) }()
 	}
 	for _, d := range nodes {
-		until(t, func() bool {
+		waitUntil(t, func() bool {
 			return d.inContact() && len(membership.Core(d.monitor.Alive(messages.Controller))) == len(nodes)
 		})
 	}
 	for _, control := range seeds {
-		until(t, func() bool { return listens(control) })
+		waitUntil(t, func() bool { return listens(control) })
 	}
 	return nodes, "http://" + seeds[0], skipUs
 }
@@ -66,8 +67,8 @@
 	return true
 }
 
-// until polls for what is to come; the test's own time-out bounds it.
-func until(t *testing.T, reached func() bool) {
+// waitUntil polls a condition until it is true, bounded by the timeout of the test.
+func waitUntil(t *testing.T, reached func() bool) {
 	t.Helper()
 	for !reached() {
 		select {
@@ -78,11 +79,11 @@
 	}
 }
 
-// When a runner hears that its leaving is acknowledged, the other controllers have
-// it already.
-func TestAcknowledgedLeavingIsKnownToAll(t *testing.T) {
-	nodes, url, _ := three(t)
-	until(t, func() bool {
+// When a runner receives the acknowledgement of its draining or leaving, all other controllers have
+// recorded it.
+func TestAcknowledgedDrainIsRecordedByAllControllers(t *testing.T) {
+	nodes, url, _ := startThreeControllers(t)
+	waitUntil(t, func() bool {
 		status, _ := call(t, "GET", url+"/api/Config.Read", "", 0)
 		return status == 404
 	})
@@ -105,19 +106,19 @@
 	}
 }
 
-// The comparison of versions renews the lease by itself, also after a freeze.
-func TestComparisonsRenewTheLease(t *testing.T) {
-	nodes, _, skipUs := three(t)
-	until(t, func() bool { return !nodes[0].starting() })
+// The comparison of versions alone renews the contact lease, also after the process was suspended.
+func TestVersionComparisonRenewsContactLease(t *testing.T) {
+	nodes, _, skipUs := startThreeControllers(t)
+	waitUntil(t, func() bool { return !nodes[0].starting() })
 	skipUs.Add(2 * lease.ContactUs)
-	until(t, nodes[0].inContact)
+	waitUntil(t, nodes[0].inContact)
 	must.False(t, nodes[0].cutOff())
 }
 
-// A heartbeat that did not reach a controller, and that changes nothing in the
-// record, comes to it with the comparison of versions once the runner is silent.
-func TestSilentRunnersAreAskedAboutWithVersions(t *testing.T) {
-	nodes, _, skipUs := three(t)
+// A heartbeat that changes nothing in the record and did not reach a controller is transferred by
+// the comparison of versions once the runner is silent at that controller.
+func TestVersionComparisonTransfersHeartbeatsOfSilentRunners(t *testing.T) {
+	nodes, _, skipUs := startThreeControllers(t)
 	cutOff, other := nodes[0], nodes[1]
 	record := messages.RunnerRecord{ID: "x", Service: "s", Addr: "1.2.3.4:1", Capacity: 4, Seq: 1}
 	for _, d := range nodes {
@@ -129,12 +130,12 @@
 		_, published := other.feed.registry.Get("x")
 		return published
 	}
-	until(t, isPublished)
+	waitUntil(t, isPublished)
 	record.Seq = 2
 	must.False(t, other.registry.ApplyHeartbeat(record, other.clock()))
-	skipUs.Add(cutOff.silence().QueryUs)
+	skipUs.Add(cutOff.silenceLimits().QueryUs)
 	first := []messages.LastHeartbeat{{ID: "x", Seq: 1}}
-	until(t, func() bool { return len(cutOff.registry.LaterHeartbeats(first, cutOff.clock())) == 1 })
+	waitUntil(t, func() bool { return len(cutOff.registry.LaterHeartbeats(first, cutOff.clock())) == 1 })
 	known, _ := cutOff.registry.Record("x")
-	must.Eq(t, 1, known.Seq, must.Sprint("the record itself did not travel"))
+	must.Eq(t, 1, known.Seq, must.Sprint("the record itself is not transferred"))
 }
--- a/internal/controller/unfinished.go
+++ b/internal/controller/unfinished.go
@@ -16,10 +16,10 @@
 // Timing of the search for unfinished rounds. Several members may find the same round, so each
 // waits for a random time before it reads the register.
 const (
-	unfinishedPeriod    = 100 * time.Millisecond
-	unfinishedLeastWait = 300 * time.Millisecond
-	unfinishedMostWait  = 800 * time.Millisecond
-	unfinishedReadWait  = time.Second
+	unfinishedCheckPeriod = 100 * time.Millisecond
+	minUnfinishedWait     = 300 * time.Millisecond
+	maxUnfinishedWait     = 800 * time.Millisecond
+	unfinishedReadTimeout = time.Second
 )
 
 // unfinishedRounds records the unfinished round of each register and when to complete it.
@@ -30,40 +30,40 @@
 
 // due reports whether a round has been unfinished for the wait time, which starts with the first
 // call for that round.
-func (u *unfinishedRounds) due(part int, slot, nowUs, waitUs int64) bool {
-	at := &u[part]
-	if at.slot != slot {
-		at.slot, at.dueUs = slot, nowUs+waitUs
+func (u *unfinishedRounds) due(register int, slot, nowUs, waitUs int64) bool {
+	round := &u[register]
+	if round.slot != slot {
+		round.slot, round.dueUs = slot, nowUs+waitUs
 		return false
 	}
-	return nowUs >= at.dueUs
+	return nowUs >= round.dueUs
 }
 
 // finishRounds checks for unfinished rounds until ctx ends, and reads the registers that have
 // one.
 func (c *Controller) finishRounds(ctx context.Context) {
 	var rounds unfinishedRounds
-	loop.Every(ctx, unfinishedPeriod, func() {
-		for part := range consensus.RegisterCount {
-			slot, unfinished := c.registers.UnfinishedVersion(part)
+	loop.Every(ctx, unfinishedCheckPeriod, func() {
+		for register := range consensus.RegisterCount {
+			slot, unfinished := c.registers.UnfinishedVersion(register)
 			if !unfinished {
-				rounds[part].slot = 0
+				rounds[register].slot = 0
 				continue
 			}
-			wait := unfinishedLeastWait + rand.N(unfinishedMostWait-unfinishedLeastWait)
-			if !rounds.due(part, slot, c.clock(), wait.Microseconds()) {
+			wait := minUnfinishedWait + rand.N(maxUnfinishedWait-minUnfinishedWait)
+			if !rounds.due(register, slot, c.clock(), wait.Microseconds()) {
 				continue
 			}
-			rounds[part].slot = 0
-			go c.finishRound(ctx, part, slot)
+			rounds[register].slot = 0
+			go c.finishRound(ctx, register, slot)
 		}
 	})
 }
 
 // finishRound reads a register from a majority, which completes its unfinished round.
-func (c *Controller) finishRound(ctx context.Context, part int, slot int64) {
-	ctx, cancel := context.WithTimeout(ctx, unfinishedReadWait)
+func (c *Controller) finishRound(ctx context.Context, register int, slot int64) {
+	ctx, cancel := context.WithTimeout(ctx, unfinishedReadTimeout)
 	defer cancel()
-	_, err := c.contactRegisters().Read(ctx, part)
-	c.log.Info("unfinished consensus round read", "part", part, "slot", slot, "err", err)
+	_, err := c.contactRegisters().Read(ctx, register)
+	c.log.Info("unfinished consensus round read", "part", register, "slot", slot, "err", err)
 }
--- a/internal/controller/unfinished_test.go
+++ b/internal/controller/unfinished_test.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// grants sends a member a request of a round, and checks that it is granted.
-func grants(t *testing.T, d *Controller, request messages.ConsensusRequest) {
+// requireGranted sends a request of a consensus round to a member and checks that it is granted.
+func requireGranted(t *testing.T, d *Controller, request messages.ConsensusRequest) {
 	t.Helper()
 	request.To = d.registers.ID()
 	b, err := request.MarshalMsg(nil)
@@ -23,11 +23,11 @@
 	must.Eq(t, messages.Granted, response.Verdict)
 }
 
-// A proposer wins its round, so that it may acknowledge the change, and ends before
-// it tells anybody. The members that accepted the change put it into force.
-func TestChosenValueOfAProposerThatEndedComesIntoForce(t *testing.T) {
-	nodes, url, _ := three(t)
-	until(t, func() bool {
+// A proposer wins its round, so it may have acknowledged the change, and stops before it sends any
+// commit. The members that accepted the change activate it.
+func TestChosenValueOfStoppedProposerIsActivated(t *testing.T) {
+	nodes, url, _ := startThreeControllers(t)
+	waitUntil(t, func() bool {
 		status, _ := call(t, "GET", url+"/api/Config.Read", "", 0)
 		return status == 404
 	})
@@ -40,18 +40,18 @@
 	ballot := messages.Ballot{N: 1 << 40, Who: "ended"}
 	for _, d := range nodes {
 		for _, step := range []messages.Step{messages.Prepare, messages.Accept} {
-			grants(t, d, messages.ConsensusRequest{Part: consensus.ConfigRegister, Step: step, Slot: next.Version, Ballot: ballot, Value: next})
+			requireGranted(t, d, messages.ConsensusRequest{Part: consensus.ConfigRegister, Step: step, Slot: next.Version, Ballot: ballot, Value: next})
 		}
 	}
 	for _, d := range nodes {
-		until(t, func() bool { return d.publishedVersions()[consensus.ConfigRegister] == next.Version })
+		waitUntil(t, func() bool { return d.publishedVersions()[consensus.ConfigRegister] == next.Version })
 		must.Eq(t, order.Version, d.table.Load().Version)
 	}
 }
 
-// Each of the members waits for a time of its own, and begins to wait anew with
-// the next round.
-func TestUnfinishedRoundIsDueAfterItsWait(t *testing.T) {
+// The wait time of a register is independent of other registers and starts again with the next
+// round.
+func TestUnfinishedRoundIsDueAfterWait(t *testing.T) {
 	var rounds unfinishedRounds
 	must.False(t, rounds.due(0, 7, 1000, 300))
 	must.False(t, rounds.due(0, 7, 1299, 300))
@@ -60,21 +60,21 @@
 	must.True(t, rounds.due(0, 8, 1600, 300))
 }
 
-// A proposer that ends between the majority's acceptance and its word of it leaves a
-// change that may have been acknowledged. The others come to know of it.
-func TestAcceptedChangeIsFinishedWithoutItsProposer(t *testing.T) {
-	nodes, _, _ := three(t)
-	const part, version = 3, 9
-	base, ok := nodes[0].registers.Committed(part)
+// A proposer that stops between the majority's acceptance and its commit messages leaves a change
+// that may have been acknowledged. The other members complete it.
+func TestAcceptedChangeIsCompletedWithoutProposer(t *testing.T) {
+	nodes, _, _ := startThreeControllers(t)
+	const register, version = 3, 9
+	base, ok := nodes[0].registers.Committed(register)
 	must.True(t, ok)
 	body := messages.LeaseBody{Lease: messages.Lease{Holder: "x/0", Fence: 1}, Targets: []messages.Target{{Model: "m", Version: version}}}
 	raw, err := body.MarshalMsg(nil)
 	must.NoError(t, err)
 	value := messages.Value{Version: base.Version + 1, Group: base.Group, Body: raw, Stamp: "s"}
 	for _, d := range nodes[1:] {
-		grants(t, d, messages.ConsensusRequest{Part: part, Step: messages.Accept, Slot: value.Version, Ballot: messages.Ballot{N: 1_000, Who: "x"}, Value: value})
+		requireGranted(t, d, messages.ConsensusRequest{Part: register, Step: messages.Accept, Slot: value.Version, Ballot: messages.Ballot{N: 1_000, Who: "x"}, Value: value})
 	}
 	for _, d := range nodes {
-		until(t, func() bool { return d.rollouts.Newest("m") == version })
+		waitUntil(t, func() bool { return d.rollouts.Newest("m") == version })
 	}
 }
--- a/internal/controller/usage_test.go
+++ b/internal/controller/usage_test.go
@@ -22,20 +22,20 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// platformCall is a call as the platform has seen it.
+// platformCall is a call that the platform has received.
 type platformCall struct {
 	path, holder, fence string
 	usage               api.UsageReport
 }
 
-// platformStub is a stand-in for the platform's API.
+// platformStub is a stub of the platform's API that records its calls.
 type platformStub struct {
 	mu     sync.Mutex
 	calls  []platformCall
-	status atomic.Int64 // of the answers
+	status atomic.Int64 // status code of the responses
 }
 
-func newPlatform(t *testing.T) (p *platformStub, addr string) {
+func newPlatformStub(t *testing.T) (p *platformStub, addr string) {
 	t.Helper()
 	p = &platformStub{}
 	p.status.Store(http.StatusOK)
@@ -53,24 +53,24 @@
 	w.WriteHeader(int(p.status.Load()))
 }
 
-func (p *platformStub) seen() []platformCall {
+func (p *platformStub) receivedCalls() []platformCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]platformCall{}, p.calls...)
 }
 
-// usageWindow is the window of usage in these tests.
+// usageWindow is the length of a usage window in these tests.
 const usageWindow = time.Second
 
-// metered starts a controller of a core of one that reports usage in windows of a second.
-// Its clock runs on real time and can be put on by skipUs.
-func metered(t *testing.T, dir, platformAddr string, port int, bootstrap bool) (d *Controller, skipUs *atomic.Int64, stop func()) {
+// startUsageReporting starts a core of one controller that reports usage in windows of a second.
+// Its clock follows real time plus skipUs.
+func startUsageReporting(t *testing.T, dir, platformAddr string, port int, bootstrap bool) (d *Controller, skipUs *atomic.Int64, stop func()) {
 	t.Helper()
-	return withPlatform(t, dir, platformAddr, port, bootstrap, usagereport.Duty)
+	return startWithDuty(t, dir, platformAddr, port, bootstrap, usagereport.Duty)
 }
 
-// withPlatform starts a controller of a core of one with a duty at the platform.
-func withPlatform(t *testing.T, dir, platformAddr string, port int, bootstrap bool, duty string) (d *Controller, skipUs *atomic.Int64, stop func()) {
+// startWithDuty starts a core of one controller with a duty at the platform.
+func startWithDuty(t *testing.T, dir, platformAddr string, port int, bootstrap bool, duty string) (d *Controller, skipUs *atomic.Int64, stop func()) {
 	t.Helper()
 	control := fmt.Sprintf("127.0.0.1:%d", port+2)
 	set := settings.Settings{Node: "n", Ip: "127.0.0.1", Zone: "a", Ports: []int{port, port + 1}, Seeds: []string{control}, Bootstrap: bootstrap, DataDir: dir, BeatPeriodMs: 1000}
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- started.Run(ctx) }()
-	until(t, func() bool { return listens(control) })
+	waitUntil(t, func() bool { return listens(control) })
 	return started, skipUs, sync.OnceFunc(func() {
 		cancel()
 		<-ended
@@ -96,7 +96,8 @@
 	})
 }
 
-// countRequests has a controller receive a router's counts of the current window.
+// countRequests sends a router's counts of the current window to a controller, and returns the
+// window.
 func countRequests(t *testing.T, d *Controller, router string, counts ...messages.UsageCount) (window int64) {
 	t.Helper()
 	nowUs, _ := d.timeOfDay.TimeUs(d.clock())
@@ -113,15 +114,15 @@
 	return window
 }
 
-func TestWindowsAreReportedInTurnUnderAFence(t *testing.T) {
-	p, addr := newPlatform(t)
-	d, _, stop := metered(t, t.TempDir(), addr, freePort(t), true)
+func TestUsageWindowsAreReportedInOrderUnderFence(t *testing.T) {
+	p, addr := newPlatformStub(t)
+	d, _, stop := startUsageReporting(t, t.TempDir(), addr, freePort(t), true)
 	defer stop()
 	window := countRequests(t, d, "r1", messages.UsageCount{Tenant: "x", Count: 3}, messages.UsageCount{Tenant: "y", Count: 1})
 	countRequests(t, d, "r2", messages.UsageCount{Tenant: "x", Count: 4})
-	until(t, func() bool { return len(p.seen()) >= 3 })
+	waitUntil(t, func() bool { return len(p.receivedCalls()) >= 3 })
 	total := map[string]int64{}
-	for i, c := range p.seen() {
+	for i, c := range p.receivedCalls() {
 		must.Eq(t, platformCall{path: "/usage", holder: "n", fence: "1", usage: c.usage}, c)
 		must.Eq(t, window+int64(i), c.usage.WindowSeq)
 		for tenant, count := range c.usage.Counts {
@@ -131,57 +132,57 @@
 	must.Eq(t, map[string]int64{"x": 7, "y": 1}, total)
 }
 
-// What was agreed on is sent again as it was, whatever has been counted since, also by
-// the next process, until the platform accepts it.
-func TestClosedWindowIsRepeatedUnchanged(t *testing.T) {
-	p, addr := newPlatform(t)
+// A closed window is resent unchanged until the platform accepts it, also after a restart and
+// whatever has been counted since.
+func TestClosedWindowIsResentUnchangedAfterRestart(t *testing.T) {
+	p, addr := newPlatformStub(t)
 	p.status.Store(http.StatusServiceUnavailable)
 	dir, port := t.TempDir(), freePort(t)
-	d, _, stop := metered(t, dir, addr, port, true)
+	d, _, stop := startUsageReporting(t, dir, addr, port, true)
 	defer stop()
 	window := countRequests(t, d, "r1", messages.UsageCount{Tenant: "x", Count: 3})
-	until(t, func() bool { return len(p.seen()) >= 2 })
+	waitUntil(t, func() bool { return len(p.receivedCalls()) >= 2 })
 	stop()
 	p.status.Store(http.StatusOK)
-	d, _, stop = metered(t, dir, addr, port, false)
+	d, _, stop = startUsageReporting(t, dir, addr, port, false)
 	defer stop()
 	d.usage.Merge([]messages.UsageRow{{Window: window, Router: "r1", Counts: []messages.UsageCount{{Tenant: "x", Count: 9}}}})
-	until(t, func() bool { return d.usage.Reported() > window })
+	waitUntil(t, func() bool { return d.usage.Reported() > window })
 	fences := map[string]bool{}
-	for _, c := range p.seen() {
+	for _, c := range p.receivedCalls() {
 		fences[c.fence] = true
 		if c.usage.WindowSeq == window {
 			must.Eq(t, map[string]int64{"x": 3}, c.usage.Counts)
 		}
 	}
-	must.MapLen(t, 2, fences, must.Sprint("the next process has a fence of its own"))
+	must.MapLen(t, 2, fences, must.Sprint("the restarted process has its own fencing token"))
 }
 
-// Counts that no window was made of yet outlive a loss of power.
-func TestCountsOutliveTheProcess(t *testing.T) {
-	p, addr := newPlatform(t)
+// Counts of a window that is not closed yet survive a restart.
+func TestUsageCountsSurviveRestart(t *testing.T) {
+	p, addr := newPlatformStub(t)
 	dir, port := t.TempDir(), freePort(t)
-	d, _, stop := metered(t, dir, addr, port, true)
+	d, _, stop := startUsageReporting(t, dir, addr, port, true)
 	defer stop()
 	window := countRequests(t, d, "r1", messages.UsageCount{Tenant: "x", Count: 3})
 	d.usage.Save()
 	stop()
-	_, _, stop = metered(t, dir, addr, port, false)
+	_, _, stop = startUsageReporting(t, dir, addr, port, false)
 	defer stop()
-	until(t, func() bool { return len(p.seen()) > 0 })
-	must.Eq(t, api.UsageReport{WindowSeq: window, Counts: map[string]int64{"x": 3}}, p.seen()[0].usage)
+	waitUntil(t, func() bool { return len(p.receivedCalls()) > 0 })
+	must.Eq(t, api.UsageReport{WindowSeq: window, Counts: map[string]int64{"x": 3}}, p.receivedCalls()[0].usage)
 }
 
-// After a refusal nothing is sent under the fence any more; the next one is higher.
-func TestRefusedFenceIsReplaced(t *testing.T) {
-	p, addr := newPlatform(t)
+// After the platform has refused a fencing token, no further call uses it.
+func TestRefusedFenceIsNotReused(t *testing.T) {
+	p, addr := newPlatformStub(t)
 	p.status.Store(http.StatusConflict)
-	d, _, stop := metered(t, t.TempDir(), addr, freePort(t), true)
+	d, _, stop := startUsageReporting(t, t.TempDir(), addr, freePort(t), true)
 	defer stop()
 	countRequests(t, d, "r1", messages.UsageCount{Tenant: "x", Count: 3})
-	until(t, func() bool { return len(p.seen()) >= 3 })
+	waitUntil(t, func() bool { return len(p.receivedCalls()) >= 3 })
 	seen := map[string]int{}
-	for _, c := range p.seen() {
+	for _, c := range p.receivedCalls() {
 		seen[c.fence]++
 	}
 	for fence, calls := range seen {
@@ -189,23 +190,23 @@
 	}
 }
 
-// The platform's address follows the settings of a running process.
-func TestPlatformIsCalledAtItsNewAddress(t *testing.T) {
-	before, addr := newPlatform(t)
-	after, newAddr := newPlatform(t)
-	d, _, stop := metered(t, t.TempDir(), addr, freePort(t), true)
+// A reload of the settings changes the platform's address in a running process.
+func TestReloadChangesPlatformAddress(t *testing.T) {
+	before, addr := newPlatformStub(t)
+	after, newAddr := newPlatformStub(t)
+	d, _, stop := startUsageReporting(t, t.TempDir(), addr, freePort(t), true)
 	defer stop()
 	set := d.set
 	set.Cloud.Address = newAddr
 	d.Reload(set)
 	countRequests(t, d, "r1", messages.UsageCount{Tenant: "x", Count: 3})
-	until(t, func() bool { return len(after.seen()) > 0 })
-	must.SliceEmpty(t, before.seen())
+	waitUntil(t, func() bool { return len(after.receivedCalls()) > 0 })
+	must.SliceEmpty(t, before.receivedCalls())
 }
 
-func TestHolderIsGivenTheRowsOfTheOthers(t *testing.T) {
-	_, addr := newPlatform(t)
-	d, _, stop := metered(t, t.TempDir(), addr, freePort(t), true)
+func TestUsageQueryReturnsRowsOfWindow(t *testing.T) {
+	_, addr := newPlatformStub(t)
+	d, _, stop := startUsageReporting(t, t.TempDir(), addr, freePort(t), true)
 	defer stop()
 	window := countRequests(t, d, "r1", messages.UsageCount{Tenant: "x", Count: 3})
 	query := messages.UsageQuery{From: window, To: window}
