--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -13,15 +13,15 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// answerVersions handles a request to compare versions.
-func (c *Controller) answerVersions(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
-	m := c.versions()
-	var from messages.Versions
-	if _, err := from.UnmarshalMsg(body); err == nil && !from.Controller {
-		m.Parts = c.publishedVersions()
+// handleVersions handles a request of another node to compare versions.
+func (c *Controller) handleVersions(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
+	response := c.versions()
+	var request messages.Versions
+	if _, err := request.UnmarshalMsg(body); err == nil && !request.Controller {
+		response.Parts = c.publishedVersions()
 	}
-	m.LaterHeartbeats = c.registry.LaterHeartbeats(from.SilentRunners, c.clock())
-	return m.MarshalMsg(nil)
+	response.LaterHeartbeats = c.registry.LaterHeartbeats(request.SilentRunners, c.clock())
+	return response.MarshalMsg(nil)
 }
 
 func (c *Controller) versions() messages.Versions {
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -94,8 +94,8 @@
 // confirmDrain replicates to the core that a runner drains or is gone, and reports whether that
 // may be acknowledged now.
 func (c *Controller) confirmDrain(ctx context.Context, id string, begunUs int64) bool {
-	n, ok := c.registry.Record(id)
-	if !ok || !c.replicateDrain(ctx, n) {
+	record, ok := c.registry.Record(id)
+	if !ok || !c.replicateDrain(ctx, record) {
 		return false
 	}
 	return c.clock()-begunUs < lease.ContactUs
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -233,7 +233,7 @@
 	trans.OnCall(transport.KindConsensus, func(ctx context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 		return c.registers.Handle(ctx, body)
 	})
-	trans.OnCall(transport.KindVersions, c.answerVersions)
+	trans.OnCall(transport.KindVersions, c.handleVersions)
 	trans.OnCall(transport.KindCondition, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
 		report := c.condition()
 		return report.MarshalMsg(nil)
@@ -409,9 +409,9 @@
 
 // receiveHeartbeat applies a single heartbeat forwarded by a controller of an earlier release.
 func (c *Controller) receiveHeartbeat(_ string, body []byte) {
-	var n messages.RunnerRecord
-	if _, err := n.UnmarshalMsg(body); err == nil && c.registry.ApplyHeartbeat(n, c.clock()) {
-		c.publishRunners(n.ID)
+	var record messages.RunnerRecord
+	if _, err := record.UnmarshalMsg(body); err == nil && c.registry.ApplyHeartbeat(record, c.clock()) {
+		c.publishRunners(record.ID)
 	}
 }
 
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -157,12 +157,12 @@
 // handleDrain handles another controller's notification that a runner drains or is
 // gone: it publishes that to its own subscribers and acknowledges with its identity.
 func (c *Controller) handleDrain(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
-	var n messages.RunnerRecord
-	if _, err := n.UnmarshalMsg(body); err != nil {
+	var record messages.RunnerRecord
+	if _, err := record.UnmarshalMsg(body); err != nil {
 		return nil, err
 	}
-	if c.recordDrain(n) {
-		c.publishRunners(n.ID)
+	if c.recordDrain(record) {
+		c.publishRunners(record.ID)
 	}
 	self := messages.Member{ID: c.registers.ID(), Addr: c.transport.Addr()}
 	return self.MarshalMsg(nil)
@@ -170,11 +170,11 @@
 
 // recordDrain records that a runner drains or is gone, even if its later heartbeats report another
 // state. The other controller's liveness flags for the runner are ignored.
-func (c *Controller) recordDrain(n messages.RunnerRecord) (changed bool) {
-	if n.Gone {
-		_, changed = c.registry.Leave(n.ID, c.clock())
+func (c *Controller) recordDrain(record messages.RunnerRecord) (changed bool) {
+	if record.Gone {
+		_, changed = c.registry.Leave(record.ID, c.clock())
 		return changed
 	}
-	n.Stale, n.Lost = false, false
-	return c.registry.Merge(n, c.clock())
+	record.Stale, record.Lost = false, false
+	return c.registry.Merge(record, c.clock())
 }
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -23,11 +23,11 @@
 // so the interval grows with their number.
 const (
 	minUpdateInterval       = 60 * time.Millisecond
-	updateIntervalPerRouter = 400 * time.Microsecond // per router
+	updateIntervalPerRouter = 400 * time.Microsecond
 	maxUpdateInterval       = 120 * time.Millisecond
 )
 
-func (c *Controller) updatePeriod() time.Duration {
+func (c *Controller) updateInterval() time.Duration {
 	return min(max(time.Duration(len(c.monitor.Alive(messages.Router)))*updateIntervalPerRouter, minUpdateInterval), maxUpdateInterval)
 }
 
@@ -35,7 +35,7 @@
 // configuration, or a long prompt that has been sent to a runner. The rate of urgent changes grows
 // with the number of nodes, so the interval does too, which bounds the rate of updates per node.
 const (
-	urgentPausePerRouter = 400 * time.Microsecond // per router
+	urgentPausePerRouter = 400 * time.Microsecond
 	minUrgentPause       = 2 * time.Millisecond
 )
 
@@ -48,7 +48,7 @@
 // a copy to each child. The interval grows with the number of routers; otherwise the updates
 // saturate the links of the relays and arrive late.
 const (
-	loadsIntervalPerRouter = 800 * time.Microsecond // per router
+	loadsIntervalPerRouter = 800 * time.Microsecond
 	maxLoadsInterval       = 240 * time.Millisecond
 	minLoadsInterval       = minUpdateInterval
 )
@@ -212,7 +212,7 @@
 func (c *Controller) runFeed(ctx context.Context) {
 	for {
 		select {
-		case <-time.After(c.updatePeriod()):
+		case <-time.After(c.updateInterval()):
 		case <-c.feed.urgent:
 		case <-ctx.Done():
 			return
--- a/internal/controller/hand_over_test.go
+++ b/internal/controller/hand_over_test.go
@@ -49,8 +49,8 @@
 // groupsWith counts the registers whose group, as committed at this controller, contains a member.
 func (f *runningController) groupsWith(id string) int {
 	count := 0
-	for part := range consensus.RegisterCount {
-		v, _ := f.registers.Committed(part)
+	for register := range consensus.RegisterCount {
+		v, _ := f.registers.Committed(register)
 		for _, m := range v.Group {
 			if m.ID == id {
 				count++
@@ -72,18 +72,18 @@
 	for n := 1; n <= 4; n++ {
 		controllers = append(controllers, startController(t, n, port, seeds, n <= 3))
 	}
-	leaver, other, spare := controllers[0], controllers[1], controllers[3]
-	for len(leaver.monitor.Alive(messages.Controller)) < 4 || !leaver.knowsMembers(4) {
+	leaving, other, spare := controllers[0], controllers[1], controllers[3]
+	for len(leaving.monitor.Alive(messages.Controller)) < 4 || !leaving.knowsMembers(4) {
 		_ = spare.registers.CatchUp(t.Context(), other.transport.Addr(), 0)
 	}
-	leaver.stop()
-	must.NoError(t, <-leaver.ended)
+	leaving.stop()
+	must.NoError(t, <-leaving.ended)
 	must.Eq(t, consensus.RegisterCount, spare.groupsWith(spare.registers.ID()))
-	must.Eq(t, 0, spare.groupsWith(leaver.registers.ID()))
+	must.Eq(t, 0, spare.groupsWith(leaving.registers.ID()))
 	other.stop()
 	must.NoError(t, <-other.ended)
 	for _, p := range other.repairs.Successors() {
-		must.NotEq(t, leaver.transport.Addr(), p.Addr, must.Sprint("a controller that has ended is no successor"))
+		must.NotEq(t, leaving.transport.Addr(), p.Addr, must.Sprint("a controller that has ended is no successor"))
 	}
 	must.Eq(t, consensus.RegisterCount, other.groupsWith(other.registers.ID()))
 	for _, f := range controllers[2:] {
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -21,8 +21,8 @@
 func (c *Controller) subscribeToPeers(ctx context.Context) {
 	active := map[string]context.CancelFunc{}
 	loop.Every(ctx, 200*time.Millisecond, func() {
-		want := c.wantedSubscriptions()
-		for addr, wanted := range want {
+		wantedSubscriptions := c.wantedSubscriptions()
+		for addr, wanted := range wantedSubscriptions {
 			if wanted && active[addr] == nil {
 				cctx, cancel := context.WithCancel(ctx)
 				active[addr] = cancel
@@ -30,7 +30,7 @@
 			}
 		}
 		for addr, cancel := range active {
-			if !want[addr] {
+			if !wantedSubscriptions[addr] {
 				cancel()
 				delete(active, addr)
 			}
