--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -42,10 +42,10 @@
 }
 
 // coreView returns the controllers whose joining or leaving resets the stability of the core (see
-// membership.Core), as a text to compare and as a set of addresses.
+// membership.CountedControllers), as a text to compare and as a set of addresses.
 func coreView(alive []messages.Peer) (view string, core map[string]bool) {
 	core = map[string]bool{}
-	for _, p := range membership.Core(alive) {
+	for _, p := range membership.CountedControllers(alive) {
 		view += p.Addr + p.MemberID + " "
 		core[p.Addr] = true
 	}
@@ -92,7 +92,7 @@
 	go c.tallies.Compared(ctx, p.Addr, theirs.TallyDigest)
 	c.publishRunners(c.registry.ApplyLaterHeartbeats(theirs.LaterHeartbeats, sentUs, c.clock())...)
 	c.targets.mergeAges(theirs.TargetAges, c.clock())
-	c.timeOfDay.Compare(p.Addr, theirs, sentUs, c.clock())
+	c.timeOfDay.AddSample(p.Addr, theirs, sentUs, c.clock())
 	c.contactLease.recordAnswer(cmp.Or(theirs.MemberID, p.MemberID), sentUs) // responses of earlier releases have no MemberID
 	for register := range min(len(theirs.Parts), consensus.RegisterCount) {
 		if theirs.Parts[register] > mine.Parts[register] {
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -105,7 +105,7 @@
 // keep coming here. A controller that is cut off returns a different controller each time, since
 // it cannot determine which of them has contact with a majority, if any.
 func (c *Controller) heartbeatRedirect(controllers []messages.Peer, n messages.RunnerRecord) string {
-	core := membership.Core(controllers)
+	core := membership.CountedControllers(controllers)
 	if c.cutOff() {
 		return rotatingRedirect(core, c.transport.Addr(), n)
 	}
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -126,7 +126,7 @@
 		return true
 	}
 	var peers []drainPeer
-	for _, p := range membership.Core(c.monitor.Alive(messages.Controller)) {
+	for _, p := range membership.CountedControllers(c.monitor.Alive(messages.Controller)) {
 		if p.Addr != c.transport.Addr() {
 			peers = append(peers, drainPeer{p.Addr, !c.stability.isCut(p.Addr)})
 		}
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -16,7 +16,7 @@
 		Clock:         c.clock,
 		Log:           c.log,
 		API:           c.runnerAPI,
-		Controllers:   func() []messages.Peer { return membership.Core(c.monitor.Alive(messages.Controller)) },
+		Controllers:   func() []messages.Peer { return membership.CountedControllers(c.monitor.Alive(messages.Controller)) },
 		Members:       c.configMembers,
 		PublishCached: c.publishCached,
 		PublishReport: c.publishReport,
--- a/internal/controller/service_rollouts_test.go
+++ b/internal/controller/service_rollouts_test.go
@@ -80,7 +80,7 @@
 	}
 	for _, d := range nodes {
 		d.feed.mu.Lock()
-		for _, load := range []messages.RunnerLoad{key(canary.NewSide).Load(canary.Outcome{Answers: 40, Bad: 20}), key(canary.OtherSide).Load(canary.Outcome{Answers: 900, Bad: 3})} {
+		for _, load := range []messages.RunnerLoad{key(canary.NewSide).Load(canary.Outcome{Answers: 40, Bad: 20}), key(canary.BaselineSide).Load(canary.Outcome{Answers: 900, Bad: 3})} {
 			d.feed.aggregate.Total.Put(load.ID, load)
 		}
 		d.feed.mu.Unlock()
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -44,7 +44,7 @@
 	want := map[string]bool{}
 	controllers := c.monitor.Alive(messages.Controller)
 	if !c.inCore(controllers) {
-		if parent := nearest(membership.Core(controllers), c.set.Zone); parent != "" {
+		if parent := nearest(membership.CountedControllers(controllers), c.set.Zone); parent != "" {
 			want[parent] = true
 		}
 		return want
@@ -55,9 +55,9 @@
 	return want
 }
 
-// inCore reports whether this controller belongs to the core (see membership.Core).
+// inCore reports whether this controller belongs to the core (see membership.CountedControllers).
 func (c *Controller) inCore(controllers []messages.Peer) bool {
-	for _, p := range membership.Core(controllers) {
+	for _, p := range membership.CountedControllers(controllers) {
 		if p.Addr == c.transport.Addr() {
 			return true
 		}
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -74,8 +74,8 @@
 }
 
 // Namings returns the named versions of a model from which its rollout is planned.
-func (n *namedTargets) Namings(model string, boundUs, nowUs int64) []rollout.Naming {
+func (n *namedTargets) Namings(model string, boundUs, nowUs int64) []rollout.NamedVersion {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return rollout.NamingsOf(&n.table, model, boundUs, nowUs)
+	return rollout.NamedVersions(&n.table, model, boundUs, nowUs)
 }
--- a/internal/controller/three_test.go
+++ b/internal/controller/three_test.go
@@ -48,7 +48,7 @@
 	}
 	for _, d := range nodes {
 		waitUntil(t, func() bool {
-			return d.inContact() && len(membership.Core(d.monitor.Alive(messages.Controller))) == len(nodes)
+			return d.inContact() && len(membership.CountedControllers(d.monitor.Alive(messages.Controller))) == len(nodes)
 		})
 	}
 	for _, control := range seeds {
