--- a/internal/controller/condition.go
+++ b/internal/controller/condition.go
@@ -1,4 +1,4 @@
-// What a controller reports of itself to the doctor.
+// The condition report of a controller for the doctor command.
 
 package controller
 
@@ -17,8 +17,8 @@
 	report := messages.Condition{Node: c.set.Node, Role: messages.Controller, Zone: c.set.Zone, Addr: c.transport.Addr(), TimeUs: time.Now().UnixMicro(), MemberID: c.registers.ID(), Versions: c.publishedVersions(), HasDisk: c.disk != nil}
 	report.SaveUs, report.SaveFault = c.registers.LastSave()
 	report.Unconfirmed = c.repairs.Unconfirmed()
-	for p := range consensus.RegisterCount {
-		v, _ := c.registers.Committed(p)
+	for register := range consensus.RegisterCount {
+		v, _ := c.registers.Committed(register)
 		report.Groups = append(report.Groups, append([]messages.Member{}, v.Group...))
 	}
 	report.Peers = append(c.monitor.Alive(messages.Controller), c.monitor.Alive(messages.Router)...)
@@ -43,7 +43,7 @@
 	return report
 }
 
-// OnRing tells how the doctor gets the log ring.
+// OnRing registers the function that returns the log ring buffer for the doctor command.
 func (c *Controller) OnRing(show func() ([]byte, error)) {
 	c.transport.OnCall(transport.KindRing, func(context.Context, *transport.Conn, []byte) ([]byte, error) { return show() })
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,45 +1,46 @@
-// Package controller is the role that keeps the control state: it serves the calls of
-// runners and of the operator, agrees with the other controllers on configuration,
-// target weights and leases, and distributes the state to routers.
+// Package controller implements the controller role, which stores the control state: it serves
+// the API calls of runners and of the operator, agrees with the other controllers on
+// configuration, target weights and leases, and distributes the state to routers.
 //
-// # What it is given and what it guarantees
+// # Input and guarantees
 //
-// New takes the settings, a pool of goroutines, a monotonic clock in microseconds and
+// New receives the settings, a goroutine pool, a monotonic clock in microseconds and
 // a logger. Run serves until its context ends.
 //
-//   - A configuration or target version is acknowledged after a majority has it on
+//   - A configuration or target version is acknowledged after a majority has stored it on
 //     disk (package consensus).
-//   - Answers that depend on the state are given only while the controller has contact
-//     with a majority (package lease); without it the call gets 503.
+//   - Responses that depend on the state are sent only while the controller holds the contact
+//     lease with a majority (package lease); without it the call is answered with 503.
 //   - A runner's draining or leaving is acknowledged after a majority of the
-//     controllers has it.
+//     controllers has recorded it.
 //
-// # Concerns
+// # Structure
 //
-// What has an edge is a package below this one, with its own state and mutex, which knows no
-// Controller: singleton (leases and the tasks under them), weightrollout, servicerollout,
+// Self-contained components are subpackages with their own state and mutex, which do not refer
+// to Controller: singleton (leases and the tasks under them), weightrollout, servicerollout,
 // usagereport and scaling (tasks), platform and runnerapi (calls under a lease), grouprepair
-// (the groups of the registers), runnerreader (what runners have
-// cached), quotaowner (the count of tenants' requests), tallies, httpapi.
+// (the groups of the registers), runnerreader (the prefixes that runners
+// have cached), quotaowner (tenant rate limits), tallies, httpapi.
 //
-// Here are: control.go (the HTTP calls), feed.go (distributes state to subscribers),
-// subscriptions.go (receives the feeds of other controllers), readers.go (which runners are read), contact.go (the contact lease), drain.go (replicates draining),
-// saved_runners.go (a copy of the registry on disk), duties.go (wires the singleton roles).
+// This package contains: control.go (the HTTP calls), feed.go (distributes state to subscribers),
+// subscriptions.go (receives the feeds of other controllers), readers.go (selects the runners to
+// read), contact.go (the contact lease), drain.go (replicates draining), saved_runners.go (a copy
+// of the registry on disk), duties.go (sets up the singleton tasks).
 //
-// # Who owns which state
+// # Ownership of state
 //
 // Controller.Run starts a goroutine for each periodic task and one for each server;
 // all end with its context. Calls run on goroutines of the HTTP server, messages on
 // those of the transport.
 //
 //   - Committed values belong to consensus.Registers, the runners to
-//     registry.Registry, the live nodes to membership.Monitor. Each guards itself.
+//     registry.Registry, the live nodes to membership.Monitor. Each is safe for concurrent use.
 //   - The compiled configuration is immutable and swapped by an atomic pointer, under
 //     the mutex of the feed.
-//   - The feed (streams, sums of loads, what waits to be sent) has a mutex of its own.
-//     The goroutine of runFeed sends; any other adds to it.
+//   - The feed (streams, sums of loads, pending updates) has its own mutex.
+//     The goroutine of runFeed sends; all other goroutines only add to it.
 //   - The contact lease, the view of the core, the target versions and the acknowledged
-//     drains each have a mutex beside their state, and so has each package below.
+//     drains each have a mutex beside their state, and so has each subpackage.
 //
 // No lock is held while a call to another node or to a runner is made.
 package controller
@@ -79,7 +80,7 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// Controller is the running role.
+// Controller is a controller node.
 type Controller struct {
 	set       settings.Settings
 	log       logr.Logger
@@ -96,26 +97,26 @@
 	// platformAddr is the address of the platform's API.
 	platformAddr atomic.Pointer[string]
 
-	heartbeats heartbeatBatch
+	heartbeats heartbeatQueue
 
 	feed    feed
 	readers *runnerreader.Readers
 
-	leases    *singleton.Leases
-	tasks     *singleton.Runner
-	operator  *operatorapi.Service
-	platform  *platform.Client
-	rollouts  *weightrollout.Driver
-	usage     *usagereport.Reporter // nil where the platform wants no usage
-	scaler    *scaling.Scaler       // nil where the platform takes no orders of runners
-	quotas    *quotaowner.Service
-	tallies   *tallies.Service
-	targets   namedTargets
-	stability stability
-	repairs   *grouprepair.Repairer
-	contact   contact
-	drained   ackedDrains
-	startUs   int64
+	leases       *singleton.Leases
+	tasks        *singleton.Runner
+	operator     *operatorapi.Service
+	platform     *platform.Client
+	rollouts     *weightrollout.Driver
+	usage        *usagereport.Reporter // nil if the platform has no usage duty
+	scaler       *scaling.Scaler       // nil if the platform has no scaling duty
+	quotas       *quotaowner.Service
+	tallies      *tallies.Service
+	targets      namedTargets
+	stability    stability
+	repairs      *grouprepair.Repairer
+	contactLease contactLease
+	ackedDrains  ackedDrains
+	startUs      int64
 
 	timeOfDay clocksync.Shared
 	counters  counters
@@ -123,8 +124,8 @@
 	disk *consensus.DiskStore // nil on machines without one
 }
 
-// New builds the role: it opens the disk, restores what it has, and takes no part in anything
-// before Run.
+// New creates a controller: it opens the disk and restores the stored state. The controller
+// neither sends nor serves anything before Run.
 func New(set settings.Settings, pool *ants.Pool, clock func() int64, log logr.Logger) (*Controller, error) {
 	trans, err := transport.New(set.ControllerAddr(), pool, log)
 	if err != nil {
@@ -151,42 +152,42 @@
 		}
 	}
 	c.handleMessages()
-	for part := range consensus.RegisterCount {
-		if value, ok := c.registers.Committed(part); ok && value.Version > 0 {
-			c.onCommitted(part, value)
+	for register := range consensus.RegisterCount {
+		if value, ok := c.registers.Committed(register); ok && value.Version > 0 {
+			c.onCommitted(register, value)
 		}
 	}
 	return c, nil
 }
 
-// openDisk opens the disk, if there is one, and restores what only serves as a hint: the runners
-// and the keys of shared parts.
+// openDisk opens the disk store, if a data directory is set, and restores the saved runners, which
+// serve only as a hint.
 func (c *Controller) openDisk() (err error) {
 	if c.set.DataDir == "" {
 		return nil
 	}
-	// The name of the directory is that of earlier versions of the program.
+	// The directory name is kept for compatibility with data of earlier versions.
 	if c.disk, err = consensus.NewDiskStore(filepath.Join(c.set.DataDir, "ledger")); err != nil {
-		return errors.Wrap(err, "controller: open the disk")
+		return errors.Wrap(err, "controller: open the disk store")
 	}
 	c.restoreRunners()
 	c.syncRunners()
 	return nil
 }
 
-// openRegisters opens the replicated registers, and the membership in which this member announces
-// its identity.
+// openRegisters opens the replicated registers and creates the membership monitor, which announces
+// this member's identity.
 func (c *Controller) openRegisters() (err error) {
 	var store consensus.Store = &consensus.MemoryStore{}
 	if c.disk != nil {
 		store = c.disk
 	}
-	caller := contactCaller{c.transport, &c.contact, c.clock}
+	caller := contactCaller{c.transport, &c.contactLease, c.clock}
 	c.registers, err = consensus.Open(c.set.ControllerAddr(), transport.KindConsensus, c.set.Bootstrap, c.set.SeedAddrs(), caller, store, c.log, c.onCommitted)
 	if err != nil {
 		return errors.Wrap(err, "controller: open the registers")
 	}
-	c.contact.lease.Self = c.registers.ID()
+	c.contactLease.lease.Self = c.registers.ID()
 	self := messages.Peer{
 		Addr:     c.set.ControllerAddr(),
 		Role:     messages.Controller,
@@ -200,7 +201,7 @@
 	return nil
 }
 
-// newPeerServices makes what this controller does together with the others.
+// newPeerServices creates the components that work together with the other controllers.
 func (c *Controller) newPeerServices() (err error) {
 	c.publisher = dissemination.NewPublisher(c.transport, dissemination.Upstream{
 		DeltaSince:   c.deltaSince,
@@ -226,13 +227,13 @@
 	return err
 }
 
-// handleMessages sets who handles the messages of other nodes.
+// handleMessages registers the handlers for messages of other nodes.
 func (c *Controller) handleMessages() {
 	trans := c.transport
 	trans.OnCall(transport.KindConsensus, func(ctx context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 		return c.registers.Handle(ctx, body)
 	})
-	trans.OnCall(transport.KindVersions, c.answerVersions)
+	trans.OnCall(transport.KindVersions, c.handleVersions)
 	trans.OnCall(transport.KindCondition, func(context.Context, *transport.Conn, []byte) ([]byte, error) {
 		report := c.condition()
 		return report.MarshalMsg(nil)
@@ -250,88 +251,88 @@
 	trans.OnDatagram(transport.KindRunners, c.receiveHeartbeats)
 }
 
-// knownControllers are the addresses to greet: the seeds and the members known
-// from disk, since all the seeds may be stale.
+// knownControllers returns the addresses that membership contacts: the seeds and the group
+// members of the stored registers, since all seeds may be stale.
 func (c *Controller) knownControllers() []string {
 	set := c.set
 	set.Seeds = *c.seeds.Load()
-	out := set.SeedAddrs()
-	for p := range consensus.RegisterCount {
-		if v, ok := c.registers.Committed(p); ok {
+	addrs := set.SeedAddrs()
+	for register := range consensus.RegisterCount {
+		if v, ok := c.registers.Committed(register); ok {
 			for _, m := range v.Group {
-				out = append(out, m.Addr)
+				addrs = append(addrs, m.Addr)
 			}
 		}
 	}
-	return out
+	return addrs
 }
 
-// Reload takes what may change in a running process from newly read settings: the seeds,
-// and the address of the platform.
+// Reload applies the settings that may change while the process runs: the seeds and the
+// address of the platform.
 func (c *Controller) Reload(set settings.Settings) {
 	c.seeds.Store(&set.Seeds)
 	c.platformAddr.Store(&set.Cloud.Address)
 }
 
-// Periods of tasks that no package of their own runs.
+// Periods of the tasks that this package runs itself.
 const (
-	comparePeriod = 500 * time.Millisecond // comparisons with the other controllers
-	sweepPeriod   = 500 * time.Millisecond // looks for silent runners
-	readersPeriod = 500 * time.Millisecond // the choice of the runners that are read
+	comparePeriod = 500 * time.Millisecond // compares versions with the other controllers
+	sweepPeriod   = 500 * time.Millisecond // checks for silent runners
+	readersPeriod = 500 * time.Millisecond // updates the set of runners to read
 )
 
-// Run serves until ctx ends; then the registers are handed over where a newcomer
-// stands ready, and served on meanwhile.
+// Run serves until ctx ends. It then hands its register memberships over to a spare controller,
+// if there is one, and serves the registers until that is done.
 func (c *Controller) Run(ctx context.Context) error {
-	live, end := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer c.transport.Close()
-	defer end()
-	c.transport.Run(live)
-	go c.monitor.Run(live)
-	go c.listenToOthers(live)
-	go c.repairs.Run(live)
-	go c.readers.Run(live)
-	go loop.Every(live, comparePeriod, func() { c.catchUp(live) })
-	go loop.Every(live, sweepPeriod, c.sweep)
-	go loop.Every(live, heartbeatPause, c.forwardHeartbeats)
-	go loop.Every(live, readersPeriod, func() { c.readRunners(live) })
-	go loop.Every(live, singleton.Period, func() {
+	defer stop()
+	c.transport.Run(runCtx)
+	go c.monitor.Run(runCtx)
+	go c.subscribeToPeers(runCtx)
+	go c.repairs.Run(runCtx)
+	go c.readers.Run(runCtx)
+	go loop.Every(runCtx, comparePeriod, func() { c.compareWithPeers(runCtx) })
+	go loop.Every(runCtx, sweepPeriod, c.sweep)
+	go loop.Every(runCtx, heartbeatBatchInterval, c.forwardHeartbeats)
+	go loop.Every(runCtx, readersPeriod, func() { c.readRunners(runCtx) })
+	go loop.Every(runCtx, singleton.Period, func() {
 		c.timeOfDay.Observe(time.Now().UnixMicro(), c.clock())
-		c.tasks.Step(live)
+		c.tasks.Step(runCtx)
 	})
 	if c.usage != nil {
-		go c.usage.Run(live)
+		go c.usage.Run(runCtx)
 	}
-	counting, endCounting := context.WithCancel(live)
-	defer endCounting()
-	go c.quotas.Run(counting)
-	go c.tallies.Run(live)
-	go c.runFeed(live)
-	go c.readRegisters(live)
-	go c.finishRounds(live)
-	go c.metricsServer().Run(live)
+	quotaCtx, stopQuotas := context.WithCancel(runCtx)
+	defer stopQuotas()
+	go c.quotas.Run(quotaCtx)
+	go c.tallies.Run(runCtx)
+	go c.runFeed(runCtx)
+	go c.readRegisters(runCtx)
+	go c.finishRounds(runCtx)
+	go c.metricsServer().Run(runCtx)
 	if c.disk != nil {
-		go c.saveRunners(live)
+		go c.saveRunners(runCtx)
 	}
 	served := make(chan error, 1)
-	go func() { served <- c.serveControl(live) }()
+	go func() { served <- c.serveControl(runCtx) }()
 	var err error
 	select {
 	case err = <-served:
-		end()
+		stop()
 	case <-ctx.Done():
-		endCounting()
+		stopQuotas()
 		c.quotas.Leave()
-		c.repairs.Leave(live)
-		end()
+		c.repairs.Leave(runCtx)
+		stop()
 		err = <-served
 	}
 	c.closeDisk()
 	return err
 }
 
-// closeWait is how long an ending process waits for writes under way.
-const closeWait = 500 * time.Millisecond
+// closeTimeout bounds how long a shutdown waits for writes in progress.
+const closeTimeout = 500 * time.Millisecond
 
 func (c *Controller) closeDisk() {
 	if c.disk == nil {
@@ -345,19 +346,19 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// readRegisters reads every part once after the start, so that what was agreed
-// on before a loss of power but not known as such is finished.
+// readRegisters reads every register once after the start, which completes values that a majority
+// had accepted before a power loss but that were not yet known to be committed.
 func (c *Controller) readRegisters(ctx context.Context) {
-	for p := range consensus.RegisterCount {
+	for register := range consensus.RegisterCount {
 		for ctx.Err() == nil {
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
-			v, err := c.contactRegisters().Read(cctx, p)
+			v, err := c.contactRegisters().Read(cctx, register)
 			cancel()
-			c.log.Info("part read", "part", p, "version", v.Version, "members", len(v.Group), "err", err)
+			c.log.Info("register read after start", "part", register, "version", v.Version, "members", len(v.Group), "err", err)
 			if err == nil {
 				break
 			}
@@ -366,11 +367,11 @@
 	}
 }
 
-func (c *Controller) onCommitted(p int, v messages.Value) {
+func (c *Controller) onCommitted(register int, v messages.Value) {
 	if v.Version == 0 || len(v.Body) == 0 {
 		return
 	}
-	if p == consensus.ConfigRegister {
+	if register == consensus.ConfigRegister {
 		var body messages.ConfigBody
 		if _, err := body.UnmarshalMsg(v.Body); err == nil && body.Version > 0 {
 			if m, err := routeconfig.ParseAccepted(body.Raw); err == nil {
@@ -380,54 +381,54 @@
 			}
 		}
 	}
-	if p != consensus.ConfigRegister {
-		c.onCommittedRole(p, v)
+	if register != consensus.ConfigRegister {
+		c.onLeaseCommitted(register, v)
 	}
 }
 
-// onCommittedRole takes what a register with a lease has. Routers need no closed windows, so
-// these do not go along.
-func (c *Controller) onCommittedRole(p int, v messages.Value) {
+// onLeaseCommitted applies and publishes the committed body of a register with a lease. Routers do
+// not need the closed usage windows, so these are left out.
+func (c *Controller) onLeaseCommitted(register int, v messages.Value) {
 	body, err := messages.DecodeLeaseBody(v)
 	if err != nil {
-		c.log.Error(err, "a committed register cannot be read", "part", p)
+		c.log.Error(err, "committed register cannot be decoded", "part", register)
 		return
 	}
-	c.targets.committed(body.Targets, c.starting(), c.clock())
+	c.targets.recordCommitted(body.Targets, c.starting(), c.clock())
 	if c.usage != nil {
 		c.usage.Closed(body.Usage.Next)
 	}
 	body.Usage.Pending = nil
 	published, err := body.MarshalMsg(nil)
 	if err != nil {
-		c.log.Error(err, "a committed register cannot be sent", "part", p)
+		c.log.Error(err, "committed register cannot be encoded for publishing", "part", register)
 		return
 	}
-	c.publishPart(messages.RegisterUpdate{Part: p, Version: v.Version, Body: published})
+	c.publishRegister(messages.RegisterUpdate{Part: register, Version: v.Version, Body: published})
 }
 
-// receiveHeartbeat takes a heartbeat that a controller of an earlier release has received.
+// receiveHeartbeat applies a single heartbeat forwarded by a controller of an earlier release.
 func (c *Controller) receiveHeartbeat(_ string, body []byte) {
-	var n messages.RunnerRecord
-	if _, err := n.UnmarshalMsg(body); err == nil && c.registry.ApplyHeartbeat(n, c.clock()) {
-		c.publishRunners(n.ID)
+	var record messages.RunnerRecord
+	if _, err := record.UnmarshalMsg(body); err == nil && c.registry.ApplyHeartbeat(record, c.clock()) {
+		c.publishRunners(record.ID)
 	}
 }
 
-// silence is the bounds for runners that beat as the settings say.
-func (c *Controller) silence() registry.SilenceLimits {
+// silenceLimits returns the silence limits for the heartbeat period of the settings.
+func (c *Controller) silenceLimits() registry.SilenceLimits {
 	return registry.SilenceLimitsFor(int64(c.set.BeatPeriodMs) * 1000)
 }
 
 func (c *Controller) sweep() {
-	for _, n := range c.registry.Sweep(c.clock(), c.silence(), !c.cutOff()) {
+	for _, n := range c.registry.Sweep(c.clock(), c.silenceLimits(), !c.cutOff()) {
 		c.publishRunners(n.ID)
 	}
 	c.syncRunners()
 	snap := c.registry.Snapshot()
 	c.readers.Retain(func(id string) bool {
 		_, known := snap.ByID[id]
-		return known || strings.Contains(id, ":") // a store is named by its address
+		return known || strings.Contains(id, ":") // the ID of a cache store is its address
 	})
 	c.connPool.Sweep(func(string) bool { return true })
 }
--- a/internal/controller/stability.go
+++ b/internal/controller/stability.go
@@ -1,29 +1,29 @@
-// For how long the core has been stable, as this controller sees it: who is alive, and
-// whom it reaches itself. Probes go round a partition between two controllers by way
-// of routers and do not see it, so direct calls count as well.
+// How long the core has been stable, as observed by this controller: the set of live controllers,
+// and which of them answer its direct calls. Membership probes are relayed by routers around a
+// partition between two controllers and do not detect it, so direct calls are checked as well.
 
 package controller
 
 import "sync"
 
-// unreachedUs is after how long without an answer a controller counts as not
-// reached.
-const unreachedUs = 1_200_000
+// unreachableAfterUs is the time without an answer to a direct call after which a controller counts
+// as unreachable.
+const unreachableAfterUs = 1_200_000
 
 type stability struct {
-	mu      sync.Mutex
-	view    string
-	reached map[string]int64
-	cut     map[string]bool
-	sinceUs int64
+	mu            sync.Mutex
+	view          string
+	lastReachedUs map[string]int64
+	cut           map[string]bool
+	stableSinceUs int64
 }
 
-// observe records who is alive now.
+// observe records the current set of live controllers of the core.
 func (s *stability) observe(view string, nowUs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if view != s.view {
-		s.view, s.sinceUs = view, nowUs
+		s.view, s.stableSinceUs = view, nowUs
 	}
 }
 
@@ -31,30 +31,31 @@
 func (s *stability) recordCall(addr string, ok bool, nowUs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reached == nil {
-		s.reached, s.cut = map[string]int64{}, map[string]bool{}
+	if s.lastReachedUs == nil {
+		s.lastReachedUs, s.cut = map[string]int64{}, map[string]bool{}
 	}
-	if _, known := s.reached[addr]; !known {
-		s.reached[addr] = nowUs
+	if _, known := s.lastReachedUs[addr]; !known {
+		s.lastReachedUs[addr] = nowUs
 	}
 	if ok {
-		s.reached[addr] = nowUs
+		s.lastReachedUs[addr] = nowUs
 	}
-	if cut := nowUs-s.reached[addr] > unreachedUs; cut != s.cut[addr] {
-		s.cut[addr], s.sinceUs = cut, nowUs
+	if cut := nowUs-s.lastReachedUs[addr] > unreachableAfterUs; cut != s.cut[addr] {
+		s.cut[addr], s.stableSinceUs = cut, nowUs
 	}
 }
 
-// isCut tells whether direct calls to a controller have failed for long.
+// isCut reports whether all direct calls to a controller have failed for longer than the limit.
 func (s *stability) isCut(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cut[addr]
 }
 
-// stableForUs returns for how long the view has not changed.
+// stableForUs returns the time since the core, or the reachability of one of its members, last
+// changed.
 func (s *stability) stableForUs(nowUs int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return nowUs - s.sinceUs
+	return nowUs - s.stableSinceUs
 }
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -1,5 +1,5 @@
-// Subscriptions to the other controllers: what this controller receives from them, and
-// passes down to its routers.
+// Subscriptions to the other controllers. Received updates are applied here and forwarded to the
+// routers.
 
 package controller
 
@@ -16,47 +16,48 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// listenToOthers keeps a subscription to every other controller; one that does
-// not count, among others that do, listens to one of those only.
-func (c *Controller) listenToOthers(ctx context.Context) {
-	have := map[string]context.CancelFunc{}
+// subscribeToPeers maintains a subscription to every other controller. A controller outside the core
+// subscribes to only one controller of the core.
+func (c *Controller) subscribeToPeers(ctx context.Context) {
+	active := map[string]context.CancelFunc{}
 	loop.Every(ctx, 200*time.Millisecond, func() {
-		want := c.wantedSubscriptions()
-		for addr, wanted := range want {
-			if wanted && have[addr] == nil {
+		wantedSubscriptions := c.wantedSubscriptions()
+		for addr, wanted := range wantedSubscriptions {
+			if wanted && active[addr] == nil {
 				cctx, cancel := context.WithCancel(ctx)
-				have[addr] = cancel
-				go c.listenTo(cctx, addr)
+				active[addr] = cancel
+				go c.subscribeTo(cctx, addr)
 			}
 		}
-		for addr, cancel := range have {
-			if !want[addr] {
+		for addr, cancel := range active {
+			if !wantedSubscriptions[addr] {
 				cancel()
-				delete(have, addr)
+				delete(active, addr)
 			}
 		}
 	})
 }
 
-// wantedSubscriptions are the controllers to listen to.
+// wantedSubscriptions returns the addresses of the controllers to subscribe to; the entry of this
+// controller is false.
 func (c *Controller) wantedSubscriptions() map[string]bool {
 	want := map[string]bool{}
-	all := c.monitor.Alive(messages.Controller)
-	if !c.inCore(all) {
-		if near := nearest(membership.CountedControllers(all), c.set.Zone); near != "" {
-			want[near] = true
+	controllers := c.monitor.Alive(messages.Controller)
+	if !c.inCore(controllers) {
+		if parent := nearest(membership.CountedControllers(controllers), c.set.Zone); parent != "" {
+			want[parent] = true
 		}
 		return want
 	}
-	for _, p := range all {
+	for _, p := range controllers {
 		want[p.Addr] = p.Addr != c.transport.Addr()
 	}
 	return want
 }
 
-// inCore tells whether this controller counts, or nobody does.
-func (c *Controller) inCore(all []messages.Peer) bool {
-	for _, p := range membership.CountedControllers(all) {
+// inCore reports whether this controller belongs to the core (see membership.CountedControllers).
+func (c *Controller) inCore(controllers []messages.Peer) bool {
+	for _, p := range membership.CountedControllers(controllers) {
 		if p.Addr == c.transport.Addr() {
 			return true
 		}
@@ -64,31 +65,31 @@
 	return false
 }
 
-// nearest is the first of a zone, else the first of all.
-func nearest(list []messages.Peer, zone string) string {
-	for _, p := range list {
+// nearest returns the address of the first controller of a zone, else of the first controller.
+func nearest(controllers []messages.Peer, zone string) string {
+	for _, p := range controllers {
 		if p.Zone == zone {
 			return p.Addr
 		}
 	}
-	if len(list) > 0 {
-		return list[0].Addr
+	if len(controllers) > 0 {
+		return controllers[0].Addr
 	}
 	return ""
 }
 
-// listenTo keeps the subscription to one other controller.
-func (c *Controller) listenTo(ctx context.Context, addr string) {
-	runners := statesync.NewEntries() // as the other has them
-	u := dissemination.Subscriber{
+// subscribeTo runs the subscription to another controller until ctx ends.
+func (c *Controller) subscribeTo(ctx context.Context, addr string) {
+	replica := statesync.NewEntries() // replica of the records that the other publishes
+	subscriber := dissemination.Subscriber{
 		Controller: true,
 		Parents:    func() []string { return []string{addr} },
-		SyncState:  func() messages.SyncState { return c.syncStateOf(addr, runners) },
+		SyncState:  func() messages.SyncState { return c.syncStateOf(addr, replica) },
 		ApplyUpdate: func(_ string, f messages.Feed, _ []byte) *messages.SyncState {
-			if c.takeFeed(addr, f, runners) {
+			if c.applyFeed(addr, f, replica) {
 				return nil
 			}
-			h := c.syncStateOf(addr, runners)
+			h := c.syncStateOf(addr, replica)
 			return &h
 		},
 		Acked: func(int64) {}, ResendAll: func() {}, Counts: &c.counters.subscriptions,
@@ -98,75 +99,76 @@
 			c.feed.mu.Unlock()
 		},
 	}
-	u.Listen(ctx, c.transport)
-	c.feed.malformed.Add(u.Malformed.Load())
+	subscriber.Listen(ctx, c.transport)
+	c.feed.malformed.Add(subscriber.Malformed.Load())
 }
 
-// syncStateOf names what this node holds of another's streams. The configuration and
-// the parts come through the registers.
-func (c *Controller) syncStateOf(addr string, runners *statesync.Entries) messages.SyncState {
+// syncStateOf returns the cursors of this node in another controller's streams. The
+// configuration and the leases are not requested; they are replicated by the registers.
+func (c *Controller) syncStateOf(addr string, replica *statesync.Entries) messages.SyncState {
 	f := &c.feed
 	f.mu.Lock()
-	h := messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: never}}
-	h.Registry.Epoch, h.Registry.Version = runners.Cursor()
+	state := messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: unreachableVersion}}
+	state.Registry.Epoch, state.Registry.Version = replica.Cursor()
 	if l := f.aggregate.Sender(addr); l != nil {
-		h.Loads.Epoch, h.Loads.Version = l.Cursor()
+		state.Loads.Epoch, state.Loads.Version = l.Cursor()
 	}
 	f.mu.Unlock()
 	for range consensus.RegisterCount {
-		h.Parts = append(h.Parts, never)
+		state.Parts = append(state.Parts, unreachableVersion)
 	}
-	h.Cached = c.readers.Cursors()
-	return h
+	state.Cached = c.readers.Cursors()
+	return state
 }
 
-// never is a version that is not reached: what is known under it is not sent.
-const never = 1 << 62
+// unreachableVersion is a version that no stream reaches: a stream with this cursor is not sent.
+const unreachableVersion = 1 << 62
 
-// pullNewer learns at once of a version that another controller has and this one
-// has not: one that is not in the group is not told by the round itself.
-func (c *Controller) pullNewer(addr string, versions []int64) {
+// pullNewerVersions pulls the register versions of another controller that are newer than those
+// here. A consensus round does not notify controllers outside the register's group.
+func (c *Controller) pullNewerVersions(addr string, versions []int64) {
 	mine := c.publishedVersions()
-	for p, v := range versions {
-		if p < len(mine) && v > mine[p] {
-			go func() { _ = c.registers.CatchUp(context.Background(), addr, p) }()
+	for register, v := range versions {
+		if register < len(mine) && v > mine[register] {
+			go func() { _ = c.registers.CatchUp(context.Background(), addr, register) }()
 		}
 	}
 }
 
-// takeRunners takes a change of another controller's list of runners. It reports whether it
-// fits the state that is known of it.
-func (c *Controller) takeRunners(delta messages.EntryChange, runners *statesync.Entries, nowUs int64) (fits bool) {
+// applyRunners applies a change of another controller's runner records. It reports whether the
+// change matched the replica of that stream.
+func (c *Controller) applyRunners(delta messages.EntryChange, replica *statesync.Entries, nowUs int64) (consistent bool) {
 	f := &c.feed
 	change := statesync.DecodeEntries(delta)
 	f.mu.Lock()
-	again := delta.Snapshot && runners.Epoch == delta.Epoch
-	r := runners.Apply(change)
-	fits = f.count(r, again)
+	resync := delta.Snapshot && replica.Epoch == delta.Epoch
+	result := replica.Apply(change)
+	consistent = f.countResult(result, resync)
 	f.mu.Unlock()
-	if r == statesync.DigestMismatch {
-		return fits
+	if result == statesync.DigestMismatch {
+		return consistent
 	}
 	merged, malformed := c.registry.MergeChange(change, nowUs)
 	f.malformed.Add(int64(malformed))
 	c.publishRunners(merged...)
-	return fits
+	return consistent
 }
 
-// takeFeed takes what another controller is the first to know and passes it down.
-func (c *Controller) takeFeed(addr string, in messages.Feed, runners *statesync.Entries) (fits bool) {
+// applyFeed applies an update of another controller and queues it for the routers. It reports
+// whether all deltas matched the local replicas.
+func (c *Controller) applyFeed(addr string, in messages.Feed, replica *statesync.Entries) (consistent bool) {
 	now := c.clock()
-	fits = true
+	consistent = true
 	f := &c.feed
-	c.pullNewer(addr, in.Versions)
-	c.targets.observe(in.TargetAges, now)
+	c.pullNewerVersions(addr, in.Versions)
+	c.targets.mergeAges(in.TargetAges, now)
 	for _, delta := range in.Registry {
-		fits = c.takeRunners(delta, runners, now) && fits
+		consistent = c.applyRunners(delta, replica, now) && consistent
 	}
 	c.readers.Announce(in.PendingBlocks)
 	var applied []messages.CachedChange
 	for _, cached := range c.readers.Apply(in.Cached) {
-		fits = f.count(cached.Result, cached.Again) && fits
+		consistent = f.countResult(cached.Result, cached.Again) && consistent
 		if cached.Result == statesync.Applied {
 			applied = append(applied, cached.Change)
 		}
@@ -175,8 +177,8 @@
 	defer f.mu.Unlock()
 	for _, delta := range in.Loads {
 		known := f.aggregate.Sender(addr)
-		again := delta.Snapshot && known != nil && known.Epoch == delta.Epoch
-		fits = f.count(f.aggregate.Apply(addr, delta), again) && fits
+		resync := delta.Snapshot && known != nil && known.Epoch == delta.Epoch
+		consistent = f.countResult(f.aggregate.Apply(addr, delta), resync) && consistent
 	}
 	f.toRouters.cached = append(f.toRouters.cached, applied...)
 	f.toRouters.reports = append(f.toRouters.reports, in.Reports...)
@@ -184,5 +186,5 @@
 	if len(in.PendingBlocks) > 0 {
 		f.wake()
 	}
-	return fits
+	return consistent
 }
--- a/internal/controller/tally_replica.go
+++ b/internal/controller/tally_replica.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// tallyDiskBytesPerAdd and tallyMemoryBytesPerAdd are the room that an add takes on the disk,
-	// and in memory, at the most: with what compaction needs beside it.
+	// tallyDiskBytesPerAdd and tallyMemoryBytesPerAdd are the maximum space of an add on disk and
+	// in memory, including the temporary space that compaction needs.
 	tallyDiskBytesPerAdd   = 32
 	tallyMemoryBytesPerAdd = 64
-	// tallyDiskPart and tallyMemoryPart are the parts of the machine's disk and of the
-	// process's memory that tallies may take.
-	tallyDiskPart   = 0.5
-	tallyMemoryPart = 0.3
-	bytesPerMB      = 1 << 20
+	// tallyDiskFraction and tallyMemoryFraction are the fractions of the machine's disk and of the
+	// process's memory that tallies may use.
+	tallyDiskFraction   = 0.5
+	tallyMemoryFraction = 0.3
+	bytesPerMB          = 1 << 20
 )
 
-// maxTallyAdds bounds the adds that a machine with these limits can hold; 0: no bound.
+// maxTallyAdds returns how many adds a machine with these limits can store; 0 means unlimited.
 func maxTallyAdds(limits settings.Limits) int {
-	bound := int(float64(limits.DiskMb) * bytesPerMB * tallyDiskPart / tallyDiskBytesPerAdd)
-	memory := int(float64(limits.MemoryMb) * bytesPerMB * tallyMemoryPart / tallyMemoryBytesPerAdd)
+	bound := int(float64(limits.DiskMb) * bytesPerMB * tallyDiskFraction / tallyDiskBytesPerAdd)
+	memory := int(float64(limits.MemoryMb) * bytesPerMB * tallyMemoryFraction / tallyMemoryBytesPerAdd)
 	if memory > 0 && (bound == 0 || memory < bound) {
 		return memory
 	}
 	return bound
 }
 
-// openTallies opens this machine's replica of the tallies.
+// openTallies opens the tally replica of this controller.
 func (c *Controller) openTallies() (*tallies.Service, error) {
 	return tallies.Open(tallies.Config{
 		Zone:           c.set.Zone,
 		DataDir:        c.set.DataDir,
 		MaxAdds:        maxTallyAdds(c.set.Limits),
 		Quorum:         tally.QuorumFor(c.set.Tolerance.Machines, c.set.Tolerance.Zones),
-		CompareTimeout: compareWait,
+		CompareTimeout: compareTimeout,
 		Clock:          c.clock,
 		Log:            c.log,
 		Peers:          c.transport,
@@ -47,7 +47,7 @@
 	})
 }
 
-// tallyReplicas returns the addresses of all other controllers that are known.
+// tallyReplicas returns the addresses of all other known controllers, sorted.
 func (c *Controller) tallyReplicas() []string {
 	addrs := append(c.knownControllers(), c.otherControllers()...)
 	slices.Sort(addrs)
--- a/internal/controller/unfinished.go
+++ b/internal/controller/unfinished.go
@@ -1,7 +1,6 @@
-// Rounds that were left unfinished are brought to their end. A controller that
-// acknowledges a change and then ends may not have notified any other member that it was
-// committed; the others have accepted it and would learn of it only with the next
-// change.
+// Completion of unfinished consensus rounds. A controller that acknowledges a change and then
+// stops may not have notified any other member of the commit; the others have accepted the value
+// and would otherwise learn of the commit only with the next change.
 
 package controller
 
@@ -14,56 +13,57 @@
 	"beechtide.org/beechtide/internal/loop"
 )
 
-// Times of the look for unfinished rounds. Several members may find the same one,
-// so each waits for a time of its own, drawn anew for each round.
+// Timing of the search for unfinished rounds. Several members may find the same round, so each
+// waits for a random time before it reads the register.
 const (
-	unfinishedPeriod    = 100 * time.Millisecond
-	unfinishedLeastWait = 300 * time.Millisecond
-	unfinishedMostWait  = 800 * time.Millisecond
-	unfinishedReadWait  = time.Second
+	unfinishedCheckPeriod = 100 * time.Millisecond
+	minUnfinishedWait     = 300 * time.Millisecond
+	maxUnfinishedWait     = 800 * time.Millisecond
+	unfinishedReadTimeout = time.Second
 )
 
-// unfinishedRounds remembers since when the round of each register is unfinished.
+// unfinishedRounds records the unfinished round of each register and when to complete it.
 type unfinishedRounds [consensus.RegisterCount]struct {
 	slot  int64
 	dueUs int64
 }
 
-// due tells whether a round has been unfinished for long enough to end it.
-func (u *unfinishedRounds) due(part int, slot, nowUs, waitUs int64) bool {
-	at := &u[part]
-	if at.slot != slot {
-		at.slot, at.dueUs = slot, nowUs+waitUs
+// due reports whether a round has been unfinished for the wait time, which starts with the first
+// call for that round.
+func (u *unfinishedRounds) due(register int, slot, nowUs, waitUs int64) bool {
+	round := &u[register]
+	if round.slot != slot {
+		round.slot, round.dueUs = slot, nowUs+waitUs
 		return false
 	}
-	return nowUs >= at.dueUs
+	return nowUs >= round.dueUs
 }
 
-// finishRounds looks for unfinished rounds until ctx ends, and reads the registers
-// that have one.
+// finishRounds checks for unfinished rounds until ctx ends, and reads the registers that have
+// one.
 func (c *Controller) finishRounds(ctx context.Context) {
 	var rounds unfinishedRounds
-	loop.Every(ctx, unfinishedPeriod, func() {
-		for part := range consensus.RegisterCount {
-			slot, unfinished := c.registers.UnfinishedVersion(part)
+	loop.Every(ctx, unfinishedCheckPeriod, func() {
+		for register := range consensus.RegisterCount {
+			slot, unfinished := c.registers.UnfinishedVersion(register)
 			if !unfinished {
-				rounds[part].slot = 0
+				rounds[register].slot = 0
 				continue
 			}
-			wait := unfinishedLeastWait + rand.N(unfinishedMostWait-unfinishedLeastWait)
-			if !rounds.due(part, slot, c.clock(), wait.Microseconds()) {
+			wait := minUnfinishedWait + rand.N(maxUnfinishedWait-minUnfinishedWait)
+			if !rounds.due(register, slot, c.clock(), wait.Microseconds()) {
 				continue
 			}
-			rounds[part].slot = 0
-			go c.finishRound(ctx, part, slot)
+			rounds[register].slot = 0
+			go c.finishRound(ctx, register, slot)
 		}
 	})
 }
 
-// finishRound reads a register by a majority, which ends its round.
-func (c *Controller) finishRound(ctx context.Context, part int, slot int64) {
-	ctx, cancel := context.WithTimeout(ctx, unfinishedReadWait)
+// finishRound reads a register from a majority, which completes its unfinished round.
+func (c *Controller) finishRound(ctx context.Context, register int, slot int64) {
+	ctx, cancel := context.WithTimeout(ctx, unfinishedReadTimeout)
 	defer cancel()
-	_, err := c.contactRegisters().Read(ctx, part)
-	c.log.Info("an unfinished round was read", "part", part, "slot", slot, "err", err)
+	_, err := c.contactRegisters().Read(ctx, register)
+	c.log.Info("unfinished consensus round read", "part", register, "slot", slot, "err", err)
 }
