--- a/internal/controller/condition.go
+++ b/internal/controller/condition.go
@@ -43,7 +43,7 @@
 	return report
 }
 
-// OnRing registers the function that returns the log ring buffer for the doctor command.
-func (c *Controller) OnRing(show func() ([]byte, error)) {
+// ServeLogRing registers the function that returns the log ring buffer for the doctor command.
+func (c *Controller) ServeLogRing(show func() ([]byte, error)) {
 	c.transport.OnCall(transport.KindRing, func(context.Context, *transport.Conn, []byte) ([]byte, error) { return show() })
 }
--- a/internal/router/condition.go
+++ b/internal/router/condition.go
@@ -32,7 +32,7 @@
 	return report
 }
 
-// OnRing sets the function that returns the log ring to the diagnostic command.
-func (r *Router) OnRing(show func() ([]byte, error)) {
+// ServeLogRing sets the function that returns the log ring to the diagnostic command.
+func (r *Router) ServeLogRing(show func() ([]byte, error)) {
 	r.transport.OnCall(transport.KindRing, func(context.Context, *transport.Conn, []byte) ([]byte, error) { return show() })
 }
