--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -1,10 +1,10 @@
-// Package singleton runs the singleton roles: work that one controller of the core does at a
-// time, the holder of a register's lease.
+// Package singleton runs the singleton roles: work that only one controller of the core does at
+// a time, namely the holder of a register's lease.
 //
-// Leases acquires and confirms the leases by rounds of the registers, as package lease decides,
-// and bounds what may be done under them: a call leaves only while MayCall says so, under a
-// fencing token that RecordFenceUsed has noted. Runner steps the tasks of each register and runs
-// them under the grant of its lease.
+// Leases acquires and confirms the leases with consensus rounds of the registers, as package
+// lease decides, and limits what may be done under them: a call is sent only while MayCall
+// returns true, under a fencing token that was recorded with RecordFenceUsed. Runner steps the
+// lease of each register and runs the register's tasks under its grant.
 //
 // Both are safe for concurrent use. No lock is held during a round.
 package singleton
@@ -27,50 +27,50 @@
 const (
 	confirmTimeout = 600 * time.Millisecond
 	acquireTimeout = time.Second
-	// ActUs is for how long after a confirmation calls may leave, in microseconds.
+	// ActUs is how long after a confirmation calls may be sent, in microseconds.
 	ActUs = int64(400_000)
-	// spareUs is for a call that was sent and has not arrived; it exceeds the time that a
-	// runner or the platform may take to receive one.
-	spareUs = int64(800_000)
-	// unknownHolderUs is how long after the start of a process a holder that membership
-	// has not heard of may still turn up.
+	// inFlightUs is reserved for a call that was sent and has not arrived yet. It exceeds the
+	// time that a runner or the platform may take to receive a call.
+	inFlightUs = int64(800_000)
+	// unknownHolderUs is how long after the start of this process a holder that is not in
+	// the membership is still expected to join it.
 	unknownHolderUs = int64(3_000_000)
 )
 
 // Registers are the replicated registers (consensus.Registers).
 type Registers interface {
-	// ID is the identity of this member.
+	// ID returns the identity of this member.
 	ID() string
-	Committed(part int) (messages.Value, bool)
-	Read(ctx context.Context, part int) (messages.Value, error)
-	Change(ctx context.Context, part int, change consensus.Change) (messages.Value, error)
+	Committed(register int) (messages.Value, bool)
+	Read(ctx context.Context, register int) (messages.Value, error)
+	Change(ctx context.Context, register int, change consensus.Change) (messages.Value, error)
 }
 
-// Membership tells which nodes are alive (membership.Monitor).
+// Membership reports which nodes are alive (membership.Monitor).
 type Membership interface {
 	Alive(role messages.Role) []messages.Peer
 	DeadForUs(addr string) int64
 }
 
-// Notes are small durable files (consensus.DiskStore).
+// Notes reads and writes small durable files (consensus.DiskStore).
 type Notes interface {
 	ReadFile(name string) ([]byte, bool)
 	WriteFile(name string, content []byte) error
 }
 
-// Config is what Leases are given. All fields but Notes are required.
+// Config configures Leases. All fields but Notes are required.
 type Config struct {
 	// Addr is the address of this controller.
 	Addr string
-	// LeaseUs is the least time between the acts of two holders, in microseconds.
+	// LeaseUs is the minimum time between the actions of two holders, in microseconds.
 	LeaseUs    int64
 	Clock      func() int64 // microseconds, monotonic
 	Log        logr.Logger
 	Registers  Registers
 	Membership Membership
-	// Notes keep the newest fence that was used; nil on a machine without a disk.
+	// Notes stores the newest fencing token that was used; nil on a machine without a disk.
 	Notes Notes
-	// IsCut reports whether direct calls to a controller have failed for long.
+	// IsCut reports whether direct calls to a controller have failed for a long time.
 	IsCut func(addr string) bool
 	// HasContact reports whether this controller has contact with a majority of a group.
 	HasContact func(group []messages.Member) bool
@@ -86,80 +86,83 @@
 	return nil
 }
 
-// Leases are the leases of all registers that have one, as this controller holds them.
+// Leases holds this controller's state of the leases of all registers that have one.
 type Leases struct {
 	config  Config
 	startUs int64
 
-	mu    sync.Mutex // guards what follows
-	roles map[int]*lease.Role
-	busy  map[int]bool  // a round for the lease is under way
-	used  map[int]int64 // the newest fence this process has acted under
+	mu         sync.Mutex // guards what follows
+	roles      map[int]*lease.Role
+	inRound    map[int]bool  // a round for the lease is in progress
+	usedFences map[int]int64 // the newest fencing token this process has acted under
 }
 
-// NewLeases returns leases of which none is current.
+// NewLeases returns Leases without a held lease.
 func NewLeases(config Config) (*Leases, error) {
 	if err := config.check(); err != nil {
 		return nil, err
 	}
 	l := &Leases{
-		config:  config,
-		startUs: config.Clock(),
-		roles:   map[int]*lease.Role{},
-		busy:    map[int]bool{},
-		used:    map[int]int64{},
+		config:     config,
+		startUs:    config.Clock(),
+		roles:      map[int]*lease.Role{},
+		inRound:    map[int]bool{},
+		usedFences: map[int]int64{},
 	}
-	times := lease.Times{LeaseUs: config.LeaseUs, ActUs: ActUs, InFlightUs: spareUs}
-	for part := 1; part < consensus.RegisterCount; part++ {
-		l.roles[part] = lease.NewRole(times)
+	times := lease.Times{LeaseUs: config.LeaseUs, ActUs: ActUs, InFlightUs: inFlightUs}
+	for register := 1; register < consensus.RegisterCount; register++ {
+		l.roles[register] = lease.NewRole(times)
 	}
 	return l, nil
 }
 
-// RecordInitialHolder notes a lease that came with the first naming of weights.
-func (l *Leases) RecordInitialHolder(part int, initial messages.Lease) {
+// RecordInitialHolder records a lease that this process acquired with the first naming of weights
+// in a register. Any other lease is ignored.
+func (l *Leases) RecordInitialHolder(register int, initial messages.Lease) {
 	if initial.Holder != l.config.Registers.ID() || initial.Fence != lease.InitialFence {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roles[part].RecordInitialHolder(initial.Fence)
+	l.roles[register].RecordInitialHolder(initial.Fence)
 }
 
-// Refuse notes that a receiver of calls has refused a fence, which is then never used
-// again.
-func (l *Leases) Refuse(part int, fence int64) {
+// Refuse records that a receiver of calls has refused a fencing token, which is then never
+// used again.
+func (l *Leases) Refuse(register int, fence int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roles[part].RecordRefusal(fence)
+	l.roles[register].RecordRefusal(fence)
 }
 
-// MayCall reports whether a call may leave now under a fence. It is asked as the call
-// leaves: the lease may have expired since the work began.
-func (l *Leases) MayCall(part int, fence int64) bool {
+// MayCall reports whether a call may be sent now under a fencing token. It must be called right
+// before the call is sent, as the lease may have expired since the work began.
+func (l *Leases) MayCall(register int, fence int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.roles[part].MayCall(fence, l.config.Clock())
+	return l.roles[register].MayCall(fence, l.config.Clock())
 }
 
-// NextFence returns the fence with which a lease would be acquired now, above floor.
-func (l *Leases) NextFence(part int, floor int64) int64 {
+// NextFence returns the fencing token with which a lease that nobody has held would be acquired
+// now. It is above floor.
+func (l *Leases) NextFence(register int, floor int64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.roles[part].NextLease(messages.Lease{}, floor).Fence
+	return l.roles[register].NextLease(messages.Lease{}, floor).Fence
 }
 
-// Change changes the body of a register, if its lease is still as it was. edit reports
-// whether there is something to change; if not, the error is consensus.ErrNoChange.
-func (l *Leases) Change(ctx context.Context, part int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error) {
+// Change changes the body of a register if its lease still equals was. edit reports whether
+// there is something to change. If the lease differs or there is nothing to change, the error is
+// consensus.ErrNoChange.
+func (l *Leases) Change(ctx context.Context, register int, expected messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error) {
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
-	value, err := l.config.Registers.Change(ctx, part, func(current messages.Value) ([]messages.Member, []byte, error) {
+	value, err := l.config.Registers.Change(ctx, register, func(current messages.Value) ([]messages.Member, []byte, error) {
 		body, err := messages.DecodeLeaseBody(current)
 		if err != nil {
 			return nil, nil, err
 		}
-		if body.Lease != was || !edit(&body) {
+		if body.Lease != expected || !edit(&body) {
 			return nil, nil, consensus.ErrNoChange
 		}
 		encoded, err := body.MarshalMsg(nil)
@@ -171,29 +174,30 @@
 	return messages.DecodeLeaseBody(value)
 }
 
-// work is what there is to do under a lease.
-type work struct {
+// pendingWork sums up what the tasks of a register have to do under its lease.
+type pendingWork struct {
 	needed     bool
 	fenceFloor int64
 }
 
-// step takes the next step of a register's lease, and returns what it grants now. A round that
-// is due is begun; after a confirmation confirmed is called.
-func (l *Leases) step(ctx context.Context, part int, group []messages.Member, current messages.Lease, todo work, confirmed func()) lease.Grant {
-	view := l.view(group, current, todo)
+// stepLease runs the next step of a register's lease and returns what the lease grants now. If a
+// round is due and none is in progress, it is started in the background; after a confirmation
+// round the callback confirmed is called.
+func (l *Leases) stepLease(ctx context.Context, register int, group []messages.Member, current messages.Lease, pending pendingWork, confirmed func()) lease.Grant {
+	view := l.roleView(group, current, pending)
 	l.mu.Lock()
-	step := l.roles[part].Step(view)
-	round := (step.Acquire || step.Confirm) && !l.busy[part]
-	l.busy[part] = l.busy[part] || round
+	step := l.roles[register].Step(view)
+	round := (step.Acquire || step.Confirm) && !l.inRound[register]
+	l.inRound[register] = l.inRound[register] || round
 	l.mu.Unlock()
 	if round {
-		go l.round(ctx, part, view, step, confirmed)
+		go l.runRound(ctx, register, view, step, confirmed)
 	}
 	return step.Grant
 }
 
-// view is what this controller sees of a register's lease and its holder.
-func (l *Leases) view(group []messages.Member, current messages.Lease, todo work) lease.RoleView {
+// roleView returns the lease role's input: this controller's view of a register's lease and holder.
+func (l *Leases) roleView(group []messages.Member, current messages.Lease, pending pendingWork) lease.RoleView {
 	self := l.config.Registers.ID()
 	rank, candidate := l.rank(current)
 	eligible := candidate || current.Holder == self
@@ -201,35 +205,35 @@
 		NowUs:      l.config.Clock(),
 		Self:       self,
 		Lease:      current,
-		HolderGone: l.gone(current.Holder),
+		HolderGone: l.holderGone(current.Holder),
 		InContact:  eligible && l.config.HasContact(group),
 		Rank:       rank,
-		Needed:     todo.needed,
-		FenceFloor: todo.fenceFloor,
+		Needed:     pending.needed,
+		FenceFloor: pending.fenceFloor,
 	}
 }
 
-// round carries out a round of the register for the lease.
-func (l *Leases) round(ctx context.Context, part int, view lease.RoleView, step lease.RoleStep, confirmed func()) {
+// runRound acquires or confirms the lease with a round of the register.
+func (l *Leases) runRound(ctx context.Context, register int, view lease.RoleView, step lease.RoleStep, confirmed func()) {
 	if step.Acquire {
-		l.acquire(ctx, part, view)
+		l.acquire(ctx, register, view)
 	} else {
-		l.confirm(ctx, part)
+		l.confirm(ctx, register)
 	}
 	l.mu.Lock()
-	l.busy[part] = false
+	l.inRound[register] = false
 	l.mu.Unlock()
 	if step.Confirm {
 		confirmed()
 	}
 }
 
-// confirm asks a majority whether the lease still stands. Without an answer it expires.
-func (l *Leases) confirm(ctx context.Context, part int) {
-	askedUs := l.config.Clock()
+// confirm reads the lease from a majority. Without a response the lease expires.
+func (l *Leases) confirm(ctx context.Context, register int) {
+	requestedUs := l.config.Clock()
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	value, err := l.config.Registers.Read(ctx, part)
+	value, err := l.config.Registers.Read(ctx, register)
 	if err != nil {
 		return
 	}
@@ -239,35 +243,35 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roles[part].Confirmed(body.Lease, askedUs, l.config.Clock())
+	l.roles[register].Confirmed(body.Lease, requestedUs, l.config.Clock())
 }
 
-// acquire wins the lease by a round, if it is still as it was.
-func (l *Leases) acquire(ctx context.Context, part int, view lease.RoleView) {
-	was := view.Lease
+// acquire replaces the lease with the next one, if it has not changed meanwhile.
+func (l *Leases) acquire(ctx context.Context, register int, view lease.RoleView) {
+	previous := view.Lease
 	l.mu.Lock()
-	next := l.roles[part].NextLease(was, view.FenceFloor)
+	next := l.roles[register].NextLease(previous, view.FenceFloor)
 	l.mu.Unlock()
-	body, err := l.Change(ctx, part, was, func(body *messages.LeaseBody) bool {
+	body, err := l.Change(ctx, register, previous, func(body *messages.LeaseBody) bool {
 		body.Lease = next
 		return true
 	})
 	if err != nil {
-		l.config.Log.Info("lease not acquired", "part", part, "fence", next.Fence, "err", err)
+		l.config.Log.Info("lease not acquired", "part", register, "fence", next.Fence, "err", err)
 		return
 	}
 	if body.Lease != next {
 		return
 	}
-	used := l.usedFence(part, was.Fence)
+	used := l.usedFence(register, previous.Fence)
 	l.mu.Lock()
-	l.roles[part].Acquired(was, next, used, l.config.Clock())
+	l.roles[register].Acquired(previous, next, used, l.config.Clock())
 	l.mu.Unlock()
-	l.config.Log.Info("lease acquired", "part", part, "fence", next.Fence, "from", was.Holder)
+	l.config.Log.Info("lease acquired", "part", register, "fence", next.Fence, "from", previous.Holder)
 }
 
-// gone reports whether the holder of a lease is dead or does not answer this node.
-func (l *Leases) gone(holder string) bool {
+// holderGone reports whether the holder of a lease is dead or does not answer this controller.
+func (l *Leases) holderGone(holder string) bool {
 	addr, _, _ := strings.Cut(holder, "/")
 	if holder == "" || l.config.IsCut(addr) {
 		return holder != ""
@@ -280,9 +284,9 @@
 	return l.config.Membership.DeadForUs(addr) > 0 || l.config.Clock()-l.startUs >= unknownHolderUs
 }
 
-// rank is how many of the core's live controllers that this one reaches come before
-// it in the succession of a lease, and whether it is itself among them. The order
-// differs with each fence, so that the same controller is not always the first.
+// rank returns how many of the core's live controllers that this one reaches come before it as
+// candidates for a takeover of the lease, and whether it is a candidate itself. The order
+// differs with each fencing token, so that it is not always the same controller that comes first.
 func (l *Leases) rank(current messages.Lease) (rank int, candidate bool) {
 	var addrs []string
 	for _, peer := range membership.Core(l.config.Membership.Alive(messages.Controller)) {
--- a/internal/controller/singleton/leases_test.go
+++ b/internal/controller/singleton/leases_test.go
@@ -12,29 +12,29 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// fakeRegisters hold one value for each register, and commit every change at once.
+// fakeRegisters holds one value for each register and commits every change at once.
 type fakeRegisters struct{ values map[int]messages.Value }
 
 func (f *fakeRegisters) ID() string { return "self" }
 
-func (f *fakeRegisters) Committed(part int) (messages.Value, bool) {
-	value, ok := f.values[part]
+func (f *fakeRegisters) Committed(register int) (messages.Value, bool) {
+	value, ok := f.values[register]
 	return value, ok
 }
 
-func (f *fakeRegisters) Read(_ context.Context, part int) (messages.Value, error) {
-	return f.values[part], nil
+func (f *fakeRegisters) Read(_ context.Context, register int) (messages.Value, error) {
+	return f.values[register], nil
 }
 
-func (f *fakeRegisters) Change(_ context.Context, part int, change consensus.Change) (messages.Value, error) {
-	value := f.values[part]
+func (f *fakeRegisters) Change(_ context.Context, register int, change consensus.Change) (messages.Value, error) {
+	value := f.values[register]
 	_, body, err := change(value)
 	if err != nil {
 		return messages.Value{}, err
 	}
 	value.Version++
 	value.Body = body
-	f.values[part] = value
+	f.values[register] = value
 	return value, nil
 }
 
@@ -47,7 +47,7 @@
 
 func (fakeMembership) DeadForUs(string) int64 { return 0 }
 
-// newTestLeases returns leases on a clock of the test.
+// newTestLeases returns Leases whose clock reads nowUs.
 func newTestLeases(t *testing.T, nowUs *int64, notes Notes) *Leases {
 	t.Helper()
 	leases, err := NewLeases(Config{
@@ -64,29 +64,30 @@
 	return leases
 }
 
-// hold has this controller hold the lease of a register, confirmed now, under which it may act for
-// so long.
-func (l *Leases) hold(part int, fence, forUs int64) messages.Lease {
+// holdLease makes this controller the holder of a register's lease, confirmed now, under which it may
+// act for forUs.
+func (l *Leases) holdLease(register int, fence, forUs int64) messages.Lease {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	own := messages.Lease{Holder: "self", Fence: fence}
 	role := lease.NewRole(lease.Times{ActUs: forUs})
-	l.roles[part] = role
+	l.roles[register] = role
 	role.Step(lease.RoleView{NowUs: l.config.Clock(), Self: own.Holder})
 	role.Acquired(messages.Lease{Fence: fence - 1}, own, false, l.config.Clock())
 	return own
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewLeasesRejectsIncompleteConfig(t *testing.T) {
 	_, err := NewLeases(Config{Addr: "self:1"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-// A call leaves only while the majority's word behind it counts.
-func TestCallsDoNotOutliveTheirConfirmation(t *testing.T) {
+// Guards against calls sent after the last confirmation by a majority has expired, under another
+// fencing token, or under a refused one.
+func TestMayCallOnlyUntilConfirmationExpires(t *testing.T) {
 	nowUs := int64(1_000_000)
 	leases := newTestLeases(t, &nowUs, nil)
-	own := leases.hold(1, 1, ActUs)
+	own := leases.holdLease(1, 1, ActUs)
 	must.True(t, leases.MayCall(1, 1))
 	nowUs += ActUs
 	must.False(t, leases.MayCall(1, 1))
@@ -95,12 +96,12 @@
 	leases.mu.Unlock()
 	nowUs += ActUs - 1
 	must.True(t, leases.MayCall(1, 1))
-	must.False(t, leases.MayCall(1, 2), must.Sprint("nor under another fence"))
+	must.False(t, leases.MayCall(1, 2), must.Sprint("another fencing token"))
 	leases.Refuse(1, 1)
-	must.False(t, leases.MayCall(1, 1), must.Sprint("nor under a fence that was refused"))
+	must.False(t, leases.MayCall(1, 1), must.Sprint("refused fencing token"))
 }
 
-func TestChangeOfARegisterWhoseLeaseHasMovedIsNotMade(t *testing.T) {
+func TestChangeFailsWhenLeaseDiffersOrNothingChanges(t *testing.T) {
 	nowUs := int64(1)
 	leases := newTestLeases(t, &nowUs, nil)
 	named := func(body *messages.LeaseBody) bool {
@@ -116,7 +117,7 @@
 	must.ErrorIs(t, err, consensus.ErrNoChange)
 }
 
-func TestNextFenceIsAboveTheFloor(t *testing.T) {
+func TestNextFenceExceedsFloor(t *testing.T) {
 	nowUs := int64(1)
 	must.Eq(t, 8, newTestLeases(t, &nowUs, nil).NextFence(1, 7))
 }
--- a/internal/controller/singleton/runner.go
+++ b/internal/controller/singleton/runner.go
@@ -9,54 +9,55 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Period is how often Runner.Step is to be called.
+// Period is the interval at which Runner.Step must be called.
 const Period = 100 * time.Millisecond
 
-// Job is what there is to do in a task now.
+// Job describes the work that a task has now.
 type Job struct {
 	// Needed reports whether the holder of the lease has work.
 	Needed bool
-	// FenceFloor is the highest fencing token that was used for this work under another
-	// lease.
+	// FenceFloor is the highest fencing token that was used for this work under the lease of
+	// another register.
 	FenceFloor int64
-	// Run works under a grant of the lease. It does not wait for calls.
+	// Run starts the work under a grant of the lease. It does not wait for calls to end.
 	Run func(ctx context.Context, grant lease.Grant)
 }
 
 // Task is work that only the holder of a register's lease may do.
 type Task interface {
-	// Prepare returns the job in a register with this body; ok is false where the task
-	// has nothing to do with the register.
-	Prepare(part int, body messages.LeaseBody) (job Job, ok bool)
+	// Prepare returns the job of the task in a register with this body; ok is false if the
+	// task does not use the register.
+	Prepare(register int, body messages.LeaseBody) (job Job, ok bool)
 }
 
-// Runner steps the leases and runs the tasks under them.
+// Runner steps the leases of the registers and runs the tasks under them.
 type Runner struct {
 	leases *Leases
 	tasks  []Task
 }
 
-// NewRunner returns a runner of these tasks.
+// NewRunner returns a Runner of the tasks.
 func NewRunner(leases *Leases, tasks ...Task) *Runner { return &Runner{leases: leases, tasks: tasks} }
 
-// Step takes the next steps of each register's lease and tasks.
+// Step runs the next step of each register's lease, and the register's tasks if this controller
+// holds the lease.
 func (r *Runner) Step(ctx context.Context) {
-	for part := 1; part < consensus.RegisterCount; part++ {
-		r.stepPart(ctx, part)
+	for register := 1; register < consensus.RegisterCount; register++ {
+		r.stepRegister(ctx, register)
 	}
 }
 
-func (r *Runner) stepPart(ctx context.Context, part int) {
-	value, ok := r.leases.config.Registers.Committed(part)
+func (r *Runner) stepRegister(ctx context.Context, register int) {
+	value, ok := r.leases.config.Registers.Committed(register)
 	body, err := messages.DecodeLeaseBody(value)
 	if !ok || err != nil {
 		return
 	}
-	jobs := r.jobs(part, body)
+	jobs := r.jobs(register, body)
 	if len(jobs) == 0 {
 		return
 	}
-	grant := r.leases.step(ctx, part, value.Group, body.Lease, workOf(jobs), func() { r.stepPart(ctx, part) })
+	grant := r.leases.stepLease(ctx, register, value.Group, body.Lease, mergeJobs(jobs), func() { r.stepRegister(ctx, register) })
 	if grant.Fence == 0 {
 		return
 	}
@@ -65,19 +66,19 @@
 	}
 }
 
-func (r *Runner) jobs(part int, body messages.LeaseBody) []Job {
+func (r *Runner) jobs(register int, body messages.LeaseBody) []Job {
 	var jobs []Job
 	for _, task := range r.tasks {
-		if job, ok := task.Prepare(part, body); ok {
+		if job, ok := task.Prepare(register, body); ok {
 			jobs = append(jobs, job)
 		}
 	}
 	return jobs
 }
 
-// workOf sums up the jobs of a register.
-func workOf(jobs []Job) work {
-	var sum work
+// mergeJobs combines the jobs of a register.
+func mergeJobs(jobs []Job) pendingWork {
+	var sum pendingWork
 	for _, job := range jobs {
 		sum.needed = sum.needed || job.Needed
 		sum.fenceFloor = max(sum.fenceFloor, job.FenceFloor)
@@ -86,14 +87,14 @@
 }
 
 // CommittedBodies calls visit with the committed body of each register that has a lease.
-func CommittedBodies(registers Registers, visit func(part int, body messages.LeaseBody)) {
-	for part := 1; part < consensus.RegisterCount; part++ {
-		value, ok := registers.Committed(part)
+func CommittedBodies(registers Registers, visit func(register int, body messages.LeaseBody)) {
+	for register := 1; register < consensus.RegisterCount; register++ {
+		value, ok := registers.Committed(register)
 		if !ok {
 			continue
 		}
 		if body, err := messages.DecodeLeaseBody(value); err == nil {
-			visit(part, body)
+			visit(register, body)
 		}
 	}
 }
--- a/internal/controller/singleton/used_fences_test.go
+++ b/internal/controller/singleton/used_fences_test.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/consensus"
 )
 
-func TestUsedFenceIsKnownAfterARestart(t *testing.T) {
+func TestUsedFenceIsReadFromDiskAfterRestart(t *testing.T) {
 	store, err := consensus.NewDiskStore(t.TempDir())
 	must.NoError(t, err)
 	nowUs := int64(1)
