--- a/internal/controller/quotaowner/service.go
+++ b/internal/controller/quotaowner/service.go
@@ -1,10 +1,10 @@
-// Package quotaowner runs a controller's part in the count of tenants' requests: package
-// quota decides who owns a shard and how many tokens there are, and a Service gives it the
-// time and the messages.
+// Package quotaowner runs a controller's side of the rate limits of tenants: package quota
+// decides which controller owns a shard of the tenants and how many tokens it may grant, and a
+// Service passes it the time and the messages.
 //
-// A Service sends its claims to the other members of the configuration's group, votes on
-// theirs, and grants tokens to the routers that ask. Run sends until its context ends; the
-// handlers run on the transport's goroutines. No lock is held while a message is sent.
+// A Service sends its claims to the other members of the configuration register's group, votes
+// on their claims, and grants tokens to routers on request. Run sends until its context ends;
+// the handlers run on the transport's goroutines. No lock is held while a message is sent.
 package quotaowner
 
 import (
@@ -26,7 +26,8 @@
 
 const (
 	tickInterval = time.Duration(quota.ClaimIntervalUs) * time.Microsecond
-	// claimTimeout bounds a claim: an answer that comes later renews next to nothing.
+	// claimTimeout bounds a claim. A lease is counted from when its claim was sent, so that a
+	// later response would renew it hardly at all.
 	claimTimeout = 300 * time.Millisecond
 )
 
@@ -35,19 +36,19 @@
 	Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error)
 }
 
-// Config is what a Service is given. All fields are required.
+// Config configures a Service. All fields are required.
 type Config struct {
-	// Addr is the address of this controller, as the group has it.
+	// Addr is the address of this controller, as listed in the group.
 	Addr string
-	// Bounds is how far the sum over all routers may exceed a limit.
+	// Bounds limits by how much the requests of all routers together may exceed a limit.
 	Bounds quota.Bounds
 	// Clock returns microseconds of a monotonic clock.
 	Clock func() int64
 	Log   logr.Logger
 	Peers Caller
-	// Group returns those who vote: the members of the configuration's register.
+	// Group returns the voters: the members of the configuration register.
 	Group func() quota.Group
-	// Limited reports whether any tenant has a limit. Without one nothing is sent.
+	// Limited reports whether any tenant has a rate limit. If none has, no claims are sent.
 	Limited func() bool
 }
 
@@ -61,20 +62,20 @@
 	return nil
 }
 
-// Service is safe for concurrent use.
+// Service claims shards and grants tokens. It is safe for concurrent use.
 type Service struct {
 	config Config
-	wake   chan struct{} // something is to be sent before the next tick
+	wake   chan struct{} // signals Run to send claims before the next tick
 
-	mu       sync.Mutex // guards what follows
-	member   *quota.Member
-	owned    []int // the shards at the last look, for the log
-	left     bool  // this process is about to end
-	asked    int64 // questions of routers
-	referred int64 // those for which another is the owner
+	mu            sync.Mutex // guards what follows
+	member        *quota.Member
+	owned         []int // shards at the last tick, for the log
+	leaving       bool  // this process is about to end
+	tokenRequests int64 // token requests of routers
+	referred      int64 // token requests for shards that this controller does not own
 }
 
-// New returns a service that owns nothing yet.
+// New returns a service that owns no shard yet.
 func New(config Config) (*Service, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -87,7 +88,7 @@
 	}, nil
 }
 
-// Run renews claims until ctx ends.
+// Run sends claims at each tick, and earlier when woken, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -102,7 +103,7 @@
 	}
 }
 
-// tick renews the claims.
+// tick sends the claims that are due.
 func (s *Service) tick(ctx context.Context) {
 	if !s.config.Limited() {
 		return
@@ -110,7 +111,7 @@
 	group := s.config.Group()
 	s.mu.Lock()
 	var claims []quota.OutgoingClaim
-	if !s.left {
+	if !s.leaving {
 		claims = s.member.Tick(group, s.config.Clock())
 		s.logOwnership()
 	}
@@ -120,17 +121,18 @@
 	}
 }
 
-// logOwnership logs that this controller owns other shards than before. The caller holds the
-// mutex.
+// logOwnership logs the owned shards if they have changed since the last tick. The caller holds
+// the mutex.
 func (s *Service) logOwnership() {
 	owned := s.member.OwnedShards(s.config.Clock())
 	if !slices.Equal(owned, s.owned) {
-		s.config.Log.Info("owns the count of shards", "shards", owned, "before", s.owned)
+		s.config.Log.Info("owned quota shards changed", "shards", owned, "before", s.owned)
 		s.owned = owned
 	}
 }
 
-// send sends a claim and takes the votes. A claim without a response has no votes.
+// send sends a claim and applies the votes in the response. A claim without a response gets no
+// votes.
 func (s *Service) send(ctx context.Context, claim quota.OutgoingClaim) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -158,51 +160,51 @@
 	votes := s.member.HandleClaim(claim, s.config.Clock())
 	s.mu.Unlock()
 	if len(claim.Released) > 0 {
-		s.sendSoon()
+		s.wakeSender()
 	}
 	return votes.MarshalMsg(nil)
 }
 
-// HandleAsk grants tokens to a router, or names the owner.
+// HandleAsk grants tokens to a router, or responds with the owner of the shard.
 func (s *Service) HandleAsk(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
-	var ask messages.QuotaAsk
-	if _, err := ask.UnmarshalMsg(body); err != nil {
+	var request messages.QuotaAsk
+	if _, err := request.UnmarshalMsg(body); err != nil {
 		return nil, errors.Wrap(err, "quotaowner: decode question")
 	}
 	s.mu.Lock()
-	grant := s.member.HandleAsk(ask, s.config.Clock())
-	s.asked++
+	grant := s.member.HandleAsk(request, s.config.Clock())
+	s.tokenRequests++
 	if !grant.Owner {
 		s.referred++
 	}
 	urgent := s.member.Urgent()
 	s.mu.Unlock()
 	if urgent {
-		s.sendSoon()
+		s.wakeSender()
 	}
 	return grant.MarshalMsg(nil)
 }
 
-// sendSoon has claims sent before the next tick.
-func (s *Service) sendSoon() {
+// wakeSender wakes Run to send claims before the next tick.
+func (s *Service) wakeSender() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Leave gives up what this controller owns, so that others need not wait for its leases to
-// expire. It returns once the others have been notified, or claimTimeout has passed.
+// Leave releases the shards that this controller owns, so that other members need not wait for
+// its leases to expire. It returns once they have responded, or after claimTimeout.
 func (s *Service) Leave() {
 	s.mu.Lock()
-	s.left = true
+	s.leaving = true
 	releases := s.member.Leave(s.config.Clock())
 	s.mu.Unlock()
-	var sending sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, release := range releases {
-		sending.Go(func() { s.send(context.Background(), release) })
+		pending.Go(func() { s.send(context.Background(), release) })
 	}
-	sending.Wait()
+	pending.Wait()
 }
 
 // Owns reports whether this controller owns a shard now.
@@ -212,23 +214,23 @@
 	return s.member.Owns(shard, s.config.Clock())
 }
 
-// Conditions returns the accounts of the shards that this controller owns.
+// Conditions returns the state of the accounts in the shards that this controller owns.
 func (s *Service) Conditions() []messages.QuotaCondition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.member.Conditions(s.config.Clock())
 }
 
-// Counts are the figures of a Service.
+// Counts are the statistics of a Service for the metrics.
 type Counts struct {
 	OwnedShards int
-	Questions   int64 // of routers since the start
-	Referred    int64 // those that were told of another owner, or of none
+	Questions   int64 // token requests of routers since the start
+	Referred    int64 // those of them that were answered with another owner, or with none
 }
 
-// Counts returns the figures of this moment.
+// Counts returns the current statistics.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Counts{OwnedShards: len(s.member.OwnedShards(s.config.Clock())), Questions: s.asked, Referred: s.referred}
+	return Counts{OwnedShards: len(s.member.OwnedShards(s.config.Clock())), Questions: s.tokenRequests, Referred: s.referred}
 }
--- a/internal/controller/quotaowner/service_test.go
+++ b/internal/controller/quotaowner/service_test.go
@@ -13,15 +13,17 @@
 	"beechtide.org/beechtide/internal/quota"
 )
 
-// noPeers reach nobody.
+// noPeers fails every call.
 type noPeers struct{}
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
-func (noPeers) Call(context.Context, string, int, msgp.Marshaler) ([]byte, error) { return nil, errCut }
+func (noPeers) Call(context.Context, string, int, msgp.Marshaler) ([]byte, error) {
+	return nil, errUnreachable
+}
 
-// alone returns a service of a group of one on a clock of the test.
-func alone(t *testing.T, nowUs *int64, limited *bool) *Service {
+// newSingleMemberService returns a service that is the only member of its group and whose clock reads nowUs.
+func newSingleMemberService(t *testing.T, nowUs *int64, limited *bool) *Service {
 	t.Helper()
 	s, err := New(Config{
 		Addr:    "a:1",
@@ -36,14 +38,14 @@
 	return s
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{Addr: "a:1"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-func TestNothingIsOwnedWhereNoTenantHasALimit(t *testing.T) {
+func TestNoShardIsOwnedWithoutRateLimits(t *testing.T) {
 	nowUs, limited := int64(1), false
-	s := alone(t, &nowUs, &limited)
+	s := newSingleMemberService(t, &nowUs, &limited)
 	nowUs += 2 * quota.LeaseUs
 	s.tick(t.Context())
 	must.Zero(t, s.Counts().OwnedShards)
@@ -52,9 +54,9 @@
 	must.Eq(t, quota.ShardCount, s.Counts().OwnedShards)
 }
 
-func TestQuestionsAreCounted(t *testing.T) {
+func TestTokenRequestsAndReferralsAreCounted(t *testing.T) {
 	nowUs, limited := int64(1), true
-	s := alone(t, &nowUs, &limited)
+	s := newSingleMemberService(t, &nowUs, &limited)
 	ask := messages.QuotaAsk{Tenant: "t1", Need: 1, Want: 1, RatePerS: 10, Burst: 10, Version: 1}
 	encoded, err := ask.MarshalMsg(nil)
 	must.NoError(t, err)
@@ -74,9 +76,9 @@
 	must.False(t, s.Owns(quota.ShardOf("t1")))
 }
 
-func TestMessageThatCannotBeReadIsAnError(t *testing.T) {
+func TestHandlersRejectUndecodableMessages(t *testing.T) {
 	nowUs, limited := int64(1), true
-	s := alone(t, &nowUs, &limited)
+	s := newSingleMemberService(t, &nowUs, &limited)
 	_, err := s.HandleAsk(t.Context(), nil, []byte{0xc1})
 	must.Error(t, err)
 	_, err = s.HandleClaim(t.Context(), nil, []byte{0xc1})
