--- a/internal/controller/tallies/calls.go
+++ b/internal/controller/tallies/calls.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// amendTimeout is how long an amendment may wait for disks. Callers go on to another machine
+	// amendTimeout is how long an amendment may wait for disks. Callers retry at another machine
 	// after a second.
 	amendTimeout = 950 * time.Millisecond
-	// maxTallyName bounds the name of a tally, in bytes.
-	maxTallyName = 256
+	// maxTallyNameBytes is the maximum length of a tally's name, in bytes.
+	maxTallyNameBytes = 256
 )
 
-// Amend is the call that adds to a tally. Before the add is kept anywhere it may be rejected with 503;
-// after that the answer is 200, or 504, which promises nothing.
+// Amend serves the call that adds an amount to a tally. It responds with 503 only if the add is not
+// stored anywhere; once it is stored, with 200 if it is on enough disks, or with 504, after which
+// it may or may not count.
 func (s *Service) Amend(ctx context.Context, rc *app.RequestContext) {
 	var amendment api.TallyAmendment
 	if !httpapi.Decode(rc, &amendment) {
 		return
 	}
 	name := rc.Param("id")
-	if name == "" || len(name) > maxTallyName {
+	if name == "" || len(name) > maxTallyNameBytes {
 		httpapi.Reject(rc, 400, "id", "a tally has a name of 1 to 256 bytes")
 		return
 	}
 	add := tally.Add{Tally: name, Key: tally.KeyOf(name, amendment.Id), Amount: amendment.Amount}
 	arrivedUs := s.config.Clock()
-	number, reason := s.add(add, arrivedUs)
+	number, reason := s.appendAdd(add, arrivedUs)
 	if reason != "" {
 		httpapi.Reject(rc, 503, "", reason)
 		return
@@ -41,16 +42,16 @@
 	ctx, cancel := context.WithTimeout(ctx, amendTimeout)
 	defer cancel()
 	if !s.await(ctx, func() bool { return s.replica.Acknowledged(number, arrivedUs) }) {
-		s.countLate()
+		s.countLateAdd()
 		httpapi.Reject(rc, 504, "", "not on enough disks yet; repeat it under the same id")
 		return
 	}
 	rc.Status(200)
 }
 
-// add takes an add in and returns its number in this replica's log, or why it is not taken. An
-// add that this replica has in its log already is taken in any case.
-func (s *Service) add(add tally.Add, arrivedUs int64) (number uint64, reason string) {
+// appendAdd appends an add to this replica's log and returns its number, or the reason why it is
+// rejected. An add that this replica already has is not rejected for lack of room.
+func (s *Service) appendAdd(add tally.Add, arrivedUs int64) (number uint64, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -65,17 +66,18 @@
 	}
 	number = s.replica.Append(add)
 	s.replica.Await(arrivedUs)
-	s.signal()
+	s.notifyChanged()
 	return number, ""
 }
 
-func (s *Service) countLate() {
+func (s *Service) countLateAdd() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late++
+	s.lateAdds++
 }
 
-// Read is the call that answers the sum of a tally, of all adds that this replica has.
+// Read serves the call that returns the total of a tally: the sum of all adds that this replica
+// has.
 func (s *Service) Read(_ context.Context, rc *app.RequestContext) {
 	total, ok := s.total(rc.Param("id"))
 	if !ok {
--- a/internal/controller/tallies/counts.go
+++ b/internal/controller/tallies/counts.go
@@ -1,20 +1,20 @@
 package tallies
 
-// Counts are the figures of a replica for the metrics.
+// Counts are the statistics of a replica for the metrics.
 type Counts struct {
-	Adds        int // in all logs
-	Distinct    int // those that count
-	Unconfirmed int // of this replica's clients, that wait for disks
-	Unreachable int // replicas that do not answer
+	Adds        int // adds in all logs
+	Distinct    int // adds that are counted
+	Unconfirmed int // adds of this replica's clients that are not on enough disks yet
+	Unreachable int // replicas that do not respond
 	Conflicts   int64
-	Pulled      int64 // adds that another replica was asked for
-	Late        int64 // adds whose callers were not answered in time
+	Pulled      int64 // adds received in response to a pull
+	Late        int64 // adds whose calls timed out
 	DiskBytes   int64
-	Ready       bool // the others have been asked after the start
-	Writable    bool // there is room, and the disk takes writes
+	Ready       bool // the other replicas were pulled from after the start, or are unreachable
+	Writable    bool // below MaxAdds, and the last write to disk succeeded
 }
 
-// Counts returns the figures of this moment.
+// Counts returns the current statistics.
 func (s *Service) Counts() Counts {
 	condition := s.Condition()
 	s.mu.Lock()
@@ -26,8 +26,8 @@
 		Unconfirmed: int(condition.Unconfirmed),
 		Unreachable: len(condition.Unreachable),
 		Conflicts:   set.Conflicts(),
-		Pulled:      s.pulled,
-		Late:        s.late,
+		Pulled:      s.pulledAdds,
+		Late:        s.lateAdds,
 		DiskBytes:   s.diskBytes,
 		Ready:       s.ready,
 		Writable:    !condition.Full,
--- a/internal/controller/tallies/replication.go
+++ b/internal/controller/tallies/replication.go
@@ -12,19 +12,19 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// sendTo asks a replica for what this one lacks, and then sends it what it lacks of this one's
-// log, at once and for as long as ctx lasts.
-func (s *Service) sendTo(ctx context.Context, addr string) {
+// replicateTo pulls from a replica the adds that this one lacks, and then sends it the adds of this
+// replica's log that it lacks, as soon as there are any, until ctx ends.
+func (s *Service) replicateTo(ctx context.Context, addr string) {
 	for ctx.Err() == nil && !s.pull(ctx, addr) {
 		s.pauseAfterFailure(ctx, addr)
 	}
-	s.setAsked(addr)
+	s.setInitialPulled(addr)
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		next, wanted := s.replica.Next(addr)
+		next, pending := s.replica.Next(addr)
 		changed := s.changed
 		s.mu.Unlock()
-		if !wanted {
+		if !pending {
 			select {
 			case <-changed:
 			case <-ctx.Done():
@@ -37,10 +37,10 @@
 	}
 }
 
-func (s *Service) setAsked(addr string) {
+func (s *Service) setInitialPulled(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked[addr] = true
+	s.initialPulled[addr] = true
 }
 
 func (s *Service) pauseAfterFailure(ctx context.Context, addr string) {
@@ -51,22 +51,22 @@
 		loop.Pause(ctx, retryPause)
 		return
 	}
-	for s.pauseUnless(ctx, unreachablePause, func() bool { return s.replica.WantsCall(addr) }) {
+	for s.pauseUntil(ctx, unreachablePause, func() bool { return s.replica.WantsCall(addr) }) {
 		if s.probe(ctx, addr) {
 			return
 		}
 	}
 }
 
-// probe asks a replica that is out of reach for an answer, as an add that has come since it was
-// last called may be acknowledged without it only if it still is.
+// probe calls an unreachable replica with an empty append. An add that arrived after the last call
+// to the replica may be acknowledged without it only if it is still unreachable.
 func (s *Service) probe(ctx context.Context, addr string) bool {
 	var ack messages.TallyAck
-	return s.callFor(ctx, addr, probeTimeout, transport.KindTallyAppend, &messages.TallyAppend{}, &ack)
+	return s.callWithTimeout(ctx, addr, probeTimeout, transport.KindTallyAppend, &messages.TallyAppend{}, &ack)
 }
 
-// send sends one run, and reports whether the replica has got further, or has said where to
-// go on.
+// send sends one run. It reports whether the replica has advanced, or has responded with an earlier
+// position from which to resume.
 func (s *Service) send(ctx context.Context, addr string, next tally.Outgoing) bool {
 	request := messages.TallyAppend{Origin: string(next.Origin)}
 	if len(next.Adds) > 0 {
@@ -79,36 +79,36 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replica.Acked(addr, tally.Ack{Held: ack.Held, Durable: ack.Durable, Zone: ack.Zone})
-	s.signal()
+	s.notifyChanged()
 	lostDisk := ack.Held+1 < next.First
 	return len(next.Adds) == 0 || ack.Held >= next.First || lostDisk
 }
 
-// call calls another replica, and records whether it was reached.
+// call calls another replica and records whether it responded.
 func (s *Service) call(ctx context.Context, addr string, kind int, request msgp.Marshaler, answer unmarshaler) bool {
-	return s.callFor(ctx, addr, callTimeout, kind, request, answer)
+	return s.callWithTimeout(ctx, addr, callTimeout, kind, request, answer)
 }
 
-func (s *Service) callFor(ctx context.Context, addr string, bound time.Duration, kind int, request msgp.Marshaler, answer unmarshaler) bool {
-	wait, cancel := context.WithTimeout(ctx, bound)
+func (s *Service) callWithTimeout(ctx context.Context, addr string, timeout time.Duration, kind int, request msgp.Marshaler, answer unmarshaler) bool {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sentUs := s.config.Clock()
-	b, err := s.config.Peers.Call(wait, addr, kind, request)
+	b, err := s.config.Peers.Call(callCtx, addr, kind, request)
 	if err == nil {
 		_, err = answer.UnmarshalMsg(b)
 	}
-	s.reached(addr, err == nil, sentUs)
+	s.recordCallResult(addr, err == nil, sentUs)
 	return err == nil
 }
 
-// unmarshaler is a message that can be read.
+// unmarshaler is a message that can be decoded.
 type unmarshaler interface {
 	UnmarshalMsg(b []byte) ([]byte, error)
 }
 
-// reached records how a call to a replica ended that began at sentUs. A failed one that lasted
-// far longer than its bound says only that this process stood still.
-func (s *Service) reached(addr string, ok bool, sentUs int64) {
+// recordCallResult records the result of a call to a replica that was sent at sentUs. A failed call that
+// lasted far longer than its timeout is ignored: it shows only that this process was paused.
+func (s *Service) recordCallResult(addr string, ok bool, sentUs int64) {
 	nowUs := s.config.Clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,11 +117,12 @@
 		s.replica.Answered(addr)
 	case nowUs-sentUs < (s.config.CompareTimeout + pauseMargin).Microseconds():
 		s.replica.Failed(addr, sentUs, nowUs)
-		s.signal()
+		s.notifyChanged()
 	}
 }
 
-// pull fetches from a replica what this one lacks of all logs.
+// pull fetches from a replica the adds of all logs that this one lacks, and reports whether it
+// succeeded.
 func (s *Service) pull(ctx context.Context, addr string) bool {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -138,7 +139,7 @@
 		}
 		runs, err := tally.DecodeRuns(answer.Runs)
 		if err != nil {
-			s.config.Log.Error(err, "tallies of another replica cannot be read", "replica", addr)
+			s.config.Log.Error(err, "decode tallies of another replica failed", "replica", addr)
 			return false
 		}
 		s.merge(runs)
@@ -156,22 +157,23 @@
 	return s.replica.Set().Len()
 }
 
-// merge takes runs in.
+// merge merges pulled runs into this replica.
 func (s *Service) merge(runs []tally.Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.replica.Set().Len()
 	s.replica.Merge(runs)
 	added := s.replica.Set().Len() - before
-	s.pulled += int64(added)
+	s.pulledAdds += int64(added)
 	if added > 0 {
-		s.signal()
+		s.notifyChanged()
 	}
 }
 
-// Compared takes the digest that another replica has sent with its versions. One that differs
-// twice in a row, or after a time without an answer, has something that does not come by
-// itself, as after a partition.
+// Compared handles the digest that another replica has sent with its versions. If the digest differs
+// in two comparisons in a row, or in the first one with the replica or after a failed one, the
+// replica may have adds that are not sent here by themselves, for example after a partition, and
+// they are pulled.
 func (s *Service) Compared(ctx context.Context, addr string, digest uint64) {
 	s.mu.Lock()
 	differs := digest != s.replica.Set().Digest()
@@ -183,22 +185,23 @@
 	}
 }
 
-// NotCompared records that a comparison got no answer.
+// NotCompared records that a comparison that was sent at sentUs got no response.
 func (s *Service) NotCompared(addr string, sentUs int64) {
 	s.mu.Lock()
 	delete(s.differing, addr)
 	s.mu.Unlock()
-	s.reached(addr, false, sentUs)
+	s.recordCallResult(addr, false, sentUs)
 }
 
-// Digest is what other replicas compare.
+// Digest returns the digest that other replicas compare with theirs.
 func (s *Service) Digest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replica.Set().Digest()
 }
 
-// HandleAppend answers another replica that sends its log, once that is on the disk.
+// HandleAppend merges the runs that another replica sends, waits until they are on disk or
+// appendTimeout has passed, and responds with what is durable.
 func (s *Service) HandleAppend(ctx context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	var request messages.TallyAppend
 	if _, err := request.UnmarshalMsg(body); err != nil {
@@ -213,19 +216,19 @@
 	s.replica.Merge(runs)
 	held := s.replica.Set().Held(origin)
 	if len(runs) > 0 {
-		s.signal()
+		s.notifyChanged()
 	}
 	s.mu.Unlock()
-	wait, cancel := context.WithTimeout(ctx, appendTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	s.await(wait, func() bool { return s.replica.Durable(origin) >= held })
+	s.await(waitCtx, func() bool { return s.replica.Durable(origin) >= held })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ack := messages.TallyAck{Held: s.replica.Durable(origin), Durable: s.log != nil, Zone: s.config.Zone}
 	return ack.MarshalMsg(nil)
 }
 
-// HandlePull answers another replica that asks for what it lacks.
+// HandlePull returns to another replica the adds that it lacks, up to batchSize.
 func (s *Service) HandlePull(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	var request messages.TallyPull
 	if _, err := request.UnmarshalMsg(body); err != nil {
--- a/internal/controller/tallies/service.go
+++ b/internal/controller/tallies/service.go
@@ -1,9 +1,9 @@
-// Package tallies runs this machine's replica of the tallies: package tally decides, and a Service
-// gives it the time, the disk and the other replicas.
+// Package tallies runs this machine's replica of the tallies: package tally implements the
+// replication, and a Service connects it to the clock, the disk and the other replicas.
 //
-// One goroutine writes to the disk; one for each other replica sends it this replica's log, and
-// one asks routers about it while it does not answer (witness.go). The HTTP calls (calls.go) are
-// answered on either side of a partition.
+// One goroutine writes to the disk. For each other replica, one goroutine sends it this replica's
+// log, and one queries routers about it while it does not respond (witness.go). The HTTP calls
+// (calls.go) are served on both sides of a partition.
 package tallies
 
 import (
@@ -26,29 +26,29 @@
 )
 
 const (
-	// peerInterval is how often the set of replicas is brought up to date.
+	// peerInterval is the interval at which the set of replicas is updated.
 	peerInterval = 200 * time.Millisecond
-	// callTimeout bounds a call to another replica. Two that end without an answer are
-	// enough to show that it is out of reach.
+	// callTimeout bounds a call to another replica. Two calls in a row that time out are
+	// enough to regard it as unreachable.
 	callTimeout = 300 * time.Millisecond
-	// probeTimeout is the same for a call to one that is out of reach, which it answers
-	// without its disk.
+	// probeTimeout bounds a probe of an unreachable replica, to which it responds without
+	// its disk.
 	probeTimeout = 150 * time.Millisecond
-	// pauseMargin is by how much more than its bound a failed call may have lasted to show
-	// anything: longer, and this process stood still.
+	// pauseMargin is by how much a failed call may exceed its timeout and still count as a
+	// failure of the replica; after a longer time this process was paused.
 	pauseMargin = 150 * time.Millisecond
-	// retryPause is the time between calls to a replica that fail.
+	// retryPause is the pause after a failed call to a replica.
 	retryPause = 50 * time.Millisecond
-	// unreachablePause is the same for one that is out of reach.
+	// unreachablePause is the maximum time between probes of an unreachable replica.
 	unreachablePause = 400 * time.Millisecond
-	// diskRetryPause is the time between writes to a disk that fail.
+	// diskRetryPause is the pause after a failed write to disk.
 	diskRetryPause = 200 * time.Millisecond
-	// appendTimeout bounds how long the answer to another replica waits for the disk.
+	// appendTimeout bounds how long the response to another replica waits for the disk.
 	appendTimeout = 250 * time.Millisecond
-	// batchSize is how many adds are written, or sent, at a time.
+	// batchSize is the maximum number of adds that are written or sent at a time.
 	batchSize = 2000
-	// startTimeout is how long after its start a replica that has found nobody waits
-	// before it answers.
+	// startTimeout is how long after its start a replica that has reached no other one
+	// waits before it serves reads.
 	startTimeout = 1500 * time.Millisecond
 )
 
@@ -57,22 +57,22 @@
 	Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error)
 }
 
-// Config is what a Service is given. All fields but DataDir and MaxAdds are required.
+// Config configures a Service. All fields but DataDir and MaxAdds are required.
 type Config struct {
 	// Zone is the zone of this machine.
 	Zone string
 	// DataDir is the directory of the machine's data; empty on machines without a disk.
 	DataDir string
-	// MaxAdds bounds the adds that this machine can hold; 0: no bound.
+	// MaxAdds is the maximum number of adds that this machine stores; 0: no limit.
 	MaxAdds int
-	// Quorum is on how many disks an add has to be.
+	// Quorum determines on how many disks an add must be before it is acknowledged.
 	Quorum tally.Quorum
-	// CompareTimeout bounds a comparison of versions, whose failures NotCompared is told of.
+	// CompareTimeout bounds a comparison of versions, whose failure is reported to NotCompared.
 	CompareTimeout time.Duration
 	Clock          func() int64 // microseconds, monotonic
 	Log            logr.Logger
 	Peers          Caller
-	// Replicas returns the addresses of the other controllers, also of those that are not
+	// Replicas returns the addresses of the other controllers, including those that are not
 	// alive.
 	Replicas func() []string
 	// Routers returns the routers that are alive.
@@ -89,41 +89,41 @@
 	return nil
 }
 
-// Service is safe for concurrent use.
+// Service runs a replica. It is safe for concurrent use.
 type Service struct {
 	config  Config
 	startUs int64
-	log     *tally.Log    // nil on machines without a disk; used by write alone
-	closed  chan struct{} // closed once nothing is written any more
+	log     *tally.Log    // nil on machines without a disk; used only by write
+	closed  chan struct{} // closed once the last write has ended
 
-	mu        sync.Mutex // guards what follows
-	replica   *tally.Replica
-	changed   chan struct{}                 // closed, and made anew, with every change of the replica
-	senders   map[string]context.CancelFunc // by address of the replica that is sent to
-	asked     map[string]bool               // replicas that have been asked for what this one lacked at its start
-	differing map[string]bool               // replicas whose digest differed at the last comparison
-	ready     bool
-	diskErr   error
-	diskBytes int64
-	pulled    int64 // adds that came by a pull
-	late      int64 // adds whose callers were not answered in time
+	mu            sync.Mutex // guards what follows
+	replica       *tally.Replica
+	changed       chan struct{}                 // closed and replaced at every change of the replica
+	senders       map[string]context.CancelFunc // cancels the goroutines of a replica, by its address
+	initialPulled map[string]bool               // replicas from which the initial pull has succeeded
+	differing     map[string]bool               // replicas whose digest differed at the last comparison
+	ready         bool
+	diskErr       error
+	diskBytes     int64
+	pulledAdds    int64 // adds received in response to a pull
+	lateAdds      int64 // adds whose calls timed out
 }
 
 func newOrigin() tally.Origin { return tally.Origin(fmt.Sprintf("%016x", rand.Uint64())) }
 
-// Open reads what the disk holds.
+// Open returns a service with the adds that are stored on disk.
 func Open(config Config) (*Service, error) {
 	if err := config.check(); err != nil {
 		return nil, err
 	}
 	s := &Service{
-		config:    config,
-		startUs:   config.Clock(),
-		changed:   make(chan struct{}),
-		closed:    make(chan struct{}),
-		senders:   map[string]context.CancelFunc{},
-		asked:     map[string]bool{},
-		differing: map[string]bool{},
+		config:        config,
+		startUs:       config.Clock(),
+		changed:       make(chan struct{}),
+		closed:        make(chan struct{}),
+		senders:       map[string]context.CancelFunc{},
+		initialPulled: map[string]bool{},
+		differing:     map[string]bool{},
 	}
 	replica := tally.Config{Zone: config.Zone, Durable: config.DataDir != "", MaxAdds: config.MaxAdds, Quorum: config.Quorum}
 	if !replica.Durable {
@@ -134,8 +134,8 @@
 	return s, s.openLog(replica)
 }
 
-// openLog opens the log on disk and makes the replica of what it holds. A log that cannot be
-// written now is written once it can.
+// openLog opens the log on disk and creates the replica from it. If the log can be read but not
+// written, the writes are retried later.
 func (s *Service) openLog(replica tally.Config) error {
 	files, err := filesystem.Open(filepath.Join(s.config.DataDir, "tallies"))
 	if err != nil {
@@ -146,30 +146,30 @@
 		return err
 	}
 	if len(opened.Damaged) > 0 {
-		s.config.Log.Info("segments of tallies are damaged; what they held is fetched from other replicas", "segments", opened.Damaged)
+		s.config.Log.Info("damaged segments of tallies; their adds are fetched from other replicas", "segments", opened.Damaged)
 	}
 	s.log, s.diskBytes = opened.Log, opened.Log.Size()
 	replica.Origin = opened.Origin
 	s.replica = tally.NewReplica(replica, opened.Set)
 	if err != nil {
-		s.config.Log.Error(err, "tallies cannot be written yet")
+		s.config.Log.Error(err, "tallies are not writable yet")
 		s.replica.RewriteAll()
 	}
 	s.config.Log.Info("tallies read", "origin", opened.Origin, "adds", opened.Set.Len(), "bytes", s.diskBytes)
 	return nil
 }
 
-// SetMaxAdds changes the bound of the adds that this machine can hold; 0: no bound.
-func (s *Service) SetMaxAdds(bound int) {
+// SetMaxAdds changes the maximum number of adds that this machine stores; 0: no limit.
+func (s *Service) SetMaxAdds(maxAdds int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replica.SetMaxAdds(bound)
+	s.replica.SetMaxAdds(maxAdds)
 }
 
-// Closed is closed once nothing is written any more.
+// Closed returns a channel that is closed once the last write has ended.
 func (s *Service) Closed() <-chan struct{} { return s.closed }
 
-// Run works until ctx ends.
+// Run starts the writer, and the senders as replicas come and go, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	if s.log != nil {
 		go s.write(ctx)
@@ -179,13 +179,13 @@
 	loop.Every(ctx, peerInterval, func() { s.updatePeers(ctx) })
 }
 
-// signal wakes everybody who waits for a change. The caller holds the mutex.
-func (s *Service) signal() {
+// notifyChanged wakes all goroutines that wait for a change of the replica. The caller holds the mutex.
+func (s *Service) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// updatePeers brings the set of other replicas up to date.
+// updatePeers updates the set of other replicas and starts or stops their goroutines.
 func (s *Service) updatePeers(ctx context.Context) {
 	addrs := s.config.Replicas()
 	s.mu.Lock()
@@ -202,20 +202,20 @@
 	}
 	for _, addr := range addrs {
 		if s.senders[addr] == nil {
-			sending, stop := context.WithCancel(ctx)
+			senderCtx, stop := context.WithCancel(ctx)
 			s.senders[addr] = stop
 			changed = true
-			go s.sendTo(sending, addr)
-			go s.watch(sending, addr)
+			go s.replicateTo(senderCtx, addr)
+			go s.watchReachability(senderCtx, addr)
 		}
 	}
 	if changed {
-		s.signal()
+		s.notifyChanged()
 	}
 }
 
-// checkReady ends the time after the start in which reads would lack what the others have:
-// every replica has been asked or is out of reach. The caller holds the mutex.
+// checkReady marks this replica as ready to serve, as reads no longer lack the adds of the others:
+// every other replica was pulled from or is unreachable. The caller holds the mutex.
 func (s *Service) checkReady(addrs []string) {
 	if s.ready {
 		return
@@ -223,19 +223,19 @@
 	early := s.config.Clock()-s.startUs < startTimeout.Microseconds()
 	found := false
 	for _, addr := range addrs {
-		if !s.asked[addr] && !s.replica.Unreachable(addr) {
+		if !s.initialPulled[addr] && !s.replica.Unreachable(addr) {
 			return
 		}
-		found = found || s.asked[addr]
+		found = found || s.initialPulled[addr]
 	}
 	if !found && early {
 		return
 	}
 	s.ready = true
-	s.config.Log.Info("tallies ready", "adds", s.replica.Set().Len(), "replicas", len(addrs), "asked", len(s.asked))
+	s.config.Log.Info("tallies ready", "adds", s.replica.Set().Len(), "replicas", len(addrs), "asked", len(s.initialPulled))
 }
 
-// write brings the adds to the disk, many with one sync.
+// write writes the adds to disk in batches, with one sync each, until ctx ends.
 func (s *Service) write(ctx context.Context) {
 	defer close(s.closed)
 	defer s.log.Close()
@@ -265,19 +265,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil && s.diskErr == nil {
-		s.config.Log.Error(err, "tallies cannot be written")
+		s.config.Log.Error(err, "write of tallies failed")
 	}
 	s.diskErr, s.diskBytes = err, s.log.Size()
 	s.replica.WriteEnded(err == nil)
-	s.signal()
+	s.notifyChanged()
 }
 
-// await waits until a condition on the replica holds, and reports whether it does. The
+// await waits until a condition on the replica holds or ctx ends, and reports whether it holds. The
 // condition is called with the mutex held.
-func (s *Service) await(ctx context.Context, holds func() bool) bool {
+func (s *Service) await(ctx context.Context, condition func() bool) bool {
 	for {
 		s.mu.Lock()
-		ok, changed := holds(), s.changed
+		ok, changed := condition(), s.changed
 		s.mu.Unlock()
 		if ok {
 			return true
@@ -290,7 +290,7 @@
 	}
 }
 
-// Condition is for the doctor.
+// Condition returns the state of this replica for the doctor.
 func (s *Service) Condition() messages.TallyCondition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/tallies/service_test.go
+++ b/internal/controller/tallies/service_test.go
@@ -14,14 +14,16 @@
 	"beechtide.org/beechtide/internal/tally"
 )
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
-// noPeers reach nobody.
+// noPeers fails every call.
 type noPeers struct{}
 
-func (noPeers) Call(context.Context, string, int, msgp.Marshaler) ([]byte, error) { return nil, errCut }
+func (noPeers) Call(context.Context, string, int, msgp.Marshaler) ([]byte, error) {
+	return nil, errUnreachable
+}
 
-func openAlone(t *testing.T, nowUs *int64) *Service {
+func openWithoutPeers(t *testing.T, nowUs *int64) *Service {
 	t.Helper()
 	s, err := Open(Config{
 		Zone:           "a",
@@ -37,15 +39,16 @@
 	return s
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestOpenRejectsIncompleteConfig(t *testing.T) {
 	_, err := Open(Config{Zone: "a"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-// A replica that has found nobody answers only once there was time to find somebody.
-func TestReplicaWaitsForOthersAfterItsStart(t *testing.T) {
+// Guards against incomplete totals right after a start: a replica that has reached no other one
+// serves only after startTimeout.
+func TestReplicaWithoutPeersIsReadyAfterStartTimeout(t *testing.T) {
 	nowUs := int64(1)
-	s := openAlone(t, &nowUs)
+	s := openWithoutPeers(t, &nowUs)
 	s.updatePeers(t.Context())
 	must.False(t, s.Counts().Ready)
 	_, ready := s.total("t")
@@ -55,9 +58,9 @@
 	must.True(t, s.Counts().Ready)
 }
 
-func TestPullOfEverythingIsAnswered(t *testing.T) {
+func TestHandlePullReturnsAllAddsForEmptyVector(t *testing.T) {
 	nowUs := int64(1)
-	s := openAlone(t, &nowUs)
+	s := openWithoutPeers(t, &nowUs)
 	s.mu.Lock()
 	s.replica.Append(tally.Add{Tally: "t", Key: tally.KeyOf("t", "one"), Amount: 4})
 	s.mu.Unlock()
--- a/internal/controller/tallies/witness.go
+++ b/internal/controller/tallies/witness.go
@@ -10,19 +10,19 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// A replica that does not answer is down, or the way to it is cut. Only the second is a reason to
-// acknowledge adds on fewer disks, so routers near it are asked.
+// A replica that does not respond is down, or the network path to it is cut. Only in the second case
+// may adds be acknowledged on fewer disks, so routers near the replica are queried as witnesses.
 const (
-	// witnessTimeout bounds a question to a router, its own call included.
+	// witnessTimeout bounds a query to a router, including the router's own call to the replica.
 	witnessTimeout = 250 * time.Millisecond
-	// witnessCount is how many routers are asked: one may be down itself.
+	// witnessCount is how many routers are queried at a time, as a router may be down itself.
 	witnessCount = 3
-	// witnessPause is the time between questions about a replica that goes on not to answer.
+	// witnessPause is the maximum time between queries about a replica that still does not respond.
 	witnessPause = 400 * time.Millisecond
 )
 
-// watch asks about a replica for as long as it does not answer.
-func (s *Service) watch(ctx context.Context, addr string) {
+// watchReachability queries witnesses about a replica whenever calls to it fail, until ctx ends.
+func (s *Service) watchReachability(ctx context.Context, addr string) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		failing, zone, changed := s.replica.Failing(addr), s.replica.ZoneOf(addr), s.changed
@@ -35,37 +35,38 @@
 			continue
 		}
 		askedUs := s.config.Clock()
-		judged := s.judge(ctx, addr, zone)
+		verdict := s.queryWitnesses(ctx, addr, zone)
 		s.mu.Lock()
-		s.replica.Witnessed(addr, judged, askedUs)
-		s.signal()
+		s.replica.Witnessed(addr, verdict, askedUs)
+		s.notifyChanged()
 		s.mu.Unlock()
-		s.pauseUnless(ctx, witnessPause, func() bool { return s.replica.WantsWitness(addr) })
+		s.pauseUntil(ctx, witnessPause, func() bool { return s.replica.WantsWitness(addr) })
 	}
 }
 
-// pauseUnless pauses, or until a condition on the replica holds, and reports whether it does. The
-// condition is called with the mutex held.
-func (s *Service) pauseUnless(ctx context.Context, pause time.Duration, holds func() bool) bool {
+// pauseUntil pauses for a time, or until a condition on the replica holds, and reports whether it
+// holds. The condition is called with the mutex held.
+func (s *Service) pauseUntil(ctx context.Context, pause time.Duration, condition func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
-	return s.await(ctx, holds)
+	return s.await(ctx, condition)
 }
 
-// judge asks routers of a replica's zone, or outside of this one's zone where that is not
-// known. Where none answers, or one reaches the replica, the way is cut.
-func (s *Service) judge(ctx context.Context, addr, zone string) tally.Witness {
+// queryWitnesses queries routers in the replica's zone, or outside this replica's zone if that one is not
+// known. If no router responds, or one reaches the replica, it concludes that the path is cut;
+// otherwise that the replica is down.
+func (s *Service) queryWitnesses(ctx context.Context, addr, zone string) tally.Witness {
 	witnesses := s.witnesses(zone)
 	answers := make(chan witnessAnswer, len(witnesses))
 	for _, router := range witnesses {
-		go func() { answers <- s.askWitness(ctx, router, addr) }()
+		go func() { answers <- s.queryWitness(ctx, router, addr) }()
 	}
 	answered := false
 	for range witnesses {
 		switch <-answers {
-		case witnessReaches:
+		case witnessReachable:
 			return tally.WitnessCut
-		case witnessMisses:
+		case witnessUnreachable:
 			answered = true
 		}
 	}
@@ -75,7 +76,7 @@
 	return tally.WitnessCut
 }
 
-// witnesses chooses the routers to ask.
+// witnesses returns the addresses of randomly chosen routers to query.
 func (s *Service) witnesses(zone string) []string {
 	var addrs []string
 	for _, p := range s.config.Routers() {
@@ -87,16 +88,16 @@
 	return addrs[:min(witnessCount, len(addrs))]
 }
 
-// witnessAnswer is what a router says of a replica.
+// witnessAnswer is the result of querying a router about a replica.
 type witnessAnswer int
 
 const (
-	witnessSilent witnessAnswer = iota
-	witnessReaches
-	witnessMisses
+	witnessNoResponse witnessAnswer = iota
+	witnessReachable
+	witnessUnreachable
 )
 
-func (s *Service) askWitness(ctx context.Context, router, addr string) witnessAnswer {
+func (s *Service) queryWitness(ctx context.Context, router, addr string) witnessAnswer {
 	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
 	b, err := s.config.Peers.Call(ctx, router, transport.KindReach, &messages.ReachQuery{Addr: addr})
@@ -106,9 +107,9 @@
 	}
 	switch {
 	case err != nil:
-		return witnessSilent
+		return witnessNoResponse
 	case answer.Reached:
-		return witnessReaches
+		return witnessReachable
 	}
-	return witnessMisses
+	return witnessUnreachable
 }
