--- a/internal/controller/weightrollout/calls.go
+++ b/internal/controller/weightrollout/calls.go
@@ -9,26 +9,26 @@
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-// order sends an order and hands over its answer. A runner that refuses the fence has an
-// order of a later holder.
-func (d *Driver) order(ctx context.Context, part int, model string, order rollout.Order, grant lease.Grant) {
+// sendAndRecordOrder sends an order and records its answer. A runner that refuses the fencing token has
+// received an order of a later holder.
+func (d *Driver) sendAndRecordOrder(ctx context.Context, register int, model string, order rollout.Order, grant lease.Grant) {
 	answer := rollout.NoAnswer
 	if runner, ok := d.config.Runners.Snapshot().ByID[order.ID]; ok {
-		answer = d.sendOrder(ctx, part, model, runner, order, grant.Fence)
+		answer = d.sendOrder(ctx, register, model, runner, order, grant.Fence)
 	}
 	if answer == rollout.AlreadyHolds {
 		d.recordWeights(order.ID, model, order.Version)
 	}
 	if answer == rollout.FenceRefused {
-		d.config.Fences.Refuse(part, grant.Fence)
+		d.config.Fences.Refuse(register, grant.Fence)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shards[part].Answered(model, order, answer, d.config.Clock())
+	d.shards[register].Answered(model, order, answer, d.config.Clock())
 }
 
-// sendOrder sends an order under a fence.
-func (d *Driver) sendOrder(ctx context.Context, part int, model string, runner messages.RunnerRecord, order rollout.Order, fence int64) rollout.Answer {
+// sendOrder sends an order under a fencing token.
+func (d *Driver) sendOrder(ctx context.Context, register int, model string, runner messages.RunnerRecord, order rollout.Order, fence int64) rollout.Answer {
 	body := api.Order{
 		Op:       api.Version,
 		Model:    model,
@@ -38,31 +38,31 @@
 		Fence:    fence,
 		Expected: order.Expected,
 	}
-	mayGo := func() bool { return d.config.Fences.MayCall(part, fence) }
-	status, err := d.config.API.Order(ctx, runner, body, mayGo)
+	maySend := func() bool { return d.config.Fences.MayCall(register, fence) }
+	status, err := d.config.API.Order(ctx, runner, body, maySend)
 	d.config.Log.Info("order", "runner", runner.ID, "version", order.Version, "fence", fence, "status", status, "err", err)
 	return rollout.AnswerOf(status)
 }
 
-// poll asks a runner for its report, one at a time, and hands over what it says of
-// a model.
-func (d *Driver) poll(ctx context.Context, part int, model, id string) {
+// poll requests a runner's report in the background, unless a request to it is in progress, and
+// records the state of a model in it.
+func (d *Driver) poll(ctx context.Context, register int, model, id string) {
 	runner, ok := d.config.Runners.Snapshot().ByID[id]
 	d.mu.Lock()
-	running := d.polling[id]
+	inProgress := d.polling[id]
 	d.polling[id] = ok
 	d.mu.Unlock()
-	if running || !ok {
+	if inProgress || !ok {
 		return
 	}
-	go d.readReport(ctx, part, model, runner)
+	go d.readReport(ctx, register, model, runner)
 }
 
-// readReport asks a runner for its report and hands it over.
-func (d *Driver) readReport(ctx context.Context, part int, model string, runner messages.RunnerRecord) {
-	askedUs := d.config.Clock()
+// readReport requests a runner's report and records the state of a model in it.
+func (d *Driver) readReport(ctx context.Context, register int, model string, runner messages.RunnerRecord) {
+	requestedUs := d.config.Clock()
 	report, err := d.config.API.Report(ctx, runner)
-	state := stateOf(report, model)
+	state := modelReport(report, model)
 	if err == nil && !state.Busy && state.Version > 0 {
 		d.recordWeights(runner.ID, model, state.Version)
 	}
@@ -70,14 +70,14 @@
 	defer d.mu.Unlock()
 	delete(d.polling, runner.ID)
 	if err == nil {
-		d.shards[part].Reported(model, runner.ID, state, askedUs, d.config.Clock())
+		d.shards[register].Reported(model, runner.ID, state, requestedUs, d.config.Clock())
 	} else {
-		d.shards[part].NotReported(model, runner.ID)
+		d.shards[register].NotReported(model, runner.ID)
 	}
 }
 
-// stateOf returns what a report says of a model.
-func stateOf(report api.Report, model string) rollout.Report {
+// modelReport returns the state of a model in a report.
+func modelReport(report api.Report, model string) rollout.Report {
 	state := rollout.Report{Busy: report.Saturated, Idle: report.Active == 0, Sequence: report.Sequence}
 	for _, carried := range report.Models {
 		if carried.Name == model {
@@ -87,7 +87,7 @@
 	return state
 }
 
-// recordWeights notes the version of a model at a runner, and publishes it.
+// recordWeights records the version of a model on a runner, and publishes it if it has changed.
 func (d *Driver) recordWeights(id, model string, version int64) {
 	if record, changed := d.config.Runners.SetWeights(id, model, version); changed {
 		d.config.Log.Info("weights in place", "runner", id, "version", version)
--- a/internal/controller/weightrollout/dependencies.go
+++ b/internal/controller/weightrollout/dependencies.go
@@ -9,14 +9,14 @@
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-// Fences bound what may be sent under a fencing token (singleton.Leases).
+// Fences limits what may be sent under a fencing token (singleton.Leases).
 type Fences interface {
-	RecordFenceUsed(part int, fence int64)
-	MayCall(part int, fence int64) bool
-	Refuse(part int, fence int64)
+	RecordFenceUsed(register int, fence int64)
+	MayCall(register int, fence int64) bool
+	Refuse(register int, fence int64)
 }
 
-// Targets are the named versions of each model's weights.
+// Targets returns the named versions of each model's weights.
 type Targets interface {
 	Models() []string
 	Namings(model string, boundUs, nowUs int64) []rollout.Naming
--- a/internal/controller/weightrollout/driver.go
+++ b/internal/controller/weightrollout/driver.go
@@ -1,8 +1,8 @@
-// Package weightrollout brings runners to the named versions of their models' weights: package
-// rollout decides, and a Driver carries its steps out under the lease of the register that a
+// Package weightrollout rolls out the named versions of models' weights to their runners: package
+// rollout plans the steps, and a Driver executes them under the lease of the register that a
 // model belongs to (package singleton).
 //
-// Each model belongs to one register by its name alone, so that it has one lease holder and
+// The register of a model depends only on its name, so that each model has one lease holder and
 // one sequence of fencing tokens. A Driver is safe for concurrent use.
 package weightrollout
 
@@ -23,16 +23,16 @@
 
 // Bounds of a rollout, in microseconds.
 const (
-	// defaultVersionUs stands for versionMs where the settings have none.
+	// defaultVersionUs is used if versionMs is not set in the settings.
 	defaultVersionUs = int64(8_000_000)
-	// orderMarginUs is how long before versionMs all orders have gone out.
+	// orderMarginUs is how long before the end of versionMs all orders must have been sent.
 	orderMarginUs = int64(2_500_000)
 )
 
-// Config is what a Driver is given. All fields but VersionUs are required.
+// Config configures a Driver. All fields but VersionUs are required.
 type Config struct {
-	// VersionUs is the time within which runners are to have a named version, in
-	// microseconds; 0: defaultVersionUs.
+	// VersionUs is the time after a naming within which runners must serve the named
+	// version, in microseconds; 0: defaultVersionUs.
 	VersionUs int64
 	Clock     func() int64 // microseconds, monotonic
 	Log       logr.Logger
@@ -41,8 +41,8 @@
 	Targets   Targets
 	Runners   Runners
 	API       RunnerAPI
-	// ServiceOf returns the service whose runners carry a model, as the configuration has
-	// it; empty where none does.
+	// ServiceOf returns the service whose runners serve a model, according to the
+	// configuration; empty if there is none.
 	ServiceOf func(model string) string
 	// Publish sends the changed records of runners to all nodes.
 	Publish func(ids ...string)
@@ -60,15 +60,15 @@
 	return nil
 }
 
-// Driver holds the plans for the models of each register.
+// Driver executes the rollout plans of the models of each register.
 type Driver struct {
 	config  Config
-	boundUs int64 // by when, after a naming, all orders have to be out
+	boundUs int64 // time after a naming by which all orders must have been sent
 	cordons atomic.Int64
 
 	mu      sync.Mutex // guards what follows
 	shards  map[int]*rollout.Shard
-	polling map[string]bool // a runner's report was asked for
+	polling map[string]bool // runners whose report is being requested
 }
 
 // New returns a driver without plans.
@@ -82,13 +82,13 @@
 		shards:  map[int]*rollout.Shard{},
 		polling: map[string]bool{},
 	}
-	for part := 1; part < consensus.RegisterCount; part++ {
-		d.shards[part] = rollout.NewShard(d.boundUs)
+	for register := 1; register < consensus.RegisterCount; register++ {
+		d.shards[register] = rollout.NewShard(d.boundUs)
 	}
 	return d, nil
 }
 
-// orderBoundUs is by when, after a naming, all orders have to be out.
+// orderBoundUs returns the time after a naming by which all orders must have been sent.
 func orderBoundUs(versionUs int64) int64 {
 	if versionUs == 0 {
 		versionUs = defaultVersionUs
@@ -97,7 +97,7 @@
 }
 
 // Newest returns the newest committed version of a model's weights, over all registers:
-// earlier versions of the program chose the register by the configuration they held.
+// earlier versions of the program chose the register by their configuration.
 func (d *Driver) Newest(model string) int64 {
 	newest := int64(0)
 	singleton.CommittedBodies(d.config.Registers, func(_ int, body messages.LeaseBody) {
@@ -110,16 +110,16 @@
 	return newest
 }
 
-// FenceFloor returns the highest fence of another register that has a target of a model
-// that belongs to this one.
-func (d *Driver) FenceFloor(part int) int64 {
+// FenceFloor returns the highest fencing token of the other registers that have a target of a
+// model that belongs to this one.
+func (d *Driver) FenceFloor(register int) int64 {
 	floor := int64(0)
 	singleton.CommittedBodies(d.config.Registers, func(other int, body messages.LeaseBody) {
-		if other == part {
+		if other == register {
 			return
 		}
 		for _, target := range body.Targets {
-			if consensus.RegisterOf(target.Model) == part {
+			if consensus.RegisterOf(target.Model) == register {
 				floor = max(floor, body.Lease.Fence)
 			}
 		}
@@ -127,34 +127,34 @@
 	return floor
 }
 
-// Prepare is part of singleton.Task.
-func (d *Driver) Prepare(part int, _ messages.LeaseBody) (singleton.Job, bool) {
-	models := d.Models(part)
+// Prepare implements singleton.Task.
+func (d *Driver) Prepare(register int, _ messages.LeaseBody) (singleton.Job, bool) {
+	models := d.Models(register)
 	run := func(ctx context.Context, grant lease.Grant) {
 		d.mu.Lock()
-		step := d.shards[part].Step(d.config.Clock(), grant, models)
+		step := d.shards[register].Step(d.config.Clock(), grant, models)
 		d.mu.Unlock()
-		d.carryOut(ctx, part, grant, step)
+		d.executeStep(ctx, register, grant, step)
 	}
-	job := singleton.Job{Needed: rollout.Unfinished(models), FenceFloor: d.FenceFloor(part), Run: run}
+	job := singleton.Job{Needed: rollout.Unfinished(models), FenceFloor: d.FenceFloor(register), Run: run}
 	return job, len(models) > 0
 }
 
-// Unfinished reports whether any model has runners to be brought to a named version.
+// Unfinished reports whether any model has runners that do not serve the named version yet.
 func (d *Driver) Unfinished() bool {
-	for part := 1; part < consensus.RegisterCount; part++ {
-		if rollout.Unfinished(d.Models(part)) {
+	for register := 1; register < consensus.RegisterCount; register++ {
+		if rollout.Unfinished(d.Models(register)) {
 			return true
 		}
 	}
 	return false
 }
 
-// Models returns the models that belong to a register, with their runners as known now.
-func (d *Driver) Models(part int) []rollout.Model {
+// Models returns the models that belong to a register, with their currently known runners.
+func (d *Driver) Models(register int) []rollout.Model {
 	var out []rollout.Model
 	for _, name := range d.config.Targets.Models() {
-		if consensus.RegisterOf(name) != part {
+		if consensus.RegisterOf(name) != register {
 			continue
 		}
 		out = append(out, rollout.Model{
@@ -166,31 +166,32 @@
 	return out
 }
 
-// RunnersOf returns the runners that carry a model, as the registry and the
-// configuration have them.
+// RunnersOf returns the runners that serve a model, according to the registry and the
+// configuration.
 func (d *Driver) RunnersOf(model string) []rollout.Runner {
 	return rollout.RunnersOf(d.config.Runners.Snapshot().ByID, model, d.config.ServiceOf(model))
 }
 
-// carryOut does what a step asks for at the runners.
-func (d *Driver) carryOut(ctx context.Context, part int, grant lease.Grant, step rollout.Step) {
+// executeStep executes a step: it sets cordons, sends orders and polls reports.
+func (d *Driver) executeStep(ctx context.Context, register int, grant lease.Grant, step rollout.Step) {
 	if step.Orders() {
-		d.config.Fences.RecordFenceUsed(part, step.Fence)
+		d.config.Fences.RecordFenceUsed(register, step.Fence)
 	}
 	for _, actions := range step.Models {
 		for _, cordon := range actions.Cordons {
 			d.setCordon(cordon, step.Fence)
 		}
 		for _, order := range actions.Orders {
-			go d.order(ctx, part, actions.Model, order, grant)
+			go d.sendAndRecordOrder(ctx, register, actions.Model, order, grant)
 		}
 		for _, id := range actions.Poll {
-			d.poll(ctx, part, actions.Model, id)
+			d.poll(ctx, register, actions.Model, id)
 		}
 	}
 }
 
-// fenceShift leaves room below a fence for the cordons set under it, in their order.
+// fenceShift is the number of low bits of a cordon's version that count the cordons; the fencing
+// token is in the bits above.
 const fenceShift = 20
 
 func (d *Driver) setCordon(cordon rollout.Cordon, fence int64) {
--- a/internal/controller/weightrollout/driver_test.go
+++ b/internal/controller/weightrollout/driver_test.go
@@ -16,18 +16,18 @@
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-// fakeFences allow calls under one fence of one register.
+// fakeFences allows calls under one fencing token of one register.
 type fakeFences struct{ allowed, refused int64 }
 
 func (*fakeFences) RecordFenceUsed(int, int64) {}
 
-func (f *fakeFences) MayCall(part int, fence int64) bool {
-	return part == testPart && fence == f.allowed
+func (f *fakeFences) MayCall(register int, fence int64) bool {
+	return register == testRegister && fence == f.allowed
 }
 
 func (f *fakeFences) Refuse(_ int, fence int64) { f.refused = fence }
 
-// fakeRunners answer orders that may go with a status.
+// fakeRunners responds with a status to orders that may be sent.
 type fakeRunners struct {
 	status int
 	orders []api.Order
@@ -37,15 +37,15 @@
 	return api.Report{}, nil
 }
 
-func (f *fakeRunners) Order(_ context.Context, _ messages.RunnerRecord, order api.Order, mayGo func() bool) (int, error) {
-	if !mayGo() {
+func (f *fakeRunners) Order(_ context.Context, _ messages.RunnerRecord, order api.Order, maySend func() bool) (int, error) {
+	if !maySend() {
 		return 0, nil
 	}
 	f.orders = append(f.orders, order)
 	return f.status, nil
 }
 
-// noRegisters have committed nothing.
+// noRegisters has no committed value.
 type noRegisters struct{}
 
 func (noRegisters) ID() string { return "self" }
@@ -58,14 +58,14 @@
 	return messages.Value{}, nil
 }
 
-// noTargets have no version named.
+// noTargets has no named version.
 type noTargets struct{}
 
 func (noTargets) Models() []string { return nil }
 
 func (noTargets) Namings(string, int64, int64) []rollout.Naming { return nil }
 
-const testPart = 2
+const testRegister = 2
 
 func newTestDriver(t *testing.T, fences *fakeFences, runners *fakeRunners) *Driver {
 	t.Helper()
@@ -86,35 +86,35 @@
 	return d
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{VersionUs: 1})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-// An order leaves only while its fence may be used, and carries it.
-func TestOrdersDoNotOutliveTheirConfirmation(t *testing.T) {
+// Guards against orders sent under a fencing token that may not be used now. Orders carry theirs.
+func TestOrderIsSentOnlyUnderAllowedFence(t *testing.T) {
 	fences, runners := &fakeFences{}, &fakeRunners{status: http.StatusAccepted}
 	d := newTestDriver(t, fences, runners)
 	order := rollout.Order{ID: "i-1", Version: 4}
-	d.order(t.Context(), testPart, "m", order, lease.Grant{Fence: 7})
+	d.sendAndRecordOrder(t.Context(), testRegister, "m", order, lease.Grant{Fence: 7})
 	must.SliceEmpty(t, runners.orders)
 	fences.allowed = 7
-	d.order(t.Context(), testPart, "m", order, lease.Grant{Fence: 7})
+	d.sendAndRecordOrder(t.Context(), testRegister, "m", order, lease.Grant{Fence: 7})
 	must.Len(t, 1, runners.orders)
 	must.Eq(t, 7, runners.orders[0].Fence)
 	must.Eq(t, "self", runners.orders[0].Holder)
-	d.order(t.Context(), testPart, "m", order, lease.Grant{Fence: 6})
-	must.Len(t, 1, runners.orders, must.Sprint("nor under another fence"))
+	d.sendAndRecordOrder(t.Context(), testRegister, "m", order, lease.Grant{Fence: 6})
+	must.Len(t, 1, runners.orders, must.Sprint("another fencing token"))
 }
 
-func TestRefusedFenceIsReported(t *testing.T) {
+func TestRefusedFenceIsRecorded(t *testing.T) {
 	fences, runners := &fakeFences{allowed: 7}, &fakeRunners{status: http.StatusPreconditionFailed}
 	d := newTestDriver(t, fences, runners)
-	d.order(t.Context(), testPart, "m", rollout.Order{ID: "i-1", Version: 4}, lease.Grant{Fence: 7})
+	d.sendAndRecordOrder(t.Context(), testRegister, "m", rollout.Order{ID: "i-1", Version: 4}, lease.Grant{Fence: 7})
 	must.Eq(t, 7, fences.refused)
 }
 
-func TestOrdersAreOutBeforeTheBound(t *testing.T) {
+func TestOrderBoundPrecedesVersionDeadline(t *testing.T) {
 	must.Eq(t, defaultVersionUs-orderMarginUs, orderBoundUs(0))
 	must.Eq(t, 500_000, orderBoundUs(2_000_000))
 }
