--- a/internal/controller/servicerollout/driver.go
+++ b/internal/controller/servicerollout/driver.go
@@ -1,6 +1,6 @@
-// Package servicerollout takes rollouts of a service's software version from stage to stage:
-// package canary decides by the outcomes that the routers send up, and a Driver agrees on each
-// step under the lease of the service's register (package singleton).
+// Package servicerollout advances the rollouts of services' software versions stage by stage:
+// package canary decides from the request outcomes that the routers report, and a Driver commits
+// each step under the lease of the service's register (package singleton).
 //
 // A Driver is safe for concurrent use.
 package servicerollout
@@ -20,42 +20,43 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Leases change a register under its lease (singleton.Leases).
+// Leases changes a register under its lease (singleton.Leases).
 type Leases interface {
-	Change(ctx context.Context, part int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
+	Change(ctx context.Context, register int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
 }
 
-// Config is what a Driver is given. All fields but Bounds are required.
+// Config configures a Driver. All fields but Bounds are required.
 type Config struct {
-	// Bounds is how much a version may get that has not been shown good.
+	// Bounds limits the requests that a version gets before it has proved good.
 	Bounds canary.Bounds
 	Log    logr.Logger
 	Leases Leases
-	// TimeOfDay returns the fleet's time of day in microseconds, and whether it is agreed on.
+	// TimeOfDay returns the fleet's time of day in microseconds, and whether the controllers
+	// have agreed on it.
 	TimeOfDay func() (timeUs int64, agreed bool)
 	// Runners returns the known runners.
 	Runners func() *registry.Snapshot
-	// ReadLoads calls read with the sum of the loads and outcomes of all routers, which must
-	// not be kept.
+	// ReadLoads calls read with the sum of the loads and outcomes of all routers, which read
+	// must not retain.
 	ReadLoads func(read func(loads *statesync.Loads))
 }
 
 // ErrConfig means that a field of a Config is missing.
 var ErrConfig = errors.New("servicerollout: incomplete configuration")
 
-// planKey names one rollout of a service.
+// planKey identifies one rollout of a service.
 type planKey struct {
 	service string
 	number  int64
 }
 
-// Driver drives the rollouts whose registers' leases this controller holds.
+// Driver advances the rollouts in the registers whose leases this controller holds.
 type Driver struct {
 	config Config
 
-	mu    sync.Mutex // guards what follows
-	plans map[planKey]*canary.Plan
-	busy  map[planKey]bool // a step is being recorded
+	mu         sync.Mutex // guards what follows
+	plans      map[planKey]*canary.Plan
+	committing map[planKey]bool // a step is being committed
 }
 
 // New returns a driver without plans.
@@ -63,11 +64,11 @@
 	if config.Leases == nil || config.TimeOfDay == nil || config.Runners == nil || config.ReadLoads == nil {
 		return nil, ErrConfig
 	}
-	return &Driver{config: config, plans: map[planKey]*canary.Plan{}, busy: map[planKey]bool{}}, nil
+	return &Driver{config: config, plans: map[planKey]*canary.Plan{}, committing: map[planKey]bool{}}, nil
 }
 
-// Prepare is part of singleton.Task.
-func (d *Driver) Prepare(part int, body messages.LeaseBody) (singleton.Job, bool) {
+// Prepare implements singleton.Task.
+func (d *Driver) Prepare(register int, body messages.LeaseBody) (singleton.Job, bool) {
 	var running []messages.ServiceRollout
 	for _, rollout := range body.Rollouts {
 		if canary.Stage(rollout.Stage).Running() {
@@ -76,14 +77,14 @@
 	}
 	run := func(ctx context.Context, grant lease.Grant) {
 		for _, rollout := range running {
-			d.step(ctx, part, grant, body.Lease, rollout)
+			d.step(ctx, register, grant, body.Lease, rollout)
 		}
 	}
 	return singleton.Job{Needed: len(running) > 0, Run: run}, len(running) > 0
 }
 
-// step takes the step of a rollout that is due.
-func (d *Driver) step(ctx context.Context, part int, grant lease.Grant, current messages.Lease, rollout messages.ServiceRollout) {
+// step starts to commit the next step of a rollout, if one is due.
+func (d *Driver) step(ctx context.Context, register int, grant lease.Grant, current messages.Lease, rollout messages.ServiceRollout) {
 	view, agreed := d.view(rollout)
 	if !agreed {
 		return
@@ -96,30 +97,30 @@
 	}
 	step := d.plans[key].Step(view)
 	unchanged := step.Stage == view.Stage && step.SharePerMille == view.Share
-	if unchanged || !grant.MayAct || d.busy[key] {
+	if unchanged || !grant.MayAct || d.committing[key] {
 		return
 	}
-	d.busy[key] = true
-	go d.record(ctx, part, current, rollout, step)
+	d.committing[key] = true
+	go d.commitStep(ctx, register, current, rollout, step)
 }
 
-// record agrees on a step. Where that fails, it is due again.
-func (d *Driver) record(ctx context.Context, part int, current messages.Lease, rollout messages.ServiceRollout, step canary.Step) {
-	_, err := d.config.Leases.Change(ctx, part, current, func(body *messages.LeaseBody) bool {
+// commitStep commits a step to the register. If that fails, the step is due again.
+func (d *Driver) commitStep(ctx context.Context, register int, current messages.Lease, rollout messages.ServiceRollout, step canary.Step) {
+	_, err := d.config.Leases.Change(ctx, register, current, func(body *messages.LeaseBody) bool {
 		next, changed := canary.Advance(body.Rollouts, rollout, step)
 		body.Rollouts = next
 		return changed
 	})
-	d.config.Log.Info("rollout of a service goes on",
+	d.config.Log.Info("step of a service rollout",
 		"service", rollout.Service, "version", rollout.Target,
 		"stage", step.Stage.String(), "number", int(step.Stage), "share", step.SharePerMille,
 		"reason", step.Reason, "err", err)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.busy, planKey{rollout.Service, rollout.Number})
+	delete(d.committing, planKey{rollout.Service, rollout.Number})
 }
 
-// view is what the plan of a rollout goes by; false where the time of day is not known.
+// view returns the input of a rollout's plan, and whether the time of day is agreed on.
 func (d *Driver) view(rollout messages.ServiceRollout) (canary.View, bool) {
 	timeUs, agreed := d.config.TimeOfDay()
 	view := canary.View{
@@ -141,7 +142,7 @@
 	return view, agreed
 }
 
-// countRunner counts a runner of the service in a view.
+// countRunner adds a runner of the service to a view.
 func countRunner(view *canary.View, target string, runner messages.RunnerRecord, loads *statesync.Loads) {
 	if runner.Version == target {
 		if !runner.Draining && !runner.Stale {
--- a/internal/controller/servicerollout/driver_test.go
+++ b/internal/controller/servicerollout/driver_test.go
@@ -14,7 +14,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// fakeLeases pass on the bodies that they are asked to change.
+// fakeLeases sends each changed body to a channel.
 type fakeLeases struct{ changed chan messages.LeaseBody }
 
 func (f fakeLeases) Change(_ context.Context, _ int, _ messages.Lease, edit func(*messages.LeaseBody) bool) (messages.LeaseBody, error) {
@@ -24,12 +24,13 @@
 	return body, nil
 }
 
-const testPart = 3
+const testRegister = 3
 
-// running is a rollout whose version is tried.
+// running is a rollout whose new version is being tried.
 var running = messages.ServiceRollout{Service: "s", Number: 1, Target: "v2", BegunAtUs: 1, OverUs: 60_000_000}
 
-// newTestDriver returns a driver of a service whose new version has so many bad answers of 40.
+// newTestDriver returns a driver of a service whose new version has returned 40 answers, of which
+// bad were bad.
 func newTestDriver(t *testing.T, leases Leases, bad int) *Driver {
 	t.Helper()
 	loads := statesync.NewLoads()
@@ -55,25 +56,25 @@
 	return d
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-func TestVersionThatFailsIsRevertedUnderTheLease(t *testing.T) {
+func TestFailingVersionIsRevertedUnderLease(t *testing.T) {
 	leases := fakeLeases{changed: make(chan messages.LeaseBody, 1)}
 	d := newTestDriver(t, leases, 20)
-	job, ok := d.Prepare(testPart, messages.LeaseBody{Rollouts: []messages.ServiceRollout{running}})
+	job, ok := d.Prepare(testRegister, messages.LeaseBody{Rollouts: []messages.ServiceRollout{running}})
 	must.True(t, ok)
 	must.True(t, job.Needed)
 	job.Run(t.Context(), lease.Grant{Fence: 1, MayAct: true})
 	must.Eq(t, int(canary.Reverted), (<-leases.changed).Rollouts[0].Stage)
 }
 
-func TestStepIsNotTakenWithoutTheLease(t *testing.T) {
+func TestNoStepIsCommittedWithoutLease(t *testing.T) {
 	d := newTestDriver(t, fakeLeases{}, 20)
-	job, ok := d.Prepare(testPart, messages.LeaseBody{Rollouts: []messages.ServiceRollout{running}})
+	job, ok := d.Prepare(testRegister, messages.LeaseBody{Rollouts: []messages.ServiceRollout{running}})
 	must.True(t, ok)
 	job.Run(t.Context(), lease.Grant{})
-	must.MapEmpty(t, d.busy)
+	must.MapEmpty(t, d.committing)
 }
