--- a/internal/controller/grouprepair/hand_over.go
+++ b/internal/controller/grouprepair/hand_over.go
@@ -12,29 +12,29 @@
 
 const (
 	handOverPause = 50 * time.Millisecond
-	// maxSuccessors bounds how many newcomers a member that ends asks.
+	// maxSuccessors is the maximum number of newcomers that a leaving member requests to confirm.
 	maxSuccessors = 3
 )
 
-// HandOverTimes bound what a member does before its process ends. The whole has to fit
-// into the grace period of a shutdown with a margin.
+// HandOverTimes are the timeouts of a hand-over at the end of a process. Together they have to
+// fit into the grace period of a shutdown with a margin.
 type HandOverTimes struct {
 	Total   time.Duration // for the hand-over of all registers
-	Confirm time.Duration // for the newcomers' confirmations that they can take over
-	Flush   time.Duration // for the other members' disks
+	Confirm time.Duration // for the confirmations of the newcomers that can replace this member
+	Flush   time.Duration // for the writes of the other members to their disks
 }
 
-// DefaultHandOverTimes leave a margin in a grace period of some seconds.
+// DefaultHandOverTimes fit into a grace period of some seconds with a margin.
 var DefaultHandOverTimes = HandOverTimes{
 	Total:   2500 * time.Millisecond,
 	Confirm: 800 * time.Millisecond,
 	Flush:   300 * time.Millisecond,
 }
 
-// Leave is called when the process is told to end. It cannot know whether it will
-// be started again. If a controller that is no member is ready, the place in each group
-// is handed over to it; otherwise the other members get all committed values on their
-// disks, and the process ends at once.
+// Leave must be called when the process is about to end; whether it will be started again is not
+// known at that time. If a controller that is not a member is ready, it replaces this member in
+// each group. Otherwise, and after the hand-over, the other members are requested to write all
+// committed values to their disks.
 func (r *Repairer) Leave(ctx context.Context) {
 	r.config.Registers.Retire()
 	if !r.groupMembers()[r.config.Registers.ID()] {
@@ -44,18 +44,18 @@
 	defer cancel()
 	successors := r.findSuccessors(ctx)
 	r.successors.Store(&successors)
-	for ctx.Err() == nil && r.mayHandOver() {
+	for ctx.Err() == nil && r.handOverPending() {
 		r.step(ctx)
 		loop.Pause(ctx, handOverPause)
 	}
 	r.flushOtherMembers(ctx)
 }
 
-// groupMembers returns the identities in the groups of all registers.
+// groupMembers returns the set of the member identities in the groups of all registers.
 func (r *Repairer) groupMembers() map[string]bool {
 	out := map[string]bool{}
-	for part := range consensus.RegisterCount {
-		v, _ := r.config.Registers.Committed(part)
+	for register := range consensus.RegisterCount {
+		v, _ := r.config.Registers.Committed(register)
 		for _, m := range v.Group {
 			out[m.ID] = true
 		}
@@ -63,14 +63,14 @@
 	return out
 }
 
-// findSuccessors returns the members, and those who may take a place over: a few of the
-// counted controllers that are no members and confirm now what they have on disk. A
-// process that has just ended still counts as alive for a while, and one that is about
-// to end itself does not confirm.
+// findSuccessors returns the members and the possible successors: up to maxSuccessors candidates
+// that are not members and confirm now that they have the configuration register on disk. The
+// confirmation is needed as a process that has just ended still counts as alive for a while; one
+// that is about to end itself does not confirm.
 func (r *Repairer) findSuccessors(ctx context.Context) []messages.Peer {
 	base, _ := r.config.Registers.Committed(consensus.ConfigRegister)
 	alive := r.config.Membership.Alive(messages.Controller)
-	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, r.config.Membership.DeadForUs, deadBeforeReplaced.Microseconds()))
+	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, r.config.Membership.DeadForUs, replaceDeadAfter.Microseconds()))
 	newcomers = newcomers[:min(len(newcomers), maxSuccessors)]
 	confirmed := r.confirmAll(ctx, newcomers, base)
 	members := r.groupMembers()
@@ -83,19 +83,19 @@
 	return out
 }
 
-// confirmAll returns those of the newcomers that confirm in time that they have the
-// configuration's register on disk.
+// confirmAll returns for each newcomer whether it confirms in time that it has the configuration
+// register on disk.
 func (r *Repairer) confirmAll(ctx context.Context, newcomers []messages.Member, base messages.Value) map[messages.Member]bool {
 	ctx, cancel := context.WithTimeout(ctx, r.config.HandOver.Confirm)
 	defer cancel()
 	confirmed := make([]bool, len(newcomers))
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for i, m := range newcomers {
-		asked.Go(func() {
+		pending.Go(func() {
 			confirmed[i], _ = r.config.Registers.Confirm(ctx, consensus.ConfigRegister, m, base)
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	out := map[messages.Member]bool{}
 	for i, m := range newcomers {
 		out[m] = confirmed[i]
@@ -103,32 +103,32 @@
 	return out
 }
 
-// mayHandOver reports whether a register is left in which this controller is a member
-// and a successor is ready, or whether a change is under way.
-func (r *Repairer) mayHandOver() bool {
+// handOverPending reports whether there is still a register in which this controller is a member and
+// a successor is ready, or in which a change is in progress.
+func (r *Repairer) handOverPending() bool {
 	status := r.status()
-	for part := range consensus.RegisterCount {
-		v, ok := r.config.Registers.Committed(part)
+	for register := range consensus.RegisterCount {
+		v, ok := r.config.Registers.Committed(register)
 		if !ok {
 			continue
 		}
-		if !r.parts[part].settled(v.Group) {
+		if !r.repairs[register].settled(v.Group) {
 			return true
 		}
-		if _, may := consensus.HandOver(v.Group, r.config.Addr, status); may {
+		if _, ready := consensus.HandOver(v.Group, r.config.Addr, status); ready {
 			return true
 		}
 	}
 	return false
 }
 
-// flushOtherMembers has the other members write the committed values to their disks.
+// flushOtherMembers requests the other members to write the committed values to their disks.
 func (r *Repairer) flushOtherMembers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.HandOver.Flush)
 	defer cancel()
-	var asked sync.WaitGroup
-	for part := range consensus.RegisterCount {
-		v, ok := r.config.Registers.Committed(part)
+	var pending sync.WaitGroup
+	for register := range consensus.RegisterCount {
+		v, ok := r.config.Registers.Committed(register)
 		if !ok {
 			continue
 		}
@@ -136,16 +136,16 @@
 			if m.Addr == r.config.Addr {
 				continue
 			}
-			asked.Go(func() {
-				// Whether it has the value by then changes nothing: this process ends.
-				_, _ = r.config.Registers.Confirm(ctx, part, m, v)
+			pending.Go(func() {
+				// The result is ignored, as this process ends in any case.
+				_, _ = r.config.Registers.Confirm(ctx, register, m, v)
 			})
 		}
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
-// Successors returns the members and those who may take a place over, nil before Leave.
+// Successors returns the members and the possible successors; nil before Leave.
 func (r *Repairer) Successors() []messages.Peer {
 	successors := r.successors.Load()
 	if successors == nil {
--- a/internal/controller/grouprepair/repairer_test.go
+++ b/internal/controller/grouprepair/repairer_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{Addr: "a:1"})
 	must.ErrorIs(t, err, ErrConfig)
 }
