--- a/internal/controller/runnerreader/cache_reader.go
+++ b/internal/controller/runnerreader/cache_reader.go
@@ -1,9 +1,9 @@
 package runnerreader
 
-// The cached prefixes of a runner come as events since a version; the full list is
-// fetched only after a gap, since it delays the runner. Only parts that prompts may share
-// (prefixindex.SharedKeys) are published: most of what a runner caches is the last part of some
-// prompt, which no other request finds.
+// The cached prefixes of a runner are read as events since a version. The full list is fetched only
+// after a gap, as it delays the runner. Only parts that prompts may share (prefixindex.SharedKeys)
+// are published: most cached parts are the last part of some prompt, which no other request can
+// reuse.
 
 import (
 	"context"
@@ -17,23 +17,24 @@
 
 const cacheEventsPause = 300 * time.Millisecond
 
-// Fields of a cache event and of an entry of the list. Both are arrays of mixed types.
+// Indexes of the fields of a cache event and of a list entry. Both are arrays of mixed types.
 const (
 	eventSalt, eventPart, eventTokens, eventModel, eventFields = 2, 3, 4, 5, 6
 	listSalt, listPart, listTokens, listModel, listFields      = 0, 1, 2, 3, 4
 )
 
-// mostUnpublished is after how many events without a shared part the version is published
-// all the same: a reader that follows begins there, and a runner remembers some 1,500 events.
-const mostUnpublished = 400
+// maxUnpublishedEvents is after how many events without a shared part the version is published
+// nevertheless: a later reader starts from the published version, and a runner stores only some
+// 1,500 events.
+const maxUnpublishedEvents = 400
 
 // cacheReader reads the cached prefixes of one runner.
 type cacheReader struct {
-	epoch, next int64            // how far the events have been read
-	unshared    map[uint64]int32 // tokens of the parts that no prompt is known to share yet, by key
+	epoch, next int64            // runner's epoch, and the version from which to read on
+	unshared    map[uint64]int32 // tokens of the cached parts that are not known to be shared yet, by key
 }
 
-// since returns the version from which on events are still to be read.
+// since returns the version from which the events have to be read.
 func (r *cacheReader) since(known *prefixindex.CachedPrefixes) int64 {
 	if r.epoch == known.Epoch {
 		return max(r.next, known.Version)
@@ -41,8 +42,8 @@
 	return known.Version
 }
 
-// put records how many tokens of a part are cached; none drops it.
-func (r *cacheReader) put(cached *prefixindex.CachedPrefixes, shared *prefixindex.SharedKeys, key uint64, tokens int32) {
+// updatePart records how many tokens of a part are cached; with 0 the part is deleted.
+func (r *cacheReader) updatePart(cached *prefixindex.CachedPrefixes, shared *prefixindex.SharedKeys, key uint64, tokens int32) {
 	delete(r.unshared, key)
 	switch {
 	case tokens <= 0:
@@ -54,49 +55,50 @@
 	}
 }
 
-// publishShared publishes the parts that have been announced since they were read.
+// publishShared adds to the published parts those that were announced as shared after they were
+// read.
 func (r *cacheReader) publishShared(cached *prefixindex.CachedPrefixes, shared *prefixindex.SharedKeys) {
 	for key, tokens := range r.unshared {
 		if shared.Has(key) {
-			r.put(cached, shared, key, tokens)
+			r.updatePart(cached, shared, key, tokens)
 		}
 	}
 }
 
-// readCacheEvents follows a runner's events until ctx ends, from the version that is
-// known here, whichever controller read it.
-func (r *Readers) readCacheEvents(ctx context.Context, n messages.RunnerRecord) {
+// readCacheEvents reads a runner's events until ctx ends, from the newest version that this
+// controller has, whether it was read here or by another controller.
+func (r *Readers) readCacheEvents(ctx context.Context, runner messages.RunnerRecord) {
 	reader := cacheReader{unshared: map[uint64]int32{}}
 	for ctx.Err() == nil {
-		r.readCacheEventsOnce(ctx, n, &reader)
+		r.readCacheEventsOnce(ctx, runner, &reader)
 		loop.Pause(ctx, cacheEventsPause)
 	}
 }
 
-// readCacheEventsOnce fetches the events that have not been read and publishes what they change.
-func (r *Readers) readCacheEventsOnce(ctx context.Context, n messages.RunnerRecord, reader *cacheReader) {
+// readCacheEventsOnce fetches the events that have not been read and publishes their changes.
+func (r *Readers) readCacheEventsOnce(ctx context.Context, runner messages.RunnerRecord, reader *cacheReader) {
 	r.mu.Lock()
-	known := r.cached.CachedPrefixes(n.ID)
+	known := r.cached.CachedPrefixes(runner.ID)
 	since, epoch := reader.since(known), known.Epoch
 	r.mu.Unlock()
-	events, err := r.config.API.CacheEvents(ctx, n, since)
+	events, err := r.config.API.CacheEvents(ctx, runner, since)
 	if err != nil {
-		return // the next call follows soon
+		return // retried after cacheEventsPause
 	}
-	r.recordResponse(n.ID)
+	r.recordResponse(runner.ID)
 	first := epoch == 0
 	switch {
 	case events.Lost || !first && events.Epoch != epoch:
-		r.readCacheList(ctx, n, reader)
+		r.readCacheList(ctx, runner, reader)
 	case events.NextPage > since || first:
-		r.change(n.ID, func(cached *prefixindex.CachedPrefixes) (messages.CachedChange, bool) {
-			return reader.applyEvents(n.ID, cached, events, since, &r.sharedKeys)
+		r.updateCached(runner.ID, func(cached *prefixindex.CachedPrefixes) (messages.CachedChange, bool) {
+			return reader.applyEvents(runner.ID, cached, events, since, &r.sharedKeys)
 		})
 	}
 }
 
-// applyEvents applies the events since a version to what is known of a runner's cache. It returns the
-// change, a snapshot if nothing was known before, and whether there is anything to publish.
+// applyEvents applies the events since a version to the state of a runner's cache. It returns the
+// change, which is a snapshot if there was no state before, and whether it has to be published.
 func (r *cacheReader) applyEvents(id string, cached *prefixindex.CachedPrefixes, events api.PrefixEvents, since int64, shared *prefixindex.SharedKeys) (messages.CachedChange, bool) {
 	first := cached.Epoch == 0
 	if first {
@@ -106,12 +108,12 @@
 		if len(e) < eventFields {
 			continue
 		}
-		key := prefixindex.Key(text(e[eventSalt]), text(e[eventModel]), text(e[eventPart]))
-		r.put(cached, shared, key, int32(number(e[eventTokens])))
+		key := prefixindex.Key(stringField(e[eventSalt]), stringField(e[eventModel]), stringField(e[eventPart]))
+		r.updatePart(cached, shared, key, int32(numberField(e[eventTokens])))
 	}
 	r.epoch, r.next = events.Epoch, events.NextPage
 	r.publishShared(cached, shared)
-	if !first && !cached.Dirty() && events.NextPage-cached.Version < mostUnpublished {
+	if !first && !cached.Dirty() && events.NextPage-cached.Version < maxUnpublishedEvents {
 		return messages.CachedChange{}, false
 	}
 	change := cached.Commit(events.NextPage)
@@ -121,19 +123,18 @@
 	return prefixindex.Encode(id, change), true
 }
 
-// readCacheList fetches the full list after a gap; other nodes get it as a snapshot.
-func (r *Readers) readCacheList(ctx context.Context, n messages.RunnerRecord, reader *cacheReader) {
-	list, err := r.config.API.CacheList(ctx, n)
+// readCacheList fetches the full list after a gap and publishes it as a snapshot.
+func (r *Readers) readCacheList(ctx context.Context, runner messages.RunnerRecord, reader *cacheReader) {
+	list, err := r.config.API.CacheList(ctx, runner)
 	if err != nil {
-		return // the next call follows soon
+		return // retried after cacheEventsPause
 	}
-	r.change(n.ID, func(cached *prefixindex.CachedPrefixes) (messages.CachedChange, bool) {
-		return reader.replace(n.ID, cached, list, &r.sharedKeys), true
+	r.updateCached(runner.ID, func(cached *prefixindex.CachedPrefixes) (messages.CachedChange, bool) {
+		return reader.replace(runner.ID, cached, list, &r.sharedKeys), true
 	})
 }
 
-// replace makes a list, as far as its parts are shared, the state of a runner's cache and returns a
-// snapshot.
+// replace replaces the state of a runner's cache by the shared parts of a list and returns a snapshot.
 func (r *cacheReader) replace(id string, cached *prefixindex.CachedPrefixes, list api.PrefixList, shared *prefixindex.SharedKeys) messages.CachedChange {
 	if cached.Epoch != list.Epoch {
 		cached.Begin(list.Epoch, 0)
@@ -144,8 +145,8 @@
 		if len(entry) < listFields {
 			continue
 		}
-		key := prefixindex.Key(text(entry[listSalt]), text(entry[listModel]), text(entry[listPart]))
-		r.put(cached, shared, key, int32(number(entry[listTokens])))
+		key := prefixindex.Key(stringField(entry[listSalt]), stringField(entry[listModel]), stringField(entry[listPart]))
+		r.updatePart(cached, shared, key, int32(numberField(entry[listTokens])))
 	}
 	r.epoch, r.next = list.Epoch, list.NextPage
 	cached.Commit(list.NextPage)
@@ -153,16 +154,16 @@
 	return prefixindex.Encode(id, snapshot)
 }
 
-// text returns a field as a string, empty if it is none.
-func text(field any) string {
+// stringField returns a field as a string, empty if it is not a string.
+func stringField(field any) string {
 	if s, ok := field.(string); ok {
 		return s
 	}
 	return ""
 }
 
-// number returns a field as a number, 0 if it is none.
-func number(field any) float64 {
+// numberField returns a field as a number, 0 if it is not a number.
+func numberField(field any) float64 {
 	if f, ok := field.(float64); ok {
 		return f
 	}
--- a/internal/controller/runnerreader/cache_reader_test.go
+++ b/internal/controller/runnerreader/cache_reader_test.go
@@ -26,20 +26,20 @@
 	shared.AddAnnounced([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: partKey(part), Tokens: 1}}}})
 }
 
-// cacheFollower is what another node knows of the runner's cache.
-type cacheFollower struct {
+// fakeFollower is another node that applies the published changes of the runner's cache.
+type fakeFollower struct {
 	t     *testing.T
 	index *prefixindex.Index
 }
 
-func (f cacheFollower) take(change messages.CachedChange, published bool) {
+func (f fakeFollower) apply(change messages.CachedChange, published bool) {
 	f.t.Helper()
 	if published {
 		must.Eq(f.t, statesync.Applied, f.index.Apply(change))
 	}
 }
 
-func (f cacheFollower) has(part string) bool {
+func (f fakeFollower) has(part string) bool {
 	tokens, _ := f.index.CachedPrefixes("r").Get(partKey(part))
 	return tokens > 0
 }
@@ -47,47 +47,47 @@
 func TestOnlySharedPartsArePublished(t *testing.T) {
 	var shared prefixindex.SharedKeys
 	reader, cached := cacheReader{unshared: map[uint64]int32{}}, prefixindex.NewIndex().CachedPrefixes("r")
-	other := cacheFollower{t, prefixindex.NewIndex()}
+	other := fakeFollower{t, prefixindex.NewIndex()}
 	announce(&shared, "head")
-	other.take(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 2, Events: [][]any{cacheEvent("head", 100), cacheEvent("own", 50)}}, 0, &shared))
+	other.apply(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 2, Events: [][]any{cacheEvent("head", 100), cacheEvent("own", 50)}}, 0, &shared))
 	must.True(t, other.has("head"))
 	must.False(t, other.has("own"))
 
 	change, published := reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 3, Events: [][]any{cacheEvent("own too", 50)}}, 2, &shared)
-	must.False(t, published, must.Sprint("nothing for the others: ", change))
-	must.Eq(t, 3, reader.since(cached), must.Sprint("it has been read all the same"))
+	must.False(t, published, must.Sprint("change without a shared part: ", change))
+	must.Eq(t, 3, reader.since(cached), must.Sprint("unpublished events count as read"))
 
 	announce(&shared, "own")
-	other.take(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 4, Events: [][]any{cacheEvent("head", 0)}}, 3, &shared))
-	must.True(t, other.has("own"), must.Sprint("it turned out to be shared after it was read"))
-	must.False(t, other.has("head"), must.Sprint("it is cached no longer"))
+	other.apply(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 4, Events: [][]any{cacheEvent("head", 0)}}, 3, &shared))
+	must.True(t, other.has("own"), must.Sprint("part was announced as shared after it was read"))
+	must.False(t, other.has("head"), must.Sprint("part is no longer cached"))
 }
 
-func TestListIsPublishedAsFarAsItsPartsAreShared(t *testing.T) {
+func TestListPublishesOnlySharedParts(t *testing.T) {
 	var shared prefixindex.SharedKeys
 	reader, cached := cacheReader{unshared: map[uint64]int32{}}, prefixindex.NewIndex().CachedPrefixes("r")
-	other := cacheFollower{t, prefixindex.NewIndex()}
+	other := fakeFollower{t, prefixindex.NewIndex()}
 	list := api.PrefixList{Epoch: 7, NextPage: 9, Held: [][]any{{"w1", "head", 100.0, "m"}, {"w1", "own", 50.0, "m"}}}
-	other.take(reader.replace("r", cached, list, &shared), true)
+	other.apply(reader.replace("r", cached, list, &shared), true)
 	must.False(t, other.has("head"))
 	announce(&shared, "head")
-	other.take(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 10, Events: [][]any{cacheEvent("x", 10)}}, 9, &shared))
+	other.apply(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 10, Events: [][]any{cacheEvent("x", 10)}}, 9, &shared))
 	must.True(t, other.has("head"))
 	must.False(t, other.has("own"))
 }
 
-func TestVersionIsPublishedAfterManyEventsWithoutASharedPart(t *testing.T) {
+func TestVersionIsPublishedAfterMaxUnpublishedEvents(t *testing.T) {
 	var shared prefixindex.SharedKeys
 	reader, cached := cacheReader{unshared: map[uint64]int32{}}, prefixindex.NewIndex().CachedPrefixes("r")
-	other := cacheFollower{t, prefixindex.NewIndex()}
-	other.take(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 1}, 0, &shared))
-	change, published := reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 1 + mostUnpublished}, 1, &shared)
+	other := fakeFollower{t, prefixindex.NewIndex()}
+	other.apply(reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 1}, 0, &shared))
+	change, published := reader.applyEvents("r", cached, api.PrefixEvents{Epoch: 7, NextPage: 1 + maxUnpublishedEvents}, 1, &shared)
 	must.True(t, published)
-	other.take(change, published)
-	must.Eq(t, int64(1+mostUnpublished), other.index.CachedPrefixes("r").Version)
+	other.apply(change, published)
+	must.Eq(t, int64(1+maxUnpublishedEvents), other.index.CachedPrefixes("r").Version)
 }
 
-// newTestReaders returns readers that keep the keys of shared parts in a store.
+// newTestReaders returns Readers that save the keys of shared parts to notes.
 func newTestReaders(t *testing.T, notes Notes) *Readers {
 	t.Helper()
 	r, err := New(Config{
@@ -105,12 +105,12 @@
 	return r
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{Addr: "a:1"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-func TestControllerThatStartsKnowsTheSharedParts(t *testing.T) {
+func TestSharedKeysAreRestoredFromDisk(t *testing.T) {
 	disk, err := consensus.NewDiskStore(t.TempDir())
 	must.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
@@ -136,7 +136,7 @@
 	must.False(t, damaged.sharedKeys.Has(7))
 }
 
-func TestChangesOfRunnersThatAreReadHereAreNotApplied(t *testing.T) {
+func TestApplySkipsRunnersReadLocally(t *testing.T) {
 	r := newTestReaders(t, nil)
 	r.running["read here"] = func() {}
 	applied := r.Apply([]messages.CachedChange{{ID: "read here", Epoch: 1, To: 1, Snapshot: true}, {ID: "read there", Epoch: 1, To: 1, Snapshot: true}})
--- a/internal/controller/runnerreader/readers.go
+++ b/internal/controller/runnerreader/readers.go
@@ -1,11 +1,11 @@
-// Package runnerreader reads what runners have cached and how loaded they are: one controller reads
-// one runner, chosen by rendezvous hashing among the live controllers of the runner's zone, and
-// publishes what it has read; the others apply it.
+// Package runnerreader reads the cached prefixes and load reports of runners. Each runner is read by
+// one controller, chosen by rendezvous hashing among the live controllers of the runner's zone. It
+// publishes the changes, and the other controllers apply them.
 //
-// Readers own the index of cached prefixes (package prefixindex), the keys of the parts that prompts
-// share, and the set of runners that are read here. They have one mutex, which is not held during
-// a call. A goroutine for each runner that is read follows its cache events, another its load
-// report; both end with the context of Update.
+// Readers owns the index of cached prefixes (package prefixindex), the keys of the prompt parts that
+// are shared by prompts, and the set of runners that this controller reads. Its mutex is not held
+// during a call. For each runner, one goroutine reads its cache events and another one its load
+// report; both end with the context passed to Update.
 package runnerreader
 
 import (
@@ -23,11 +23,12 @@
 )
 
 const (
-	// startDelayUs is how long a controller that has just started leaves the runners
-	// to the others: it goes on from what they have read, without fetching lists.
+	// startDelayUs is how long after its start a controller reads no runners if there are
+	// other controllers. By then it has received the state that they have read, and need not
+	// fetch lists.
 	startDelayUs = 2_000_000
-	// unreadUs is after how long without an answer a runner counts as not read.
-	unreadUs = 5_000_000
+	// unreadAfterUs is after how long without a response a runner counts as unread.
+	unreadAfterUs = 5_000_000
 )
 
 // API reads runners (runnerapi.Client).
@@ -37,13 +38,13 @@
 	CacheList(ctx context.Context, runner messages.RunnerRecord) (api.PrefixList, error)
 }
 
-// Notes are small durable files (consensus.DiskStore).
+// Notes reads and writes small durable files (consensus.DiskStore).
 type Notes interface {
 	ReadFile(name string) ([]byte, bool)
 	WriteFile(name string, content []byte) error
 }
 
-// Config is what Readers are given. All fields but Notes are required.
+// Config configures Readers. All fields but Notes are required.
 type Config struct {
 	// Addr is the address of this controller.
 	Addr  string
@@ -52,13 +53,13 @@
 	API   API
 	// Controllers returns the controllers of the core that are alive.
 	Controllers func() []messages.Peer
-	// Members returns the addresses of the members of the configuration's register.
+	// Members returns the addresses of the members of the configuration register.
 	Members func() []string
 	// PublishCached sends a change of a runner's cached prefixes to all nodes.
 	PublishCached func(change messages.CachedChange)
 	// PublishReport sends a runner's load report to all nodes.
 	PublishReport func(report messages.RunnerReport)
-	// Notes keep the keys of shared parts; nil on a machine without a disk.
+	// Notes stores the keys of shared parts; nil on a machine without a disk.
 	Notes Notes
 }
 
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// Readers is safe for concurrent use.
+// Readers reads runners. It is safe for concurrent use.
 type Readers struct {
 	config  Config
 	startUs int64
@@ -82,12 +83,12 @@
 	mu             sync.Mutex // guards what follows
 	cached         *prefixindex.Index
 	sharedKeys     prefixindex.SharedKeys
-	running        map[string]context.CancelFunc // by runner that is read here
-	lastResponseUs map[string]int64              // when a runner's events or report last came
+	running        map[string]context.CancelFunc // cancels the reading of a runner, by its ID
+	lastResponseUs map[string]int64              // time of the last response of a runner that is read here
 }
 
-// New returns readers that read nothing yet, with the keys of shared parts that an earlier process
-// has saved.
+// New returns Readers without runners to read, with the keys of shared parts that an earlier
+// process has saved.
 func New(config Config) (*Readers, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -103,8 +104,8 @@
 	return r, nil
 }
 
-// Update starts to read those of the runners that this controller is to read, and stops to read
-// all others. Reading ends with ctx.
+// Update starts reading the runners that are assigned to this controller, and stops reading all
+// others. Reading ends with ctx.
 func (r *Readers) Update(ctx context.Context, runners []messages.RunnerRecord) {
 	controllers := r.config.Controllers()
 	if r.config.Clock()-r.startUs < startDelayUs {
@@ -129,9 +130,9 @@
 	}
 }
 
-// startPeers returns among whom the runners are divided by a controller that knows of no other
-// one yet: the members of the configuration's register. After a loss of power of all, each
-// would read all runners else, with two connections each.
+// startPeers returns the controllers among which a controller that has no live peers yet divides
+// the runners: the members of the configuration register. Otherwise, after a power failure of all
+// controllers, each of them would read all runners, with two connections to each.
 func startPeers(alive []messages.Peer, members []string) []messages.Peer {
 	if len(members) < 2 {
 		return alive
@@ -143,7 +144,7 @@
 	return peers
 }
 
-// stopUnwanted stops the readers that are not wanted. The caller has the mutex.
+// stopUnwanted stops reading the runners that are not in wanted. The caller holds the mutex.
 func (r *Readers) stopUnwanted(wanted map[string]messages.RunnerRecord) {
 	for id, cancel := range r.running {
 		if _, ok := wanted[id]; ok {
@@ -155,7 +156,7 @@
 	}
 }
 
-// start starts to read a runner or a store. The caller has the mutex.
+// start starts reading a runner or a store. The caller holds the mutex.
 func (r *Readers) start(ctx context.Context, runner messages.RunnerRecord) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.running[runner.ID] = cancel
@@ -166,21 +167,22 @@
 	}
 }
 
-// recordResponse records that a runner answered a reader.
+// recordResponse records that a runner has responded.
 func (r *Readers) recordResponse(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastResponseUs[id] = r.config.Clock()
 }
 
-// Unread returns the runners that are to be read here and have not answered for long, in order.
+// Unread returns the sorted IDs of the runners that are assigned to this controller and have not
+// responded for unreadAfterUs.
 func (r *Readers) Unread() []string {
 	nowUs := r.config.Clock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
 	for id := range r.running {
-		if nowUs-r.lastResponseUs[id] > unreadUs && nowUs-r.startUs > unreadUs {
+		if nowUs-r.lastResponseUs[id] > unreadAfterUs && nowUs-r.startUs > unreadAfterUs {
 			out = append(out, id)
 		}
 	}
@@ -188,7 +190,7 @@
 	return out
 }
 
-// Announce takes note of parts that prompts may share.
+// Announce records the parts that were announced as shared by prompts.
 func (r *Readers) Announce(announced []messages.CachedPrefixes) {
 	if len(announced) == 0 {
 		return
@@ -198,15 +200,16 @@
 	r.sharedKeys.AddAnnounced(announced)
 }
 
-// Applied is what became of a change that another controller has read.
+// Applied is the result of applying a change that another controller has read.
 type Applied struct {
 	Change messages.CachedChange
 	Result statesync.Result
-	// Again reports whether the change is a snapshot of an epoch that was known.
+	// Again reports whether the change is a snapshot of the epoch that was already present.
 	Again bool
 }
 
-// Apply applies changes that another controller has read, but for runners that are read here.
+// Apply applies changes that another controller has read, except those of runners that are read
+// here.
 func (r *Readers) Apply(changes []messages.CachedChange) []Applied {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -221,13 +224,13 @@
 	return out
 }
 
-// change changes the cached prefixes of a runner, as its reader, and publishes the change if there
-// is one.
-func (r *Readers) change(id string, change func(cached *prefixindex.CachedPrefixes) (messages.CachedChange, bool)) {
+// updateCached updates the cached prefixes of a runner that is read here, and publishes the change if
+// there is one.
+func (r *Readers) updateCached(id string, change func(cached *prefixindex.CachedPrefixes) (messages.CachedChange, bool)) {
 	r.mu.Lock()
-	delta, some := change(r.cached.CachedPrefixes(id))
+	delta, changed := change(r.cached.CachedPrefixes(id))
 	r.mu.Unlock()
-	if some {
+	if changed {
 		r.config.PublishCached(delta)
 	}
 }
@@ -239,7 +242,7 @@
 	return r.cached.Cursors()
 }
 
-// DeltasSince returns the changes that a receiver with these cursors needs; a controller needs only
+// DeltasSince returns the changes that a receiver with these cursors lacks. A controller is sent only
 // those of the runners that are read here.
 func (r *Readers) DeltasSince(cursors []messages.Cursor, controller bool) []messages.CachedChange {
 	r.mu.Lock()
@@ -247,31 +250,31 @@
 	return r.cached.DeltasSince(cursors, func(id string) bool { return !controller || r.running[id] != nil })
 }
 
-// Retain forgets what the runners have cached for which keep is false.
+// Retain deletes the cached prefixes of the runners for which keep returns false.
 func (r *Readers) Retain(keep func(id string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cached.Retain(keep)
 }
 
-// ReaderOf returns the address of the controller that reads a runner: by rendezvous
-// hashing among those of its zone, or among all if its zone has none.
-func ReaderOf(n messages.RunnerRecord, alive []messages.Peer) string {
-	inZone := func(p messages.Peer) bool { return p.Zone == n.Zone }
-	if best := highestHash(n.ID, alive, inZone); best != "" {
+// ReaderOf returns the address of the controller that reads a runner. It is chosen by rendezvous
+// hashing among the controllers of the runner's zone, or among all if its zone has none.
+func ReaderOf(runner messages.RunnerRecord, alive []messages.Peer) string {
+	inZone := func(p messages.Peer) bool { return p.Zone == runner.Zone }
+	if best := highestHash(runner.ID, alive, inZone); best != "" {
 		return best
 	}
-	return highestHash(n.ID, alive, func(messages.Peer) bool { return true })
+	return highestHash(runner.ID, alive, func(messages.Peer) bool { return true })
 }
 
 func highestHash(id string, alive []messages.Peer, eligible func(messages.Peer) bool) string {
-	best, top := "", uint64(0)
+	best, bestHash := "", uint64(0)
 	for _, p := range alive {
 		if p.Status != messages.Alive || !eligible(p) {
 			continue
 		}
-		if v := statesync.HashText(p.Addr, id); best == "" || v > top {
-			best, top = p.Addr, v
+		if v := statesync.HashText(p.Addr, id); best == "" || v > bestHash {
+			best, bestHash = p.Addr, v
 		}
 	}
 	return best
--- a/internal/controller/runnerreader/readers_test.go
+++ b/internal/controller/runnerreader/readers_test.go
@@ -9,9 +9,9 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// A controller that knows of no other one divides the runners among the members that it
-// knows from its disk.
-func TestStartingControllerReadsItsShareOfTheRunners(t *testing.T) {
+// Guards against each controller reading all runners after all have restarted: one without live
+// peers divides the runners among the members that are stored on its disk.
+func TestStartingControllerReadsItsShareOfRunners(t *testing.T) {
 	members := []string{"a:1", "b:1", "c:1"}
 	read := map[string]int{}
 	const runners = 300
@@ -32,7 +32,7 @@
 	must.Eq(t, runners, total)
 }
 
-func TestControllerOfACoreOfOneReadsAllAtOnce(t *testing.T) {
+func TestOnlyCoreMemberReadsAllRunnersAtStart(t *testing.T) {
 	self := []messages.Peer{{Addr: "a:1", Zone: "a", Status: messages.Alive}}
 	must.Eq(t, self, startPeers(self, []string{"a:1"}))
 	must.Eq(t, self, startPeers(self, nil))
--- a/internal/controller/runnerreader/report_reader.go
+++ b/internal/controller/runnerreader/report_reader.go
@@ -12,11 +12,11 @@
 const reportsPause = time.Second
 
 // readReports reads a runner's load report about once a second until ctx ends, and publishes it.
-func (r *Readers) readReports(ctx context.Context, n messages.RunnerRecord) {
+func (r *Readers) readReports(ctx context.Context, runner messages.RunnerRecord) {
 	for ctx.Err() == nil {
-		if report, err := r.config.API.Report(ctx, n); err == nil {
+		if report, err := r.config.API.Report(ctx, runner); err == nil {
 			r.config.PublishReport(messages.RunnerReport{
-				ID:     n.ID,
+				ID:     runner.ID,
 				Used:   report.CacheUsed,
 				Total:  report.CacheTotal,
 				Active: report.Active,
--- a/internal/controller/runnerreader/shared_keys.go
+++ b/internal/controller/runnerreader/shared_keys.go
@@ -1,8 +1,8 @@
 package runnerreader
 
-// The keys of shared parts are copied to the disk, so that a controller that starts knows which of
-// the parts that runners have cached are to be published. Without it routers know of none of them
-// until somebody has sent each prompt once more, to a runner that reads it again.
+// The keys of shared parts are saved to disk, so that a controller that has restarted can publish the
+// shared parts that runners have cached. Without the saved keys, routers would not have any of these
+// parts until each prompt was sent once more and prefilled again.
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 
 const (
 	sharedKeysFile = "shared-keys"
-	// sharedKeysPeriod is how often the keys are written if there are new ones.
+	// sharedKeysPeriod is the interval at which the keys are written if there are new ones.
 	sharedKeysPeriod = 2 * time.Second
 )
 
-// restoreSharedKeys reads the keys. A file that is missing or damaged is none.
+// restoreSharedKeys reads the saved keys. A missing or damaged file is ignored.
 func (r *Readers) restoreSharedKeys() {
 	if r.config.Notes == nil {
 		return
@@ -27,7 +27,7 @@
 		return
 	}
 	if err := r.sharedKeys.Restore(record); err != nil {
-		r.config.Log.Info("keys of shared parts dropped", "err", err)
+		r.config.Log.Info("saved keys of shared parts not restored", "err", err)
 	}
 }
 
