--- a/internal/controller/scaling/scaler.go
+++ b/internal/controller/scaling/scaler.go
@@ -1,6 +1,6 @@
-// Package scaling orders runners of the platform: the holder of a lease orders how many runners a
-// service has in each zone, as package autoscale decides. An order is recorded in the register
-// before the call leaves, so that a successor repeats it as it was.
+// Package scaling sets the number of runners of the services at the platform. The holder of a
+// lease orders how many runners a service has in each zone, as package autoscale decides. An order
+// is committed to the register before it is sent, so that the next holder can repeat it unchanged.
 package scaling
 
 import (
@@ -30,32 +30,32 @@
 // Duty is the name of the duty in the settings.
 const Duty = "scaling"
 
-// Part is the register with the lease and the orders.
+// Part is the number of the register with the lease and the orders.
 var Part = consensus.RegisterOf("platform/scaling")
 
-// Times of scaling, in microseconds.
+// Intervals and limits, in microseconds.
 const (
 	planIntervalUs = 500_000
-	// loadsCurrentUs is how old the newest sum of loads may be.
-	loadsCurrentUs = 2_000_000
-	// steadyUs is for how long the core has not changed when runners are removed.
-	steadyUs = 5_000_000
-	// The pause after a call that failed is random between these.
+	// maxLoadsAgeUs is the maximum age of the sum of loads.
+	maxLoadsAgeUs = 2_000_000
+	// minStableUs is how long the core must not have changed before runners are removed.
+	minStableUs = 5_000_000
+	// The pause after a failed call is chosen randomly between these.
 	minRetryPauseUs = 500_000
 	maxRetryPauseUs = 2_000_000
 )
 
-// Leases change a register under its lease (singleton.Leases).
+// Leases changes a register under its lease (singleton.Leases).
 type Leases interface {
-	Change(ctx context.Context, part int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
+	Change(ctx context.Context, register int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
 }
 
 // Platform calls the platform's API (platform.Client).
 type Platform interface {
-	Call(ctx context.Context, part int, grant lease.Grant, path string, content any) platform.Answer
+	Call(ctx context.Context, register int, grant lease.Grant, path string, content any) platform.Answer
 }
 
-// Config is what a Scaler is given. All fields are required.
+// Config configures a Scaler. All fields are required.
 type Config struct {
 	// Self is the identity of this member in the registers.
 	Self     string
@@ -63,17 +63,17 @@
 	Log      logr.Logger
 	Leases   Leases
 	Platform Platform
-	// Table returns the configuration in force, nil where there is none yet.
+	// Table returns the active configuration, nil if there is none yet.
 	Table func() *routeconfig.Table
 	// Runners returns the known runners.
 	Runners func() *registry.Snapshot
-	// ReadLoads calls read with the sum of the loads of all routers, which must not be kept.
+	// ReadLoads calls read with the sum of the loads of all routers, which read must not retain.
 	ReadLoads func(read func(loads *statesync.Loads))
 	// InContact reports whether this controller has contact with a majority of the core.
 	InContact func() bool
-	// StableForUs returns for how long the core has not changed, in microseconds.
+	// StableForUs returns how long the core has not changed, in microseconds.
 	StableForUs func() int64
-	// RolloutUnfinished reports whether runners are still to be brought to named weights.
+	// RolloutUnfinished reports whether any runners do not serve the named weights yet.
 	RolloutUnfinished func() bool
 }
 
@@ -89,24 +89,24 @@
 	return nil
 }
 
-// Scaler is safe for concurrent use.
+// Scaler orders runners. It is safe for concurrent use.
 type Scaler struct {
 	config Config
 
-	mu      sync.Mutex // guards what follows
-	plan    *autoscale.Plan
-	seen    autoscale.View                      // what the plan last went by
-	planUs  int64                               // when the plan was last asked
-	decided map[autoscale.Key]autoscale.Order   // orders of the plan
-	sent    map[autoscale.Key]messages.Setpoint // what the platform has accepted from this process
-	working bool
-	nextUs  int64 // no call before then
+	mu             sync.Mutex // guards what follows
+	plan           *autoscale.Plan
+	lastView       autoscale.View                      // last input of the plan
+	lastPlanUs     int64                               // time of the last step of the plan
+	plannedOrders  map[autoscale.Key]autoscale.Order   // newest order of the plan, by service and zone
+	acceptedOrders map[autoscale.Key]messages.Setpoint // newest order of this process that the platform has accepted
+	inProgress     bool
+	retryAtUs      int64 // no order is committed or sent before this time
 
-	loadsVersion int64 // of the sum of loads when it last changed, and when that was
+	loadsVersion int64 // newest version of the sum of loads, and when it was first observed
 	loadsUs      int64
 }
 
-// New returns a scaler that has ordered nothing.
+// New returns a Scaler without orders.
 func New(config Config) (*Scaler, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -116,47 +116,47 @@
 	return s, nil
 }
 
-// reset forgets what only the holder of the lease goes by.
+// reset clears the state that only the holder of the lease uses.
 func (s *Scaler) reset() {
-	s.plan, s.seen = autoscale.NewPlan(autoscale.Defaults), autoscale.View{}
-	s.decided, s.sent = map[autoscale.Key]autoscale.Order{}, map[autoscale.Key]messages.Setpoint{}
+	s.plan, s.lastView = autoscale.NewPlan(autoscale.Defaults), autoscale.View{}
+	s.plannedOrders, s.acceptedOrders = map[autoscale.Key]autoscale.Order{}, map[autoscale.Key]messages.Setpoint{}
 }
 
-// Prepare is part of singleton.Task.
-func (s *Scaler) Prepare(part int, body messages.LeaseBody) (singleton.Job, bool) {
-	if part != Part {
+// Prepare implements singleton.Task.
+func (s *Scaler) Prepare(register int, body messages.LeaseBody) (singleton.Job, bool) {
+	if register != Part {
 		return singleton.Job{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if body.Lease.Holder != "" && body.Lease.Holder != s.config.Self {
-		if len(s.decided)+len(s.sent) > 0 {
+		if len(s.plannedOrders)+len(s.acceptedOrders) > 0 {
 			s.reset()
 		}
 		return singleton.Job{Run: func(context.Context, lease.Grant) {}}, true
 	}
-	s.decide(body)
-	record, order := s.due(body)
-	needed := !s.working && s.config.Clock() >= s.nextUs && len(record)+len(order) > 0
+	s.updatePlan(body)
+	record, order := s.dueOrders(body)
+	needed := !s.inProgress && s.config.Clock() >= s.retryAtUs && len(record)+len(order) > 0
 	run := func(ctx context.Context, grant lease.Grant) {
 		if needed && grant.MayAct {
-			s.begin(ctx, grant, body.Lease, record, order)
+			s.start(ctx, grant, body.Lease, record, order)
 		}
 	}
 	return singleton.Job{Needed: needed, Run: run}, true
 }
 
-// decide asks the plan for orders.
-func (s *Scaler) decide(body messages.LeaseBody) {
+// updatePlan runs a step of the plan, at most once per planIntervalUs, and records its orders.
+func (s *Scaler) updatePlan(body messages.LeaseBody) {
 	nowUs := s.config.Clock()
-	if nowUs-s.planUs < planIntervalUs {
+	if nowUs-s.lastPlanUs < planIntervalUs {
 		return
 	}
-	s.planUs = nowUs
-	s.seen = s.view(body, nowUs)
-	for _, order := range s.plan.Step(s.seen) {
-		s.decided[keyOf(order.Setpoint)] = order
-		s.config.Log.Info("runners wanted", "service", order.Service, "zone", order.Zone, "runners", order.Desired, "reason", string(order.Reason))
+	s.lastPlanUs = nowUs
+	s.lastView = s.view(body, nowUs)
+	for _, order := range s.plan.Step(s.lastView) {
+		s.plannedOrders[keyOf(order.Setpoint)] = order
+		s.config.Log.Info("runner count decided", "service", order.Service, "zone", order.Zone, "runners", order.Desired, "reason", string(order.Reason))
 	}
 }
 
@@ -164,10 +164,10 @@
 	return autoscale.Key{Service: order.Service, Zone: order.Zone}
 }
 
-// view is what the plan goes by: the runners that are ready, and the sum of loads.
+// view returns the input of the plan: the runners that are ready, and the sum of loads.
 func (s *Scaler) view(body messages.LeaseBody, nowUs int64) autoscale.View {
-	known := s.loadsKnown(nowUs) && s.config.InContact()
-	stable := s.config.StableForUs() >= steadyUs
+	known := s.loadsAreCurrent(nowUs) && s.config.InContact()
+	stable := s.config.StableForUs() >= minStableUs
 	view := autoscale.View{NowUs: nowUs, Known: known, Steady: stable && !s.config.RolloutUnfinished()}
 	table := s.config.Table()
 	if table == nil {
@@ -175,28 +175,28 @@
 	}
 	for name, records := range s.config.Runners().ByService {
 		service := table.Service(name)
-		if service == nil || !s.scales(name) {
+		if service == nil || !s.isScaled(name) {
 			continue
 		}
-		view.Services = append(view.Services, s.service(service, records, body.Setpoints))
+		view.Services = append(view.Services, s.serviceView(service, records, body.Setpoints))
 	}
 	slices.SortFunc(view.Services, func(a, b autoscale.Service) int { return cmp.Compare(a.Name, b.Name) })
 	return view
 }
 
-// loadsKnown reports whether the sum of loads has changed a short while ago, and was
-// ever more than nothing.
-func (s *Scaler) loadsKnown(nowUs int64) bool {
+// loadsAreCurrent reports whether the sum of loads has been received and has changed within
+// maxLoadsAgeUs.
+func (s *Scaler) loadsAreCurrent(nowUs int64) bool {
 	version := int64(0)
 	s.config.ReadLoads(func(loads *statesync.Loads) { version = loads.Version })
 	if version != s.loadsVersion {
 		s.loadsVersion, s.loadsUs = version, nowUs
 	}
-	return s.loadsUs > 0 && nowUs-s.loadsUs < loadsCurrentUs
+	return s.loadsUs > 0 && nowUs-s.loadsUs < maxLoadsAgeUs
 }
 
-// service is one service of the view.
-func (s *Scaler) service(service *api.Service, records []messages.RunnerRecord, ordered []messages.Setpoint) autoscale.Service {
+// serviceView returns the state of one service for the view.
+func (s *Scaler) serviceView(service *api.Service, records []messages.RunnerRecord, ordered []messages.Setpoint) autoscale.Service {
 	out := autoscale.Service{Name: service.Name, Floor: service.Scaling.Floor, Ceiling: service.Scaling.Ceiling, BootUs: int64(service.Scaling.BootS * 1e6)}
 	zones := map[string]*autoscale.Zone{}
 	zone := func(name string) *autoscale.Zone {
@@ -212,12 +212,12 @@
 	}
 	s.config.ReadLoads(func(loads *statesync.Loads) {
 		for _, record := range records {
-			at := zone(record.Zone)
+			zoneView := zone(record.Zone)
 			if !record.Draining && !record.Stale && !record.Lost {
-				at.Present++
+				zoneView.Present++
 			}
 			load, _ := loads.Get(record.ID)
-			at.Demand += busy(load, record, service.Engine)
+			zoneView.Demand += busyFraction(load, record, service.Engine)
 		}
 	})
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
@@ -226,8 +226,8 @@
 	return out
 }
 
-// busy is the busy part of a runner.
-func busy(load messages.RunnerLoad, record messages.RunnerRecord, engine api.Engine) float64 {
+// busyFraction returns the busy fraction of a runner.
+func busyFraction(load messages.RunnerLoad, record messages.RunnerRecord, engine api.Engine) float64 {
 	return autoscale.Load{
 		Slots: float64(load.Count), SlotsTotal: float64(record.Capacity),
 		Blocks: float64(load.Blocks), BlocksTotal: float64(engine.CacheTokens / admission.Defaults.BlockTokens),
@@ -235,16 +235,16 @@
 	}.Busy()
 }
 
-// due returns the orders that are to be recorded, and those that are to be sent.
-func (s *Scaler) due(body messages.LeaseBody) (record, send []messages.Setpoint) {
+// dueOrders returns the orders that have to be committed to the register, and those that have to be sent.
+func (s *Scaler) dueOrders(body messages.LeaseBody) (record, send []messages.Setpoint) {
 	recorded := map[autoscale.Key]messages.Setpoint{}
 	for _, order := range body.Setpoints {
 		recorded[keyOf(order)] = order
-		if s.sent[keyOf(order)] != order && s.scales(order.Service) {
+		if s.acceptedOrders[keyOf(order)] != order && s.isScaled(order.Service) {
 			send = append(send, order)
 		}
 	}
-	for key, order := range s.decided {
+	for key, order := range s.plannedOrders {
 		if recorded[key] != order.Setpoint {
 			record = append(record, order.Setpoint)
 		}
@@ -252,9 +252,8 @@
 	return record, send
 }
 
-// scales reports whether the number of a service's runners is ordered, by the
-// configuration in force.
-func (s *Scaler) scales(service string) bool {
+// isScaled reports whether the active configuration enables scaling of a service.
+func (s *Scaler) isScaled(service string) bool {
 	table := s.config.Table()
 	if table == nil {
 		return false
@@ -263,14 +262,15 @@
 	return configured != nil && configured.Scaling.Ceiling > 0
 }
 
-// begin records orders, or sends those that are recorded, one after the other.
-func (s *Scaler) begin(ctx context.Context, grant lease.Grant, current messages.Lease, record, send []messages.Setpoint) {
+// start starts to commit the new orders in the background or, if there are none, to send one of
+// the committed orders. Only one such operation runs at a time.
+func (s *Scaler) start(ctx context.Context, grant lease.Grant, current messages.Lease, record, send []messages.Setpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.working {
+	if s.inProgress {
 		return
 	}
-	s.working = true
+	s.inProgress = true
 	go func() {
 		ok := false
 		if len(record) > 0 {
@@ -280,14 +280,14 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.working = false
+		s.inProgress = false
 		if !ok {
-			s.nextUs = s.config.Clock() + minRetryPauseUs + rand.Int64N(maxRetryPauseUs-minRetryPauseUs)
+			s.retryAtUs = s.config.Clock() + minRetryPauseUs + rand.Int64N(maxRetryPauseUs-minRetryPauseUs)
 		}
 	}()
 }
 
-// record puts orders into the register.
+// record commits orders to the register.
 func (s *Scaler) record(ctx context.Context, current messages.Lease, orders []messages.Setpoint) bool {
 	_, err := s.config.Leases.Change(ctx, Part, current, func(body *messages.LeaseBody) bool {
 		body.Setpoints = slices.Clone(body.Setpoints)
@@ -304,7 +304,7 @@
 	return err == nil
 }
 
-// send tells the platform an order that is recorded.
+// send sends a committed order to the platform.
 func (s *Scaler) send(ctx context.Context, grant lease.Grant, order messages.Setpoint) bool {
 	content := api.SetpointOrder{Service: order.Service, Zone: order.Zone, Desired: order.Desired}
 	if s.config.Platform.Call(ctx, Part, grant, "/setpoint", content) != platform.Accepted {
@@ -312,19 +312,19 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sent[keyOf(order)] = order
+	s.acceptedOrders[keyOf(order)] = order
 	return true
 }
 
-// Conditions returns the runners of the services that this controller orders as the
-// holder of the lease, for the doctor.
+// Conditions returns the state of the services that this controller scales as the holder of the
+// lease, for the doctor.
 func (s *Scaler) Conditions() []messages.ScalingCondition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []messages.ScalingCondition
-	for _, service := range s.seen.Services {
+	for _, service := range s.lastView.Services {
 		for _, zone := range service.Zones {
-			reason := s.decided[autoscale.Key{Service: service.Name, Zone: zone.Name}].Reason
+			reason := s.plannedOrders[autoscale.Key{Service: service.Name, Zone: zone.Name}].Reason
 			out = append(out, messages.ScalingCondition{
 				Service: service.Name,
 				Zone:    zone.Name,
--- a/internal/controller/scaling/scaler_test.go
+++ b/internal/controller/scaling/scaler_test.go
@@ -17,7 +17,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// noLeases change nothing.
+// noLeases ignores every change.
 type noLeases struct{}
 
 func (noLeases) Change(context.Context, int, messages.Lease, func(*messages.LeaseBody) bool) (messages.LeaseBody, error) {
@@ -31,8 +31,8 @@
 	return platform.Accepted
 }
 
-// fourRunners returns the configuration of a scaler of a service s with four runners in zone z,
-// each with so many requests.
+// fourRunners returns the configuration of a Scaler of service s with four runners in zone z, each of
+// which has the given number of requests.
 func fourRunners(nowUs *int64, requests int) Config {
 	table := routeconfig.Compile(api.Configuration{Services: []api.Service{{
 		Name: "s", Engine: api.Engine{Capacity: 4, CacheTokens: 1600}, Scaling: api.Scaling{Floor: 2, Ceiling: 9, BootS: 8},
@@ -55,7 +55,7 @@
 		Runners:           known.Snapshot,
 		ReadLoads:         func(read func(*statesync.Loads)) { read(loads) },
 		InContact:         func() bool { return true },
-		StableForUs:       func() int64 { return steadyUs },
+		StableForUs:       func() int64 { return minStableUs },
 		RolloutUnfinished: func() bool { return false },
 	}
 }
@@ -67,12 +67,12 @@
 	return s
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{Self: "self"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-func TestDemandOfAZoneIsThatOfItsRunners(t *testing.T) {
+func TestViewSumsDemandOfRunnersByZone(t *testing.T) {
 	nowUs := int64(1)
 	s := newTestScaler(t, fourRunners(&nowUs, 2))
 	view := s.view(messages.LeaseBody{Setpoints: []messages.Setpoint{{Service: "s", Zone: "z", Desired: 5}, {Service: "s", Zone: "y", Desired: 2}}}, nowUs)
@@ -85,20 +85,20 @@
 	must.Eq(t, 4, zones[1].Present)
 	must.Eq(t, 5, zones[1].Ordered)
 	must.Eq(t, 2.0, zones[1].Demand)
-	must.False(t, s.view(messages.LeaseBody{}, nowUs+loadsCurrentUs).Known, must.Sprint("the sum is old"))
+	must.False(t, s.view(messages.LeaseBody{}, nowUs+maxLoadsAgeUs).Known, must.Sprint("sum of loads is outdated"))
 }
 
-// A successor repeats the orders as they are recorded.
-func TestSuccessorSendsWhatIsRecorded(t *testing.T) {
+// Guards against a new holder of the lease that does not repeat the committed orders unchanged.
+func TestSuccessorSendsRecordedOrders(t *testing.T) {
 	nowUs := int64(1)
 	recorded := []messages.Setpoint{{Service: "s", Zone: "z", Desired: 5}}
-	_, send := newTestScaler(t, fourRunners(&nowUs, 2)).due(messages.LeaseBody{Setpoints: recorded})
+	_, send := newTestScaler(t, fourRunners(&nowUs, 2)).dueOrders(messages.LeaseBody{Setpoints: recorded})
 	must.Eq(t, recorded, send)
 }
 
-func TestOrdersOfServicesThatAreGoneAreNotSent(t *testing.T) {
+func TestOrdersOfRemovedServicesAreNotSent(t *testing.T) {
 	nowUs := int64(1)
-	record, send := newTestScaler(t, fourRunners(&nowUs, 2)).due(messages.LeaseBody{Setpoints: []messages.Setpoint{{Service: "gone", Zone: "z", Desired: 5}}})
+	record, send := newTestScaler(t, fourRunners(&nowUs, 2)).dueOrders(messages.LeaseBody{Setpoints: []messages.Setpoint{{Service: "gone", Zone: "z", Desired: 5}}})
 	must.SliceEmpty(t, record)
 	must.SliceEmpty(t, send)
 }
