--- a/internal/controller/usagereport/reporter.go
+++ b/internal/controller/usagereport/reporter.go
@@ -1,6 +1,7 @@
-// Package usagereport reports the usage of the platform's windows: every controller collects the
-// counts of routers, and the holder of the lease closes and reports the windows, as package usage
-// decides.
+// Package usagereport reports the usage of tenants in each time window to the platform. Every
+// controller collects the rows of request counts that routers send. The holder of the lease closes
+// the windows and reports them, as package usage decides: it commits the counts of a window to the
+// register, and then sends the committed counts.
 package usagereport
 
 import (
@@ -28,19 +29,19 @@
 // Duty is the name of the duty in the settings.
 const Duty = "metering"
 
-// Part is the register with the lease and the ledger of usage.
+// Part is the number of the register with the lease and the usage ledger.
 var Part = consensus.RegisterOf("platform/usage")
 
-// Periods and waits of collecting.
+// Intervals, timeouts and limits of collecting.
 const (
 	savePeriod   = time.Second
 	queryTimeout = 700 * time.Millisecond
-	// rowsFile names the copy of the rows on disk.
+	// rowsFile is the name of the file with the saved rows.
 	rowsFile = "usage"
-	// allWindows is a bound above every window.
+	// allWindows is greater than the number of any window.
 	allWindows = int64(1) << 62
-	// maxEpoch bounds the number that names this process to routers, so that it is exact in
-	// every reader's number type.
+	// maxEpoch limits the number that identifies this process to routers, so that every
+	// decoder's number type represents it exactly.
 	maxEpoch = int64(1) << 53
 )
 
@@ -49,17 +50,17 @@
 	Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error)
 }
 
-// Leases change a register under its lease (singleton.Leases).
+// Leases changes a register under its lease (singleton.Leases).
 type Leases interface {
-	Change(ctx context.Context, part int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
+	Change(ctx context.Context, register int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
 }
 
 // Platform calls the platform's API (platform.Client).
 type Platform interface {
-	Call(ctx context.Context, part int, grant lease.Grant, path string, content any) platform.Answer
+	Call(ctx context.Context, register int, grant lease.Grant, path string, content any) platform.Answer
 }
 
-// Config is what a Reporter is given. All fields but Notes are required.
+// Config configures a Reporter. All fields but Notes are required.
 type Config struct {
 	// WindowUs is the length of a window, in microseconds.
 	WindowUs  int64
@@ -71,9 +72,9 @@
 	Transport Caller
 	// Peers returns the addresses of the other controllers that are alive.
 	Peers func() []string
-	// TimeUs returns the fleet's time of day in microseconds, 0 where it is not known.
+	// TimeUs returns the fleet's time of day in microseconds, 0 if it is not known.
 	TimeUs func() int64
-	// Notes keep a copy of the rows; nil on a machine without a disk.
+	// Notes stores a copy of the rows; nil on a machine without a disk.
 	Notes singleton.Notes
 }
 
@@ -89,10 +90,10 @@
 	return nil
 }
 
-// Reporter is safe for concurrent use.
+// Reporter collects and reports usage. It is safe for concurrent use.
 type Reporter struct {
 	config  Config
-	epoch   int64 // names this process to routers
+	epoch   int64 // identifies this process to routers
 	startUs int64
 
 	closedWindows atomic.Int64
@@ -101,11 +102,11 @@
 	mu        sync.Mutex // guards what follows
 	collector *usage.Collector
 	plan      *usage.Plan
-	changed   bool // rows have come since the last copy on disk
+	unsaved   bool // rows were received since the last save
 }
 
-// New returns a reporter with the rows that an earlier process has saved, which count as rows
-// that come twice.
+// New returns a Reporter with the rows that an earlier process has saved. A row that is received
+// again is counted once.
 func New(config Config) (*Reporter, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -121,7 +122,7 @@
 	return r, nil
 }
 
-// restore reads the copy of an earlier process. One that is missing or damaged is none.
+// restore reads the rows that an earlier process has saved. A missing or damaged file is ignored.
 func (r *Reporter) restore() {
 	if r.config.Notes == nil {
 		return
@@ -136,15 +137,15 @@
 	}
 }
 
-// Run saves the rows until ctx ends.
+// Run saves the rows periodically until ctx ends.
 func (r *Reporter) Run(ctx context.Context) { loop.Every(ctx, savePeriod, r.Save) }
 
-// Save writes the rows to disk if there are new ones, so that they outlive a loss of power
-// at all controllers and routers.
+// Save writes the rows to disk if there are new ones, so that they survive a power failure of all
+// controllers and routers.
 func (r *Reporter) Save() {
 	r.mu.Lock()
-	due := r.changed && r.config.Notes != nil
-	r.changed = false
+	due := r.unsaved && r.config.Notes != nil
+	r.unsaved = false
 	var rows messages.UsageRows
 	if due {
 		rows.Rows = r.collector.Rows(0, allWindows)
@@ -162,7 +163,7 @@
 	}
 }
 
-// ReceiveRows takes the counts of a router.
+// ReceiveRows merges the rows that a router sends and acknowledges them.
 func (r *Reporter) ReceiveRows(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	var rows messages.UsageRows
 	if _, err := rows.UnmarshalMsg(body); err != nil {
@@ -173,7 +174,7 @@
 	return ack.MarshalMsg(nil)
 }
 
-// Merge takes rows in.
+// Merge merges rows into the collected ones and counts the late ones.
 func (r *Reporter) Merge(rows []messages.UsageRow) {
 	if len(rows) == 0 {
 		return
@@ -181,11 +182,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	late := r.collector.Merge(rows)
-	r.changed = r.changed || late < len(rows)
+	r.unsaved = r.unsaved || late < len(rows)
 	r.lateRows.Add(int64(late))
 }
 
-// AnswerQuery returns the rows of some windows to the holder.
+// AnswerQuery returns the rows of a range of windows to the holder of the lease.
 func (r *Reporter) AnswerQuery(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	var query messages.UsageQuery
 	if _, err := query.UnmarshalMsg(body); err != nil {
@@ -197,21 +198,22 @@
 	return rows.MarshalMsg(nil)
 }
 
-// refilling reports whether routers may not have repeated yet what an earlier process had.
+// refilling reports whether this process started so recently that routers may not have resent all
+// rows that an earlier process had.
 func (r *Reporter) refilling() bool {
 	return r.config.Clock()-r.startUs < usage.RefillUs
 }
 
-// Closed forgets the windows before the first one that is not closed.
+// Closed deletes the rows of the windows before next, the first one that is not closed.
 func (r *Reporter) Closed(next int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.collector.Closed(next)
 }
 
-// Prepare is part of singleton.Task.
-func (r *Reporter) Prepare(part int, body messages.LeaseBody) (singleton.Job, bool) {
-	if part != Part {
+// Prepare implements singleton.Task.
+func (r *Reporter) Prepare(register int, body messages.LeaseBody) (singleton.Job, bool) {
+	if register != Part {
 		return singleton.Job{}, false
 	}
 	timeUs := r.config.TimeUs()
@@ -219,12 +221,12 @@
 	oldest, counted := r.collector.Oldest()
 	step := r.plan.Step(usage.View{NowUs: r.config.Clock(), TimeUs: timeUs, Ledger: body.Usage, Counted: counted, Oldest: oldest, IsHolder: body.Lease.Holder == r.config.Registers.ID()})
 	r.mu.Unlock()
-	run := func(ctx context.Context, grant lease.Grant) { r.work(ctx, grant, body, step) }
+	run := func(ctx context.Context, grant lease.Grant) { r.executeStep(ctx, grant, body, step) }
 	return singleton.Job{Needed: step.Needed(), Run: run}, true
 }
 
-// work begins what a step of the plan asks for.
-func (r *Reporter) work(ctx context.Context, grant lease.Grant, body messages.LeaseBody, step usage.Step) {
+// executeStep starts the actions of a step of the plan: closing a window and reporting one.
+func (r *Reporter) executeStep(ctx context.Context, grant lease.Grant, body messages.LeaseBody, step usage.Step) {
 	if !grant.MayAct {
 		return
 	}
@@ -238,11 +240,11 @@
 		r.mu.Lock()
 		r.plan.Reporting()
 		r.mu.Unlock()
-		go r.report(ctx, grant, *step.Report)
+		go r.reportWindow(ctx, grant, *step.Report)
 	}
 }
 
-// close agrees on the counts of a window.
+// close commits the counts of a window to the register, if the window may be closed.
 func (r *Reporter) close(ctx context.Context, body messages.LeaseBody, window int64) {
 	done := false
 	defer func() {
@@ -275,16 +277,16 @@
 	}
 }
 
-// collect asks all other controllers for the rows of some windows. It reports whether all
-// of them have answered, and have what they ever had.
+// collect fetches the rows of a range of windows from all other controllers. It reports whether all
+// have responded and none is refilling.
 func (r *Reporter) collect(ctx context.Context, query messages.UsageQuery) (complete bool) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	var mu sync.Mutex
 	complete = true
 	for _, addr := range r.config.Peers() {
-		asked.Go(func() {
+		pending.Go(func() {
 			var rows messages.UsageRows
 			b, err := r.config.Transport.Call(ctx, addr, transport.KindUsageQuery, &query)
 			if err == nil {
@@ -296,12 +298,12 @@
 			complete = complete && err == nil && !rows.Refilling
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	return complete
 }
 
-// report tells the platform the agreed counts of a window.
-func (r *Reporter) report(ctx context.Context, grant lease.Grant, window messages.UsageWindow) {
+// reportWindow sends the committed counts of a window to the platform.
+func (r *Reporter) reportWindow(ctx context.Context, grant lease.Grant, window messages.UsageWindow) {
 	content := api.UsageReport{WindowSeq: window.Window, Counts: map[string]int64{}}
 	for _, t := range window.Counts {
 		content.Counts[t.Tenant] = t.Count
@@ -312,8 +314,8 @@
 	r.plan.Answered(window.Window, answer == platform.Accepted, r.config.Clock())
 }
 
-// Unreported returns how long ago the oldest window ended that the platform may not have,
-// as far as this controller knows.
+// Unreported returns how long ago the oldest window ended whose report the platform has not
+// accepted according to this controller's state; 0 if no window has been closed.
 func (r *Reporter) Unreported() time.Duration {
 	v, _ := r.config.Registers.Committed(Part)
 	body, err := messages.DecodeLeaseBody(v)
@@ -330,16 +332,16 @@
 	return max(time.Duration(timeUs-(oldest+1)*r.config.WindowUs)*time.Microsecond, 0)
 }
 
-// Reported returns the newest window up to which the platform has all, as far as this process
-// knows.
+// Reported returns the newest window up to which the platform has accepted all reports, according to
+// the state of this process.
 func (r *Reporter) Reported() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.plan.Reported()
 }
 
-// ClosedWindows returns how many windows were closed here.
+// ClosedWindows returns how many windows this process has closed.
 func (r *Reporter) ClosedWindows() int64 { return r.closedWindows.Load() }
 
-// LateRows returns how many rows came after their window was closed.
+// LateRows returns how many rows were received after their window was closed.
 func (r *Reporter) LateRows() int64 { return r.lateRows.Load() }
