--- a/internal/controller/operatorapi/config.go
+++ b/internal/controller/operatorapi/config.go
@@ -13,55 +13,55 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// ReplaceConfig takes an order of the operator. What was taken before is acknowledged
-// from what this node knows, as that stays true; everything else is decided in
-// a round of the register.
+// ReplaceConfig serves the operator's call that replaces the configuration. A submission that this
+// controller knows to be accepted already is acknowledged at once, as a committed change remains
+// committed. Any other one is decided in a round of the register.
 func (s *Service) ReplaceConfig(ctx context.Context, rc *app.RequestContext) {
-	if version, ok := s.takenBefore(rc.Request.Body()); ok {
+	if version, ok := s.alreadyAccepted(rc.Request.Body()); ok {
 		s.acknowledged.Advance(version)
 		rc.JSON(200, map[string]int64{"version": version})
 		return
 	}
-	order := readOrder(rc)
+	submission := readSubmission(rc)
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	if err := s.checkRetired(ctx, &order); err != nil {
+	if err := s.checkRetiredWeights(ctx, &submission); err != nil {
 		httpapi.Reject(rc, 503, "", err.Error())
 		return
 	}
 	v, err := s.config.Registers.Change(ctx, consensus.ConfigRegister, func(cur messages.Value) ([]messages.Member, []byte, error) {
-		return applyOrder(cur, order)
+		return applySubmission(cur, submission)
 	})
 	var bad *routeconfig.InvalidError
 	switch {
 	case err == nil, errors.Is(err, routeconfig.ErrAlreadyAccepted):
-		s.checkAcknowledged(order.Version, v)
-		rc.JSON(200, map[string]int64{"version": order.Version})
+		s.checkAcknowledged(submission.Version, v)
+		rc.JSON(200, map[string]int64{"version": submission.Version})
 	case errors.Is(err, routeconfig.ErrVersionConflict):
 		httpapi.Reject(rc, 412, "Beechtide-Base-Version", "another version is in place")
 	case errors.As(err, &bad):
-		invalid(rc, err)
+		rejectInvalid(rc, err)
 	default:
-		s.config.Log.Error(err, "a change of the configuration is unsure", "version", order.Version)
+		s.config.Log.Error(err, "configuration change failed or its outcome is unknown", "version", submission.Version)
 		httpapi.Reject(rc, 503, "", err.Error())
 	}
 }
 
-func readOrder(rc *app.RequestContext) routeconfig.Submission {
-	order := routeconfig.ParseSubmission(append([]byte{}, rc.Request.Body()...))
+func readSubmission(rc *app.RequestContext) routeconfig.Submission {
+	submission := routeconfig.ParseSubmission(append([]byte{}, rc.Request.Body()...))
 	base, err := strconv.ParseInt(string(rc.GetHeader("Beechtide-Base-Version")), 10, 64)
-	order.Base = base
+	submission.Base = base
 	if err == nil {
-		return order
+		return submission
 	}
-	order.Base = -1
-	if order.ValidationErr == nil {
-		order.ValidationErr = &routeconfig.InvalidError{Field: "Beechtide-Base-Version", Reason: "not a version"}
+	submission.Base = -1
+	if submission.ValidationErr == nil {
+		submission.ValidationErr = &routeconfig.InvalidError{Field: "Beechtide-Base-Version", Reason: "not a version"}
 	}
-	return order
+	return submission
 }
 
-func (s *Service) takenBefore(raw []byte) (version int64, ok bool) {
+func (s *Service) alreadyAccepted(raw []byte) (version int64, ok bool) {
 	known, ok := s.config.Registers.Committed(consensus.ConfigRegister)
 	if !ok {
 		return 0, false
@@ -73,15 +73,15 @@
 	return routeconfig.AcceptedVersion(body, raw)
 }
 
-// applyOrder is the change that an order asks for. A refusal by checks that
+// applySubmission applies a submission to the current value of the register. A rejection by checks that
 // another version of the program may not have is sealed.
-func applyOrder(cur messages.Value, order routeconfig.Submission) ([]messages.Member, []byte, error) {
-	body, err := messages.DecodeConfigBody(cur)
+func applySubmission(current messages.Value, submission routeconfig.Submission) ([]messages.Member, []byte, error) {
+	body, err := messages.DecodeConfigBody(current)
 	if err != nil {
 		return nil, nil, err
 	}
-	next, err := order.Apply(body)
-	if err != nil && order.AcceptableWithOtherChecks(body) {
+	next, err := submission.Apply(body)
+	if err != nil && submission.AcceptableWithOtherChecks(body) {
 		return nil, nil, consensus.SealRejection(err)
 	}
 	if err != nil {
@@ -91,7 +91,7 @@
 	return nil, b, err
 }
 
-func invalid(rc *app.RequestContext, err error) {
+func rejectInvalid(rc *app.RequestContext, err error) {
 	var bad *routeconfig.InvalidError
 	if errors.As(err, &bad) {
 		httpapi.Reject(rc, 400, bad.Field, bad.Reason)
@@ -100,7 +100,7 @@
 	httpapi.Reject(rc, 400, httpapi.BodyField, err.Error())
 }
 
-// ReadConfig answers the newest configuration, as a majority has it.
+// ReadConfig serves the call that returns the newest configuration, read from a majority.
 func (s *Service) ReadConfig(ctx context.Context, rc *app.RequestContext) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
--- a/internal/controller/operatorapi/evacuations.go
+++ b/internal/controller/operatorapi/evacuations.go
@@ -12,24 +12,24 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// maxZoneName bounds the name of a zone, in bytes.
-const maxZoneName = 128
+// maxZoneNameBytes is the maximum length of a zone's name, in bytes.
+const maxZoneNameBytes = 128
 
-// BeginEvacuation has the runners of a zone get no requests.
+// BeginEvacuation serves the call after which the runners of a zone get no requests.
 func (s *Service) BeginEvacuation(ctx context.Context, rc *app.RequestContext) {
 	s.evacuate(ctx, rc, true)
 }
 
-// FinishEvacuation takes that back.
+// FinishEvacuation serves the call that reverts BeginEvacuation.
 func (s *Service) FinishEvacuation(ctx context.Context, rc *app.RequestContext) {
 	s.evacuate(ctx, rc, false)
 }
 
-// evacuate takes an order of the operator. An order that changes nothing is acknowledged by a
+// evacuate commits whether a zone is evacuated. A call that changes nothing is acknowledged after a
 // round that has read the newest value.
 func (s *Service) evacuate(ctx context.Context, rc *app.RequestContext, evacuated bool) {
 	zone := rc.Param("zone")
-	if !s.isZone(zone) {
+	if !s.isKnownZone(zone) {
 		httpapi.Reject(rc, 400, "zone", "no such zone")
 		return
 	}
@@ -46,19 +46,19 @@
 	rc.Status(200)
 }
 
-// isZone reports whether a zone may be evacuated: one of the settings, or any name where they
-// list none.
-func (s *Service) isZone(zone string) bool {
-	if zone == "" || len(zone) > maxZoneName {
+// isKnownZone reports whether a zone may be evacuated: the own zone, one that the settings list, or any
+// name if they list none.
+func (s *Service) isKnownZone(zone string) bool {
+	if zone == "" || len(zone) > maxZoneNameBytes {
 		return false
 	}
 	_, listed := s.config.Zones[zone]
 	return listed || len(s.config.Zones) == 0 || zone == s.config.Zone
 }
 
-// evacuateZone records whether a zone is evacuated.
-func evacuateZone(cur messages.Value, zone string, evacuated bool) ([]messages.Member, []byte, error) {
-	body, err := messages.DecodeLeaseBody(cur)
+// evacuateZone records in the current value of the register whether a zone is evacuated.
+func evacuateZone(current messages.Value, zone string, evacuated bool) ([]messages.Member, []byte, error) {
+	body, err := messages.DecodeLeaseBody(current)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/controller/operatorapi/invariants_test.go
+++ b/internal/controller/operatorapi/invariants_test.go
@@ -20,6 +20,6 @@
 func TestReadOlderThanAcknowledgedViolatesInvariant(t *testing.T) {
 	checkRead(3, 3)
 	checkRead(4, 3)
-	invarianttest.Expect(t, readIsNewest)
+	invarianttest.Expect(t, readNotOlderThanAcknowledged)
 	checkRead(2, 3)
 }
--- a/internal/controller/operatorapi/rollouts.go
+++ b/internal/controller/operatorapi/rollouts.go
@@ -13,10 +13,11 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// errNoTime says that this controller does not know the fleet's time of day yet.
-var errNoTime = errors.New("operatorapi: the time of day is not known yet")
+// errTimeUnknown means that this controller does not know the fleet's time of day yet.
+var errTimeUnknown = errors.New("operatorapi: the time of day is not known yet")
 
-// BeginRollout takes an order of the operator. The register of a service follows from its name.
+// BeginRollout serves the operator's call that begins a rollout of a service. The register of a
+// service depends only on its name.
 func (s *Service) BeginRollout(ctx context.Context, rc *app.RequestContext) {
 	var order api.RolloutOrder
 	if !httpapi.Decode(rc, &order) {
@@ -45,15 +46,15 @@
 // usPerSecond converts seconds into microseconds.
 const usPerSecond = 1e6
 
-// applyRollout is the change that an order asks for.
-func (s *Service) applyRollout(cur messages.Value, order api.RolloutOrder) ([]messages.Member, []byte, error) {
-	body, err := messages.DecodeLeaseBody(cur)
+// applyRollout adds the ordered rollout to the current value of the register.
+func (s *Service) applyRollout(current messages.Value, order api.RolloutOrder) ([]messages.Member, []byte, error) {
+	body, err := messages.DecodeLeaseBody(current)
 	if err != nil {
 		return nil, nil, err
 	}
 	timeUs, _ := s.config.TimeOfDay()
 	if timeUs == 0 {
-		return nil, nil, errNoTime
+		return nil, nil, errTimeUnknown
 	}
 	wanted := canary.Order{Service: order.Service, Target: order.TargetVersion, OverUs: int64(order.OverS * usPerSecond)}
 	next, changed, err := canary.Begin(body.Rollouts, wanted, s.config.Exposure, timeUs)
@@ -68,7 +69,7 @@
 	return nil, b, err
 }
 
-// ReadRollout answers how far the newest rollout of a service has come.
+// ReadRollout serves the call that returns the state of a service's newest rollout.
 func (s *Service) ReadRollout(ctx context.Context, rc *app.RequestContext) {
 	service := rc.Param("service")
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
--- a/internal/controller/operatorapi/service.go
+++ b/internal/controller/operatorapi/service.go
@@ -1,9 +1,10 @@
-// Package operatorapi serves the calls of the operator (api/calls.yaml): the configuration, named
-// weights, evacuated zones and rollouts of services. Each change is decided in a round of a
-// replicated register; one that is repeated changes nothing and is acknowledged again.
+// Package operatorapi serves the HTTP calls of the operator (api/calls.yaml): the configuration,
+// named weights, evacuations of zones and rollouts of services. Each change is committed by a round
+// of a replicated register. The calls are idempotent: a repeated one changes nothing and is
+// acknowledged again.
 //
-// The caller admits calls only while this controller has contact with a majority. A Service is safe
-// for concurrent use.
+// The caller must admit calls only while this controller has contact with a majority. A Service is
+// safe for concurrent use.
 package operatorapi
 
 import (
@@ -20,29 +21,29 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// changeTimeout bounds how long a change may take before the caller is asked to
-// repeat it; callers move on after a second of silence.
+// changeTimeout bounds how long a call may take before it is rejected and the caller has to
+// repeat it. Callers retry elsewhere after a second without a response.
 const changeTimeout = 900 * time.Millisecond
 
-// Registers are the replicated registers. A read or change that a majority has answered renews this
-// controller's contact with it.
+// Registers are the replicated registers. A read or change to which a majority has responded renews
+// this controller's contact with the majority.
 type Registers interface {
 	ID() string
-	Committed(part int) (messages.Value, bool)
-	Read(ctx context.Context, part int) (messages.Value, error)
-	Change(ctx context.Context, part int, change consensus.Change) (messages.Value, error)
+	Committed(register int) (messages.Value, bool)
+	Read(ctx context.Context, register int) (messages.Value, error)
+	Change(ctx context.Context, register int, change consensus.Change) (messages.Value, error)
 }
 
-// Weights tell which versions of weights are named (weightrollout.Driver).
+// Weights reports which versions of weights are named (weightrollout.Driver).
 type Weights interface {
 	// Newest returns the newest committed version of a model's weights.
 	Newest(model string) int64
-	// FenceFloor returns the highest fence of another register that has a target of a model
-	// of this one.
-	FenceFloor(part int) int64
+	// FenceFloor returns the highest fencing token of the other registers that have a target
+	// of a model that belongs to this one.
+	FenceFloor(register int) int64
 }
 
-// Config is what a Service is given. All fields but Zones and Exposure are required.
+// Config configures a Service. All fields but Zones and Exposure are required.
 type Config struct {
 	Log       logr.Logger
 	Registers Registers
@@ -50,15 +51,16 @@
 	// WeightsNamed is called with a version that is about to be acknowledged.
 	WeightsNamed func(model string, version int64)
 	// RecordInitialHolder is called with the lease of a register in which weights were named.
-	RecordInitialHolder func(part int, initial messages.Lease)
-	// TimeOfDay returns the fleet's time of day in microseconds, 0 where it is not known.
+	RecordInitialHolder func(register int, initial messages.Lease)
+	// TimeOfDay returns the fleet's time of day in microseconds, 0 if it is not known, and
+	// whether the controllers have agreed on it.
 	TimeOfDay func() (timeUs int64, agreed bool)
-	// Table returns the configuration in force, nil where there is none yet.
+	// Table returns the active configuration, nil if there is none yet.
 	Table func() *routeconfig.Table
-	// Zone is the zone of this machine, Zones all that the settings list.
+	// Zone is the zone of this machine; the keys of Zones are the zones that the settings list.
 	Zone  string
 	Zones map[string]string
-	// Exposure is how much a version may get that has not been shown good.
+	// Exposure limits the requests that a version gets before it has proved good.
 	Exposure canary.Bounds
 }
 
@@ -74,13 +76,13 @@
 	return nil
 }
 
-// Service serves the operator.
+// Service serves the calls of the operator.
 type Service struct {
 	config       Config
 	acknowledged invariant.Newest // the newest configuration that was acknowledged here
 }
 
-// New returns a service.
+// New returns a Service.
 func New(config Config) (*Service, error) {
 	if err := config.check(); err != nil {
 		return nil, err
--- a/internal/controller/operatorapi/service_test.go
+++ b/internal/controller/operatorapi/service_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { os.Exit(invarianttest.Main(m)) }
 
-// fakeRegisters have one committed version in all registers.
+// fakeRegisters has the same committed version in all registers.
 type fakeRegisters struct{ version int64 }
 
 func (fakeRegisters) ID() string { return "self" }
@@ -33,7 +33,7 @@
 	return messages.Value{Version: f.version}, nil
 }
 
-// noWeights have no version named.
+// noWeights has no named version.
 type noWeights struct{}
 
 func (noWeights) Newest(string) int64 { return 0 }
@@ -57,18 +57,18 @@
 	return s
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-func TestEvacuationNeedsAZone(t *testing.T) {
+func TestIsKnownZoneMatchesSettings(t *testing.T) {
 	s := newTestService(t, 1, nil)
 	for zone, known := range map[string]bool{"a": true, "b": true, "": false} {
-		must.Eq(t, known, s.isZone(zone), must.Sprint(zone))
+		must.Eq(t, known, s.isKnownZone(zone), must.Sprint(zone))
 	}
 	s = newTestService(t, 1, map[string]string{"a": "r"})
-	must.True(t, s.isZone("a"))
-	must.True(t, s.isZone("own"))
-	must.False(t, s.isZone("b"))
+	must.True(t, s.isKnownZone("a"))
+	must.True(t, s.isKnownZone("own"))
+	must.False(t, s.isKnownZone("b"))
 }
--- a/internal/controller/operatorapi/weights.go
+++ b/internal/controller/operatorapi/weights.go
@@ -13,7 +13,8 @@
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-// NameWeights names a new version of a model's weights. One that is not newer changes nothing.
+// NameWeights serves the call that names a new version of a model's weights. A version that is not
+// newer changes nothing.
 func (s *Service) NameWeights(ctx context.Context, rc *app.RequestContext) {
 	var w api.WeightsVersion
 	if !httpapi.Decode(rc, &w) {
@@ -25,15 +26,15 @@
 		rc.JSON(200, w)
 		return
 	}
-	part, holder := consensus.RegisterOf(w.Model), s.config.Registers.ID()
-	if s.config.Weights.FenceFloor(part) > 0 {
-		holder = "" // the duty is acquired with a fence above the floor
+	register, holder := consensus.RegisterOf(w.Model), s.config.Registers.ID()
+	if s.config.Weights.FenceFloor(register) > 0 {
+		holder = "" // the lease is acquired later, with a fencing token above the floor
 	}
-	v, err := s.config.Registers.Change(ctx, part, func(cur messages.Value) ([]messages.Member, []byte, error) {
+	v, err := s.config.Registers.Change(ctx, register, func(cur messages.Value) ([]messages.Member, []byte, error) {
 		return nameTarget(cur, w, holder)
 	})
-	if body, berr := messages.DecodeLeaseBody(v); err == nil && berr == nil {
-		s.config.RecordInitialHolder(part, body.Lease)
+	if body, decodeErr := messages.DecodeLeaseBody(v); err == nil && decodeErr == nil {
+		s.config.RecordInitialHolder(register, body.Lease)
 	}
 	if err != nil && !errors.Is(err, consensus.ErrNoChange) {
 		httpapi.Reject(rc, 503, "", err.Error())
@@ -45,10 +46,10 @@
 	rc.JSON(200, w)
 }
 
-// nameTarget records a model's newest weights. Where the lease was never held,
-// holder acquires it with the same change, unless it is empty.
-func nameTarget(cur messages.Value, w api.WeightsVersion, holder string) ([]messages.Member, []byte, error) {
-	body, err := messages.DecodeLeaseBody(cur)
+// nameTarget records a model's newest weights in the current value of the register. If the lease was
+// never held and holder is not empty, holder acquires it with the same change.
+func nameTarget(current messages.Value, w api.WeightsVersion, holder string) ([]messages.Member, []byte, error) {
+	body, err := messages.DecodeLeaseBody(current)
 	if err != nil {
 		return nil, nil, err
 	}
