--- a/internal/controller/platform/client.go
+++ b/internal/controller/platform/client.go
@@ -1,5 +1,6 @@
-// Package platform calls the API of the platform. Each call is made by the holder of a
-// register's lease and carries its fencing token (package singleton).
+// Package platform calls the HTTP API of the platform. Each call is sent by the holder of a
+// register's lease and carries the lease's fencing token (package singleton), so that the platform
+// can reject calls of earlier holders.
 package platform
 
 import (
@@ -18,28 +19,28 @@
 	"beechtide.org/beechtide/internal/lease"
 )
 
-// answerTimeout is how long the platform may take to answer.
-const answerTimeout = 3 * time.Second
+// responseTimeout is how long the platform may take to respond.
+const responseTimeout = 3 * time.Second
 
-// Answer is what became of a call.
+// Answer is the outcome of a call.
 type Answer int
 
 // Outcomes of a call.
 const (
-	NotSent  Answer = iota // the grant had run out
-	Accepted               // done
-	Refused                // a call with a higher fence was seen
-	Failed                 // anything else: it may have been done
-	answerCount
+	NotSent  Answer = iota // the grant had expired, or the content could not be encoded
+	Accepted               // the platform has executed the call
+	Refused                // the platform has received a call with a higher fencing token
+	Failed                 // any other result: the platform may have executed the call
+	outcomeCount
 )
 
-var answerNames = [answerCount]string{"not_sent", "accepted", "fence_refused", "failed"}
+var outcomeNames = [outcomeCount]string{"not_sent", "accepted", "fence_refused", "failed"}
 
-// Config is what a Client is given. All fields are required.
+// Config configures a Client. All fields are required.
 type Config struct {
-	// Holder names this machine to the platform.
+	// Holder identifies this machine to the platform.
 	Holder string
-	// Addr returns the address of the platform's API.
+	// Addr returns the current address of the platform's API.
 	Addr   func() string
 	Fences Fences
 	HTTP   Asker
@@ -50,22 +51,22 @@
 // ErrConfig means that a field of a Config is missing.
 var ErrConfig = errors.New("platform: incomplete configuration")
 
-// LastCall is when the newest call left, and what became of it. The zero LastCall is none.
+// LastCall is the time and outcome of the newest call. The zero LastCall means that there was none.
 type LastCall struct {
 	SentUs int64
 	Answer Answer
 }
 
-// Client is safe for concurrent use.
+// Client calls the platform. It is safe for concurrent use.
 type Client struct {
-	config  Config
-	answers [answerCount]atomic.Int64
+	config   Config
+	outcomes [outcomeCount]atomic.Int64
 
 	mu   sync.Mutex // guards what follows
 	last [consensus.RegisterCount]LastCall
 }
 
-// New returns a client.
+// New returns a Client.
 func New(config Config) (*Client, error) {
 	if config.Addr == nil || config.Fences == nil || config.HTTP == nil || config.Clock == nil {
 		return nil, ErrConfig
@@ -73,37 +74,37 @@
 	return &Client{config: config}, nil
 }
 
-// Call makes a call under the grant of a register's lease, unless the grant has run
-// out as it leaves. After a refusal nothing is sent under this fence any more.
-func (c *Client) Call(ctx context.Context, part int, grant lease.Grant, path string, content any) Answer {
+// Call sends a call under the grant of a register's lease, unless the grant has expired by then.
+// After the platform has refused a fencing token, nothing more is sent under it.
+func (c *Client) Call(ctx context.Context, register int, grant lease.Grant, path string, content any) Answer {
 	body, err := json.Marshal(content)
 	if err != nil {
-		c.config.Log.Error(err, "a call to the platform cannot be written", "path", path)
+		c.config.Log.Error(err, "encode call to the platform failed", "path", path)
 		return NotSent
 	}
 	headers := map[string]string{
 		"Beechtide-Duty-Holder": c.config.Holder,
 		"Beechtide-Fence":       strconv.FormatInt(grant.Fence, 10),
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
-	c.config.Fences.RecordFenceUsed(part, grant.Fence)
-	if !c.config.Fences.MayCall(part, grant.Fence) {
+	c.config.Fences.RecordFenceUsed(register, grant.Fence)
+	if !c.config.Fences.MayCall(register, grant.Fence) {
 		return NotSent
 	}
 	sentUs := c.config.Clock()
 	status, _, err := c.config.HTTP.Ask(ctx, c.config.Addr(), http.MethodPost, path, headers, body)
 	c.config.Log.Info("platform called", "path", path, "fence", grant.Fence, "status", status, "err", err)
-	answer := answerOf(status, err)
+	answer := outcomeOf(status, err)
 	if answer == Refused {
-		c.config.Fences.Refuse(part, grant.Fence)
+		c.config.Fences.Refuse(register, grant.Fence)
 	}
-	c.answers[answer].Add(1)
-	c.record(part, LastCall{SentUs: sentUs, Answer: answer})
+	c.outcomes[answer].Add(1)
+	c.recordCall(register, LastCall{SentUs: sentUs, Answer: answer})
 	return answer
 }
 
-func answerOf(status int, err error) Answer {
+func outcomeOf(status int, err error) Answer {
 	switch {
 	case err == nil && status/100 == 2:
 		return Accepted
@@ -113,24 +114,24 @@
 	return Failed
 }
 
-func (c *Client) record(part int, call LastCall) {
+func (c *Client) recordCall(register int, call LastCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last[part] = call
+	c.last[register] = call
 }
 
-// Last returns the newest call under the lease of a register.
-func (c *Client) Last(part int) LastCall {
+// Last returns the time and outcome of the newest call under the lease of a register.
+func (c *Client) Last(register int) LastCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last[part]
+	return c.last[register]
 }
 
-// Answers returns how many calls had each outcome, by its name.
+// Answers returns the number of calls by the name of their outcome.
 func (c *Client) Answers() map[string]int64 {
 	counts := map[string]int64{}
-	for answer, name := range answerNames {
-		counts[name] = c.answers[answer].Load()
+	for answer, name := range outcomeNames {
+		counts[name] = c.outcomes[answer].Load()
 	}
 	return counts
 }
--- a/internal/controller/platform/client_test.go
+++ b/internal/controller/platform/client_test.go
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/lease"
 )
 
-// fakeFences allow calls under one fence.
+// fakeFences allows calls under one fencing token.
 type fakeFences struct{ allowed, used, refused int64 }
 
 func (f *fakeFences) RecordFenceUsed(_ int, fence int64) { f.used = fence }
@@ -21,19 +21,19 @@
 
 func (f *fakeFences) Refuse(_ int, fence int64) { f.refused, f.allowed = fence, 0 }
 
-// fakePlatform answers with a status, or not at all where it is 0.
+// fakePlatform responds with a status, or fails the call if the status is 0.
 type fakePlatform struct {
 	status  int
 	addrs   []string
 	headers map[string]string
 }
 
-var errSilent = errors.New("no answer")
+var errNoResponse = errors.New("no answer")
 
 func (f *fakePlatform) Ask(_ context.Context, addr, _, _ string, headers map[string]string, _ []byte) (int, []byte, error) {
 	f.addrs, f.headers = append(f.addrs, addr), headers
 	if f.status == 0 {
-		return 0, nil, errSilent
+		return 0, nil, errNoResponse
 	}
 	return f.status, nil, nil
 }
@@ -52,18 +52,18 @@
 	return client
 }
 
-const testPart = 2
+const testRegister = 2
 
 func call(client *Client, fence int64) Answer {
-	return client.Call(context.Background(), testPart, lease.Grant{Fence: fence, MayAct: true}, "/usage", struct{}{})
+	return client.Call(context.Background(), testRegister, lease.Grant{Fence: fence, MayAct: true}, "/usage", struct{}{})
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	_, err := New(Config{Holder: "n"})
 	must.ErrorIs(t, err, ErrConfig)
 }
 
-func TestAnswersByStatus(t *testing.T) {
+func TestCallOutcomeByStatus(t *testing.T) {
 	for status, answer := range map[int]Answer{http.StatusOK: Accepted, http.StatusNoContent: Accepted, http.StatusConflict: Refused, http.StatusServiceUnavailable: Failed, 0: Failed} {
 		addr := "a:1"
 		fences := &fakeFences{allowed: 4}
@@ -71,25 +71,26 @@
 		must.Eq(t, answer, call(client, 4))
 		must.Eq(t, 4, fences.used)
 		must.Eq(t, answer == Refused, fences.refused == 4)
-		must.Eq(t, LastCall{SentUs: 77, Answer: answer}, client.Last(testPart))
-		must.Eq(t, 1, client.Answers()[answerNames[answer]])
+		must.Eq(t, LastCall{SentUs: 77, Answer: answer}, client.Last(testRegister))
+		must.Eq(t, 1, client.Answers()[outcomeNames[answer]])
 	}
 }
 
-// A grant that has run out as the call leaves, or under a refused fence, allows no call.
-func TestPlatformIsNotCalledWithoutAGrant(t *testing.T) {
+// Guards against calls under a grant that has expired before the call is sent, or under a refused
+// fencing token.
+func TestCallIsNotSentWithoutGrantOrUnderRefusedFence(t *testing.T) {
 	addr, server, fences := "a:1", &fakePlatform{status: http.StatusOK}, &fakeFences{}
 	client := newTestClient(t, fences, server, &addr)
 	must.Eq(t, NotSent, call(client, 4))
 	fences.allowed = 4
 	must.Eq(t, Accepted, call(client, 4))
 	must.Eq(t, map[string]string{"Beechtide-Duty-Holder": "n", "Beechtide-Fence": "4"}, server.headers)
-	fences.Refuse(testPart, 4)
+	fences.Refuse(testRegister, 4)
 	must.Eq(t, NotSent, call(client, 4))
 	must.Len(t, 1, server.addrs)
 }
 
-func TestCallGoesToTheAddressOfThatMoment(t *testing.T) {
+func TestCallUsesCurrentAddress(t *testing.T) {
 	addr, server := "a:1", &fakePlatform{status: http.StatusOK}
 	client := newTestClient(t, &fakeFences{allowed: 4}, server, &addr)
 	call(client, 4)
--- a/internal/controller/platform/dependencies.go
+++ b/internal/controller/platform/dependencies.go
@@ -2,11 +2,11 @@
 
 import "context"
 
-// Fences bound what may be sent under a fencing token (singleton.Leases).
+// Fences limits what may be sent under a fencing token (singleton.Leases).
 type Fences interface {
-	RecordFenceUsed(part int, fence int64)
-	MayCall(part int, fence int64) bool
-	Refuse(part int, fence int64)
+	RecordFenceUsed(register int, fence int64)
+	MayCall(register int, fence int64) bool
+	Refuse(register int, fence int64)
 }
 
 // Asker sends one HTTP request and reads the complete response (upstream.ConnPool).
