--- a/internal/controller/runnerapi/client.go
+++ b/internal/controller/runnerapi/client.go
@@ -1,5 +1,5 @@
-// Package runnerapi calls the HTTP API of runners and stores, as the controllers use it: load
-// reports, orders, cache events and lists of cached prefixes (api/calls.yaml).
+// Package runnerapi is the controllers' client for the HTTP API of runners and stores: load reports,
+// orders, cache events and lists of cached prefixes (api/calls.yaml).
 package runnerapi
 
 import (
@@ -18,22 +18,22 @@
 const (
 	// readTimeout bounds one read.
 	readTimeout = 2 * time.Second
-	// orderTimeout is how long a runner may take to answer an order.
+	// orderTimeout is how long a runner may take to respond to an order.
 	orderTimeout = 700 * time.Millisecond
-	// eventsWaitMs is how long a runner may hold back the answer while it has no events, in
+	// eventsWaitMs is how long a runner may delay its response while it has no events, in
 	// milliseconds.
 	eventsWaitMs = "1000"
 )
 
-// targetHeader names the runner that a call is meant for: its address may belong to another by
-// now.
+// targetHeader is the header with the ID of the runner that a call is meant for, as another runner
+// may have its address by now.
 const targetHeader = "Beechtide-Target-Instance"
 
 // Errors of a call.
 var (
-	// ErrStatus means that the runner answered with another status than 200.
+	// ErrStatus means that the runner responded with a status other than 200.
 	ErrStatus = errors.New("runnerapi: unexpected status")
-	// ErrNotSent means that an order did not go out.
+	// ErrNotSent means that an order was not sent.
 	ErrNotSent = errors.New("runnerapi: the order was not sent")
 )
 
@@ -42,10 +42,10 @@
 	Ask(ctx context.Context, addr, method, path string, headers map[string]string, body []byte) (status int, response []byte, err error)
 }
 
-// Client calls runners. It is safe for concurrent use.
+// Client calls runners and stores. It is safe for concurrent use.
 type Client struct{ connections Asker }
 
-// New returns a client that uses these connections.
+// New returns a Client that sends requests over connections.
 func New(connections Asker) *Client { return &Client{connections: connections} }
 
 // Report returns the load report of a runner.
@@ -64,7 +64,7 @@
 	return events, err
 }
 
-// CacheList returns all that a runner has cached. It delays the runner.
+// CacheList returns the list of all prefixes that a runner has cached. The call delays the runner.
 func (c *Client) CacheList(ctx context.Context, runner messages.RunnerRecord) (api.PrefixList, error) {
 	var list api.PrefixList
 	err := c.read(ctx, runner, "/api/kv-list", map[string]string{}, &list)
@@ -87,16 +87,16 @@
 	return errors.Wrapf(json.Unmarshal(body, into), "runnerapi: decode %s of %s", path, runner.ID)
 }
 
-// Order sends an order, if it may still go as it leaves: mayGo is asked then. The status is 0
-// where there was no answer; the error is or wraps ErrNotSent where the order did not go out.
-func (c *Client) Order(ctx context.Context, runner messages.RunnerRecord, order api.Order, mayGo func() bool) (status int, err error) {
+// Order sends an order, unless mayGo, which is called right before sending, returns false. The
+// status is 0 if there was no response. The error is or wraps ErrNotSent if the order was not sent.
+func (c *Client) Order(ctx context.Context, runner messages.RunnerRecord, order api.Order, maySend func() bool) (status int, err error) {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return 0, errors.Wrap(ErrNotSent, err.Error())
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if !mayGo() {
+	if !maySend() {
 		return 0, ErrNotSent
 	}
 	status, _, err = c.connections.Ask(ctx, runner.Addr, http.MethodPost, "/api/order", map[string]string{targetHeader: runner.ID}, body)
--- a/internal/controller/runnerapi/client_test.go
+++ b/internal/controller/runnerapi/client_test.go
@@ -14,7 +14,7 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// startRunner returns a client and the record of a runner that answers like this.
+// startRunner starts a server that serves as a runner, and returns a client and the runner's record.
 func startRunner(t *testing.T, serve http.HandlerFunc) (*Client, messages.RunnerRecord) {
 	t.Helper()
 	server := httptest.NewServer(serve)
@@ -24,8 +24,8 @@
 	return New(pool), messages.RunnerRecord{ID: "i-1", Service: "s", Addr: server.Listener.Addr().String()}
 }
 
-// An order leaves only if it may as it leaves.
-func TestOrderLeavesOnlyWhileItMay(t *testing.T) {
+// Guards against orders sent after their permission has ended.
+func TestOrderIsSentOnlyIfAllowed(t *testing.T) {
 	var orders atomic.Int64
 	client, runner := startRunner(t, func(http.ResponseWriter, *http.Request) { orders.Add(1) })
 	order := api.Order{Op: api.Version, Model: "m", Version: 2, Method: api.Hold, Holder: "n", Fence: 1}
@@ -38,7 +38,7 @@
 	must.Eq(t, 1, orders.Load())
 }
 
-func TestReadsNameTheRunnerTheyAreFor(t *testing.T) {
+func TestReadSendsTargetHeader(t *testing.T) {
 	client, runner := startRunner(t, func(w http.ResponseWriter, r *http.Request) {
 		must.Eq(t, []string{"i-1"}, r.Header.Values(targetHeader))
 		must.Eq(t, "/api/report", r.URL.Path)
@@ -49,7 +49,7 @@
 	must.Eq(t, 3, report.Active)
 }
 
-func TestOtherStatusIsAnError(t *testing.T) {
+func TestUnexpectedStatusIsAnError(t *testing.T) {
 	client, runner := startRunner(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
 	_, err := client.CacheList(t.Context(), runner)
 	must.ErrorIs(t, err, ErrStatus)
