--- a/internal/controller/httpapi/answers.go
+++ b/internal/controller/httpapi/answers.go
@@ -1,5 +1,5 @@
-// Package httpapi has what the HTTP calls of a controller share: how a body is read and checked,
-// and how a call is rejected (api/calls.yaml).
+// Package httpapi contains the functions that the handlers of a controller's HTTP calls share: they
+// decode and validate the body of a call, and reject a call with a Fault (api/calls.yaml).
 package httpapi
 
 import (
@@ -11,21 +11,21 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// BodyField is the name of the field in a Fault that concerns the body as a whole.
+// BodyField is the field name in a Fault that concerns the entire body.
 const BodyField = "(body)"
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Reject answers a call with a Fault that names the field that is at fault, empty where it is
-// none, and the reason.
+// Reject responds to a call with a Fault that contains the reason and the name of the invalid field,
+// which is empty if the fault does not concern a field.
 func Reject(rc *app.RequestContext, status int, field, reason string) {
 	rc.JSON(status, api.Fault{Error: reason, Field: field})
 }
 
-// Check checks the fields of a decoded call.
+// Check validates the fields of a decoded call.
 func Check(call any) error { return validate.Struct(call) }
 
-// Decode reads and checks the body of a call. One that is not valid is rejected with 400.
+// Decode decodes and validates the body of a call. If it is invalid, the call is rejected with 400.
 func Decode(rc *app.RequestContext, call any) (valid bool) {
 	err := json.Unmarshal(rc.Request.Body(), call)
 	if err == nil {
