--- a/internal/controller/weightrollout/dependencies.go
+++ b/internal/controller/weightrollout/dependencies.go
@@ -32,5 +32,5 @@
 // RunnerAPI calls runners (runnerapi.Client).
 type RunnerAPI interface {
 	Report(ctx context.Context, runner messages.RunnerRecord) (api.Report, error)
-	Order(ctx context.Context, runner messages.RunnerRecord, order api.Order, mayGo func() bool) (status int, err error)
+	Order(ctx context.Context, runner messages.RunnerRecord, order api.Order, maySend func() bool) (status int, err error)
 }
