--- a/internal/controller/httpapi/answers.go
+++ b/internal/controller/httpapi/answers.go
@@ -22,7 +22,7 @@
 	rc.JSON(status, api.Fault{Error: reason, Field: field})
 }
 
-// Check validates the fields of a decoded call.
+// Check applies the validation rules in the struct tags of a decoded call.
 func Check(call any) error { return validate.Struct(call) }
 
 // Decode decodes and validates the body of a call. If it is invalid, the call is rejected with 400.
--- a/internal/controller/platform/client.go
+++ b/internal/controller/platform/client.go
@@ -22,7 +22,7 @@
 // responseTimeout is how long the platform may take to respond.
 const responseTimeout = 3 * time.Second
 
-// Answer is the outcome of a call.
+// Answer classifies the result of a call.
 type Answer int
 
 // Outcomes of a call.
--- a/internal/controller/quotaowner/service.go
+++ b/internal/controller/quotaowner/service.go
@@ -225,7 +225,7 @@
 type Counts struct {
 	OwnedShards int
 	Questions   int64 // token requests of routers since the start
-	Referred    int64 // those of them that were answered with another owner, or with none
+	Referred    int64 // those of them that were referred to another owner, or to none
 }
 
 // Counts returns the current statistics.
--- a/internal/controller/runnerreader/cache_reader_test.go
+++ b/internal/controller/runnerreader/cache_reader_test.go
@@ -87,8 +87,8 @@
 	must.Eq(t, int64(1+maxUnpublishedEvents), other.index.CachedPrefixes("r").Version)
 }
 
-// newTestReaders returns Readers that save the keys of shared parts to notes.
-func newTestReaders(t *testing.T, notes Notes) *Readers {
+// newTestReaders returns Readers that save the keys of shared parts to files.
+func newTestReaders(t *testing.T, files Notes) *Readers {
 	t.Helper()
 	r, err := New(Config{
 		Addr:          "a:1",
@@ -99,7 +99,7 @@
 		Members:       func() []string { return nil },
 		PublishCached: func(messages.CachedChange) {},
 		PublishReport: func(messages.RunnerReport) {},
-		Notes:         notes,
+		Notes:         files,
 	})
 	must.NoError(t, err)
 	return r
--- a/internal/controller/runnerreader/readers.go
+++ b/internal/controller/runnerreader/readers.go
@@ -44,7 +44,7 @@
 	WriteFile(name string, content []byte) error
 }
 
-// Config configures Readers. All fields but Notes are required.
+// Config configures Readers. All fields are required, except the file store.
 type Config struct {
 	// Addr is the address of this controller.
 	Addr  string
@@ -59,7 +59,7 @@
 	PublishCached func(change messages.CachedChange)
 	// PublishReport sends a runner's load report to all nodes.
 	PublishReport func(report messages.RunnerReport)
-	// Notes stores the keys of shared parts; nil on a machine without a disk.
+	// The file store has the keys of shared parts; nil on a machine without a disk.
 	Notes Notes
 }
 
--- a/internal/controller/scaling/scaler.go
+++ b/internal/controller/scaling/scaler.go
@@ -47,7 +47,7 @@
 
 // Leases changes a register under its lease (singleton.Leases).
 type Leases interface {
-	Change(ctx context.Context, register int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
+	Change(ctx context.Context, register int, expected messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
 }
 
 // Platform calls the platform's API (platform.Client).
--- a/internal/controller/servicerollout/driver.go
+++ b/internal/controller/servicerollout/driver.go
@@ -22,7 +22,7 @@
 
 // Leases changes a register under its lease (singleton.Leases).
 type Leases interface {
-	Change(ctx context.Context, register int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
+	Change(ctx context.Context, register int, expected messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
 }
 
 // Config configures a Driver. All fields but Bounds are required.
--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -3,8 +3,8 @@
 //
 // Leases acquires and confirms the leases with consensus rounds of the registers, as package
 // lease decides, and limits what may be done under them: a call is sent only while MayCall
-// returns true, under a fencing token that was recorded with RecordFenceUsed. Runner steps the
-// lease of each register and runs the register's tasks under its grant.
+// returns true, under a fencing token that was recorded with RecordFenceUsed. The scheduler steps
+// the lease of each register and runs the register's tasks under its grant.
 //
 // Both are safe for concurrent use. No lock is held during a round.
 package singleton
@@ -58,7 +58,7 @@
 	WriteFile(name string, content []byte) error
 }
 
-// Config configures Leases. All fields but Notes are required.
+// Config configures Leases. All fields are required, except the file store.
 type Config struct {
 	// Addr is the address of this controller.
 	Addr string
@@ -68,7 +68,8 @@
 	Log        logr.Logger
 	Registers  Registers
 	Membership Membership
-	// Notes stores the newest fencing token that was used; nil on a machine without a disk.
+	// The file store has the newest fencing token that was used; nil on a machine without a
+	// disk.
 	Notes Notes
 	// IsCut reports whether direct calls to a controller have failed for a long time.
 	IsCut func(addr string) bool
--- a/internal/controller/singleton/runner.go
+++ b/internal/controller/singleton/runner.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Period is the interval at which Runner.Step must be called.
+// Period is the interval at which Step must be called.
 const Period = 100 * time.Millisecond
 
 // Job describes the work that a task has now.
@@ -36,7 +36,7 @@
 	tasks  []Task
 }
 
-// NewRunner returns a Runner of the tasks.
+// NewRunner returns a scheduler of the tasks.
 func NewRunner(leases *Leases, tasks ...Task) *Runner { return &Runner{leases: leases, tasks: tasks} }
 
 // Step runs the next step of each register's lease, and the register's tasks if this controller
--- a/internal/controller/tallies/replication.go
+++ b/internal/controller/tallies/replication.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// Compared handles the digest that another replica has sent with its versions. If the digest differs
+// Compared checks the digest that another replica has sent with its versions. If the digest differs
 // in two comparisons in a row, or in the first one with the replica or after a failed one, the
 // replica may have adds that are not sent here by themselves, for example after a partition, and
 // they are pulled.
--- a/internal/controller/usagereport/reporter.go
+++ b/internal/controller/usagereport/reporter.go
@@ -52,7 +52,7 @@
 
 // Leases changes a register under its lease (singleton.Leases).
 type Leases interface {
-	Change(ctx context.Context, register int, was messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
+	Change(ctx context.Context, register int, expected messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error)
 }
 
 // Platform calls the platform's API (platform.Client).
@@ -60,7 +60,7 @@
 	Call(ctx context.Context, register int, grant lease.Grant, path string, content any) platform.Answer
 }
 
-// Config configures a Reporter. All fields but Notes are required.
+// Config configures a Reporter. All fields are required, except the file store.
 type Config struct {
 	// WindowUs is the length of a window, in microseconds.
 	WindowUs  int64
@@ -74,7 +74,7 @@
 	Peers func() []string
 	// TimeUs returns the fleet's time of day in microseconds, 0 if it is not known.
 	TimeUs func() int64
-	// Notes stores a copy of the rows; nil on a machine without a disk.
+	// The file store has a copy of the rows; nil on a machine without a disk.
 	Notes singleton.Notes
 }
 
@@ -332,8 +332,8 @@
 	return max(time.Duration(timeUs-(oldest+1)*r.config.WindowUs)*time.Microsecond, 0)
 }
 
-// Reported returns the newest window up to which the platform has accepted all reports, according to
-// the state of this process.
+// Reported returns the newest window up to which the platform has accepted all reports,
+// according to the state of this process.
 func (r *Reporter) Reported() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controller/weightrollout/driver.go
+++ b/internal/controller/weightrollout/driver.go
@@ -150,7 +150,7 @@
 	return false
 }
 
-// Models returns the models that belong to a register, with their currently known runners.
+// Models returns the models that belong to a register, with the runners that are in the registry.
 func (d *Driver) Models(register int) []rollout.Model {
 	var out []rollout.Model
 	for _, name := range d.config.Targets.Models() {
