--- a/internal/controller/operatorapi/rollouts.go
+++ b/internal/controller/operatorapi/rollouts.go
@@ -36,7 +36,7 @@
 	case err == nil, errors.Is(err, consensus.ErrNoChange):
 		s.config.Log.Info("rollout of a service acknowledged", "service", order.Service, "version", order.TargetVersion, "overS", order.OverS, "changed", err == nil)
 		rc.Status(200)
-	case errors.Is(err, canary.ErrOtherRunning):
+	case errors.Is(err, canary.ErrRolloutRunning):
 		httpapi.Reject(rc, 409, "targetVersion", "another rollout of the service is running")
 	default:
 		httpapi.Reject(rc, 503, "", err.Error())
@@ -56,7 +56,7 @@
 	if timeUs == 0 {
 		return nil, nil, errTimeUnknown
 	}
-	wanted := canary.Order{Service: order.Service, Target: order.TargetVersion, OverUs: int64(order.OverS * usPerSecond)}
+	wanted := canary.Order{Service: order.Service, Target: order.TargetVersion, DurationUs: int64(order.OverS * usPerSecond)}
 	next, changed, err := canary.Begin(body.Rollouts, wanted, s.config.Exposure, timeUs)
 	switch {
 	case err != nil:
--- a/internal/controller/operatorapi/weights.go
+++ b/internal/controller/operatorapi/weights.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if !rollout.Name(&body, messages.Target{Model: w.Model, Version: w.Version}, holder) {
+	if !rollout.RecordTarget(&body, messages.Target{Model: w.Model, Version: w.Version}, holder) {
 		return nil, nil, consensus.ErrNoChange
 	}
 	b, err := body.MarshalMsg(nil)
--- a/internal/controller/scaling/scaler.go
+++ b/internal/controller/scaling/scaler.go
@@ -168,7 +168,7 @@
 func (s *Scaler) view(body messages.LeaseBody, nowUs int64) autoscale.View {
 	known := s.loadsAreCurrent(nowUs) && s.config.InContact()
 	stable := s.config.StableForUs() >= minStableUs
-	view := autoscale.View{NowUs: nowUs, Known: known, Steady: stable && !s.config.RolloutUnfinished()}
+	view := autoscale.View{NowUs: nowUs, DemandKnown: known, Steady: stable && !s.config.RolloutUnfinished()}
 	table := s.config.Table()
 	if table == nil {
 		return view
@@ -197,7 +197,7 @@
 
 // serviceView returns the state of one service for the view.
 func (s *Scaler) serviceView(service *api.Service, records []messages.RunnerRecord, ordered []messages.Setpoint) autoscale.Service {
-	out := autoscale.Service{Name: service.Name, Floor: service.Scaling.Floor, Ceiling: service.Scaling.Ceiling, BootUs: int64(service.Scaling.BootS * 1e6)}
+	out := autoscale.Service{Name: service.Name, Floor: service.Scaling.Floor, Ceiling: service.Scaling.Ceiling, StartupUs: int64(service.Scaling.BootS * 1e6)}
 	zones := map[string]*autoscale.Zone{}
 	zone := func(name string) *autoscale.Zone {
 		if zones[name] == nil {
@@ -232,7 +232,7 @@
 		Slots: float64(load.Count), SlotsTotal: float64(record.Capacity),
 		Blocks: float64(load.Blocks), BlocksTotal: float64(engine.CacheTokens / admission.Defaults.BlockTokens),
 		Flow: float64(load.Flow), Rate: load.Rate,
-	}.Busy()
+	}.Utilization()
 }
 
 // dueOrders returns the orders that have to be committed to the register, and those that have to be sent.
--- a/internal/controller/scaling/scaler_test.go
+++ b/internal/controller/scaling/scaler_test.go
@@ -76,16 +76,16 @@
 	nowUs := int64(1)
 	s := newTestScaler(t, fourRunners(&nowUs, 2))
 	view := s.view(messages.LeaseBody{Setpoints: []messages.Setpoint{{Service: "s", Zone: "z", Desired: 5}, {Service: "s", Zone: "y", Desired: 2}}}, nowUs)
-	must.True(t, view.Known)
+	must.True(t, view.DemandKnown)
 	must.Len(t, 1, view.Services)
-	must.Eq(t, 8_000_000, view.Services[0].BootUs)
+	must.Eq(t, 8_000_000, view.Services[0].StartupUs)
 	zones := view.Services[0].Zones
 	must.Eq(t, "y", zones[0].Name)
 	must.Zero(t, zones[0].Present)
 	must.Eq(t, 4, zones[1].Present)
 	must.Eq(t, 5, zones[1].Ordered)
 	must.Eq(t, 2.0, zones[1].Demand)
-	must.False(t, s.view(messages.LeaseBody{}, nowUs+maxLoadsAgeUs).Known, must.Sprint("sum of loads is outdated"))
+	must.False(t, s.view(messages.LeaseBody{}, nowUs+maxLoadsAgeUs).DemandKnown, must.Sprint("sum of loads is outdated"))
 }
 
 // Guards against a new holder of the lease that does not repeat the committed orders unchanged.
--- a/internal/controller/servicerollout/driver.go
+++ b/internal/controller/servicerollout/driver.go
@@ -124,13 +124,13 @@
 func (d *Driver) view(rollout messages.ServiceRollout) (canary.View, bool) {
 	timeUs, agreed := d.config.TimeOfDay()
 	view := canary.View{
-		TimeUs:    timeUs,
-		BegunAtUs: rollout.BegunAtUs,
-		OverUs:    rollout.OverUs,
-		Stage:     canary.Stage(rollout.Stage),
-		Share:     rollout.SharePerMille,
-		Evidence:  canary.Evidence{},
-		Bounds:    d.config.Bounds,
+		TimeUs:     timeUs,
+		BegunAtUs:  rollout.BegunAtUs,
+		DurationUs: rollout.OverUs,
+		Stage:      canary.Stage(rollout.Stage),
+		Share:      rollout.SharePerMille,
+		Evidence:   canary.Evidence{},
+		Bounds:     d.config.Bounds,
 	}
 	runners := d.config.Runners().ByService[rollout.Service]
 	d.config.ReadLoads(func(loads *statesync.Loads) {
@@ -150,7 +150,7 @@
 		}
 		return
 	}
-	view.OtherReady++
+	view.BaselineReady++
 	load, _ := loads.Get(runner.ID)
-	view.OtherActive += max(load.Count, 0)
+	view.BaselineActive += max(load.Count, 0)
 }
--- a/internal/controller/servicerollout/driver_test.go
+++ b/internal/controller/servicerollout/driver_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, load := range []messages.RunnerLoad{
 		key(canary.NewSide).Load(canary.Outcome{Answers: 40, Bad: bad}),
-		key(canary.OtherSide).Load(canary.Outcome{Answers: 900, Bad: 3}),
+		key(canary.BaselineSide).Load(canary.Outcome{Answers: 900, Bad: 3}),
 	} {
 		loads.Put(load.ID, load)
 	}
--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -290,7 +290,7 @@
 // differs with each fencing token, so that it is not always the same controller that comes first.
 func (l *Leases) rank(current messages.Lease) (rank int, candidate bool) {
 	var addrs []string
-	for _, peer := range membership.Core(l.config.Membership.Alive(messages.Controller)) {
+	for _, peer := range membership.CountedControllers(l.config.Membership.Alive(messages.Controller)) {
 		if peer.MemberID != current.Holder && (peer.Addr == l.config.Addr || !l.config.IsCut(peer.Addr)) {
 			addrs = append(addrs, peer.Addr)
 		}
--- a/internal/controller/tallies/calls.go
+++ b/internal/controller/tallies/calls.go
@@ -41,7 +41,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, amendTimeout)
 	defer cancel()
-	if !s.await(ctx, func() bool { return s.replica.Acknowledged(number, arrivedUs) }) {
+	if !s.await(ctx, func() bool { return s.replica.MayAcknowledge(number, arrivedUs) }) {
 		s.countLateAdd()
 		httpapi.Reject(rc, 504, "", "not on enough disks yet; repeat it under the same id")
 		return
@@ -59,13 +59,13 @@
 		return 0, "starting"
 	case s.diskErr != nil:
 		return 0, "the disk takes no writes"
-	case !s.replica.Confirmable():
+	case !s.replica.CanConfirm():
 		return 0, "too few disks can be reached"
 	case s.replica.Full() && !s.replica.Set().Contains(add.Key):
 		return 0, "no room for further adds"
 	}
 	number = s.replica.Append(add)
-	s.replica.Await(arrivedUs)
+	s.replica.RecordWaiter(arrivedUs)
 	s.notifyChanged()
 	return number, ""
 }
--- a/internal/controller/tallies/replication.go
+++ b/internal/controller/tallies/replication.go
@@ -21,7 +21,7 @@
 	s.setInitialPulled(addr)
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		next, pending := s.replica.Next(addr)
+		next, pending := s.replica.NextOutgoing(addr)
 		changed := s.changed
 		s.mu.Unlock()
 		if !pending {
@@ -51,7 +51,7 @@
 		loop.Pause(ctx, retryPause)
 		return
 	}
-	for s.pauseUntil(ctx, unreachablePause, func() bool { return s.replica.WantsCall(addr) }) {
+	for s.pauseUntil(ctx, unreachablePause, func() bool { return s.replica.NeedsCall(addr) }) {
 		if s.probe(ctx, addr) {
 			return
 		}
@@ -78,7 +78,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replica.Acked(addr, tally.Ack{Held: ack.Held, Durable: ack.Durable, Zone: ack.Zone})
+	s.replica.RecordAck(addr, tally.Ack{Held: ack.Held, Durable: ack.Durable, Zone: ack.Zone})
 	s.notifyChanged()
 	lostDisk := ack.Held+1 < next.First
 	return len(next.Adds) == 0 || ack.Held >= next.First || lostDisk
@@ -114,9 +114,9 @@
 	defer s.mu.Unlock()
 	switch {
 	case ok:
-		s.replica.Answered(addr)
+		s.replica.RecordAnswer(addr)
 	case nowUs-sentUs < (s.config.CompareTimeout + pauseMargin).Microseconds():
-		s.replica.Failed(addr, sentUs, nowUs)
+		s.replica.RecordFailure(addr, sentUs, nowUs)
 		s.notifyChanged()
 	}
 }
@@ -214,7 +214,7 @@
 	origin := tally.Origin(request.Origin)
 	s.mu.Lock()
 	s.replica.Merge(runs)
-	held := s.replica.Set().Held(origin)
+	held := s.replica.Set().LogLength(origin)
 	if len(runs) > 0 {
 		s.notifyChanged()
 	}
--- a/internal/controller/tallies/service.go
+++ b/internal/controller/tallies/service.go
@@ -153,7 +153,7 @@
 	s.replica = tally.NewReplica(replica, opened.Set)
 	if err != nil {
 		s.config.Log.Error(err, "tallies are not writable yet")
-		s.replica.RewriteAll()
+		s.replica.MarkAllUnwritten()
 	}
 	s.config.Log.Info("tallies read", "origin", opened.Origin, "adds", opened.Set.Len(), "bytes", s.diskBytes)
 	return nil
@@ -241,7 +241,7 @@
 	defer s.log.Close()
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		runs, changed := s.replica.Unwritten(batchSize), s.changed
+		runs, changed := s.replica.BeginWrite(batchSize), s.changed
 		s.mu.Unlock()
 		if len(runs) == 0 {
 			select {
@@ -268,7 +268,7 @@
 		s.config.Log.Error(err, "write of tallies failed")
 	}
 	s.diskErr, s.diskBytes = err, s.log.Size()
-	s.replica.WriteEnded(err == nil)
+	s.replica.EndWrite(err == nil)
 	s.notifyChanged()
 }
 
@@ -297,7 +297,7 @@
 	set := s.replica.Set()
 	c := messages.TallyCondition{
 		Origin: string(s.replica.Origin()), Adds: int64(set.Len()), Tallies: set.Tallies(), Digest: set.Digest(),
-		Unconfirmed: set.Held(s.replica.Origin()) - s.replica.Confirmed(), DiskBytes: s.diskBytes,
+		Unconfirmed: set.LogLength(s.replica.Origin()) - s.replica.Confirmed(), DiskBytes: s.diskBytes,
 		Full: s.replica.Full() || s.diskErr != nil, Starting: !s.ready,
 	}
 	for addr := range s.senders {
--- a/internal/controller/tallies/witness.go
+++ b/internal/controller/tallies/witness.go
@@ -37,10 +37,10 @@
 		askedUs := s.config.Clock()
 		verdict := s.queryWitnesses(ctx, addr, zone)
 		s.mu.Lock()
-		s.replica.Witnessed(addr, verdict, askedUs)
+		s.replica.RecordWitness(addr, verdict, askedUs)
 		s.notifyChanged()
 		s.mu.Unlock()
-		s.pauseUntil(ctx, witnessPause, func() bool { return s.replica.WantsWitness(addr) })
+		s.pauseUntil(ctx, witnessPause, func() bool { return s.replica.NeedsWitness(addr) })
 	}
 }
 
--- a/internal/controller/usagereport/reporter.go
+++ b/internal/controller/usagereport/reporter.go
@@ -208,7 +208,7 @@
 func (r *Reporter) Closed(next int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.collector.Closed(next)
+	r.collector.DropClosed(next)
 }
 
 // Prepare implements singleton.Task.
@@ -219,10 +219,10 @@
 	timeUs := r.config.TimeUs()
 	r.mu.Lock()
 	oldest, counted := r.collector.Oldest()
-	step := r.plan.Step(usage.View{NowUs: r.config.Clock(), TimeUs: timeUs, Ledger: body.Usage, Counted: counted, Oldest: oldest, IsHolder: body.Lease.Holder == r.config.Registers.ID()})
+	step := r.plan.Step(usage.View{NowUs: r.config.Clock(), TimeUs: timeUs, Ledger: body.Usage, HasCounts: counted, Oldest: oldest, IsHolder: body.Lease.Holder == r.config.Registers.ID()})
 	r.mu.Unlock()
 	run := func(ctx context.Context, grant lease.Grant) { r.executeStep(ctx, grant, body, step) }
-	return singleton.Job{Needed: step.Needed(), Run: run}, true
+	return singleton.Job{Needed: step.HasWork(), Run: run}, true
 }
 
 // executeStep starts the actions of a step of the plan: closing a window and reporting one.
@@ -232,13 +232,13 @@
 	}
 	if step.Close > 0 && !r.refilling() {
 		r.mu.Lock()
-		r.plan.Closing(step.Close, r.config.Clock())
+		r.plan.BeginClose(step.Close, r.config.Clock())
 		r.mu.Unlock()
 		go r.close(ctx, body, step.Close)
 	}
 	if step.Report != nil {
 		r.mu.Lock()
-		r.plan.Reporting()
+		r.plan.BeginReport()
 		r.mu.Unlock()
 		go r.reportWindow(ctx, grant, *step.Report)
 	}
@@ -250,16 +250,16 @@
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.plan.Closed(done, r.config.Clock())
+		r.plan.EndClose(done, r.config.Clock())
 	}()
 	complete := r.collect(ctx, messages.UsageQuery{From: body.Usage.Next, To: window})
 	timeUs := r.config.TimeUs()
 	r.mu.Lock()
-	mayClose := complete || r.plan.MayClose(window, timeUs, r.config.Clock())
+	mayClose := complete || r.plan.MayCloseIncomplete(window, timeUs, r.config.Clock())
 	if oldest, counted := r.collector.Oldest(); body.Usage.Next == 0 && counted {
 		window = min(window, oldest)
 	} else if body.Usage.Next == 0 && mayClose {
-		r.plan.Searched(window)
+		r.plan.RecordEmpty(window)
 		mayClose, done = false, true
 	}
 	counts, reported := r.collector.Total(window), r.plan.Reported()
@@ -311,7 +311,7 @@
 	answer := r.config.Platform.Call(ctx, Part, grant, "/usage", content)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.plan.Answered(window.Window, answer == platform.Accepted, r.config.Clock())
+	r.plan.EndReport(window.Window, answer == platform.Accepted, r.config.Clock())
 }
 
 // Unreported returns how long ago the oldest window ended whose report the platform has not
--- a/internal/controller/weightrollout/calls.go
+++ b/internal/controller/weightrollout/calls.go
@@ -16,7 +16,7 @@
 	if runner, ok := d.config.Runners.Snapshot().ByID[order.ID]; ok {
 		answer = d.sendOrder(ctx, register, model, runner, order, grant.Fence)
 	}
-	if answer == rollout.AlreadyHolds {
+	if answer == rollout.AlreadyLoaded {
 		d.recordWeights(order.ID, model, order.Version)
 	}
 	if answer == rollout.FenceRefused {
@@ -24,7 +24,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shards[register].Answered(model, order, answer, d.config.Clock())
+	d.shards[register].RecordAnswer(model, order, answer, d.config.Clock())
 }
 
 // sendOrder sends an order under a fencing token.
@@ -41,7 +41,7 @@
 	maySend := func() bool { return d.config.Fences.MayCall(register, fence) }
 	status, err := d.config.API.Order(ctx, runner, body, maySend)
 	d.config.Log.Info("order", "runner", runner.ID, "version", order.Version, "fence", fence, "status", status, "err", err)
-	return rollout.AnswerOf(status)
+	return rollout.AnswerForStatus(status)
 }
 
 // poll requests a runner's report in the background, unless a request to it is in progress, and
@@ -70,9 +70,9 @@
 	defer d.mu.Unlock()
 	delete(d.polling, runner.ID)
 	if err == nil {
-		d.shards[register].Reported(model, runner.ID, state, requestedUs, d.config.Clock())
+		d.shards[register].RecordReport(model, runner.ID, state, requestedUs, d.config.Clock())
 	} else {
-		d.shards[register].NotReported(model, runner.ID)
+		d.shards[register].RecordMissingReport(model, runner.ID)
 	}
 }
 
--- a/internal/controller/weightrollout/dependencies.go
+++ b/internal/controller/weightrollout/dependencies.go
@@ -19,7 +19,7 @@
 // Targets returns the named versions of each model's weights.
 type Targets interface {
 	Models() []string
-	Namings(model string, boundUs, nowUs int64) []rollout.Naming
+	Namings(model string, boundUs, nowUs int64) []rollout.NamedVersion
 }
 
 // Runners is the registry of runners.
--- a/internal/controller/weightrollout/driver.go
+++ b/internal/controller/weightrollout/driver.go
@@ -158,9 +158,9 @@
 			continue
 		}
 		out = append(out, rollout.Model{
-			Name:    name,
-			Namings: d.config.Targets.Namings(name, d.boundUs, d.config.Clock()),
-			Runners: d.RunnersOf(name),
+			Name:          name,
+			NamedVersions: d.config.Targets.Namings(name, d.boundUs, d.config.Clock()),
+			Runners:       d.RunnersOf(name),
 		})
 	}
 	return out
@@ -174,7 +174,7 @@
 
 // executeStep executes a step: it sets cordons, sends orders and polls reports.
 func (d *Driver) executeStep(ctx context.Context, register int, grant lease.Grant, step rollout.Step) {
-	if step.Orders() {
+	if step.HasOrders() {
 		d.config.Fences.RecordFenceUsed(register, step.Fence)
 	}
 	for _, actions := range step.Models {
--- a/internal/controller/weightrollout/driver_test.go
+++ b/internal/controller/weightrollout/driver_test.go
@@ -63,7 +63,7 @@
 
 func (noTargets) Models() []string { return nil }
 
-func (noTargets) Namings(string, int64, int64) []rollout.Naming { return nil }
+func (noTargets) Namings(string, int64, int64) []rollout.NamedVersion { return nil }
 
 const testRegister = 2
 
