--- a/internal/dissemination/comparisons.go
+++ b/internal/dissemination/comparisons.go
@@ -1,5 +1,5 @@
-// Comparisons with controllers beside the tree: whom a router asks for its versions,
-// and when.
+// Comparisons of a router's versions with those of controllers other than its parent:
+// which controllers are queried, and when missing state is fetched from them.
 
 package dissemination
 
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Times of comparisons, as parts of convergeMs: how often one begins, how long one
-// may take, and after how long without its parent's update a router queries several
-// at once.
+// Times of comparisons, as divisors of the setting convergeMs: the interval between two
+// comparisons, the timeout of one, and the time without an update from the parent after
+// which a router queries several controllers at once.
 const (
 	ComparisonParts     = 5
 	ComparisonWaitParts = 2
@@ -19,73 +19,74 @@
 )
 
 const (
-	// overdueAtOnce is how many controllers are asked at once when the parent's
+	// overdueQueryCount is the number of controllers queried at once when the parent's
 	// update is overdue.
-	overdueAtOnce = 3
-	// mostComparisons bounds how many go on at a time.
-	mostComparisons = 6
-	// takeRunnersAfter is after how many comparisons in a row with other runners
-	// than this node's all of them are fetched.
-	takeRunnersAfter, takeRunnersEvery = 2, 4
+	overdueQueryCount = 3
+	// maxConcurrentComparisons bounds the number of concurrent comparisons.
+	maxConcurrentComparisons = 6
+	// After fetchRunnersAfter consecutive comparisons in which the controller's runners
+	// differed from this node's, all runners are fetched; if they still differ, again
+	// after every further fetchRunnersInterval.
+	fetchRunnersAfter, fetchRunnersInterval = 2, 4
 )
 
-// NewComparisons starts at a turn of the caller's choice, so that not all nodes query the
-// same controller first.
-func NewComparisons(turn int) *Comparisons { return &Comparisons{turn: turn} }
+// NewComparisons starts the rotation over the controllers at turn; nodes pass different
+// values so that they do not all query the same controller first.
+func NewComparisons(rotation int) *Comparisons { return &Comparisons{rotation: rotation} }
 
-// Comparisons are those under way, and whose turn is next. The zero value is ready for use,
-// and safe for concurrent use.
+// Comparisons tracks the comparisons in progress and the rotation over the controllers.
+// The zero value is ready for use. It is safe for concurrent use.
 type Comparisons struct {
-	mu      sync.Mutex
-	turn    int
-	asked   map[string]bool // who has not answered yet
-	differs int             // answers in a row with other runners than here
+	mu                    sync.Mutex
+	rotation              int
+	pending               map[string]bool // controllers that have not answered yet, by address
+	consecutiveMismatches int             // consecutive answers whose runners differ from this node's
 
-	fetching bool    // missing state is being fetched from a peer
-	awaited  []int64 // versions that a controller had and this node had not
-	sinceUs  int64   // when that was found
+	fetching        bool    // missing state is being fetched from a peer
+	awaitedVersions []int64 // versions that a controller had and this node lacked
+	awaitedSinceUs  int64   // when awaited was set
 }
 
-// Next returns whom to query now: one controller, or several where the parent's update is
-// overdue. The parent is skipped where there are others, and so is a controller that has
-// not answered yet.
+// Next returns the addresses of the controllers to query now: one, or several if the
+// parent's update is overdue. It skips controllers that have not answered yet, and the
+// parent unless it is the only controller.
 func (p *Comparisons) Next(controllers []string, parent string, overdue bool) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asked == nil {
-		p.asked = map[string]bool{}
+	if p.pending == nil {
+		p.pending = map[string]bool{}
 	}
-	most := 1
+	limit := 1
 	if overdue {
-		most = overdueAtOnce
+		limit = overdueQueryCount
 	}
-	most = min(most, mostComparisons-len(p.asked))
-	var out []string
+	limit = min(limit, maxConcurrentComparisons-len(p.pending))
+	var targets []string
 	for range controllers {
-		if len(out) >= most {
+		if len(targets) >= limit {
 			break
 		}
-		p.turn++
-		addr := controllers[p.turn%len(controllers)]
-		if p.asked[addr] || addr == parent && len(controllers) > 1 {
+		p.rotation++
+		addr := controllers[p.rotation%len(controllers)]
+		if p.pending[addr] || addr == parent && len(controllers) > 1 {
 			continue
 		}
-		p.asked[addr] = true
-		out = append(out, addr)
+		p.pending[addr] = true
+		targets = append(targets, addr)
 	}
-	return out
+	return targets
 }
 
-// Ended records an answer, or that there is none.
+// Ended records the result of a comparison: an answer, or a failure if answered is false.
 func (p *Comparisons) Ended(addr string, answered, sameRunners bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.asked, addr)
+	delete(p.pending, addr)
 	switch {
 	case answered && sameRunners:
-		p.differs = 0
+		p.consecutiveMismatches = 0
 	case answered:
-		p.differs++
+		p.consecutiveMismatches++
 	}
 }
 
@@ -93,38 +94,38 @@
 func (p *Comparisons) WantRunners() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.differs%takeRunnersEvery == takeRunnersAfter
+	return p.consecutiveMismatches%fetchRunnersInterval == fetchRunnersAfter
 }
 
-// FetchDue reports whether a node fetches what it lacks from a controller that has
-// answered with its versions. As long as its parent delivers, updates come down the tree;
-// only what has not come within grace is fetched beside it.
-func (p *Comparisons) FetchDue(mine, theirs []int64, grace time.Duration, nowUs int64) bool {
+// FetchDue reports whether this node should fetch missing state from a controller that
+// answered with the versions theirs. Updates normally arrive through the tree; only state
+// that has not arrived within grace is fetched directly.
+func (p *Comparisons) FetchDue(local, remote []int64, grace time.Duration, nowUs int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	newer := Behind(mine, theirs)
-	if !Behind(mine, p.awaited) {
-		p.awaited = nil
+	newer := Behind(local, remote)
+	if !Behind(local, p.awaitedVersions) {
+		p.awaitedVersions = nil
 		if newer {
-			p.awaited, p.sinceUs = slices.Clone(theirs), nowUs
+			p.awaitedVersions, p.awaitedSinceUs = slices.Clone(remote), nowUs
 		}
 	}
-	return newer && nowUs-p.sinceUs >= grace.Microseconds()
+	return newer && nowUs-p.awaitedSinceUs >= grace.Microseconds()
 }
 
-// Behind reports whether a node with the versions mine lacks something that another one
-// has. A version of 0 or less is none.
-func Behind(mine, theirs []int64) bool {
-	for part, version := range theirs {
-		if version > 0 && (part >= len(mine) || mine[part] < version) {
+// Behind reports whether mine is older than theirs in any part. A version of 0 or less in
+// theirs means that the other node has no state for that part.
+func Behind(local, remote []int64) bool {
+	for part, version := range remote {
+		if version > 0 && (part >= len(local) || local[part] < version) {
 			return true
 		}
 	}
 	return false
 }
 
-// StartFetch makes the caller the one that fetches what this node lacks; false where a
-// fetch is under way. The caller ends it by EndFetch.
+// StartFetch reserves the fetch of missing state for the caller. It returns false if a
+// fetch is in progress. The caller releases it with EndFetch.
 func (p *Comparisons) StartFetch() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +136,7 @@
 	return true
 }
 
-// EndFetch ends a fetch, whatever came of it.
+// EndFetch releases the reservation of StartFetch, whether or not the fetch succeeded.
 func (p *Comparisons) EndFetch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dissemination/counts.go
+++ b/internal/dissemination/counts.go
@@ -8,47 +8,47 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// EndReason is why a subscription ended.
+// EndReason is the reason for which a subscription ended.
 type EndReason int
 
 // Reasons for the end of a subscription.
 const (
 	EndClosed  EndReason = iota // the connection has ended
-	EndSilent                   // the parent sent nothing for too long
-	EndCutOff                   // the parent said that the core is out of its reach
-	EndMoved                    // another parent is wanted
-	EndStopped                  // this node stops, or does not want the subscription any more
+	EndSilent                   // the parent sent nothing for longer than silenceTimeout
+	EndCutOff                   // the parent reported that it cannot reach the core
+	EndMoved                    // another parent is preferred now
+	EndStopped                  // this node stops, or cancelled the subscription
 	endReasonCount
 )
 
 var endReasonNames = [endReasonCount]string{"closed", "silent", "cut_off", "moved", "stopped"}
 
 // SubscriptionCounts counts the subscriptions of a node to its parents. It is safe for
-// concurrent use, and the zero value is ready for use; a nil one counts nothing.
+// concurrent use, and the zero value is ready for use; methods that record are no-ops on nil.
 type SubscriptionCounts struct {
 	begun atomic.Int64
 	ended [endReasonCount]atomic.Int64
 }
 
-// begin records that a subscription was made.
+// begin records that a subscription was established.
 func (c *SubscriptionCounts) begin() {
 	if c != nil {
 		c.begun.Add(1)
 	}
 }
 
-// end records why a subscription ended and passes on what subscribe returns.
-func (c *SubscriptionCounts) end(reason EndReason, stays bool) bool {
+// end records why a subscription ended and returns its second argument, the result of subscribe.
+func (c *SubscriptionCounts) end(reason EndReason, result bool) bool {
 	if c != nil {
 		c.ended[reason].Add(1)
 	}
-	return stays
+	return result
 }
 
-// Begun is how many subscriptions were made.
+// Begun returns the number of subscriptions established.
 func (c *SubscriptionCounts) Begun() int64 { return c.begun.Load() }
 
-// Ended is how many ended, by the name of the reason.
+// Ended returns the number of subscriptions that ended, by the name of the reason.
 func (c *SubscriptionCounts) Ended() map[string]int64 {
 	out := map[string]int64{}
 	for reason := range c.ended {
@@ -57,13 +57,13 @@
 	return out
 }
 
-// answers counts what was sent to receivers that named what they have.
-type answers struct {
+// answerCounts counts the answers to receivers that sent their SyncState.
+type answerCounts struct {
 	snapshots, snapshotBytes atomic.Int64
 	deltas, deltaBytes       atomic.Int64
 }
 
-func (a *answers) count(f *messages.Feed, bytes int) {
+func (a *answerCounts) count(f *messages.Feed, bytes int) {
 	if hasSnapshot(f.Configuration) || hasSnapshot(f.Registry) {
 		a.snapshots.Add(1)
 		a.snapshotBytes.Add(int64(bytes))
@@ -82,24 +82,24 @@
 	return false
 }
 
-// PublisherCounts is the state of a publisher at one moment, and what it has sent to
-// receivers that named what they have.
+// PublisherCounts is a snapshot of a publisher's queues and of its counters of answers to
+// receivers that sent their SyncState.
 type PublisherCounts struct {
 	Subscribers  int
 	QueuedBytes  int // of all subscribers
 	LongestQueue int // in bytes, of one subscriber
 	Dropped      int64
 
-	Snapshots, SnapshotBytes int64 // answers with all of the configuration or of the runners
+	Snapshots, SnapshotBytes int64 // answers with the whole configuration or all runners
 	Deltas, DeltaBytes       int64 // other answers
 }
 
-// Counts returns the state of the publisher.
+// Counts returns the current queue sizes and counters.
 func (p *Publisher) Counts() PublisherCounts {
 	c := PublisherCounts{
 		Dropped:   p.Dropped.Load(),
-		Snapshots: p.answers.snapshots.Load(), SnapshotBytes: p.answers.snapshotBytes.Load(),
-		Deltas: p.answers.deltas.Load(), DeltaBytes: p.answers.deltaBytes.Load(),
+		Snapshots: p.answerCounts.snapshots.Load(), SnapshotBytes: p.answerCounts.snapshotBytes.Load(),
+		Deltas: p.answerCounts.deltas.Load(), DeltaBytes: p.answerCounts.deltaBytes.Load(),
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dissemination/counts_test.go
+++ b/internal/dissemination/counts_test.go
@@ -8,8 +8,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestAnswersTellSnapshotsFromDeltas(t *testing.T) {
-	var a answers
+func TestAnswerCountsSeparateSnapshotsFromDeltas(t *testing.T) {
+	var a answerCounts
 	a.count(&messages.Feed{Registry: []messages.EntryChange{{}, {Snapshot: true}}}, 100)
 	a.count(&messages.Feed{Configuration: []messages.EntryChange{{}}}, 10)
 	a.count(&messages.Feed{}, 1)
@@ -19,7 +19,7 @@
 	must.Eq(t, 11, a.deltaBytes.Load())
 }
 
-func TestSubscriptionsAreCountedByReason(t *testing.T) {
+func TestSubscriptionCountsByEndReason(t *testing.T) {
 	var c SubscriptionCounts
 	c.begin()
 	must.True(t, c.end(EndSilent, true))
--- a/internal/dissemination/large_change_test.go
+++ b/internal/dissemination/large_change_test.go
@@ -17,8 +17,8 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// manyRoutes is a configuration of so many routes with names as operators have them.
-func manyRoutes(t *testing.T, count int) (raw []byte, config api.Configuration) {
+// generateRoutes generates a configuration of count routes with realistic random names.
+func generateRoutes(t *testing.T, count int) (raw []byte, config api.Configuration) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
 	name := func() string { return fmt.Sprintf("%07x", random.Uint32N(1<<28)) }
@@ -35,8 +35,9 @@
 	return raw, config
 }
 
-// proxy forwards connections to target; what goes to the client passes toClient.
-func proxy(t *testing.T, target string, toClient func(client io.Writer) io.Writer) string {
+// startProxy forwards connections to target; bytes for the client pass through the writer of
+// toClient. It returns the address to connect to.
+func startProxy(t *testing.T, target string, toClient func(client io.Writer) io.Writer) string {
 	t.Helper()
 	ln := listenLoopback(t)
 	go func() {
@@ -53,10 +54,10 @@
 	return ln.Addr().String()
 }
 
-// forward copies a few bytes at a time, and closes the destination at the end.
-func forward(closes io.Closer, to io.Writer, from io.Reader) {
-	defer closes.Close()
-	_, _ = io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, trickleBytes))
+// forward copies slowChunkBytes at a time, and closes the destination at the end.
+func forward(destination io.Closer, to io.Writer, from io.Reader) {
+	defer destination.Close()
+	_, _ = io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, slowChunkBytes))
 }
 
 type countingWriter struct {
@@ -64,23 +65,23 @@
 	count *atomic.Int64
 }
 
-// Write writes to the other writer.
+// Write counts the bytes and passes them on.
 func (w countingWriter) Write(b []byte) (int, error) {
 	w.count.Add(int64(len(b)))
 	return w.to.Write(b)
 }
 
-// All that a relay with a full set of children sends for one large change is no more
-// than the bytes that the operator sent once: so on links of one speed, whatever it is,
-// a change is in force after at most one copy's time for each level of the tree.
-func TestRelaySendsLargeChangeInOneCopysBytes(t *testing.T) {
+// A relay with the maximum number of children sends no more bytes in total for one large
+// change than the operator sent once. On links of equal speed a change is therefore in
+// force after at most the transfer time of one copy for each level of the tree.
+func TestRelaySendsNoMoreBytesThanOperatorForLargeChange(t *testing.T) {
 	const routes = 1600
-	raw, config := manyRoutes(t, routes)
+	raw, config := generateRoutes(t, routes)
 	entries, err := routeconfig.Entries(config)
 	must.NoError(t, err)
 	change, _ := routeconfig.NewSource().Commit(2, entries)
 
-	parent, child := station(t), station(t)
+	parent, child := newTestTransport(t), newTestTransport(t)
 	relay := NewPublisher(parent, Upstream{
 		DeltaSince:  func(messages.SyncState) messages.Feed { return messages.Feed{Versions: []int64{1}} },
 		ApplyReport: func(string, messages.LoadReport) bool { return true }, Unsubscribed: func(string) {},
@@ -92,7 +93,7 @@
 	var received atomic.Int64
 	joined, changed := make(chan bool, relayFanOut), make(chan int, relayFanOut)
 	for range relayFanOut {
-		link := proxy(t, parent.Addr(), func(client io.Writer) io.Writer { return countingWriter{client, &received} })
+		link := startProxy(t, parent.Addr(), func(client io.Writer) io.Writer { return countingWriter{client, &received} })
 		subscriber := &Subscriber{
 			SyncState: func() messages.SyncState {
 				return messages.SyncState{Configuration: messages.Cursor{Epoch: 1, Version: 1}}
@@ -123,10 +124,11 @@
 	must.LessEq(t, int64(len(raw)), sent)
 }
 
-// A parent whose update takes long on a slow link is not silent: its bytes arrive.
-// The link is a proxy that lets a byte through now and then; no clock is compared.
-func TestParentInTheMiddleOfAnUpdateIsNotSilent(t *testing.T) {
-	parent, child := station(t), station(t)
+// A parent whose update takes longer than silenceTimeout on a slow link is not treated as silent
+// while its bytes arrive. The link is a proxy that delays each chunk; the test compares no
+// clocks.
+func TestParentIsNotSilentDuringSlowUpdate(t *testing.T) {
+	parent, child := newTestTransport(t), newTestTransport(t)
 	joined := make(chan bool, 16)
 	relay := NewPublisher(parent, Upstream{
 		DeltaSince: func(messages.SyncState) messages.Feed {
@@ -140,7 +142,7 @@
 	parent.Run(ctx)
 	child.Run(ctx)
 	var slow atomic.Bool
-	link := proxy(t, parent.Addr(), func(client io.Writer) io.Writer { return slowWriter{client, &slow} })
+	link := startProxy(t, parent.Addr(), func(client io.Writer) io.Writer { return slowWriter{client, &slow} })
 	updates := make(chan int, 64)
 	subscriber := &Subscriber{
 		SyncState: func() messages.SyncState {
@@ -154,33 +156,33 @@
 	<-joined
 	<-updates
 	slow.Store(true)
-	relay.Publish(ToRouters, messages.Feed{Versions: []int64{1}, Parts: []messages.RegisterUpdate{{Part: 1, Version: 1, Body: make([]byte, trickleSteps*trickleBytes)}}})
+	relay.Publish(ToRouters, messages.Feed{Versions: []int64{1}, Parts: []messages.RegisterUpdate{{Part: 1, Version: 1, Body: make([]byte, slowChunkCount*slowChunkBytes)}}})
 	must.Eq(t, 1, <-updates)
-	must.SliceEmpty(t, drainBools(joined), must.Sprint("the parent was left in the middle of its update and asked anew"))
+	must.SliceEmpty(t, drainPending(joined), must.Sprint("the child left the parent during its update and subscribed again"))
 }
 
-// The slow link takes longer for the update than a parent may be silent.
+// On the slow link the update takes slowChunkCount * slowChunkDelay, which is twice silenceTimeout.
 const (
-	trickleBytes = 128
-	trickleSteps = 32
-	trickleEvery = silentFor / 16
+	slowChunkBytes = 128
+	slowChunkCount = 32
+	slowChunkDelay = silenceTimeout / 16
 )
 
-// slowWriter takes its time for each write once slow is set.
+// slowWriter delays each write by slowChunkDelay once slow is set.
 type slowWriter struct {
 	to   io.Writer
 	slow *atomic.Bool
 }
 
-// Write writes to the other writer.
+// Write passes the bytes on, after the delay if slow is set.
 func (w slowWriter) Write(b []byte) (int, error) {
 	if w.slow.Load() {
-		time.Sleep(trickleEvery)
+		time.Sleep(slowChunkDelay)
 	}
 	return w.to.Write(b)
 }
 
-func drainBools(ch chan bool) (out []bool) {
+func drainPending(ch chan bool) (out []bool) {
 	for {
 		select {
 		case b := <-ch:
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -3,20 +3,21 @@
 //
 // A Publisher is the sending side of a node, a Subscriber its link to a parent, and
 // Parents the order in which a router tries its parents. ParentPolicy and RequestPacer
-// are the pure decisions of a subscriber, Comparisons those of a router that asks
-// other controllers beside the tree. What is in an update is for the caller to say, by
-// the functions of Upstream and Subscriber; package statesync has the streams.
+// are the pure decisions of a subscriber, Comparisons those of a router that queries
+// controllers other than its parent. The caller supplies and applies the content of
+// updates through the functions of Upstream and Subscriber; package statesync implements
+// the streams.
 //
-// A subscriber names what it has and gets what it needs, then every update as it
-// is published. Updates of one subscription arrive in order. What waits for a subscriber is
-// bounded in bytes; beyond that it is dropped, and the subscriber, which sees the gap,
-// names again what it has and gets the changes since, merged. Loads travel up the
-// same connection and are acknowledged by sequence number. A parent that stops sending, or
-// that says it is cut off from the core, is left for the next one.
+// A subscriber sends its SyncState and receives a snapshot or delta, then every update as
+// it is published. Updates of one subscription arrive in order. The queue of a subscriber is
+// bounded in bytes; on overflow it is dropped, and the subscriber, which detects the gap,
+// sends its SyncState again and receives the merged changes since. Load reports travel up
+// the same connection and are acknowledged by sequence number. A subscriber leaves a parent
+// that stops sending, or that reports that it is cut off from the core, for the next one.
 //
-// A mutex in Publisher guards the set of subscribers, one in each subscriber what
-// waits for it; one goroutine for each subscriber writes to its connection, and one at
-// most makes up its snapshot or delta. A Subscriber runs on the goroutine of Listen; updates
+// A mutex in Publisher guards the set of subscribers, one in each subscriberQueue guards
+// that queue; one goroutine for each subscriber writes to its connection, and at most one
+// prepares its snapshot or delta. A Subscriber runs on the goroutine of Listen; updates
 // and acknowledgements (ApplyUpdate, Acked) are handled on the goroutine that serves its
 // connection, so callbacks must be safe for concurrent use. Any goroutine may call
 // Send.
@@ -31,14 +32,14 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// maxQueuedBytes bounds the backlog of one subscriber.
+// maxQueuedBytes bounds the queue of one subscriber.
 const maxQueuedBytes = 4 << 20
 
-// Upstream is what a publisher calls for its subscribers.
+// Upstream holds the functions that a publisher calls on behalf of its subscribers.
 type Upstream struct {
-	DeltaSince   func(h messages.SyncState) messages.Feed      // what a receiver needs
-	ApplyReport  func(from string, t messages.LoadReport) bool // loads of a subtree; false: all of them are to be sent again
-	Unsubscribed func(from string)                             // a subscriber has ended
+	DeltaSince   func(h messages.SyncState) messages.Feed      // the update that a receiver with this state lacks
+	ApplyReport  func(from string, t messages.LoadReport) bool // applies loads of a subtree; false requests all of them again
+	Unsubscribed func(from string)                             // the subscription of a node has ended
 }
 
 // Audience selects subscribers.
@@ -52,144 +53,145 @@
 
 // Publisher is the sending side of a node. It is safe for concurrent use.
 type Publisher struct {
-	mu        sync.Mutex
-	queues    map[*transport.Conn]*subscriberQueue
-	up        Upstream
-	snapshots chan struct{} // bounds how many receivers are caught up at a time
-	Dropped   atomic.Int64
-	answers   answers
+	mu            sync.Mutex
+	queues        map[*transport.Conn]*subscriberQueue
+	upstream      Upstream
+	snapshotSlots chan struct{} // semaphore for the snapshots and deltas being prepared
+	Dropped       atomic.Int64
+	answerCounts  answerCounts
 }
 
-// subscriberQueue is what waits for one subscriber.
+// subscriberQueue holds the frames queued for one subscriber and its pending request.
 type subscriberQueue struct {
-	mu         sync.Mutex
-	queued     []byte
-	wake       chan struct{}
-	controller bool
-	reads      transport.Compression // what the subscriber reads
-	acked      int64
-	requested  *messages.SyncState // what the receiver had when it last requested
-	answering  bool                // an answer to it is being made
+	mu             sync.Mutex
+	queued         []byte
+	wake           chan struct{}
+	controller     bool
+	compression    transport.Compression // compression that the subscriber can decode
+	ackedSeq       int64
+	pendingRequest *messages.SyncState // state sent with the latest request not yet answered
+	answering      bool                // an answer is being prepared
 }
 
-// maxConcurrentSnapshots bounds how many subscribers are caught up at a time.
+// maxConcurrentSnapshots bounds how many snapshots or deltas are prepared at a time.
 const maxConcurrentSnapshots = 2
 
 // NewPublisher makes a publisher and registers its handlers at the transport.
-func NewPublisher(r *transport.Transport, up Upstream) *Publisher {
-	p := &Publisher{queues: map[*transport.Conn]*subscriberQueue{}, up: up, snapshots: make(chan struct{}, maxConcurrentSnapshots)}
-	r.OnCall(transport.KindSubscribe, func(_ context.Context, from *transport.Conn, body []byte) ([]byte, error) {
-		var h messages.SyncState
-		if _, err := h.UnmarshalMsg(body); err != nil {
+func NewPublisher(node *transport.Transport, upstream Upstream) *Publisher {
+	p := &Publisher{queues: map[*transport.Conn]*subscriberQueue{}, upstream: upstream, snapshotSlots: make(chan struct{}, maxConcurrentSnapshots)}
+	node.OnCall(transport.KindSubscribe, func(_ context.Context, from *transport.Conn, body []byte) ([]byte, error) {
+		var state messages.SyncState
+		if _, err := state.UnmarshalMsg(body); err != nil {
 			return nil, err
 		}
-		p.add(from, h)
+		p.add(from, state)
 		return nil, nil
 	})
-	r.OnCall(transport.KindSince, func(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
-		var h messages.SyncState
-		if _, err := h.UnmarshalMsg(body); err != nil {
+	node.OnCall(transport.KindSince, func(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
+		var state messages.SyncState
+		if _, err := state.UnmarshalMsg(body); err != nil {
 			return nil, err
 		}
-		return p.deltaSince(h)
+		return p.deltaSince(state)
 	})
-	r.OnPush(transport.KindSyncState, func(from *transport.Conn, body []byte) {
-		var h messages.SyncState
-		if _, err := h.UnmarshalMsg(body); err != nil {
+	node.OnPush(transport.KindSyncState, func(from *transport.Conn, body []byte) {
+		var state messages.SyncState
+		if _, err := state.UnmarshalMsg(body); err != nil {
 			return
 		}
 		if s := p.queueOf(from); s != nil {
-			p.catchUp(s, h)
+			p.catchUp(s, state)
 		}
 	})
-	r.OnPush(transport.KindLoadReport, func(from *transport.Conn, body []byte) {
-		var t messages.LoadReport
-		if _, err := t.UnmarshalMsg(body); err != nil {
+	node.OnPush(transport.KindLoadReport, func(from *transport.Conn, body []byte) {
+		var report messages.LoadReport
+		if _, err := report.UnmarshalMsg(body); err != nil {
 			return
 		}
 		s := p.queueOf(from)
 		if s == nil {
 			return
 		}
-		if !p.up.ApplyReport(from.Remote(), t) {
+		if !p.upstream.ApplyReport(from.Remote(), report) {
 			p.enqueue(s, transport.KindResendLoads, nil)
 			return
 		}
 		s.mu.Lock()
-		s.acked = t.Seq
+		s.ackedSeq = report.Seq
 		s.mu.Unlock()
 	})
 	return p
 }
 
-func (p *Publisher) queueOf(l *transport.Conn) *subscriberQueue {
+func (p *Publisher) queueOf(conn *transport.Conn) *subscriberQueue {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.queues[l]
+	return p.queues[conn]
 }
 
-func (p *Publisher) deltaSince(h messages.SyncState) ([]byte, error) {
-	p.snapshots <- struct{}{}
-	defer func() { <-p.snapshots }()
-	f := p.up.DeltaSince(h)
-	b, err := f.MarshalMsg(nil)
-	p.answers.count(&f, len(b))
+func (p *Publisher) deltaSince(state messages.SyncState) ([]byte, error) {
+	p.snapshotSlots <- struct{}{}
+	defer func() { <-p.snapshotSlots }()
+	update := p.upstream.DeltaSince(state)
+	b, err := update.MarshalMsg(nil)
+	p.answerCounts.count(&update, len(b))
 	return b, err
 }
 
-// catchUp sends a subscriber what it does not have. One answer is made at a time; of the
-// requests that arrive meanwhile the last counts.
-func (p *Publisher) catchUp(s *subscriberQueue, h messages.SyncState) {
+// catchUp sends a subscriber the state it lacks. One answer is prepared at a time; of the
+// requests that arrive meanwhile only the last is answered.
+func (p *Publisher) catchUp(s *subscriberQueue, state messages.SyncState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requested = &h
+	s.pendingRequest = &state
 	if s.answering {
 		return
 	}
 	s.answering = true
 	go func() {
-		for h := s.nextRequested(); h != nil; h = s.nextRequested() {
-			if b, err := p.deltaSince(*h); err == nil {
+		for state := s.takeRequest(); state != nil; state = s.takeRequest() {
+			if b, err := p.deltaSince(*state); err == nil {
 				p.enqueue(s, transport.KindFeed, b)
 			}
 		}
 	}()
 }
 
-// nextRequested returns what is to be answered next; nil ends the answering.
-func (s *subscriberQueue) nextRequested() *messages.SyncState {
+// takeRequest removes and returns the request to answer next; nil if there is none, which
+// also clears answering.
+func (s *subscriberQueue) takeRequest() *messages.SyncState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.requested
-	s.requested, s.answering = nil, h != nil
-	return h
+	state := s.pendingRequest
+	s.pendingRequest, s.answering = nil, state != nil
+	return state
 }
 
-func (p *Publisher) add(l *transport.Conn, h messages.SyncState) {
-	s := &subscriberQueue{wake: make(chan struct{}, 1), controller: h.Controller, reads: l.Reads()}
+func (p *Publisher) add(conn *transport.Conn, state messages.SyncState) {
+	s := &subscriberQueue{wake: make(chan struct{}, 1), controller: state.Controller, compression: conn.Reads()}
 	p.mu.Lock()
-	p.queues[l] = s
+	p.queues[conn] = s
 	p.mu.Unlock()
 	go func() {
 		defer func() {
 			p.mu.Lock()
-			delete(p.queues, l)
+			delete(p.queues, conn)
 			p.mu.Unlock()
-			l.Close()
-			p.up.Unsubscribed(l.Remote())
+			conn.Close()
+			p.upstream.Unsubscribed(conn.Remote())
 		}()
-		p.catchUp(s, h)
+		p.catchUp(s, state)
 		for {
 			select {
 			case <-s.wake:
-			case <-l.Done():
+			case <-conn.Done():
 				return
 			}
 			s.mu.Lock()
 			b := s.queued
 			s.queued = nil
 			s.mu.Unlock()
-			if len(b) > 0 && l.SendRaw(b) != nil {
+			if len(b) > 0 && conn.SendRaw(b) != nil {
 				return
 			}
 		}
@@ -197,23 +199,23 @@
 }
 
 func (p *Publisher) enqueue(s *subscriberQueue, kind int, body []byte) {
-	if f, err := transport.EncodeFrame(messages.Frame{Kind: kind, Body: body}); err == nil {
-		p.enqueueFrame(s, kind, f)
+	if frame, err := transport.EncodeFrame(messages.Frame{Kind: kind, Body: body}); err == nil {
+		p.enqueueFrame(s, kind, frame)
 	}
 }
 
-func (p *Publisher) enqueueFrame(s *subscriberQueue, kind int, f transport.EncodedFrame) {
-	b := f.BytesFor(s.reads)
+func (p *Publisher) enqueueFrame(s *subscriberQueue, kind int, frame transport.EncodedFrame) {
+	b := frame.BytesFor(s.compression)
 	s.mu.Lock()
 	if len(s.queued)+len(b) > maxQueuedBytes {
 		s.queued = nil
 		p.Dropped.Add(1)
 	}
-	if kind == transport.KindFeed && s.acked > 0 {
-		t := messages.LoadReport{Seq: s.acked}
-		if b, err := t.MarshalMsg(nil); err == nil {
-			h := messages.Frame{Kind: transport.KindLoadAck, Body: b}
-			s.queued, _ = h.MarshalMsg(s.queued)
+	if kind == transport.KindFeed && s.ackedSeq > 0 {
+		ack := messages.LoadReport{Seq: s.ackedSeq}
+		if b, err := ack.MarshalMsg(nil); err == nil {
+			ackFrame := messages.Frame{Kind: transport.KindLoadAck, Body: b}
+			s.queued, _ = ackFrame.MarshalMsg(s.queued)
 		}
 	}
 	s.queued = append(s.queued, b...)
@@ -224,7 +226,7 @@
 	}
 }
 
-// HasSubscribers reports whether anybody of an audience is subscribed.
+// HasSubscribers reports whether the audience has any subscriber.
 func (p *Publisher) HasSubscribers(to Audience) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,16 +239,16 @@
 }
 
 // Publish sends an update to an audience.
-func (p *Publisher) Publish(to Audience, f messages.Feed) {
+func (p *Publisher) Publish(to Audience, update messages.Feed) {
 	if !p.HasSubscribers(to) {
 		return
 	}
-	if b, err := f.MarshalMsg(nil); err == nil {
+	if b, err := update.MarshalMsg(nil); err == nil {
 		p.broadcast(to, b)
 	}
 }
 
-// Forward sends an encoded update to an audience as it was received.
+// Forward sends an already encoded update to an audience unchanged.
 func (p *Publisher) Forward(to Audience, body []byte) {
 	if p.HasSubscribers(to) {
 		p.broadcast(to, body)
@@ -255,7 +257,7 @@
 
 // broadcast encodes an update once and queues it for all subscribers of an audience.
 func (p *Publisher) broadcast(to Audience, body []byte) {
-	f, err := transport.EncodeBroadcast(messages.Frame{Kind: transport.KindFeed, Body: body})
+	frame, err := transport.EncodeBroadcast(messages.Frame{Kind: transport.KindFeed, Body: body})
 	if err != nil {
 		return
 	}
@@ -263,7 +265,7 @@
 	defer p.mu.Unlock()
 	for _, s := range p.queues {
 		if s.controller == (to == ToControllers) {
-			p.enqueueFrame(s, transport.KindFeed, f)
+			p.enqueueFrame(s, transport.KindFeed, frame)
 		}
 	}
 }
--- a/internal/dissemination/publisher_test.go
+++ b/internal/dissemination/publisher_test.go
@@ -16,7 +16,7 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-func station(t *testing.T) *transport.Transport {
+func newTestTransport(t *testing.T) *transport.Transport {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -29,14 +29,14 @@
 	return r
 }
 
-// parentNode is the parent of a tree: a stream of entries and what it received.
+// parentNode is the root of a test tree: a stream of entries and the reports it received.
 type parentNode struct {
 	publisher *Publisher
 	reports   chan messages.LoadReport
 
-	mu     sync.Mutex // guards what follows
-	stream *statesync.Entries
-	refuse bool // reports are not applied
+	mu            sync.Mutex // guards what follows
+	stream        *statesync.Entries
+	rejectReports bool // applyReport returns false
 }
 
 func newParentNode(r *transport.Transport) *parentNode {
@@ -60,32 +60,32 @@
 	p.reports <- report
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.refuse
+	return !p.rejectReports
 }
 
-func (p *parentNode) refuseReports() {
+func (p *parentNode) startRejectingReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refuse = true
+	p.rejectReports = true
 }
 
-// change commits a value and returns the change, which is not published.
-func (p *parentNode) change(k, v string) messages.EntryChange {
+// commitChange commits a value and returns the change without publishing it.
+func (p *parentNode) commitChange(k, v string) messages.EntryChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stream.Put(k, v)
 	return statesync.EncodeEntries(p.stream.Commit(p.stream.Version + 1))
 }
 
-// publish sends an update with the given changes, be it empty.
+// publish sends an update with the given changes, which may be none.
 func (p *parentNode) publish(changes ...messages.EntryChange) {
 	p.publisher.Publish(ToRouters, messages.Feed{Versions: []int64{}, Registry: changes})
 }
 
-// childNode is the child of a tree: a copy of the parent's stream.
+// childNode is a child in a test tree: a replica of the parent's stream.
 type childNode struct {
 	subscriber *Subscriber
-	results    chan statesync.Result // of the changes received
+	results    chan statesync.Result // of applying each received change
 	resends    chan bool             // requests to send all reports again
 	acks       chan int64            // sequence numbers of reports that the parent applied
 
@@ -135,7 +135,7 @@
 	return c.stream.Digest() == p.stream.Digest() && c.stream.Version == p.stream.Version
 }
 
-// waitUntilEqual publishes empty updates now and then, as a parent does, until the child
+// waitUntilEqual publishes empty updates periodically, as a parent does, until the child
 // has the state of the parent.
 func (c *childNode) waitUntilEqual(t *testing.T, p *parentNode, after string) {
 	t.Helper()
@@ -149,7 +149,7 @@
 			p.publish()
 		}
 	}
-	t.Fatal("never reached the state of the parent: after " + after)
+	t.Fatal("the child did not reach the state of the parent after " + after)
 }
 
 // waitUntilAcked publishes empty updates until the child gets an acknowledgement of seq.
@@ -163,11 +163,11 @@
 	}
 }
 
-// A tree of one parent and one child: the child follows changes, requests what it does
-// not have when one was lost or is damaged, and its reports go up. What the parent sends
-// is a script; nothing here waits for time to pass, only for what is to come.
-func TestSubscriberFollowsAndRepairsGaps(t *testing.T) {
-	parentTransport, childTransport := station(t), station(t)
+// With one parent and one child: the child applies changes, requests missing state after a
+// lost or corrupted change, and its reports reach the parent. The parent sends a fixed
+// sequence; the test waits for events only, never for time to pass.
+func TestSubscriberAppliesChangesAndRepairsGaps(t *testing.T) {
+	parentTransport, childTransport := newTestTransport(t), newTestTransport(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	parent := newParentNode(parentTransport)
@@ -177,11 +177,11 @@
 	go child.subscriber.Listen(ctx, childTransport)
 	must.True(t, <-child.resends)
 
-	parent.change("a", "1") // this one is lost
-	parent.publish(parent.change("b", "1"))
+	parent.commitChange("a", "1") // this one is lost
+	parent.publish(parent.commitChange("b", "1"))
 	child.waitUntilEqual(t, parent, "a lost change")
 
-	damaged := parent.change("c", "1")
+	damaged := parent.commitChange("c", "1")
 	damaged.Digest++
 	parent.publish(damaged)
 	for r := range child.results {
@@ -189,25 +189,25 @@
 			break
 		}
 	}
-	parent.publish() // what is missing is requested with the next update
+	parent.publish() // the next update triggers the request for missing state
 	child.waitUntilEqual(t, parent, "a damaged change")
 
 	parent.publisher.Forward(ToRouters, []byte("no feed"))
-	parent.publish(parent.change("d", "1"))
-	child.waitUntilEqual(t, parent, "bytes that are no update")
+	parent.publish(parent.commitChange("d", "1"))
+	child.waitUntilEqual(t, parent, "bytes that are not an update")
 	must.Eq(t, int64(1), child.subscriber.Malformed.Load())
 
 	must.True(t, child.subscriber.Send(transport.KindLoadReport, &messages.LoadReport{Seq: 7}))
 	must.Eq(t, int64(7), (<-parent.reports).Seq)
 	child.waitUntilAcked(parent, 7)
-	parent.refuseReports()
+	parent.startRejectingReports()
 	must.True(t, child.subscriber.Send(transport.KindLoadReport, &messages.LoadReport{Seq: 8}))
-	must.True(t, <-child.resends, must.Sprint("after a report that is not applied all of it is requested"))
+	must.True(t, <-child.resends, must.Sprint("after a report that is not applied the parent requests all reports again"))
 }
 
-// The backlog of a subscriber that does not read is dropped past its bound, not kept and
-// not waited for.
-func TestBacklogOfSlowSubscriberIsBounded(t *testing.T) {
+// The queue of a subscriber that does not read is dropped when it exceeds its bound; the
+// publisher neither blocks nor grows the queue further.
+func TestQueueOfSlowSubscriberIsBounded(t *testing.T) {
 	p := &Publisher{queues: map[*transport.Conn]*subscriberQueue{}}
 	s := &subscriberQueue{wake: make(chan struct{}, 1)}
 	for range 3 {
@@ -217,18 +217,18 @@
 	must.LessEq(t, maxQueuedBytes, len(s.queued))
 }
 
-// A parent that the core is out of reach of is left, but where it is so with all
-// of them a node does not go round in circles.
+// A node leaves a parent that cannot reach the core, but if no parent can reach it, the
+// node does not keep switching between them.
 func TestCutOffParentIsLeftOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	child := station(t)
+	child := newTestTransport(t)
 	child.Run(ctx)
 	joined := make(chan int, 16)
 	var addrs []string
 	var relays []*Publisher
 	for i := range 2 {
-		p := station(t)
+		p := newTestTransport(t)
 		relays = append(relays, NewPublisher(p, Upstream{
 			DeltaSince: func(messages.SyncState) messages.Feed {
 				joined <- i
@@ -239,14 +239,14 @@
 		p.Run(ctx)
 		addrs = append(addrs, p.Addr())
 	}
-	fed := make(chan string, 256)
+	updatedFrom := make(chan string, 256)
 	up := &Subscriber{
 		SyncState: func() messages.SyncState {
 			return messages.SyncState{Configuration: messages.Cursor{Epoch: 1, Version: 1}}
 		},
 		Parents: func() []string { return append([]string{}, addrs...) },
 		ApplyUpdate: func(p string, _ messages.Feed, _ []byte) *messages.SyncState {
-			fed <- p
+			updatedFrom <- p
 			return nil
 		},
 		Acked: func(int64) {}, ResendAll: func() {}, Unsubscribed: func(string) {},
@@ -256,14 +256,14 @@
 	must.Eq(t, 1, <-joined)
 	for seen := 0; seen < 30; {
 		relays[1].Publish(ToRouters, messages.Feed{Versions: []int64{}, CutOff: true})
-		if p := <-fed; p == addrs[1] {
+		if p := <-updatedFrom; p == addrs[1] {
 			seen++
 		}
 	}
-	must.SliceEmpty(t, append([]int{}, drain(joined)...))
+	must.SliceEmpty(t, append([]int{}, drainPendingInts(joined)...))
 }
 
-func drain(ch chan int) (out []int) {
+func drainPendingInts(ch chan int) (out []int) {
 	for {
 		select {
 		case i := <-ch:
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -1,7 +1,7 @@
-// Subscriber is the receiving side of the tree: it keeps one subscription, to the
-// first of the wanted parents that answers, and moves when the wanted parent changes,
-// the connection ends, the parent falls silent, or the parent says that it is cut off
-// from the core.
+// The receiving side of the tree: a Subscriber maintains one subscription, to the first of
+// its preferred parents that answers, and moves to another parent when the preference
+// changes, the connection ends, the parent falls silent, or the parent reports that it is
+// cut off from the core.
 
 package dissemination
 
@@ -19,27 +19,28 @@
 
 // Times of a subscription.
 const (
-	// UpdateInterval is the longest time between two updates, be they empty.
+	// UpdateInterval is the longest time between two updates; they are sent even if empty.
 	UpdateInterval = 250 * time.Millisecond
-	// silentFor is after how long without one a parent is left.
-	silentFor = 900 * time.Millisecond
-	// dialWait and subscribeWait are how long a parent may take to be joined.
-	dialWait      = 250 * time.Millisecond
-	subscribeWait = 600 * time.Millisecond
-	// shunFor is how long a parent that stopped sending is not the first choice.
-	shunFor = 2 * time.Second
-	// shunCut is the same for one that the core is out of reach of. It also
-	// bounds how often a node moves for that: if it is so with all parents,
-	// moving is of no use.
-	shunCut = 6 * time.Second
-	// anythingAfter is for how long a node that holds nothing looks for a parent
-	// that has the core in reach. After that it takes what there is: rather an old
-	// configuration than none, when the whole core is down. A machine that has
-	// just started is not held to be in touch for longer than this.
-	anythingAfter = 2500 * time.Millisecond
+	// silenceTimeout is the time without an update after which a parent is left.
+	silenceTimeout = 900 * time.Millisecond
+	// dialTimeout and subscribeTimeout bound connecting to a parent and subscribing to it.
+	dialTimeout      = 250 * time.Millisecond
+	subscribeTimeout = 600 * time.Millisecond
+	// avoidSilentFor is how long a parent that stopped sending is not tried first.
+	avoidSilentFor = 2 * time.Second
+	// avoidCutOffFor is the same for a parent that cannot reach the core. It is also the
+	// least time between two moves for that reason: if no parent can reach the
+	// core, moving does not help.
+	avoidCutOffFor = 6 * time.Second
+	// unsyncedWait is how long a node without a configuration looks for a parent
+	// that can reach the core. After that it accepts the state of any parent: when
+	// the whole core is down, an old configuration is better than none. A machine
+	// that has just started counts as connected for no longer than this.
+	unsyncedWait = 2500 * time.Millisecond
 )
 
-// Subscriber is a node's link to its parent. The functions are set before Listen.
+// Subscriber maintains a node's subscription to a parent. Its functions and options must be
+// set before Listen.
 type Subscriber struct {
 	Controller   bool // this node is a controller
 	SyncState    func() messages.SyncState
@@ -47,31 +48,32 @@
 	ApplyUpdate  func(parent string, f messages.Feed, raw []byte) (want *messages.SyncState)
 	Acked        func(seq int64)     // the parent has applied the report with this seq
 	ResendAll    func()              // the parent needs all reports again
-	Unsubscribed func(addr string)   // the subscription there has ended
-	Patience     time.Duration       // instead of anythingAfter
-	Counts       *SubscriptionCounts // where subscriptions are counted, or nil
+	Unsubscribed func(addr string)   // the subscription to the parent at addr has ended
+	Patience     time.Duration       // replaces unsyncedWait if not 0
+	Counts       *SubscriptionCounts // counters of subscriptions, or nil
 
 	Malformed atomic.Int64
 
-	pacer  RequestPacer
-	policy ParentPolicy
-	link   atomic.Pointer[transport.Conn]
-	joined atomic.Pointer[transport.Conn] // the one whose feeds are taken, from before the parent knows of it
-	began  time.Time                      // when Listen began
+	pacer          RequestPacer
+	policy         ParentPolicy
+	subscribedConn atomic.Pointer[transport.Conn]
+	updatesConn    atomic.Pointer[transport.Conn] // connection whose updates are applied; set before the subscribe request is sent
+	startTime      time.Time                      // when Listen was called
 }
 
-// nowUs is the subscriber's clock.
-func (u *Subscriber) nowUs() int64 { return time.Since(u.began).Microseconds() + 1 }
+// nowUs returns the microseconds since Listen was called, starting at 1.
+func (u *Subscriber) nowUs() int64 { return time.Since(u.startTime).Microseconds() + 1 }
 
-// Listen subscribes until ctx ends.
-func (u *Subscriber) Listen(ctx context.Context, r *transport.Transport) {
-	u.began = time.Now()
+// Listen subscribes to the first parent that accepts, again after each subscription ends, until
+// ctx ends.
+func (u *Subscriber) Listen(ctx context.Context, node *transport.Transport) {
+	u.startTime = time.Now()
 	if u.Patience == 0 {
-		u.Patience = anythingAfter
+		u.Patience = unsyncedWait
 	}
 	for ctx.Err() == nil {
-		for _, p := range u.policy.Order(u.Parents(), u.nowUs()) {
-			if u.subscribe(ctx, r, p) {
+		for _, parent := range u.policy.Order(u.Parents(), u.nowUs()) {
+			if u.subscribe(ctx, node, parent) {
 				break
 			}
 		}
@@ -79,46 +81,50 @@
 	}
 }
 
-// Send pushes a message to the parent; false where there is none now.
+// Send pushes a message to the parent. It returns false if there is no subscription now or
+// sending fails.
 func (u *Subscriber) Send(kind int, body msgp.Marshaler) bool {
-	l := u.link.Load()
-	if l == nil {
+	conn := u.subscribedConn.Load()
+	if conn == nil {
 		return false
 	}
 	b, err := body.MarshalMsg(nil)
-	return err == nil && l.Push(kind, b) == nil
+	return err == nil && conn.Push(kind, b) == nil
 }
 
-// syncState returns what this node has, and who requests.
+// syncState returns this node's sync state with the requester's fields set.
 func (u *Subscriber) syncState() messages.SyncState {
-	h := u.SyncState()
-	u.complete(&h)
-	return h
+	state := u.SyncState()
+	u.setRequesterFields(&state)
+	return state
 }
 
-func (u *Subscriber) complete(h *messages.SyncState) {
-	h.Controller = u.Controller
-	h.Anything = unsynced(*h) && time.Since(u.began) > u.Patience
+func (u *Subscriber) setRequesterFields(state *messages.SyncState) {
+	state.Controller = u.Controller
+	state.Anything = unsynced(*state) && time.Since(u.startTime) > u.Patience
 }
 
-// unsynced reports whether a node has no configuration yet.
-func unsynced(h messages.SyncState) bool { return !h.Controller && h.Configuration.Version == 0 }
+// unsynced reports whether a router has no configuration yet.
+func unsynced(state messages.SyncState) bool {
+	return !state.Controller && state.Configuration.Version == 0
+}
 
-// subscription is a connection to a parent while it lasts.
+// subscription is the state of one subscription to a parent.
 type subscription struct {
 	conn         *transport.Conn
 	parent       string
 	lastUpdateUs atomic.Int64  // when the parent last sent an update
-	cutOff       chan struct{} // the parent says that the core is out of its reach
+	cutOff       chan struct{} // receives when the parent reports that it cannot reach the core
 }
 
-// subscribe joins a parent and stays until the subscription ends. It returns false where
-// the parent was not joined, or has nothing for a node that has no configuration yet.
-func (u *Subscriber) subscribe(ctx context.Context, r *transport.Transport, parent string) bool {
-	if parent == r.Addr() {
+// subscribe subscribes to a parent and returns when the subscription ends. It returns false
+// if the subscription was not established, or if the parent is cut off and this node has no
+// configuration yet; the caller then tries the next parent.
+func (u *Subscriber) subscribe(ctx context.Context, node *transport.Transport, parent string) bool {
+	if parent == node.Addr() {
 		return false
 	}
-	conn, err := dial(ctx, r, parent)
+	conn, err := dial(ctx, node, parent)
 	if err != nil {
 		return false
 	}
@@ -126,38 +132,38 @@
 	s := &subscription{conn: conn, parent: parent, cutOff: make(chan struct{}, 1)}
 	conn.OnPush = func(kind int, body []byte) { u.receive(s, kind, body) }
 	go conn.Serve(ctx)
-	u.joined.Store(conn)
+	u.updatesConn.Store(conn)
 	if u.requestSubscription(ctx, conn) != nil {
 		return false
 	}
-	u.link.Store(conn)
+	u.subscribedConn.Store(conn)
 	u.Counts.begin()
 	u.ResendAll()
 	defer func() {
-		u.link.CompareAndSwap(conn, nil)
+		u.subscribedConn.CompareAndSwap(conn, nil)
 		u.Unsubscribed(parent)
 	}()
 	s.lastUpdateUs.Store(u.nowUs())
 	return u.follow(ctx, s)
 }
 
-func dial(ctx context.Context, r *transport.Transport, parent string) (*transport.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialWait)
+func dial(ctx context.Context, node *transport.Transport, parent string) (*transport.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return r.DialFresh(ctx, parent)
+	return node.DialFresh(ctx, parent)
 }
 
-// requestSubscription names what this node has and waits for the response.
+// requestSubscription sends this node's sync state and waits for the response.
 func (u *Subscriber) requestSubscription(ctx context.Context, conn *transport.Conn) error {
 	state := u.syncState()
-	ctx, cancel := context.WithTimeout(ctx, subscribeWait)
+	ctx, cancel := context.WithTimeout(ctx, subscribeTimeout)
 	defer cancel()
 	_, err := conn.Call(ctx, transport.KindSubscribe, &state)
 	return err
 }
 
-// follow waits until the subscription ends or the parent is left. It returns what
-// subscribe does.
+// follow waits until the subscription ends or this node leaves the parent. It returns the
+// result of subscribe.
 func (u *Subscriber) follow(ctx context.Context, s *subscription) bool {
 	t := time.NewTicker(UpdateInterval)
 	defer t.Stop()
@@ -175,37 +181,37 @@
 				return u.Counts.end(EndCutOff, true)
 			}
 		case <-t.C:
-			if reason, leaves := u.leaves(s); leaves {
+			if reason, leave := u.shouldLeave(s); leave {
 				return u.Counts.end(reason, true)
 			}
 		}
 	}
 }
 
-// leaves reports whether the parent is left that is followed now, and why.
-func (u *Subscriber) leaves(s *subscription) (reason EndReason, leaves bool) {
+// shouldLeave reports whether to leave the current parent, and why.
+func (u *Subscriber) shouldLeave(s *subscription) (reason EndReason, leave bool) {
 	nowUs := u.nowUs()
-	if u.policy.LeaveSilent(s.parent, u.silentUs(s), nowUs) {
+	if u.policy.LeaveSilent(s.parent, u.silenceUs(s), nowUs) {
 		return EndSilent, true
 	}
 	return EndMoved, u.policy.Moves(u.Parents(), s.parent, nowUs)
 }
 
-// silentUs is for how long the parent has been silent. One whose update is on its way
-// over a slow link is not.
-func (u *Subscriber) silentUs(s *subscription) int64 {
+// silenceUs returns for how long the parent has been silent. A parent whose update is still
+// arriving over a slow link is not silent.
+func (u *Subscriber) silenceUs(s *subscription) int64 {
 	return min(u.nowUs()-s.lastUpdateUs.Load(), s.conn.SilentFor().Microseconds())
 }
 
-// receive handles a push of the parent.
+// receive handles a push from the parent.
 func (u *Subscriber) receive(s *subscription, kind int, body []byte) {
 	switch kind {
 	case transport.KindFeed:
 		u.receiveUpdate(s, body)
 	case transport.KindLoadAck:
-		var t messages.LoadReport
-		if _, err := t.UnmarshalMsg(body); err == nil {
-			u.Acked(t.Seq)
+		var ack messages.LoadReport
+		if _, err := ack.UnmarshalMsg(body); err == nil {
+			u.Acked(ack.Seq)
 		}
 	case transport.KindResendLoads:
 		u.ResendAll()
@@ -215,19 +221,19 @@
 }
 
 func (u *Subscriber) receiveUpdate(s *subscription, body []byte) {
-	if u.joined.Load() != s.conn {
-		return // of a parent that was left: its list of runners would replace the new one's
+	if u.updatesConn.Load() != s.conn {
+		return // from a former parent: its list of runners would replace the current parent's
 	}
 	s.lastUpdateUs.Store(u.nowUs())
-	var f messages.Feed
-	if _, err := f.UnmarshalMsg(body); err != nil {
+	var update messages.Feed
+	if _, err := update.UnmarshalMsg(body); err != nil {
 		u.Malformed.Add(1)
 		u.requestMissing(s.conn, nil, true)
 		return
 	}
-	missing := u.ApplyUpdate(s.parent, f, body)
-	u.requestMissing(s.conn, missing, missing != nil)
-	if f.CutOff && !u.Controller {
+	missingState := u.ApplyUpdate(s.parent, update, body)
+	u.requestMissing(s.conn, missingState, missingState != nil)
+	if update.CutOff && !u.Controller {
 		select {
 		case s.cutOff <- struct{}{}:
 		default:
@@ -235,8 +241,8 @@
 	}
 }
 
-// requestMissing requests what this node does not have, if it is behind and the pacer
-// allows it. A nil state stands for SyncState.
+// requestMissing requests missing state from the parent if this node is behind and the
+// pacer allows it. If state is nil, the result of SyncState is sent.
 func (u *Subscriber) requestMissing(conn *transport.Conn, state *messages.SyncState, behind bool) {
 	if !u.pacer.Due(behind, u.nowUs()) {
 		return
@@ -245,7 +251,7 @@
 		current := u.SyncState()
 		state = &current
 	}
-	u.complete(state)
+	u.setRequesterFields(state)
 	if b, err := state.MarshalMsg(nil); err == nil {
 		_ = conn.Push(transport.KindSyncState, b)
 	}
--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -1,4 +1,4 @@
-// The tree: which nodes a router takes its updates from.
+// The relay tree: which nodes a router subscribes to.
 
 package dissemination
 
@@ -11,51 +11,55 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Parents orders the nodes that a router may take feeds from: its place in the
-// tree first. The first routers of a zone hang on the zone's controllers, the
-// others on routers before them, so that a change crosses to a zone once for
-// every controller there. Which controller it is follows from a hash, so that hardly
-// anybody moves when nodes come and go.
+// Parents returns the nodes that a router may subscribe to, in order of preference: its
+// parent in the tree, then the controllers of its zone, then the other controllers. The
+// first routers of a zone subscribe to the zone's controllers, the others to routers before
+// them in the list, so that a change is sent to a zone once for each controller there. A
+// hash of both addresses orders the controllers, so that few routers change their parent
+// when nodes join or leave.
 func Parents(self string, zone string, controllers, routers []messages.Peer) []string {
-	var near, far, row []string
-	for _, d := range membership.Core(controllers) {
-		if d.Zone == zone {
-			near = append(near, d.Addr)
+	var localControllers, remoteControllers, zoneRouters []string
+	for _, controller := range membership.Core(controllers) {
+		if controller.Zone == zone {
+			localControllers = append(localControllers, controller.Addr)
 		} else {
-			far = append(far, d.Addr)
+			remoteControllers = append(remoteControllers, controller.Addr)
 		}
 	}
-	at := -1
-	for _, c := range routers {
-		if c.Zone != zone {
+	position := -1
+	for _, router := range routers {
+		if router.Zone != zone {
 			continue
 		}
-		if c.Addr == self {
-			at = len(row)
+		if router.Addr == self {
+			position = len(zoneRouters)
 		}
-		row = append(row, c.Addr)
+		zoneRouters = append(zoneRouters, router.Addr)
 	}
-	var out []string
-	if roots := max(len(near), 1) * rootFanOut; at >= roots {
-		out = append(out, row[(at-roots)/relayFanOut])
+	var parents []string
+	if roots := max(len(localControllers), 1) * rootFanOut; position >= roots {
+		parents = append(parents, zoneRouters[(position-roots)/relayFanOut])
 	}
-	return append(append(out, shuffled(self, near)...), shuffled(self, far)...)
+	return append(append(parents, sortByHash(self, localControllers)...), sortByHash(self, remoteControllers)...)
 }
 
-// shuffled is an order of its own for every node.
-func shuffled(self string, list []string) []string {
-	slices.SortFunc(list, func(a, b string) int {
+// sortByHash sorts list in an order that differs from node to node: by a hash of self and the
+// element.
+func sortByHash(self string, addrs []string) []string {
+	slices.SortFunc(addrs, func(a, b string) int {
 		return cmp.Compare(statesync.HashText(self, b), statesync.HashText(self, a))
 	})
-	return list
+	return addrs
 }
 
 const (
-	// rootFanOut is how many routers a controller sends its updates to. The machines of
-	// controllers have the faster links; with fewer, more routers are relays, on links that
-	// their copies of the loads fill, and every level makes the loads older.
+	// rootFanOut is the number of routers for each controller of the zone that subscribe to
+	// controllers directly. Controllers' machines have the faster links. With a smaller value
+	// more routers are relays, whose links are filled by the copies of the loads that they
+	// send, and each level of the tree adds to the age of the loads.
 	rootFanOut = 64
-	// relayFanOut is the same of a router that relays. With fewer, more routers are relays;
-	// with more, the copies of a large change share the router's link.
+	// relayFanOut is the number of routers that subscribe to one relaying router. With a
+	// smaller value more routers are relays; with a larger one the copies of a large change
+	// compete for the router's link.
 	relayFanOut = 16
 )
--- a/internal/dissemination/tree_test.go
+++ b/internal/dissemination/tree_test.go
@@ -28,19 +28,19 @@
 		routers = append(routers, messages.Peer{Addr: fmt.Sprintf("c%03d", i), Zone: "a"})
 	}
 	controllers := []messages.Peer{{Addr: "d1", Zone: "a", Counted: true}, {Addr: "d2", Zone: "a", Counted: true}, {Addr: "d3", Zone: "a"}, {Addr: "d4", Zone: "b", Counted: true}}
-	first := map[string]int{}
+	routersByParent := map[string]int{}
 	for i, c := range routers[:2*rootFanOut] {
-		p := Parents(c.Addr, "a", controllers, routers)
-		must.Len(t, 3, p)
-		must.Eq(t, "d4", p[2])
-		first[p[0]]++
+		parents := Parents(c.Addr, "a", controllers, routers)
+		must.Len(t, 3, parents)
+		must.Eq(t, "d4", parents[2])
+		routersByParent[parents[0]]++
 		if i > 0 {
-			must.Eq(t, p, Parents(c.Addr, "a", controllers, routers[1:]), must.Sprint("it stays when another goes"))
+			must.Eq(t, parents, Parents(c.Addr, "a", controllers, routers[1:]), must.Sprint("the parents stay the same when another router leaves"))
 		}
 	}
-	must.Greater(t, rootFanOut/2, first["d1"])
-	must.Greater(t, rootFanOut/2, first["d2"])
-	must.Eq(t, 2*rootFanOut, first["d1"]+first["d2"])
+	must.Greater(t, rootFanOut/2, routersByParent["d1"])
+	must.Greater(t, rootFanOut/2, routersByParent["d2"])
+	must.Eq(t, 2*rootFanOut, routersByParent["d1"]+routersByParent["d2"])
 	must.Eq(t, "c000", Parents("c128", "a", controllers, routers)[0])
-	must.Eq(t, []string{"d3"}, Parents("c000", "a", controllers[2:3], routers), must.Sprint("where none counts, all do"))
+	must.Eq(t, []string{"d3"}, Parents("c000", "a", controllers[2:3], routers), must.Sprint("if no controller is counted, all are used"))
 }
--- a/internal/dissemination/unsynced_test.go
+++ b/internal/dissemination/unsynced_test.go
@@ -11,25 +11,25 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// joining is a subscription as a parent gets it.
-type joining struct {
+// stateRequest is a request for state as a parent receives it.
+type stateRequest struct {
 	parent int
 	state  messages.SyncState
 }
 
-// unsyncedNodeBelow starts a node that holds nothing below parents of which some are
-// cut off, and tells whom it joins.
-func unsyncedNodeBelow(t *testing.T, patience time.Duration, cutOff ...bool) <-chan joining {
+// startUnsyncedChild starts one parent for each element of cutOff, which may report that it
+// is cut off, and a child without a configuration. It returns the child's requests to them.
+func startUnsyncedChild(t *testing.T, wait time.Duration, cutOff ...bool) <-chan stateRequest {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	joined := make(chan joining, 64)
+	joined := make(chan stateRequest, 64)
 	var addrs []string
 	for i, cut := range cutOff {
-		p := station(t)
+		p := newTestTransport(t)
 		NewPublisher(p, Upstream{
 			DeltaSince: func(h messages.SyncState) messages.Feed {
-				joined <- joining{i, h}
+				joined <- stateRequest{i, h}
 				return messages.Feed{Versions: []int64{}, CutOff: cut}
 			},
 			ApplyReport: func(string, messages.LoadReport) bool { return true }, Unsubscribed: func(string) {},
@@ -37,10 +37,10 @@
 		p.Run(ctx)
 		addrs = append(addrs, p.Addr())
 	}
-	child := station(t)
+	child := newTestTransport(t)
 	child.Run(ctx)
 	up := &Subscriber{
-		Patience:    patience,
+		Patience:    wait,
 		SyncState:   func() messages.SyncState { return messages.SyncState{} },
 		Parents:     func() []string { return append([]string{}, addrs...) },
 		ApplyUpdate: func(string, messages.Feed, []byte) *messages.SyncState { return nil },
@@ -50,10 +50,10 @@
 	return joined
 }
 
-// A node that holds nothing passes by parents that are cut off until it comes to
-// one that is not: their configuration may be old.
+// A node without a configuration skips parents that are cut off until it reaches one that
+// is not, since the configuration of a parent that is cut off may be old.
 func TestUnsyncedNodeSkipsCutOffParents(t *testing.T) {
-	joined := unsyncedNodeBelow(t, time.Hour, true, true, false)
+	joined := startUnsyncedChild(t, time.Hour, true, true, false)
 	for parent := range 3 {
 		j := <-joined
 		must.Eq(t, parent, j.parent)
@@ -61,36 +61,37 @@
 	}
 }
 
-// Where all are cut off it goes round, and once its patience is over takes what
-// there is.
+// If all parents are cut off, the node tries them in turn, and after its timeout accepts
+// the state of any of them.
 func TestUnsyncedNodeAcceptsCutOffParentAfterPatience(t *testing.T) {
-	joined := unsyncedNodeBelow(t, time.Hour, true, true)
+	joined := startUnsyncedChild(t, time.Hour, true, true)
 	for i := range 6 {
 		must.Eq(t, i%2, (<-joined).parent)
 	}
-	j := <-unsyncedNodeBelow(t, time.Nanosecond, true, true)
+	j := <-startUnsyncedChild(t, time.Nanosecond, true, true)
 	must.True(t, j.state.Anything)
 }
 
-// Bytes of a former connection may still be read when the next parent is joined.
+// Updates of a former connection may still arrive after the node has subscribed to the next
+// parent; they must not be applied.
 func TestUpdatesOfFormerParentAreIgnored(t *testing.T) {
-	taken := []string{}
+	applied := []string{}
 	up := &Subscriber{
 		SyncState: func() messages.SyncState { return messages.SyncState{} },
 		ApplyUpdate: func(parent string, _ messages.Feed, _ []byte) *messages.SyncState {
-			taken = append(taken, parent)
+			applied = append(applied, parent)
 			return nil
 		},
 	}
 	former, joined := &transport.Conn{}, &transport.Conn{}
-	up.joined.Store(joined)
+	up.updatesConn.Store(joined)
 	feed, err := (&messages.Feed{Versions: []int64{}}).MarshalMsg(nil)
 	must.NoError(t, err)
 	formerLink := &subscription{conn: former, parent: "former", cutOff: make(chan struct{}, 1)}
 	joinedLink := &subscription{conn: joined, parent: "joined", cutOff: make(chan struct{}, 1)}
 	up.receive(formerLink, transport.KindFeed, feed)
-	must.Zero(t, formerLink.lastUpdateUs.Load(), must.Sprint("counts as a sign of life"))
+	must.Zero(t, formerLink.lastUpdateUs.Load(), must.Sprint("an update of a former parent was counted as received"))
 	up.receive(joinedLink, transport.KindFeed, feed)
 	must.Positive(t, joinedLink.lastUpdateUs.Load())
-	must.Eq(t, []string{"joined"}, taken)
+	must.Eq(t, []string{"joined"}, applied)
 }
