--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,12 +1,11 @@
-// Package invariant names rules that hold while the program runs, counts their
-// violations and reports them.
+// Package invariant registers rules that must hold while the program runs, counts their
+// violations and logs them.
 //
-// An Invariant is a package variable of the package whose rule it is. The code that
-// can tell calls Violated where the rule does not hold; nothing is changed by that
-// but a count and, once a second at most for each invariant, a line in the log. Where
-// a rule holds, it costs the comparison and nothing else. Counts are those of the
-// process. Tests replace the handler (package invarianttest), so that a violation
-// fails them.
+// An Invariant is a package variable of the package that guarantees the rule. Code that
+// detects a violation calls Violated, which only increments a counter, calls the handler
+// if one is set, and logs at most one line a second for each invariant. Checking a rule
+// that holds costs only the caller's comparison. Counts are per process. Tests set a
+// handler (package invarianttest) that makes violations fail them.
 package invariant
 
 import (
@@ -25,7 +24,7 @@
 // ErrViolated is the error under which violations are logged.
 var ErrViolated = errors.New("invariant violated")
 
-// logInterval is the least time between two lines of one invariant in the log.
+// logInterval is the least time between two log lines about one invariant.
 const logInterval = time.Second
 
 // Invariant is a named rule. It is safe for concurrent use.
@@ -33,24 +32,24 @@
 	name       string
 	rule       string
 	violations atomic.Int64
-	loggedAt   atomic.Int64 // Unix nanoseconds of the last line in the log
+	lastLogNs  atomic.Int64 // Unix nanoseconds of the last log line
 }
 
-// Violation is one case in which an invariant did not hold.
+// Violation is one occurrence of an invariant not holding.
 type Violation struct {
 	Name   string
 	Rule   string
-	Detail []any // keys and values, as for a line of the log
+	Detail []any // alternating keys and values, as for a log line
 }
 
-// Count is how often an invariant was violated.
+// Count is the number of violations of an invariant.
 type Count struct {
 	Name       string
 	Rule       string
 	Violations int64
 }
 
-// Handler is told of every violation, on the goroutine that found it.
+// Handler is called for every violation, on the goroutine that detected it.
 type Handler func(v Violation)
 
 var registered struct {
@@ -60,8 +59,8 @@
 	handler Handler
 }
 
-// New registers an invariant. The name is a word of lower case letters and
-// underscores, unique in the process; the rule is one sentence for the operator.
+// New registers an invariant. The name consists of lower case letters and underscores and
+// is unique in the process; the rule is one sentence for the operator.
 func New(name, rule string) *Invariant {
 	i := &Invariant{name: name, rule: rule}
 	registered.mu.Lock()
@@ -76,8 +75,8 @@
 // Violations returns how often the invariant was violated in this process.
 func (i *Invariant) Violations() int64 { return i.violations.Load() }
 
-// Violated records that the rule did not hold. The detail is keys and values that
-// tell the case apart, as for a line of the log.
+// Violated records a violation. The detail describes it as alternating keys and values, as
+// for a log line.
 func (i *Invariant) Violated(detail ...any) {
 	total := i.violations.Add(1)
 	registered.mu.Lock()
@@ -87,8 +86,8 @@
 		handler(Violation{Name: i.name, Rule: i.rule, Detail: detail})
 	}
 	nowNs := time.Now().UnixNano()
-	before := i.loggedAt.Load()
-	if nowNs-before < int64(logInterval) || !i.loggedAt.CompareAndSwap(before, nowNs) {
+	lastLogNs := i.lastLogNs.Load()
+	if nowNs-lastLogNs < int64(logInterval) || !i.lastLogNs.CompareAndSwap(lastLogNs, nowNs) {
 		return
 	}
 	log.Error(ErrViolated, i.rule, append([]any{"invariant", i.name, "violations", total}, detail...)...)
@@ -106,8 +105,8 @@
 	return out
 }
 
-// Violations returns the counts of the invariants that were violated, for a node's
-// condition.
+// Violations returns the counts of the invariants that were violated, to be included in a
+// node's condition.
 func Violations() []messages.ViolationCount {
 	var out []messages.ViolationCount
 	for _, c := range Counts() {
@@ -118,20 +117,19 @@
 	return out
 }
 
-// LogTo sets the log that violations are written to; before that they are only
-// counted.
+// LogTo sets the logger for violations. Until it is called they are only counted.
 func LogTo(log logr.Logger) {
 	registered.mu.Lock()
 	defer registered.mu.Unlock()
 	registered.log = log
 }
 
-// SetHandler sets who is told of every violation, nil for nobody, and returns the
-// handler before.
+// SetHandler sets the function that is called for every violation, nil for none, and returns
+// the previous one.
 func SetHandler(handler Handler) Handler {
 	registered.mu.Lock()
 	defer registered.mu.Unlock()
-	before := registered.handler
+	previous := registered.handler
 	registered.handler = handler
-	return before
+	return previous
 }
--- a/internal/invariant/invarianttest/invarianttest.go
+++ b/internal/invariant/invarianttest/invarianttest.go
@@ -1,5 +1,5 @@
 // Package invarianttest makes violations of invariants fail tests. A package whose
-// code has invariants calls Main from its TestMain; a test that breaks one on purpose
+// code has invariants calls Main from its TestMain; a test that violates one on purpose
 // calls Expect.
 package invarianttest
 
@@ -15,11 +15,11 @@
 // statusFailed is the exit status of a test binary whose tests failed.
 const statusFailed = 1
 
-// recorder keeps the violations that no test expected.
+// recorder records the violations that no test expected and counts the expected ones.
 type recorder struct {
 	mu         sync.Mutex
 	unexpected []invariant.Violation
-	expected   map[string]int // by name: how often it was violated while a test expects it
+	expected   map[string]int // violations since Expect, by name of the expected invariant
 }
 
 var recorded = recorder{expected: map[string]int{}}
@@ -27,7 +27,7 @@
 func (r *recorder) handle(v invariant.Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, expects := r.expected[v.Name]; expects {
+	if _, ok := r.expected[v.Name]; ok {
 		r.expected[v.Name]++
 		return
 	}
@@ -35,8 +35,8 @@
 	fmt.Fprintf(os.Stderr, "invariant %s violated: %s %v\n", v.Name, v.Rule, v.Detail)
 }
 
-// Main runs the tests of a package and returns the exit status: a failure also where
-// an invariant was violated that no test expected.
+// Main runs the tests of a package and returns the exit status. An unexpected violation of
+// an invariant makes it a failure even if all tests pass.
 func Main(m *testing.M) int {
 	invariant.SetHandler(recorded.handle)
 	status := m.Run()
@@ -49,7 +49,8 @@
 	return max(status, statusFailed)
 }
 
-// Expect lets a test violate an invariant. The test fails at its end if it did not.
+// Expect permits a test to violate an invariant until its end. The test fails if it does not
+// violate it.
 func Expect(t *testing.T, expected *invariant.Invariant) {
 	t.Helper()
 	recorded.mu.Lock()
--- a/internal/invariant/newest.go
+++ b/internal/invariant/newest.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// Newest is the highest of a series of versions, for rules by which a version never
-// goes back. It is safe for concurrent use, and the zero value is ready for use.
+// Newest tracks the highest version seen, for invariants that require versions to be
+// monotonic. It is safe for concurrent use, and the zero value is ready for use.
 type Newest struct{ version atomic.Int64 }
 
 // Load returns the highest version so far, 0 for none.
 func (n *Newest) Load() int64 { return n.version.Load() }
 
-// Advance records a version. It returns the highest one before.
-func (n *Newest) Advance(version int64) (before int64) {
+// Advance records a version and returns the highest one recorded before.
+func (n *Newest) Advance(version int64) (previous int64) {
 	for {
-		before = n.version.Load()
-		if version <= before || n.version.CompareAndSwap(before, version) {
-			return before
+		previous = n.version.Load()
+		if version <= previous || n.version.CompareAndSwap(previous, version) {
+			return previous
 		}
 	}
 }
