--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop has the loops that the roles share: periodic work, and a pause that
-// ends with its context. Both run on the caller's goroutine.
+// Package loop provides periodic execution of a function and a pause, both bounded by a
+// context. Both run on the caller's goroutine.
 package loop
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Every calls f at once and then every period, until ctx ends.
+// Every calls f immediately and then every period, until ctx ends.
 func Every(ctx context.Context, period time.Duration, f func()) {
 	t := time.NewTicker(period)
 	defer t.Stop()
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -8,18 +8,18 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestEveryEndsWithItsContext(t *testing.T) {
+func TestEveryReturnsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := 0
+	calls := 0
 	Every(ctx, time.Microsecond, func() {
-		if n++; n == 3 {
+		if calls++; calls == 3 {
 			cancel()
 		}
 	})
-	must.GreaterEq(t, 3, n)
+	must.GreaterEq(t, 3, calls)
 }
 
-func TestPauseEndsWithItsContext(*testing.T) {
+func TestPauseReturnsWhenContextEnds(*testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	Pause(ctx, time.Hour)
