--- a/internal/filesystem/filesystem.go
+++ b/internal/filesystem/filesystem.go
@@ -1,10 +1,10 @@
-// Package filesystem is the interface between the stores and the disk: a directory of
+// Package filesystem defines the interface between the stores and the disk: a directory of
 // files that are written once, synced, renamed and removed, and the sync of the directory
-// itself. OS implements it by the operating system; internal/simulation/disk is an
-// implementation in memory that loses power and fails writes.
+// itself. OS implements it with the operating system; internal/simulation/disk implements
+// it in memory and simulates power loss and failed writes.
 //
-// What File.Sync has written and FileSystem.Sync has named survives a loss of power;
-// anything else may be lost or not.
+// Content survives a power loss once File.Sync has returned, and the names of files once
+// FileSystem.Sync has returned; anything else may be lost.
 package filesystem
 
 import (
@@ -13,15 +13,15 @@
 	"path/filepath"
 )
 
-// FileSystem is one directory of files. Names are names of files in it, without a path.
+// FileSystem is one directory of files. Names are file names in it, without a path.
 type FileSystem interface {
-	// List gives the names of all files.
+	// List returns the names of all files.
 	List() ([]string, error)
-	// Read gives the content of a file; the error wraps fs.ErrNotExist if there is none.
+	// Read returns the content of a file; the error wraps fs.ErrNotExist if there is none.
 	Read(name string) ([]byte, error)
-	// Create makes a new, empty file; the error wraps fs.ErrExist if there is one.
+	// Create creates an empty file; the error wraps fs.ErrExist if there is one already.
 	Create(name string) (File, error)
-	// Rename gives a file another name, and replaces a file of that name.
+	// Rename renames a file and replaces any file that has the new name.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
@@ -29,14 +29,14 @@
 	Sync() error
 }
 
-// File is a file that is being written.
+// File is a file open for writing.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written durable.
+	// Sync makes the content written so far durable.
 	Sync() error
 }
 
-// OS is a directory of the operating system.
+// OS is a FileSystem backed by a directory of the operating system.
 type OS struct{ dir string }
 
 const (
@@ -44,12 +44,12 @@
 	fileMode      = 0o644
 )
 
-// Open uses dir, which is made if it is missing.
+// Open returns the file system of the directory dir and creates dir if it is missing.
 func Open(dir string) (OS, error) {
 	return OS{dir: dir}, os.MkdirAll(dir, directoryMode)
 }
 
-// List gives the names of all files.
+// List returns the names of all files.
 func (o OS) List() ([]string, error) {
 	entries, err := os.ReadDir(o.dir)
 	if err != nil {
@@ -62,15 +62,15 @@
 	return names, nil
 }
 
-// Read gives the content of a file.
+// Read returns the content of a file.
 func (o OS) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(o.dir, name)) }
 
-// Create makes a new, empty file.
+// Create creates an empty file.
 func (o OS) Create(name string) (File, error) {
 	return os.OpenFile(filepath.Join(o.dir, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, fileMode)
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces any file that has the new name.
 func (o OS) Rename(from, to string) error {
 	return os.Rename(filepath.Join(o.dir, from), filepath.Join(o.dir, to))
 }
@@ -78,7 +78,7 @@
 // Remove removes a file.
 func (o OS) Remove(name string) error { return os.Remove(filepath.Join(o.dir, name)) }
 
-// Sync syncs the directory.
+// Sync syncs the directory, which makes creations, renames and removals durable.
 func (o OS) Sync() error {
 	directory, err := os.Open(o.dir)
 	if err != nil {
