--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRingIsDumpedOnErrorOnly(t *testing.T) {
+func TestRingIsDumpedOnlyOnError(t *testing.T) {
 	var out bytes.Buffer
 	ring := New(4, &out)
 	log := logr.New(ring).WithName("x").WithValues("k", 1)
@@ -51,5 +51,5 @@
 	log.Info("first")
 	must.Eq(t, 1, bytes.Count(out.Bytes(), []byte("\n")))
 	log.Error(errors.New("boom"), "second")
-	must.Eq(t, 2, bytes.Count(out.Bytes(), []byte("\n")), must.Sprint("an error dumps nothing"))
+	must.Eq(t, 2, bytes.Count(out.Bytes(), []byte("\n")), must.Sprint("with WriteAll an error does not dump the ring"))
 }
