--- a/internal/histogram/histogram.go
+++ b/internal/histogram/histogram.go
@@ -1,5 +1,5 @@
-// Package histogram counts durations in fixed buckets, by atomic additions only, so
-// that hot paths can record into it at no noticeable cost.
+// Package histogram counts durations in fixed buckets. Recording uses atomic additions
+// only, so that hot paths can record at negligible cost.
 package histogram
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// bounds are the upper bounds of the buckets; longer durations count in the last one,
-// which has none.
+// bounds are the inclusive upper bounds of the buckets; longer durations are counted in one
+// more bucket without a bound.
 var bounds = [...]time.Duration{
 	time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second,
@@ -21,24 +21,25 @@
 	totalUs atomic.Int64
 }
 
-// Snapshot is a histogram at one moment.
+// Snapshot is a copy of the counts of a histogram.
 type Snapshot struct {
 	Count      uint64
 	SumSeconds float64
-	Cumulative map[float64]uint64 // how many took at most so many seconds, by bound
+	Cumulative map[float64]uint64 // number of durations up to each bound, by bound in seconds
 }
 
 // Observe records one duration.
-func (d *Durations) Observe(took time.Duration) {
+func (d *Durations) Observe(duration time.Duration) {
 	bucket := 0
-	for bucket < len(bounds) && took > bounds[bucket] {
+	for bucket < len(bounds) && duration > bounds[bucket] {
 		bucket++
 	}
 	d.buckets[bucket].Add(1)
-	d.totalUs.Add(took.Microseconds())
+	d.totalUs.Add(duration.Microseconds())
 }
 
-// Snapshot returns the counts. Durations recorded meanwhile may be in some of them only.
+// Snapshot returns a copy of the counts. A duration recorded concurrently may be included in
+// only some of them.
 func (d *Durations) Snapshot() Snapshot {
 	s := Snapshot{Cumulative: make(map[float64]uint64, len(bounds))}
 	for i := range d.buckets {
--- a/internal/histogram/histogram_test.go
+++ b/internal/histogram/histogram_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestSnapshotCountsUpToEachBound(t *testing.T) {
+func TestSnapshotCountsDurationsUpToEachBound(t *testing.T) {
 	var d Durations
-	for _, took := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 400 * time.Millisecond, time.Minute} {
-		d.Observe(took)
+	for _, duration := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 400 * time.Millisecond, time.Minute} {
+		d.Observe(duration)
 	}
 	s := d.Snapshot()
 	must.Eq(t, 5, s.Count)
