--- a/internal/metrics/collectors.go
+++ b/internal/metrics/collectors.go
@@ -6,10 +6,11 @@
 	"beechtide.org/beechtide/internal/histogram"
 )
 
-// Emit gives one figure of a metric, with the values of its labels in their order.
+// Emit reports one sample of a metric, with the values of its labels in the order of their
+// names.
 type Emit func(value float64, labels ...string)
 
-// readCollector reads the figures of one metric when they are asked for.
+// readCollector reads the samples of one metric by a function on each scrape.
 type readCollector struct {
 	desc *prometheus.Desc
 	kind prometheus.ValueType
@@ -26,21 +27,21 @@
 	})
 }
 
-// Counter is a metric that only rises while the process runs.
+// Counter returns a collector of a counter: values never decrease while the process runs.
 func Counter(name, help string, labels []string, read func(emit Emit)) prometheus.Collector {
 	return &readCollector{prometheus.NewDesc(name, help, labels, nil), prometheus.CounterValue, read}
 }
 
-// Gauge is a metric that rises and falls.
+// Gauge returns a collector of a gauge: values may increase and decrease.
 func Gauge(name, help string, labels []string, read func(emit Emit)) prometheus.Collector {
 	return &readCollector{prometheus.NewDesc(name, help, labels, nil), prometheus.GaugeValue, read}
 }
 
-// durationsCollector reads histograms of durations.
+// durationsCollector reads histograms of durations on each scrape.
 type durationsCollector struct {
 	desc    *prometheus.Desc
 	byLabel map[string]*histogram.Durations
-	labels  int // how many labels the metric has: one, or none
+	labels  int // number of labels of the metric, 0 or 1
 }
 
 // Describe implements prometheus.Collector.
@@ -55,17 +56,17 @@
 	}
 }
 
-// Durations is a histogram in seconds.
+// Durations returns a collector of a histogram in seconds.
 func Durations(name, help string, durations *histogram.Durations) prometheus.Collector {
 	return &durationsCollector{prometheus.NewDesc(name, help, nil, nil), map[string]*histogram.Durations{"": durations}, 0}
 }
 
-// DurationsBy is a histogram in seconds for each value of a label.
+// DurationsBy returns a collector of one histogram in seconds for each value of a label.
 func DurationsBy(name, help, label string, byLabel map[string]*histogram.Durations) prometheus.Collector {
 	return &durationsCollector{prometheus.NewDesc(name, help, []string{label}, nil), byLabel, 1}
 }
 
-// Bool is 1 for true and 0 for false.
+// Bool returns 1 for true and 0 for false.
 func Bool(value bool) float64 {
 	if value {
 		return 1
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,11 +1,11 @@
-// Package metrics serves the figures of a role as text over HTTP, in the exposition
-// format of Prometheus.
+// Package metrics serves the metrics of a role over HTTP, in the text exposition format of
+// Prometheus.
 //
-// The figures stay where they arise, as atomic counters or as state that exists
-// anyway; the collectors made here read them when somebody asks. Nothing runs between
-// two requests but one goroutine that waits for a connection. A Server is made with
-// the collectors of its role and runs until its context ends; where its address is
-// taken the role goes on without it.
+// Values are held by the packages that produce them, as atomic counters or as state that
+// exists anyway; the collectors of this package read them on each scrape. Between two
+// scrapes only one goroutine runs, which accepts connections. A Server is created with the
+// collectors of its role and runs until its context ends; if it cannot listen on its
+// address, the role runs without metrics.
 package metrics
 
 import (
@@ -21,43 +21,43 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Path is where the figures are served.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
 var textFormat = expfmt.NewFormat(expfmt.TypeTextPlain)
 
-// Limits on a connection of somebody who asks.
+// Limits on a client connection.
 const (
 	requestTimeout = 5 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 8 << 10
 )
 
-// Config is what a Server needs.
+// Config holds the address and the logger of a Server.
 type Config struct {
-	// Addr is the address to listen on, an IPv4 address with a port; empty: nothing is
+	// Addr is the address to listen on, an IPv4 address with a port; if empty, nothing is
 	// served.
 	Addr string
-	// Log is told where the address cannot be listened on.
+	// Log receives errors of listening and serving.
 	Log logr.Logger
 }
 
-// Server serves figures.
+// Server serves the metrics of its collectors.
 type Server struct {
 	config   Config
 	registry *prometheus.Registry
 }
 
-// NewServer makes a server of the figures of the collectors. Two collectors of one
-// name are an error of the program.
+// NewServer returns a server of the metrics of the collectors. It panics if two collectors
+// have the same metric.
 func NewServer(config Config, collectors ...prometheus.Collector) *Server {
 	s := &Server{config: config, registry: prometheus.NewRegistry()}
 	s.registry.MustRegister(collectors...)
 	return s
 }
 
-// Run serves until ctx ends. Where the address cannot be listened on it says so in the
-// log and returns at once.
+// Run serves until ctx ends. If it cannot listen on the address, it logs the error and
+// returns immediately.
 func (s *Server) Run(ctx context.Context) {
 	if s.config.Addr == "" {
 		return
@@ -84,14 +84,14 @@
 	}
 }
 
-// Write writes all figures as text. The error is that of a collector, or of w.
+// Write writes all metrics as text. Errors are those of a collector or of w.
 func (s *Server) Write(w io.Writer) error {
 	families, err := s.registry.Gather()
 	encoder := expfmt.NewEncoder(w, textFormat)
 	for _, family := range families {
 		if err := encoder.Encode(family); err != nil {
-			return errors.Wrap(err, "metrics: write")
+			return errors.Wrap(err, "metrics: encode metric family")
 		}
 	}
-	return errors.Wrap(err, "metrics: gather")
+	return errors.Wrap(err, "metrics: gather metrics")
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -25,12 +25,12 @@
 	return listener.Addr().String()
 }
 
-// fetch asks until the server is there.
-func fetch(t *testing.T, addr string) string {
+// scrape scrapes the server, and retries for a second until it accepts connections.
+func scrape(t *testing.T, addr string) string {
 	t.Helper()
 	url := "http://" + addr + Path
 	response, err := http.Get(url)
-	for tries := 0; err != nil && tries < 200; tries++ {
+	for attempt := 0; err != nil && attempt < 200; attempt++ {
 		time.Sleep(5 * time.Millisecond)
 		response, err = http.Get(url)
 	}
@@ -43,7 +43,7 @@
 	return string(text)
 }
 
-func TestServerReadsFiguresWhenAsked(t *testing.T) {
+func TestServerReadsCollectorsOnEachScrape(t *testing.T) {
 	value := 1.0
 	var durations histogram.Durations
 	durations.Observe(time.Second)
@@ -54,22 +54,22 @@
 		Counter("test_total", "A counter.", []string{"kind"}, func(emit Emit) { emit(2, "x") }),
 	)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		s.Run(ctx)
-		close(ended)
+		close(stopped)
 	}()
-	text := fetch(t, config.Addr)
+	text := scrape(t, config.Addr)
 	for _, line := range []string{"test_gauge 1\n", "test_total{kind=\"x\"} 2\n", "test_seconds_count 1\n", "test_seconds_bucket{le=\"1\"} 1\n", "# HELP test_total A counter.\n"} {
 		must.StrContains(t, text, line)
 	}
 	value = 7
-	must.StrContains(t, fetch(t, config.Addr), "test_gauge 7\n")
+	must.StrContains(t, scrape(t, config.Addr), "test_gauge 7\n")
 	cancel()
-	<-ended
+	<-stopped
 }
 
-func TestServerGoesOnWithoutAddress(t *testing.T) {
+func TestRunReturnsWithoutUsableAddress(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer listener.Close()
@@ -82,14 +82,14 @@
 	must.Eq(t, "", logged)
 }
 
-func TestSummaryLeavesOutZeros(t *testing.T) {
-	var durations, none histogram.Durations
+func TestSummaryOmitsZeroSamples(t *testing.T) {
+	var durations, empty histogram.Durations
 	for range 9 {
 		durations.Observe(3 * time.Millisecond)
 	}
 	durations.Observe(time.Minute)
 	s := NewServer(
-		Config{}, Durations("test_seconds", "Durations.", &durations), Durations("test_none_seconds", "Durations.", &none),
+		Config{}, Durations("test_seconds", "Durations.", &durations), Durations("test_none_seconds", "Durations.", &empty),
 		Gauge("test_gauge", "A gauge.", []string{"of"}, func(emit Emit) {
 			emit(1_234_567, "all")
 			emit(0, "none")
--- a/internal/metrics/shared.go
+++ b/internal/metrics/shared.go
@@ -11,14 +11,14 @@
 	"beechtide.org/beechtide/internal/transport"
 )
 
-// Node gives the figures that every node has: those of its transport, subscribers and
-// subscriptions, and the violations of invariants.
+// Node returns the collectors that every node has: those of its transport, subscribers and
+// subscriptions, and of violations of invariants.
 func Node(t *transport.Transport, p *dissemination.Publisher, counts *dissemination.SubscriptionCounts) []prometheus.Collector {
 	return slices.Concat(Transport(t), Publisher(p), Subscriptions(counts), []prometheus.Collector{Invariants()})
 }
 
-// Transport gives the figures of a node's transport: messages and bytes by kind, and
-// how long writes have taken.
+// Transport returns the collectors of a node's transport: messages and bytes by kind, the
+// duration of writes, and failed writes.
 func Transport(t *transport.Transport) []prometheus.Collector {
 	byKind := func(sent, received func(transport.KindTraffic) int64) func(Emit) {
 		return func(emit Emit) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Publisher gives the figures of a node's subscribers.
+// Publisher returns the collectors of a node's subscribers.
 func Publisher(p *dissemination.Publisher) []prometheus.Collector {
 	return []prometheus.Collector{
 		Gauge("beechtide_subscribers", "Nodes that are subscribed here.", nil, func(emit Emit) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Subscriptions gives the figures of a node's subscriptions to its parents.
+// Subscriptions returns the collectors of a node's subscriptions to its parents.
 func Subscriptions(counts *dissemination.SubscriptionCounts) []prometheus.Collector {
 	return []prometheus.Collector{
 		Counter("beechtide_subscriptions_begun_total", "Subscriptions to parents that were made.", nil, func(emit Emit) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Invariants gives the violations of the invariants of the process.
+// Invariants returns the collector of violations of invariants in the process.
 func Invariants() prometheus.Collector {
 	return Counter("beechtide_invariant_violations_total", "Violations of invariants of the program.", []string{"name"}, func(emit Emit) {
 		for _, count := range invariant.Counts() {
--- a/internal/metrics/summary.go
+++ b/internal/metrics/summary.go
@@ -12,20 +12,20 @@
 	"github.com/prometheus/common/model"
 )
 
-// Summary reads figures as a Server writes them and gives one line for each that is not
-// 0, sorted. Of a histogram it gives the number, the mean and a bound that nine of ten
-// stay below, in seconds.
+// Summary parses metrics as written by a Server and returns one line for each sample that
+// is not 0, sorted. For a histogram the line has the count, the mean, and the bound of the
+// first bucket that covers the share summaryQuantile of the durations, in seconds.
 func Summary(text io.Reader) ([]string, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(text)
 	if err != nil {
-		return nil, errors.Wrap(err, "metrics: parse")
+		return nil, errors.Wrap(err, "metrics: parse text format")
 	}
 	var lines []string
 	for name, family := range families {
 		for _, metric := range family.GetMetric() {
 			if line := summarize(metric); line != "" {
-				lines = append(lines, name+labelsOf(metric)+" "+line)
+				lines = append(lines, name+formatLabels(metric)+" "+line)
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 	return lines, nil
 }
 
-// summarize gives the value of a metric, empty where it is 0.
+// summarize formats the value of a metric; it returns "" for 0.
 func summarize(metric *dto.Metric) string {
 	if histogram := metric.GetHistogram(); histogram != nil {
 		return summarizeHistogram(histogram)
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%.10g", value)
 }
 
-// mostOf is the share of durations that the bound of a summary is above.
-const mostOf = 0.9
+// summaryQuantile is the share of durations that the bound in a summary covers.
+const summaryQuantile = 0.9
 
 func summarizeHistogram(histogram *dto.Histogram) string {
 	count := float64(histogram.GetSampleCount())
@@ -55,14 +55,14 @@
 	}
 	mean := histogram.GetSampleSum() / count
 	for _, bucket := range histogram.GetBucket() {
-		if float64(bucket.GetCumulativeCount()) >= mostOf*count {
+		if float64(bucket.GetCumulativeCount()) >= summaryQuantile*count {
 			return fmt.Sprintf("count %.0f, mean %.4g s, nine of ten below %g s", count, mean, bucket.GetUpperBound())
 		}
 	}
 	return fmt.Sprintf("count %.0f, mean %.4g s", count, mean)
 }
 
-func labelsOf(metric *dto.Metric) string {
+func formatLabels(metric *dto.Metric) string {
 	var pairs []string
 	for _, label := range metric.GetLabel() {
 		pairs = append(pairs, label.GetName()+"="+label.GetValue())
