--- a/internal/settings/address.go
+++ b/internal/settings/address.go
@@ -14,7 +14,7 @@
 func (s Settings) ControllerAddr() string { return s.controllerAddrAt(s.Ip) }
 
 // SeedAddrs are the internal addresses of the controllers named as seeds. Only
-// the hosts of the seeds count; all machines use the same range of ports.
+// the hosts of the seeds are used, since all machines use the same range of ports.
 func (s Settings) SeedAddrs() []string {
 	var addrs []string
 	for _, seed := range s.Seeds {
@@ -29,23 +29,23 @@
 	return fmt.Sprintf("%s:%d", ip, s.Ports[0]+1)
 }
 
-// Places of the ports in the range.
+// Offsets of the ports from the start of the range.
 const (
-	routerMetricsPort     = 2
-	controllerMetricsPort = 3
+	routerMetricsOffset     = 2
+	controllerMetricsOffset = 3
 )
 
-// RouterMetricsAddr is where this machine's router serves its metrics: the third port
-// of the range. It is empty where the range has no such port.
-func (s Settings) RouterMetricsAddr() string { return s.addrInRange(routerMetricsPort) }
+// RouterMetricsAddr is the address at which this machine's router serves its metrics: the
+// third port of the range. It is empty if the range has no such port.
+func (s Settings) RouterMetricsAddr() string { return s.addrInRange(routerMetricsOffset) }
 
-// ControllerMetricsAddr is where this machine's controller serves its metrics: the
-// fourth port of the range. It is empty where the range has no such port.
-func (s Settings) ControllerMetricsAddr() string { return s.addrInRange(controllerMetricsPort) }
+// ControllerMetricsAddr is the address at which this machine's controller serves its
+// metrics: the fourth port of the range. It is empty if the range has no such port.
+func (s Settings) ControllerMetricsAddr() string { return s.addrInRange(controllerMetricsOffset) }
 
-func (s Settings) addrInRange(place int) string {
-	if s.Ports[0]+place > s.Ports[1] {
+func (s Settings) addrInRange(offset int) string {
+	if s.Ports[0]+offset > s.Ports[1] {
 		return ""
 	}
-	return fmt.Sprintf("%s:%d", s.Ip, s.Ports[0]+place)
+	return fmt.Sprintf("%s:%d", s.Ip, s.Ports[0]+offset)
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -1,9 +1,9 @@
-// Package settings reads and checks the settings file of a process.
+// Package settings reads and validates the settings file of a process.
 //
 // The type Settings is generated from api/settings.yaml. This package adds
-// reading, checks and defaults, and the addresses that follow from the settings.
-// Settings are values: what Load returns is valid and complete, and later changes
-// of the file do not reach it. The package keeps no state and starts no
+// reading, validation and defaults, and derives addresses from the settings.
+// Settings are values: the result of Load is valid and complete, and later
+// changes of the file do not affect it. The package has no state and starts no
 // goroutine.
 package settings
 
@@ -25,7 +25,7 @@
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Path gives the path of the settings file.
+// Path returns the path of the settings file.
 func Path() string {
 	if path := os.Getenv(EnvPath); path != "" {
 		return path
@@ -33,7 +33,7 @@
 	return DefaultPath
 }
 
-// Load reads and checks the file at path. Errors are ErrSettings.
+// Load reads and validates the file at path. Errors match ErrSettings.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return Parse(raw)
 }
 
-// Parse reads settings from YAML, checks them and fills in defaults. Unknown
-// fields are ignored. Errors are ErrSettings and name the first field that is
+// Parse decodes settings from YAML, validates them and sets defaults. Unknown
+// fields are ignored. Errors match ErrSettings and name the first field that is
 // missing or not valid.
 func Parse(raw []byte) (Settings, error) {
 	s, err := decode(raw)
@@ -57,7 +57,7 @@
 	return s, nil
 }
 
-// decode goes by way of JSON, since the generated type has no YAML tags.
+// decode converts the YAML to JSON first, since the generated type has only JSON tags.
 func decode(raw []byte) (Settings, error) {
 	var fields map[string]any
 	if err := yaml.Unmarshal(raw, &fields); err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// describe names the first invalid field of a validation error on one line.
+// describe returns a one-line error that names the first invalid field of a validation error.
 func describe(err error) error {
 	var invalid validator.ValidationErrors
 	if !errors.As(err, &invalid) || len(invalid) == 0 {
@@ -92,7 +92,7 @@
 	return errors.Errorf("field %s: %v does not satisfy %s %s", field.Namespace(), field.Value(), field.Tag(), field.Param())
 }
 
-// Defaults of the settings that may be left out or be 0.
+// Defaults of the settings that may be omitted or be 0.
 const (
 	defaultHeartbeatMs = 1000
 	defaultLeaseMs     = 3000
