--- a/internal/messages/bodies.go
+++ b/internal/messages/bodies.go
@@ -2,8 +2,8 @@
 
 import "github.com/pkg/errors"
 
-// DecodeLeaseBody reads the body of a register that has a lease. A register without a body has
-// an empty one.
+// DecodeLeaseBody decodes the body of a register that holds a lease. If the register has no
+// body, it returns an empty one.
 func DecodeLeaseBody(v Value) (LeaseBody, error) {
 	body := LeaseBody{Targets: []Target{}}
 	if len(v.Body) == 0 {
@@ -15,8 +15,8 @@
 	return body, nil
 }
 
-// DecodeConfigBody reads the body of the configuration's register. A register without a body has
-// an empty one.
+// DecodeConfigBody decodes the body of the configuration's register. If the register has no
+// body, it returns an empty one.
 func DecodeConfigBody(v Value) (ConfigBody, error) {
 	var body ConfigBody
 	if len(v.Body) == 0 {
