--- a/internal/doctor/collect.go
+++ b/internal/doctor/collect.go
@@ -17,19 +17,19 @@
 const requestTimeout = 1500 * time.Millisecond
 
 // Caller sends a request to the node at addr and returns the body of its
-// response. *transport.Transport is one.
+// response. *transport.Transport implements it.
 type Caller interface {
 	Call(ctx context.Context, addr string, kind int, body msgp.Marshaler) ([]byte, error)
 }
 
-// NodeResult is the outcome of asking one node for its condition.
+// NodeResult is the result of requesting the condition of one node.
 type NodeResult struct {
 	Addr        string
 	Role        messages.Role
 	Seed        bool                // named as a seed in the settings
-	Condition   *messages.Condition // nil without a valid response
-	RequestedUs int64               // time of day at the doctor when it asked, microseconds since 1970
-	RoundTripUs int64               // until the response or the failure
+	Condition   *messages.Condition // nil if there was no valid response
+	RequestedUs int64               // the doctor's clock when it sent the request, microseconds since 1970
+	RoundTripUs int64               // time until the response or the failure
 }
 
 // NodeLog is the content of a node's log ring.
@@ -38,9 +38,9 @@
 	Text string
 }
 
-// Collect asks the seeds, then every node that the seeds know, for their
-// condition. The results are sorted by address. A node that cannot be reached
-// has a result without a condition.
+// Collect requests the condition of the seeds, then of every peer that a seed
+// reports. The results are sorted by address. A node that cannot be reached has a
+// result without a condition.
 func Collect(ctx context.Context, caller Caller, seeds []string) []NodeResult {
 	results := map[string]NodeResult{}
 	for _, addr := range seeds {
@@ -48,16 +48,16 @@
 		result.Seed = true
 		results[addr] = result
 	}
-	for _, peer := range peersKnownTo(results) {
-		if _, asked := results[peer.Addr]; !asked {
+	for _, peer := range reportedPeers(results) {
+		if _, requested := results[peer.Addr]; !requested {
 			results[peer.Addr] = requestCondition(ctx, caller, peer.Addr, peer.Role)
 		}
 	}
 	return sortedByAddr(results)
 }
 
-// peersKnownTo lists the peers of all nodes that answered, with repetitions.
-func peersKnownTo(results map[string]NodeResult) []messages.Peer {
+// reportedPeers returns the peers of all nodes that answered, possibly with duplicates.
+func reportedPeers(results map[string]NodeResult) []messages.Peer {
 	var peers []messages.Peer
 	for _, result := range sortedByAddr(results) {
 		if result.Condition != nil {
@@ -68,12 +68,12 @@
 }
 
 func sortedByAddr(results map[string]NodeResult) []NodeResult {
-	list := make([]NodeResult, 0, len(results))
+	sorted := make([]NodeResult, 0, len(results))
 	for _, result := range results {
-		list = append(list, result)
+		sorted = append(sorted, result)
 	}
-	slices.SortFunc(list, func(a, b NodeResult) int { return strings.Compare(a.Addr, b.Addr) })
-	return list
+	slices.SortFunc(sorted, func(a, b NodeResult) int { return strings.Compare(a.Addr, b.Addr) })
+	return sorted
 }
 
 func requestCondition(ctx context.Context, caller Caller, addr string, role messages.Role) NodeResult {
@@ -88,26 +88,26 @@
 }
 
 func fetchCondition(ctx context.Context, caller Caller, addr string) (*messages.Condition, error) {
-	body, err := request(ctx, caller, addr, transport.KindCondition)
+	response, err := request(ctx, caller, addr, transport.KindCondition)
 	if err != nil {
-		return nil, errors.Wrapf(err, "doctor: condition of %s", addr)
+		return nil, errors.Wrapf(err, "doctor: request condition of %s", addr)
 	}
 	var condition messages.Condition
-	if _, err := condition.UnmarshalMsg(body); err != nil {
+	if _, err := condition.UnmarshalMsg(response); err != nil {
 		return nil, errors.Wrapf(err, "doctor: decode condition of %s", addr)
 	}
 	return &condition, nil
 }
 
-// request sends a request that has no content of its own.
+// request sends a request of the given kind with an empty body.
 func request(ctx context.Context, caller Caller, addr string, kind int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return caller.Call(ctx, addr, kind, &messages.Versions{Parts: []int64{}})
 }
 
-// CollectLogs fetches the log rings of the nodes that gave their condition,
-// sorted by node. A node that does not answer this time is left out.
+// CollectLogs fetches the log rings of the nodes whose results have a condition,
+// sorted by node. A node that does not answer is omitted.
 func CollectLogs(ctx context.Context, caller Caller, results []NodeResult) []NodeLog {
 	var logs []NodeLog
 	for _, result := range results {
--- a/internal/doctor/collect_test.go
+++ b/internal/doctor/collect_test.go
@@ -11,7 +11,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// fakeCaller answers for the nodes whose conditions it holds, by address.
+// fakeCaller maps addresses to the conditions that it returns; other addresses are
+// unreachable.
 type fakeCaller map[string]*messages.Condition
 
 func (f fakeCaller) Call(_ context.Context, addr string, _ int, _ msgp.Marshaler) ([]byte, error) {
@@ -21,7 +22,7 @@
 	return f[addr].MarshalMsg(nil)
 }
 
-func TestCollectAsksSeedsAndTheirPeers(t *testing.T) {
+func TestCollectRequestsSeedsAndTheirPeers(t *testing.T) {
 	seed := &messages.Condition{Node: "a", Peers: []messages.Peer{
 		{Addr: "a"},
 		{Addr: "x", Role: messages.Router},
--- a/internal/doctor/doctor.go
+++ b/internal/doctor/doctor.go
@@ -1,10 +1,11 @@
-// Package doctor finds common faults of a running system and tells the operator
-// what to do about each.
+// Package doctor detects common faults of a running system and suggests a remedy for
+// each to the operator.
 //
-// Collect asks the nodes for their condition over the transport; Examine turns
-// the answers into findings. Examine is pure: it reads no clock and sends
-// nothing, and gives the same findings for the same answers. The package keeps
-// no state and starts no goroutine; everything runs on the caller's goroutine.
+// Collect requests the condition of the nodes over the transport; Examine derives
+// findings from the results. Examine is pure: it reads no clock and sends nothing, and
+// returns the same findings for the same results. Duties, Quotas, Retired, Partitions and
+// Rollouts format parts of the results as lines of text. The package has no state and
+// starts no goroutine; everything runs on the caller's goroutine.
 package doctor
 
 import (
@@ -15,17 +16,17 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Severity tells how bad a finding is. Its text is part of the JSON output.
+// Severity is the severity of a finding. Its text is part of the JSON output.
 type Severity string
 
 const (
-	// Warning is something to look at; the system still does all its work.
+	// Warning is a problem that does not impair the operation of the system.
 	Warning Severity = "warning"
-	// Fault is something that keeps a part of the system from working.
+	// Fault is a problem that prevents a part of the system from working.
 	Fault Severity = "fault"
 )
 
-// Finding is one problem and what the operator can do about it.
+// Finding is one problem and its remedy.
 type Finding struct {
 	Severity Severity `json:"severity"`
 	Subject  string   `json:"about"` // the node, partition or file that has the problem
@@ -33,7 +34,7 @@
 	Remedy   string   `json:"do"`
 }
 
-// String gives the finding as one line.
+// String formats the finding as one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s %s: %s; %s", f.Severity, f.Subject, f.Problem, f.Remedy)
 }
@@ -45,8 +46,8 @@
 	statusFault   = 3
 )
 
-// ExitStatus is the exit status of the doctor command for these findings: 0 for
-// none, 1 for warnings only, 3 where one is a fault.
+// ExitStatus returns the exit status of the doctor command for the findings: 0 for
+// none, 1 for warnings only, 3 if there is a fault.
 func ExitStatus(findings []Finding) int {
 	status := statusHealthy
 	for _, f := range findings {
@@ -58,8 +59,8 @@
 	return status
 }
 
-// Duties returns a line for each duty at the platform and for each zone whose runners are
-// ordered, as the controllers that hold their leases know them.
+// Duties returns a line for each duty at the platform and for each zone for which runners
+// are ordered, as reported by the controllers that hold the leases.
 func Duties(results []NodeResult) []string {
 	var lines []string
 	for _, result := range results {
@@ -79,8 +80,8 @@
 	return lines
 }
 
-// Quotas returns a line for each tenant with a limit whose requests are counted, as the
-// controllers that own the counts know them.
+// Quotas returns a line for each tenant with a limit whose requests are counted, as
+// reported by the controllers that own the counts, sorted.
 func Quotas(results []NodeResult) []string {
 	var lines []string
 	for _, result := range results {
@@ -97,8 +98,9 @@
 	return lines
 }
 
-// Retired returns a line for each model with retired weights: on how many nodes they count as
-// retired, of how many, since when, and what is left of them.
+// Retired returns a line for each model and version bound with retired weights: the number
+// of routers on which they are retired, of how many that answered, since when, and the
+// runners and parts of prompts that remain.
 func Retired(results []NodeResult) []string {
 	type summary struct {
 		nodes, runners, parts int
@@ -140,8 +142,8 @@
 	return line
 }
 
-// roleName is the operator's word for a role. The text of messages.Role is fixed
-// by the wire format and differs from it.
+// roleName returns the name of a role for the operator. The text of messages.Role is
+// fixed by the wire format and differs from it.
 func roleName(role messages.Role) string {
 	switch role {
 	case messages.Controller:
@@ -153,5 +155,5 @@
 	}
 }
 
-// nodeName names the node that gave a condition, with its role.
+// nodeName returns the name and role of the node that a condition is from.
 func nodeName(c *messages.Condition) string { return c.Node + " " + roleName(c.Role) }
--- a/internal/doctor/duties_test.go
+++ b/internal/doctor/duties_test.go
@@ -8,8 +8,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// holderOf is the answer of a controller that holds a duty.
-func holderOf(duty messages.DutyCondition) []NodeResult {
+// resultsOfHolder returns the result of a controller that holds the lease of a duty.
+func resultsOfHolder(duty messages.DutyCondition) []NodeResult {
 	duty.Name, duty.Holder, duty.Fence = "metering", "d/x", 4
 	return []NodeResult{{Addr: "d", Seed: true, Condition: &messages.Condition{
 		Node: "d", Role: messages.Controller, Addr: "d", MemberID: "d/x", HasDisk: true, Runners: 1,
@@ -18,19 +18,19 @@
 	}}}
 }
 
-func TestLateUsageIsAWarningAtItsHolder(t *testing.T) {
-	must.SliceEmpty(t, Examine(holderOf(messages.DutyCondition{OverdueUs: lateUsageUs, LastCallUs: 5, Accepted: true})))
-	findings := Examine(holderOf(messages.DutyCondition{OverdueUs: lateUsageUs + 1, LastCallUs: 5, Accepted: true}))
+func TestExamineWarnsOfOverdueUsageAndRejectedCalls(t *testing.T) {
+	must.SliceEmpty(t, Examine(resultsOfHolder(messages.DutyCondition{OverdueUs: overdueUsageUs, LastCallUs: 5, Accepted: true})))
+	findings := Examine(resultsOfHolder(messages.DutyCondition{OverdueUs: overdueUsageUs + 1, LastCallUs: 5, Accepted: true}))
 	must.Len(t, 1, findings)
 	must.StrContains(t, findings[0].Problem, "metering")
-	findings = Examine(holderOf(messages.DutyCondition{LastCallUs: 5}))
+	findings = Examine(resultsOfHolder(messages.DutyCondition{LastCallUs: 5}))
 	must.Len(t, 1, findings)
 	must.StrContains(t, findings[0].Problem, "fence 4")
 }
 
-func TestDutiesAreListedByTheirHolders(t *testing.T) {
+func TestDutiesListsDutiesOfHolders(t *testing.T) {
 	must.Eq(t, []string{
 		"metering: held by d under fence 4, last call 2.5 s ago, accepted: true, oldest window not reported ended 3.0 s ago",
 		`s in z: 4 runners present, 6 ordered, 2.5 busy by demand, last order for "demand"`,
-	}, Duties(holderOf(messages.DutyCondition{LastCallUs: 2_500_000, Accepted: true, OverdueUs: 3_000_000})))
+	}, Duties(resultsOfHolder(messages.DutyCondition{LastCallUs: 2_500_000, Accepted: true, OverdueUs: 3_000_000})))
 }
--- a/internal/doctor/examine.go
+++ b/internal/doctor/examine.go
@@ -6,8 +6,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Examine names the problems that the results show, faults before warnings. A
-// system in order has no findings.
+// Examine returns the problems found in the results, faults before warnings. A healthy
+// system has no findings.
 func Examine(results []NodeResult) []Finding {
 	findings := examineReachability(results)
 	if !anyAnswered(results) {
@@ -26,7 +26,7 @@
 	return faultsFirst(findings)
 }
 
-// faultsFirst puts the faults before the warnings; each keep their order.
+// faultsFirst moves the faults before the warnings and preserves the order within each.
 func faultsFirst(findings []Finding) []Finding {
 	var faults, warnings []Finding
 	for _, f := range findings {
@@ -81,20 +81,20 @@
 	return findings
 }
 
-// partition is one partition of the control state, as the nodes that answered
-// know it together.
+// partition is one partition of the control state, merged from the conditions of the nodes
+// that answered.
 type partition struct {
-	version      int64             // the newest that any node holds
-	group        []messages.Member // of the newest version among the nodes that name a group
+	version      int64             // the newest version on any node
+	group        []messages.Member // from the node with the newest version among those that report groups
 	groupVersion int64
-	hasGroup     bool // a node answered that names groups; the group may be empty
+	hasGroup     bool // a node that reports groups answered; the group may be empty
 }
 
-// observe takes in what one node knows of the partition.
+// observe merges the version and group that one node reports for the partition.
 func (p *partition) observe(version int64, groups [][]messages.Member, index int) {
 	p.version = max(p.version, version)
 	if index >= len(groups) {
-		return // a router: it knows versions but no groups
+		return // a router reports versions but no groups
 	}
 	if version > p.groupVersion || p.group == nil {
 		p.group, p.groupVersion, p.hasGroup = groups[index], version, true
@@ -125,11 +125,11 @@
 		}
 		subject := fmt.Sprintf("partition %d", index)
 		missing := missingMembers(p.group, answered)
-		alive := len(p.group) - len(missing)
+		aliveCount := len(p.group) - len(missing)
 		switch {
 		case len(p.group) == 0:
 			findings = append(findings, Finding{Fault, subject, "no group is known", "if this is the first start, set bootstrap in the settings and start all seeds"})
-		case alive <= len(p.group)/2:
+		case aliveCount <= len(p.group)/2:
 			findings = append(findings, Finding{Fault, subject, fmt.Sprintf("no majority: members %v do not answer", missing), "start as many of them as a majority needs, with their disks"})
 		case len(missing) > 0:
 			findings = append(findings, Finding{Warning, subject, fmt.Sprintf("members %v do not answer", missing), "start them again, or start a controller on a new machine"})
--- a/internal/doctor/examine_node.go
+++ b/internal/doctor/examine_node.go
@@ -6,28 +6,28 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Limits past which a node is reported.
+// Thresholds above which a node is reported.
 const (
-	slowSaveUs  = 250_000    // a write to disk
-	clockSkewUs = 500_000    // difference of its time of day from the doctor's
-	lateUsageUs = 15_000_000 // time since the end of a window of usage that was not reported
-	// unreachableZoneUs is the time for which a zone has not been reached.
+	slowDiskWriteUs = 250_000    // duration of a write to disk
+	clockSkewUs     = 500_000    // difference between the node's and the doctor's time of day
+	overdueUsageUs  = 15_000_000 // time since the end of the oldest unreported usage window
+	// unreachableZoneUs is the time for which a zone has been unreachable.
 	unreachableZoneUs = 3_000_000
 
-	// A receiver asks for a snapshot where updates of a stream are lost or do
-	// not apply. More snapshots than minSnapshots, and more than one for each
-	// changesPerSnapshot updates, are too many.
+	// A receiver requests a snapshot if updates of a stream are lost or do not
+	// apply. A node is reported if it needed at least minSnapshots and more than
+	// one for each changesPerSnapshot incremental updates.
 	minSnapshots       = 20
 	changesPerSnapshot = 50
 )
 
-// nodeExam gathers the warnings about one node.
+// nodeExam collects the findings about one node.
 type nodeExam struct {
 	condition *messages.Condition
 	findings  []Finding
 }
 
-// examineNode names the problems that a node's own condition shows.
+// examineNode returns the problems found in a node's own condition.
 func examineNode(result NodeResult, partitions []partition) []Finding {
 	exam := &nodeExam{condition: result.Condition}
 	exam.checkVersions(partitions)
@@ -72,7 +72,7 @@
 	case c.SaveFault != "":
 		n.warn("last write to disk failed: "+c.SaveFault,
 			"free space on its disk or replace the disk; the other members decide without it meanwhile")
-	case c.SaveUs > slowSaveUs:
+	case c.SaveUs > slowDiskWriteUs:
 		n.warn(fmt.Sprintf("last write to disk took %d ms", c.SaveUs/1000), "check the health and the load of its disk")
 	}
 }
@@ -87,7 +87,8 @@
 	}
 }
 
-// checkZones warns of zones that have been unreachable for long; a shorter time may be a restart.
+// checkZones reports zones that have been unreachable for at least unreachableZoneUs; a shorter
+// time may be a restart.
 func (n *nodeExam) checkZones() {
 	for _, z := range n.condition.Partition.UnreachableZones {
 		if z.SinceUs >= unreachableZoneUs {
@@ -102,13 +103,14 @@
 	}
 }
 
-// checkDuties names windows of usage that are late at the platform, as their holder knows.
+// checkDuties reports usage windows that are overdue at the platform and calls that it did not
+// accept, as reported by the holder of the duty.
 func (n *nodeExam) checkDuties() {
 	for _, duty := range n.condition.Duties {
 		if duty.Holder != n.condition.MemberID {
 			continue
 		}
-		if duty.OverdueUs > lateUsageUs {
+		if duty.OverdueUs > overdueUsageUs {
 			n.warn(fmt.Sprintf("the oldest window of %s that the platform may not have ended %d s ago", duty.Name, duty.OverdueUs/1_000_000),
 				"check that this node reaches the platform's address and that a majority of the controllers is connected; windows are reported later in turn")
 		}
@@ -145,7 +147,7 @@
 	}
 }
 
-// checkInvariants reports rules of the program that did not hold.
+// checkInvariants reports violated invariants.
 func (n *nodeExam) checkInvariants() {
 	for _, v := range n.condition.Violations {
 		n.findings = append(n.findings, Finding{
@@ -156,8 +158,8 @@
 	}
 }
 
-// checkClock compares the node's time of day with the doctor's at the middle of
-// the round trip, microseconds since 1970.
+// checkClock compares the node's time of day with the doctor's in the middle of the
+// round trip, both in microseconds since 1970.
 func (n *nodeExam) checkClock(doctorUs int64) {
 	if skew := n.condition.TimeUs - doctorUs; skew > clockSkewUs || skew < -clockSkewUs {
 		n.warn(fmt.Sprintf("time of day is %d ms off from this machine's", skew/1000),
@@ -165,8 +167,7 @@
 	}
 }
 
-// isGroupMember tells whether a controller is a member of the group of any
-// partition.
+// isGroupMember reports whether a controller is a member of any partition's group.
 func isGroupMember(c *messages.Condition) bool {
 	for _, group := range c.Groups {
 		for _, member := range group {
--- a/internal/doctor/examine_test.go
+++ b/internal/doctor/examine_test.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	requestedUs = 1_000_000 // time of day at the doctor
+	requestedUs = 1_000_000 // the doctor's time of day
 	millisecond = 1_000     // in microseconds
 )
 
-// healthyResults are the results of a system in order: the controllers a, b and
-// c, which are seeds and form the group of the only partition, and the router x.
+// healthyResults returns the results of a healthy system: the controllers a, b and c,
+// which are seeds and form the group of the only partition, and the router x.
 func healthyResults() []NodeResult {
 	group := []messages.Member{{ID: "a/0", Addr: "a"}, {ID: "b/0", Addr: "b"}, {ID: "c/0", Addr: "c"}}
 	var results []NodeResult
@@ -52,10 +52,10 @@
 			Versions: []int64{4}, Groups: results[0].Condition.Groups, Runners: 3,
 		},
 	})
-	must.SliceEmpty(t, Examine(results), must.Sprint("few snapshots, and a controller without a disk that is in no group"))
+	must.SliceEmpty(t, Examine(results), must.Sprint("few snapshots relative to changes, and a controller without a disk that is in no group"))
 }
 
-func TestExamineNamesEachProblem(t *testing.T) {
+func TestExamineReportsEachProblem(t *testing.T) {
 	for _, c := range []struct {
 		want   string
 		status int
--- a/internal/doctor/partitions.go
+++ b/internal/doctor/partitions.go
@@ -11,26 +11,27 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Partitions returns lines about the state that outlasts partitions: the replicas of the
-// tallies and what each lacks or waits for, evacuated zones and on how many routers they are
-// in force, runners that warm up and who sends to them, and zones that routers cannot reach.
+// Partitions returns lines about the state that is maintained through network partitions:
+// the replicas of the tallies with their pending confirmations and unreachable peers,
+// evacuated zones and the number of routers on which they are in force, runners that are
+// warming up and the routers that send to them, and zones that routers cannot reach.
 func Partitions(results []NodeResult) []string {
 	return slices.Concat(tallyLines(results), evacuationLines(results), warmupLines(results), unreachableLines(results))
 }
 
-// Rollouts returns a line for the newest rollout of each service: how far it has come, and how
-// many nodes go by that.
+// Rollouts returns a line for the newest rollout of each service: its stage and the number of
+// nodes that have it.
 func Rollouts(results []NodeResult) []string {
 	controllers, routers := conditionsOf(results, messages.Controller), conditionsOf(results, messages.Router)
 	newest := map[string]messages.ServiceRollout{}
 	for _, c := range slices.Concat(controllers, routers) {
 		for _, r := range c.Partition.Rollouts {
-			if known := newest[r.Service]; r.Number > known.Number || r.Number == known.Number && r.Stage >= known.Stage {
+			if current := newest[r.Service]; r.Number > current.Number || r.Number == current.Number && r.Stage >= current.Stage {
 				newest[r.Service] = r
 			}
 		}
 	}
-	goBy := func(nodes []*messages.Condition, r messages.ServiceRollout) (count int) {
+	countMatching := func(nodes []*messages.Condition, r messages.ServiceRollout) (count int) {
 		for _, c := range nodes {
 			if slices.Contains(c.Partition.Rollouts, r) {
 				count++
@@ -42,29 +43,30 @@
 	for _, service := range slices.Sorted(maps.Keys(newest)) {
 		r := newest[service]
 		lines = append(lines, fmt.Sprintf("service %s to version %s: %s, %d in 1000 requests while it is tried; known to %d of %d controllers, in force on %d of %d routers",
-			r.Service, r.Target, stageNames[r.Stage], r.SharePerMille, goBy(controllers, r), len(controllers), goBy(routers, r), len(routers)))
+			r.Service, r.Target, stageNames[r.Stage], r.SharePerMille, countMatching(controllers, r), len(controllers), countMatching(routers, r), len(routers)))
 	}
 	return lines
 }
 
-// stageNames are the stages of a rollout by number (canary.Stage).
+// stageNames are the printed names of the stages of a rollout (canary.Stage).
 var stageNames = map[int]string{
 	int(canary.Trying): "tried", int(canary.Shifting): "shifting", int(canary.Settled): "settled", int(canary.Reverted): "reverted",
 }
 
-// conditionsOf lists the conditions of the nodes of a role that answered, by name.
+// conditionsOf returns the conditions of the nodes of a role that answered, sorted by node.
 func conditionsOf(results []NodeResult, role messages.Role) []*messages.Condition {
-	var out []*messages.Condition
+	var conditions []*messages.Condition
 	for _, r := range results {
 		if r.Condition != nil && r.Condition.Role == role {
-			out = append(out, r.Condition)
+			conditions = append(conditions, r.Condition)
 		}
 	}
-	slices.SortFunc(out, func(a, b *messages.Condition) int { return strings.Compare(a.Node, b.Node) })
-	return out
+	slices.SortFunc(conditions, func(a, b *messages.Condition) int { return strings.Compare(a.Node, b.Node) })
+	return conditions
 }
 
-// tallyLines has a line for each replica. Replicas with the same adds show the same digest.
+// tallyLines returns a line for each replica of the tallies. Replicas with the same adds have
+// the same digest.
 func tallyLines(results []NodeResult) []string {
 	var lines []string
 	for _, c := range conditionsOf(results, messages.Controller) {
@@ -87,10 +89,10 @@
 	return lines
 }
 
-// evacuationLines has a line for each evacuated zone.
+// evacuationLines returns a line for each evacuated zone.
 func evacuationLines(results []NodeResult) []string {
 	controllers, routers := conditionsOf(results, messages.Controller), conditionsOf(results, messages.Router)
-	goBy := func(nodes []*messages.Condition, zone string) (count int) {
+	countEvacuating := func(nodes []*messages.Condition, zone string) (count int) {
 		for _, c := range nodes {
 			if slices.Contains(c.Partition.Evacuated, zone) {
 				count++
@@ -106,13 +108,13 @@
 	}
 	var lines []string
 	for zone := range zones {
-		lines = append(lines, fmt.Sprintf("zone %s is evacuated: known to %d of %d controllers, in force on %d of %d routers", zone, goBy(controllers, zone), len(controllers), goBy(routers, zone), len(routers)))
+		lines = append(lines, fmt.Sprintf("zone %s is evacuated: known to %d of %d controllers, in force on %d of %d routers", zone, countEvacuating(controllers, zone), len(controllers), countEvacuating(routers, zone), len(routers)))
 	}
 	slices.Sort(lines)
 	return lines
 }
 
-// warmupLines has a line for each runner that warms up.
+// warmupLines returns a line for each runner that is warming up.
 func warmupLines(results []NodeResult) []string {
 	type warmup struct {
 		leftUs  int64
@@ -139,7 +141,8 @@
 	return lines
 }
 
-// unreachableLines has a line for each zone of routers and zone that they cannot reach.
+// unreachableLines returns a line for each pair of a zone with routers and a zone that they
+// cannot reach.
 func unreachableLines(results []NodeResult) []string {
 	type pair struct{ from, to string }
 	type seen struct {
--- a/internal/doctor/partitions_test.go
+++ b/internal/doctor/partitions_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestPartitionsShowReplicasEvacuationsWarmUpsAndZones(t *testing.T) {
+func TestPartitionsListsReplicasEvacuationsWarmUpsAndZones(t *testing.T) {
 	controller := func(node string, p messages.PartitionCondition) NodeResult {
 		return NodeResult{Condition: &messages.Condition{Node: node, Role: messages.Controller, Partition: p}}
 	}
@@ -31,7 +31,7 @@
 	}, lines)
 }
 
-func TestFullReplicasAndUnreachableZonesAreWarnings(t *testing.T) {
+func TestExamineNodeWarnsOfFullReplicasAndUnreachableZones(t *testing.T) {
 	problems := func(c messages.Condition) (out []string) {
 		c.Node, c.HasDisk, c.Runners = "n1", true, 1
 		for _, f := range examineNode(NodeResult{Condition: &c}, nil) {
@@ -44,13 +44,13 @@
 	must.SliceContains(t, problems(messages.Condition{Role: messages.Router, Partition: messages.PartitionCondition{UnreachableZones: []messages.UnreachableZone{{Zone: "b", SinceUs: 4_500_000}, {Zone: "c", SinceUs: 1}}}}), "has not reached zone b for 4 s")
 }
 
-func TestRolloutsShowTheirStageAndWhoGoesByIt(t *testing.T) {
-	tried := messages.ServiceRollout{Service: "s", Target: "v2", SharePerMille: 30, Number: 2}
-	shifting := tried
+func TestRolloutsListsStageAndCountsOfNodes(t *testing.T) {
+	trying := messages.ServiceRollout{Service: "s", Target: "v2", SharePerMille: 30, Number: 2}
+	shifting := trying
 	shifting.Stage = 1
 	node := func(role messages.Role, list ...messages.ServiceRollout) NodeResult {
 		return NodeResult{Condition: &messages.Condition{Role: role, Partition: messages.PartitionCondition{Rollouts: list}}}
 	}
-	lines := Rollouts([]NodeResult{node(messages.Controller, shifting), node(messages.Controller, tried), node(messages.Router, shifting), node(messages.Router, tried), node(messages.Router)})
+	lines := Rollouts([]NodeResult{node(messages.Controller, shifting), node(messages.Controller, trying), node(messages.Router, shifting), node(messages.Router, trying), node(messages.Router)})
 	must.Eq(t, []string{"service s to version v2: shifting, 30 in 1000 requests while it is tried; known to 1 of 2 controllers, in force on 1 of 3 routers"}, lines)
 }
--- a/internal/doctor/quotas_test.go
+++ b/internal/doctor/quotas_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestQuotasAreListedByTenantWithOwnerAndSuccessor(t *testing.T) {
+func TestQuotasListsTenantsWithOwnerAndSuccessor(t *testing.T) {
 	results := []NodeResult{
 		{Condition: &messages.Condition{Node: "c2", Quotas: []messages.QuotaCondition{{Tenant: "t2", RatePerS: 4, Level: 2.25, Granted: 7}}}},
 		{},
--- a/internal/doctor/retired_test.go
+++ b/internal/doctor/retired_test.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-func TestRetiredWeightsAreListedWithTheRoutersThatGoByThem(t *testing.T) {
+func TestRetiredListsModelsWithCountsOfRouters(t *testing.T) {
 	router := func(retired ...messages.RetiredCondition) NodeResult {
 		return NodeResult{Condition: &messages.Condition{Role: messages.Router, Retired: retired}}
 	}
