--- a/internal/dissemination/comparisons.go
+++ b/internal/dissemination/comparisons.go
@@ -30,7 +30,7 @@
 	fetchRunnersAfter, fetchRunnersInterval = 2, 4
 )
 
-// NewComparisons starts the rotation over the controllers at turn; nodes pass different
+// NewComparisons starts the rotation over the controllers at rotation; nodes pass different
 // values so that they do not all query the same controller first.
 func NewComparisons(rotation int) *Comparisons { return &Comparisons{rotation: rotation} }
 
@@ -44,7 +44,7 @@
 
 	fetching        bool    // missing state is being fetched from a peer
 	awaitedVersions []int64 // versions that a controller had and this node lacked
-	awaitedSinceUs  int64   // when awaited was set
+	awaitedSinceUs  int64   // when awaitedVersions was set
 }
 
 // Next returns the addresses of the controllers to query now: one, or several if the
@@ -98,7 +98,7 @@
 }
 
 // FetchDue reports whether this node should fetch missing state from a controller that
-// answered with the versions theirs. Updates normally arrive through the tree; only state
+// answered with the versions remote. Updates normally arrive through the tree; only state
 // that has not arrived within grace is fetched directly.
 func (p *Comparisons) FetchDue(local, remote []int64, grace time.Duration, nowUs int64) bool {
 	p.mu.Lock()
@@ -113,8 +113,8 @@
 	return newer && nowUs-p.awaitedSinceUs >= grace.Microseconds()
 }
 
-// Behind reports whether mine is older than theirs in any part. A version of 0 or less in
-// theirs means that the other node has no state for that part.
+// Behind reports whether local is older than remote in any part. A version of 0 or less in
+// remote means that the other node has no state for that part.
 func Behind(local, remote []int64) bool {
 	for part, version := range remote {
 		if version > 0 && (part >= len(local) || local[part] < version) {
--- a/internal/dissemination/counts.go
+++ b/internal/dissemination/counts.go
@@ -97,7 +97,7 @@
 // Counts returns the current queue sizes and counters.
 func (p *Publisher) Counts() PublisherCounts {
 	c := PublisherCounts{
-		Dropped:   p.Dropped.Load(),
+		Dropped:   p.DroppedQueues.Load(),
 		Snapshots: p.answerCounts.snapshots.Load(), SnapshotBytes: p.answerCounts.snapshotBytes.Load(),
 		Deltas: p.answerCounts.deltas.Load(), DeltaBytes: p.answerCounts.deltaBytes.Load(),
 	}
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -57,7 +57,7 @@
 	queues        map[*transport.Conn]*subscriberQueue
 	upstream      Upstream
 	snapshotSlots chan struct{} // semaphore for the snapshots and deltas being prepared
-	Dropped       atomic.Int64
+	DroppedQueues atomic.Int64
 	answerCounts  answerCounts
 }
 
@@ -149,7 +149,7 @@
 	}
 	s.answering = true
 	go func() {
-		for state := s.takeRequest(); state != nil; state = s.takeRequest() {
+		for state := s.dequeueRequest(); state != nil; state = s.dequeueRequest() {
 			if b, err := p.deltaSince(*state); err == nil {
 				p.enqueue(s, transport.KindFeed, b)
 			}
@@ -157,9 +157,9 @@
 	}()
 }
 
-// takeRequest removes and returns the request to answer next; nil if there is none, which
+// dequeueRequest removes and returns the request to answer next; nil if there is none, which
 // also clears answering.
-func (s *subscriberQueue) takeRequest() *messages.SyncState {
+func (s *subscriberQueue) dequeueRequest() *messages.SyncState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.pendingRequest
@@ -209,7 +209,7 @@
 	s.mu.Lock()
 	if len(s.queued)+len(b) > maxQueuedBytes {
 		s.queued = nil
-		p.Dropped.Add(1)
+		p.DroppedQueues.Add(1)
 	}
 	if kind == transport.KindFeed && s.ackedSeq > 0 {
 		ack := messages.LoadReport{Seq: s.ackedSeq}
--- a/internal/dissemination/publisher_test.go
+++ b/internal/dissemination/publisher_test.go
@@ -34,7 +34,7 @@
 	publisher *Publisher
 	reports   chan messages.LoadReport
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	stream        *statesync.Entries
 	rejectReports bool // applyReport returns false
 }
@@ -213,7 +213,7 @@
 	for range 3 {
 		p.enqueue(s, transport.KindFeed, make([]byte, maxQueuedBytes/2-100))
 	}
-	must.Eq(t, int64(1), p.Dropped.Load())
+	must.Eq(t, int64(1), p.DroppedQueues.Load())
 	must.LessEq(t, maxQueuedBytes, len(s.queued))
 }
 
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -49,7 +49,7 @@
 	Acked        func(seq int64)     // the parent has applied the report with this seq
 	ResendAll    func()              // the parent needs all reports again
 	Unsubscribed func(addr string)   // the subscription to the parent at addr has ended
-	Patience     time.Duration       // replaces unsyncedWait if not 0
+	UnsyncedWait time.Duration       // replaces unsyncedWait if not 0
 	Counts       *SubscriptionCounts // counters of subscriptions, or nil
 
 	Malformed atomic.Int64
@@ -68,8 +68,8 @@
 // ctx ends.
 func (u *Subscriber) Listen(ctx context.Context, node *transport.Transport) {
 	u.startTime = time.Now()
-	if u.Patience == 0 {
-		u.Patience = unsyncedWait
+	if u.UnsyncedWait == 0 {
+		u.UnsyncedWait = unsyncedWait
 	}
 	for ctx.Err() == nil {
 		for _, parent := range u.policy.Order(u.Parents(), u.nowUs()) {
@@ -101,7 +101,7 @@
 
 func (u *Subscriber) setRequesterFields(state *messages.SyncState) {
 	state.Controller = u.Controller
-	state.Anything = unsynced(*state) && time.Since(u.startTime) > u.Patience
+	state.Anything = unsynced(*state) && time.Since(u.startTime) > u.UnsyncedWait
 }
 
 // unsynced reports whether a router has no configuration yet.
--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -43,8 +43,8 @@
 	return append(append(parents, sortByHash(self, localControllers)...), sortByHash(self, remoteControllers)...)
 }
 
-// sortByHash sorts list in an order that differs from node to node: by a hash of self and the
-// element.
+// sortByHash sorts addrs by a hash of self and the address, so that the order differs between
+// nodes, and returns them.
 func sortByHash(self string, addrs []string) []string {
 	slices.SortFunc(addrs, func(a, b string) int {
 		return cmp.Compare(statesync.HashText(self, b), statesync.HashText(self, a))
--- a/internal/dissemination/unsynced_test.go
+++ b/internal/dissemination/unsynced_test.go
@@ -40,11 +40,11 @@
 	child := newTestTransport(t)
 	child.Run(ctx)
 	up := &Subscriber{
-		Patience:    wait,
-		SyncState:   func() messages.SyncState { return messages.SyncState{} },
-		Parents:     func() []string { return append([]string{}, addrs...) },
-		ApplyUpdate: func(string, messages.Feed, []byte) *messages.SyncState { return nil },
-		Acked:       func(int64) {}, ResendAll: func() {}, Unsubscribed: func(string) {},
+		UnsyncedWait: wait,
+		SyncState:    func() messages.SyncState { return messages.SyncState{} },
+		Parents:      func() []string { return append([]string{}, addrs...) },
+		ApplyUpdate:  func(string, messages.Feed, []byte) *messages.SyncState { return nil },
+		Acked:        func(int64) {}, ResendAll: func() {}, Unsubscribed: func(string) {},
 	}
 	go up.Listen(ctx, child)
 	return joined
