--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -5,7 +5,7 @@
 // Parents the order in which a router tries its parents. ParentPolicy and RequestPacer
 // are the pure decisions of a subscriber, Comparisons those of a router that queries
 // controllers other than its parent. The caller supplies and applies the content of
-// updates through the functions of Upstream and Subscriber; package statesync implements
+// updates through the callbacks of Publisher and Subscriber; package statesync implements
 // the streams.
 //
 // A subscriber sends its SyncState and receives a snapshot or delta, then every update as
