--- a/internal/dissemination/tree.go
+++ b/internal/dissemination/tree.go
@@ -19,7 +19,7 @@
 // when nodes join or leave.
 func Parents(self string, zone string, controllers, routers []messages.Peer) []string {
 	var localControllers, remoteControllers, zoneRouters []string
-	for _, controller := range membership.Core(controllers) {
+	for _, controller := range membership.CountedControllers(controllers) {
 		if controller.Zone == zone {
 			localControllers = append(localControllers, controller.Addr)
 		} else {
--- a/internal/doctor/partitions.go
+++ b/internal/doctor/partitions.go
@@ -50,7 +50,7 @@
 
 // stageNames are the printed names of the stages of a rollout (canary.Stage).
 var stageNames = map[int]string{
-	int(canary.Trying): "tried", int(canary.Shifting): "shifting", int(canary.Settled): "settled", int(canary.Reverted): "reverted",
+	int(canary.Trial): "tried", int(canary.Shifting): "shifting", int(canary.Settled): "settled", int(canary.Reverted): "reverted",
 }
 
 // conditionsOf returns the conditions of the nodes of a role that answered, sorted by node.
