--- a/internal/controller/tallies/service.go
+++ b/internal/controller/tallies/service.go
@@ -145,8 +145,8 @@
 	if err != nil && opened.Log == nil {
 		return err
 	}
-	if len(opened.Damaged) > 0 {
-		s.config.Log.Info("damaged segments of tallies; their adds are fetched from other replicas", "segments", opened.Damaged)
+	if len(opened.DamagedSegments) > 0 {
+		s.config.Log.Info("damaged segments of tallies; their adds are fetched from other replicas", "segments", opened.DamagedSegments)
 	}
 	s.log, s.diskBytes = opened.Log, opened.Log.Size()
 	replica.Origin = opened.Origin
