--- a/internal/controller/compare.go
+++ b/internal/controller/compare.go
@@ -82,14 +82,14 @@
 		c.stability.recordCall(p.Addr, err == nil, c.clock())
 	}
 	if err != nil {
-		c.tallies.NotCompared(p.Addr, sentUs)
+		c.tallies.RecordComparisonFailure(p.Addr, sentUs)
 		return
 	}
 	var theirs messages.Versions
 	if _, err := theirs.UnmarshalMsg(response); err != nil {
 		return
 	}
-	go c.tallies.Compared(ctx, p.Addr, theirs.TallyDigest)
+	go c.tallies.HandleDigest(ctx, p.Addr, theirs.TallyDigest)
 	c.publishRunners(c.registry.ApplyLaterHeartbeats(theirs.LaterHeartbeats, sentUs, c.clock())...)
 	c.targets.mergeAges(theirs.TargetAges, c.clock())
 	c.timeOfDay.AddSample(p.Addr, theirs, sentUs, c.clock())
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -107,7 +107,7 @@
 }
 
 // newRepairer creates the component that replaces failed members in the groups of the registers.
-func (c *Controller) newRepairer(handOver grouprepair.HandOverTimes) (*grouprepair.Repairer, error) {
+func (c *Controller) newRepairer(handOver grouprepair.HandOverTimeouts) (*grouprepair.Repairer, error) {
 	return grouprepair.New(grouprepair.Config{
 		Addr:       c.transport.Addr(),
 		Clock:      c.clock,
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -67,7 +67,7 @@
 		httpapi.Reject(rc, 400, httpapi.BodyField, err.Error())
 		return
 	}
-	if err := httpapi.Check(heartbeat); err != nil || !heartbeat.State.Valid() {
+	if err := httpapi.Validate(heartbeat); err != nil || !heartbeat.State.Valid() {
 		httpapi.Reject(rc, 400, httpapi.BodyField, "not a beat")
 		return
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -103,7 +103,7 @@
 	readers *runnerreader.Readers
 
 	leases       *singleton.Leases
-	tasks        *singleton.Runner
+	tasks        *singleton.Scheduler
 	operator     *operatorapi.Service
 	platform     *platform.Client
 	rollouts     *weightrollout.Driver
@@ -211,7 +211,7 @@
 	if c.readers, err = c.newReaders(); err != nil {
 		return err
 	}
-	if c.repairs, err = c.newRepairer(grouprepair.DefaultHandOverTimes); err != nil {
+	if c.repairs, err = c.newRepairer(grouprepair.DefaultHandOverTimeouts); err != nil {
 		return err
 	}
 	if err := c.newSingletons(); err != nil {
@@ -240,8 +240,8 @@
 	})
 	trans.OnCall(transport.KindDraining, c.handleDrain)
 	if c.usage != nil {
-		trans.OnCall(transport.KindUsageRows, c.usage.ReceiveRows)
-		trans.OnCall(transport.KindUsageQuery, c.usage.AnswerQuery)
+		trans.OnCall(transport.KindUsageRows, c.usage.HandleRows)
+		trans.OnCall(transport.KindUsageQuery, c.usage.HandleQuery)
 	}
 	trans.OnCall(transport.KindQuotaClaim, c.quotas.HandleClaim)
 	trans.OnCall(transport.KindQuotaAsk, c.quotas.HandleAsk)
@@ -296,7 +296,7 @@
 	go loop.Every(runCtx, sweepPeriod, c.sweep)
 	go loop.Every(runCtx, heartbeatBatchInterval, c.forwardHeartbeats)
 	go loop.Every(runCtx, readersPeriod, func() { c.readRunners(runCtx) })
-	go loop.Every(runCtx, singleton.Period, func() {
+	go loop.Every(runCtx, singleton.StepPeriod, func() {
 		c.timeOfDay.Observe(time.Now().UnixMicro(), c.clock())
 		c.tasks.Step(runCtx)
 	})
@@ -396,7 +396,7 @@
 	}
 	c.targets.recordCommitted(body.Targets, c.starting(), c.clock())
 	if c.usage != nil {
-		c.usage.Closed(body.Usage.Next)
+		c.usage.DropClosedWindows(body.Usage.Next)
 	}
 	body.Usage.Pending = nil
 	published, err := body.MarshalMsg(nil)
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -28,11 +28,11 @@
 
 // reportsUsage reports whether the core sends usage reports to the platform.
 func reportsUsage(set settings.Settings) bool {
-	return hasDuty(set, usagereport.Duty) && set.Bounds.UsageWindowS > 0
+	return hasDuty(set, usagereport.DutyName) && set.Bounds.UsageWindowS > 0
 }
 
 // notes returns the store for small files on disk, or nil without a data directory.
-func (c *Controller) notes() singleton.Notes {
+func (c *Controller) notes() singleton.FileStore {
 	if c.disk == nil {
 		return nil
 	}
@@ -55,7 +55,7 @@
 		return err
 	}
 	tasks := []singleton.Task{c.rollouts, services}
-	if hasDuty(c.set, scaling.Duty) {
+	if hasDuty(c.set, scaling.DutyName) {
 		if c.scaler, err = c.newScaler(); err != nil {
 			return err
 		}
@@ -67,7 +67,7 @@
 		}
 		tasks = append(tasks, c.usage)
 	}
-	c.tasks = singleton.NewRunner(c.leases, tasks...)
+	c.tasks = singleton.NewScheduler(c.leases, tasks...)
 	return nil
 }
 
@@ -79,7 +79,7 @@
 		Log:        c.log,
 		Registers:  c.registers,
 		Membership: c.monitor,
-		Notes:      c.notes(),
+		Files:      c.notes(),
 		IsCut:      c.stability.isCut,
 		HasContact: c.hasContact,
 	})
@@ -161,7 +161,7 @@
 			timeUs, _ := c.timeOfDay.TimeUs(c.clock())
 			return timeUs
 		},
-		Notes: c.notes(),
+		Files: c.notes(),
 	})
 }
 
@@ -187,12 +187,12 @@
 func (c *Controller) dutyConditions() []messages.DutyCondition {
 	var out []messages.DutyCondition
 	if c.usage != nil {
-		duty := c.dutyCondition(usagereport.Duty, usagereport.Part)
-		duty.OverdueUs = c.usage.Unreported().Microseconds()
+		duty := c.dutyCondition(usagereport.DutyName, usagereport.RegisterIndex)
+		duty.OverdueUs = c.usage.UnreportedAge().Microseconds()
 		out = append(out, duty)
 	}
 	if c.scaler != nil {
-		out = append(out, c.dutyCondition(scaling.Duty, scaling.Part))
+		out = append(out, c.dutyCondition(scaling.DutyName, scaling.RegisterIndex))
 	}
 	return out
 }
@@ -204,7 +204,7 @@
 		duty.Holder, duty.Fence = body.Lease.Holder, body.Lease.Fence
 	}
 	if last := c.platform.Last(register); last.SentUs > 0 {
-		duty.LastCallUs, duty.Accepted = c.clock()-last.SentUs, last.Answer == platform.Accepted
+		duty.LastCallUs, duty.Accepted = c.clock()-last.SentUs, last.Outcome == platform.Accepted
 	}
 	return duty
 }
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -328,7 +328,7 @@
 	for _, id := range report.Absent {
 		c.registry.MarkSuspect(id, c.silenceLimits())
 	}
-	c.readers.Announce(report.PendingBlocks)
+	c.readers.AddAnnounced(report.PendingBlocks)
 	f := &c.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controller/grouprepair/hand_over.go
+++ b/internal/controller/grouprepair/hand_over.go
@@ -16,16 +16,16 @@
 	maxSuccessors = 3
 )
 
-// HandOverTimes are the timeouts of a hand-over at the end of a process. Together they have to
+// HandOverTimeouts are the timeouts of a hand-over at the end of a process. Together they have to
 // fit into the grace period of a shutdown with a margin.
-type HandOverTimes struct {
+type HandOverTimeouts struct {
 	Total   time.Duration // for the hand-over of all registers
 	Confirm time.Duration // for the confirmations of the newcomers that can replace this member
 	Flush   time.Duration // for the writes of the other members to their disks
 }
 
-// DefaultHandOverTimes fit into a grace period of some seconds with a margin.
-var DefaultHandOverTimes = HandOverTimes{
+// DefaultHandOverTimeouts fit into a grace period of some seconds with a margin.
+var DefaultHandOverTimeouts = HandOverTimeouts{
 	Total:   2500 * time.Millisecond,
 	Confirm: 800 * time.Millisecond,
 	Flush:   300 * time.Millisecond,
--- a/internal/controller/grouprepair/repairer.go
+++ b/internal/controller/grouprepair/repairer.go
@@ -61,8 +61,8 @@
 	Membership Membership
 	// HasContact reports whether this controller has contact with a majority of a group.
 	HasContact func(group []messages.Member) bool
-	// HandOver are the timeouts of a hand-over; DefaultHandOverTimes if zero.
-	HandOver HandOverTimes
+	// HandOver are the timeouts of a hand-over; DefaultHandOverTimeouts if zero.
+	HandOver HandOverTimeouts
 }
 
 // ErrConfig means that a field of a Config is missing.
@@ -87,8 +87,8 @@
 	if config.Addr == "" || config.Clock == nil || config.Registers == nil || config.Membership == nil || config.HasContact == nil {
 		return nil, ErrConfig
 	}
-	if config.HandOver == (HandOverTimes{}) {
-		config.HandOver = DefaultHandOverTimes
+	if config.HandOver == (HandOverTimeouts{}) {
+		config.HandOver = DefaultHandOverTimeouts
 	}
 	return &Repairer{config: config}, nil
 }
--- a/internal/controller/hand_over_test.go
+++ b/internal/controller/hand_over_test.go
@@ -38,7 +38,7 @@
 	began := time.Now()
 	d, err := New(set, pool, func() int64 { return time.Since(began).Microseconds() + 1 }, logr.Discard())
 	must.NoError(t, err)
-	d.repairs, err = d.newRepairer(grouprepair.HandOverTimes{Total: handOverTimeout, Confirm: handOverTimeout, Flush: handOverTimeout})
+	d.repairs, err = d.newRepairer(grouprepair.HandOverTimeouts{Total: handOverTimeout, Confirm: handOverTimeout, Flush: handOverTimeout})
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &runningController{Controller: d, stop: cancel, ended: make(chan error, 1)}
--- a/internal/controller/httpapi/answers.go
+++ b/internal/controller/httpapi/answers.go
@@ -22,14 +22,14 @@
 	rc.JSON(status, api.Fault{Error: reason, Field: field})
 }
 
-// Check applies the validation rules in the struct tags of a decoded call.
-func Check(call any) error { return validate.Struct(call) }
+// Validate applies the validation rules in the struct tags of a decoded call.
+func Validate(call any) error { return validate.Struct(call) }
 
 // Decode decodes and validates the body of a call. If it is invalid, the call is rejected with 400.
 func Decode(rc *app.RequestContext, call any) (valid bool) {
 	err := json.Unmarshal(rc.Request.Body(), call)
 	if err == nil {
-		err = Check(call)
+		err = Validate(call)
 	}
 	if err != nil {
 		Reject(rc, 400, BodyField, err.Error())
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -93,7 +93,7 @@
 func (c *Controller) platformMetrics() []prometheus.Collector {
 	collectors := []prometheus.Collector{
 		metrics.Counter("beechtide_platform_calls_total", "Calls to the platform that this controller made as the holder of a lease, by outcome.", []string{"outcome"}, func(emit metrics.Emit) {
-			for outcome, count := range c.platform.Answers() {
+			for outcome, count := range c.platform.OutcomeCounts() {
 				emit(float64(count), outcome)
 			}
 		}),
@@ -126,7 +126,7 @@
 			emit(float64(c.usage.LateRows()))
 		}),
 		metrics.Gauge("beechtide_usage_unreported_seconds", "Time since the end of the oldest window that the platform may not have; 0 if there is none.", nil, func(emit metrics.Emit) {
-			emit(c.usage.Unreported().Seconds())
+			emit(c.usage.UnreportedAge().Seconds())
 		}),
 	)
 }
@@ -142,7 +142,7 @@
 		}),
 		metrics.Counter("beechtide_quota_questions_total", "Questions of routers for tokens: answered, or passed to another controller.", []string{"outcome"}, func(emit metrics.Emit) {
 			counts := c.quotas.Counts()
-			emit(float64(counts.Questions-counts.Referred), "answered")
+			emit(float64(counts.TokenRequests-counts.Referred), "answered")
 			emit(float64(counts.Referred), "passed")
 		}),
 		gauge("beechtide_quota_level", "Tokens left, of each tenant that this controller counts.", []string{"tenant"}, func(emit metrics.Emit, conditions []messages.QuotaCondition) {
--- a/internal/controller/operatorapi/service.go
+++ b/internal/controller/operatorapi/service.go
@@ -36,8 +36,8 @@
 
 // Weights reports which versions of weights are named (weightrollout.Driver).
 type Weights interface {
-	// Newest returns the newest committed version of a model's weights.
-	Newest(model string) int64
+	// NewestVersion returns the newest committed version of a model's weights.
+	NewestVersion(model string) int64
 	// FenceFloor returns the highest fencing token of the other registers that have a target
 	// of a model that belongs to this one.
 	FenceFloor(register int) int64
--- a/internal/controller/operatorapi/service_test.go
+++ b/internal/controller/operatorapi/service_test.go
@@ -36,7 +36,7 @@
 // noWeights has no named version.
 type noWeights struct{}
 
-func (noWeights) Newest(string) int64 { return 0 }
+func (noWeights) NewestVersion(string) int64 { return 0 }
 
 func (noWeights) FenceFloor(int) int64 { return 0 }
 
--- a/internal/controller/operatorapi/weights.go
+++ b/internal/controller/operatorapi/weights.go
@@ -22,7 +22,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	if s.config.Weights.Newest(w.Model) >= w.Version {
+	if s.config.Weights.NewestVersion(w.Model) >= w.Version {
 		rc.JSON(200, w)
 		return
 	}
--- a/internal/controller/partition_metrics.go
+++ b/internal/controller/partition_metrics.go
@@ -28,8 +28,8 @@
 		gauge("beechtide_tally_ready", "1 once this replica has asked the others after its start.", func(counts tallies.Counts) float64 { return metrics.Bool(counts.Ready) }),
 		gauge("beechtide_tally_writable", "1 while this replica takes new adds: there is room, and the disk takes writes.", func(counts tallies.Counts) float64 { return metrics.Bool(counts.Writable) }),
 		counter("beechtide_tally_conflicts_total", "Adds that came with the id of another one and another amount.", func(counts tallies.Counts) int64 { return counts.Conflicts }),
-		counter("beechtide_tally_pulled_total", "Adds that this replica has asked another one for.", func(counts tallies.Counts) int64 { return counts.Pulled }),
-		counter("beechtide_tally_late_total", "Adds that were not on enough disks in time: answered 504.", func(counts tallies.Counts) int64 { return counts.Late }),
+		counter("beechtide_tally_pulled_total", "Adds that this replica has asked another one for.", func(counts tallies.Counts) int64 { return counts.PulledAdds }),
+		counter("beechtide_tally_late_total", "Adds that were not on enough disks in time: answered 504.", func(counts tallies.Counts) int64 { return counts.LateAdds }),
 		metrics.Gauge("beechtide_rollout_stage", "Stage of the newest rollout of each service, as this controller knows: 0 tried, 1 shifting, 2 settled, 3 reverted.", []string{"service", "version"}, func(emit metrics.Emit) {
 			for _, r := range c.serviceRollouts() {
 				emit(float64(r.Stage), r.Service, r.Target)
--- a/internal/controller/platform/client.go
+++ b/internal/controller/platform/client.go
@@ -22,15 +22,15 @@
 // responseTimeout is how long the platform may take to respond.
 const responseTimeout = 3 * time.Second
 
-// Answer classifies the result of a call.
-type Answer int
+// Outcome classifies the result of a call.
+type Outcome int
 
 // Outcomes of a call.
 const (
-	NotSent  Answer = iota // the grant had expired, or the content could not be encoded
-	Accepted               // the platform has executed the call
-	Refused                // the platform has received a call with a higher fencing token
-	Failed                 // any other result: the platform may have executed the call
+	NotSent      Outcome = iota // the grant had expired, or the content could not be encoded
+	Accepted                    // the platform has executed the call
+	FenceRefused                // the platform has received a call with a higher fencing token
+	Failed                      // any other result: the platform may have executed the call
 	outcomeCount
 )
 
@@ -43,7 +43,7 @@
 	// Addr returns the current address of the platform's API.
 	Addr   func() string
 	Fences Fences
-	HTTP   Asker
+	HTTP   HTTPClient
 	Clock  func() int64 // microseconds, monotonic
 	Log    logr.Logger
 }
@@ -53,8 +53,8 @@
 
 // LastCall is the time and outcome of the newest call. The zero LastCall means that there was none.
 type LastCall struct {
-	SentUs int64
-	Answer Answer
+	SentUs  int64
+	Outcome Outcome
 }
 
 // Client calls the platform. It is safe for concurrent use.
@@ -76,7 +76,7 @@
 
 // Call sends a call under the grant of a register's lease, unless the grant has expired by then.
 // After the platform has refused a fencing token, nothing more is sent under it.
-func (c *Client) Call(ctx context.Context, register int, grant lease.Grant, path string, content any) Answer {
+func (c *Client) Call(ctx context.Context, register int, grant lease.Grant, path string, content any) Outcome {
 	body, err := json.Marshal(content)
 	if err != nil {
 		c.config.Log.Error(err, "encode call to the platform failed", "path", path)
@@ -95,21 +95,21 @@
 	sentUs := c.config.Clock()
 	status, _, err := c.config.HTTP.Ask(ctx, c.config.Addr(), http.MethodPost, path, headers, body)
 	c.config.Log.Info("platform called", "path", path, "fence", grant.Fence, "status", status, "err", err)
-	answer := outcomeOf(status, err)
-	if answer == Refused {
-		c.config.Fences.Refuse(register, grant.Fence)
+	outcome := outcomeOf(status, err)
+	if outcome == FenceRefused {
+		c.config.Fences.RecordRefusal(register, grant.Fence)
 	}
-	c.outcomes[answer].Add(1)
-	c.recordCall(register, LastCall{SentUs: sentUs, Answer: answer})
-	return answer
+	c.outcomes[outcome].Add(1)
+	c.recordCall(register, LastCall{SentUs: sentUs, Outcome: outcome})
+	return outcome
 }
 
-func outcomeOf(status int, err error) Answer {
+func outcomeOf(status int, err error) Outcome {
 	switch {
 	case err == nil && status/100 == 2:
 		return Accepted
 	case err == nil && status == http.StatusConflict:
-		return Refused
+		return FenceRefused
 	}
 	return Failed
 }
@@ -127,11 +127,11 @@
 	return c.last[register]
 }
 
-// Answers returns the number of calls by the name of their outcome.
-func (c *Client) Answers() map[string]int64 {
+// OutcomeCounts returns the number of calls by the name of their outcome.
+func (c *Client) OutcomeCounts() map[string]int64 {
 	counts := map[string]int64{}
-	for answer, name := range outcomeNames {
-		counts[name] = c.outcomes[answer].Load()
+	for outcome, name := range outcomeNames {
+		counts[name] = c.outcomes[outcome].Load()
 	}
 	return counts
 }
--- a/internal/controller/platform/client_test.go
+++ b/internal/controller/platform/client_test.go
@@ -19,7 +19,7 @@
 
 func (f *fakeFences) MayCall(_ int, fence int64) bool { return fence == f.allowed }
 
-func (f *fakeFences) Refuse(_ int, fence int64) { f.refused, f.allowed = fence, 0 }
+func (f *fakeFences) RecordRefusal(_ int, fence int64) { f.refused, f.allowed = fence, 0 }
 
 // fakePlatform responds with a status, or fails the call if the status is 0.
 type fakePlatform struct {
@@ -54,7 +54,7 @@
 
 const testRegister = 2
 
-func call(client *Client, fence int64) Answer {
+func call(client *Client, fence int64) Outcome {
 	return client.Call(context.Background(), testRegister, lease.Grant{Fence: fence, MayAct: true}, "/usage", struct{}{})
 }
 
@@ -64,15 +64,15 @@
 }
 
 func TestCallOutcomeByStatus(t *testing.T) {
-	for status, answer := range map[int]Answer{http.StatusOK: Accepted, http.StatusNoContent: Accepted, http.StatusConflict: Refused, http.StatusServiceUnavailable: Failed, 0: Failed} {
+	for status, outcome := range map[int]Outcome{http.StatusOK: Accepted, http.StatusNoContent: Accepted, http.StatusConflict: FenceRefused, http.StatusServiceUnavailable: Failed, 0: Failed} {
 		addr := "a:1"
 		fences := &fakeFences{allowed: 4}
 		client := newTestClient(t, fences, &fakePlatform{status: status}, &addr)
-		must.Eq(t, answer, call(client, 4))
+		must.Eq(t, outcome, call(client, 4))
 		must.Eq(t, 4, fences.used)
-		must.Eq(t, answer == Refused, fences.refused == 4)
-		must.Eq(t, LastCall{SentUs: 77, Answer: answer}, client.Last(testRegister))
-		must.Eq(t, 1, client.Answers()[outcomeNames[answer]])
+		must.Eq(t, outcome == FenceRefused, fences.refused == 4)
+		must.Eq(t, LastCall{SentUs: 77, Outcome: outcome}, client.Last(testRegister))
+		must.Eq(t, 1, client.OutcomeCounts()[outcomeNames[outcome]])
 	}
 }
 
@@ -85,7 +85,7 @@
 	fences.allowed = 4
 	must.Eq(t, Accepted, call(client, 4))
 	must.Eq(t, map[string]string{"Beechtide-Duty-Holder": "n", "Beechtide-Fence": "4"}, server.headers)
-	fences.Refuse(testRegister, 4)
+	fences.RecordRefusal(testRegister, 4)
 	must.Eq(t, NotSent, call(client, 4))
 	must.Len(t, 1, server.addrs)
 }
--- a/internal/controller/platform/dependencies.go
+++ b/internal/controller/platform/dependencies.go
@@ -6,10 +6,10 @@
 type Fences interface {
 	RecordFenceUsed(register int, fence int64)
 	MayCall(register int, fence int64) bool
-	Refuse(register int, fence int64)
+	RecordRefusal(register int, fence int64)
 }
 
-// Asker sends one HTTP request and reads the complete response (upstream.ConnPool).
-type Asker interface {
+// HTTPClient sends one HTTP request and reads the complete response (upstream.ConnPool).
+type HTTPClient interface {
 	Ask(ctx context.Context, addr, method, path string, headers map[string]string, body []byte) (status int, response []byte, err error)
 }
--- a/internal/controller/quota_group.go
+++ b/internal/controller/quota_group.go
@@ -11,13 +11,13 @@
 // newQuotaOwner creates the service that owns the rate-limit counts of a share of the tenants.
 func (c *Controller) newQuotaOwner() (*quotaowner.Service, error) {
 	return quotaowner.New(quotaowner.Config{
-		Addr:    c.transport.Addr(),
-		Bounds:  c.set.QuotaBounds(),
-		Clock:   c.clock,
-		Log:     c.log,
-		Peers:   c.transport,
-		Group:   func() quota.Group { return quotaGroup(c.registers) },
-		Limited: c.limitsTenants,
+		Addr:          c.transport.Addr(),
+		Bounds:        c.set.QuotaBounds(),
+		Clock:         c.clock,
+		Log:           c.log,
+		Peers:         c.transport,
+		Group:         func() quota.Group { return quotaGroup(c.registers) },
+		HasRateLimits: c.limitsTenants,
 	})
 }
 
--- a/internal/controller/quotaowner/service.go
+++ b/internal/controller/quotaowner/service.go
@@ -48,15 +48,15 @@
 	Peers Caller
 	// Group returns the voters: the members of the configuration register.
 	Group func() quota.Group
-	// Limited reports whether any tenant has a rate limit. If none has, no claims are sent.
-	Limited func() bool
+	// HasRateLimits reports whether any tenant has a rate limit. If none has, no claims are sent.
+	HasRateLimits func() bool
 }
 
 // ErrConfig means that a field of a Config is missing.
 var ErrConfig = errors.New("quotaowner: incomplete configuration")
 
 func (c *Config) check() error {
-	if c.Addr == "" || c.Clock == nil || c.Peers == nil || c.Group == nil || c.Limited == nil {
+	if c.Addr == "" || c.Clock == nil || c.Peers == nil || c.Group == nil || c.HasRateLimits == nil {
 		return ErrConfig
 	}
 	return nil
@@ -105,7 +105,7 @@
 
 // tick sends the claims that are due.
 func (s *Service) tick(ctx context.Context) {
-	if !s.config.Limited() {
+	if !s.config.HasRateLimits() {
 		return
 	}
 	group := s.config.Group()
@@ -223,14 +223,14 @@
 
 // Counts are the statistics of a Service for the metrics.
 type Counts struct {
-	OwnedShards int
-	Questions   int64 // token requests of routers since the start
-	Referred    int64 // those of them that were referred to another owner, or to none
+	OwnedShards   int
+	TokenRequests int64 // token requests of routers since the start
+	Referred      int64 // those of them that were referred to another owner, or to none
 }
 
 // Counts returns the current statistics.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Counts{OwnedShards: len(s.member.OwnedShards(s.config.Clock())), Questions: s.tokenRequests, Referred: s.referred}
+	return Counts{OwnedShards: len(s.member.OwnedShards(s.config.Clock())), TokenRequests: s.tokenRequests, Referred: s.referred}
 }
--- a/internal/controller/quotaowner/service_test.go
+++ b/internal/controller/quotaowner/service_test.go
@@ -26,13 +26,13 @@
 func newSingleMemberService(t *testing.T, nowUs *int64, limited *bool) *Service {
 	t.Helper()
 	s, err := New(Config{
-		Addr:    "a:1",
-		Bounds:  quota.NewBounds(0, 0, 0),
-		Clock:   func() int64 { return *nowUs },
-		Log:     logr.Discard(),
-		Peers:   noPeers{},
-		Group:   func() quota.Group { return quota.Group{Version: 1, Members: []string{"a:1"}} },
-		Limited: func() bool { return *limited },
+		Addr:          "a:1",
+		Bounds:        quota.NewBounds(0, 0, 0),
+		Clock:         func() int64 { return *nowUs },
+		Log:           logr.Discard(),
+		Peers:         noPeers{},
+		Group:         func() quota.Group { return quota.Group{Version: 1, Members: []string{"a:1"}} },
+		HasRateLimits: func() bool { return *limited },
 	})
 	must.NoError(t, err)
 	return s
@@ -70,7 +70,7 @@
 	_, err = grant.UnmarshalMsg(answer)
 	must.NoError(t, err)
 	must.True(t, grant.Owner)
-	must.Eq(t, Counts{OwnedShards: quota.ShardCount, Questions: 2, Referred: 1}, s.Counts())
+	must.Eq(t, Counts{OwnedShards: quota.ShardCount, TokenRequests: 2, Referred: 1}, s.Counts())
 	must.Len(t, 1, s.Conditions())
 	s.Leave()
 	must.False(t, s.Owns(quota.ShardOf("t1")))
--- a/internal/controller/readers.go
+++ b/internal/controller/readers.go
@@ -20,7 +20,7 @@
 		Members:       c.configMembers,
 		PublishCached: c.publishCached,
 		PublishReport: c.publishReport,
-		Notes:         c.notes(),
+		Files:         c.notes(),
 	})
 }
 
--- a/internal/controller/rollouts_test.go
+++ b/internal/controller/rollouts_test.go
@@ -37,12 +37,12 @@
 	const model = "m-1"
 	home, other := consensus.RegisterOf(model), otherRegister(model)
 	learnCommitted(t, d, other, 5, messages.LeaseBody{Lease: messages.Lease{Holder: "x/0", Fence: 7}, Targets: []messages.Target{{Model: model, Version: 4}}})
-	must.Eq(t, int64(4), d.rollouts.Newest(model))
+	must.Eq(t, int64(4), d.rollouts.NewestVersion(model))
 	must.Eq(t, int64(7), d.rollouts.FenceFloor(home))
 	must.Zero(t, d.rollouts.FenceFloor(other))
 
 	learnCommitted(t, d, home, 3, messages.LeaseBody{Targets: []messages.Target{{Model: model, Version: 3}}})
-	must.Eq(t, int64(4), d.rollouts.Newest(model), must.Sprint("a lower version in another register changes nothing"))
+	must.Eq(t, int64(4), d.rollouts.NewestVersion(model), must.Sprint("a lower version in another register changes nothing"))
 	must.SliceLen(t, 1, d.rollouts.Models(home))
 	must.SliceEmpty(t, d.rollouts.Models(other))
 	must.Eq(t, int64(8), d.leases.NextFence(home, d.rollouts.FenceFloor(home)))
--- a/internal/controller/runnerapi/client.go
+++ b/internal/controller/runnerapi/client.go
@@ -37,16 +37,16 @@
 	ErrNotSent = errors.New("runnerapi: the order was not sent")
 )
 
-// Asker sends one HTTP request and reads the complete response (upstream.ConnPool).
-type Asker interface {
+// HTTPClient sends one HTTP request and reads the complete response (upstream.ConnPool).
+type HTTPClient interface {
 	Ask(ctx context.Context, addr, method, path string, headers map[string]string, body []byte) (status int, response []byte, err error)
 }
 
 // Client calls runners and stores. It is safe for concurrent use.
-type Client struct{ connections Asker }
+type Client struct{ connections HTTPClient }
 
 // New returns a Client that sends requests over connections.
-func New(connections Asker) *Client { return &Client{connections: connections} }
+func New(connections HTTPClient) *Client { return &Client{connections: connections} }
 
 // Report returns the load report of a runner.
 func (c *Client) Report(ctx context.Context, runner messages.RunnerRecord) (api.Report, error) {
--- a/internal/controller/runnerreader/cache_reader_test.go
+++ b/internal/controller/runnerreader/cache_reader_test.go
@@ -88,7 +88,7 @@
 }
 
 // newTestReaders returns Readers that save the keys of shared parts to files.
-func newTestReaders(t *testing.T, files Notes) *Readers {
+func newTestReaders(t *testing.T, files FileStore) *Readers {
 	t.Helper()
 	r, err := New(Config{
 		Addr:          "a:1",
@@ -99,7 +99,7 @@
 		Members:       func() []string { return nil },
 		PublishCached: func(messages.CachedChange) {},
 		PublishReport: func(messages.RunnerReport) {},
-		Notes:         files,
+		Files:         files,
 	})
 	must.NoError(t, err)
 	return r
@@ -115,7 +115,7 @@
 	must.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	earlier := newTestReaders(t, disk)
-	earlier.Announce([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: 7}}}})
+	earlier.AddAnnounced([]messages.CachedPrefixes{{Parts: []messages.CachedPart{{Key: 7}}}})
 	saved := make(chan struct{})
 	go func() {
 		earlier.Run(ctx)
--- a/internal/controller/runnerreader/readers.go
+++ b/internal/controller/runnerreader/readers.go
@@ -38,8 +38,8 @@
 	CacheList(ctx context.Context, runner messages.RunnerRecord) (api.PrefixList, error)
 }
 
-// Notes reads and writes small durable files (consensus.DiskStore).
-type Notes interface {
+// FileStore reads and writes small durable files (consensus.DiskStore).
+type FileStore interface {
 	ReadFile(name string) ([]byte, bool)
 	WriteFile(name string, content []byte) error
 }
@@ -60,7 +60,7 @@
 	// PublishReport sends a runner's load report to all nodes.
 	PublishReport func(report messages.RunnerReport)
 	// The file store has the keys of shared parts; nil on a machine without a disk.
-	Notes Notes
+	Files FileStore
 }
 
 // ErrConfig means that a field of a Config is missing.
@@ -190,8 +190,8 @@
 	return out
 }
 
-// Announce records the parts that were announced as shared by prompts.
-func (r *Readers) Announce(announced []messages.CachedPrefixes) {
+// AddAnnounced records the parts that were announced as shared by prompts.
+func (r *Readers) AddAnnounced(announced []messages.CachedPrefixes) {
 	if len(announced) == 0 {
 		return
 	}
@@ -204,8 +204,8 @@
 type Applied struct {
 	Change messages.CachedChange
 	Result statesync.Result
-	// Again reports whether the change is a snapshot of the epoch that was already present.
-	Again bool
+	// EpochKnown reports whether the change is a snapshot of the epoch that was already present.
+	EpochKnown bool
 }
 
 // Apply applies changes that another controller has read, except those of runners that are read
@@ -219,7 +219,7 @@
 			continue
 		}
 		again := change.Snapshot && r.cached.CachedPrefixes(change.ID).Epoch == change.Epoch
-		out = append(out, Applied{Change: change, Result: r.cached.Apply(change), Again: again})
+		out = append(out, Applied{Change: change, Result: r.cached.Apply(change), EpochKnown: again})
 	}
 	return out
 }
--- a/internal/controller/runnerreader/shared_keys.go
+++ b/internal/controller/runnerreader/shared_keys.go
@@ -19,10 +19,10 @@
 
 // restoreSharedKeys reads the saved keys. A missing or damaged file is ignored.
 func (r *Readers) restoreSharedKeys() {
-	if r.config.Notes == nil {
+	if r.config.Files == nil {
 		return
 	}
-	record, ok := r.config.Notes.ReadFile(sharedKeysFile)
+	record, ok := r.config.Files.ReadFile(sharedKeysFile)
 	if !ok {
 		return
 	}
@@ -33,7 +33,7 @@
 
 // Run saves the keys when there are new ones, until ctx ends.
 func (r *Readers) Run(ctx context.Context) {
-	if r.config.Notes == nil {
+	if r.config.Files == nil {
 		return
 	}
 	unsaved := false // the last write failed
@@ -45,7 +45,7 @@
 		}
 		record := r.sharedKeys.Record()
 		r.mu.Unlock()
-		err := r.config.Notes.WriteFile(sharedKeysFile, record)
+		err := r.config.Files.WriteFile(sharedKeysFile, record)
 		unsaved = err != nil
 		if err != nil {
 			r.config.Log.Info("keys of shared parts not saved", "err", err)
--- a/internal/controller/scaling/scaler.go
+++ b/internal/controller/scaling/scaler.go
@@ -27,11 +27,11 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Duty is the name of the duty in the settings.
-const Duty = "scaling"
+// DutyName is the name of the duty in the settings.
+const DutyName = "scaling"
 
-// Part is the number of the register with the lease and the orders.
-var Part = consensus.RegisterOf("platform/scaling")
+// RegisterIndex is the number of the register with the lease and the orders.
+var RegisterIndex = consensus.RegisterOf("platform/scaling")
 
 // Intervals and limits, in microseconds.
 const (
@@ -52,7 +52,7 @@
 
 // Platform calls the platform's API (platform.Client).
 type Platform interface {
-	Call(ctx context.Context, register int, grant lease.Grant, path string, content any) platform.Answer
+	Call(ctx context.Context, register int, grant lease.Grant, path string, content any) platform.Outcome
 }
 
 // Config configures a Scaler. All fields are required.
@@ -124,7 +124,7 @@
 
 // Prepare implements singleton.Task.
 func (s *Scaler) Prepare(register int, body messages.LeaseBody) (singleton.Job, bool) {
-	if register != Part {
+	if register != RegisterIndex {
 		return singleton.Job{}, false
 	}
 	s.mu.Lock()
@@ -289,7 +289,7 @@
 
 // record commits orders to the register.
 func (s *Scaler) record(ctx context.Context, current messages.Lease, orders []messages.Setpoint) bool {
-	_, err := s.config.Leases.Change(ctx, Part, current, func(body *messages.LeaseBody) bool {
+	_, err := s.config.Leases.Change(ctx, RegisterIndex, current, func(body *messages.LeaseBody) bool {
 		body.Setpoints = slices.Clone(body.Setpoints)
 		for _, order := range orders {
 			i := slices.IndexFunc(body.Setpoints, func(was messages.Setpoint) bool { return keyOf(was) == keyOf(order) })
@@ -307,7 +307,7 @@
 // send sends a committed order to the platform.
 func (s *Scaler) send(ctx context.Context, grant lease.Grant, order messages.Setpoint) bool {
 	content := api.SetpointOrder{Service: order.Service, Zone: order.Zone, Desired: order.Desired}
-	if s.config.Platform.Call(ctx, Part, grant, "/setpoint", content) != platform.Accepted {
+	if s.config.Platform.Call(ctx, RegisterIndex, grant, "/setpoint", content) != platform.Accepted {
 		return false
 	}
 	s.mu.Lock()
--- a/internal/controller/scaling/scaler_test.go
+++ b/internal/controller/scaling/scaler_test.go
@@ -27,7 +27,7 @@
 // noPlatform accepts every call.
 type noPlatform struct{}
 
-func (noPlatform) Call(context.Context, int, lease.Grant, string, any) platform.Answer {
+func (noPlatform) Call(context.Context, int, lease.Grant, string, any) platform.Outcome {
 	return platform.Accepted
 }
 
--- a/internal/controller/scaling_test.go
+++ b/internal/controller/scaling_test.go
@@ -47,7 +47,7 @@
 	p = &scalingPlatformStub{}
 	server := httptest.NewServer(p)
 	t.Cleanup(server.Close)
-	d, _, stop := startWithDuty(t, t.TempDir(), server.Listener.Addr().String(), freePort(t), true, scaling.Duty)
+	d, _, stop := startWithDuty(t, t.TempDir(), server.Listener.Addr().String(), freePort(t), true, scaling.DutyName)
 	t.Cleanup(stop)
 	loadTable(t, d, scalingConfig)
 	for i := range 4 {
@@ -81,18 +81,18 @@
 	first := p.acceptedOrders()[0]
 	must.Eq(t, api.SetpointOrder{Service: "s", Zone: "z", Desired: first.Desired}, first)
 	must.Between(t, 5, first.Desired, 9)
-	v, _ := d.registers.Committed(scaling.Part)
+	v, _ := d.registers.Committed(scaling.RegisterIndex)
 	body, err := messages.DecodeLeaseBody(v)
 	must.NoError(t, err)
 	must.Eq(t, "s", body.Setpoints[0].Service)
 	successor, err := d.newScaler()
 	must.NoError(t, err)
-	job, ok := successor.Prepare(scaling.Part, body)
+	job, ok := successor.Prepare(scaling.RegisterIndex, body)
 	must.True(t, ok)
 	must.True(t, job.Needed, must.Sprint("a successor sends the recorded order"))
 }
 
 func TestHasDutyRequiresPlatformAddress(t *testing.T) {
-	must.False(t, hasDuty(settings.Settings{Cloud: settings.Cloud{Duties: []string{scaling.Duty}}}, scaling.Duty))
-	must.True(t, hasDuty(settings.Settings{Cloud: settings.Cloud{Address: "x:1", Duties: []string{scaling.Duty}}}, scaling.Duty))
+	must.False(t, hasDuty(settings.Settings{Cloud: settings.Cloud{Duties: []string{scaling.DutyName}}}, scaling.DutyName))
+	must.True(t, hasDuty(settings.Settings{Cloud: settings.Cloud{Address: "x:1", Duties: []string{scaling.DutyName}}}, scaling.DutyName))
 }
--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -52,8 +52,8 @@
 	DeadForUs(addr string) int64
 }
 
-// Notes reads and writes small durable files (consensus.DiskStore).
-type Notes interface {
+// FileStore reads and writes small durable files (consensus.DiskStore).
+type FileStore interface {
 	ReadFile(name string) ([]byte, bool)
 	WriteFile(name string, content []byte) error
 }
@@ -70,7 +70,7 @@
 	Membership Membership
 	// The file store has the newest fencing token that was used; nil on a machine without a
 	// disk.
-	Notes Notes
+	Files FileStore
 	// IsCut reports whether direct calls to a controller have failed for a long time.
 	IsCut func(addr string) bool
 	// HasContact reports whether this controller has contact with a majority of a group.
@@ -128,9 +128,9 @@
 	l.roles[register].RecordInitialHolder(initial.Fence)
 }
 
-// Refuse records that a receiver of calls has refused a fencing token, which is then never
+// RecordRefusal records that a receiver of calls has refused a fencing token, which is then never
 // used again.
-func (l *Leases) Refuse(register int, fence int64) {
+func (l *Leases) RecordRefusal(register int, fence int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.roles[register].RecordRefusal(fence)
--- a/internal/controller/singleton/leases_test.go
+++ b/internal/controller/singleton/leases_test.go
@@ -48,7 +48,7 @@
 func (fakeMembership) DeadForUs(string) int64 { return 0 }
 
 // newTestLeases returns Leases whose clock reads nowUs.
-func newTestLeases(t *testing.T, nowUs *int64, notes Notes) *Leases {
+func newTestLeases(t *testing.T, nowUs *int64, notes FileStore) *Leases {
 	t.Helper()
 	leases, err := NewLeases(Config{
 		Addr:       "self:1",
@@ -56,7 +56,7 @@
 		Log:        logr.Discard(),
 		Registers:  &fakeRegisters{values: map[int]messages.Value{}},
 		Membership: fakeMembership{},
-		Notes:      notes,
+		Files:      notes,
 		IsCut:      func(string) bool { return false },
 		HasContact: func([]messages.Member) bool { return true },
 	})
@@ -97,7 +97,7 @@
 	nowUs += ActUs - 1
 	must.True(t, leases.MayCall(1, 1))
 	must.False(t, leases.MayCall(1, 2), must.Sprint("another fencing token"))
-	leases.Refuse(1, 1)
+	leases.RecordRefusal(1, 1)
 	must.False(t, leases.MayCall(1, 1), must.Sprint("refused fencing token"))
 }
 
--- a/internal/controller/singleton/runner.go
+++ b/internal/controller/singleton/runner.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Period is the interval at which Step must be called.
-const Period = 100 * time.Millisecond
+// StepPeriod is the interval at which Step must be called.
+const StepPeriod = 100 * time.Millisecond
 
 // Job describes the work that a task has now.
 type Job struct {
@@ -30,24 +30,26 @@
 	Prepare(register int, body messages.LeaseBody) (job Job, ok bool)
 }
 
-// Runner steps the leases of the registers and runs the tasks under them.
-type Runner struct {
+// Scheduler steps the leases of the registers and runs the tasks under them.
+type Scheduler struct {
 	leases *Leases
 	tasks  []Task
 }
 
-// NewRunner returns a scheduler of the tasks.
-func NewRunner(leases *Leases, tasks ...Task) *Runner { return &Runner{leases: leases, tasks: tasks} }
+// NewScheduler returns a scheduler of the tasks.
+func NewScheduler(leases *Leases, tasks ...Task) *Scheduler {
+	return &Scheduler{leases: leases, tasks: tasks}
+}
 
 // Step runs the next step of each register's lease, and the register's tasks if this controller
 // holds the lease.
-func (r *Runner) Step(ctx context.Context) {
+func (r *Scheduler) Step(ctx context.Context) {
 	for register := 1; register < consensus.RegisterCount; register++ {
 		r.stepRegister(ctx, register)
 	}
 }
 
-func (r *Runner) stepRegister(ctx context.Context, register int) {
+func (r *Scheduler) stepRegister(ctx context.Context, register int) {
 	value, ok := r.leases.config.Registers.Committed(register)
 	body, err := messages.DecodeLeaseBody(value)
 	if !ok || err != nil {
@@ -66,7 +68,7 @@
 	}
 }
 
-func (r *Runner) jobs(register int, body messages.LeaseBody) []Job {
+func (r *Scheduler) jobs(register int, body messages.LeaseBody) []Job {
 	var jobs []Job
 	for _, task := range r.tasks {
 		if job, ok := task.Prepare(register, body); ok {
--- a/internal/controller/singleton/used_fences.go
+++ b/internal/controller/singleton/used_fences.go
@@ -24,14 +24,14 @@
 	alreadyRecorded := l.usedFences[register] == fence
 	l.usedFences[register] = fence
 	l.mu.Unlock()
-	if l.config.Notes != nil && !alreadyRecorded {
+	if l.config.Files != nil && !alreadyRecorded {
 		go l.saveUsedFence(register, fence)
 	}
 }
 
 // saveUsedFence writes the fencing token to disk. If the write fails, a later process waits.
 func (l *Leases) saveUsedFence(register int, fence int64) {
-	if err := l.config.Notes.WriteFile(usedFenceFile(register), strconv.AppendInt(nil, fence, 10)); err != nil {
+	if err := l.config.Files.WriteFile(usedFenceFile(register), strconv.AppendInt(nil, fence, 10)); err != nil {
 		l.config.Log.V(1).Info("used fencing token not saved", "part", register, "fence", fence, "err", err)
 	}
 }
@@ -42,10 +42,10 @@
 	l.mu.Lock()
 	used := l.usedFences[register] == fence
 	l.mu.Unlock()
-	if used || l.config.Notes == nil {
+	if used || l.config.Files == nil {
 		return used
 	}
-	content, ok := l.config.Notes.ReadFile(usedFenceFile(register))
+	content, ok := l.config.Files.ReadFile(usedFenceFile(register))
 	return ok && string(content) == strconv.FormatInt(fence, 10)
 }
 
--- a/internal/controller/subscriptions.go
+++ b/internal/controller/subscriptions.go
@@ -165,10 +165,10 @@
 	for _, delta := range in.Registry {
 		consistent = c.applyRunners(delta, replica, now) && consistent
 	}
-	c.readers.Announce(in.PendingBlocks)
+	c.readers.AddAnnounced(in.PendingBlocks)
 	var applied []messages.CachedChange
 	for _, cached := range c.readers.Apply(in.Cached) {
-		consistent = f.countResult(cached.Result, cached.Again) && consistent
+		consistent = f.countResult(cached.Result, cached.EpochKnown) && consistent
 		if cached.Result == statesync.Applied {
 			applied = append(applied, cached.Change)
 		}
--- a/internal/controller/tallies/counts.go
+++ b/internal/controller/tallies/counts.go
@@ -7,8 +7,8 @@
 	Unconfirmed int // adds of this replica's clients that are not on enough disks yet
 	Unreachable int // replicas that do not respond
 	Conflicts   int64
-	Pulled      int64 // adds received in response to a pull
-	Late        int64 // adds whose calls timed out
+	PulledAdds  int64 // adds received in response to a pull
+	LateAdds    int64 // adds whose calls timed out
 	DiskBytes   int64
 	Ready       bool // the other replicas were pulled from after the start, or are unreachable
 	Writable    bool // below MaxAdds, and the last write to disk succeeded
@@ -26,8 +26,8 @@
 		Unconfirmed: int(condition.Unconfirmed),
 		Unreachable: len(condition.Unreachable),
 		Conflicts:   set.Conflicts(),
-		Pulled:      s.pulledAdds,
-		Late:        s.lateAdds,
+		PulledAdds:  s.pulledAdds,
+		LateAdds:    s.lateAdds,
 		DiskBytes:   s.diskBytes,
 		Ready:       s.ready,
 		Writable:    !condition.Full,
--- a/internal/controller/tallies/replication.go
+++ b/internal/controller/tallies/replication.go
@@ -170,11 +170,11 @@
 	}
 }
 
-// Compared checks the digest that another replica has sent with its versions. If the digest differs
+// HandleDigest checks the digest that another replica has sent with its versions. If the digest differs
 // in two comparisons in a row, or in the first one with the replica or after a failed one, the
 // replica may have adds that are not sent here by themselves, for example after a partition, and
 // they are pulled.
-func (s *Service) Compared(ctx context.Context, addr string, digest uint64) {
+func (s *Service) HandleDigest(ctx context.Context, addr string, digest uint64) {
 	s.mu.Lock()
 	differs := digest != s.replica.Set().Digest()
 	before, known := s.differing[addr]
@@ -185,8 +185,8 @@
 	}
 }
 
-// NotCompared records that a comparison that was sent at sentUs got no response.
-func (s *Service) NotCompared(addr string, sentUs int64) {
+// RecordComparisonFailure records that a comparison that was sent at sentUs got no response.
+func (s *Service) RecordComparisonFailure(addr string, sentUs int64) {
 	s.mu.Lock()
 	delete(s.differing, addr)
 	s.mu.Unlock()
--- a/internal/controller/unfinished_test.go
+++ b/internal/controller/unfinished_test.go
@@ -75,6 +75,6 @@
 		requireGranted(t, d, messages.ConsensusRequest{Part: register, Step: messages.Accept, Slot: value.Version, Ballot: messages.Ballot{N: 1_000, Who: "x"}, Value: value})
 	}
 	for _, d := range nodes {
-		waitUntil(t, func() bool { return d.rollouts.Newest("m") == version })
+		waitUntil(t, func() bool { return d.rollouts.NewestVersion("m") == version })
 	}
 }
--- a/internal/controller/usage_test.go
+++ b/internal/controller/usage_test.go
@@ -66,7 +66,7 @@
 // Its clock follows real time plus skipUs.
 func startUsageReporting(t *testing.T, dir, platformAddr string, port int, bootstrap bool) (d *Controller, skipUs *atomic.Int64, stop func()) {
 	t.Helper()
-	return startWithDuty(t, dir, platformAddr, port, bootstrap, usagereport.Duty)
+	return startWithDuty(t, dir, platformAddr, port, bootstrap, usagereport.DutyName)
 }
 
 // startWithDuty starts a core of one controller with a duty at the platform.
@@ -105,7 +105,7 @@
 	rows := messages.UsageRows{Rows: []messages.UsageRow{{Window: window, Router: router, Counts: counts}}}
 	body, err := rows.MarshalMsg(nil)
 	must.NoError(t, err)
-	answer, err := d.usage.ReceiveRows(context.Background(), nil, body)
+	answer, err := d.usage.HandleRows(context.Background(), nil, body)
 	must.NoError(t, err)
 	var ack messages.UsageAck
 	_, err = ack.UnmarshalMsg(answer)
@@ -147,7 +147,7 @@
 	d, _, stop = startUsageReporting(t, dir, addr, port, false)
 	defer stop()
 	d.usage.Merge([]messages.UsageRow{{Window: window, Router: "r1", Counts: []messages.UsageCount{{Tenant: "x", Count: 9}}}})
-	waitUntil(t, func() bool { return d.usage.Reported() > window })
+	waitUntil(t, func() bool { return d.usage.LastReportedWindow() > window })
 	fences := map[string]bool{}
 	for _, c := range p.receivedCalls() {
 		fences[c.fence] = true
--- a/internal/controller/usagereport/reporter.go
+++ b/internal/controller/usagereport/reporter.go
@@ -26,11 +26,11 @@
 	"beechtide.org/beechtide/internal/usage"
 )
 
-// Duty is the name of the duty in the settings.
-const Duty = "metering"
+// DutyName is the name of the duty in the settings.
+const DutyName = "metering"
 
-// Part is the number of the register with the lease and the usage ledger.
-var Part = consensus.RegisterOf("platform/usage")
+// RegisterIndex is the number of the register with the lease and the usage ledger.
+var RegisterIndex = consensus.RegisterOf("platform/usage")
 
 // Intervals, timeouts and limits of collecting.
 const (
@@ -57,7 +57,7 @@
 
 // Platform calls the platform's API (platform.Client).
 type Platform interface {
-	Call(ctx context.Context, register int, grant lease.Grant, path string, content any) platform.Answer
+	Call(ctx context.Context, register int, grant lease.Grant, path string, content any) platform.Outcome
 }
 
 // Config configures a Reporter. All fields are required, except the file store.
@@ -75,7 +75,7 @@
 	// TimeUs returns the fleet's time of day in microseconds, 0 if it is not known.
 	TimeUs func() int64
 	// The file store has a copy of the rows; nil on a machine without a disk.
-	Notes singleton.Notes
+	Files singleton.FileStore
 }
 
 // ErrConfig means that a field of a Config is missing.
@@ -124,10 +124,10 @@
 
 // restore reads the rows that an earlier process has saved. A missing or damaged file is ignored.
 func (r *Reporter) restore() {
-	if r.config.Notes == nil {
+	if r.config.Files == nil {
 		return
 	}
-	encoded, ok := r.config.Notes.ReadFile(rowsFile)
+	encoded, ok := r.config.Files.ReadFile(rowsFile)
 	if !ok {
 		return
 	}
@@ -144,7 +144,7 @@
 // controllers and routers.
 func (r *Reporter) Save() {
 	r.mu.Lock()
-	due := r.unsaved && r.config.Notes != nil
+	due := r.unsaved && r.config.Files != nil
 	r.unsaved = false
 	var rows messages.UsageRows
 	if due {
@@ -156,15 +156,15 @@
 	}
 	encoded, err := rows.MarshalMsg(nil)
 	if err == nil {
-		err = r.config.Notes.WriteFile(rowsFile, encoded)
+		err = r.config.Files.WriteFile(rowsFile, encoded)
 	}
 	if err != nil {
 		r.config.Log.Info("usage not saved", "err", err)
 	}
 }
 
-// ReceiveRows merges the rows that a router sends and acknowledges them.
-func (r *Reporter) ReceiveRows(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
+// HandleRows merges the rows that a router sends and acknowledges them.
+func (r *Reporter) HandleRows(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	var rows messages.UsageRows
 	if _, err := rows.UnmarshalMsg(body); err != nil {
 		return nil, err
@@ -186,8 +186,8 @@
 	r.lateRows.Add(int64(late))
 }
 
-// AnswerQuery returns the rows of a range of windows to the holder of the lease.
-func (r *Reporter) AnswerQuery(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
+// HandleQuery returns the rows of a range of windows to the holder of the lease.
+func (r *Reporter) HandleQuery(_ context.Context, _ *transport.Conn, body []byte) ([]byte, error) {
 	var query messages.UsageQuery
 	if _, err := query.UnmarshalMsg(body); err != nil {
 		return nil, err
@@ -204,8 +204,8 @@
 	return r.config.Clock()-r.startUs < usage.RefillUs
 }
 
-// Closed deletes the rows of the windows before next, the first one that is not closed.
-func (r *Reporter) Closed(next int64) {
+// DropClosedWindows deletes the rows of the windows before next, the first one that is not closed.
+func (r *Reporter) DropClosedWindows(next int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.collector.DropClosed(next)
@@ -213,7 +213,7 @@
 
 // Prepare implements singleton.Task.
 func (r *Reporter) Prepare(register int, body messages.LeaseBody) (singleton.Job, bool) {
-	if register != Part {
+	if register != RegisterIndex {
 		return singleton.Job{}, false
 	}
 	timeUs := r.config.TimeUs()
@@ -267,7 +267,7 @@
 	if !mayClose {
 		return
 	}
-	_, err := r.config.Leases.Change(ctx, Part, body.Lease, func(b *messages.LeaseBody) bool {
+	_, err := r.config.Leases.Change(ctx, RegisterIndex, body.Lease, func(b *messages.LeaseBody) bool {
 		return usage.Close(&b.Usage, window, counts, reported)
 	})
 	r.config.Log.Info("usage window closed", "window", window, "tenants", len(counts), "complete", complete, "err", err)
@@ -308,16 +308,16 @@
 	for _, t := range window.Counts {
 		content.Counts[t.Tenant] = t.Count
 	}
-	answer := r.config.Platform.Call(ctx, Part, grant, "/usage", content)
+	outcome := r.config.Platform.Call(ctx, RegisterIndex, grant, "/usage", content)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.plan.EndReport(window.Window, answer == platform.Accepted, r.config.Clock())
+	r.plan.EndReport(window.Window, outcome == platform.Accepted, r.config.Clock())
 }
 
-// Unreported returns how long ago the oldest window ended whose report the platform has not
+// UnreportedAge returns how long ago the oldest window ended whose report the platform has not
 // accepted according to this controller's state; 0 if no window has been closed.
-func (r *Reporter) Unreported() time.Duration {
-	v, _ := r.config.Registers.Committed(Part)
+func (r *Reporter) UnreportedAge() time.Duration {
+	v, _ := r.config.Registers.Committed(RegisterIndex)
 	body, err := messages.DecodeLeaseBody(v)
 	timeUs := r.config.TimeUs()
 	if err != nil || body.Usage.Next == 0 {
@@ -332,9 +332,9 @@
 	return max(time.Duration(timeUs-(oldest+1)*r.config.WindowUs)*time.Microsecond, 0)
 }
 
-// Reported returns the newest window up to which the platform has accepted all reports,
+// LastReportedWindow returns the newest window up to which the platform has accepted all reports,
 // according to the state of this process.
-func (r *Reporter) Reported() int64 {
+func (r *Reporter) LastReportedWindow() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.plan.Reported()
--- a/internal/controller/weightrollout/calls.go
+++ b/internal/controller/weightrollout/calls.go
@@ -20,7 +20,7 @@
 		d.recordWeights(order.ID, model, order.Version)
 	}
 	if answer == rollout.FenceRefused {
-		d.config.Fences.Refuse(register, grant.Fence)
+		d.config.Fences.RecordRefusal(register, grant.Fence)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controller/weightrollout/dependencies.go
+++ b/internal/controller/weightrollout/dependencies.go
@@ -13,7 +13,7 @@
 type Fences interface {
 	RecordFenceUsed(register int, fence int64)
 	MayCall(register int, fence int64) bool
-	Refuse(register int, fence int64)
+	RecordRefusal(register int, fence int64)
 }
 
 // Targets returns the named versions of each model's weights.
--- a/internal/controller/weightrollout/driver.go
+++ b/internal/controller/weightrollout/driver.go
@@ -96,9 +96,9 @@
 	return max(versionUs-orderMarginUs, versionUs/4)
 }
 
-// Newest returns the newest committed version of a model's weights, over all registers:
+// NewestVersion returns the newest committed version of a model's weights, over all registers:
 // earlier versions of the program chose the register by their configuration.
-func (d *Driver) Newest(model string) int64 {
+func (d *Driver) NewestVersion(model string) int64 {
 	newest := int64(0)
 	singleton.CommittedBodies(d.config.Registers, func(_ int, body messages.LeaseBody) {
 		for _, target := range body.Targets {
--- a/internal/controller/weightrollout/driver_test.go
+++ b/internal/controller/weightrollout/driver_test.go
@@ -25,7 +25,7 @@
 	return register == testRegister && fence == f.allowed
 }
 
-func (f *fakeFences) Refuse(_ int, fence int64) { f.refused = fence }
+func (f *fakeFences) RecordRefusal(_ int, fence int64) { f.refused = fence }
 
 // fakeRunners responds with a status to orders that may be sent.
 type fakeRunners struct {
