--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -203,7 +203,7 @@
 
 // newPeerServices creates the components that work together with the other controllers.
 func (c *Controller) newPeerServices() (err error) {
-	c.publisher = dissemination.NewPublisher(c.transport, dissemination.Upstream{
+	c.publisher = dissemination.NewPublisher(c.transport, dissemination.PublisherCallbacks{
 		DeltaSince:   c.deltaSince,
 		ApplyReport:  c.applyReport,
 		Unsubscribed: c.removeSender,
--- a/internal/dissemination/catchup_test.go
+++ b/internal/dissemination/catchup_test.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	started, release, answers := make(chan bool, 64), make(chan bool), atomic.Int64{}
-	relay := NewPublisher(parent, Upstream{
+	relay := NewPublisher(parent, PublisherCallbacks{
 		DeltaSince: func(messages.SyncState) messages.Feed {
 			started <- true
 			<-release
--- a/internal/dissemination/comparisons.go
+++ b/internal/dissemination/comparisons.go
@@ -13,9 +13,9 @@
 // comparisons, the timeout of one, and the time without an update from the parent after
 // which a router queries several controllers at once.
 const (
-	ComparisonParts     = 5
-	ComparisonWaitParts = 2
-	OverdueParts        = 4
+	ComparisonIntervalDivisor = 5
+	ComparisonTimeoutDivisor  = 2
+	OverdueDivisor            = 4
 )
 
 const (
@@ -77,8 +77,8 @@
 	return targets
 }
 
-// Ended records the result of a comparison: an answer, or a failure if answered is false.
-func (p *Comparisons) Ended(addr string, answered, sameRunners bool) {
+// RecordResult records the result of a comparison: an answer, or a failure if answered is false.
+func (p *Comparisons) RecordResult(addr string, answered, sameRunners bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pending, addr)
@@ -90,8 +90,8 @@
 	}
 }
 
-// WantRunners reports whether the next comparison fetches all runners.
-func (p *Comparisons) WantRunners() bool {
+// RunnersFetchDue reports whether the next comparison fetches all runners.
+func (p *Comparisons) RunnersFetchDue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.consecutiveMismatches%fetchRunnersInterval == fetchRunnersAfter
--- a/internal/dissemination/comparisons_test.go
+++ b/internal/dissemination/comparisons_test.go
@@ -14,7 +14,7 @@
 	for range 8 {
 		for _, addr := range p.Next(all, "parent", false) {
 			queryCounts[addr]++
-			p.Ended(addr, true, true)
+			p.RecordResult(addr, true, true)
 		}
 	}
 	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}, queryCounts)
@@ -24,7 +24,7 @@
 		next := p.Next(all, "parent", false)
 		must.Len(t, 1, next, must.Sprint("a controller that does not answer delays no other"))
 		must.NotEq(t, silent[0], next[0])
-		p.Ended(next[0], true, true)
+		p.RecordResult(next[0], true, true)
 	}
 }
 
@@ -37,17 +37,17 @@
 	must.Eq(t, []string{"parent"}, (&Comparisons{}).Next([]string{"parent"}, "parent", false))
 }
 
-func TestWantRunnersAfterTwoConsecutiveMismatches(t *testing.T) {
+func TestRunnersFetchDueAfterTwoConsecutiveMismatches(t *testing.T) {
 	var p Comparisons
 	for _, same := range []bool{false, false} {
-		must.False(t, p.WantRunners())
-		p.Ended("a", true, same)
+		must.False(t, p.RunnersFetchDue())
+		p.RecordResult("a", true, same)
 	}
-	must.True(t, p.WantRunners())
-	p.Ended("a", false, false)
-	must.True(t, p.WantRunners(), must.Sprint("a failed comparison changes nothing"))
-	p.Ended("a", true, true)
-	must.False(t, p.WantRunners())
+	must.True(t, p.RunnersFetchDue())
+	p.RecordResult("a", false, false)
+	must.True(t, p.RunnersFetchDue(), must.Sprint("a failed comparison changes nothing"))
+	p.RecordResult("a", true, true)
+	must.False(t, p.RunnersFetchDue())
 }
 
 // State that a controller has and that the tree has not delivered within grace is fetched,
--- a/internal/dissemination/counts.go
+++ b/internal/dissemination/counts.go
@@ -85,10 +85,10 @@
 // PublisherCounts is a snapshot of a publisher's queues and of its counters of answers to
 // receivers that sent their SyncState.
 type PublisherCounts struct {
-	Subscribers  int
-	QueuedBytes  int // of all subscribers
-	LongestQueue int // in bytes, of one subscriber
-	Dropped      int64
+	Subscribers   int
+	QueuedBytes   int // of all subscribers
+	LongestQueue  int // in bytes, of one subscriber
+	DroppedQueues int64
 
 	Snapshots, SnapshotBytes int64 // answers with the whole configuration or all runners
 	Deltas, DeltaBytes       int64 // other answers
@@ -97,8 +97,8 @@
 // Counts returns the current queue sizes and counters.
 func (p *Publisher) Counts() PublisherCounts {
 	c := PublisherCounts{
-		Dropped:   p.DroppedQueues.Load(),
-		Snapshots: p.answerCounts.snapshots.Load(), SnapshotBytes: p.answerCounts.snapshotBytes.Load(),
+		DroppedQueues: p.DroppedQueues.Load(),
+		Snapshots:     p.answerCounts.snapshots.Load(), SnapshotBytes: p.answerCounts.snapshotBytes.Load(),
 		Deltas: p.answerCounts.deltas.Load(), DeltaBytes: p.answerCounts.deltaBytes.Load(),
 	}
 	p.mu.Lock()
--- a/internal/dissemination/large_change_test.go
+++ b/internal/dissemination/large_change_test.go
@@ -82,7 +82,7 @@
 	change, _ := routeconfig.NewSource().Commit(2, entries)
 
 	parent, child := newTestTransport(t), newTestTransport(t)
-	relay := NewPublisher(parent, Upstream{
+	relay := NewPublisher(parent, PublisherCallbacks{
 		DeltaSince:  func(messages.SyncState) messages.Feed { return messages.Feed{Versions: []int64{1}} },
 		ApplyReport: func(string, messages.LoadReport) bool { return true }, Unsubscribed: func(string) {},
 	})
@@ -130,7 +130,7 @@
 func TestParentIsNotSilentDuringSlowUpdate(t *testing.T) {
 	parent, child := newTestTransport(t), newTestTransport(t)
 	joined := make(chan bool, 16)
-	relay := NewPublisher(parent, Upstream{
+	relay := NewPublisher(parent, PublisherCallbacks{
 		DeltaSince: func(messages.SyncState) messages.Feed {
 			joined <- true
 			return messages.Feed{Versions: []int64{1}}
--- a/internal/dissemination/policy.go
+++ b/internal/dissemination/policy.go
@@ -48,8 +48,8 @@
 	return true
 }
 
-// Moves reports whether another parent is preferred to the current one now.
-func (p *ParentPolicy) Moves(preferred []string, parent string, nowUs int64) bool {
+// ShouldMove reports whether another parent is preferred to the current one now.
+func (p *ParentPolicy) ShouldMove(preferred []string, parent string, nowUs int64) bool {
 	return len(preferred) > 0 && preferred[0] != parent && !p.avoids(preferred[0], nowUs)
 }
 
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -35,8 +35,8 @@
 // maxQueuedBytes bounds the queue of one subscriber.
 const maxQueuedBytes = 4 << 20
 
-// Upstream holds the functions that a publisher calls on behalf of its subscribers.
-type Upstream struct {
+// PublisherCallbacks holds the functions that a publisher calls on behalf of its subscribers.
+type PublisherCallbacks struct {
 	DeltaSince   func(h messages.SyncState) messages.Feed      // the update that a receiver with this state lacks
 	ApplyReport  func(from string, t messages.LoadReport) bool // applies loads of a subtree; false requests all of them again
 	Unsubscribed func(from string)                             // the subscription of a node has ended
@@ -55,7 +55,7 @@
 type Publisher struct {
 	mu            sync.Mutex
 	queues        map[*transport.Conn]*subscriberQueue
-	upstream      Upstream
+	callbacks     PublisherCallbacks
 	snapshotSlots chan struct{} // semaphore for the snapshots and deltas being prepared
 	DroppedQueues atomic.Int64
 	answerCounts  answerCounts
@@ -77,8 +77,8 @@
 const maxConcurrentSnapshots = 2
 
 // NewPublisher makes a publisher and registers its handlers at the transport.
-func NewPublisher(node *transport.Transport, upstream Upstream) *Publisher {
-	p := &Publisher{queues: map[*transport.Conn]*subscriberQueue{}, upstream: upstream, snapshotSlots: make(chan struct{}, maxConcurrentSnapshots)}
+func NewPublisher(node *transport.Transport, callbacks PublisherCallbacks) *Publisher {
+	p := &Publisher{queues: map[*transport.Conn]*subscriberQueue{}, callbacks: callbacks, snapshotSlots: make(chan struct{}, maxConcurrentSnapshots)}
 	node.OnCall(transport.KindSubscribe, func(_ context.Context, from *transport.Conn, body []byte) ([]byte, error) {
 		var state messages.SyncState
 		if _, err := state.UnmarshalMsg(body); err != nil {
@@ -112,7 +112,7 @@
 		if s == nil {
 			return
 		}
-		if !p.upstream.ApplyReport(from.Remote(), report) {
+		if !p.callbacks.ApplyReport(from.Remote(), report) {
 			p.enqueue(s, transport.KindResendLoads, nil)
 			return
 		}
@@ -132,7 +132,7 @@
 func (p *Publisher) deltaSince(state messages.SyncState) ([]byte, error) {
 	p.snapshotSlots <- struct{}{}
 	defer func() { <-p.snapshotSlots }()
-	update := p.upstream.DeltaSince(state)
+	update := p.callbacks.DeltaSince(state)
 	b, err := update.MarshalMsg(nil)
 	p.answerCounts.count(&update, len(b))
 	return b, err
@@ -178,7 +178,7 @@
 			delete(p.queues, conn)
 			p.mu.Unlock()
 			conn.Close()
-			p.upstream.Unsubscribed(conn.Remote())
+			p.callbacks.Unsubscribed(conn.Remote())
 		}()
 		p.catchUp(s, state)
 		for {
--- a/internal/dissemination/publisher_test.go
+++ b/internal/dissemination/publisher_test.go
@@ -42,7 +42,7 @@
 func newParentNode(r *transport.Transport) *parentNode {
 	p := &parentNode{stream: statesync.NewEntries(), reports: make(chan messages.LoadReport, 8)}
 	p.stream.Begin(1, 0)
-	p.publisher = NewPublisher(r, Upstream{DeltaSince: p.deltaSince, ApplyReport: p.applyReport, Unsubscribed: func(string) {}})
+	p.publisher = NewPublisher(r, PublisherCallbacks{DeltaSince: p.deltaSince, ApplyReport: p.applyReport, Unsubscribed: func(string) {}})
 	return p
 }
 
@@ -229,7 +229,7 @@
 	var relays []*Publisher
 	for i := range 2 {
 		p := newTestTransport(t)
-		relays = append(relays, NewPublisher(p, Upstream{
+		relays = append(relays, NewPublisher(p, PublisherCallbacks{
 			DeltaSince: func(messages.SyncState) messages.Feed {
 				joined <- i
 				return messages.Feed{Versions: []int64{}, CutOff: true}
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -194,7 +194,7 @@
 	if u.policy.LeaveSilent(s.parent, u.silenceUs(s), nowUs) {
 		return EndSilent, true
 	}
-	return EndMoved, u.policy.Moves(u.Parents(), s.parent, nowUs)
+	return EndMoved, u.policy.ShouldMove(u.Parents(), s.parent, nowUs)
 }
 
 // silenceUs returns for how long the parent has been silent. A parent whose update is still
--- a/internal/dissemination/unsynced_test.go
+++ b/internal/dissemination/unsynced_test.go
@@ -27,7 +27,7 @@
 	var addrs []string
 	for i, cut := range cutOff {
 		p := newTestTransport(t)
-		NewPublisher(p, Upstream{
+		NewPublisher(p, PublisherCallbacks{
 			DeltaSince: func(h messages.SyncState) messages.Feed {
 				joined <- stateRequest{i, h}
 				return messages.Feed{Versions: []int64{}, CutOff: cut}
--- a/internal/metrics/shared.go
+++ b/internal/metrics/shared.go
@@ -61,7 +61,7 @@
 			emit(float64(counts.LongestQueue), "longest")
 		}),
 		Counter("beechtide_subscriber_backlogs_dropped_total", "Backlogs that grew past their bound and were dropped.", nil, func(emit Emit) {
-			emit(float64(p.Counts().Dropped))
+			emit(float64(p.Counts().DroppedQueues))
 		}),
 		Counter("beechtide_catch_ups_total", "Answers to receivers that named what they have, with a snapshot or with deltas only.", []string{"content"}, func(emit Emit) {
 			counts := p.Counts()
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -31,13 +31,13 @@
 // fetches what is newer. A slow comparison does not delay the next one.
 func (r *Router) compareVersions(ctx context.Context) func() {
 	return func() {
-		overdue := r.clock()-r.lastUpdateUs.Load() > max(r.convergeTime()/dissemination.OverdueParts, 2*dissemination.UpdateInterval).Microseconds()
+		overdue := r.clock()-r.lastUpdateUs.Load() > max(r.convergeTime()/dissemination.OverdueDivisor, 2*dissemination.UpdateInterval).Microseconds()
 		for _, addr := range r.comparisons.Next(r.unsuspectedCoreAddrs(), *r.parent.Load(), overdue) {
 			go func() {
-				callCtx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonWaitParts)
+				callCtx, cancel := context.WithTimeout(ctx, r.convergeTime()/dissemination.ComparisonTimeoutDivisor)
 				defer cancel()
 				remote, ok := r.compareWith(callCtx, addr, overdue)
-				r.comparisons.Ended(addr, ok, remote.RegistrySum == r.registry.Snapshot().Checksum)
+				r.comparisons.RecordResult(addr, ok, remote.RegistrySum == r.registry.Snapshot().Checksum)
 			}()
 		}
 	}
@@ -102,12 +102,12 @@
 		r.log.V(1).Info("comparison failed", "controller", addr, "overdue", overdue, "err", err.Error())
 		return remote, false
 	}
-	grace := r.convergeTime() / dissemination.ComparisonParts
+	grace := r.convergeTime() / dissemination.ComparisonIntervalDivisor
 	if overdue {
 		grace = 0
 	}
 	local := r.localVersions()
-	wantRunners := r.comparisons.WantRunners()
+	wantRunners := r.comparisons.RunnersFetchDue()
 	due := r.comparisons.FetchDue(local, remote.Parts, grace, r.clock())
 	if dissemination.Behind(local, remote.Parts) {
 		r.log.Info("controller has newer versions", "controller", addr, "theirs", remote.Parts, "held", local, "overdue", overdue, "fetch", due)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -218,7 +218,7 @@
 // initDissemination sets up this router's part of the relay tree: the subscription to its parent
 // and the publisher for the routers below it.
 func (r *Router) initDissemination() {
-	r.publisher = dissemination.NewPublisher(r.transport, dissemination.Upstream{
+	r.publisher = dissemination.NewPublisher(r.transport, dissemination.PublisherCallbacks{
 		DeltaSince:   r.deltaSince,
 		ApplyReport:  r.applyReport,
 		Unsubscribed: r.removeSender,
@@ -240,7 +240,7 @@
 	r.transport.Run(live)
 	go r.monitor.Run(live)
 	go r.subscriber.Listen(live, r.transport)
-	go loop.Every(live, r.convergeTime()/dissemination.ComparisonParts, r.compareVersions(live))
+	go loop.Every(live, r.convergeTime()/dissemination.ComparisonIntervalDivisor, r.compareVersions(live))
 	go r.reportLoads(live)
 	go loop.Every(live, time.Second, func() { r.connPool.Sweep(func(string) bool { return true }) })
 	go loop.Every(live, unlistedSweepInterval, r.removeUnlisted)
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -17,9 +17,9 @@
 	subscribeWaitUs   = 600 * Millisecond
 	subscriberTickUs  = 250 * Millisecond
 	anythingUs        = 2_500 * Millisecond
-	compareEveryUs    = convergeUs / dissemination.ComparisonParts
-	compareWaitUs     = convergeUs / dissemination.ComparisonWaitParts
-	overdueUs         = convergeUs / dissemination.OverdueParts
+	compareEveryUs    = convergeUs / dissemination.ComparisonIntervalDivisor
+	compareWaitUs     = convergeUs / dissemination.ComparisonTimeoutDivisor
+	overdueUs         = convergeUs / dissemination.OverdueDivisor
 	unseenUs          = 1_200 * Millisecond // until one that can't be heard is taken for dead
 	spoiledPerMille   = 2                   // changes whose digest does not come out
 	fewestBeforeRelay = 3
@@ -177,7 +177,7 @@
 	}
 	nowUs := r.process.NowUs()
 	addr := r.parent.parent.address()
-	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastUs, nowUs) || r.policy.Moves(r.wanted(), addr, nowUs) {
+	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastUs, nowUs) || r.policy.ShouldMove(r.wanted(), addr, nowUs) {
 		r.leave()
 	}
 }
@@ -260,7 +260,7 @@
 func (r *sink) compareWith(to node, overdue bool) {
 	begunUs := r.process.NowUs()
 	var version int64
-	ended := func(ok bool) { r.comparisons.Ended(to.address(), ok, true) }
+	ended := func(ok bool) { r.comparisons.RecordResult(to.address(), ok, true) }
 	r.d.call(r.process, r.addr, to.running(), to.address(), compareWaitUs, func() func() {
 		f := to.since(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 1 << 62}})
 		return func() { version = f.Versions[0] }
