--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -1,47 +1,49 @@
-// Budget bounds retries. The budget is one for the whole system; a node spends a ratio
-// of the requests that it received itself, and its share of the slack by the number of
-// routers that it knows, with a margin for sliding windows and for nodes that restart.
+// This file implements the retry budget. The configured budget applies to the whole
+// system. Each node may retry a ratio of the requests that it received itself, plus an
+// equal share of the slack among the known routers. Both are reduced by a margin that
+// covers sliding windows and restarted nodes.
 
 package upstream
 
-// Budget is not safe for concurrent use.
+// Budget limits the retries that one node sends for one service. It is not safe for
+// concurrent use.
 type Budget struct {
-	Ratio    float64 // retries for each request
-	Slack    float64 // retries beside those
-	WindowUs int64   // the sliding window that both are counted in
+	Ratio    float64 // retries allowed per request
+	Slack    float64 // retries allowed in addition, independent of the request count
+	WindowUs int64   // length of the sliding window for both
 
-	requests []int64 // when requests arrived
-	retries  []int64 // when retries were sent
+	requestTimesUs []int64 // arrival times of requests
+	retryTimesUs   []int64 // send times of retries
 }
 
-// Parts of its share that a node spends.
+// Fractions of its share that a node uses.
 const (
-	ratioMargin = 0.6
-	slackMargin = 0.4
+	ratioFraction = 0.6
+	slackFraction = 0.4
 )
 
-// Request counts a request for the service.
+// Request records the arrival of a request for the service.
 func (b *Budget) Request(nowUs int64) {
-	b.requests = append(trim(b.requests, nowUs-b.WindowUs/2), nowUs)
+	b.requestTimesUs = append(removeBefore(b.requestTimesUs, nowUs-b.WindowUs/2), nowUs)
 }
 
-// Spend reports whether a retry may be sent, and counts it.
+// Spend reports whether the budget allows another retry, and if so records it.
 func (b *Budget) Spend(nowUs int64, nodes int) bool {
-	b.requests = trim(b.requests, nowUs-b.WindowUs/2)
-	b.retries = trim(b.retries, nowUs-b.WindowUs)
-	allowed := b.Ratio*ratioMargin*float64(len(b.requests)) + b.Slack*slackMargin/float64(max(nodes, 1))
-	if float64(len(b.retries)+1) > allowed {
+	b.requestTimesUs = removeBefore(b.requestTimesUs, nowUs-b.WindowUs/2)
+	b.retryTimesUs = removeBefore(b.retryTimesUs, nowUs-b.WindowUs)
+	allowed := b.Ratio*ratioFraction*float64(len(b.requestTimesUs)) + b.Slack*slackFraction/float64(max(nodes, 1))
+	if float64(len(b.retryTimesUs)+1) > allowed {
 		return false
 	}
-	b.retries = append(b.retries, nowUs)
+	b.retryTimesUs = append(b.retryTimesUs, nowUs)
 	return true
 }
 
-// trim drops the times before fromUs.
-func trim(list []int64, fromUs int64) []int64 {
+// removeBefore removes the times before fromUs from a sorted list, in place.
+func removeBefore(timesUs []int64, fromUs int64) []int64 {
 	i := 0
-	for i < len(list) && list[i] < fromUs {
+	for i < len(timesUs) && timesUs[i] < fromUs {
 		i++
 	}
-	return append(list[:0], list[i:]...)
+	return append(timesUs[:0], timesUs[i:]...)
 }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -1,5 +1,5 @@
-// Small calls to runners: reports, cache events, orders and probes. Each is sent once
-// and never retried here.
+// This file implements control calls to runners: reports, cache events, orders and
+// probes. Each is sent once and never retried here.
 
 package upstream
 
@@ -11,18 +11,18 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// maxResponseBytes bounds the body of the response to such a call.
+// maxResponseBytes limits the body of the response to a control call.
 const maxResponseBytes = 8 << 20
 
 // defaultCallTimeout bounds a call whose context has no deadline.
 const defaultCallTimeout = 2 * time.Second
 
-// attemptID is the header that names the request that a response belongs to.
+// attemptID is the header that identifies the request that a response belongs to.
 const attemptID = "Beechtide-Attempt-Id"
 
-// call is one small call. One that may have an effect at the runner, or that asks who
-// is at an address, takes a connection of its own: on a reused one a late second
-// response to an earlier call could be taken for the response to this one.
+// call is one control call. A call that changes state at the runner, or that identifies
+// the runner at an address, uses a connection of its own: on a reused connection a late
+// second response to an earlier call could be mistaken for the response to this one.
 type call struct {
 	method  string
 	path    string
@@ -38,8 +38,8 @@
 	body   []byte
 }
 
-// Ask sends one request and reads the complete response. After an error the runner may
-// have carried the request out.
+// Ask sends one request and reads the complete response. The runner may have executed
+// the request even if an error is returned.
 func (p *ConnPool) Ask(ctx context.Context, addr, method, path string, headers map[string]string, body []byte) (status int, out []byte, err error) {
 	r, err := p.exchange(ctx, addr, call{method, path, headers, body, method != "GET"})
 	if err != nil {
@@ -48,8 +48,8 @@
 	return r.status, r.body, nil
 }
 
-// Probe sends a GET over a connection of its own and returns the status and one header
-// of the response.
+// Probe sends a GET on a new connection and returns the status and one header of the
+// response.
 func (p *ConnPool) Probe(ctx context.Context, addr, path, header string, headers map[string]string) (status int, value string, err error) {
 	r, err := p.exchange(ctx, addr, call{"GET", path, headers, nil, true})
 	if err != nil {
@@ -89,8 +89,8 @@
 	return r, nil
 }
 
-// readResponse reads the complete response to a call. A call has no attempt id, so a
-// response that has one belongs to something else.
+// readResponse reads the complete response to a call. Calls carry no attempt id, so a
+// response that has one belongs to another request.
 func (c *Conn) readResponse(deadline time.Time) (*response, error) {
 	r := &protocol.Response{}
 	if err := c.Head(r, deadline); err != nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,22 +1,24 @@
-// Package upstream carries requests to runners over HTTP/1.1.
+// Package upstream is the HTTP/1.1 client that the router and the controller use to send
+// requests to runners.
 //
-// ConnPool keeps idle connections to runners. A Conn is one connection: Send writes a
-// request and says whether any byte may have reached the runner, Head and HeadFor read
+// ConnPool holds idle connections to runners. A Conn is one connection: Send writes a
+// request and reports whether any byte may have reached the runner; Head and HeadFor read
 // the head of the response, HeadFor only one with the attempt id of the request.
-// Events cuts a stream into whole events. ConnPool.Ask and Probe make small calls
-// (reports, cache events, orders, probes). Budget bounds retries.
+// Events splits a stream into complete events. ConnPool.Ask and Probe make control calls
+// (reports, cache events, orders, probes). Budget limits retries.
 //
-//   - Nothing is retried here: a request is written once, and the caller decides what
-//     follows from the error.
-//   - A connection is used again only after a whole response with nothing behind it,
-//     and is checked again before use, so that one that the runner has closed, or has
-//     sent surplus bytes on, is not used.
-//   - A response is accepted only if its head is well-formed and says where the body
-//     ends.
+//   - Nothing is retried here: a request is written once, and the caller decides how to
+//     handle an error.
+//   - A connection is reused only after a complete response without surplus bytes, and is
+//     checked again before use, so that a connection that the runner has closed, or has
+//     sent surplus bytes on, is not reused.
+//   - A response is accepted only if its head is well-formed and its body length is
+//     unambiguous.
 //
 // ConnPool has a mutex and is safe for concurrent use. A Conn belongs to the goroutine
-// that got it, except for Interrupt and Close. Events and Budget are not safe for
-// concurrent use. The package starts no goroutine.
+// that obtained it, except for Interrupt and Close. Events and Budget are not safe for
+// concurrent use. The only goroutine that the package starts writes the rest of a long
+// request.
 package upstream
 
 import (
@@ -40,12 +42,13 @@
 const (
 	connectTimeout = 700 * time.Millisecond
 
-	// userTimeoutMs is for how long bytes may stay unacknowledged before the connection
-	// ends.
+	// userTimeoutMs is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection.
 	userTimeoutMs  = 1500
 	tcpUserTimeout = 18 // TCP_USER_TIMEOUT of tcp(7)
 
-	// When and how often a silent peer is probed by the kernel.
+	// TCP keep-alive: idle time before the first probe, interval between probes, and
+	// unanswered probes before the kernel closes the connection.
 	keepAliveIdleS     = 1
 	keepAliveIntervalS = 1
 	keepAliveCount     = 2
@@ -55,24 +58,25 @@
 type Conn struct {
 	conn              net.Conn
 	in                reader
-	service           string       // of the runner, as named by ConnPool.GetFor
-	idleSinceUs       int64        // when it was put into the pool
-	keepAliveUs       int64        // for how long the runner keeps it open while idle; 0: unknown
-	tainted           bool         // it carries bytes that belong to no request
-	userTimeoutRaised bool         // above userTimeoutMs, for a slow reader
+	service           string       // service of the runner, as passed to ConnPool.GetFor
+	idleSinceUs       int64        // time when the connection was put into the pool
+	keepAliveUs       int64        // how long the runner keeps the connection open while idle; 0 if unknown
+	tainted           bool         // bytes arrived that belong to no request on this connection
+	userTimeoutRaised bool         // the TCP user timeout is above userTimeoutMs, for a slow reader
 	sending           atomic.Bool  // the rest of a request's body is being written
-	interrupted       atomic.Bool  // nobody waits for a response any longer
-	lastReadNs        atomic.Int64 // when bytes last arrived, after processStart
+	interrupted       atomic.Bool  // Interrupt was called and not undone by Resume
+	lastReadNs        atomic.Int64 // time of the last received bytes, since processStart
 
-	// OnInterrupt is asked, by the goroutine that reads, what an interrupt is to do: the read
-	// goes on where it returns true, having called Resume, and ends otherwise. Nil ends it.
+	// OnInterrupt decides whether an interrupt ends a read. The reading goroutine calls it.
+	// To continue the read, it calls Resume and returns true. If it returns false or is
+	// nil, the read ends.
 	OnInterrupt func() (goOn bool)
 
-	Answers  int   // responses whose heads have been read
-	RestedUs int64 // for how long it was idle when it was taken from the pool; 0: it is new
+	Answers  int   // number of responses whose heads have been read
+	RestedUs int64 // idle time when it was taken from the pool; 0 for a new connection
 }
 
-// Connect opens a connection.
+// Connect opens a connection to a runner.
 func Connect(ctx context.Context, addr string) (*Conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: setSocketOptions}
 	c, err := dialer.DialContext(ctx, "tcp4", addr)
@@ -83,20 +87,20 @@
 }
 
 func newConn(c net.Conn) *Conn {
-	made := &Conn{conn: c}
-	made.in = newReader(arrivals{made})
-	made.lastReadNs.Store(int64(time.Since(processStart)))
-	return made
+	conn := &Conn{conn: c}
+	conn.in = newReader(connReader{conn})
+	conn.lastReadNs.Store(int64(time.Since(processStart)))
+	return conn
 }
 
-// processStart is what lastReadNs counts from.
+// processStart is the reference time of Conn.lastReadNs.
 var processStart = time.Now()
 
-// arrivals reads a connection for its parser.
-type arrivals struct{ conn *Conn }
+// connReader is the reader below the parser: it records arrival times and handles interrupts.
+type connReader struct{ conn *Conn }
 
-// Read reads what has arrived. An interrupt ends it unless OnInterrupt says otherwise.
-func (a arrivals) Read(b []byte) (int, error) {
+// Read reads from the connection. An interrupt ends it unless OnInterrupt returns true.
+func (a connReader) Read(b []byte) (int, error) {
 	c := a.conn
 	for {
 		n, err := c.conn.Read(b)
@@ -110,7 +114,7 @@
 	}
 }
 
-// SilentFor is the time since bytes last arrived, or since the connection was opened.
+// SilentFor returns the time since bytes last arrived, or since the connection was opened.
 func (c *Conn) SilentFor() time.Duration {
 	return time.Since(processStart) - time.Duration(c.lastReadNs.Load())
 }
@@ -126,17 +130,17 @@
 	})
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() { c.conn.Close() }
 
-// expired reports whether the runner may close the connection soon, by what it
-// announced.
+// expired reports whether the idle time is close to the keep-alive timeout that the
+// runner announced, so that the runner may close the connection soon.
 func (c *Conn) expired(idleUs int64) bool {
 	return c.keepAliveUs > 0 && idleUs > c.keepAliveUs-keepAliveMarginUs
 }
 
-// reusable reports whether an idle connection may carry another request: it is still
-// open, and nothing has arrived that was not requested.
+// reusable reports whether an idle connection can be used for another request: it is still
+// open, and no unexpected bytes have arrived.
 func (c *Conn) reusable() bool {
 	if c.in.Len() > 0 {
 		return false
@@ -159,20 +163,20 @@
 	return err == nil && nothingToRead
 }
 
-// Interrupt ends the wait for bytes of a response, now or when it begins, as far as
-// OnInterrupt lets it. It may be called while another goroutine uses the connection.
+// Interrupt ends the current or the next wait for bytes of a response, unless OnInterrupt
+// continues it. It may be called while another goroutine uses the connection.
 func (c *Conn) Interrupt() {
 	c.interrupted.Store(true)
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Resume lets a response whose head has arrived be read on until the deadline, also
-// if the connection was interrupted meanwhile.
+// Resume clears an interrupt and sets a new read deadline, so that a response whose head
+// has arrived can be read to its end.
 func (c *Conn) Resume(deadline time.Time) {
 	c.interrupted.Store(false)
 	_ = c.conn.SetReadDeadline(deadline)
 }
 
-// Spoil records that bytes arrived that are no response to a request on this
-// connection. It is not used again.
+// Spoil marks the connection as tainted: bytes arrived that do not belong to the current
+// request. It is not reused.
 func (c *Conn) Spoil() { c.tainted = true }
--- a/internal/upstream/conn_pool.go
+++ b/internal/upstream/conn_pool.go
@@ -8,25 +8,26 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// keepAliveMarginUs is how long before the runner's announced limit an idle connection
-// is no longer used.
+// keepAliveMarginUs is how long before the keep-alive timeout announced by the runner an
+// idle connection is no longer used.
 const keepAliveMarginUs = 600_000
 
-// ConnPool keeps idle connections to runners. It is safe for concurrent use.
+// ConnPool holds idle connections to runners. It is safe for concurrent use.
 type ConnPool struct {
 	clock func() int64 // monotonic, in microseconds
 
-	mu     sync.Mutex         // guards all below
-	idle   map[string][]*Conn // by address, the one idle for the shortest time last
+	mu     sync.Mutex         // guards the fields below
+	idle   map[string][]*Conn // by address; the most recently used is last
 	limits idleLimits
 }
 
-// NewConnPool makes an empty pool. clock returns monotonic microseconds.
+// NewConnPool creates an empty pool. clock returns monotonic microseconds.
 func NewConnPool(clock func() int64) *ConnPool {
 	return &ConnPool{clock: clock, idle: map[string][]*Conn{}, limits: idleLimits{}}
 }
 
-// Dead records that a connection from the pool had been dropped by the runner.
+// Dead records that the runner had dropped a connection taken from the pool, which lowers
+// the idle limit of its service. A new connection is ignored.
 func (p *ConnPool) Dead(c *Conn) {
 	if c.RestedUs == 0 {
 		return
@@ -36,15 +37,17 @@
 	p.limits.recordDead(c.service, c.RestedUs)
 }
 
-// Alive records that a response came on a connection from the pool.
+// Alive records that a response arrived on a connection taken from the pool, which may
+// raise the idle limit of its service.
 func (p *ConnPool) Alive(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.recordAlive(c.service, c.RestedUs)
 }
 
-// GetFor returns a connection for a request to a runner of a service. It has been idle
-// only for as long as is safe for that service.
+// GetFor returns a connection for a request to a runner of a service. A pooled connection
+// is used only if its idle time is within the learned limit of that service; the limit is
+// higher for repeatable requests.
 func (p *ConnPool) GetFor(ctx context.Context, addr, service string, repeatable bool) (*Conn, error) {
 	p.mu.Lock()
 	maxIdleUs := p.limits.limitFor(service, repeatable)
@@ -56,12 +59,12 @@
 	return c, err
 }
 
-// Get returns a connection to addr, an idle one if there is a good one.
+// Get returns a connection to addr: a reusable idle one if there is one, else a new one.
 func (p *ConnPool) Get(ctx context.Context, addr string) (*Conn, error) {
 	return p.getWithin(ctx, addr, idleLimitMaxUs)
 }
 
-// getWithin returns a connection that has been idle for no longer than maxIdleUs.
+// getWithin returns an idle connection with an idle time of at most maxIdleUs, or a new one.
 func (p *ConnPool) getWithin(ctx context.Context, addr string, maxIdleUs int64) (*Conn, error) {
 	for {
 		c := p.popIdle(addr)
@@ -78,8 +81,8 @@
 	}
 }
 
-// popIdle takes the connection out of the pool that has been idle for the shortest
-// time; nil where there is none.
+// popIdle removes and returns the most recently used idle connection, or nil if there is
+// none.
 func (p *ConnPool) popIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,9 +95,9 @@
 	return list[last]
 }
 
-// Put returns a connection to the pool after a complete response, or closes it. A
-// runner may respond before it has read the whole body of a request: as long as the
-// rest is being written, no other request may follow it.
+// Put returns a connection to the pool after a complete response, or closes it if it
+// cannot be reused. A runner may respond before it has read the whole body of a request;
+// while the rest of that body is being written, no other request may be sent.
 func (p *ConnPool) Put(addr string, c *Conn, h *protocol.ResponseHeader) {
 	if c.tainted || c.sending.Load() || !c.keepAlive(h) || c.in.Len() > 0 {
 		c.Close()
@@ -102,7 +105,7 @@
 	}
 	_ = c.conn.SetDeadline(time.Time{})
 	c.OnInterrupt = nil
-	c.interrupted.Store(false) // an interrupt may have come just as the response ended
+	c.interrupted.Store(false) // Interrupt may have been called just as the response ended
 	if c.userTimeoutRaised {
 		c.setUserTimeout(0)
 	}
@@ -112,8 +115,8 @@
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// Drop closes the idle connections to an address, as when another runner has taken it
-// over.
+// Drop closes the idle connections to an address, for example after another runner has
+// taken over the address.
 func (p *ConnPool) Drop(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
@@ -122,30 +125,30 @@
 	closeAll(list)
 }
 
-// Sweep closes connections that have been idle for too long, and all to addresses that
-// keep returns false for.
+// Sweep closes connections that have been idle for too long, and all connections to
+// addresses for which keep returns false.
 func (p *ConnPool) Sweep(keep func(addr string) bool) {
-	closeAll(p.takeExpired(keep))
+	closeAll(p.removeExpired(keep))
 }
 
-func (p *ConnPool) takeExpired(keep func(addr string) bool) (expired []*Conn) {
+func (p *ConnPool) removeExpired(keep func(addr string) bool) (expired []*Conn) {
 	nowUs := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
 			idleUs := nowUs - c.idleSinceUs
 			if !keep(addr) || c.expired(idleUs) || idleUs > idleLimitMaxUs {
 				expired = append(expired, c)
 			} else {
-				kept = append(kept, c)
+				remaining = append(remaining, c)
 			}
 		}
-		if len(kept) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, addr)
 		} else {
-			p.idle[addr] = kept
+			p.idle[addr] = remaining
 		}
 	}
 	return expired
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -1,48 +1,49 @@
-// Events cuts a stream into whole events and remembers the id of the last one passed
-// on. An incomplete event stays back, so that a broken stream never leaves a part of
-// an event with the client.
+// This file implements the splitting of a server-sent event stream into complete events.
+// An incomplete event is held back, so that a client never receives part of an event when
+// a stream breaks.
 
 package upstream
 
 import "bytes"
 
-// Events is the state of one stream.
+// Events splits the bytes of one stream into complete events. LastID is the id of the last
+// complete event, and Count the number of complete events.
 type Events struct {
-	rest   []byte
-	LastID string
-	Count  int
+	incomplete []byte
+	LastID     string
+	Count      int
 }
 
-// Add appends bytes and returns those that make up whole events, in order. The result
+// Add appends received bytes and returns the complete events so far, in order. The result
 // is valid until the next call.
 func (e *Events) Add(b []byte) []byte {
-	e.rest = append(e.rest, b...)
-	end := bytes.LastIndex(e.rest, []byte("\n\n"))
+	e.incomplete = append(e.incomplete, b...)
+	end := bytes.LastIndex(e.incomplete, []byte("\n\n"))
 	if end < 0 {
 		return nil
 	}
-	whole := e.rest[:end+2]
-	out := append([]byte{}, whole...)
-	e.record(whole)
-	e.rest = append(e.rest[:0], e.rest[end+2:]...)
+	complete := e.incomplete[:end+2]
+	out := append([]byte{}, complete...)
+	e.record(complete)
+	e.incomplete = append(e.incomplete[:0], e.incomplete[end+2:]...)
 	return out
 }
 
-// Rest returns what has arrived of an event that is not complete.
-func (e *Events) Rest() []byte { return e.rest }
+// Rest returns the received bytes of an incomplete event.
+func (e *Events) Rest() []byte { return e.incomplete }
 
-// Cut drops the rest, before the stream is resumed at another runner.
-func (e *Events) Cut() { e.rest = e.rest[:0] }
+// Cut discards an incomplete event before the stream is resumed at another runner.
+func (e *Events) Cut() { e.incomplete = e.incomplete[:0] }
 
-// record counts whole events and keeps the id of the last one.
-func (e *Events) record(whole []byte) {
-	e.Count += bytes.Count(whole, []byte("\n\n"))
-	for len(whole) > 0 {
-		line := whole
-		if i := bytes.IndexByte(whole, '\n'); i >= 0 {
-			line, whole = whole[:i], whole[i+1:]
+// record counts complete events and stores the id of the last one.
+func (e *Events) record(complete []byte) {
+	e.Count += bytes.Count(complete, []byte("\n\n"))
+	for len(complete) > 0 {
+		line := complete
+		if i := bytes.IndexByte(complete, '\n'); i >= 0 {
+			line, complete = complete[:i], complete[i+1:]
 		} else {
-			whole = nil
+			complete = nil
 		}
 		if rest, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			e.LastID = string(bytes.TrimSpace(rest))
--- a/internal/upstream/head.go
+++ b/internal/upstream/head.go
@@ -9,9 +9,10 @@
 	"beechtide.org/beechtide/internal/http1"
 )
 
-// The library's parser is lenient: it accepts any first line and any line ends, and of
-// two lengths takes the last, so bytes that are no response could pass for one. The
-// head is therefore validated in the buffer before the library parses it.
+// The parser of the HTTP library is lenient: it accepts any first line and any line
+// endings, and uses the last of two lengths, so that bytes that are not a response could
+// be accepted as one. The head is therefore validated in the buffer before the library
+// parses it.
 
 var (
 	headEnd    = []byte("\r\n\r\n")
@@ -19,11 +20,11 @@
 	statusLine = []byte("HTTP/1.1 ")
 )
 
-// maxInterimResponses bounds the interim responses (1xx) before the final one.
+// maxInterimResponses limits the interim responses (1xx) before the final one.
 const maxInterimResponses = 2
 
-// awaitHead waits until the whole head of a response is in the buffer, and validates
-// it. Interim responses are skipped.
+// awaitHead waits until the complete head of the final response is in the buffer, and
+// validates it. Interim responses are skipped.
 func awaitHead(in reader) error {
 	for range maxInterimResponses + 1 {
 		head, err := peekHead(in)
@@ -43,7 +44,7 @@
 	return errors.Wrap(ErrBroken, "too many interim responses")
 }
 
-// peekHead returns the next head, including its last empty line.
+// peekHead returns the next head, including its last empty line, without consuming it.
 func peekHead(in reader) ([]byte, error) {
 	for {
 		buffered, err := in.Peek(in.Len())
@@ -63,7 +64,7 @@
 	}
 }
 
-// validHead reports whether a head is of HTTP/1.1 and unambiguous.
+// validHead reports whether a head is well-formed HTTP/1.1 with at most one body length.
 func validHead(head []byte) bool {
 	first, lengths := true, 0
 	for line := range bytes.SplitSeq(head[:len(head)-len(headEnd)], lineEnd) {
@@ -88,8 +89,8 @@
 	return lengths <= 1
 }
 
-// checkField checks one field of a head; givesLength reports whether the field says
-// where the body ends.
+// checkField validates one field of a head; givesLength reports whether the field
+// determines the length of the body.
 func checkField(line []byte) (givesLength, ok bool) {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || !http1.IsToken(string(name)) {
@@ -101,7 +102,8 @@
 	return bytes.EqualFold(name, []byte("Content-Length")), true
 }
 
-// validStatusLine checks the first line of a head.
+// validStatusLine reports whether a line is an HTTP/1.1 status line with a status of
+// 100 to 599.
 func validStatusLine(line []byte) bool {
 	status, ok := bytes.CutPrefix(line, statusLine)
 	if !ok || len(status) < 3 || len(status) > 3 && status[3] != ' ' {
--- a/internal/upstream/keep_alive.go
+++ b/internal/upstream/keep_alive.go
@@ -8,7 +8,7 @@
 )
 
 // keepAlive reports whether the connection stays open after this response, and records
-// for how long the runner says that it keeps it.
+// the keep-alive timeout that the runner announced.
 func (c *Conn) keepAlive(h *protocol.ResponseHeader) bool {
 	if h.ConnectionClose() || !h.IsHTTP11() {
 		return false
@@ -21,7 +21,7 @@
 	return seconds > 0
 }
 
-// keepAliveTimeout reads the parameter timeout, in seconds, of the header Keep-Alive.
+// keepAliveTimeout parses the timeout parameter, in seconds, of a Keep-Alive header.
 func keepAliveTimeout(header string) (seconds int64, announced bool) {
 	for parameter := range strings.SplitSeq(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(parameter), "=")
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	bufferBytes = 4096 // of the reader; a whole head has to fit
-	chunkBytes  = 2048 // of a body, read at a time
+	bufferBytes = 4096 // size of the reader's buffer; a complete head must fit
+	chunkBytes  = 2048 // bytes of a body read at a time
 )
 
 // identityLength is the content length that the library reports for a body that ends
 // with the connection.
 const identityLength = -2
 
-// reader gives the connection's bytes to the library's parser. It has no method Read:
-// if it had, the library would read past the end of a body that is longer than its
-// first chunk.
+// reader passes the connection's bytes to the parser of the HTTP library. It deliberately
+// has no Read method: with one, the library would read past the end of a body that is
+// longer than its first chunk.
 type reader struct{ in *bufio.Reader }
 
 func newReader(in io.Reader) reader { return reader{bufio.NewReaderSize(in, bufferBytes)} }
@@ -41,8 +41,8 @@
 	return b, err
 }
 
-// readHead reads a head, once all of it has arrived and been checked, and sets the
-// stream of its body.
+// readHead waits for a complete and valid head, parses it, and sets the body stream of the
+// response.
 func readHead(out *protocol.Response, in reader) error {
 	if err := awaitHead(in); err != nil {
 		return err
@@ -62,20 +62,20 @@
 }
 
 // untilClose is the body of a response without a length, which ends with the
-// connection. It is complete if the runner closes the connection in order; a reset is
-// an error. The library's own reader takes either for the end.
+// connection. It is complete if the runner closes the connection normally; a reset is
+// an error. The library's own reader treats both as the end of the body.
 type untilClose struct{ in *bufio.Reader }
 
 func (u untilClose) Read(b []byte) (int, error) { return u.in.Read(b) }
 
-// EndsWithConn reports whether a response ends with its connection.
+// EndsWithConn reports whether the end of the connection marks the end of a response.
 func EndsWithConn(r *protocol.Response) bool {
 	_, ok := r.BodyStream().(untilClose)
 	return ok
 }
 
-// Head reads the head of the next response. The body is then read from the stream of
-// out until its end, which is io.EOF only if the body is complete.
+// Head reads the head of the next response into out. The caller then reads the body from
+// the body stream of out, which returns io.EOF only if the body is complete.
 func (c *Conn) Head(out *protocol.Response, deadline time.Time) error {
 	_ = c.conn.SetReadDeadline(deadline)
 	if c.interrupted.Load() { // checked after the deadline is set, which an interrupt replaces
@@ -85,7 +85,7 @@
 		if err := awaitHead(c.in); err != nil {
 			return err
 		}
-		c.setUserTimeout(time.Until(deadline)) // it responds, and may read the rest of the body late
+		c.setUserTimeout(time.Until(deadline)) // the runner responds already, and may read the rest of the body much later
 	}
 	if err := readHead(out, c.in); err != nil {
 		return err
@@ -94,17 +94,17 @@
 	return nil
 }
 
-// Bounds of responses to other requests that may precede the response: how many, and
-// how long the body of each.
+// Limits on responses to other requests that may precede the expected response: their
+// number, and the body size of each.
 const (
 	maxForeignResponses = 2
 	maxForeignBytes     = 1 << 20
 )
 
 // HeadFor reads the head of the response to the request with this attempt id. A late
-// second response to an earlier request may precede it; that one is skipped, and the
-// connection is not used again. Every response of a runner has an attempt id; one
-// without is an error.
+// second response to an earlier request may precede it; such a response is skipped, and
+// the connection is not reused. Every response of a runner to a request has an attempt id;
+// a response without one is an error.
 func (c *Conn) HeadFor(id string, out *protocol.Response, deadline time.Time) error {
 	for range maxForeignResponses + 1 {
 		out.Reset()
@@ -126,8 +126,8 @@
 }
 
 // ReadBody reads the complete body of a response whose head has been read. A body that
-// is truncated or longer than maxBytes is an error; the connection must not be used
-// after it.
+// is truncated or longer than maxBytes is an error; the connection must not be reused
+// after that.
 func ReadBody(r *protocol.Response, maxBytes int) ([]byte, error) {
 	stream, chunk := r.BodyStream(), make([]byte, chunkBytes)
 	var body []byte
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -11,35 +11,35 @@
 	"github.com/shoenig/test/must"
 )
 
-// partly takes so many bytes of a write and fails.
-type partly struct {
+// partialWriter is a connection whose writes accept a number of bytes and then fail.
+type partialWriter struct {
 	net.Conn
-	takes, wrote int
+	acceptBytes, writeCount int
 }
 
-func (p *partly) SetDeadline(time.Time) error { return nil }
+func (p *partialWriter) SetDeadline(time.Time) error { return nil }
 
-func (p *partly) Write(b []byte) (int, error) {
-	p.wrote++
-	return min(p.takes, len(b)), net.ErrClosed
+func (p *partialWriter) Write(b []byte) (int, error) {
+	p.writeCount++
+	return min(p.acceptBytes, len(b)), net.ErrClosed
 }
 
-func TestOneByteSentIsSent(t *testing.T) {
+func TestSendReportsSentAfterPartialWrite(t *testing.T) {
 	for _, takes := range []int{0, 1, 40} {
-		l := &Conn{conn: &partly{takes: takes}}
-		sent, err := l.Send(head(), []byte("hi"), time.Now().Add(time.Minute))
+		l := &Conn{conn: &partialWriter{acceptBytes: takes}}
+		sent, err := l.Send(testHead(), []byte("hi"), time.Now().Add(time.Minute))
 		must.ErrorIs(t, err, ErrBroken)
 		must.Eq(t, takes > 0, sent)
 	}
 }
 
-func TestNothingIsSentAfterTheDeadline(t *testing.T) {
-	p := &partly{takes: 1}
+func TestSendWritesNothingAfterDeadline(t *testing.T) {
+	p := &partialWriter{acceptBytes: 1}
 	l := &Conn{conn: p}
-	sent, err := l.Send(head(), []byte("hi"), time.Now().Add(-time.Millisecond))
+	sent, err := l.Send(testHead(), []byte("hi"), time.Now().Add(-time.Millisecond))
 	must.ErrorIs(t, err, ErrLate)
 	must.False(t, sent)
-	must.Eq(t, 0, p.wrote)
+	must.Eq(t, 0, p.writeCount)
 }
 
 func parse(raw string) (string, error) {
@@ -51,7 +51,7 @@
 	return string(body), err
 }
 
-func TestWhatIsNoAnswerIsNotTakenForOne(t *testing.T) {
+func TestMalformedResponsesAreRejected(t *testing.T) {
 	for _, raw := range []string{
 		"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
 		"NOISE 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestLongBodiesEndWhereTheyEnd(t *testing.T) {
+func TestLongBodiesExcludeSurplusBytes(t *testing.T) {
 	long := strings.Repeat("0123456789", 2_000)
 	for _, raw := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 20000\r\n\r\n" + long,
@@ -81,18 +81,18 @@
 	} {
 		body, err := parse(raw + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
 		must.NoError(t, err)
-		must.Eq(t, long, body, must.Sprint("a surplus answer is no part of the body"))
+		must.Eq(t, long, body, must.Sprint("the body must not include a surplus response"))
 	}
 	_, err := parse("HTTP/1.1 200 OK\r\nContent-Length: 20000\r\n\r\n" + long[1:])
 	must.Error(t, err)
 }
 
 const (
-	okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	noAnswer = "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\nno"
+	okResponse       = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	conflictResponse = "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\nno"
 )
 
-func ask(t *testing.T, g *ConnPool, addr, method string) (int, error) {
+func callStatus(t *testing.T, g *ConnPool, addr, method string) (int, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -100,23 +100,23 @@
 	return status, err
 }
 
-func TestAnOrderHasAConnOfItsOwn(t *testing.T) {
-	g := NewConnPool(steady)
-	addr := fake(t, okAnswer, noAnswer)
-	status, err := ask(t, g, addr, "GET")
+func TestPostCallUsesNewConnection(t *testing.T) {
+	g := NewConnPool(clockUs)
+	addr := startServer(t, okResponse, conflictResponse)
+	status, err := callStatus(t, g, addr, "GET")
 	must.NoError(t, err)
 	must.Eq(t, 200, status)
 	must.MapLen(t, 1, g.idle)
 	for range 2 {
-		status, err = ask(t, g, addr, "POST")
+		status, err = callStatus(t, g, addr, "POST")
 		must.NoError(t, err)
-		must.Eq(t, 200, status, must.Sprint("not the second answer on the conn that was there"))
+		must.Eq(t, 200, status, must.Sprint("the second response on the pooled connection was used"))
 	}
 }
 
-func TestAProbeHasAConnOfItsOwn(t *testing.T) {
-	g := NewConnPool(steady)
-	addr := fake(t, "HTTP/1.1 200 OK\r\nBeechtide-Instance: i-1\r\nContent-Length: 0\r\n\r\n", noAnswer)
+func TestProbeUsesNewConnection(t *testing.T) {
+	g := NewConnPool(clockUs)
+	addr := startServer(t, "HTTP/1.1 200 OK\r\nBeechtide-Instance: i-1\r\nContent-Length: 0\r\n\r\n", conflictResponse)
 	for range 2 {
 		status, id, err := g.Probe(context.Background(), addr, "/health", "Beechtide-Instance", nil)
 		must.NoError(t, err)
@@ -126,16 +126,16 @@
 	must.MapEmpty(t, g.idle)
 }
 
-func TestASmallCallTakesNoAnswerToARequest(t *testing.T) {
-	g := NewConnPool(steady)
-	_, err := ask(t, g, fake(t, "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: x\r\nContent-Length: 2\r\n\r\nok"), "GET")
+func TestCallRejectsResponseWithAttemptID(t *testing.T) {
+	g := NewConnPool(clockUs)
+	_, err := callStatus(t, g, startServer(t, "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: x\r\nContent-Length: 2\r\n\r\nok"), "GET")
 	must.ErrorIs(t, err, ErrForeign)
 	must.MapEmpty(t, g.idle)
 }
 
-func TestASpoiledConnIsNotKept(t *testing.T) {
-	pool := NewConnPool(steady)
-	addr := fake(t, okAnswer)
+func TestTaintedConnectionIsNotPooled(t *testing.T) {
+	pool := NewConnPool(clockUs)
+	addr := startServer(t, okResponse)
 	e, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
 	e.conn.Spoil()
@@ -143,18 +143,18 @@
 	must.MapEmpty(t, pool.idle)
 }
 
-func TestAConnThatIsNotToRestIsNotKept(t *testing.T) {
-	pool := NewConnPool(steady)
-	addr := fake(t, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok")
+func TestConnectionWithZeroKeepAliveTimeoutIsNotPooled(t *testing.T) {
+	pool := NewConnPool(clockUs)
+	addr := startServer(t, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok")
 	e, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
 	pool.Put(addr, e.conn, &e.response.Header)
 	must.MapEmpty(t, pool.idle)
 }
 
-func TestDropClosesWhatRestsAtAnAddress(t *testing.T) {
-	pool := NewConnPool(steady)
-	addr := fake(t, okAnswer, noAnswer)
+func TestDropClosesIdleConnectionsToAddress(t *testing.T) {
+	pool := NewConnPool(clockUs)
+	addr := startServer(t, okResponse, conflictResponse)
 	e, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
 	pool.Put(addr, e.conn, &e.response.Header)
@@ -162,8 +162,9 @@
 	must.MapEmpty(t, pool.idle)
 }
 
-// resetting sends an answer without a length and ends its connection with a reset.
-func resetting(t *testing.T, raw string) string {
+// startResettingServer starts a server that sends a response without a length and ends its connection
+// with a reset. It returns the server's address.
+func startResettingServer(t *testing.T, raw string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -175,19 +176,19 @@
 		}
 		_, _ = c.Read(make([]byte, 4096))
 		_, _ = c.Write([]byte(raw))
-		_, _ = c.Read(make([]byte, 1)) // until the reader has it and says so
+		_, _ = c.Read(make([]byte, 1)) // wait until the client has received the head
 		_ = c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}()
 	return ln.Addr().String()
 }
 
-func TestAnswerWithoutLengthEndsWithItsConn(t *testing.T) {
+func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
 	const raw = "HTTP/1.1 200 OK\r\n\r\nall there is"
-	for name, open := range map[string]string{"closed in order": fake(t, raw), "reset": resetting(t, raw)} {
+	for name, open := range map[string]string{"closed in order": startServer(t, raw), "reset": startResettingServer(t, raw)} {
 		l, err := Connect(context.Background(), open)
 		must.NoError(t, err)
-		_, err = l.Send(head(), []byte("hi"), time.Now().Add(time.Minute))
+		_, err = l.Send(testHead(), []byte("hi"), time.Now().Add(time.Minute))
 		must.NoError(t, err)
 		var r protocol.Response
 		must.NoError(t, l.Head(&r, time.Now().Add(time.Minute)))
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -9,13 +9,13 @@
 )
 
 // firstWriteBytes is how much of a request is written before its response is read. The
-// rest of a longer one is written meanwhile, since a runner may respond before it has
-// read the body.
+// rest of a longer request is written concurrently, since a runner may respond before it
+// has read the body.
 const firstWriteBytes = 64 << 10
 
 // Send writes a request. After an error, sent reports whether any byte may have reached
-// the runner. Nothing is written once the deadline has passed, as after this process
-// stood still.
+// the runner. Nothing is written after the deadline, which may have passed while this
+// process was suspended.
 func (c *Conn) Send(head *protocol.RequestHeader, body []byte, deadline time.Time) (sent bool, err error) {
 	raw := head.AppendBytes(make([]byte, 0, 1024+len(body)))
 	raw = append(raw, body...)
@@ -35,16 +35,17 @@
 	return true, nil
 }
 
-// sendRest writes the rest of a request. If that fails the connection stays marked as
-// sending, and reading the response shows what became of the request.
+// sendRest writes the rest of a request. After a failed write the connection stays marked
+// as sending, so that it is not reused; reading the response reports the failure.
 func (c *Conn) sendRest(rest []byte) {
 	if _, err := c.conn.Write(rest); err == nil {
 		c.sending.Store(false)
 	}
 }
 
-// setUserTimeout sets how long bytes may stay unacknowledged, or unread by the
-// runner, before the connection ends.
+// setUserTimeout sets the TCP user timeout: how long sent bytes may stay unacknowledged,
+// or blocked by a full receive buffer of the runner, before the kernel closes the
+// connection. The minimum is userTimeoutMs.
 func (c *Conn) setUserTimeout(wait time.Duration) {
 	socket, ok := c.conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -14,18 +14,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// longBody is more than the buffers of a connection hold.
+// longBody is larger than the socket buffers of a connection.
 var longBody = bytes.Repeat([]byte("0123456789abcdef"), 2<<20)
 
 func longHead() *protocol.RequestHeader {
-	h := head()
+	h := testHead()
 	h.SetContentLength(len(longBody))
 	return h
 }
 
-// early is a runner that answers before it has read a body, and reads on when it is
-// told to. It gives what came after the head until the connection ended.
-func early(t *testing.T, readOn <-chan struct{}, answers ...string) (addr string, received <-chan []byte) {
+// startEarlyResponder starts a runner that responds before it has read the body, and reads the body after
+// readOn is closed. received yields all bytes after the head until the connection ended.
+func startEarlyResponder(t *testing.T, readOn <-chan struct{}, responses ...string) (addr string, received <-chan []byte) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -41,7 +41,7 @@
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
-		for _, a := range answers {
+		for _, a := range responses {
 			_, _ = io.WriteString(c, a)
 		}
 		<-readOn
@@ -51,8 +51,8 @@
 	return ln.Addr().String(), got
 }
 
-// sendLong sends a request with a long body and reads its answer.
-func sendLong(t *testing.T, l *Conn) *protocol.Response {
+// sendLongRequest sends a request with a long body and reads its answer.
+func sendLongRequest(t *testing.T, l *Conn) *protocol.Response {
 	t.Helper()
 	_, err := l.Send(longHead(), longBody, time.Now().Add(time.Minute))
 	must.NoError(t, err)
@@ -64,28 +64,29 @@
 	return r
 }
 
-func TestAnswerIsReadBeforeTheBodyIsAllSent(t *testing.T) {
+func TestResponseIsReadBeforeBodyIsFullySent(t *testing.T) {
 	readOn := make(chan struct{})
-	addr, got := early(t, readOn, okAnswer)
-	g := NewConnPool(steady)
+	addr, got := startEarlyResponder(t, readOn, okResponse)
+	g := NewConnPool(clockUs)
 	l, err := g.Get(context.Background(), addr)
 	must.NoError(t, err)
-	r := sendLong(t, l)
+	r := sendLongRequest(t, l)
 	g.Put(addr, l, &r.Header)
-	must.MapEmpty(t, g.idle, must.Sprint("nothing else may follow a part of a body"))
+	must.MapEmpty(t, g.idle, must.Sprint("a connection with a partly sent body must not be pooled"))
 	close(readOn)
 	all := <-got
 	must.Less(t, len(longBody), len(all))
-	must.True(t, bytes.HasPrefix(longBody, all), must.Sprint("what came is a part of the body"))
+	must.True(t, bytes.HasPrefix(longBody, all), must.Sprint("the received bytes must be a prefix of the body"))
 }
 
-// A runner that has answered may leave the rest of a body unread for long.
-func TestRunnerMayReadOnLongAfterItsHead(t *testing.T) {
+// Guards against closing a connection by the TCP user timeout when a runner has responded
+// but reads the rest of the body much later.
+func TestRunnerMayReadBodyLongAfterResponding(t *testing.T) {
 	readOn := make(chan struct{})
-	addr, got := early(t, readOn, okAnswer)
+	addr, got := startEarlyResponder(t, readOn, okResponse)
 	l, err := Connect(context.Background(), addr)
 	must.NoError(t, err)
-	sendLong(t, l)
+	sendLongRequest(t, l)
 	time.Sleep(2 * userTimeoutMs * time.Millisecond)
 	must.True(t, l.sending.Load())
 	close(readOn)
@@ -96,18 +97,18 @@
 	must.True(t, bytes.Equal(longBody, <-got))
 }
 
-func TestConnIsKeptAfterALongBody(t *testing.T) {
+func TestConnectionIsPooledAfterLongBody(t *testing.T) {
 	readOn := make(chan struct{})
 	close(readOn)
-	addr, _ := early(t, readOn, okAnswer)
-	g := NewConnPool(steady)
+	addr, _ := startEarlyResponder(t, readOn, okResponse)
+	g := NewConnPool(clockUs)
 	l, err := g.Get(context.Background(), addr)
 	must.NoError(t, err)
-	r := sendLong(t, l)
+	r := sendLongRequest(t, l)
 	for l.sending.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	g.Put(addr, l, &r.Header)
 	must.MapLen(t, 1, g.idle)
-	must.False(t, l.userTimeoutRaised, must.Sprint("the next request notices a dead runner as quickly as others"))
+	must.False(t, l.userTimeoutRaised, must.Sprint("the user timeout must be reset before the next request"))
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -11,25 +11,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// fake responds to every request on a connection with the given raw bytes.
-func fake(t *testing.T, answers ...string) string {
+// startServer starts a server that sends the given raw responses on each connection, one after
+// each request. It returns the server's address.
+func startServer(t *testing.T, responses ...string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
-			go respondRaw(c, answers)
+			go respondRaw(c, responses)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// respondRaw writes one of the answers for each read of a request, and closes.
-func respondRaw(c net.Conn, answers []string) {
+// respondRaw writes the next response after each read, and then closes the connection.
+func respondRaw(c net.Conn, responses []string) {
 	defer c.Close()
 	buf := make([]byte, 4096)
-	for _, a := range answers {
+	for _, a := range responses {
 		if _, err := c.Read(buf); err != nil {
 			return
 		}
@@ -39,7 +40,7 @@
 	}
 }
 
-func head() *protocol.RequestHeader {
+func testHead() *protocol.RequestHeader {
 	var h protocol.RequestHeader
 	h.DisableNormalizing()
 	h.SetMethod("POST")
@@ -49,9 +50,9 @@
 	return &h
 }
 
-func steady() int64 { return time.Now().UnixMicro() }
+func clockUs() int64 { return time.Now().UnixMicro() }
 
-// exchange is a request that was sent and its response.
+// exchange is a connection on which a request was sent, and the response.
 type exchange struct {
 	conn     *Conn
 	response *protocol.Response
@@ -63,7 +64,7 @@
 	t.Helper()
 	c, err := p.Get(context.Background(), addr)
 	must.NoError(t, err)
-	sent, err := c.Send(head(), []byte("hi"), time.Now().Add(time.Second))
+	sent, err := c.Send(testHead(), []byte("hi"), time.Now().Add(time.Second))
 	must.NoError(t, err)
 	must.True(t, sent)
 	e := exchange{conn: c, response: protocol.AcquireResponse()}
@@ -75,9 +76,9 @@
 	return e, err
 }
 
-func TestWholeChunkedAnswer(t *testing.T) {
-	addr := fake(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nid:1\r\n2\r\n\n\n\r\n0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	pool := NewConnPool(steady)
+func TestConnectionIsReusedAfterChunkedResponse(t *testing.T) {
+	addr := startServer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nid:1\r\n2\r\n\n\n\r\n0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	pool := NewConnPool(clockUs)
 	first, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
 	must.Eq(t, "id:1\n\n", first.body)
@@ -88,21 +89,21 @@
 	must.True(t, first.conn == second.conn)
 }
 
-func TestTruncatedAnswersAreSeen(t *testing.T) {
+func TestTruncatedResponsesAreErrors(t *testing.T) {
 	for _, raw := range []string{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nid:1\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nid",
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok",
 		"HTTP/1.1 20",
 	} {
-		_, err := roundTrip(t, NewConnPool(steady), fake(t, raw))
+		_, err := roundTrip(t, NewConnPool(clockUs), startServer(t, raw))
 		must.Error(t, err, must.Sprint(raw))
 	}
 }
 
-func TestSurplusBytesEndALink(t *testing.T) {
-	addr := fake(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
-	pool := NewConnPool(steady)
+func TestConnectionWithSurplusBytesIsNotPooled(t *testing.T) {
+	addr := startServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
+	pool := NewConnPool(clockUs)
 	e, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
 	must.Eq(t, "ok", e.body)
@@ -110,9 +111,9 @@
 	must.MapLen(t, 0, pool.idle)
 }
 
-func TestClosedIdleLinkIsNotUsed(t *testing.T) {
-	addr := fake(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	pool := NewConnPool(steady)
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	addr := startServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	pool := NewConnPool(clockUs)
 	e, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
 	pool.Put(addr, e.conn, &e.response.Header)
@@ -122,7 +123,7 @@
 	must.False(t, got == e.conn)
 }
 
-func TestEventsKeepBackWhatIsNotWhole(t *testing.T) {
+func TestEventsHoldBackIncompleteEvent(t *testing.T) {
 	var e Events
 	must.Eq(t, "", string(e.Add([]byte("id: 3\ndata"))))
 	must.Eq(t, "id: 3\ndata: x\n\n", string(e.Add([]byte(": x\n\nid: 4\n"))))
@@ -134,7 +135,7 @@
 	must.Eq(t, 2, e.Count)
 }
 
-func TestBudgetKeepsToShare(t *testing.T) {
+func TestBudgetLimitsRetriesToShare(t *testing.T) {
 	b := Budget{Ratio: 0.2, Slack: 60, WindowUs: 10_000_000}
 	spent := 0
 	for i := range 100 {
@@ -148,13 +149,13 @@
 	must.True(t, b.Spend(11_000_000, 10))
 }
 
-const wholeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const completeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// takeResponse sends a request on a connection and reads the whole response.
-func takeResponse(t *testing.T, c *Conn) *protocol.Response {
+// sendAndReadResponse sends a request on a connection and reads the complete response.
+func sendAndReadResponse(t *testing.T, c *Conn) *protocol.Response {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
-	_, err := c.Send(head(), []byte("xx"), deadline)
+	_, err := c.Send(testHead(), []byte("xx"), deadline)
 	must.NoError(t, err)
 	r := &protocol.Response{}
 	must.NoError(t, c.Head(r, deadline))
@@ -163,22 +164,22 @@
 	return r
 }
 
-func TestInterruptAsTheResponseEndsDoesNotSpoilTheConnection(t *testing.T) {
-	addr := fake(t, wholeResponse, wholeResponse)
-	pool := NewConnPool(steady)
+func TestInterruptAtEndOfResponseKeepsConnectionReusable(t *testing.T) {
+	addr := startServer(t, completeResponse, completeResponse)
+	pool := NewConnPool(clockUs)
 	c, err := pool.Get(t.Context(), addr)
 	must.NoError(t, err)
-	r := takeResponse(t, c)
+	r := sendAndReadResponse(t, c)
 	c.Interrupt()
 	pool.Put(addr, c, &r.Header)
 	again, err := pool.Get(t.Context(), addr)
 	must.NoError(t, err)
 	defer again.Close()
 	must.Eq(t, c, again)
-	takeResponse(t, again)
+	sendAndReadResponse(t, again)
 }
 
-func TestReadGoesOnAfterAnInterruptIfItIsToldTo(t *testing.T) {
+func TestReadContinuesAfterInterruptIfOnInterruptResumes(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	c := newConn(near)
@@ -192,7 +193,7 @@
 	go func() {
 		c.Interrupt()
 		<-asked
-		_, _ = io.WriteString(far, wholeResponse)
+		_, _ = io.WriteString(far, completeResponse)
 	}()
 	r := &protocol.Response{}
 	must.NoError(t, readHead(r, c.in))
