--- a/internal/transport/columns.go
+++ b/internal/transport/columns.go
@@ -7,19 +7,20 @@
 	"github.com/pkg/errors"
 )
 
-// splitColumns rearranges records of text, one after the other, so that a general
-// compressor makes much less of them: what all records have in common stays in one
-// stream, and each field that differs goes to a column of its own. Records are not
-// parsed: a word is a run of letters and digits, a word that occurs rarely is taken for
-// the content of a field, and the bytes before it tell which field that is. joinColumns
-// restores any input exactly.
+// splitColumns rearranges consecutive text records so that a general-purpose compressor
+// reduces them much further: the bytes that all records have in common stay in one
+// stream, and each field whose value varies goes to a column of its own. Records are not
+// parsed: a word is a run of letters and digits, a word that occurs rarely is treated as
+// the value of a field, and the bytes before it identify the field. joinColumns restores
+// any input exactly.
 //
 // The result is the length of the stream, the stream, and the columns in the order in
-// which the stream refers to them. Each column is the number of an earlier one with the
-// same words, from 1 on, or else 0, the length of its words (0 where they differ, and end
-// with columnEnd), its length in bytes, and the words. Numbers are unsigned varints.
+// which the stream refers to them. Each column is either the number, counted from 1, of an
+// earlier column with the same words, or 0 followed by the length of its words (0 if the
+// lengths differ; then each word ends with columnEnd), the column's length in bytes, and
+// the words. Numbers are unsigned varints.
 func splitColumns(b []byte) []byte {
-	common := commonWords(b)
+	common := countWords(b)
 	split := columnSplitter{stream: make([]byte, 0, len(b)/2), columns: map[columnContext]*column{}}
 	for len(b) > 0 {
 		word := leadingWord(b)
@@ -28,7 +29,7 @@
 			split.addByte(b[0])
 			b = b[1:]
 			continue
-		case len(word) < minFieldWord || common[string(word)] >= commonFrom:
+		case len(word) < minFieldWord || common[string(word)] >= minCommonCount:
 			split.stream = append(split.stream, word...)
 		default:
 			split.addField(word)
@@ -40,19 +41,19 @@
 
 const (
 	// streamEscape precedes escapedField and escapedByte in the stream.
-	streamEscape = 0xc1 // msgp has no use for it, so that it is rare
-	escapedField = 'f'  // the next word of a column stands here
-	escapedByte  = 'b'  // streamEscape itself
+	streamEscape = 0xc1 // rare, because msgp does not use this byte
+	escapedField = 'f'  // placeholder for the next word of a column
+	escapedByte  = 'b'  // a literal streamEscape byte
 
-	// columnEnd ends a word in a column whose words differ in length.
+	// columnEnd terminates each word in a column whose words differ in length.
 	columnEnd = '\n'
 
-	// minFieldWord is the least length of a word that goes to a column, and commonFrom
-	// the number of occurrences from which on a word stays in the stream.
-	minFieldWord = 3
-	commonFrom   = 8
+	// minFieldWord is the minimum length of a word that goes to a column. A word that
+	// occurs at least minCommonCount times stays in the stream.
+	minFieldWord   = 3
+	minCommonCount = 8
 
-	// contextBytes is how many bytes of the stream before a field tell which it is.
+	// contextBytes is how many bytes of the stream before a field identify the field.
 	contextBytes = 8
 )
 
@@ -60,16 +61,16 @@
 
 type columnContext [contextBytes]byte
 
-// contextOf returns the end of the stream so far.
+// contextOf returns the last contextBytes of the stream, padded with zeros.
 func contextOf(stream []byte) (c columnContext) {
 	copy(c[:], stream[max(len(stream)-contextBytes, 0):])
 	return c
 }
 
 type column struct {
-	words      []byte // without columnEnd
-	lengths    []int
-	wordLength int // of all words; 0 where they differ
+	words      []byte // concatenated, without columnEnd
+	lengths    []int  // of each word
+	wordLength int    // common length of all words; 0 if they differ
 }
 
 // columnSplitter is the state of splitColumns.
@@ -105,7 +106,7 @@
 func (s *columnSplitter) encode() []byte {
 	out := binary.AppendUvarint(nil, uint64(len(s.stream)))
 	out = append(out, s.stream...)
-	numbers := map[string]uint64{} // of columns, by their encoding
+	numbers := map[string]uint64{} // column numbers by the encoding of the column
 	for i, c := range s.order {
 		words := string(c.appendWords(nil))
 		number := numbers[words]
@@ -118,7 +119,7 @@
 	return out
 }
 
-// appendWords appends the length of the words, that of the column, and the words.
+// appendWords appends the word length, the length of the column, and the words.
 func (c *column) appendWords(out []byte) []byte {
 	out = binary.AppendUvarint(out, uint64(c.wordLength))
 	if c.wordLength > 0 {
@@ -133,8 +134,8 @@
 	return out
 }
 
-// commonWords counts how often each word occurs.
-func commonWords(b []byte) map[string]int {
+// countWords counts how often each word occurs.
+func countWords(b []byte) map[string]int {
 	counts := map[string]int{}
 	for len(b) > 0 {
 		word := leadingWord(b)
@@ -146,7 +147,7 @@
 	return counts
 }
 
-// leadingWord returns the letters and digits that b begins with.
+// leadingWord returns the longest prefix of b that consists of letters and digits.
 func leadingWord(b []byte) []byte {
 	n := 0
 	for n < len(b) && isWordByte(b[n]) {
@@ -159,9 +160,9 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 }
 
-// joinColumns undoes splitColumns. The result has maxBytes bytes at most.
+// joinColumns reverses splitColumns. A result longer than maxBytes is an error.
 func joinColumns(b []byte, maxBytes int) ([]byte, error) {
-	stream, rest, err := takeBytes(b)
+	stream, rest, err := readBytes(b)
 	if err != nil {
 		return nil, err
 	}
@@ -186,9 +187,9 @@
 // columnJoiner is the state of joinColumns.
 type columnJoiner struct {
 	stream  []byte
-	rest    []byte // the columns that the stream has not referred to yet
+	rest    []byte // encoded columns that the stream has not referred to yet
 	columns map[columnContext]*columnReader
-	opened  []columnReader // all columns so far, as they begin
+	opened  []columnReader // all columns opened so far, in their initial state
 }
 
 type columnReader struct {
@@ -196,8 +197,8 @@
 	wordLength int
 }
 
-// appendEscaped appends what the escape sequence stands for whose second byte is at the
-// given place of the stream.
+// appendEscaped appends the decoded value of an escape sequence; at is the stream index of
+// its second byte.
 func (j *columnJoiner) appendEscaped(out []byte, at int) ([]byte, error) {
 	if at >= len(j.stream) {
 		return nil, errors.Wrap(errColumns, "stream cut off")
@@ -234,14 +235,14 @@
 }
 
 func (j *columnJoiner) openColumn() (*columnReader, error) {
-	number, rest, err := takeNumber(j.rest, len(j.opened))
+	number, rest, err := readNumber(j.rest, len(j.opened))
 	if err != nil {
 		return nil, err
 	}
 	var c columnReader
 	if number > 0 {
 		c = j.opened[number-1]
-	} else if c, rest, err = takeColumn(rest); err != nil {
+	} else if c, rest, err = readColumn(rest); err != nil {
 		return nil, err
 	}
 	j.rest = rest
@@ -249,27 +250,27 @@
 	return &c, nil
 }
 
-func takeColumn(b []byte) (c columnReader, rest []byte, err error) {
-	if c.wordLength, rest, err = takeNumber(b, len(b)); err != nil {
+func readColumn(b []byte) (c columnReader, rest []byte, err error) {
+	if c.wordLength, rest, err = readNumber(b, len(b)); err != nil {
 		return c, nil, err
 	}
-	c.words, rest, err = takeBytes(rest)
+	c.words, rest, err = readBytes(rest)
 	return c, rest, err
 }
 
-// takeBytes reads a length and so many bytes.
-func takeBytes(b []byte) (taken, rest []byte, err error) {
-	length, rest, err := takeNumber(b, len(b))
+// readBytes reads a length prefix and that number of bytes.
+func readBytes(b []byte) (data, rest []byte, err error) {
+	length, rest, err := readNumber(b, len(b))
 	if err != nil || length > len(rest) {
 		return nil, nil, errors.Wrap(errColumns, "cut off")
 	}
 	return rest[:length], rest[length:], nil
 }
 
-// takeNumber reads a number that is no greater than most.
-func takeNumber(b []byte, most int) (number int, rest []byte, err error) {
+// readNumber reads a varint and rejects values greater than most.
+func readNumber(b []byte, limit int) (number int, rest []byte, err error) {
 	u, n := binary.Uvarint(b)
-	if n <= 0 || u > uint64(most) {
+	if n <= 0 || u > uint64(limit) {
 		return 0, nil, errors.Wrap(errColumns, "number missing or too large")
 	}
 	return int(u), b[n:], nil
--- a/internal/transport/columns_test.go
+++ b/internal/transport/columns_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestColumnsRestoreAnyInput(t *testing.T) {
+func TestJoinColumnsRestoresAnyInput(t *testing.T) {
 	var records []byte
 	for i := range 300 {
 		records = fmt.Appendf(records, `{"name":"r-%x","host":"%07x.example","n":%d}`, i*7919, i*104729, i)
@@ -21,8 +21,8 @@
 	}
 }
 
-// As in the entries of a configuration, a field is repeated in the key of its record.
-func TestColumnsMakeRecordsSmaller(t *testing.T) {
+// The records repeat a field value in the key of the record, as configuration entries do.
+func TestSplitColumnsImprovesCompression(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var records []byte
 	for range 1000 {
@@ -36,9 +36,9 @@
 	f.Add(splitColumns([]byte(`{"host":"a81f3c2.example"}{"host":"99c01ff.example"}`)))
 	f.Add([]byte{2, streamEscape, escapedField, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		const most = 1 << 16
-		out, err := joinColumns(b, most)
-		if err == nil && len(out) > most {
+		const maxBytes = 1 << 16
+		out, err := joinColumns(b, maxBytes)
+		if err == nil && len(out) > maxBytes {
 			t.Fatal("longer than allowed")
 		}
 		back, err := joinColumns(splitColumns(b), len(b))
--- a/internal/transport/compress.go
+++ b/internal/transport/compress.go
@@ -11,30 +11,35 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Large frames are compressed, to a tenth where they carry configurations. A compressed
-// frame is the body of a one-way frame of KindCompressed. It is sent only to a peer that
-// has said that it reads them, by KindReadsCompressed: the node that dials says so first,
-// and the other one in response. So nodes of releases without compression get none. The
-// body of KindReadsCompressed is the newest format that the sender reads.
+// Large frames are compressed, those with configurations to a tenth of their size. A
+// compressed frame is the body of a one-way frame of KindCompressed. It is sent only to a
+// peer that has announced by KindReadsCompressed that it reads compressed frames: the
+// dialing node announces this first, and the accepting node in response. Nodes of releases
+// without compression therefore receive none. The body of KindReadsCompressed is the newest
+// format that the sender reads.
 //
-// In the second format the frame is rearranged by splitColumns first, where that makes
-// it smaller, and the compressed bytes follow columnsMark.
+// In the second format the frame is first rearranged by splitColumns, if that makes it
+// smaller, and the compressed bytes follow columnsMark.
 const (
-	// compressFromBytes is the least body that is compressed. Smaller ones are frequent
-	// and not worth the processor time.
+	// compressFromBytes is the minimum size of a body that is compressed. Smaller bodies are
+	// frequent and not worth the CPU time.
 	compressFromBytes = 16 << 10
-	// compressBroadcastFromBytes is the same for a body that is encoded once and sent to many:
-	// the copies to 64 routers of some 20 KB each, eight times a second, fill a link of 100 Mbit/s.
+	// compressBroadcastFromBytes is the minimum for a body that is encoded once and sent to
+	// many peers: copies of about 20 KB to 64 routers, eight times a second, saturate a link
+	// of 100 Mbit/s.
 	compressBroadcastFromBytes = 4 << 10
-	// compressWindowBytes bounds the memory of encoders.
+	// compressWindowBytes limits the memory of encoders.
 	compressWindowBytes = 256 << 10
-	// columnsMark is no byte that compressed data of the first format begins with.
+	// columnsMark marks the second format. Compressed data of the first format never begins
+	// with this byte.
 	columnsMark = 'c'
-	// textSampleBytes of a frame show whether it is text, which splitColumns is made for.
+	// textSampleBytes is the size of the sample of a frame that decides whether the frame is
+	// text, for which splitColumns is designed.
 	textSampleBytes = 4 << 10
 )
 
-// Compression is the newest format of compressed frames that a node reads.
+// Compression is a format of compressed frames. For a peer it is the newest format that the
+// peer reads, which implies all earlier ones.
 type Compression int32
 
 const (
@@ -43,8 +48,8 @@
 	columnCompression
 )
 
-// compressionOf reads the body of a KindReadsCompressed. Releases with the first format
-// alone send none.
+// compressionOf parses the body of a KindReadsCompressed frame. Releases that have only the
+// first format send an empty body.
 func compressionOf(body []byte) Compression {
 	if len(body) == 0 {
 		return plainCompression
@@ -52,34 +57,35 @@
 	return min(Compression(body[0]), columnCompression)
 }
 
-// readsCompressedBody is the body of the KindReadsCompressed of this release.
+// readsCompressedBody returns the body of the KindReadsCompressed frame of this release.
 func readsCompressedBody() []byte { return []byte{byte(columnCompression)} }
 
-// The pools drop encoders and decoders while nothing large is sent or received.
+// The pools release encoders and decoders while no large frames are sent or received.
 var encoders, decoders sync.Pool
 
 func newEncoder() *zstd.Encoder {
-	e, _ := zstd.NewWriter(nil, // no option given here fails
+	e, _ := zstd.NewWriter(nil, // these options cannot cause an error
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(compressWindowBytes),
-		zstd.WithAllLitEntropyCompression(true)) // columns of random words have few symbols and no matches
+		zstd.WithAllLitEntropyCompression(true)) // columns of random words have few distinct bytes and no matches
 	return e
 }
 
 func newDecoder() *zstd.Decoder {
-	d, _ := zstd.NewReader(nil, // no option given here fails
+	d, _ := zstd.NewReader(nil, // these options cannot cause an error
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(maxBodyBytes+frameHeadBytes))
 	return d
 }
 
-// EncodedFrame is a frame ready to be sent to any number of peers. It is compressed once.
+// EncodedFrame is an encoded frame that can be sent to any number of peers. It is compressed
+// only once.
 type EncodedFrame struct {
-	formats [columnCompression + 1][]byte // by format; nil where it saves nothing over the one before
+	formats [columnCompression + 1][]byte // by format; nil if it is not smaller than the previous format
 }
 
-// EncodeBroadcast encodes a frame that goes to many peers, in all formats: the bytes count
-// as often as there are peers, the processor time once.
+// EncodeBroadcast encodes a frame for many peers, in all formats: the bytes are sent once
+// per peer, but the CPU time is spent only once.
 func EncodeBroadcast(f messages.Frame) (EncodedFrame, error) {
 	encoded, err := encodeFrom(f, compressBroadcastFromBytes)
 	plain := encoded.formats[noCompression]
@@ -91,11 +97,11 @@
 	return encoded, err
 }
 
-// EncodeFrame encodes a frame that goes to one peer, without columnCompression, which costs
-// several times the processor time.
+// EncodeFrame encodes a frame for one peer. It does not use columnCompression, which takes
+// several times the CPU time.
 func EncodeFrame(f messages.Frame) (EncodedFrame, error) { return encodeFrom(f, compressFromBytes) }
 
-// encodeFrom encodes a frame, also compressed if its body has fromBytes.
+// encodeFrom encodes a frame, and also compresses it if its body has at least fromBytes.
 func encodeFrom(f messages.Frame, fromBytes int) (EncodedFrame, error) {
 	plain, err := f.MarshalMsg(make([]byte, 0, len(f.Body)+frameHeadBytes))
 	if err != nil {
@@ -110,8 +116,8 @@
 	return encoded, err
 }
 
-// addFormat adds the frame as compressed in a format, if that is smaller than the frame
-// in the formats before.
+// addFormat adds the frame compressed in the given format, if that is smaller than in the
+// previous formats.
 func (e *EncodedFrame) addFormat(format Compression, compressed []byte) error {
 	if len(compressed) >= len(e.BytesFor(format-1)) {
 		return nil
@@ -125,7 +131,7 @@
 	return nil
 }
 
-// BytesFor returns the bytes to send to a peer that reads formats up to the given one.
+// BytesFor returns the bytes to send to a peer that reads formats up to newest.
 func (e *EncodedFrame) BytesFor(newest Compression) []byte {
 	for format := newest; format > noCompression; format-- {
 		if b := e.formats[format]; b != nil {
@@ -135,7 +141,7 @@
 	return e.formats[noCompression]
 }
 
-// isText reports whether most bytes are letters and digits.
+// isText reports whether more than half of the bytes are letters and digits.
 func isText(b []byte) bool {
 	words := 0
 	for _, c := range b {
@@ -155,7 +161,7 @@
 	return e.EncodeAll(b, nil)
 }
 
-// decompressFrame reads the frame in the body of a frame of KindCompressed.
+// decompressFrame decodes the frame in the body of a KindCompressed frame.
 func decompressFrame(body []byte) (messages.Frame, error) {
 	d, ok := decoders.Get().(*zstd.Decoder)
 	if !ok {
--- a/internal/transport/compress_test.go
+++ b/internal/transport/compress_test.go
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// largeFrame has a body that is compressed.
+// largeFrame returns a frame whose body is large enough to be compressed.
 func largeFrame() messages.Frame {
 	return messages.Frame{Kind: KindSince, Seq: 7, Reply: true, Body: bytes.Repeat([]byte("route"), compressFromBytes)}
 }
@@ -21,9 +21,9 @@
 	f := largeFrame()
 	encoded, err := EncodeFrame(f)
 	must.NoError(t, err)
-	must.Eq(t, encode(t, f), encoded.BytesFor(noCompression), must.Sprint("an earlier release reads no compressed frames"))
+	must.Eq(t, encodeFrames(t, f), encoded.BytesFor(noCompression), must.Sprint("an earlier release must get the uncompressed frame"))
 	must.Less(t, len(f.Body)/10, len(encoded.BytesFor(plainCompression)))
-	outer := decode(bytes.NewReader(encoded.BytesFor(plainCompression)))
+	outer := decodeFrames(bytes.NewReader(encoded.BytesFor(plainCompression)))
 	must.Len(t, 1, outer)
 	must.Eq(t, KindCompressed, outer[0].Kind)
 	inner, err := decompressFrame(outer[0].Body)
@@ -35,10 +35,10 @@
 	must.Eq(t, small.BytesFor(noCompression), small.BytesFor(columnCompression))
 }
 
-// A peer of a release with the first format alone sends a KindReadsCompressed without a
-// body, and is sent nothing that it cannot read.
-func TestPeerIsSentCompressedFramesOnlyAfterItSaidSo(t *testing.T) {
-	peer := newFakePeer(t, testTransport(t))
+// Guards against sending a peer a compression format that it cannot read. A peer of a
+// release that has only the first format sends KindReadsCompressed with an empty body.
+func TestCompressedFramesAreSentOnlyAfterPeerAnnouncesFormat(t *testing.T) {
+	peer := newFakePeer(t, newTestTransport(t))
 	body := textBody()
 	go func() { _ = peer.near.Push(KindFeed, body) }()
 	must.Eq(t, messages.Frame{Kind: KindFeed, Body: body}, peer.read())
@@ -68,7 +68,7 @@
 	must.Eq(t, messages.Frame{Kind: KindFeed, Body: body}, inner)
 }
 
-// textBody is a body that splitColumns makes smaller.
+// textBody returns a body that compresses better after splitColumns.
 func textBody() (b []byte) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
@@ -77,11 +77,11 @@
 	return b
 }
 
-func TestConnEndsAfterBytesThatAreNoCompressedFrame(t *testing.T) {
+func TestConnClosesOnInvalidCompressedFrame(t *testing.T) {
 	twice, err := (&messages.Frame{Kind: KindCompressed}).MarshalMsg(nil)
 	must.NoError(t, err)
 	for _, body := range [][]byte{nil, []byte("garbage"), compress([]byte("garbage")), compress(twice), {columnsMark}, append([]byte{columnsMark}, compress([]byte("garbage"))...), append([]byte{columnsMark}, compress(splitColumns(twice))...)} {
-		peer := newFakePeer(t, testTransport(t))
+		peer := newFakePeer(t, newTestTransport(t))
 		peer.write(messages.Frame{Kind: KindCompressed, Body: body})
 		<-peer.near.Done()
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,8 +15,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Errors of a request. After any of them the peer may have carried the request
-// out; the transport never retries.
+// Errors of a request. After any of them the peer may still have executed the request;
+// the transport never retries.
 var (
 	ErrClosed  = errors.New("transport: connection closed")
 	ErrTimeout = errors.New("transport: no response in time")
@@ -24,18 +24,18 @@
 )
 
 const (
-	// writeTimeout bounds the writing of writeBytes: a connection on which nothing gets
-	// through for that long ends, and a slow one does not.
+	// writeTimeout limits the time to write each writeBytes of a frame: a stalled connection
+	// is closed, while a slow one stays open.
 	writeTimeout = time.Second
 	writeBytes   = 16 << 10
 
 	readBufferBytes = 2048
-	frameHeadBytes  = 32 // room for all of a frame but its body
+	frameHeadBytes  = 32 // upper bound of the encoded size of a frame without its body
 )
 
 // Conn is one TCP connection between two nodes; both ends send requests on it.
 // The methods are safe for concurrent use. One goroutine runs Serve; it calls
-// the handlers of one-way frames itself, and has requests handled in the
+// the handlers of one-way frames directly, and submits requests to the
 // transport's pool.
 type Conn struct {
 	transport *Transport
@@ -43,9 +43,9 @@
 	conn      net.Conn
 	pending   *pendingRequests
 	closed    atomic.Bool
-	// peerReads is the newest compression that the peer has said it reads.
+	// peerReads is the newest Compression that the peer has announced that it reads.
 	peerReads  atomic.Int32
-	lastReadNs atomic.Int64 // when bytes last arrived, after processStart; 0 for never
+	lastReadNs atomic.Int64 // time of the last received bytes, since processStart; 0 if none
 	done       chan struct{}
 
 	// OnPush handles the one-way frames of this connection instead of the
@@ -53,20 +53,20 @@
 	OnPush func(kind int, body []byte)
 
 	writeMu sync.Mutex // guards writes to conn and the field below
-	broken  bool       // a write ended in the middle of a frame, or may have
+	broken  bool       // a write failed, possibly in the middle of a frame
 }
 
 func (t *Transport) newConn(addr string, c net.Conn) *Conn {
 	return &Conn{transport: t, addr: addr, conn: c, pending: newPendingRequests(), done: make(chan struct{})}
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Remote is the address of the peer's end.
+// Remote returns the network address of the peer's end.
 func (c *Conn) Remote() string { return c.conn.RemoteAddr().String() }
 
-// Close ends the connection; the requests that wait on it end with ErrClosed.
+// Close closes the connection; its pending requests fail with ErrClosed.
 func (c *Conn) Close() {
 	if !c.closed.CompareAndSwap(false, true) {
 		return
@@ -84,15 +84,15 @@
 	return c.writeFrames(f.Kind, encoded.BytesFor(c.Reads()))
 }
 
-// Reads returns the newest compression that the peer has said it reads.
+// Reads returns the newest compression format that the peer has announced that it reads.
 func (c *Conn) Reads() Compression { return Compression(c.peerReads.Load()) }
 
-// SendRaw writes encoded updates as they are; they count as one message of KindFeed.
-// After a write that failed nothing more is written: the peer would read it as the
-// rest of the frame before.
+// SendRaw writes encoded updates unchanged; they count as one message of KindFeed.
+// After a failed write nothing more is written: the peer would read it as the rest of
+// the partly written frame.
 func (c *Conn) SendRaw(b []byte) error { return c.writeFrames(KindFeed, b) }
 
-// writeFrames writes encoded frames, which count as one message of a kind.
+// writeFrames writes encoded frames, which count as one message of the given kind.
 func (c *Conn) writeFrames(kind int, b []byte) error {
 	start := time.Now()
 	c.writeMu.Lock()
@@ -100,16 +100,16 @@
 	if c.broken {
 		return ErrClosed
 	}
-	for part := range slices.Chunk(b, writeBytes) {
+	for chunk := range slices.Chunk(b, writeBytes) {
 		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := c.conn.Write(part); err != nil {
+		if _, err := c.conn.Write(chunk); err != nil {
 			c.broken = true
 			c.transport.traffic.failedWrites.Add(1)
 			go c.Close()
 			return errors.Wrap(ErrClosed, err.Error())
 		}
 	}
-	c.transport.traffic.written(kind, len(b), time.Since(start))
+	c.transport.traffic.recordWrite(kind, len(b), time.Since(start))
 	return nil
 }
 
@@ -119,15 +119,15 @@
 }
 
 // Call sends a request and returns the body of its response. The error is, or
-// wraps, one of ErrClosed, ErrTimeout (also where ctx is cancelled) and
-// ErrRemote, or tells that the request could not be encoded.
+// wraps, one of ErrClosed, ErrTimeout (also if ctx is cancelled) and ErrRemote,
+// or reports that the request could not be encoded.
 func (c *Conn) Call(ctx context.Context, kind int, body msgp.Marshaler) ([]byte, error) {
 	b, err := body.MarshalMsg(nil)
 	if err != nil {
 		return nil, errors.Wrapf(err, "transport: encode %s request", kindName(kind))
 	}
 	if ctx.Err() != nil {
-		return nil, ErrTimeout // the process was stopped for a while: nobody waits for the response
+		return nil, ErrTimeout // for example after this process was suspended: the caller no longer waits
 	}
 	seq, ch := c.pending.add(kind)
 	defer c.pending.remove(seq)
@@ -145,11 +145,11 @@
 	}
 }
 
-// Serve reads frames and handles them until the connection ends. Handlers of
-// requests get ctx.
+// Serve reads frames and handles them until the connection ends. Request handlers
+// receive ctx.
 func (c *Conn) Serve(ctx context.Context) {
 	defer c.Close()
-	in := newFrameReader(msgp.NewReaderSize(&arrivals{c.conn, &c.lastReadNs}, readBufferBytes))
+	in := newFrameReader(msgp.NewReaderSize(&arrivalReader{c.conn, &c.lastReadNs}, readBufferBytes))
 	for {
 		f, err := in.next()
 		if err == nil && f.Kind == KindCompressed {
@@ -161,32 +161,32 @@
 	}
 }
 
-// arrivals notes when bytes arrive.
-type arrivals struct {
-	from   io.Reader
-	lastNs *atomic.Int64
+// arrivalReader is a reader that records when bytes arrive.
+type arrivalReader struct {
+	in         io.Reader
+	lastReadNs *atomic.Int64
 }
 
 // Read reads from the connection.
-func (a *arrivals) Read(b []byte) (int, error) {
-	n, err := a.from.Read(b)
+func (a *arrivalReader) Read(b []byte) (int, error) {
+	n, err := a.in.Read(b)
 	if n > 0 {
-		a.lastNs.Store(int64(time.Since(processStart)))
+		a.lastReadNs.Store(int64(time.Since(processStart)))
 	}
 	return n, err
 }
 
-// processStart is the zero of a monotonic clock.
+// processStart is the reference time of Conn.lastReadNs.
 var processStart = time.Now()
 
-// SilentFor returns for how long nothing has arrived from the peer, be it a part of a
-// frame.
+// SilentFor returns the time since the last bytes from the peer arrived, including bytes of
+// an incomplete frame.
 func (c *Conn) SilentFor() time.Duration {
 	return time.Since(processStart) - time.Duration(c.lastReadNs.Load())
 }
 
-// handle handles one frame. It returns false where the peer breaks the protocol
-// and the connection has to end.
+// handle handles one frame. It returns false if the peer violated the protocol and the
+// connection must be closed.
 func (c *Conn) handle(ctx context.Context, f messages.Frame) bool {
 	c.transport.traffic.received.count(f.Kind, len(f.Body))
 	switch {
@@ -196,7 +196,7 @@
 		seq, kind, ok := decodeFailure(f.Body)
 		return ok && c.pending.complete(seq, kind, result{err: ErrRemote})
 	case f.Kind == KindReadsCompressed:
-		c.notePeerReads(compressionOf(f.Body))
+		c.recordPeerReads(compressionOf(f.Body))
 	case f.Seq == 0:
 		c.handleOneWay(f)
 	default:
@@ -205,15 +205,16 @@
 	return true
 }
 
-// notePeerReads responds in kind where the peer has dialled.
-func (c *Conn) notePeerReads(newest Compression) {
+// recordPeerReads records the compression format that the peer reads. On an accepted
+// connection it responds to the first announcement with that of this node.
+func (c *Conn) recordPeerReads(newest Compression) {
 	if before := c.peerReads.Swap(int32(newest)); before == int32(noCompression) && c.addr == "" {
 		_ = c.Push(KindReadsCompressed, readsCompressedBody())
 	}
 }
 
-// handleOneWay handles a frame without a response; one of a kind without a
-// handler is ignored.
+// handleOneWay handles a one-way frame; frames of a kind without a handler are
+// ignored.
 func (c *Conn) handleOneWay(f messages.Frame) {
 	if c.OnPush != nil {
 		c.OnPush(f.Kind, f.Body)
@@ -224,8 +225,8 @@
 	}
 }
 
-// handleRequest responds to a request in the pool, or in a goroutine of its own
-// where the pool is full, so that a long request does not hold up reading.
+// handleRequest responds to a request in the pool, or in a new goroutine if the pool
+// is full, so that a long request does not block reading.
 func (c *Conn) handleRequest(ctx context.Context, f messages.Frame) {
 	if f.Kind <= 0 || f.Kind >= kindCount || c.transport.requestHandlers[f.Kind] == nil {
 		_ = c.respondFailure(f)
@@ -247,16 +248,16 @@
 	_ = c.write(messages.Frame{Kind: f.Kind, Seq: f.Seq, Reply: true, Body: body})
 }
 
-// respondFailure tells the peer that a request gets no response. It is a one-way
-// frame of its own kind, not a response, since nodes of earlier releases ignore
-// unknown one-way frames.
+// respondFailure informs the peer that a request failed and gets no response. It sends
+// a one-way frame of KindFailed instead of a response, since nodes of earlier releases
+// ignore unknown one-way frames.
 func (c *Conn) respondFailure(f messages.Frame) error {
 	body := msgp.AppendInt(msgp.AppendInt64(nil, f.Seq), f.Kind)
 	return c.Push(KindFailed, body)
 }
 
-// decodeFailure reads the body of a frame of KindFailed: sequence number and
-// kind of the request.
+// decodeFailure parses the body of a KindFailed frame: the sequence number and kind
+// of the request.
 func decodeFailure(body []byte) (seq int64, kind int, ok bool) {
 	seq, rest, err := msgp.ReadInt64Bytes(body)
 	if err != nil {
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -16,8 +16,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// testTransport is a transport without sockets.
-func testTransport(t testing.TB) *Transport {
+// newTestTransport returns a transport without sockets.
+func newTestTransport(t testing.TB) *Transport {
 	t.Helper()
 	pool, err := ants.NewPool(8, ants.WithNonblocking(true))
 	must.NoError(t, err)
@@ -25,7 +25,7 @@
 	return &Transport{log: logr.Discard(), pool: pool, conns: map[string]*Conn{}}
 }
 
-// fakePeer is the other end of a connection, played by the test.
+// fakePeer is the remote end of a connection, controlled by the test.
 type fakePeer struct {
 	t    *testing.T
 	conn net.Conn
@@ -51,24 +51,24 @@
 
 func (f *fakePeer) write(frames ...messages.Frame) {
 	f.t.Helper()
-	_, err := f.conn.Write(encode(f.t, frames...))
+	_, err := f.conn.Write(encodeFrames(f.t, frames...))
 	must.NoError(f.t, err)
 }
 
-// pendingCount tells how many requests of the near end wait for a response.
+// pendingCount returns how many requests of the near end wait for a response.
 func (f *fakePeer) pendingCount() int {
 	f.near.pending.mu.Lock()
 	defer f.near.pending.mu.Unlock()
 	return len(f.near.pending.waiting)
 }
 
-// outcome is how a request ended.
+// outcome is the response body or the error of a request.
 type outcome struct {
 	body string
 	err  error
 }
 
-// call has the near end send a request.
+// call sends a request from the near end.
 func (f *fakePeer) call(ctx context.Context, kind int) chan outcome {
 	out := make(chan outcome, 1)
 	go func() {
@@ -78,11 +78,11 @@
 	return out
 }
 
-func response(request messages.Frame, body string) messages.Frame {
+func responseTo(request messages.Frame, body string) messages.Frame {
 	return messages.Frame{Kind: request.Kind, Seq: request.Seq, Reply: true, Body: []byte(body)}
 }
 
-// withTimeout gives a context that ends long after any test should.
+// withTimeout returns a context with a deadline far beyond the duration of any test.
 func withTimeout(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -91,7 +91,7 @@
 }
 
 func TestLateAndRepeatedResponsesAreIgnored(t *testing.T) {
-	trans := testTransport(t)
+	trans := newTestTransport(t)
 	handled := make(chan bool, 1)
 	trans.OnPush(KindSyncState, func(*Conn, []byte) { handled <- true })
 	peer := newFakePeer(t, trans)
@@ -100,47 +100,47 @@
 	request1 := peer.read()
 	cancel()
 	must.ErrorIs(t, (<-first).err, ErrTimeout)
-	must.Eq(t, 0, peer.pendingCount(), must.Sprint("a request that nobody waits for is forgotten"))
+	must.Eq(t, 0, peer.pendingCount(), must.Sprint("a cancelled request must be removed"))
 
 	second := peer.call(withTimeout(t), KindSince)
 	request2 := peer.read()
 	peer.write(
-		response(request1, "late"),
-		response(request2, "own"),
-		response(request2, "repeated"),
-		response(messages.Frame{Kind: KindSince, Seq: request2.Seq + 1}, "early"),
+		responseTo(request1, "late"),
+		responseTo(request2, "own"),
+		responseTo(request2, "repeated"),
+		responseTo(messages.Frame{Kind: KindSince, Seq: request2.Seq + 1}, "early"),
 		messages.Frame{Kind: KindSyncState},
 	)
 	must.Eq(t, outcome{body: "own"}, <-second)
-	<-handled // frames are handled in order: the responses before it have been ignored
+	<-handled // frames are handled in order, so all responses before it have been processed
 
 	third := peer.call(withTimeout(t), KindSince)
 	request3 := peer.read()
-	peer.write(response(request3, "third"))
+	peer.write(responseTo(request3, "third"))
 	must.Eq(t, outcome{body: "third"}, <-third)
 }
 
 func TestResponseOfAnotherKindClosesConn(t *testing.T) {
-	peer := newFakePeer(t, testTransport(t))
+	peer := newFakePeer(t, newTestTransport(t))
 	pending := peer.call(withTimeout(t), KindSince)
 	request := peer.read()
 	request.Kind = KindVersions
-	peer.write(response(request, "foreign"))
+	peer.write(responseTo(request, "foreign"))
 	must.ErrorIs(t, (<-pending).err, ErrClosed)
 }
 
 func TestResponseOnAnotherConnIsIgnored(t *testing.T) {
-	trans := testTransport(t)
+	trans := newTestTransport(t)
 	a, b := newFakePeer(t, trans), newFakePeer(t, trans)
 	pending := a.call(withTimeout(t), KindSince)
 	request := a.read()
-	b.write(response(request, "of another connection"))
-	a.write(response(request, "own"))
+	b.write(responseTo(request, "of another connection"))
+	a.write(responseTo(request, "own"))
 	must.Eq(t, outcome{body: "own"}, <-pending)
 }
 
-func TestHandlerErrorEndsRequestAtOnce(t *testing.T) {
-	trans := testTransport(t)
+func TestHandlerErrorFailsRequestImmediately(t *testing.T) {
+	trans := newTestTransport(t)
 	trans.OnCall(KindSince, func(context.Context, *Conn, []byte) ([]byte, error) { return nil, errors.New("no") })
 	requesterEnd, responderEnd := net.Pipe()
 	requester, responder := trans.newConn("a", requesterEnd), trans.newConn("b", responderEnd)
@@ -151,23 +151,23 @@
 		_, err := requester.Call(withTimeout(t), kind, &messages.Versions{Parts: []int64{}})
 		must.ErrorIs(t, err, ErrRemote, must.Sprint("kind", kind))
 	}
-	must.False(t, responder.closed.Load(), must.Sprint("the connection's other requests go on"))
+	must.False(t, responder.closed.Load(), must.Sprint("a failed request must not close the connection"))
 }
 
 func TestRequestIsNotSentAfterContextEnded(t *testing.T) {
-	peer := newFakePeer(t, testTransport(t))
+	peer := newFakePeer(t, newTestTransport(t))
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	must.ErrorIs(t, (<-peer.call(ended, KindSince)).err, ErrTimeout)
 	pending := peer.call(withTimeout(t), KindVersions)
 	request := peer.read()
-	must.Eq(t, KindVersions, request.Kind, must.Sprint("nothing came before it"))
-	peer.write(response(request, ""))
+	must.Eq(t, KindVersions, request.Kind, must.Sprint("an expired request was sent"))
+	peer.write(responseTo(request, ""))
 	must.NoError(t, (<-pending).err)
 }
 
-func TestClosedConnEndsAllItsRequests(t *testing.T) {
-	peer := newFakePeer(t, testTransport(t))
+func TestClosedConnFailsAllPendingRequests(t *testing.T) {
+	peer := newFakePeer(t, newTestTransport(t))
 	a, b := peer.call(withTimeout(t), KindSince), peer.call(withTimeout(t), KindVersions)
 	peer.read()
 	peer.read()
@@ -176,7 +176,7 @@
 	must.ErrorIs(t, (<-b).err, ErrClosed)
 }
 
-// shortWriter takes half of the first write and then fails it, as at a deadline.
+// shortWriter writes half of the first buffer and then returns an error, as at a deadline.
 type shortWriter struct {
 	net.Conn
 	written []byte
@@ -194,14 +194,14 @@
 func TestNothingIsWrittenAfterPartialFrame(t *testing.T) {
 	end, _ := net.Pipe()
 	writer := &shortWriter{Conn: end}
-	conn := testTransport(t).newConn("peer", writer)
+	conn := newTestTransport(t).newConn("peer", writer)
 	must.ErrorIs(t, conn.Push(KindFeed, []byte("one")), ErrClosed)
 	length := len(writer.written)
 	must.ErrorIs(t, conn.Push(KindFeed, []byte("two")), ErrClosed)
 	must.Len(t, length, writer.written)
 }
 
-func TestEachKindHasName(t *testing.T) {
+func TestEachKindHasUniqueName(t *testing.T) {
 	names := map[string]int{}
 	for kind := 1; kind < kindCount; kind++ {
 		name := kindName(kind)
@@ -212,9 +212,10 @@
 	must.Eq(t, "kind 99", kindName(99))
 }
 
-// A peer that reads slowly but goes on reading keeps the connection.
-func TestSlowPeerKeepsTheConnection(t *testing.T) {
-	peer := newFakePeer(t, testTransport(t))
+// Guards against closing the connection to a peer that reads slowly: the whole message takes
+// longer than writeTimeout, but each part takes less.
+func TestConnStaysOpenWhilePeerReadsSlowly(t *testing.T) {
+	peer := newFakePeer(t, newTestTransport(t))
 	const parts = 4
 	sent := make(chan error, 1)
 	go func() { sent <- peer.near.SendRaw(make([]byte, parts*writeBytes)) }()
--- a/internal/transport/datagram.go
+++ b/internal/transport/datagram.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	datagramBufferBytes = 64 << 10 // more than any UDP datagram over IPv4
+	datagramBufferBytes = 64 << 10 // larger than any UDP datagram over IPv4
 	maxDatagramBytes    = 60 << 10
 	usualDatagramBytes  = 512
 )
 
-// readDatagrams calls the handlers of datagrams until the socket is closed. The
-// first byte of a datagram is its kind; one without a handler is ignored.
+// readDatagrams reads datagrams and calls their handlers until the socket is closed.
+// The first byte of a datagram is its kind; kinds without a handler are ignored.
 func (t *Transport) readDatagrams() {
 	buf := make([]byte, datagramBufferBytes)
 	for {
@@ -33,8 +33,8 @@
 	}
 }
 
-// SendDatagram sends a datagram, which may get lost: also where it cannot be
-// encoded, is too large or the address is not valid.
+// SendDatagram sends a datagram, which may be lost. It is silently dropped if it cannot
+// be encoded, is too large, or the address is invalid.
 func (t *Transport) SendDatagram(addr string, kind int, body msgp.Marshaler) {
 	b := make([]byte, 1, usualDatagramBytes)
 	b[0] = byte(kind)
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -7,21 +7,21 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Limits of what is read from a connection. Memory is allocated as bytes arrive,
-// never because a length was claimed.
+// Limits for frames read from a connection. Memory is allocated as bytes arrive, not
+// according to a length that the peer claims.
 const (
 	maxFields      = 16
 	maxKeyBytes    = 64
 	maxBodyBytes   = 64 << 20
 	maxNesting     = 32
-	bodyChunkBytes = 64 << 10 // most of a body that is allocated before its bytes arrive
+	bodyChunkBytes = 64 << 10 // maximum of a body that is allocated before its bytes arrive
 )
 
-// errFrame tells of bytes that are not a frame. Nothing that follows on the
-// connection can be trusted.
+// errFrame is returned for bytes that are not a valid frame. Nothing that follows on the
+// connection can be decoded reliably.
 var errFrame = errors.New("transport: not a frame")
 
-// frameReader reads the frames of a connection one after the other.
+// frameReader reads consecutive frames from a connection.
 type frameReader struct{ in *msgp.Reader }
 
 func newFrameReader(in *msgp.Reader) frameReader {
@@ -30,7 +30,7 @@
 	return frameReader{in}
 }
 
-// next reads one frame. Fields that this release does not know are skipped.
+// next reads one frame. Unknown fields are skipped, for compatibility with later releases.
 func (f frameReader) next() (messages.Frame, error) {
 	var frame messages.Frame
 	fields, err := f.in.ReadMapHeader()
@@ -48,7 +48,7 @@
 	return frame, nil
 }
 
-// readField reads one field. The keys are those of messages.Frame.
+// readField reads one field into frame. The keys are those of messages.Frame.
 func (f frameReader) readField(frame *messages.Frame) error {
 	key, err := f.in.ReadStringAsBytes(nil) // bounded by maxKeyBytes
 	if err != nil {
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -12,8 +12,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// encode gives the bytes of frames, one after the other.
-func encode(t testing.TB, frames ...messages.Frame) (raw []byte) {
+// encodeFrames returns the concatenated encodings of frames.
+func encodeFrames(t testing.TB, frames ...messages.Frame) (raw []byte) {
 	t.Helper()
 	for _, frame := range frames {
 		var err error
@@ -23,8 +23,8 @@
 	return raw
 }
 
-// decode reads frames until one cannot be read.
-func decode(in io.Reader) (frames []messages.Frame) {
+// decodeFrames reads frames until the end of the input or an invalid frame.
+func decodeFrames(in io.Reader) (frames []messages.Frame) {
 	reader := newFrameReader(msgp.NewReader(in))
 	for {
 		frame, err := reader.next()
@@ -50,6 +50,6 @@
 		_, err := newFrameReader(msgp.NewReader(bytes.NewReader(raw))).next()
 		must.Error(t, err)
 		truncated := errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)
-		must.False(t, truncated, must.Sprint("it is rejected for the length that it claims"))
+		must.False(t, truncated, must.Sprint("must be rejected for the claimed length, not as truncated"))
 	}
 }
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -13,10 +13,10 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// unseekable hides all methods of a reader but Read: a connection cannot seek.
+// unseekable hides all methods of a reader except Read, because a connection cannot seek.
 type unseekable struct{ io.Reader }
 
-// chunkReader gives bytes in chunks of changing size.
+// chunkReader returns bytes in chunks of varying size.
 type chunkReader struct {
 	rest []byte
 	size byte
@@ -32,20 +32,20 @@
 	return n, nil
 }
 
-// FuzzFrameReader reads any bytes: at once or in chunks they give the same
-// frames. Each frame is decoded from its own encoding as it was, also by the
+// FuzzFrameReader reads arbitrary bytes. Reading them at once and in chunks must yield
+// the same frames, and each frame must survive encoding and decoding, also with the
 // generated decoder.
 func FuzzFrameReader(f *testing.F) {
 	f.Add([]byte{}, byte(0))
-	f.Add(encode(f, messages.Frame{Kind: KindSince, Seq: 1, Body: []byte("ask")}, messages.Frame{Kind: KindSince, Seq: 1, Reply: true}), byte(1))
+	f.Add(encodeFrames(f, messages.Frame{Kind: KindSince, Seq: 1, Body: []byte("ask")}, messages.Frame{Kind: KindSince, Seq: 1, Reply: true}), byte(1))
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"), byte(2))
 	f.Add([]byte{0x81, 0xa1, 'b', 0xc6, 0xff, 0xff, 0xff, 0xff}, byte(3))
 	f.Add([]byte{0x81, 0xa1, 'z', 0x91, 0x91, 0x91, 0x91}, byte(4))
 	f.Fuzz(func(t *testing.T, raw []byte, size byte) {
-		frames := decode(unseekable{bytes.NewReader(raw)})
-		must.Eq(t, frames, decode(&chunkReader{raw, size}))
-		encoded := encode(t, frames...)
-		must.SliceLen(t, len(frames), decode(unseekable{bytes.NewReader(encoded)}))
+		frames := decodeFrames(unseekable{bytes.NewReader(raw)})
+		must.Eq(t, frames, decodeFrames(&chunkReader{raw, size}))
+		encoded := encodeFrames(t, frames...)
+		must.SliceLen(t, len(frames), decodeFrames(unseekable{bytes.NewReader(encoded)}))
 		for _, frame := range frames {
 			var generated messages.Frame
 			rest, err := generated.UnmarshalMsg(encoded)
@@ -59,9 +59,9 @@
 	})
 }
 
-// FuzzResponsesMatchRequests lets requests begin and end while frames of any
-// sequence number and kind arrive. A request gets its own response, once, or
-// none.
+// FuzzResponsesMatchRequests starts and cancels requests while frames with arbitrary
+// sequence numbers and kinds arrive. A request must get its own response at most once,
+// and no other.
 func FuzzResponsesMatchRequests(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 2, 1, 1, 1, 1, 1, 1, 1, 2, 2})
 	f.Add([]byte{0, 1, 3, 1, 1, 1, 1, 0, 2, 1, 1, 1, 1, 2, 2})
@@ -84,18 +84,18 @@
 	})
 }
 
-// requestModel plays a script against a connection and knows which requests
-// should wait.
+// requestModel runs a script against a connection and tracks which requests should be
+// pending.
 type requestModel struct {
 	t        *testing.T
 	script   []byte
 	conn     *Conn
-	requests map[int64]chan result // those that have not ended
-	kinds    map[int64]int         // of all requests so far
+	requests map[int64]chan result // pending requests by sequence number
+	kinds    map[int64]int         // kinds of all requests so far, by sequence number
 }
 
-// next takes a number from the script.
-func (m *requestModel) next() int {
+// nextByte returns the next byte of the script, or 0 at its end.
+func (m *requestModel) nextByte() int {
 	if len(m.script) == 0 {
 		return 0
 	}
@@ -104,24 +104,24 @@
 	return int(b)
 }
 
-func (m *requestModel) nextSeq() int64 { return int64(m.next() % 8) }
+func (m *requestModel) nextSeq() int64 { return int64(m.nextByte() % 8) }
 
-func (m *requestModel) nextKind() int { return 1 + m.next()%3 }
+func (m *requestModel) nextKind() int { return 1 + m.nextByte()%3 }
 
 func (m *requestModel) step() {
 	m.t.Helper()
-	switch m.next() % 5 {
+	switch m.nextByte() % 5 {
 	case 0:
 		m.request()
 	case 1, 2:
 		m.respond()
 	case 3:
-		m.giveUp()
+		m.cancel()
 	default:
 		m.respondFailure()
 	}
 	for seq, ch := range m.requests {
-		must.Eq(m.t, 0, len(ch), must.Sprint("request", seq, "got what is not its response"))
+		must.Eq(m.t, 0, len(ch), must.Sprint("request", seq, "received a result without a response to it"))
 	}
 }
 
@@ -129,7 +129,7 @@
 	m.t.Helper()
 	kind := m.nextKind()
 	seq, ch := m.conn.pending.add(kind)
-	must.MapNotContainsKey(m.t, m.kinds, seq, must.Sprint("a sequence number is used once"))
+	must.MapNotContainsKey(m.t, m.kinds, seq, must.Sprint("a sequence number was reused"))
 	m.requests[seq], m.kinds[seq] = ch, kind
 }
 
@@ -146,7 +146,7 @@
 	}
 }
 
-func (m *requestModel) giveUp() {
+func (m *requestModel) cancel() {
 	seq := m.nextSeq()
 	m.conn.pending.remove(seq)
 	delete(m.requests, seq)
--- a/internal/transport/kind.go
+++ b/internal/transport/kind.go
@@ -2,41 +2,41 @@
 
 import "strconv"
 
-// Kinds of frames and datagrams. The numbers are part of the wire format: a new
-// kind goes to the end.
+// Kinds of frames and datagrams. The numbers are part of the wire format: new kinds
+// are added at the end.
 const (
 	KindConsensus       = iota + 1 // request: a step of a consensus round
-	KindVersions                   // request: the versions of the control state that a node has
-	KindSince                      // request: the updates that the requester lacks
+	KindVersions                   // request: the receiver's versions of the control state
+	KindSince                      // request: the updates that the requester is missing
 	KindSubscribe                  // request: a subscription to updates
 	KindFeed                       // one-way: updates for a subscriber
-	KindIdentity                   // not used any more
+	KindIdentity                   // no longer used
 	KindProbe                      // datagram: a membership probe
 	KindAck                        // datagram: the acknowledgement of a probe
 	KindLoadReport                 // one-way: a load report from a subscriber
 	KindRunner                     // datagram: a runner's heartbeat, forwarded
-	KindCondition                  // request: a node's condition, for the doctor
-	KindRing                       // request: a node's log ring, for the doctor
-	KindSyncState                  // one-way: what a subscriber has, for it to get the rest
+	KindCondition                  // request: the status of a node, for the doctor command
+	KindRing                       // request: the log ring buffer of a node, for the doctor command
+	KindSyncState                  // one-way: the versions that a subscriber has, so that it gets the missing updates
 	KindLoadAck                    // one-way: the acknowledgement of a load report
-	KindResendLoads                // one-way: asks a subscriber for a complete load report
-	KindFailed                     // one-way: a request gets no response
+	KindResendLoads                // one-way: requests a complete load report from a subscriber
+	KindFailed                     // one-way: a request failed and gets no response
 	KindDraining                   // request: a runner starts or ends draining
 	KindReadsCompressed            // one-way: the sender reads compressed frames
 	KindCompressed                 // one-way: a compressed frame
-	KindUsageRows                  // request: counts of a router's requests
-	KindUsageQuery                 // request: the counts that a controller has
-	KindQuotaClaim                 // request: a claim of the leases of shards of quota
-	KindQuotaAsk                   // request: tokens of a tenant
-	KindQuotaUnowned               // request: a token of a tenant whose count has no owner
-	KindTallyAppend                // request: adds of the sender's log of tallies
-	KindTallyPull                  // request: adds that the sender lacks
-	KindReach                      // request: whether the receiver reaches another node
-	KindReachPing                  // datagram: asks for an answer
-	KindReachAck                   // datagram: the answer
-	KindRunners                    // datagram: heartbeats of runners, forwarded together
-	KindPeerQuery                  // datagram: asks for the peers in which two views differ
-	KindPeerList                   // datagram: some of them
+	KindUsageRows                  // request: usage counts of a router's requests
+	KindUsageQuery                 // request: the usage counts that a controller has
+	KindQuotaClaim                 // request: claims leases on quota shards
+	KindQuotaAsk                   // request: quota tokens for a tenant
+	KindQuotaUnowned               // request: a quota token for a tenant whose counter has no owner
+	KindTallyAppend                // request: additions from the sender's tally log
+	KindTallyPull                  // request: additions that the sender is missing
+	KindReach                      // request: whether the receiver can reach another node
+	KindReachPing                  // datagram: a reachability ping
+	KindReachAck                   // datagram: the response to a reachability ping
+	KindRunners                    // datagram: heartbeats of several runners, forwarded together
+	KindPeerQuery                  // datagram: requests the peers in which two membership views differ
+	KindPeerList                   // datagram: some of those peers
 	kindCount
 )
 
@@ -80,7 +80,7 @@
 	KindCompressed:      "compressed",
 }
 
-// kindName names a kind in the log.
+// kindName returns the name of a kind for logs and traffic counts.
 func kindName(kind int) string {
 	if kind <= 0 || kind >= kindCount {
 		return "kind " + strconv.Itoa(kind)
--- a/internal/transport/pending.go
+++ b/internal/transport/pending.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// pendingRequests are the requests of one connection that wait for a response.
+// pendingRequests holds the requests of one connection that wait for a response.
 // A response is matched by sequence number and kind. Sequence numbers are never
-// used again on a connection, so a late or repeated response matches nothing.
+// reused on a connection, so a late or repeated response matches no request.
 type pendingRequests struct {
 	mu      sync.Mutex // guards the fields below
 	waiting map[int64]pendingRequest
@@ -13,10 +13,10 @@
 
 type pendingRequest struct {
 	kind   int
-	result chan result // has room for the one result
+	result chan result // buffered, so that sending the one result never blocks
 }
 
-// result is how a request ended: with the body of its response or an error.
+// result is the outcome of a request: the body of its response or an error.
 type result struct {
 	body []byte
 	err  error
@@ -26,8 +26,8 @@
 	return &pendingRequests{waiting: map[int64]pendingRequest{}}
 }
 
-// add registers a request and gives its sequence number and the channel on which
-// its result will come.
+// add registers a request and returns its sequence number and the channel that
+// receives its result.
 func (p *pendingRequests) add(kind int) (seq int64, ch chan result) {
 	ch = make(chan result, 1)
 	p.mu.Lock()
@@ -37,16 +37,16 @@
 	return p.seq, ch
 }
 
-// remove forgets a request that nobody waits for any more.
+// remove deletes a request whose caller no longer waits for a response.
 func (p *pendingRequests) remove(seq int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, seq)
 }
 
-// complete hands a result to the request that waits for it, if there is one. It
-// returns false where the peer breaks the protocol: its response is of another
-// kind than the request with this sequence number.
+// complete passes a result to the pending request with this sequence number, if there
+// is one. It returns false if the peer violated the protocol: the response has a
+// different kind than the request.
 func (p *pendingRequests) complete(seq int64, kind int, r result) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	return true
 }
 
-// failAll ends all requests that wait with an error.
+// failAll completes all pending requests with an error.
 func (p *pendingRequests) failAll(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -1,4 +1,4 @@
-// Counts of what a transport has carried, by kind of message.
+// This file counts the messages and bytes that a transport has sent and received.
 
 package transport
 
@@ -9,8 +9,9 @@
 	"beechtide.org/beechtide/internal/histogram"
 )
 
-// KindTraffic is what was carried under one kind of message. Bytes sent are those of
-// whole frames and datagrams, bytes received those of their bodies.
+// KindTraffic holds the traffic counts of one kind of message. SentBytes counts complete
+// frames and datagrams as sent; ReceivedBytes counts the bodies of frames, after
+// decompression, and complete datagrams.
 type KindTraffic struct {
 	Kind             string
 	SentMessages     int64
@@ -19,7 +20,7 @@
 	ReceivedBytes    int64
 }
 
-// direction counts messages one way, by kind.
+// direction counts the messages and bytes in one direction, by kind.
 type direction struct{ messages, bytes [kindCount]atomic.Int64 }
 
 func (d *direction) count(kind, bytes int) {
@@ -30,16 +31,16 @@
 	d.bytes[kind].Add(int64(bytes))
 }
 
-// traffic is what a transport has carried.
+// traffic holds the counts and write durations of a transport.
 type traffic struct {
 	sent, received direction
-	// From when a frame was to be written to when the socket had taken it.
+	// From the request to write a frame until the socket accepted all its bytes.
 	bulkWrites, controlWrites histogram.Durations
 	failedWrites              atomic.Int64
 }
 
-// written records a write to a connection.
-func (t *traffic) written(kind, bytes int, took time.Duration) {
+// recordWrite records a completed write to a connection.
+func (t *traffic) recordWrite(kind, bytes int, took time.Duration) {
 	t.sent.count(kind, bytes)
 	if isBulk(kind) {
 		t.bulkWrites.Observe(took)
@@ -48,11 +49,11 @@
 	t.controlWrites.Observe(took)
 }
 
-// isBulk tells kinds that carry state, and may be large, from those that keep the
-// system together and are small.
+// isBulk reports whether a kind carries replicated state and may be large. All other kinds
+// are control traffic and small.
 func isBulk(kind int) bool { return kind == KindFeed || kind == KindSince }
 
-// Traffic returns what was carried so far, by kind.
+// Traffic returns the traffic counts so far, by kind.
 func (t *Transport) Traffic() []KindTraffic {
 	out := make([]KindTraffic, 0, kindCount-1)
 	for kind := 1; kind < kindCount; kind++ {
@@ -66,11 +67,11 @@
 	return out
 }
 
-// WriteDurations is how long writes to connections have taken, with the wait for writes
-// before them: those of state, which may be large, and all others.
+// WriteDurations returns the durations of writes to connections, including the wait for
+// earlier writes: of state, which may be large, and of all other messages.
 func (t *Transport) WriteDurations() (bulk, control *histogram.Durations) {
 	return &t.traffic.bulkWrites, &t.traffic.controlWrites
 }
 
-// FailedWrites is how many writes have ended their connection.
+// FailedWrites returns the number of failed writes; each one closed its connection.
 func (t *Transport) FailedWrites() int64 { return t.traffic.failedWrites.Load() }
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -9,13 +9,13 @@
 )
 
 func TestTrafficCountsMessagesByKind(t *testing.T) {
-	trans := testTransport(t)
+	trans := newTestTransport(t)
 	f := newFakePeer(t, trans)
 	result := f.call(withTimeout(t), KindVersions)
 	request := f.read()
-	f.write(response(request, "body"))
+	f.write(responseTo(request, "body"))
 	must.NoError(t, (<-result).err)
-	update := encode(t, messages.Frame{Kind: KindFeed, Body: []byte("update")})
+	update := encodeFrames(t, messages.Frame{Kind: KindFeed, Body: []byte("update")})
 	sent := make(chan error, 1)
 	go func() { sent <- f.near.SendRaw(update) }()
 	f.read()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,15 +1,15 @@
-// Package transport carries messages between nodes. It knows nothing of what
-// they mean: other packages register handlers by kind of message.
+// Package transport sends messages between nodes. It does not interpret them: other
+// packages register handlers by kind of message.
 //
 // A Transport owns one TCP listener and one UDP socket on the node's internal
-// address. Requests with their responses and one-way frames go over long-lived
-// TCP connections in msgp frames, large ones compressed; datagrams may get lost. Frames of one
-// connection arrive in order, or the connection ends. A request is sent at most
-// once: after an error the caller decides whether to retry.
+// address. Requests, responses and one-way messages are sent as msgp frames over
+// long-lived TCP connections, large ones compressed. Frames of one connection arrive in
+// order, or the connection ends. Datagrams may be lost. A request is sent at most once:
+// after an error the caller decides whether to retry.
 //
-// Handlers are registered before Run and not changed afterwards. A goroutine for
-// each connection runs Conn.Serve; one goroutine reads datagrams and calls their
-// handlers, one after the other; one accepts connections.
+// Handlers are registered before Run and not changed afterwards. A goroutine per
+// connection runs Conn.Serve; one goroutine reads datagrams and calls their handlers
+// sequentially; one accepts connections.
 package transport
 
 import (
@@ -27,32 +27,32 @@
 
 const (
 	dialTimeout      = 800 * time.Millisecond
-	acceptRetryDelay = 10 * time.Millisecond // after an accept that failed, as without file descriptors
+	acceptRetryDelay = 10 * time.Millisecond // after a failed accept, for example for lack of file descriptors
 
-	// userTimeoutMs is after how long bytes that the peer did not acknowledge
-	// end a connection.
+	// userTimeoutMs is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection.
 	userTimeoutMs  = 1500
 	tcpUserTimeout = 18 // TCP_USER_TIMEOUT of tcp(7)
 )
 
-// Handler responds to a request with a body; a nil body is an empty response.
-// After an error the requester is told at once that there will be no response.
+// Handler handles a request and returns the body of the response; a nil body is an
+// empty response. If it returns an error, the requester gets ErrRemote immediately.
 type Handler func(ctx context.Context, from *Conn, body []byte) ([]byte, error)
 
-// PushHandler handles a one-way frame. It is called for one frame of a
-// connection after the other and must not block.
+// PushHandler handles a one-way frame. It is called sequentially for the frames of a
+// connection and must not block.
 type PushHandler func(from *Conn, body []byte)
 
-// DatagramHandler handles a datagram from a network address. The body is valid
-// until it returns.
+// DatagramHandler handles a datagram from a network address. The body is valid only
+// until the handler returns.
 type DatagramHandler func(from string, body []byte)
 
-// Transport is one node's end of all its connections. It is safe for concurrent
-// use once it runs.
+// Transport manages the connections and the UDP socket of one node. It is safe for
+// concurrent use after Run.
 type Transport struct {
 	addr     string
 	log      logr.Logger
-	pool     *ants.Pool // handles requests
+	pool     *ants.Pool // runs the request handlers
 	udp      *net.UDPConn
 	listener net.Listener
 
@@ -75,7 +75,7 @@
 		return nil, errors.Wrapf(err, "transport: address %s", addr)
 	}
 	config := net.ListenConfig{Control: setSocketOptions}
-	// The context bounds the look-up of a name only; addr holds none.
+	// The context only limits name resolution, and addr is an IP address.
 	listener, err := config.Listen(context.Background(), "tcp4", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "transport: listen for TCP")
@@ -95,20 +95,20 @@
 	})
 }
 
-// Addr is the node's own internal address, as given to New.
+// Addr returns the node's internal address, as passed to New.
 func (t *Transport) Addr() string { return t.addr }
 
-// OnCall registers the handler of a kind of request.
+// OnCall registers the handler for a kind of request.
 func (t *Transport) OnCall(kind int, h Handler) { t.requestHandlers[kind] = h }
 
-// OnPush registers the handler of a kind of one-way frame.
+// OnPush registers the handler for a kind of one-way frame.
 func (t *Transport) OnPush(kind int, h PushHandler) { t.pushHandlers[kind] = h }
 
-// OnDatagram registers the handler of a kind of datagram.
+// OnDatagram registers the handler for a kind of datagram.
 func (t *Transport) OnDatagram(kind int, h DatagramHandler) { t.datagramHandlers[kind] = h }
 
-// Run starts to accept connections and to read datagrams, and returns at once;
-// both end with ctx.
+// Run starts accepting connections and reading datagrams in the background, and
+// returns immediately. Both stop when ctx ends.
 func (t *Transport) Run(ctx context.Context) {
 	go t.readDatagrams()
 	go t.acceptConns(ctx)
@@ -118,8 +118,8 @@
 	}()
 }
 
-// Close gives up the addresses of this node. It has done so when it returns; the end
-// of Run's context does the same a little later.
+// Close closes the listener and the UDP socket of this node before it returns. The end
+// of Run's context does the same asynchronously.
 func (t *Transport) Close() {
 	t.listener.Close()
 	t.udp.Close()
@@ -139,8 +139,7 @@
 	}
 }
 
-// Dial returns the connection to addr that all callers share, and opens it if
-// there is none.
+// Dial returns the shared connection to addr, and opens it if there is none.
 func (t *Transport) Dial(ctx context.Context, addr string) (*Conn, error) {
 	if c := t.openConn(addr); c != nil {
 		return c, nil
@@ -149,16 +148,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if earlier := t.shareConn(addr, c); earlier != nil {
+	if existing := t.shareConn(addr, c); existing != nil {
 		c.Close()
-		return earlier, nil
+		return existing, nil
 	}
-	// Other callers use the connection too: it outlives this caller's context.
+	// Other callers use the connection too, so it must outlive this caller's context.
 	go c.Serve(context.Background())
 	return c, nil
 }
 
-// openConn gives the shared connection to addr, or nil.
+// openConn returns the open shared connection to addr, or nil.
 func (t *Transport) openConn(addr string) *Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,19 +168,19 @@
 }
 
 // shareConn makes c the shared connection to addr, unless another caller has
-// opened one meanwhile, which it returns.
-func (t *Transport) shareConn(addr string, c *Conn) (earlier *Conn) {
+// opened one in the meantime; it then returns that one.
+func (t *Transport) shareConn(addr string, c *Conn) (existing *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if earlier := t.conns[addr]; earlier != nil && !earlier.closed.Load() {
-		return earlier
+	if existing := t.conns[addr]; existing != nil && !existing.closed.Load() {
+		return existing
 	}
 	t.conns[addr] = c
 	return nil
 }
 
-// DialFresh opens a connection that is not shared. The caller runs its Serve and
-// closes it.
+// DialFresh opens a connection that is not shared. The caller must run Serve on it and
+// close it.
 func (t *Transport) DialFresh(ctx context.Context, addr string) (*Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: setSocketOptions, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp4", addr)
