--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,50 +1,50 @@
-// Package http1 reads HTTP/1.1 requests as RFC 9110 and RFC 9112 define them, and rewrites
-// each one to a single canonical form for the HTTP library behind it.
+// Package http1 parses HTTP/1.1 requests as defined by RFC 9110 and RFC 9112, and rewrites
+// each one to a single canonical form for the HTTP library that serves it.
 //
-// Clients may write the same request in many ways: names in any case of letters, any white
-// space around values, chunk extensions, trailers, targets with a scheme, empty lines ahead
-// of a request. A Rewriter takes the bytes of a connection and returns those of the same
-// requests in one form. What breaks the protocol, or can be read in two ways, is an *Error
-// with the status that the client gets; nothing of that request is returned, and the
-// connection has to end.
+// Clients may write the same request in many ways: field names in upper or lower case,
+// optional white space around values, chunk extensions, trailers, absolute targets, empty
+// lines before a request. A Rewriter receives the bytes of a connection and returns the same
+// requests in canonical form. A request that violates the protocol or is ambiguous results
+// in an *Error with the status to send to the client. An error in the head returns nothing
+// of that request; after any error the connection must be closed.
 //
-// # What it guarantees
+// # Guarantees
 //
-//   - What is returned is a request line, fields with names and values of valid characters,
-//     a body of the length that the head gives (or chunks without extensions and trailers),
-//     and nothing behind it before the next request.
+//   - The output of a request is a request line, fields with valid names and values, and a
+//     body of the length that the head declares (or chunks without extensions and trailers).
+//     No other bytes precede the next request.
 //   - A head over Limits.HeadBytes, or a body over Limits.BodyBytes, is an error before more
-//     than the limit is kept in memory.
-//   - Fields that concern one connection only are not returned, but for what the library
-//     needs: whether the connection is to be closed or kept.
+//     than the limit is held in memory.
+//   - Hop-by-hop fields are removed, except what the library needs to decide whether to close
+//     the connection or to keep it open.
 //
-// A Rewriter does no input or output and starts no goroutine. It is not safe for concurrent
-// use.
+// A Rewriter performs no I/O and starts no goroutine. It is not safe for concurrent use.
 package http1
 
-// Limits bound what a client may send, in bytes.
+// Limits are the maximum sizes of a request, in bytes.
 type Limits struct {
-	HeadBytes int   // of the request line and the fields, as they were sent
-	BodyBytes int64 // of the body, decoded
+	HeadBytes int   // request line and fields, as sent by the client
+	BodyBytes int64 // body after decoding of chunks
 }
 
-// Statuses of requests that are not taken.
+// Statuses of rejected requests.
 const (
-	statusBadRequest        = 400
-	statusBodyTooLarge      = 413
-	statusExpectationFailed = 417
-	statusHeadTooLarge      = 431
-	statusNotImplemented    = 501
-	statusVersion           = 505
+	statusBadRequest          = 400
+	statusBodyTooLarge        = 413
+	statusExpectationFailed   = 417
+	statusHeadTooLarge        = 431
+	statusNotImplemented      = 501
+	statusVersionNotSupported = 505
 )
 
-// Error says why a request is not taken, and with which status.
+// Error reports why a request was rejected, and the status of the response. Reason is sent
+// to the client.
 type Error struct {
 	Status int
 	Reason string
 }
 
-// Error describes the request.
+// Error returns the reason with the name of the package.
 func (e *Error) Error() string { return "http1: " + e.Reason }
 
 func badRequest(reason string) *Error { return &Error{statusBadRequest, reason} }
--- a/internal/http1/field.go
+++ b/internal/http1/field.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// field is one field of a head.
+// field is one header field.
 type field struct {
-	name  string // in the usual case of letters
-	lower string
-	value string // without white space around it
+	name  string // canonical, for example Content-Length
+	lower string // name in lower case
+	value string // without surrounding white space
 }
 
-// parseField parses a line of a head. The name stands directly before the colon; white space
-// there, or at the beginning of the line, would be read in two ways.
+// parseField parses a header line. White space before the colon or at the beginning of the
+// line is an error, because parsers interpret it differently.
 func parseField(line []byte) (field, *Error) {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || !IsToken(string(name)) {
@@ -30,8 +30,8 @@
 	return field{name: canonical, lower: strings.ToLower(canonical), value: string(value)}, nil
 }
 
-// parseChunkSize parses the line that begins a chunk: a size in hexadecimal digits, and
-// extensions, which are dropped.
+// parseChunkSize parses the first line of a chunk: a size in hexadecimal digits, followed by
+// extensions, which are discarded.
 func parseChunkSize(line []byte) (int64, *Error) {
 	const maxDigits = 15 // fits into 63 bits
 	digits := 0
@@ -82,7 +82,8 @@
 	return s != ""
 }
 
-// IsToken reports whether a string is a token of RFC 9110, as the name of a field is.
+// IsToken reports whether a string is a token as defined by RFC 9110, for example a field
+// name.
 func IsToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -94,7 +95,8 @@
 	return s != ""
 }
 
-// isHost reports whether a string may be a host with a port, or is empty.
+// isHost reports whether a string is empty or has only characters that are valid in a host
+// with an optional port.
 func isHost(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte("/?#@\\,\"<>^`{|}", c) >= 0 {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -18,7 +18,7 @@
 	version11 = "HTTP/1.1"
 )
 
-// Names of the fields that say how a request is read, in lower case.
+// Names, in lower case, of the fields that determine how a request is parsed.
 const (
 	nameConnection       = "connection"
 	nameContentLength    = "content-length"
@@ -27,28 +27,29 @@
 	nameTransferEncoding = "transfer-encoding"
 )
 
-// singleConnection are fields that concern one connection only, in lower case.
-var singleConnection = map[string]bool{
+// hopByHopFields lists the hop-by-hop fields, in lower case.
+var hopByHopFields = map[string]bool{
 	nameConnection: true, "keep-alive": true, "proxy-connection": true, "proxy-authenticate": true,
 	"proxy-authorization": true, "te": true, "trailer": true, nameTransferEncoding: true, "upgrade": true,
 }
 
-// onlyOnce are fields of which one reader would take the first and another the last.
-var onlyOnce = map[string]bool{"authorization": true, "beechtide-attempt-id": true, "beechtide-time-left": true, "beechtide-model": true, "last-event-id": true}
+// singletonFields lists fields that may occur only once: if they were repeated, some parsers would
+// use the first value and others the last.
+var singletonFields = map[string]bool{"authorization": true, "beechtide-attempt-id": true, "beechtide-time-left": true, "beechtide-model": true, "last-event-id": true}
 
-// head is a request line and its fields.
+// head is a parsed request line and its fields.
 type head struct {
 	method, target, version string
 	host                    string
-	fields                  []field // but for those that are given below
-	length                  int64   // of the body; 0 where it is chunked
+	fields                  []field // fields to pass on, except those represented by other members
+	length                  int64   // of the body; 0 if it is chunked
 	chunked                 bool
 	hasLength               bool
-	expects                 bool // 100 (Continue)
-	closes, keeps           bool // what the client wants of the connection
+	expectsContinue         bool // the client expects 100 (Continue)
+	closeConn, keepAlive    bool // Connection options close and keep-alive
 }
 
-// parseHead parses a head with its last empty line, whose lines end with CRLF.
+// parseHead parses a complete head, including its last empty line. Lines end with CRLF.
 func parseHead(raw []byte) (*head, *Error) {
 	line, rest, _ := bytes.Cut(raw, crlf)
 	h := &head{}
@@ -58,7 +59,7 @@
 	var fields []field
 	for line := range bytes.SplitSeq(rest[:len(rest)-len(crlf)], crlf) {
 		if len(line) == 0 {
-			continue // behind the last line end
+			continue // after the last CRLF
 		}
 		f, err := parseField(line)
 		if err != nil {
@@ -66,13 +67,13 @@
 		}
 		fields = append(fields, f)
 	}
-	if err := h.takeFields(fields); err != nil {
+	if err := h.parseFields(fields); err != nil {
 		return nil, err
 	}
 	return h, nil
 }
 
-// parseRequestLine parses method, target and version, with one space between them.
+// parseRequestLine parses method, target and version, separated by single spaces.
 func (h *head) parseRequestLine(line string) *Error {
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
@@ -82,7 +83,7 @@
 	switch {
 	case version == version10, version == version11:
 	case len(version) == len(version11) && strings.HasPrefix(version, "HTTP/") && isDigit(version[5]) && version[6] == '.' && isDigit(version[7]):
-		return &Error{statusVersion, "the version of HTTP is not 1.0 or 1.1"}
+		return &Error{statusVersionNotSupported, "the version of HTTP is not 1.0 or 1.1"}
 	default:
 		return badRequest("malformed request line")
 	}
@@ -90,7 +91,8 @@
 	return nil
 }
 
-// isTarget reports whether a target has characters of a URI only, and whole escapes.
+// isTarget reports whether a target has only valid URI characters and complete percent
+// escapes.
 func isTarget(target string) bool {
 	for i := range len(target) {
 		switch c := target[i]; {
@@ -113,12 +115,13 @@
 	return first && second
 }
 
-// takeFields looks at the fields that say how the request is read.
-func (h *head) takeFields(fields []field) *Error {
+// parseFields validates the fields, stores the values that determine how the request is
+// parsed, and selects the fields to pass on.
+func (h *head) parseFields(fields []field) *Error {
 	hosts := 0
-	var listed map[string]bool // by Connection
+	var connectionNames map[string]bool // field names listed in Connection
 	for i, f := range fields {
-		if onlyOnce[f.lower] && slices.ContainsFunc(fields[:i], func(other field) bool { return other.lower == f.lower }) {
+		if singletonFields[f.lower] && slices.ContainsFunc(fields[:i], func(other field) bool { return other.lower == f.lower }) {
 			return badRequest("more than one " + f.name)
 		}
 		var err *Error
@@ -127,13 +130,13 @@
 			hosts++
 			h.host = f.value
 		case nameContentLength:
-			err = h.takeLength(f.value)
+			err = h.parseContentLength(f.value)
 		case nameTransferEncoding:
-			err = h.takeEncoding(f.value)
+			err = h.parseTransferEncoding(f.value)
 		case nameExpect:
-			err = h.takeExpect(f.value)
+			err = h.parseExpect(f.value)
 		case nameConnection:
-			listed = h.takeConnection(f.value, listed)
+			connectionNames = h.parseConnection(f.value, connectionNames)
 		}
 		if err != nil {
 			return err
@@ -145,29 +148,30 @@
 	if hosts > 1 || hosts == 0 && h.version == version11 || !isHost(h.host) {
 		return badRequest("not one valid Host")
 	}
-	h.keep(fields, listed)
-	return h.takeAbsoluteTarget()
+	h.selectFields(fields, connectionNames)
+	return h.resolveAbsoluteTarget()
 }
 
-// keep keeps the fields that are passed on.
-func (h *head) keep(fields []field, listed map[string]bool) {
+// selectFields stores the fields to pass on: all except hop-by-hop fields and those that appendTo
+// writes itself.
+func (h *head) selectFields(fields []field, connectionNames map[string]bool) {
 	for _, f := range fields {
 		switch f.lower {
 		case nameHost, nameContentLength, nameExpect:
 			continue
 		}
-		if !singleConnection[f.lower] && (!listed[f.lower] || endToEnd(f.lower)) {
+		if !hopByHopFields[f.lower] && (!connectionNames[f.lower] || endToEnd(f.lower)) {
 			h.fields = append(h.fields, f)
 		}
 	}
 }
 
-// endToEnd reports whether a field is meant for the recipient, whatever Connection lists.
+// endToEnd reports whether a field is passed on even if Connection lists it.
 func endToEnd(lower string) bool {
 	return strings.HasPrefix(lower, "beechtide-") || lower == "authorization" || lower == "last-event-id" || lower == "content-type"
 }
 
-func (h *head) takeLength(value string) *Error {
+func (h *head) parseContentLength(value string) *Error {
 	if h.hasLength {
 		return badRequest("more than one Content-Length")
 	}
@@ -182,7 +186,7 @@
 	return nil
 }
 
-func (h *head) takeEncoding(value string) *Error {
+func (h *head) parseTransferEncoding(value string) *Error {
 	switch {
 	case h.chunked || h.version == version10:
 		return badRequest("the transfer coding can be read in two ways")
@@ -193,36 +197,36 @@
 	return nil
 }
 
-func (h *head) takeExpect(value string) *Error {
+func (h *head) parseExpect(value string) *Error {
 	if !strings.EqualFold(value, "100-continue") {
 		return &Error{statusExpectationFailed, "an expectation other than 100-continue"}
 	}
-	h.expects = h.version == version11
+	h.expectsContinue = h.version == version11
 	return nil
 }
 
-// takeConnection takes the options of a Connection field, and returns the names that were
-// listed so far.
-func (h *head) takeConnection(value string, listed map[string]bool) map[string]bool {
-	if listed == nil {
-		listed = map[string]bool{}
+// parseConnection parses the options of a Connection field, and returns the field names listed
+// so far.
+func (h *head) parseConnection(value string, connectionNames map[string]bool) map[string]bool {
+	if connectionNames == nil {
+		connectionNames = map[string]bool{}
 	}
 	for option := range strings.SplitSeq(value, ",") {
 		switch option = strings.ToLower(strings.Trim(option, " \t")); option {
 		case "close":
-			h.closes = true
+			h.closeConn = true
 		case "keep-alive":
-			h.keeps = true
+			h.keepAlive = true
 		default:
-			listed[option] = true
+			connectionNames[option] = true
 		}
 	}
-	return listed
+	return connectionNames
 }
 
-// takeAbsoluteTarget brings a target with scheme and host to one that is a path. That host
-// counts, whatever the field Host says.
-func (h *head) takeAbsoluteTarget() *Error {
+// resolveAbsoluteTarget replaces an absolute target by its path. The host of the target
+// overrides the Host field.
+func (h *head) resolveAbsoluteTarget() *Error {
 	if strings.HasPrefix(h.target, "/") {
 		return nil
 	}
@@ -264,9 +268,9 @@
 		b = appendField(b, "Content-Length", strconv.FormatInt(h.length, 10))
 	}
 	switch {
-	case h.closes:
+	case h.closeConn:
 		b = appendField(b, "Connection", "close")
-	case h.keeps:
+	case h.keepAlive:
 		b = appendField(b, "Connection", "keep-alive")
 	}
 	return append(b, crlf...)
--- a/internal/http1/rewriter.go
+++ b/internal/http1/rewriter.go
@@ -7,17 +7,17 @@
 	"github.com/pkg/errors"
 )
 
-// ErrMore says that more bytes of the connection are needed.
+// ErrMore is returned by Read if more bytes of the connection are needed.
 var ErrMore = errors.New("http1: more bytes are needed")
 
 const (
-	// maxChunkLine bounds the line of a chunk's size and its extensions, in bytes.
+	// maxChunkLine limits the line with the size and extensions of a chunk, in bytes.
 	maxChunkLine = 1024
-	// maxEmptyLines bounds the empty lines ahead of a request.
+	// maxEmptyLines limits the empty lines before a request.
 	maxEmptyLines = 4
 )
 
-// stage is what comes next on a connection.
+// stage is the parser state: which element comes next on the connection.
 type stage int
 
 const (
@@ -29,46 +29,47 @@
 	stageTrailers
 )
 
-// Rewriter rewrites the requests of one connection. The zero Rewriter, with Limits set, is at
-// the beginning of a connection.
+// Rewriter rewrites the requests of one connection. A zero Rewriter with Limits set is ready
+// for a new connection.
 type Rewriter struct {
-	// Limits returns the limits in force as a request begins.
+	// Limits returns the current limits. It is called at the start of each request.
 	Limits func() Limits
 
-	in  []byte // bytes of the connection that are not dealt with yet
-	out []byte // bytes of the present request that are not returned yet
+	in  []byte // received bytes that have not been parsed
+	out []byte // rewritten bytes of the current request that have not been returned
 
-	stage      stage
-	inForce    Limits // for the present request
-	scanned    int    // bytes of in that have been searched for the end of a head
-	emptyLines int    // ahead of the present head
-	left       int64  // of the body, or of the chunk
-	body       int64  // decoded bytes of a chunked body so far
-	trailers   int    // bytes of trailers so far
-	expects    bool   // the client waits for an interim answer before it sends the body
-	failed     *Error
+	stage           stage
+	activeLimits    Limits // for the current request
+	scanned         int    // bytes of in that have been searched for the end of a head
+	emptyLines      int    // number of empty lines before the current head
+	remaining       int64  // remaining bytes of the body or of the chunk
+	bodyBytes       int64  // decoded bytes of a chunked body so far
+	trailerBytes    int    // bytes of trailers so far
+	expectsContinue bool   // the client waits for an interim response before it sends the body
+	failed          *Error
 }
 
-// Write adds bytes of the connection.
+// Write appends bytes received on the connection.
 func (r *Rewriter) Write(b []byte) { r.in = append(r.in, b...) }
 
-// Buffered returns how many bytes of the connection have not been returned.
+// Buffered returns the number of bytes that are buffered and not yet returned by Read.
 func (r *Rewriter) Buffered() int { return len(r.in) + len(r.out) }
 
-// Between reports whether no request has begun that is not complete.
+// Between reports whether the connection is between requests: the last one is complete and
+// nothing of the next one has arrived.
 func (r *Rewriter) Between() bool { return r.stage == stageHead && r.Buffered() == 0 }
 
-// TakeExpectation reports, once, whether the client waits for 100 (Continue) before it sends
-// the body.
+// TakeExpectation reports whether the client waits for 100 (Continue) before it sends the
+// body, and clears the flag, so that the response is sent only once.
 func (r *Rewriter) TakeExpectation() bool {
-	expects := r.expects && len(r.in) == 0
-	r.expects = false
+	expects := r.expectsContinue && len(r.in) == 0
+	r.expectsContinue = false
 	return expects
 }
 
-// Read copies bytes of the present request to b. It returns ErrMore where more bytes of the
-// connection are needed, and an *Error where the connection has to end. It never returns
-// bytes of two requests.
+// Read copies rewritten bytes of the current request to b. It returns ErrMore if more bytes
+// of the connection are needed, and an *Error if the connection must be closed. A single
+// call never returns bytes of two requests.
 func (r *Rewriter) Read(b []byte) (int, error) {
 	for len(r.out) == 0 {
 		if r.failed != nil {
@@ -91,33 +92,33 @@
 	return n, nil
 }
 
-// copyBody copies bytes of a body of known length as they are.
+// copyBody copies bytes of a body of known length unchanged.
 func (r *Rewriter) copyBody(b []byte) int {
 	if r.stage != stageBody {
 		return 0
 	}
-	n := copy(b, r.in[:min(int64(len(r.in)), r.left)])
+	n := copy(b, r.in[:min(int64(len(r.in)), r.remaining)])
 	r.consume(n)
-	if r.left -= int64(n); r.left == 0 {
+	if r.remaining -= int64(n); r.remaining == 0 {
 		r.stage = stageHead
 	}
 	return n
 }
 
-// consume drops bytes from the beginning of the connection's.
+// consume removes n parsed bytes from the input buffer.
 func (r *Rewriter) consume(n int) {
 	r.in = r.in[n:]
 	r.scanned = 0
 }
 
-// release gives memory back that holds nothing: most connections are idle.
+// release frees an empty input buffer, because most connections are idle.
 func (r *Rewriter) release() {
 	if len(r.in) == 0 {
 		r.in = nil
 	}
 }
 
-// step deals with the next part of the connection. done is false where more bytes are needed.
+// step parses the next element of the request. done is false if more bytes are needed.
 func (r *Rewriter) step() (done bool, err *Error) {
 	switch r.stage {
 	case stageHead:
@@ -131,26 +132,26 @@
 	case stageTrailers:
 		return r.readTrailers()
 	}
-	return false, nil // the bytes of a body
+	return false, nil // stageBody is handled by copyBody
 }
 
-// readHead reads the head of a request once all of it is there.
+// readHead parses the head of a request once it has arrived completely.
 func (r *Rewriter) readHead() (done bool, err *Error) {
 	if r.scanned == 0 {
-		r.inForce = r.Limits()
+		r.activeLimits = r.Limits()
 		if err := r.skipEmptyLines(); err != nil {
 			return false, err
 		}
 	}
 	if len(r.in) < len(crlf) {
-		return false, nil // perhaps the first byte of an empty line
+		return false, nil // may be the first byte of an empty line
 	}
 	size, err := r.findHeadEnd()
 	switch {
 	case err != nil:
 		return false, err
-	case size > r.inForce.HeadBytes, size == 0 && len(r.in) > r.inForce.HeadBytes:
-		return false, &Error{statusHeadTooLarge, "the head is larger than " + strconv.Itoa(r.inForce.HeadBytes) + " bytes"}
+	case size > r.activeLimits.HeadBytes, size == 0 && len(r.in) > r.activeLimits.HeadBytes:
+		return false, &Error{statusHeadTooLarge, "the head is larger than " + strconv.Itoa(r.activeLimits.HeadBytes) + " bytes"}
 	case size == 0:
 		return false, nil
 	}
@@ -158,20 +159,20 @@
 	if err != nil {
 		return false, err
 	}
-	if head.length > r.inForce.BodyBytes {
+	if head.length > r.activeLimits.BodyBytes {
 		return false, r.bodyTooLarge()
 	}
 	r.consume(size)
 	r.emptyLines = 0
-	r.begin(head)
+	r.beginBody(head)
 	return true, nil
 }
 
-// begin goes on with the body of a request.
-func (r *Rewriter) begin(head *head) {
+// beginBody writes the canonical head and prepares for the body of the request.
+func (r *Rewriter) beginBody(head *head) {
 	r.out = head.appendTo(r.out)
-	r.expects = head.expects
-	r.body, r.left, r.trailers = 0, head.length, 0
+	r.expectsContinue = head.expectsContinue
+	r.bodyBytes, r.remaining, r.trailerBytes = 0, head.length, 0
 	switch {
 	case head.chunked:
 		r.stage = stageChunkSize
@@ -181,10 +182,10 @@
 }
 
 func (r *Rewriter) bodyTooLarge() *Error {
-	return &Error{statusBodyTooLarge, "the body is larger than " + strconv.FormatInt(r.inForce.BodyBytes, 10) + " bytes"}
+	return &Error{statusBodyTooLarge, "the body is larger than " + strconv.FormatInt(r.activeLimits.BodyBytes, 10) + " bytes"}
 }
 
-// skipEmptyLines skips empty lines ahead of a request.
+// skipEmptyLines skips empty lines before a request.
 func (r *Rewriter) skipEmptyLines() *Error {
 	for bytes.HasPrefix(r.in, crlf) {
 		if r.emptyLines++; r.emptyLines > maxEmptyLines {
@@ -195,9 +196,8 @@
 	return nil
 }
 
-// findHeadEnd returns the size of the head, or 0 where its end is not there yet. Lines end
-// with CRLF and nothing else: some would read a bare CR or LF as the end of a line, and some
-// would not.
+// findHeadEnd returns the size of the head, or 0 if its end has not arrived. Lines must end
+// with CRLF: a bare CR or LF is an error, because only some parsers treat it as a line end.
 func (r *Rewriter) findHeadEnd() (size int, err *Error) {
 	for i := r.scanned; i < len(r.in); i++ {
 		switch c := r.in[i]; {
@@ -211,9 +211,9 @@
 	return 0, nil
 }
 
-// readChunkSize reads the line that begins a chunk.
+// readChunkSize parses the first line of a chunk.
 func (r *Rewriter) readChunkSize() (done bool, err *Error) {
-	line, err := r.takeLine(maxChunkLine)
+	line, err := r.readLine(maxChunkLine)
 	if line == nil || err != nil {
 		return false, err
 	}
@@ -221,11 +221,11 @@
 	if err != nil {
 		return false, err
 	}
-	if size > r.inForce.BodyBytes || r.body+size > r.inForce.BodyBytes {
+	if size > r.activeLimits.BodyBytes || r.bodyBytes+size > r.activeLimits.BodyBytes {
 		return false, r.bodyTooLarge()
 	}
-	r.body += size
-	if r.left = size; size > 0 {
+	r.bodyBytes += size
+	if r.remaining = size; size > 0 {
 		r.stage = stageChunkData
 		return true, nil
 	}
@@ -233,11 +233,11 @@
 	return true, nil
 }
 
-// takeLine takes a line without its end. It returns nil where the end is not there yet.
-func (r *Rewriter) takeLine(most int) ([]byte, *Error) {
+// readLine consumes a line and returns it without CRLF, or nil if its end has not arrived.
+func (r *Rewriter) readLine(limit int) ([]byte, *Error) {
 	end := bytes.IndexByte(r.in, '\n')
 	if end < 0 {
-		if len(r.in) > most {
+		if len(r.in) > limit {
 			return nil, badRequest("a line of the body is too long")
 		}
 		return nil, nil
@@ -246,7 +246,7 @@
 		return nil, badRequest("a line of the body does not end with CRLF")
 	}
 	line := r.in[:end-1]
-	if len(line) > most {
+	if len(line) > limit {
 		return nil, badRequest("a line of the body is too long")
 	}
 	if bytes.IndexByte(line, '\r') >= 0 {
@@ -256,9 +256,9 @@
 	return line, nil
 }
 
-// readChunkData returns what there is of a chunk, as a chunk of its own.
+// readChunkData writes the received bytes of a chunk as a separate chunk.
 func (r *Rewriter) readChunkData() (done bool) {
-	n := int(min(int64(len(r.in)), r.left))
+	n := int(min(int64(len(r.in)), r.remaining))
 	if n == 0 {
 		return false
 	}
@@ -267,13 +267,13 @@
 	r.out = append(r.out, r.in[:n]...)
 	r.out = append(r.out, crlf...)
 	r.consume(n)
-	if r.left -= int64(n); r.left == 0 {
+	if r.remaining -= int64(n); r.remaining == 0 {
 		r.stage = stageChunkEnd
 	}
 	return true
 }
 
-// readChunkEnd reads the line end behind the bytes of a chunk.
+// readChunkEnd consumes the CRLF after the data of a chunk.
 func (r *Rewriter) readChunkEnd() (done bool, err *Error) {
 	if len(r.in) < len(crlf) {
 		return false, nil
@@ -286,9 +286,9 @@
 	return true, nil
 }
 
-// readTrailers reads the fields behind the last chunk. They are checked and dropped.
+// readTrailers validates and discards the next trailer field after the last chunk.
 func (r *Rewriter) readTrailers() (done bool, err *Error) {
-	line, err := r.takeLine(r.inForce.HeadBytes)
+	line, err := r.readLine(r.activeLimits.HeadBytes)
 	if line == nil || err != nil {
 		return false, err
 	}
@@ -297,8 +297,8 @@
 		r.stage = stageHead
 		return true, nil
 	}
-	if r.trailers += len(line) + len(crlf); r.trailers > r.inForce.HeadBytes {
-		return false, &Error{statusHeadTooLarge, "the trailers are larger than " + strconv.Itoa(r.inForce.HeadBytes) + " bytes"}
+	if r.trailerBytes += len(line) + len(crlf); r.trailerBytes > r.activeLimits.HeadBytes {
+		return false, &Error{statusHeadTooLarge, "the trailers are larger than " + strconv.Itoa(r.activeLimits.HeadBytes) + " bytes"}
 	}
 	if _, err := parseField(line); err != nil {
 		return false, err
