--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,5 +1,6 @@
-// Package httpserver makes the HTTP servers of the roles: options that all of them share,
-// and a listener that outlives a lack of descriptors.
+// Package httpserver creates the HTTP servers of all roles. It provides the options that all
+// servers share, and a listener that keeps accepting after temporary errors, such as a lack
+// of file descriptors.
 package httpserver
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Limits that all servers share; options given to New replace them.
+// Defaults that all servers share; options passed to New override them.
 const (
 	idleTimeout    = 60 * time.Second
 	readTimeout    = 60 * time.Second
@@ -22,29 +23,31 @@
 	maxRequestBody = 64 << 20
 )
 
-// How long a Listener waits after an error before it accepts again.
+// Minimum and maximum time that a Listener waits after an error before it accepts again.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = time.Second
 )
 
-// New makes a server for an address.
-func New(addr string, more ...hconfig.Option) *server.Hertz {
+// New creates a server for an address. The options in overrides override the defaults.
+func New(addr string, overrides ...hconfig.Option) *server.Hertz {
 	opts := append([]hconfig.Option{
 		server.WithHostPorts(addr), server.WithTransport(standard.NewTransporter),
 		server.WithDisablePrintRoute(true), server.WithDisableDefaultDate(true),
 		server.WithDisableHeaderNamesNormalizing(false), server.WithIdleTimeout(idleTimeout),
 		server.WithReadTimeout(readTimeout), server.WithMaxRequestBodySize(maxRequestBody), server.WithRedirectTrailingSlash(false),
 		server.WithExitWaitTime(exitWait),
-	}, more...)
+	}, overrides...)
 	return server.New(opts...)
 }
 
-// Listener returns an error only once it is closed: the server above it would end the
-// process, with all that is in flight, where for example descriptors run out.
+// Listener is a net.Listener whose Accept returns an error only after it is closed. With any
+// other error, for example a lack of file descriptors, the HTTP server would end, and with it
+// the process and all requests in flight.
 type Listener struct{ net.Listener }
 
-// Accept waits a growing time after each error that is no end.
+// Accept returns the next connection. After each error other than net.ErrClosed it retries,
+// with exponential backoff.
 func (l Listener) Accept() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		c, err := l.Listener.Accept()
@@ -55,10 +58,11 @@
 	}
 }
 
-// SocketOption sets an option of a socket before it listens.
+// SocketOption sets an option on a socket before it is bound.
 type SocketOption func(fd uintptr)
 
-// Listen opens an address that an earlier process may have used a moment ago.
+// Listen listens on a TCP address, also if a previous process has used it recently
+// (SO_REUSEADDR).
 func Listen(addr string, options ...SocketOption) (Listener, error) {
 	lc := &net.ListenConfig{Control: func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -13,13 +13,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// scarce fails to accept a few times, as without descriptors, before each connection.
-type scarce struct {
+// failingListener is a listener whose next calls of Accept fail with EMFILE, as without free file
+// descriptors; failures is the number of these calls.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *scarce) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -27,7 +28,7 @@
 	return l.Listener.Accept()
 }
 
-// get returns the body of a response; an error is its text.
+// get returns the body of a response, or the text of the error.
 func get(t *testing.T, url string) string {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -43,11 +44,12 @@
 	return string(body)
 }
 
-// A server that gets an error from Accept ends, and the process with it.
-func TestServerOutlivesALackOfDescriptors(t *testing.T) {
+// Guards against a server, and with it the process, ending when Accept fails for lack of file
+// descriptors.
+func TestServerSurvivesLackOfFileDescriptors(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	must.NoError(t, err)
-	short := &scarce{Listener: ln.Listener, failures: 3}
+	short := &failingListener{Listener: ln.Listener, failures: 3}
 	h := New("", server.WithListener(Listener{short}))
 	h.GET("/", func(_ context.Context, c *app.RequestContext) { c.String(200, "served") })
 	ended, served := make(chan error, 1), make(chan string, 1)
@@ -57,13 +59,13 @@
 	case body := <-served:
 		must.Eq(t, "served", body)
 	case err := <-ended:
-		t.Fatalf("the server has ended: %v", err)
+		t.Fatalf("server ended: %v", err)
 	}
 	must.Zero(t, short.failures)
 	must.NoError(t, h.Close())
 }
 
-func TestListenNamesTheAddressThatIsTaken(t *testing.T) {
+func TestListenErrorNamesAddressInUse(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	must.NoError(t, err)
 	defer ln.Close()
