--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,11 +1,12 @@
 // Package upstream is the HTTP/1.1 client that the router and the controller use to send
 // requests to runners.
 //
-// ConnPool holds idle connections to runners. A Conn is one connection: Send writes a
-// request and reports whether any byte may have reached the runner; Head and HeadFor read
-// the head of the response, HeadFor only one with the attempt id of the request.
-// Events splits a stream into complete events. ConnPool.Ask and Probe make control calls
-// (reports, cache events, orders, probes). Budget limits retries.
+// ConnPool holds idle connections to runners. A Conn is one connection: Conn.Send writes a
+// request and reports whether any byte may have reached the runner; Conn.Head and
+// Conn.HeadFor read the head of the response, Conn.HeadFor only one with the attempt id of
+// the request. ConnPool.Ask and ConnPool.Probe make control calls (reports, cache events,
+// orders, probes). The package also splits event streams into complete events, and limits
+// retries by a budget.
 //
 //   - Nothing is retried here: a request is written once, and the caller decides how to
 //     handle an error.
@@ -16,8 +17,8 @@
 //     unambiguous.
 //
 // ConnPool has a mutex and is safe for concurrent use. A Conn belongs to the goroutine
-// that obtained it, except for Interrupt and Close. Events and Budget are not safe for
-// concurrent use. The only goroutine that the package starts writes the rest of a long
+// that obtained it, except for Conn.Interrupt and Conn.Close. The other types are not safe
+// for concurrent use. The only goroutine that the package starts writes the rest of a long
 // request.
 package upstream
 
