--- a/internal/dissemination/catchup_test.go
+++ b/internal/dissemination/catchup_test.go
@@ -30,7 +30,7 @@
 	})
 	parent.Run(ctx)
 	child.Run(ctx)
-	conn, err := child.DialFresh(ctx, parent.Addr())
+	conn, err := child.DialUnshared(ctx, parent.Addr())
 	must.NoError(t, err)
 	updated, answered := make(chan bool, 64), make(chan bool, 64)
 	conn.OnPush = func(_ int, body []byte) {
--- a/internal/dissemination/publisher.go
+++ b/internal/dissemination/publisher.go
@@ -112,7 +112,7 @@
 		if s == nil {
 			return
 		}
-		if !p.callbacks.ApplyReport(from.Remote(), report) {
+		if !p.callbacks.ApplyReport(from.RemoteAddr(), report) {
 			p.enqueue(s, transport.KindResendLoads, nil)
 			return
 		}
@@ -168,7 +168,7 @@
 }
 
 func (p *Publisher) add(conn *transport.Conn, state messages.SyncState) {
-	s := &subscriberQueue{wake: make(chan struct{}, 1), controller: state.Controller, compression: conn.Reads()}
+	s := &subscriberQueue{wake: make(chan struct{}, 1), controller: state.Controller, compression: conn.PeerCompression()}
 	p.mu.Lock()
 	p.queues[conn] = s
 	p.mu.Unlock()
@@ -178,7 +178,7 @@
 			delete(p.queues, conn)
 			p.mu.Unlock()
 			conn.Close()
-			p.callbacks.Unsubscribed(conn.Remote())
+			p.callbacks.Unsubscribed(conn.RemoteAddr())
 		}()
 		p.catchUp(s, state)
 		for {
--- a/internal/dissemination/subscriber.go
+++ b/internal/dissemination/subscriber.go
@@ -150,7 +150,7 @@
 func dial(ctx context.Context, node *transport.Transport, parent string) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return node.DialFresh(ctx, parent)
+	return node.DialUnshared(ctx, parent)
 }
 
 // requestSubscription sends this node's sync state and waits for the response.
--- a/internal/http1/rewriter.go
+++ b/internal/http1/rewriter.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrMore is returned by Read if more bytes of the connection are needed.
-var ErrMore = errors.New("http1: more bytes are needed")
+// ErrNeedMore is returned by Read if more bytes of the connection are needed.
+var ErrNeedMore = errors.New("http1: more bytes are needed")
 
 const (
 	// maxChunkLine limits the line with the size and extensions of a chunk, in bytes.
@@ -55,9 +55,9 @@
 // Buffered returns the number of bytes that are buffered and not yet returned by Read.
 func (r *Rewriter) Buffered() int { return len(r.in) + len(r.out) }
 
-// Between reports whether the connection is between requests: the last one is complete and
+// BetweenRequests reports whether the connection is between requests: the last one is complete and
 // nothing of the next one has arrived.
-func (r *Rewriter) Between() bool { return r.stage == stageHead && r.Buffered() == 0 }
+func (r *Rewriter) BetweenRequests() bool { return r.stage == stageHead && r.Buffered() == 0 }
 
 // TakeExpectation reports whether the client waits for 100 (Continue) before it sends the
 // body, and clears the flag, so that the response is sent only once.
@@ -67,7 +67,7 @@
 	return expects
 }
 
-// Read copies rewritten bytes of the current request to b. It returns ErrMore if more bytes
+// Read copies rewritten bytes of the current request to b. It returns ErrNeedMore if more bytes
 // of the connection are needed, and an *Error if the connection must be closed. A single
 // call never returns bytes of two requests.
 func (r *Rewriter) Read(b []byte) (int, error) {
@@ -82,7 +82,7 @@
 			r.failed = err
 		} else if !done {
 			r.release()
-			return 0, ErrMore
+			return 0, ErrNeedMore
 		}
 	}
 	n := copy(b, r.out)
--- a/internal/http1/rewriter_test.go
+++ b/internal/http1/rewriter_test.go
@@ -203,11 +203,11 @@
 	must.NoError(t, err)
 	must.True(t, r.TakeExpectation())
 	must.False(t, r.TakeExpectation())
-	must.False(t, r.Between())
+	must.False(t, r.BetweenRequests())
 	r.Write([]byte("hello"))
 	_, err = r.Read(buffer)
 	must.NoError(t, err)
-	must.True(t, r.Between())
+	must.True(t, r.BetweenRequests())
 }
 
 func TestReadReturnsBytesOfOneRequest(t *testing.T) {
@@ -254,7 +254,7 @@
 	buffer := make([]byte, 1<<16)
 	for {
 		if _, err := r.Read(buffer); err != nil {
-			return r.Between()
+			return r.BetweenRequests()
 		}
 	}
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -18,7 +18,7 @@
 	}
 	defer e.returnToken()
 	e.router.admissionMu.Lock()
-	e.router.budget(e.service).Request(e.startUs)
+	e.router.budget(e.service).RecordRequest(e.startUs)
 	e.router.admissionMu.Unlock()
 	for e.makeAttempt() {
 	}
@@ -129,11 +129,11 @@
 	return e.router.budget(e.service).Spend(e.router.clock(), int(e.router.nodes.Load()))
 }
 
-func (r *Router) budget(service string) *upstream.Budget {
+func (r *Router) budget(service string) *upstream.RetryBudget {
 	b := r.budgets[service]
 	if b == nil {
 		s := r.set.Bounds
-		b = &upstream.Budget{Ratio: s.RetryRatio, Slack: s.RetrySlack, WindowUs: int64(s.RetryWindowS * 1e6)}
+		b = &upstream.RetryBudget{Ratio: s.RetryRatio, Slack: s.RetrySlack, WindowUs: int64(s.RetryWindowS * 1e6)}
 		r.budgets[service] = b
 	}
 	return b
--- a/internal/router/listener.go
+++ b/internal/router/listener.go
@@ -162,7 +162,7 @@
 
 // readSocket reads bytes from the client.
 func (c *timedConn) readSocket(b []byte) (int, error) {
-	if c.requestStart.IsZero() && c.requests.Between() {
+	if c.requestStart.IsZero() && c.requests.BetweenRequests() {
 		return c.readRequestStart(b)
 	}
 	c.markRequestStart(time.Now()) // its first bytes were read with the previous request
--- a/internal/router/missing.go
+++ b/internal/router/missing.go
@@ -60,7 +60,7 @@
 // report, which carries the absence to the other nodes.
 func (r *Router) confirmAbsent(runner messages.RunnerRecord) {
 	r.log.Info("runner is not at its address", "runner", runner.ID, "address", runner.Addr)
-	r.connPool.Drop(runner.Addr)
+	r.connPool.CloseIdle(runner.Addr)
 	signal(r.loadsChanged)
 }
 
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -20,7 +20,7 @@
 // runner resumes the stream.
 type responseStream struct {
 	out           network.ExtWriter
-	splitter      upstream.Events
+	splitter      upstream.EventSplitter
 	started       bool
 	finished      bool
 	isEventStream bool // only whole events are forwarded
@@ -93,7 +93,7 @@
 // forwardStream forwards a streamed response, event by event. The returned stream is nil if
 // another attempt is to start the response anew.
 func (e *exchange) forwardStream(adm *admission.Admission, conn *upstream.Conn, r *protocol.Response, stream *responseStream) (attempt.Result, *responseStream) {
-	stream.splitter.Cut()
+	stream.splitter.DiscardIncomplete()
 	body := r.BodyStream()
 	buf := make([]byte, 2048)
 	first := true
@@ -154,7 +154,7 @@
 // finishStream ends a response that the runner has ended. If the response is delimited by the end
 // of the connection, an incomplete last event is the only sign that the runner crashed.
 func (e *exchange) finishStream(adm *admission.Admission, conn *upstream.Conn, r *protocol.Response, stream *responseStream) (attempt.Result, *responseStream) {
-	rest := stream.splitter.Rest()
+	rest := stream.splitter.Incomplete()
 	partial := len(rest) > 0 && stream.isEventStream
 	if partial && upstream.EndsWithConn(r) {
 		return e.failStream(adm, conn, stream)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -104,7 +104,7 @@
 
 	admissionMu     sync.Mutex
 	admission       *admission.Admitter
-	budgets         map[string]*upstream.Budget
+	budgets         map[string]*upstream.RetryBudget
 	slab            inflight.Slab[admission.Decision]
 	queueChanged    chan struct{}
 	prefixesPending chan struct{} // a runner has begun to prefill prefixes that others may share
@@ -169,7 +169,7 @@
 		configuration:   routeconfig.NewReplica(),
 		runners:         statesync.NewEntries(),
 		admission:       newAdmitter(set, clock()),
-		budgets:         map[string]*upstream.Budget{},
+		budgets:         map[string]*upstream.RetryBudget{},
 		queueChanged:    make(chan struct{}, 1),
 		prefixesPending: make(chan struct{}, 1),
 		loadsChanged:    make(chan struct{}, 1),
--- a/internal/router/send.go
+++ b/internal/router/send.go
@@ -211,12 +211,12 @@
 // recordAttemptOutcome records whether the runner completed an attempt. A failure without any
 // response on a connection that had been idle is attributed to the connection, not to the runner.
 func (r *Router) recordAttemptOutcome(adm *admission.Admission, conn *upstream.Conn, succeeded, responded bool) {
-	if !succeeded && !responded && conn.RestedUs > 0 {
-		r.connPool.Dead(conn)
+	if !succeeded && !responded && conn.IdleUs > 0 {
+		r.connPool.RecordDead(conn)
 		return
 	}
 	if responded {
-		r.connPool.Alive(conn)
+		r.connPool.RecordAlive(conn)
 	}
 	r.admissionMu.Lock()
 	r.admission.RecordOutcome(adm, succeeded, r.clock())
--- a/internal/router/withdraw.go
+++ b/internal/router/withdraw.go
@@ -111,7 +111,7 @@
 // was withdrawn before the head arrived.
 func (e *exchange) readHead(a *sentAttempt, r *protocol.Response) error {
 	headBy := e.deadlineTime(-withdrawLeadUs)
-	err := a.conn.HeadFor(e.id, r, headBy)
+	err := a.conn.ReadHeadFor(e.id, r, headBy)
 	withdrawn := e.router.sent.remove(a)
 	switch {
 	case err == nil:
--- a/internal/simulation/requests_router.go
+++ b/internal/simulation/requests_router.go
@@ -18,7 +18,7 @@
 	thawedUs int64
 
 	// What follows is gone with each life of the process.
-	budget    *upstream.Budget
+	budget    *upstream.RetryBudget
 	idle      map[*requestRunner][]*requestConn
 	exchanges map[*incoming]*requestExchange
 	open      map[*incoming]bool // whose clients wait
@@ -32,7 +32,7 @@
 
 func (r *requestRouter) begin() {
 	r.process.Start()
-	r.budget = &upstream.Budget{Ratio: retryRatio, Slack: retrySlack, WindowUs: retryWindowUs}
+	r.budget = &upstream.RetryBudget{Ratio: retryRatio, Slack: retrySlack, WindowUs: retryWindowUs}
 	r.idle, r.exchanges = map[*requestRunner][]*requestConn{}, map[*incoming]*requestExchange{}
 }
 
@@ -86,7 +86,7 @@
 	endUs    int64 // by the router's clock
 	conn     *requestConn
 	runner   *requestRunner
-	events   upstream.Events
+	events   upstream.EventSplitter
 	stream   strings.Builder // what the client has
 	number   int             // of the present attempt, so that late events of another one are told apart
 }
@@ -100,7 +100,7 @@
 	leftUs := in.client.untilUs - in.sentUs
 	e := &requestExchange{router: r, in: in, endUs: r.process.NowUs() + leftUs}
 	r.exchanges[in] = e
-	r.budget.Request(r.process.NowUs())
+	r.budget.RecordRequest(r.process.NowUs())
 	number := e.number
 	r.process.After(leftUs, func() {
 		if e.number >= number && !e.in.ended {
@@ -201,7 +201,7 @@
 		e.conn.close()
 	}
 	e.conn = nil
-	e.events.Cut()
+	e.events.DiscardIncomplete()
 	next := e.sequence.Failed(e.rules(), result, e.isOver(), e)
 	if next.AvoidRunner {
 		e.avoid = append(e.avoid, e.runner)
--- a/internal/transport/compress_test.go
+++ b/internal/transport/compress_test.go
@@ -43,7 +43,7 @@
 	go func() { _ = peer.near.Push(KindFeed, body) }()
 	must.Eq(t, messages.Frame{Kind: KindFeed, Body: body}, peer.read())
 	peer.write(messages.Frame{Kind: KindReadsCompressed}, messages.Frame{Kind: KindReadsCompressed})
-	for peer.near.Reads() == noCompression {
+	for peer.near.PeerCompression() == noCompression {
 		runtime.Gosched()
 	}
 	go func() { _ = peer.near.Push(KindFeed, body) }()
@@ -55,12 +55,12 @@
 	must.Eq(t, messages.Frame{Kind: KindFeed, Body: body}, inner)
 
 	peer.write(messages.Frame{Kind: KindReadsCompressed, Body: readsCompressedBody()})
-	for peer.near.Reads() != columnCompression {
+	for peer.near.PeerCompression() != columnCompression {
 		runtime.Gosched()
 	}
 	broadcast, err := EncodeBroadcast(messages.Frame{Kind: KindFeed, Body: body})
 	must.NoError(t, err)
-	go func() { _ = peer.near.SendRaw(broadcast.BytesFor(peer.near.Reads())) }()
+	go func() { _ = peer.near.SendRaw(broadcast.BytesFor(peer.near.PeerCompression())) }()
 	f = peer.read()
 	must.Eq(t, columnsMark, rune(f.Body[0]))
 	inner, err = decompressFrame(f.Body)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -43,10 +43,10 @@
 	conn      net.Conn
 	pending   *pendingRequests
 	closed    atomic.Bool
-	// peerReads is the newest Compression that the peer has announced that it reads.
-	peerReads  atomic.Int32
-	lastReadNs atomic.Int64 // time of the last received bytes, since processStart; 0 if none
-	done       chan struct{}
+	// peerCompression is the newest Compression that the peer has announced that it reads.
+	peerCompression atomic.Int32
+	lastReadNs      atomic.Int64 // time of the last received bytes, since processStart; 0 if none
+	done            chan struct{}
 
 	// OnPush handles the one-way frames of this connection instead of the
 	// transport's handlers. It is set before Serve.
@@ -63,8 +63,8 @@
 // Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Remote returns the network address of the peer's end.
-func (c *Conn) Remote() string { return c.conn.RemoteAddr().String() }
+// RemoteAddr returns the network address of the peer's end.
+func (c *Conn) RemoteAddr() string { return c.conn.RemoteAddr().String() }
 
 // Close closes the connection; its pending requests fail with ErrClosed.
 func (c *Conn) Close() {
@@ -81,11 +81,11 @@
 	if err != nil {
 		return err
 	}
-	return c.writeFrames(f.Kind, encoded.BytesFor(c.Reads()))
+	return c.writeFrames(f.Kind, encoded.BytesFor(c.PeerCompression()))
 }
 
-// Reads returns the newest compression format that the peer has announced that it reads.
-func (c *Conn) Reads() Compression { return Compression(c.peerReads.Load()) }
+// PeerCompression returns the newest compression format that the peer has announced that it reads.
+func (c *Conn) PeerCompression() Compression { return Compression(c.peerCompression.Load()) }
 
 // SendRaw writes encoded updates unchanged; they count as one message of KindFeed.
 // After a failed write nothing more is written: the peer would read it as the rest of
@@ -196,7 +196,7 @@
 		seq, kind, ok := decodeFailure(f.Body)
 		return ok && c.pending.complete(seq, kind, result{err: ErrRemote})
 	case f.Kind == KindReadsCompressed:
-		c.recordPeerReads(compressionOf(f.Body))
+		c.recordPeerCompression(compressionOf(f.Body))
 	case f.Seq == 0:
 		c.handleOneWay(f)
 	default:
@@ -205,10 +205,10 @@
 	return true
 }
 
-// recordPeerReads records the compression format that the peer reads. On an accepted
+// recordPeerCompression records the compression format that the peer reads. On an accepted
 // connection it responds to the first announcement with that of this node.
-func (c *Conn) recordPeerReads(newest Compression) {
-	if before := c.peerReads.Swap(int32(newest)); before == int32(noCompression) && c.addr == "" {
+func (c *Conn) recordPeerCompression(newest Compression) {
+	if before := c.peerCompression.Swap(int32(newest)); before == int32(noCompression) && c.addr == "" {
 		_ = c.Push(KindReadsCompressed, readsCompressedBody())
 	}
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -144,7 +144,7 @@
 	if c := t.openConn(addr); c != nil {
 		return c, nil
 	}
-	c, err := t.DialFresh(ctx, addr)
+	c, err := t.DialUnshared(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -179,9 +179,9 @@
 	return nil
 }
 
-// DialFresh opens a connection that is not shared. The caller must run Serve on it and
+// DialUnshared opens a connection that is not shared. The caller must run Serve on it and
 // close it.
-func (t *Transport) DialFresh(ctx context.Context, addr string) (*Conn, error) {
+func (t *Transport) DialUnshared(ctx context.Context, addr string) (*Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: setSocketOptions, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
--- a/internal/upstream/budget.go
+++ b/internal/upstream/budget.go
@@ -5,9 +5,9 @@
 
 package upstream
 
-// Budget limits the retries that one node sends for one service. It is not safe for
+// RetryBudget limits the retries that one node sends for one service. It is not safe for
 // concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	Ratio    float64 // retries allowed per request
 	Slack    float64 // retries allowed in addition, independent of the request count
 	WindowUs int64   // length of the sliding window for both
@@ -22,13 +22,13 @@
 	slackFraction = 0.4
 )
 
-// Request records the arrival of a request for the service.
-func (b *Budget) Request(nowUs int64) {
+// RecordRequest records the arrival of a request for the service.
+func (b *RetryBudget) RecordRequest(nowUs int64) {
 	b.requestTimesUs = append(removeBefore(b.requestTimesUs, nowUs-b.WindowUs/2), nowUs)
 }
 
 // Spend reports whether the budget allows another retry, and if so records it.
-func (b *Budget) Spend(nowUs int64, nodes int) bool {
+func (b *RetryBudget) Spend(nowUs int64, nodes int) bool {
 	b.requestTimesUs = removeBefore(b.requestTimesUs, nowUs-b.WindowUs/2)
 	b.retryTimesUs = removeBefore(b.retryTimesUs, nowUs-b.WindowUs)
 	allowed := b.Ratio*ratioFraction*float64(len(b.requestTimesUs)) + b.Slack*slackFraction/float64(max(nodes, 1))
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -93,11 +93,11 @@
 // response that has one belongs to another request.
 func (c *Conn) readResponse(deadline time.Time) (*response, error) {
 	r := &protocol.Response{}
-	if err := c.Head(r, deadline); err != nil {
+	if err := c.ReadHead(r, deadline); err != nil {
 		return nil, err
 	}
 	if r.Header.Get(attemptID) != "" {
-		return nil, ErrForeign
+		return nil, ErrMismatchedResponse
 	}
 	body, err := ReadBody(r, maxResponseBytes)
 	if err != nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -2,8 +2,8 @@
 // requests to runners.
 //
 // ConnPool holds idle connections to runners. A Conn is one connection: Conn.Send writes a
-// request and reports whether any byte may have reached the runner; Conn.Head and
-// Conn.HeadFor read the head of the response, Conn.HeadFor only one with the attempt id of
+// request and reports whether any byte may have reached the runner; Conn.ReadHead and
+// Conn.ReadHeadFor read the head of the response, Conn.ReadHeadFor only one with the attempt id of
 // the request. ConnPool.Ask and ConnPool.Probe make control calls (reports, cache events,
 // orders, probes). The package also splits event streams into complete events, and limits
 // retries by a budget.
@@ -34,10 +34,10 @@
 
 // Errors of a connection.
 var (
-	ErrConnect = errors.New("upstream: no connection to the runner")
-	ErrBroken  = errors.New("upstream: connection broken")
-	ErrForeign = errors.New("upstream: the response belongs to another request")
-	ErrLate    = errors.New("upstream: no response in time")
+	ErrConnect            = errors.New("upstream: no connection to the runner")
+	ErrBroken             = errors.New("upstream: connection broken")
+	ErrMismatchedResponse = errors.New("upstream: the response belongs to another request")
+	ErrTimeout            = errors.New("upstream: no response in time")
 )
 
 const (
@@ -73,8 +73,8 @@
 	// nil, the read ends.
 	OnInterrupt func() (goOn bool)
 
-	Answers  int   // number of responses whose heads have been read
-	RestedUs int64 // idle time when it was taken from the pool; 0 for a new connection
+	ResponseCount int   // number of responses whose heads have been read
+	IdleUs        int64 // idle time when it was taken from the pool; 0 for a new connection
 }
 
 // Connect opens a connection to a runner.
@@ -178,6 +178,6 @@
 	_ = c.conn.SetReadDeadline(deadline)
 }
 
-// Spoil marks the connection as tainted: bytes arrived that do not belong to the current
+// MarkTainted marks the connection as tainted: bytes arrived that do not belong to the current
 // request. It is not reused.
-func (c *Conn) Spoil() { c.tainted = true }
+func (c *Conn) MarkTainted() { c.tainted = true }
--- a/internal/upstream/conn_pool.go
+++ b/internal/upstream/conn_pool.go
@@ -26,23 +26,23 @@
 	return &ConnPool{clock: clock, idle: map[string][]*Conn{}, limits: idleLimits{}}
 }
 
-// Dead records that the runner had dropped a connection taken from the pool, which lowers
+// RecordDead records that the runner had dropped a connection taken from the pool, which lowers
 // the idle limit of its service. A new connection is ignored.
-func (p *ConnPool) Dead(c *Conn) {
-	if c.RestedUs == 0 {
+func (p *ConnPool) RecordDead(c *Conn) {
+	if c.IdleUs == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits.recordDead(c.service, c.RestedUs)
+	p.limits.recordDead(c.service, c.IdleUs)
 }
 
-// Alive records that a response arrived on a connection taken from the pool, which may
+// RecordAlive records that a response arrived on a connection taken from the pool, which may
 // raise the idle limit of its service.
-func (p *ConnPool) Alive(c *Conn) {
+func (p *ConnPool) RecordAlive(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits.recordAlive(c.service, c.RestedUs)
+	p.limits.recordAlive(c.service, c.IdleUs)
 }
 
 // GetFor returns a connection for a request to a runner of a service. A pooled connection
@@ -76,7 +76,7 @@
 			c.Close()
 			continue
 		}
-		c.RestedUs = max(idleUs, 1)
+		c.IdleUs = max(idleUs, 1)
 		return c, nil
 	}
 }
@@ -115,9 +115,9 @@
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// Drop closes the idle connections to an address, for example after another runner has
+// CloseIdle closes the idle connections to an address, for example after another runner has
 // taken over the address.
-func (p *ConnPool) Drop(addr string) {
+func (p *ConnPool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -6,9 +6,9 @@
 
 import "bytes"
 
-// Events splits the bytes of one stream into complete events. LastID is the id of the last
+// EventSplitter splits the bytes of one stream into complete events. LastID is the id of the last
 // complete event, and Count the number of complete events.
-type Events struct {
+type EventSplitter struct {
 	incomplete []byte
 	LastID     string
 	Count      int
@@ -16,7 +16,7 @@
 
 // Add appends received bytes and returns the complete events so far, in order. The result
 // is valid until the next call.
-func (e *Events) Add(b []byte) []byte {
+func (e *EventSplitter) Add(b []byte) []byte {
 	e.incomplete = append(e.incomplete, b...)
 	end := bytes.LastIndex(e.incomplete, []byte("\n\n"))
 	if end < 0 {
@@ -29,14 +29,14 @@
 	return out
 }
 
-// Rest returns the received bytes of an incomplete event.
-func (e *Events) Rest() []byte { return e.incomplete }
+// Incomplete returns the received bytes of an incomplete event.
+func (e *EventSplitter) Incomplete() []byte { return e.incomplete }
 
-// Cut discards an incomplete event before the stream is resumed at another runner.
-func (e *Events) Cut() { e.incomplete = e.incomplete[:0] }
+// DiscardIncomplete discards an incomplete event before the stream is resumed at another runner.
+func (e *EventSplitter) DiscardIncomplete() { e.incomplete = e.incomplete[:0] }
 
 // record counts complete events and stores the id of the last one.
-func (e *Events) record(complete []byte) {
+func (e *EventSplitter) record(complete []byte) {
 	e.Count += bytes.Count(complete, []byte("\n\n"))
 	for len(complete) > 0 {
 		line := complete
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -51,7 +51,7 @@
 func readOneResponse(raw []byte, size byte) (readResult, error) {
 	l, p := newTestConn(raw, size)
 	var r protocol.Response
-	if err := l.Head(&r, time.Time{}); err != nil {
+	if err := l.ReadHead(&r, time.Time{}); err != nil {
 		return readResult{}, err
 	}
 	endsWithConn := EndsWithConn(&r)
@@ -102,10 +102,10 @@
 	})
 }
 
-// FuzzHeadForMatchesAttemptID sends responses to several requests on one connection, in
-// any order. HeadFor must return the response to its own request or none, and the
+// FuzzReadHeadForMatchesAttemptID sends responses to several requests on one connection, in
+// any order. ReadHeadFor must return the response to its own request or none, and the
 // connection may be pooled only if all received bytes belonged to that request.
-func FuzzHeadForMatchesAttemptID(f *testing.F) {
+func FuzzReadHeadForMatchesAttemptID(f *testing.F) {
 	f.Add([]byte{0, 1}, byte(9))
 	f.Add([]byte{1, 0}, byte(1))
 	f.Add([]byte{2, 1, 0}, byte(77))
@@ -119,7 +119,7 @@
 		l, _ := newTestConn(raw, size)
 		g := NewConnPool(func() int64 { return 1 })
 		var r protocol.Response
-		if err := l.HeadFor("own", &r, time.Time{}); err != nil {
+		if err := l.ReadHeadFor("own", &r, time.Time{}); err != nil {
 			return
 		}
 		first := slices.IndexFunc(script, func(b byte) bool { return b%4 == 0 })
@@ -155,7 +155,7 @@
 	f.Add([]byte("\n\n\n\n\nid:\n\n"), byte(2))
 	f.Add([]byte("beechtide-weight-versions: 4\nid:7\n\n"), byte(9))
 	f.Fuzz(func(t *testing.T, raw []byte, size byte) {
-		var split, unsplit Events
+		var split, unsplit EventSplitter
 		var out []byte
 		in := &chunkedConn{rest: raw, size: size}
 		piece := make([]byte, 64)
@@ -170,8 +170,8 @@
 			}
 			out = append(out, got...)
 		}
-		must.Eq(t, string(raw), string(out)+string(split.Rest()))
-		must.False(t, strings.Contains(string(split.Rest()), "\n\n"))
+		must.Eq(t, string(raw), string(out)+string(split.Incomplete()))
+		must.False(t, strings.Contains(string(split.Incomplete()), "\n\n"))
 		more, ok := strings.CutPrefix(string(unsplit.Add(raw)), string(out))
 		must.True(t, ok)
 		must.Eq(t, "", strings.Trim(more, "\n"), must.Sprint("only empty lines, which may belong to either event, may differ"))
--- a/internal/upstream/head.go
+++ b/internal/upstream/head.go
@@ -57,7 +57,7 @@
 		if _, err := in.Peek(len(buffered) + 1); err != nil {
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				return nil, errors.Wrap(ErrLate, err.Error())
+				return nil, errors.Wrap(ErrTimeout, err.Error())
 			}
 			return nil, errors.Wrap(ErrBroken, err.Error())
 		}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -41,9 +41,9 @@
 	return b, err
 }
 
-// readHead waits for a complete and valid head, parses it, and sets the body stream of the
+// readResponseHead waits for a complete and valid head, parses it, and sets the body stream of the
 // response.
-func readHead(out *protocol.Response, in reader) error {
+func readResponseHead(out *protocol.Response, in reader) error {
 	if err := awaitHead(in); err != nil {
 		return err
 	}
@@ -74,12 +74,12 @@
 	return ok
 }
 
-// Head reads the head of the next response into out. The caller then reads the body from
+// ReadHead reads the head of the next response into out. The caller then reads the body from
 // the body stream of out, which returns io.EOF only if the body is complete.
-func (c *Conn) Head(out *protocol.Response, deadline time.Time) error {
+func (c *Conn) ReadHead(out *protocol.Response, deadline time.Time) error {
 	_ = c.conn.SetReadDeadline(deadline)
 	if c.interrupted.Load() { // checked after the deadline is set, which an interrupt replaces
-		return errors.Wrap(ErrLate, "interrupted")
+		return errors.Wrap(ErrTimeout, "interrupted")
 	}
 	if c.sending.Load() {
 		if err := awaitHead(c.in); err != nil {
@@ -87,10 +87,10 @@
 		}
 		c.setUserTimeout(time.Until(deadline)) // the runner responds already, and may read the rest of the body much later
 	}
-	if err := readHead(out, c.in); err != nil {
+	if err := readResponseHead(out, c.in); err != nil {
 		return err
 	}
-	c.Answers++
+	c.ResponseCount++
 	return nil
 }
 
@@ -101,28 +101,28 @@
 	maxForeignBytes     = 1 << 20
 )
 
-// HeadFor reads the head of the response to the request with this attempt id. A late
+// ReadHeadFor reads the head of the response to the request with this attempt id. A late
 // second response to an earlier request may precede it; such a response is skipped, and
 // the connection is not reused. Every response of a runner to a request has an attempt id;
 // a response without one is an error.
-func (c *Conn) HeadFor(id string, out *protocol.Response, deadline time.Time) error {
+func (c *Conn) ReadHeadFor(id string, out *protocol.Response, deadline time.Time) error {
 	for range maxForeignResponses + 1 {
 		out.Reset()
-		if err := c.Head(out, deadline); err != nil {
+		if err := c.ReadHead(out, deadline); err != nil {
 			return err
 		}
 		switch out.Header.Get(attemptID) {
 		case id:
 			return nil
 		case "":
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
-		c.Spoil()
+		c.MarkTainted()
 		if _, err := ReadBody(out, maxForeignBytes); err != nil {
-			return errors.Wrap(ErrForeign, err.Error())
+			return errors.Wrap(ErrMismatchedResponse, err.Error())
 		}
 	}
-	return ErrForeign
+	return ErrMismatchedResponse
 }
 
 // ReadBody reads the complete body of a response whose head has been read. A body that
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -37,14 +37,14 @@
 	p := &partialWriter{acceptBytes: 1}
 	l := &Conn{conn: p}
 	sent, err := l.Send(testHead(), []byte("hi"), time.Now().Add(-time.Millisecond))
-	must.ErrorIs(t, err, ErrLate)
+	must.ErrorIs(t, err, ErrTimeout)
 	must.False(t, sent)
 	must.Eq(t, 0, p.writeCount)
 }
 
 func parse(raw string) (string, error) {
 	in, r := newReader(strings.NewReader(raw)), &protocol.Response{}
-	if err := readHead(r, in); err != nil {
+	if err := readResponseHead(r, in); err != nil {
 		return "", err
 	}
 	body, err := ReadBody(r, 1<<20)
@@ -129,7 +129,7 @@
 func TestCallRejectsResponseWithAttemptID(t *testing.T) {
 	g := NewConnPool(clockUs)
 	_, err := callStatus(t, g, startServer(t, "HTTP/1.1 200 OK\r\nBeechtide-Attempt-Id: x\r\nContent-Length: 2\r\n\r\nok"), "GET")
-	must.ErrorIs(t, err, ErrForeign)
+	must.ErrorIs(t, err, ErrMismatchedResponse)
 	must.MapEmpty(t, g.idle)
 }
 
@@ -138,7 +138,7 @@
 	addr := startServer(t, okResponse)
 	e, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
-	e.conn.Spoil()
+	e.conn.MarkTainted()
 	pool.Put(addr, e.conn, &e.response.Header)
 	must.MapEmpty(t, pool.idle)
 }
@@ -152,13 +152,13 @@
 	must.MapEmpty(t, pool.idle)
 }
 
-func TestDropClosesIdleConnectionsToAddress(t *testing.T) {
+func TestCloseIdleClosesConnectionsToAddress(t *testing.T) {
 	pool := NewConnPool(clockUs)
 	addr := startServer(t, okResponse, conflictResponse)
 	e, err := roundTrip(t, pool, addr)
 	must.NoError(t, err)
 	pool.Put(addr, e.conn, &e.response.Header)
-	pool.Drop(addr)
+	pool.CloseIdle(addr)
 	must.MapEmpty(t, pool.idle)
 }
 
@@ -191,7 +191,7 @@
 		_, err = l.Send(testHead(), []byte("hi"), time.Now().Add(time.Minute))
 		must.NoError(t, err)
 		var r protocol.Response
-		must.NoError(t, l.Head(&r, time.Now().Add(time.Minute)))
+		must.NoError(t, l.ReadHead(&r, time.Now().Add(time.Minute)))
 		must.True(t, EndsWithConn(&r))
 		must.False(t, l.keepAlive(&r.Header))
 		if name == "reset" {
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -21,7 +21,7 @@
 	raw = append(raw, body...)
 	_ = c.conn.SetDeadline(deadline)
 	if !time.Now().Before(deadline) {
-		return false, errors.Wrap(ErrLate, "the deadline passed before it was sent")
+		return false, errors.Wrap(ErrTimeout, "the deadline passed before it was sent")
 	}
 	first := raw[:min(len(raw), firstWriteBytes)]
 	written, err := c.conn.Write(first)
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -57,7 +57,7 @@
 	_, err := l.Send(longHead(), longBody, time.Now().Add(time.Minute))
 	must.NoError(t, err)
 	r := &protocol.Response{}
-	must.NoError(t, l.Head(r, time.Now().Add(time.Minute)))
+	must.NoError(t, l.ReadHead(r, time.Now().Add(time.Minute)))
 	body, err := ReadBody(r, 1<<20)
 	must.NoError(t, err)
 	must.Eq(t, "ok", string(body))
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -68,7 +68,7 @@
 	must.NoError(t, err)
 	must.True(t, sent)
 	e := exchange{conn: c, response: protocol.AcquireResponse()}
-	if err := c.Head(e.response, time.Now().Add(time.Second)); err != nil {
+	if err := c.ReadHead(e.response, time.Now().Add(time.Second)); err != nil {
 		return e, err
 	}
 	b, err := io.ReadAll(e.response.BodyStream())
@@ -123,23 +123,23 @@
 	must.False(t, got == e.conn)
 }
 
-func TestEventsHoldBackIncompleteEvent(t *testing.T) {
-	var e Events
+func TestEventSplitterHoldsBackIncompleteEvent(t *testing.T) {
+	var e EventSplitter
 	must.Eq(t, "", string(e.Add([]byte("id: 3\ndata"))))
 	must.Eq(t, "id: 3\ndata: x\n\n", string(e.Add([]byte(": x\n\nid: 4\n"))))
 	must.Eq(t, "3", e.LastID)
-	must.Eq(t, "id: 4\n", string(e.Rest()))
-	e.Cut()
+	must.Eq(t, "id: 4\n", string(e.Incomplete()))
+	e.DiscardIncomplete()
 	must.Eq(t, "id: 5\n\n", string(e.Add([]byte("id: 5\n\n"))))
 	must.Eq(t, "5", e.LastID)
 	must.Eq(t, 2, e.Count)
 }
 
-func TestBudgetLimitsRetriesToShare(t *testing.T) {
-	b := Budget{Ratio: 0.2, Slack: 60, WindowUs: 10_000_000}
+func TestRetryBudgetLimitsRetriesToShare(t *testing.T) {
+	b := RetryBudget{Ratio: 0.2, Slack: 60, WindowUs: 10_000_000}
 	spent := 0
 	for i := range 100 {
-		b.Request(int64(i))
+		b.RecordRequest(int64(i))
 		if b.Spend(int64(i), 10) {
 			spent++
 		}
@@ -158,7 +158,7 @@
 	_, err := c.Send(testHead(), []byte("xx"), deadline)
 	must.NoError(t, err)
 	r := &protocol.Response{}
-	must.NoError(t, c.Head(r, deadline))
+	must.NoError(t, c.ReadHead(r, deadline))
 	_, err = ReadBody(r, 1<<10)
 	must.NoError(t, err)
 	return r
@@ -196,6 +196,6 @@
 		_, _ = io.WriteString(far, completeResponse)
 	}()
 	r := &protocol.Response{}
-	must.NoError(t, readHead(r, c.in))
+	must.NoError(t, readResponseHead(r, c.in))
 	must.Less(t, 10*time.Second, c.SilentFor())
 }
