--- a/internal/load/platform.go
+++ b/internal/load/platform.go
@@ -34,31 +34,31 @@
 	}
 }
 
-func (p *balancer) watch(ctx context.Context) {
+func (b *balancer) watch(ctx context.Context) {
 	loop.Every(ctx, readyInterval, func() {
-		for i := range p.routers {
-			go p.check(ctx, i)
+		for i := range b.routers {
+			go b.check(ctx, i)
 		}
 	})
 }
 
-func (p *balancer) check(ctx context.Context, i int) {
-	ready := p.isReady(ctx, p.routers[i].Ready)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (b *balancer) check(ctx context.Context, i int) {
+	ready := b.isReady(ctx, b.routers[i].Ready)
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if ready {
-		p.misses[i] = 0
+		b.misses[i] = 0
 		return
 	}
-	p.misses[i]++
+	b.misses[i]++
 }
 
-func (p *balancer) isReady(ctx context.Context, address string) bool {
+func (b *balancer) isReady(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/ready", nil)
 	if err != nil {
 		return false
 	}
-	response, err := p.client.Do(request)
+	response, err := b.client.Do(request)
 	if err != nil {
 		return false
 	}
@@ -68,17 +68,17 @@
 
 // pick selects a random ready router for a new connection, or any router if fewer than half are
 // ready.
-func (p *balancer) pick(random *rand.Rand) Router {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (b *balancer) pick(random *rand.Rand) Router {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var ready []Router
-	for i, router := range p.routers {
-		if p.misses[i] < maxMisses {
+	for i, router := range b.routers {
+		if b.misses[i] < maxMisses {
 			ready = append(ready, router)
 		}
 	}
-	if 2*len(ready) < len(p.routers) {
-		ready = p.routers
+	if 2*len(ready) < len(b.routers) {
+		ready = b.routers
 	}
 	return ready[random.IntN(len(ready))]
 }
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -198,9 +198,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, placed := range c.runners {
-		placed.runner.Crash()
-		placed.proxy.close()
+	for _, slot := range c.runners {
+		slot.runner.Crash()
+		slot.proxy.close()
 	}
 	for _, px := range slices.Concat(c.controllerProxies, c.routerProxies) {
 		px.close()
@@ -221,12 +221,12 @@
 // startRunners starts count runners, each behind a proxy.
 func (c *cluster) startRunners(count int) error {
 	for range count {
-		placed, err := c.newRunner()
+		slot, err := c.newRunner()
 		if err != nil {
 			return err
 		}
 		c.mu.Lock()
-		c.runners = append(c.runners, placed)
+		c.runners = append(c.runners, slot)
 		c.mu.Unlock()
 	}
 	return nil
@@ -266,8 +266,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var loaded []LoadedWeights
-	for _, placed := range c.runners {
-		loaded = append(loaded, LoadedWeights{Runner: placed.runner.ID(), Version: placed.runner.WeightsVersion()})
+	for _, slot := range c.runners {
+		loaded = append(loaded, LoadedWeights{Runner: slot.runner.ID(), Version: slot.runner.WeightsVersion()})
 	}
 	return loaded
 }
@@ -275,12 +275,12 @@
 // replaceRunner starts a new incarnation of the runner in a slot.
 func (c *cluster) replaceRunner(slot int) error {
 	c.slotAt(slot).proxy.close()
-	placed, err := c.newRunner()
+	newSlot, err := c.newRunner()
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.runners[slot] = placed
+	c.runners[slot] = newSlot
 	c.mu.Unlock()
 	return nil
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -132,22 +132,22 @@
 }
 
 func (i *injector) injectRunner(ctx context.Context, fault Fault, span *Span) {
-	placed := i.cluster.slotAt(fault.Subject)
-	span.Runner, span.Back = placed.runner.ID(), true
+	slot := i.cluster.slotAt(fault.Subject)
+	span.Runner, span.Back = slot.runner.ID(), true
 	switch fault.Kind {
 	case CrashRunner:
-		placed.runner.Crash()
+		slot.runner.Crash()
 		loop.Pause(ctx, fault.For)
 		span.Back = i.cluster.replaceRunner(fault.Subject) == nil
 	case LeaveRunner:
 		leaving, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
-		span.Acknowledged = placed.runner.Leave(leaving)
+		span.Acknowledged = slot.runner.Leave(leaving)
 		span.Back = i.cluster.replaceRunner(fault.Subject) == nil
 	case LoseRunner:
-		impairLink(ctx, fault, placed.proxy, linkDropAnswers)
+		impairLink(ctx, fault, slot.proxy, linkDropAnswers)
 	default:
-		impairLink(ctx, fault, placed.proxy, linkCut)
+		impairLink(ctx, fault, slot.proxy, linkCut)
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -254,8 +254,8 @@
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxBodyBytes)
 	for lines.Scan() {
-		for _, alarm := range forbiddenLogTexts {
-			if strings.Contains(lines.Text(), alarm) {
+		for _, text := range forbiddenLogTexts {
+			if strings.Contains(lines.Text(), text) {
 				s.recorder.update(func(e *Evidence) {
 					e.LogFindings = append(e.LogFindings, LogFinding{Node: p.name(), Line: lines.Text()})
 				})
