--- a/internal/load/platform.go
+++ b/internal/load/platform.go
@@ -1,5 +1,5 @@
-// The platform before the routers: it asks each whether it is ready, and gives new
-// connections to those that are.
+// The load balancer in front of the routers: it checks the readiness of each router and assigns
+// new connections to ready routers.
 
 package load
 
@@ -14,12 +14,12 @@
 )
 
 const (
-	readyEvery    = time.Second
+	readyInterval = time.Second
 	readyTimeout  = time.Second
-	missesToLeave = 2
+	maxMisses     = 2
 )
 
-type platform struct {
+type balancer struct {
 	routers []Router
 	client  http.Client
 
@@ -27,38 +27,38 @@
 	misses []int
 }
 
-func newPlatform(routers []Router) *platform {
-	return &platform{
+func newBalancer(routers []Router) *balancer {
+	return &balancer{
 		routers: routers, misses: make([]int, len(routers)),
 		client: http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
-func (p *platform) watch(ctx context.Context) {
-	loop.Every(ctx, readyEvery, func() {
-		for i := range p.routers {
-			go p.check(ctx, i)
+func (b *balancer) watch(ctx context.Context) {
+	loop.Every(ctx, readyInterval, func() {
+		for i := range b.routers {
+			go b.check(ctx, i)
 		}
 	})
 }
 
-func (p *platform) check(ctx context.Context, i int) {
-	ready := p.isReady(ctx, p.routers[i].Ready)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (b *balancer) check(ctx context.Context, i int) {
+	ready := b.isReady(ctx, b.routers[i].Ready)
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if ready {
-		p.misses[i] = 0
+		b.misses[i] = 0
 		return
 	}
-	p.misses[i]++
+	b.misses[i]++
 }
 
-func (p *platform) isReady(ctx context.Context, address string) bool {
+func (b *balancer) isReady(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/ready", nil)
 	if err != nil {
 		return false
 	}
-	response, err := p.client.Do(request)
+	response, err := b.client.Do(request)
 	if err != nil {
 		return false
 	}
@@ -66,19 +66,19 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// pick chooses the router of a new connection: one that is in, any where fewer than half
-// are.
-func (p *platform) pick(random *rand.Rand) Router {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var in []Router
-	for i, router := range p.routers {
-		if p.misses[i] < missesToLeave {
-			in = append(in, router)
+// pick selects a random ready router for a new connection, or any router if fewer than half are
+// ready.
+func (b *balancer) pick(random *rand.Rand) Router {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var ready []Router
+	for i, router := range b.routers {
+		if b.misses[i] < maxMisses {
+			ready = append(ready, router)
 		}
 	}
-	if 2*len(in) < len(p.routers) {
-		in = p.routers
+	if 2*len(ready) < len(b.routers) {
+		ready = b.routers
 	}
-	return in[random.IntN(len(in))]
+	return ready[random.IntN(len(ready))]
 }
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -1,5 +1,5 @@
-// The parties of a soak: routers and controllers as processes, runners in this process,
-// and a proxy before each.
+// The components of a soak: routers and controllers as child processes, stand-in runners in
+// this process, and a TCP proxy in front of each component.
 
 package soak
 
@@ -22,17 +22,17 @@
 	"beechtide.org/beechtide/internal/standin"
 )
 
-// Ports of a node. Ports of all nodes are alike; their addresses differ.
+// Ports of a node. All nodes use the same ports at different addresses.
 const (
-	lowestPort  = 12000
-	highestPort = 30000 // below those that connections take for themselves
-	portsOfNode = 8
-	controlPort = 2 // offsets from the first port
-	frontPort   = 3
-	readyPort   = 4
+	lowestPort        = 12000
+	highestPort       = 30000 // below the ephemeral port range
+	portsPerNode      = 8
+	controlPortOffset = 2 // offset from the first port
+	frontPortOffset   = 3
+	readyPortOffset   = 4
 )
 
-// Bounds that the nodes are told.
+// Bounds in the settings of the nodes.
 const (
 	heartbeatMs = 1000
 	leaseMs     = 3000
@@ -53,28 +53,29 @@
 	modelName   = "model-1"
 )
 
-// cluster is the parties of one soak.
+// cluster holds the components of one soak.
 type cluster struct {
-	dir         string
-	routers     []*process
-	controllers []*process
-	fronts      []*proxy // before the routers
-	controls    []*proxy // before the controllers
-	platform    *standin.Platform
-	recorder    *recorder
-	weights     atomic.Int64 // the newest version named; new runners have it
+	dir               string
+	routers           []*process
+	controllers       []*process
+	routerProxies     []*proxy // in front of the routers
+	controllerProxies []*proxy // in front of the controllers
+	platform          *standin.Platform
+	recorder          *recorder
+	latestWeights     atomic.Int64 // newest target weights version; new runners start with it
 
 	mu      sync.Mutex
-	runners []*placedRunner
+	runners []*runnerSlot
 }
 
-// placedRunner is the place of a runner; its incarnations follow each other there.
-type placedRunner struct {
+// runnerSlot is the position of a runner in the cluster. A runner that crashes or leaves is
+// replaced by a new incarnation in the same slot.
+type runnerSlot struct {
 	runner *standin.Runner
 	proxy  *proxy
 }
 
-// newCluster prepares the parties; start starts them.
+// newCluster prepares the components without starting the processes; start starts them.
 func newCluster(program, dir string, shape Shape, r *recorder, onExit func(*process, error)) (*cluster, error) {
 	subnet, port, err := freeAddresses(max(shape.Routers, shape.Controllers))
 	if err != nil {
@@ -85,10 +86,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c.weights.Store(1)
+	c.latestWeights.Store(1)
 	var seeds []string
 	for i := range min(shape.Controllers, 3) {
-		seeds = append(seeds, fmt.Sprintf("%s.%d:%d", subnet, i+1, port+controlPort))
+		seeds = append(seeds, fmt.Sprintf("%s.%d:%d", subnet, i+1, port+controlPortOffset))
 	}
 	node := func(role string, i int) *process {
 		set := nodeSettings(role, fmt.Sprintf("%s.%d", subnet, i+1), port, seeds)
@@ -123,31 +124,31 @@
 	}
 	if role == roleController {
 		set.Serves = []string{"controller"}
-		set.Listen.Control = fmt.Sprintf("%s:%d", ip, port+controlPort)
+		set.Listen.Control = fmt.Sprintf("%s:%d", ip, port+controlPortOffset)
 		return set
 	}
 	set.Serves = []string{"edge"}
-	set.Listen.Front = fmt.Sprintf("%s:%d", ip, port+frontPort)
-	set.Listen.Ready = fmt.Sprintf("%s:%d", ip, port+readyPort)
+	set.Listen.Front = fmt.Sprintf("%s:%d", ip, port+frontPortOffset)
+	set.Listen.Ready = fmt.Sprintf("%s:%d", ip, port+readyPortOffset)
 	return set
 }
 
-// freeAddresses draws a subnet of the loopback network and a range of ports that nobody
-// listens on, so that soaks can run beside each other.
+// freeAddresses picks a loopback subnet and a port range on which nothing listens, so that
+// several soaks can run on one machine at the same time.
 func freeAddresses(nodes int) (subnet string, port int, err error) {
 	for range 100 {
 		subnet = fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), 1+rand.IntN(250))
-		port = lowestPort + rand.IntN((highestPort-lowestPort)/portsOfNode)*portsOfNode
+		port = lowestPort + rand.IntN((highestPort-lowestPort)/portsPerNode)*portsPerNode
 		if areFree(subnet, port, nodes) {
 			return subnet, port, nil
 		}
 	}
-	return "", 0, errors.New("soak: no free addresses on the loopback network")
+	return "", 0, errors.New("soak: find free addresses on the loopback network: every address range tried is in use")
 }
 
 func areFree(subnet string, port, nodes int) bool {
 	for i := range nodes {
-		for offset := range portsOfNode {
+		for offset := range portsPerNode {
 			listener, err := net.Listen("tcp4", fmt.Sprintf("%s.%d:%d", subnet, i+1, port+offset))
 			if err != nil {
 				return false
@@ -158,12 +159,12 @@
 	return true
 }
 
-// start starts every process with empty disks, and the proxies before them.
+// start starts every process with an empty data directory, and the proxies in front of them.
 func (c *cluster) start() error {
 	for _, p := range slices.Concat(c.controllers, c.routers) {
 		if p.settings.DataDir != "" {
 			if err := os.MkdirAll(p.settings.DataDir, directoryMode); err != nil {
-				return errors.Wrap(err, "soak: disk")
+				return errors.Wrap(err, "soak: create data directory")
 			}
 		}
 		if err := p.start(); err != nil {
@@ -173,72 +174,73 @@
 	for _, p := range c.controllers {
 		px, err := newProxy(p.settings.Ip, p.settings.Listen.Control)
 		if err != nil {
-			return errors.Wrap(err, "soak: proxy")
+			return errors.Wrap(err, "soak: open proxy")
 		}
-		c.controls = append(c.controls, px)
+		c.controllerProxies = append(c.controllerProxies, px)
 	}
 	for _, p := range c.routers {
 		px, err := newProxy(p.settings.Ip, p.settings.Listen.Front)
 		if err != nil {
-			return errors.Wrap(err, "soak: proxy")
+			return errors.Wrap(err, "soak: open proxy")
 		}
-		c.fronts = append(c.fronts, px)
+		c.routerProxies = append(c.routerProxies, px)
 	}
 	return nil
 }
 
-// close kills the children, by their pids, and ends runners and proxies.
+// close kills the child processes by their pids and stops the runners, the proxies and the
+// platform.
 func (c *cluster) close() {
 	for _, p := range slices.Concat(c.routers, c.controllers) {
-		if p.lives() > 0 {
+		if p.currentIncarnation() > 0 {
 			p.kill()
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, placed := range c.runners {
-		placed.runner.Crash()
-		placed.proxy.close()
+	for _, slot := range c.runners {
+		slot.runner.Crash()
+		slot.proxy.close()
 	}
-	for _, px := range slices.Concat(c.controls, c.fronts) {
+	for _, px := range slices.Concat(c.controllerProxies, c.routerProxies) {
 		px.close()
 	}
 	c.platform.Close()
 }
 
-// controlProxy gives the proxy's address for a control address.
-func (c *cluster) controlProxy(address string) string {
+// controlProxyAddress returns the address of the proxy in front of a control address.
+func (c *cluster) controlProxyAddress(address string) string {
 	for i, p := range c.controllers {
 		if p.settings.Listen.Control == address {
-			return c.controls[i].address()
+			return c.controllerProxies[i].address()
 		}
 	}
 	return address
 }
 
-// startRunners starts the runners, each behind a proxy.
+// startRunners starts count runners, each behind a proxy.
 func (c *cluster) startRunners(count int) error {
 	for range count {
-		placed, err := c.newRunner()
+		slot, err := c.newRunner()
 		if err != nil {
 			return err
 		}
 		c.mu.Lock()
-		c.runners = append(c.runners, placed)
+		c.runners = append(c.runners, slot)
 		c.mu.Unlock()
 	}
 	return nil
 }
 
-func (c *cluster) newRunner() (*placedRunner, error) {
+func (c *cluster) newRunner() (*runnerSlot, error) {
 	var controls []string
 	for _, p := range c.controllers {
 		controls = append(controls, p.settings.Listen.Control)
 	}
 	runner := standin.New(standin.Config{
-		Service: serviceName, Zone: zoneName, Controllers: controls, Translate: c.controlProxy,
+		Service: serviceName, Zone: zoneName, Controllers: controls, Translate: c.controlProxyAddress,
 		Model: modelName, HeartbeatEvery: heartbeatMs * time.Millisecond, DrainTime: drainMs * time.Millisecond,
-		Capacity: runnerCapacity, ProbePath: probePath, WeightsVersion: c.weights.Load(),
+		Capacity: runnerCapacity, ProbePath: probePath, WeightsVersion: c.latestWeights.Load(),
 		OnRun: c.recorder.onRun, OnOrder: c.recorder.onOrder,
 	})
 	address, err := runner.Listen()
@@ -247,53 +249,53 @@
 	}
 	px, err := newProxy("127.0.0.1", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "soak: proxy")
+		return nil, errors.Wrap(err, "soak: open proxy")
 	}
 	runner.Start(px.address())
-	return &placedRunner{runner: runner, proxy: px}, nil
+	return &runnerSlot{runner: runner, proxy: px}, nil
 }
 
-func (c *cluster) runnerAt(place int) *placedRunner {
+func (c *cluster) slotAt(slot int) *runnerSlot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.runners[place]
+	return c.runners[slot]
 }
 
-// loadedWeights lists the versions that the runners have.
+// loadedWeights returns the weights version that each runner has loaded.
 func (c *cluster) loadedWeights() []LoadedWeights {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var loaded []LoadedWeights
-	for _, placed := range c.runners {
-		loaded = append(loaded, LoadedWeights{Runner: placed.runner.ID(), Version: placed.runner.WeightsVersion()})
+	for _, slot := range c.runners {
+		loaded = append(loaded, LoadedWeights{Runner: slot.runner.ID(), Version: slot.runner.WeightsVersion()})
 	}
 	return loaded
 }
 
-// replaceRunner starts a new incarnation at a place.
-func (c *cluster) replaceRunner(place int) error {
-	c.runnerAt(place).proxy.close()
-	placed, err := c.newRunner()
+// replaceRunner starts a new incarnation of the runner in a slot.
+func (c *cluster) replaceRunner(slot int) error {
+	c.slotAt(slot).proxy.close()
+	newSlot, err := c.newRunner()
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.runners[place] = placed
+	c.runners[slot] = newSlot
 	c.mu.Unlock()
 	return nil
 }
 
-// loadRouters lists the routers as clients see them. Readiness is asked beside the
-// proxies.
+// loadRouters returns the routers as the load clients address them. Readiness is checked at the
+// router directly, without the proxy.
 func (c *cluster) loadRouters() []load.Router {
 	var routers []load.Router
 	for i, p := range c.routers {
-		routers = append(routers, load.Router{Node: p.name(), Front: c.fronts[i].address(), Ready: p.settings.Listen.Ready})
+		routers = append(routers, load.Router{Node: p.name(), Front: c.routerProxies[i].address(), Ready: p.settings.Listen.Ready})
 	}
 	return routers
 }
 
-// waitUntilServing waits for every process; it names those that don't serve.
+// waitUntilServing waits for every process and returns the names of those that do not serve.
 func (c *cluster) waitUntilServing(ctx context.Context) (missing []string) {
 	for _, p := range slices.Concat(c.controllers, c.routers) {
 		if ctx.Err() != nil || !p.waitUntilServing() {
--- a/internal/soak/evidence_weights.go
+++ b/internal/soak/evidence_weights.go
@@ -1,18 +1,18 @@
-// What was seen of named weights.
+// Observations of the target weights versions.
 
 package soak
 
 import "time"
 
-// Naming is a version of the weights that the operator named.
-type Naming struct {
+// WeightsTarget is a weights version that the operator set as the target.
+type WeightsTarget struct {
 	Version      int64
 	Sent         time.Time
 	Ended        time.Time
 	Acknowledged bool
 }
 
-// LoadedWeights is the version that a runner has at the end.
+// LoadedWeights is the weights version that a runner has loaded at the end of the soak.
 type LoadedWeights struct {
 	Runner  string
 	Version int64
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -1,4 +1,4 @@
-// Faults as they are played on the parties.
+// Injection of the planned faults into the components.
 
 package soak
 
@@ -11,48 +11,48 @@
 	"beechtide.org/beechtide/internal/loop"
 )
 
-// leavePatience is how long a runner that leaves tries to have that acknowledged; it has
-// to hold the time that it serves on as well.
-const leavePatience = 12 * time.Second
+// leaveTimeout limits a planned departure of a runner: the retries until a controller
+// acknowledges it, and the time that the runner keeps serving afterwards.
+const leaveTimeout = 12 * time.Second
 
-// closingDown is how long all processes are down in a closing fault.
-const closingDown = time.Second
+// closingDownTime is how long all processes stay down in a closing fault.
+const closingDownTime = time.Second
 
-// injector plays the faults of a plan.
+// injector injects the faults of a plan.
 type injector struct {
 	cluster  *cluster
 	recorder *recorder
 
-	mu      sync.Mutex
-	parties map[partyKey]*sync.Mutex
+	mu    sync.Mutex
+	locks map[componentKey]*sync.Mutex
 }
 
-// partyKey names one party.
-type partyKey struct {
-	party   Party
+// componentKey identifies one component.
+type componentKey struct {
+	kind    ComponentKind
 	subject int
 }
 
 func newInjector(c *cluster, r *recorder) *injector {
-	return &injector{cluster: c, recorder: r, parties: map[partyKey]*sync.Mutex{}}
+	return &injector{cluster: c, recorder: r, locks: map[componentKey]*sync.Mutex{}}
 }
 
-// lockParty waits until no other fault befalls a party: an end of a process may take
-// longer than planned.
-func (i *injector) lockParty(fault Fault) (unlock func()) {
-	key := partyKey{fault.Kind.Party(), fault.Subject}
+// lockComponent waits until no other fault affects the component: a process can take longer to
+// exit than planned.
+func (i *injector) lockComponent(fault Fault) (unlock func()) {
+	key := componentKey{fault.Kind.Component(), fault.Subject}
 	i.mu.Lock()
-	lock := i.parties[key]
+	lock := i.locks[key]
 	if lock == nil {
 		lock = &sync.Mutex{}
-		i.parties[key] = lock
+		i.locks[key] = lock
 	}
 	i.mu.Unlock()
 	lock.Lock()
 	return lock.Unlock
 }
 
-// play plays every fault at its time and returns when all have ended.
+// play injects every fault at its planned time and returns when all of them have ended.
 func (i *injector) play(ctx context.Context, faults []Fault, begin time.Time) {
 	var running sync.WaitGroup
 	for _, fault := range faults {
@@ -66,104 +66,106 @@
 	running.Wait()
 }
 
-// playClosing kills every process at the same time and starts all of them again. Where the
-// closing fault says so, the first controller loses its disk.
+// playClosing kills every process at the same time and starts all of them again. With
+// KillAllWipeOne the first controller also loses its data directory.
 func (i *injector) playClosing(ctx context.Context, closing ClosingFault) {
 	if closing == NoClosingFault {
 		return
 	}
 	var running sync.WaitGroup
 	for subject := range i.cluster.routers {
-		running.Go(func() { i.inject(ctx, Fault{Kind: KillRouter, Subject: subject, For: closingDown}) })
+		running.Go(func() { i.inject(ctx, Fault{Kind: KillRouter, Subject: subject, For: closingDownTime}) })
 	}
 	for subject := range i.cluster.controllers {
 		kind := KillController
 		if subject == 0 && closing == KillAllWipeOne {
 			kind = WipeController
 		}
-		running.Go(func() { i.inject(ctx, Fault{Kind: kind, Subject: subject, For: closingDown}) })
+		running.Go(func() { i.inject(ctx, Fault{Kind: kind, Subject: subject, For: closingDownTime}) })
 	}
 	running.Wait()
 }
 
-// inject plays one fault and records it with the time that its party needed to be back.
+// inject injects one fault and records its period, including the time that the component needed
+// to serve again.
 func (i *injector) inject(ctx context.Context, fault Fault) {
-	unlock := i.lockParty(fault)
+	unlock := i.lockComponent(fault)
 	defer unlock()
 	span := Span{Fault: fault, From: time.Now()}
-	switch fault.Kind.Party() {
-	case PartyRunner:
+	switch fault.Kind.Component() {
+	case ComponentRunner:
 		i.injectRunner(ctx, fault, &span)
-	case PartyRouter:
+	case ComponentRouter:
 		span.Node = i.cluster.routers[fault.Subject].name()
-		span.Back = injectProcess(ctx, fault, i.cluster.routers[fault.Subject], i.cluster.fronts[fault.Subject])
+		span.Back = injectProcess(ctx, fault, i.cluster.routers[fault.Subject], i.cluster.routerProxies[fault.Subject])
 	default:
 		span.Node = i.cluster.controllers[fault.Subject].name()
-		span.Back = injectProcess(ctx, fault, i.cluster.controllers[fault.Subject], i.cluster.controls[fault.Subject])
+		span.Back = injectProcess(ctx, fault, i.cluster.controllers[fault.Subject], i.cluster.controllerProxies[fault.Subject])
 	}
 	span.To = time.Now()
 	i.recorder.update(func(e *Evidence) { e.Spans = append(e.Spans, span) })
 }
 
-// injectProcess plays a fault on a process or on the link to it, and reports whether the
+// injectProcess injects a fault into a process or into the link to it, and reports whether the
 // process serves again.
 func injectProcess(ctx context.Context, fault Fault, node *process, link *proxy) bool {
 	switch fault.Kind {
 	case KillRouter, KillController:
 		node.kill()
-		return restart(ctx, fault, node)
+		return restartAfterFault(ctx, fault, node)
 	case WipeController:
 		node.kill()
-		return node.wipe() == nil && restart(ctx, fault, node)
+		return node.wipeDisk() == nil && restartAfterFault(ctx, fault, node)
 	case TerminateRouter, StopController:
 		node.terminate()
-		return restart(ctx, fault, node)
+		return restartAfterFault(ctx, fault, node)
 	case PauseRouter, PauseController:
-		suspend(ctx, fault, node)
+		pauseProcess(ctx, fault, node)
 	case ReloadRouter:
 		node.signal(syscall.SIGHUP, false)
 	case LoseControl:
-		withLink(ctx, fault, link, linkLoseAnswers)
+		impairLink(ctx, fault, link, linkDropAnswers)
 	case CutFront, CutControl:
-		withLink(ctx, fault, link, linkCut)
+		impairLink(ctx, fault, link, linkCut)
 	}
 	return node.waitUntilServing()
 }
 
 func (i *injector) injectRunner(ctx context.Context, fault Fault, span *Span) {
-	placed := i.cluster.runnerAt(fault.Subject)
-	span.Runner, span.Back = placed.runner.ID(), true
+	slot := i.cluster.slotAt(fault.Subject)
+	span.Runner, span.Back = slot.runner.ID(), true
 	switch fault.Kind {
 	case CrashRunner:
-		placed.runner.Crash()
+		slot.runner.Crash()
 		loop.Pause(ctx, fault.For)
 		span.Back = i.cluster.replaceRunner(fault.Subject) == nil
 	case LeaveRunner:
-		leaving, cancel := context.WithTimeout(ctx, leavePatience)
+		leaving, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
-		span.Acknowledged = placed.runner.Leave(leaving)
+		span.Acknowledged = slot.runner.Leave(leaving)
 		span.Back = i.cluster.replaceRunner(fault.Subject) == nil
 	case LoseRunner:
-		withLink(ctx, fault, placed.proxy, linkLoseAnswers)
+		impairLink(ctx, fault, slot.proxy, linkDropAnswers)
 	default:
-		withLink(ctx, fault, placed.proxy, linkCut)
+		impairLink(ctx, fault, slot.proxy, linkCut)
 	}
 }
 
-// restart starts a process after the time of its fault and waits until it serves.
-func restart(ctx context.Context, fault Fault, node *process) bool {
+// restartAfterFault starts a process once the duration of its fault has passed, and waits until
+// it serves.
+func restartAfterFault(ctx context.Context, fault Fault, node *process) bool {
 	loop.Pause(ctx, fault.For)
 	return node.start() == nil && node.waitUntilServing()
 }
 
-func suspend(ctx context.Context, fault Fault, node *process) {
+func pauseProcess(ctx context.Context, fault Fault, node *process) {
 	node.signal(syscall.SIGSTOP, false)
 	loop.Pause(ctx, fault.For)
 	node.signal(syscall.SIGCONT, false)
 }
 
-func withLink(ctx context.Context, fault Fault, link *proxy, mode linkMode) {
+func impairLink(ctx context.Context, fault Fault, link *proxy, mode linkMode) {
 	link.setMode(mode)
 	loop.Pause(ctx, fault.For)
-	link.setMode(linkWhole)
+	link.setMode(linkUp)
 }
--- a/internal/soak/judge_usage.go
+++ b/internal/soak/judge_usage.go
@@ -1,4 +1,4 @@
-// The part of the judge that is about the calls to the platform.
+// Evaluation of the calls to the platform.
 
 package soak
 
@@ -11,63 +11,65 @@
 	"beechtide.org/beechtide/internal/standin"
 )
 
-// usageSlack is by how much the moment at which a request began may differ, as a router on a
-// loaded machine sees it.
+// usageSlack is the tolerance for the time at which a request began: on a loaded machine the
+// time that a router records can differ from the runner's.
 const usageSlack = time.Second
 
-// subjectFence is a fence as the platform saw it.
+// subjectFence is a fencing token as the platform received it, with the duty and subject it
+// applies to.
 type subjectFence struct {
 	duty, subject string
 	fence         int64
 }
 
-// lastWindowBefore returns the newest window of usage that has ended at a moment.
+// lastWindowBefore returns the newest usage window that has ended at a time.
 func lastWindowBefore(at time.Time) int64 { return at.Unix()/usageWindowS - 1 }
 
-// windowStart returns when a window of usage begins.
+// windowStart returns when a usage window begins.
 func windowStart(window int64) time.Time { return time.Unix(window*usageWindowS, 0) }
 
-func (j *judge) checkUsage() {
-	j.checkPlatformFences()
-	accepted := j.acceptedUsage()
-	if j.Calm.IsZero() || j.UsageDue == 0 {
+func (e *evaluator) checkUsage() {
+	e.checkPlatformFences()
+	accepted := e.acceptedUsage()
+	if e.Calm.IsZero() || e.UsageDue == 0 {
 		return
 	}
-	first := lastWindowBefore(j.Calm.Add(usageSlack)) + 2
-	for window := first; window <= j.UsageDue; window++ {
+	first := lastWindowBefore(e.Calm.Add(usageSlack)) + 2
+	for window := first; window <= e.UsageDue; window++ {
 		report, reported := accepted[window]
 		if !reported {
-			j.broken(RuleUsage, windowStart(window+1), "window %d is not reported", window)
+			e.addViolation(RuleUsage, windowStart(window+1), "window %d is not reported", window)
 			continue
 		}
-		j.checkWindow(window, report)
+		e.checkWindow(window, report)
 	}
 }
 
-// checkPlatformFences looks for calls of two holders under one fence.
-func (j *judge) checkPlatformFences() {
+// checkPlatformFences reports calls of two holders under one fence.
+func (e *evaluator) checkPlatformFences() {
 	holders := map[subjectFence]string{}
-	for _, call := range j.Calls {
+	for _, call := range e.Calls {
 		key := subjectFence{call.Duty, call.Subject, call.Fence}
 		first, known := holders[key]
 		if known && first != call.Holder {
-			j.broken(RuleOne, call.Arrived, "the platform got calls for %s %s under fence %d from %s and from %s", call.Duty, call.Subject, call.Fence, first, call.Holder)
+			e.addViolation(RuleOne, call.Arrived, "the platform got calls for %s %s under fence %d from %s and from %s", call.Duty, call.Subject, call.Fence, first, call.Holder)
 		}
 		holders[key] = call.Holder
 	}
 }
 
-// acceptedUsage returns the report of each window, and looks for windows with two.
-func (j *judge) acceptedUsage() map[int64]api.UsageReport {
+// acceptedUsage returns the accepted report of each window, and reports windows with two
+// different accepted reports.
+func (e *evaluator) acceptedUsage() map[int64]api.UsageReport {
 	accepted := map[int64]api.UsageReport{}
-	for _, call := range j.Calls {
+	for _, call := range e.Calls {
 		if call.Duty != standin.DutyUsage || call.Status != http.StatusOK {
 			continue
 		}
 		window := call.Usage.WindowSeq
 		before, repeated := accepted[window]
 		if repeated && !maps.Equal(before.Counts, call.Usage.Counts) {
-			j.broken(RuleOne, call.Arrived, "window %d is reported with %v and with %v", window, before.Counts, call.Usage.Counts)
+			e.addViolation(RuleOne, call.Arrived, "window %d is reported with %v and with %v", window, before.Counts, call.Usage.Counts)
 		}
 		if !repeated {
 			accepted[window] = call.Usage
@@ -76,21 +78,21 @@
 	return accepted
 }
 
-// checkWindow compares a report with what runners have run.
-func (j *judge) checkWindow(window int64, report api.UsageReport) {
+// checkWindow compares the usage report of a window with the runs that began in it.
+func (e *evaluator) checkWindow(window int64, report api.UsageReport) {
 	from, to := windowStart(window), windowStart(window+1)
-	surely, perhaps := int64(0), int64(0)
-	for _, runs := range j.runs {
+	minCount, maxCount := int64(0), int64(0)
+	for _, runs := range e.runsByAttempt {
 		for _, run := range runs {
 			if run.Finished && run.Began.After(from.Add(usageSlack)) && run.Began.Before(to.Add(-usageSlack)) {
-				surely++
+				minCount++
 			}
 			if run.Began.After(from.Add(-usageSlack)) && run.Began.Before(to.Add(usageSlack)) {
-				perhaps++
+				maxCount++
 			}
 		}
 	}
-	if count := report.Counts[tenantName]; count < surely || count > perhaps {
-		j.broken(RuleUsage, to, "window %d is reported with %d requests; between %d and %d began", window, count, surely, perhaps)
+	if count := report.Counts[tenantName]; count < minCount || count > maxCount {
+		e.addViolation(RuleUsage, to, "window %d is reported with %d requests; between %d and %d began", window, count, minCount, maxCount)
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -1,4 +1,4 @@
-// A TCP proxy before a party, whose link it can cut and whose answers it can lose.
+// A TCP proxy in front of a component. It can partition the link and drop responses.
 
 package soak
 
@@ -14,9 +14,9 @@
 type linkMode int
 
 const (
-	linkWhole       linkMode = iota
-	linkCut                  // no byte passes; what was sent arrives once the link is whole
-	linkLoseAnswers          // what the party sends is dropped, and the connection breaks after it
+	linkUp          linkMode = iota
+	linkCut                  // no byte passes; bytes sent meanwhile arrive once the link is up
+	linkDropAnswers          // bytes from the component are dropped, and the connection is reset
 )
 
 const (
@@ -24,7 +24,7 @@
 	proxyBuffer      = 32 << 10
 )
 
-// proxy passes connections on to the address of a party.
+// proxy forwards connections to the address of a component.
 type proxy struct {
 	listener net.Listener
 
@@ -36,7 +36,7 @@
 	closed  bool
 }
 
-// newProxy opens a proxy at a free port of an address.
+// newProxy starts a proxy on a free port of an IP address.
 func newProxy(ip, target string) (*proxy, error) {
 	listener, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
@@ -57,7 +57,7 @@
 	p.changed = make(chan struct{})
 }
 
-// close ends the proxy and its connections.
+// close stops the proxy and closes its connections.
 func (p *proxy) close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -66,7 +66,7 @@
 		conn.Close()
 	}
 	p.mu.Unlock()
-	p.setMode(linkWhole)
+	p.setMode(linkUp)
 }
 
 func (p *proxy) accept() {
@@ -79,53 +79,54 @@
 	}
 }
 
-func (p *proxy) serve(caller net.Conn) {
+func (p *proxy) serve(client net.Conn) {
 	p.waitWhileCut()
-	party, err := net.DialTimeout("tcp4", p.target, proxyDialTimeout)
+	server, err := net.DialTimeout("tcp4", p.target, proxyDialTimeout)
 	if err != nil {
-		reset(caller)
+		resetConn(client)
 		return
 	}
-	if !p.keep(caller, party) {
+	if !p.registerConns(client, server) {
 		return
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { p.pass(party, caller, false) })
-	directions.Go(func() { p.pass(caller, party, true) })
+	directions.Go(func() { p.copyDirection(server, client, false) })
+	directions.Go(func() { p.copyDirection(client, server, true) })
 	directions.Wait()
 	p.mu.Lock()
-	delete(p.conns, caller)
-	delete(p.conns, party)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-// keep notes the connections so that close ends them.
-func (p *proxy) keep(caller, party net.Conn) bool {
+// registerConns stores the connections so that close can close them. It reports false, and
+// closes them, if the proxy is closed already.
+func (p *proxy) registerConns(client, server net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		caller.Close()
-		party.Close()
+		client.Close()
+		server.Close()
 		return false
 	}
-	p.conns[caller], p.conns[party] = true, true
+	p.conns[client], p.conns[server] = true, true
 	return true
 }
 
-// pass copies one direction, and ends both when it ends: by a reset where the sender's
-// side was reset, so that a broken answer doesn't look complete.
-func (p *proxy) pass(to, from net.Conn, answers bool) {
+// copyDirection copies one direction and closes both connections when it ends. A reset by the
+// sender is passed on as a reset, so that a truncated response does not look complete.
+func (p *proxy) copyDirection(to, from net.Conn, isResponse bool) {
 	buffer := make([]byte, proxyBuffer)
 	for {
 		n, readErr := from.Read(buffer)
-		lost := p.waitWhileCut() == linkLoseAnswers && answers && n > 0
+		lost := p.waitWhileCut() == linkDropAnswers && isResponse && n > 0
 		if lost {
-			reset(to)
-			reset(from)
+			resetConn(to)
+			resetConn(from)
 			return
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
-			reset(from)
+			resetConn(from)
 			to.Close()
 			return
 		}
@@ -135,14 +136,14 @@
 			return
 		}
 		if readErr != nil {
-			reset(to)
+			resetConn(to)
 			from.Close()
 			return
 		}
 	}
 }
 
-// waitWhileCut waits until the link isn't cut and gives its mode.
+// waitWhileCut blocks while the link is cut and returns the mode after that.
 func (p *proxy) waitWhileCut() linkMode {
 	for {
 		p.mu.Lock()
@@ -155,7 +156,7 @@
 	}
 }
 
-func reset(conn net.Conn) {
+func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -20,10 +20,10 @@
 	"beechtide.org/beechtide/internal/standin"
 )
 
-// Summary is one line on a soak.
+// Summary returns the result of a soak in one line.
 func (r Result) Summary() string {
-	served, sent := Served(r.Evidence.Records, time.Time{}, endOfTime)
-	calmServed, calmSent := Served(r.Evidence.Records, r.Evidence.Calm, endOfTime)
+	served, sent := CountServed(r.Evidence.Records, time.Time{}, endOfTime)
+	calmServed, calmSent := CountServed(r.Evidence.Records, r.Evidence.Calm, endOfTime)
 	acknowledged := 0
 	for _, c := range r.Evidence.Changes {
 		if c.Outcome == ChangeAcknowledged {
@@ -31,11 +31,11 @@
 		}
 	}
 	return fmt.Sprintf("seed %d: %d faults, %d of %d changes acknowledged, %d of %d requests served (%d of %d in calm), slowest in force after %.2f s, %d windows of usage reported, %d violations",
-		r.Plan.Seed, len(r.Evidence.Spans), acknowledged, len(r.Evidence.Changes), served, sent, calmServed, calmSent, r.slowest().Seconds(), r.windows(), len(r.Violations))
+		r.Plan.Seed, len(r.Evidence.Spans), acknowledged, len(r.Evidence.Changes), served, sent, calmServed, calmSent, r.slowestConvergence().Seconds(), r.reportedWindows(), len(r.Violations))
 }
 
-// windows counts the windows of usage that the platform has accepted.
-func (r Result) windows() int {
+// reportedWindows counts the usage windows whose report the platform accepted.
+func (r Result) reportedWindows() int {
 	accepted := map[int64]bool{}
 	for _, call := range r.Evidence.Calls {
 		if call.Duty == standin.DutyUsage && call.Status == http.StatusOK {
@@ -45,8 +45,8 @@
 	return len(accepted)
 }
 
-// slowest is the longest that a router took to have a change in force in calm.
-func (r Result) slowest() time.Duration {
+// slowestConvergence returns the longest time that a router took to serve a change in calm.
+func (r Result) slowestConvergence() time.Duration {
 	var slowest time.Duration
 	for _, c := range r.Evidence.Convergences {
 		slowest = max(slowest, c.Took)
@@ -54,7 +54,7 @@
 	return slowest
 }
 
-// Print writes the report: the schedule, what requests ended in, and the violations.
+// Print writes the report: the plan, the outcomes of the requests, and the violations.
 func (r Result) Print(w io.Writer) {
 	fmt.Fprintln(w, r.Summary())
 	for _, fault := range r.Plan.Faults {
@@ -64,7 +64,7 @@
 		fmt.Fprintln(w, "  change", change)
 	}
 	fmt.Fprintln(w, "  closing fault:", r.Plan.Closing)
-	for _, line := range r.outcomes() {
+	for _, line := range r.outcomeLines() {
 		fmt.Fprintln(w, "  ended ", line)
 	}
 	for _, violation := range r.Violations {
@@ -72,8 +72,8 @@
 	}
 }
 
-// outcomes counts the requests by class and by how they ended.
-func (r Result) outcomes() []string {
+// outcomeLines counts the requests by class and by outcome or status.
+func (r Result) outcomeLines() []string {
 	counts := map[string]int{}
 	for _, record := range r.Evidence.Records {
 		ending := record.Outcome.String()
@@ -89,16 +89,16 @@
 	return lines
 }
 
-// Write leaves the report and the evidence in the folder of the soak.
+// Write writes the report and the evidence into the directory of the soak.
 func (r Result) Write(dir string) error {
 	var text strings.Builder
 	r.Print(&text)
 	if err := os.WriteFile(filepath.Join(dir, "report.txt"), []byte(text.String()), fileMode); err != nil {
-		return errors.Wrap(err, "soak: report")
+		return errors.Wrap(err, "soak: write report")
 	}
 	raw, err := json.Marshal(r.Evidence)
 	if err != nil {
-		return errors.Wrap(err, "soak: evidence")
+		return errors.Wrap(err, "soak: encode evidence")
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(dir, "evidence.json"), raw, fileMode), "soak: evidence")
+	return errors.Wrap(os.WriteFile(filepath.Join(dir, "evidence.json"), raw, fileMode), "soak: write evidence")
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,4 +1,4 @@
-// The entries of a schedule: faults and configuration changes.
+// The entries of a plan: faults and configuration changes.
 
 package soak
 
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// FaultKind is what befalls a party.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of faults. Those of processes end with the process started again, those of
-// links with the link as before.
+// The kinds of faults. Faults of a process end with its restart, faults of a link with the
+// link up again.
 const (
 	KillRouter      FaultKind = "kill router"
 	PauseRouter     FaultKind = "pause router"
@@ -30,38 +30,38 @@
 	LoseRunner      FaultKind = "lose answers of runner"
 )
 
-// Party is what a fault befalls.
-type Party string
+// ComponentKind is the kind of component that a fault affects.
+type ComponentKind string
 
-// The parties.
+// The kinds of components.
 const (
-	PartyRouter     Party = "router"
-	PartyController Party = "controller"
-	PartyRunner     Party = "runner"
+	ComponentRouter     ComponentKind = "router"
+	ComponentController ComponentKind = "controller"
+	ComponentRunner     ComponentKind = "runner"
 )
 
-// kindParty names the party of each kind of fault.
-var kindParty = map[FaultKind]Party{
-	KillRouter: PartyRouter, PauseRouter: PartyRouter, TerminateRouter: PartyRouter, ReloadRouter: PartyRouter, CutFront: PartyRouter,
-	KillController: PartyController, PauseController: PartyController, StopController: PartyController,
-	WipeController: PartyController, CutControl: PartyController, LoseControl: PartyController,
-	CrashRunner: PartyRunner, LeaveRunner: PartyRunner, CutRunner: PartyRunner, LoseRunner: PartyRunner,
+// componentOfFault maps each kind of fault to the kind of component it affects.
+var componentOfFault = map[FaultKind]ComponentKind{
+	KillRouter: ComponentRouter, PauseRouter: ComponentRouter, TerminateRouter: ComponentRouter, ReloadRouter: ComponentRouter, CutFront: ComponentRouter,
+	KillController: ComponentController, PauseController: ComponentController, StopController: ComponentController,
+	WipeController: ComponentController, CutControl: ComponentController, LoseControl: ComponentController,
+	CrashRunner: ComponentRunner, LeaveRunner: ComponentRunner, CutRunner: ComponentRunner, LoseRunner: ComponentRunner,
 }
 
-// Party is what faults of this kind befall.
-func (k FaultKind) Party() Party { return kindParty[k] }
+// Component returns the kind of component that faults of this kind affect.
+func (k FaultKind) Component() ComponentKind { return componentOfFault[k] }
 
-// Fault is one entry of the schedule. Times count from the begin of the faults.
+// Fault is a planned fault. Times are relative to the start of the faults.
 type Fault struct {
 	Kind    FaultKind
-	Subject int // number of the party among its like
+	Subject int // index of the component within its kind
 	At      time.Duration
-	For     time.Duration // until the party is started again or its link is whole
+	For     time.Duration // until the component is restarted or its link is up
 }
 
-// mayLast is when a fault is over at the latest, as far as can be planned: processes and
-// runners that end as planned take their time before they do.
-func (f Fault) mayLast() time.Duration {
+// latestEnd returns the latest planned end of a fault. It includes the time that processes take
+// to terminate and runners take to leave.
+func (f Fault) latestEnd() time.Duration {
 	switch f.Kind {
 	case TerminateRouter, StopController:
 		return f.At + f.For + graceS*time.Second
@@ -81,14 +81,14 @@
 
 // The kinds of changes.
 const (
-	SmallChange  ChangeKind = "small change"
-	LargeChange  ChangeKind = "large change"
-	RacingChange ChangeKind = "two changes on one base"
-	RepeatChange ChangeKind = "change sent twice"
-	NameWeights  ChangeKind = "name weights"
+	SmallChange      ChangeKind = "small change"
+	LargeChange      ChangeKind = "large change"
+	RacingChange     ChangeKind = "two changes on one base"
+	RepeatChange     ChangeKind = "change sent twice"
+	SetTargetWeights ChangeKind = "name weights"
 )
 
-// PlannedChange is a configuration change of the schedule.
+// PlannedChange is a configuration change of the plan.
 type PlannedChange struct {
 	Kind ChangeKind
 	At   time.Duration
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// program is the path of beechtide, built once for the tests.
+// program is the path of the beechtide executable, built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
@@ -35,8 +35,9 @@
 	return m.Run()
 }
 
-// The short form of a soak: real processes and sockets under the faults of two seeds.
-func TestShortSoak(t *testing.T) {
+// Runs two short soaks with real processes and sockets and requires that no rule is broken
+// under the faults of either seed.
+func TestRunShortSoakWithoutViolations(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -49,9 +50,9 @@
 			result.Print(&report)
 			must.SliceEmpty(t, result.Violations, must.Sprint(report.String()))
 			must.SliceNotEmpty(t, result.Evidence.Spans)
-			must.Positive(t, result.windows())
+			must.Positive(t, result.reportedWindows())
 			must.Positive(t, result.Evidence.UsageDue)
-			served, _ := Served(result.Evidence.Records, result.Evidence.Calm, endOfTime)
+			served, _ := CountServed(result.Evidence.Records, result.Evidence.Calm, endOfTime)
 			must.Positive(t, served)
 		})
 	}
