--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -1,4 +1,4 @@
-// The prompt parts that a runner keeps, and the events by which it tells them.
+// The cached prompt prefixes of a runner, and the events that report changes of them.
 
 package standin
 
@@ -12,49 +12,50 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-const maxCacheEvents = 1024 // older ones are dropped
+const maxCacheEvents = 1024 // the oldest events are dropped beyond this count
 
-// part is a kept part of a prompt.
-type part struct {
+// promptPart is a cached part of a prompt.
+type promptPart struct {
 	salt, id, model string
 	tokens          int
 }
 
-// cache keeps parts; the longest unused give way.
+// cache is an LRU cache of prompt parts, bounded by their tokens.
 type cache struct {
 	capacity int // tokens
 
-	mu      sync.Mutex
-	epoch   int64
-	last    int64  // number of the newest event
-	parts   []part // the longest unused first
-	events  [][]any
-	changed chan struct{} // closed at the next event
+	mu        sync.Mutex
+	epoch     int64
+	lastEvent int64        // number of the newest event
+	parts     []promptPart // least recently used first
+	events    [][]any
+	changed   chan struct{} // closed at the next event
 }
 
 func newCache(capacity int) *cache {
 	return &cache{capacity: capacity, epoch: int64(rand.Uint32()), changed: make(chan struct{})}
 }
 
-// keep keeps the parts of a prompt, given as ID:TOKENS separated by commas.
-func (c *cache) keep(salt, prompt, model string) {
+// insert caches the parts of a prompt, listed as ID:TOKENS separated by commas, and evicts
+// the least recently used parts beyond the capacity.
+func (c *cache) insert(salt, prompt, model string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for field := range strings.SplitSeq(prompt, ",") {
 		id, count, found := strings.Cut(strings.TrimSpace(field), ":")
 		tokens, err := strconv.Atoi(count)
 		if found && err == nil {
-			c.use(part{salt: salt, id: id, model: model, tokens: tokens})
+			c.touch(promptPart{salt: salt, id: id, model: model, tokens: tokens})
 		}
 	}
 	for c.tokens() > c.capacity {
-		c.tell("-", c.parts[0])
+		c.appendEvent("-", c.parts[0])
 		c.parts = c.parts[1:]
 	}
 }
 
-// use moves a part to the end, and tells it if it is new.
-func (c *cache) use(used part) {
+// touch marks a part as most recently used; a new part is added and an event records it.
+func (c *cache) touch(used promptPart) {
 	for i, known := range c.parts {
 		if known == used {
 			c.parts = append(append(c.parts[:i:i], c.parts[i+1:]...), used)
@@ -62,7 +63,7 @@
 		}
 	}
 	c.parts = append(c.parts, used)
-	c.tell("+", used)
+	c.appendEvent("+", used)
 }
 
 func (c *cache) tokens() int {
@@ -73,9 +74,9 @@
 	return sum
 }
 
-func (c *cache) tell(sign string, changed part) {
-	c.last++
-	c.events = append(c.events, []any{c.last, sign, changed.salt, changed.id, changed.tokens, changed.model})
+func (c *cache) appendEvent(sign string, changed promptPart) {
+	c.lastEvent++
+	c.events = append(c.events, []any{c.lastEvent, sign, changed.salt, changed.id, changed.tokens, changed.model})
 	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
@@ -83,21 +84,22 @@
 	c.changed = make(chan struct{})
 }
 
-// dropAll forgets every part, as when other weights are loaded.
+// dropAll evicts every part, as on loading other weights.
 func (c *cache) dropAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, kept := range c.parts {
-		c.tell("-", kept)
+		c.appendEvent("-", kept)
 	}
 	c.parts = nil
 }
 
-// eventsSince gives the events after a number; it waits for one until ctx ends.
+// eventsSince returns the events after the number since. If there are none yet, it waits
+// for the next one until ctx ends.
 func (c *cache) eventsSince(ctx context.Context, since int64) api.PrefixEvents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last <= since {
+	if c.lastEvent <= since {
 		changed := c.changed
 		c.mu.Unlock()
 		select {
@@ -106,8 +108,8 @@
 		}
 		c.mu.Lock()
 	}
-	first := c.last - int64(len(c.events)) // number before the oldest event kept
-	result := api.PrefixEvents{Epoch: c.epoch, NextPage: c.last, Lost: since < first, Events: [][]any{}}
+	first := c.lastEvent - int64(len(c.events)) // number before the oldest stored event
+	result := api.PrefixEvents{Epoch: c.epoch, NextPage: c.lastEvent, Lost: since < first, Events: [][]any{}}
 	if skip := since - first; skip < int64(len(c.events)) {
 		result.Events = append(result.Events, c.events[max(skip, 0):]...)
 	}
@@ -121,5 +123,5 @@
 	for _, kept := range c.parts {
 		held = append(held, []any{kept.salt, kept.id, kept.tokens, kept.model})
 	}
-	return api.PrefixList{Epoch: c.epoch, NextPage: c.last, Held: held}
+	return api.PrefixList{Epoch: c.epoch, NextPage: c.lastEvent, Held: held}
 }
--- a/internal/standin/heartbeat.go
+++ b/internal/standin/heartbeat.go
@@ -1,4 +1,4 @@
-// Heartbeats to controllers, and the announcement that a runner leaves.
+// Heartbeats to controllers, and the call that deregisters a runner.
 
 package standin
 
@@ -18,16 +18,16 @@
 )
 
 const (
-	callTimeout     = time.Second // an acknowledgement that comes later doesn't count
+	callTimeout     = time.Second // a later acknowledgement counts as none
 	maxCallResponse = 4096        // bytes
 	leaveRetryPause = 200 * time.Millisecond
 	contentTypeJSON = "application/json"
 )
 
-// errNotAcknowledged says that no controller took a heartbeat.
-var errNotAcknowledged = errors.New("standin: no controller acknowledged")
+// errNotAcknowledged is returned if no controller acknowledged a heartbeat or a leave.
+var errNotAcknowledged = errors.New("standin: no controller acknowledged the call")
 
-// callClient opens a connection for each call, so that a broken one isn't used twice.
+// callClient opens a connection for each call, so that a broken one isn't reused.
 var callClient = &http.Client{
 	Timeout:   callTimeout,
 	Transport: &http.Transport{DisableKeepAlives: true},
@@ -43,8 +43,8 @@
 	})
 }
 
-// announceLeave sends the leave, after a periodic heartbeat that is under way; none
-// follows it.
+// announceLeave sends the leave call. It first waits for a periodic heartbeat in progress,
+// and no periodic heartbeat is sent after it.
 func (r *Runner) announceLeave(ctx context.Context) {
 	r.announcing.Lock()
 	defer r.announcing.Unlock()
@@ -52,26 +52,26 @@
 	_ = r.sendLeave(ctx)
 }
 
-// sendHeartbeat sends one heartbeat: to the controller named last, else to the others in
-// random order until one acknowledges.
+// sendHeartbeat sends one heartbeat: first to the controller that the last response
+// named, then to the configured ones in random order until one acknowledges it.
 func (r *Runner) sendHeartbeat(ctx context.Context) error {
-	for _, address := range r.controllersInTurn() {
+	for _, address := range r.controllerAddresses() {
 		body, err := json.Marshal(r.heartbeat())
 		if err != nil {
-			return errors.Wrap(err, "standin: heartbeat")
+			return errors.Wrap(err, "standin: encode heartbeat")
 		}
 		raw, err := post(ctx, r.config.Translate(address), "/api/Runners.Heartbeat/"+r.id, body)
 		if err == nil {
-			r.noteBeatTo(address, raw)
+			r.setHeartbeatTarget(address, raw)
 			return nil
 		}
-		r.noteBeatTo("", nil)
+		r.setHeartbeatTarget("", nil)
 	}
 	return errNotAcknowledged
 }
 
 func (r *Runner) sendLeave(ctx context.Context) error {
-	for _, address := range r.controllersInTurn() {
+	for _, address := range r.controllerAddresses() {
 		if _, err := post(ctx, r.config.Translate(address), "/api/Runners.Leave/"+r.id, nil); err == nil {
 			return nil
 		}
@@ -79,14 +79,14 @@
 	return errNotAcknowledged
 }
 
-// controllersInTurn lists the controllers to call, the one named for later heartbeats
-// first.
-func (r *Runner) controllersInTurn() []string {
+// controllerAddresses returns the addresses of the controllers in the order of the attempts:
+// first the heartbeat target named by a controller, then the configured ones at random.
+func (r *Runner) controllerAddresses() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var addresses []string
-	if r.beatTo != "" {
-		addresses = append(addresses, r.beatTo)
+	if r.heartbeatTarget != "" {
+		addresses = append(addresses, r.heartbeatTarget)
 	}
 	for _, i := range rand.Perm(len(r.config.Controllers)) {
 		addresses = append(addresses, r.config.Controllers[i])
@@ -105,39 +105,39 @@
 	return api.Heartbeat{
 		Address: r.config.Advertise, Capacity: r.config.Capacity, Service: r.config.Service,
 		Zone: r.config.Zone, Version: r.config.SoftwareVersion, State: state, Sequence: r.sequence,
-		Models: []api.HeartbeatModel{{Name: r.config.Model, Version: r.weights.inForce()}},
+		Models: []api.HeartbeatModel{{Name: r.config.Model, Version: r.weights.activeVersion()}},
 	}
 }
 
-// noteBeatTo keeps where later heartbeats go: where the response says so, else to the
-// controller that answered. It forgets the place where raw is nil.
-func (r *Runner) noteBeatTo(address string, raw []byte) {
+// setHeartbeatTarget sets the target of later heartbeats: the address in the response, or else
+// the controller that responded. An empty address and a nil response clear the target.
+func (r *Runner) setHeartbeatTarget(address string, raw []byte) {
 	var response api.HeartbeatResponse
 	if len(raw) > 0 && json.Unmarshal(raw, &response) == nil && response.BeatTo != "" {
 		address = response.BeatTo
 	}
 	r.mu.Lock()
-	r.beatTo = address
+	r.heartbeatTarget = address
 	r.mu.Unlock()
 }
 
 func post(ctx context.Context, address, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "standin: call")
+		return nil, errors.Wrap(err, "standin: create request to controller")
 	}
 	request.Header.Set("Content-Type", contentTypeJSON)
 	response, err := callClient.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "standin: call")
+		return nil, errors.Wrap(err, "standin: call controller")
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxCallResponse))
 	if err != nil {
-		return nil, errors.Wrap(err, "standin: call")
+		return nil, errors.Wrap(err, "standin: read response of controller")
 	}
 	if response.StatusCode/100 != 2 {
-		return nil, errors.Errorf("standin: %s answered %d", path, response.StatusCode)
+		return nil, errors.Errorf("standin: call %s: controller returned status %d", path, response.StatusCode)
 	}
 	return raw, nil
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -16,13 +16,13 @@
 	"beechtide.org/beechtide/internal/loop"
 )
 
-// Duties that a platform knows.
+// Duties whose calls a platform accepts.
 const (
 	DutyUsage    = "usage"
 	DutySetpoint = "setpoint"
 )
 
-// PlatformCall is a call that reached a platform.
+// PlatformCall is a call received by a platform, with the status of the response.
 type PlatformCall struct {
 	Duty     string
 	Subject  string // a service with its zone; empty for usage
@@ -34,10 +34,10 @@
 	Setpoint api.SetpointOrder
 }
 
-// PlatformConfig says how a platform behaves. Zero values are replaced by defaults.
+// PlatformConfig configures a platform. Zero values are replaced by defaults.
 type PlatformConfig struct {
 	Listen     string  // address to accept calls on; port 0 for any
-	CallsPerS  float64 // more calls in a second get 429
+	CallsPerS  float64 // rate limit; calls beyond it get 429
 	AnswerTime time.Duration
 	OnCall     func(PlatformCall)
 }
@@ -48,24 +48,24 @@
 	defaultAnswerTime = 5 * time.Millisecond
 )
 
-// Platform is a stand-in for the platform's API: it takes reports of usage and orders of
-// runners, each from one holder at a time, and refuses fences that are lower than one it
-// has seen. It is safe for concurrent use.
+// Platform is a stand-in for the platform's API. It accepts usage reports and orders of
+// runner counts, and rejects a call whose fencing token is lower than the highest one
+// accepted for its subject. It is safe for concurrent use.
 type Platform struct {
 	config   PlatformConfig
 	listener net.Listener
 	server   *http.Server
 	serving  sync.WaitGroup
 
-	mu       sync.Mutex // guards what follows
-	down     bool
-	fences   map[string]int64
-	usage    map[int64]api.UsageReport
-	tokens   float64 // calls that may be made now
-	filledAt time.Time
+	mu         sync.Mutex // guards the fields below
+	down       bool
+	fences     map[string]int64
+	usage      map[int64]api.UsageReport
+	tokens     float64 // in the token bucket that limits the calls
+	refilledAt time.Time
 }
 
-// NewPlatform gives a platform that isn't started yet.
+// NewPlatform returns a platform that isn't started yet.
 func NewPlatform(config PlatformConfig) *Platform {
 	setDefault(&config.Listen, "127.0.0.1:0")
 	setDefault(&config.CallsPerS, defaultCallsPerS)
@@ -73,14 +73,14 @@
 	if config.OnCall == nil {
 		config.OnCall = func(PlatformCall) {}
 	}
-	return &Platform{config: config, fences: map[string]int64{}, usage: map[int64]api.UsageReport{}, tokens: config.CallsPerS, filledAt: time.Now()}
+	return &Platform{config: config, fences: map[string]int64{}, usage: map[int64]api.UsageReport{}, tokens: config.CallsPerS, refilledAt: time.Now()}
 }
 
-// Start accepts calls; it returns the address.
+// Start opens the listening address, accepts calls on it and returns it.
 func (p *Platform) Start() (address string, err error) {
 	p.listener, err = net.Listen("tcp4", p.config.Listen)
 	if err != nil {
-		return "", errors.Wrap(err, "standin: open the platform's address")
+		return "", errors.Wrap(err, "standin: listen on the platform's address")
 	}
 	calls := http.NewServeMux()
 	calls.HandleFunc("POST /usage", p.serveUsage)
@@ -90,20 +90,20 @@
 	return p.listener.Addr().String(), nil
 }
 
-// Close ends the platform.
+// Close stops the server and waits until it has ended.
 func (p *Platform) Close() {
 	_ = p.server.Close()
 	p.serving.Wait()
 }
 
-// SetDown has the platform answer every call with 503, or serve again.
+// SetDown makes the platform respond to every call with 503, or serve calls again.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// Usage returns the reports that were accepted, by window.
+// Usage returns the accepted usage reports by the sequence number of their window.
 func (p *Platform) Usage() map[int64]api.UsageReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +120,8 @@
 	p.serve(w, r, &call, &call.Setpoint)
 }
 
-// serve reads a call into content, judges it as it arrives and answers after a while.
+// serve decodes a call into content, evaluates it on arrival and responds after the
+// configured delay.
 func (p *Platform) serve(w http.ResponseWriter, r *http.Request, call *PlatformCall, content any) {
 	call.Arrived, call.Holder = time.Now(), r.Header.Get("Beechtide-Duty-Holder")
 	fence, err := strconv.ParseInt(r.Header.Get("Beechtide-Fence"), 10, 64)
@@ -135,21 +136,22 @@
 	if call.Duty == DutySetpoint {
 		call.Subject = fmt.Sprintf("%s in %s", call.Setpoint.Service, call.Setpoint.Zone)
 	}
-	wait := p.judge(call)
+	wait := p.evaluate(call)
 	p.config.OnCall(*call)
 	loop.Pause(r.Context(), wait)
 	w.WriteHeader(call.Status)
 }
 
-// judge sets the status of a call, and returns how long its answer takes.
-func (p *Platform) judge(call *PlatformCall) time.Duration {
+// evaluate sets the status of a call and stores an accepted usage report. It returns the
+// delay of the response.
+func (p *Platform) evaluate(call *PlatformCall) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	subject := call.Duty + " " + call.Subject
 	switch {
 	case p.down:
 		call.Status = http.StatusServiceUnavailable
-	case !p.mayCall(call.Arrived):
+	case !p.allowCall(call.Arrived):
 		call.Status = http.StatusTooManyRequests
 	case call.Fence < p.fences[subject]:
 		call.Status = http.StatusConflict
@@ -163,10 +165,10 @@
 	return p.config.AnswerTime
 }
 
-// mayCall takes one of the calls that may be made in a second.
-func (p *Platform) mayCall(now time.Time) bool {
-	p.tokens = min(p.tokens+now.Sub(p.filledAt).Seconds()*p.config.CallsPerS, p.config.CallsPerS)
-	p.filledAt = now
+// allowCall takes a token for one call, and returns false if the rate limit is reached.
+func (p *Platform) allowCall(now time.Time) bool {
+	p.tokens = min(p.tokens+now.Sub(p.refilledAt).Seconds()*p.config.CallsPerS, p.config.CallsPerS)
+	p.refilledAt = now
 	if p.tokens < 1 {
 		return false
 	}
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// callPlatform makes a call as the holder of a duty and returns its status.
+// callPlatform makes a call as the holder of a duty and returns the status of the response.
 func callPlatform(t *testing.T, address, path, holder, fence, body string) int {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -21,7 +21,7 @@
 	return response.StatusCode
 }
 
-func TestPlatformRefusesLowFencesBySubject(t *testing.T) {
+func TestPlatformRejectsLowerFenceOfSameSubject(t *testing.T) {
 	var calls []PlatformCall
 	p := NewPlatform(PlatformConfig{OnCall: func(c PlatformCall) { calls = append(calls, c) }})
 	address, err := p.Start()
@@ -32,7 +32,7 @@
 	must.Eq(t, 409, callPlatform(t, address, "/usage", "b", "3", second))
 	must.Eq(t, 200, callPlatform(t, address, "/setpoint", "b", "3", `{"service":"s","zone":"z","desired":4}`))
 	must.Eq(t, 200, callPlatform(t, address, "/usage", "b", "5", second))
-	must.Eq(t, map[string]int64{"x": 3}, p.Usage()[7].Counts, must.Sprint("the first report counts"))
+	must.Eq(t, map[string]int64{"x": 3}, p.Usage()[7].Counts, must.Sprint("the first report of a window must stay"))
 	must.Eq(t, 400, callPlatform(t, address, "/usage", "", "5", second))
 	must.Eq(t, 400, callPlatform(t, address, "/usage", "b", "none", second))
 	must.Len(t, 4, calls)
@@ -41,7 +41,7 @@
 	must.Eq(t, 503, callPlatform(t, address, "/usage", "b", "5", second))
 }
 
-func TestPlatformLimitsCalls(t *testing.T) {
+func TestPlatformRespondsTooManyRequestsOverRateLimit(t *testing.T) {
 	p := NewPlatform(PlatformConfig{CallsPerS: 2})
 	address, err := p.Start()
 	must.NoError(t, err)
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -1,4 +1,4 @@
-// The runner's own interfaces: health, load report, prompt parts that it keeps.
+// The runner's own endpoints: health probe, load report, cached prompt parts.
 
 package standin
 
@@ -13,7 +13,8 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// load is the value of Beechtide-Load: running, waiting, slots.
+// load returns the value of the header Beechtide-Load: running requests, queued requests
+// and slots.
 func (r *Runner) load() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,7 +47,7 @@
 	report := api.Report{
 		Phase: "combined", Active: r.active, Queued: r.queued, Saturated: busy, Sequence: sequence,
 		CacheTotal: r.config.CacheTokens,
-		Models:     []api.HeartbeatModel{{Name: r.config.Model, Version: r.weights.inForce()}},
+		Models:     []api.HeartbeatModel{{Name: r.config.Model, Version: r.weights.activeVersion()}},
 	}
 	r.mu.Unlock()
 	writeJSON(w, http.StatusOK, report)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -1,4 +1,4 @@
-// Requests: admission to a slot, streams and plain answers.
+// Requests of clients: admission to a slot, streams and plain responses.
 
 package standin
 
@@ -48,7 +48,7 @@
 	return mux
 }
 
-// serveRequest runs a request or says that it has not run it.
+// serveRequest runs a request, or rejects it with the header Beechtide-Not-Executed.
 func (r *Runner) serveRequest(w http.ResponseWriter, request *http.Request) {
 	attempt := request.Header.Get(headerAttempt)
 	body, err := io.ReadAll(request.Body)
@@ -57,7 +57,7 @@
 	}
 	w.Header().Set(headerAttempt, attempt)
 	w.Header().Set(headerLoad, r.load())
-	if status := r.refusal(request); status != 0 {
+	if status := r.rejectStatus(request); status != 0 {
 		reject(w, status)
 		return
 	}
@@ -80,8 +80,9 @@
 	w.WriteHeader(status)
 }
 
-// refusal gives the status of a request that this runner may not run, 0 if it may.
-func (r *Runner) refusal(request *http.Request) int {
+// rejectStatus returns the status for a request that this runner must not run, 0 if it
+// may run.
+func (r *Runner) rejectStatus(request *http.Request) int {
 	if request.Header.Get(headerAttempt) == "" {
 		return http.StatusBadRequest
 	}
@@ -89,7 +90,7 @@
 		return http.StatusMisdirectedRequest
 	}
 	expected := request.Header.Get(headerExpected)
-	if expected != "" && expected != strconv.FormatInt(r.weights.inForce(), 10) {
+	if expected != "" && expected != strconv.FormatInt(r.weights.activeVersion(), 10) {
 		return http.StatusMisdirectedRequest
 	}
 	if r.weights.blocked(request.Header.Get(headerModel)) {
@@ -98,7 +99,7 @@
 	return 0
 }
 
-// defaultTimeLeft is for requests that don't name a time.
+// defaultTimeLeft is the timeout of requests without a valid Beechtide-Time-Left.
 const defaultTimeLeft = 10 * time.Second
 
 func timeLeft(request *http.Request) time.Duration {
@@ -109,7 +110,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// acquireSlot waits for a slot, unless the queue is full or ctx ends.
+// acquireSlot waits for a slot. It returns false if the queue is full or ctx ends first.
 func (r *Runner) acquireSlot(ctx context.Context) bool {
 	r.mu.Lock()
 	if r.active >= r.config.Capacity && r.queued >= r.config.QueueLength {
@@ -140,8 +141,8 @@
 	r.mu.Unlock()
 }
 
-// run runs one request and records it. A request with a count of tokens is answered by
-// a stream of that many events.
+// run runs one request and reports it to Config.OnRun. The response to a request with a
+// token count is a stream that ends with the event of that number.
 func (r *Runner) run(ctx context.Context, w http.ResponseWriter, request *http.Request, body []byte) {
 	run := Run{
 		Attempt: request.Header.Get(headerAttempt), Runner: r.id, Service: r.config.Service,
@@ -151,19 +152,19 @@
 	}
 	r.config.OnRun(run)
 	w.Header().Set(headerSeal, run.Seal)
-	w.Header().Set(headerVersions, strconv.FormatInt(r.weights.inForce(), 10))
-	tokens := tokensOut(request)
+	w.Header().Set(headerVersions, strconv.FormatInt(r.weights.activeVersion(), 10))
+	tokens := outputTokens(request)
 	if tokens > 0 {
 		run.Finished = r.stream(ctx, w, request, tokens)
 	} else {
-		run.Finished = r.answer(ctx, w, run)
+		run.Finished = r.writeResponse(ctx, w, run)
 	}
 	run.Ended = time.Now()
 	r.config.OnRun(run)
 	if !run.Finished {
-		panic(http.ErrAbortHandler) // the connection breaks: the answer isn't complete
+		panic(http.ErrAbortHandler) // breaks the connection, as the response isn't complete
 	}
-	r.cache.keep(request.Header.Get(headerSalt), request.Header.Get(headerParts), r.config.Model)
+	r.cache.insert(request.Header.Get(headerSalt), request.Header.Get(headerParts), r.config.Model)
 }
 
 func (r *Runner) nextSeal() string {
@@ -173,8 +174,9 @@
 	return fmt.Sprintf("%s.%x", r.id, r.seals)
 }
 
-// tokensOut is the count of tokens that a request wants out, 0 if it is no generation.
-func tokensOut(request *http.Request) int {
+// outputTokens returns the number of tokens that a request is to generate, 0 if it isn't a
+// generation.
+func outputTokens(request *http.Request) int {
 	_, out, found := strings.Cut(request.Header.Get(headerTokens), ",")
 	if !found {
 		return 0
@@ -186,12 +188,13 @@
 	return tokens
 }
 
-// AnswerBody is the body of a plain answer, by which a client recognizes its own.
+// AnswerBody returns the body of a plain response. A client compares it with the attempt
+// and the checksum that it sent.
 func AnswerBody(attempt, seal string, checksum uint32) string {
 	return fmt.Sprintf("attempt=%s seal=%s sum=%08x", attempt, seal, checksum)
 }
 
-func (r *Runner) answer(ctx context.Context, w http.ResponseWriter, run Run) bool {
+func (r *Runner) writeResponse(ctx context.Context, w http.ResponseWriter, run Run) bool {
 	loop.Pause(ctx, r.config.WorkTime)
 	if ctx.Err() != nil {
 		return false
@@ -200,12 +203,13 @@
 	return err == nil
 }
 
-// Event is the event of a stream with this number, counted from 1.
+// Event returns the event of a stream with this number, counted from 1.
 func Event(attempt string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s %d\n\n", number, attempt, number)
 }
 
-// stream writes the events of a generation, from the one after Last-Event-Id on.
+// stream writes the events of a generation, beginning after Last-Event-Id. It reports
+// whether all of them were written.
 func (r *Runner) stream(ctx context.Context, w http.ResponseWriter, request *http.Request, tokens int) bool {
 	last, err := strconv.Atoi(request.Header.Get(headerLastEvent))
 	if err != nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,11 +1,12 @@
-// Package standin is a stand-in for a model runner: it speaks the runner's side of the
-// protocol and makes its answers without a model.
+// Package standin is a stand-in for a model runner: it implements the runner's side of
+// the protocol and generates its responses without a model. It also has a stand-in for
+// the platform's API. Tests, the load generator and the soak command use it.
 //
-// A Runner accepts requests on its own address, sends heartbeats to controllers, takes
-// orders, reports its load and tells which prompt parts it keeps. Times to read a prompt
-// and to make a token are configured. Every request that begins to run is handed to
-// Config.OnRun and again when it has ended, so that a caller can compare what ran with
-// what clients saw.
+// A Runner accepts requests on its own address, sends heartbeats to controllers, executes
+// orders to load weights, and reports its load and its cached prompt parts. The durations
+// of prefill and of each token are configured. Config.OnRun is called when a request
+// begins to run and again when it has ended, so that a caller can compare the requests
+// that ran with the responses that clients received.
 //
 // A Runner is safe for concurrent use. Start begins its goroutines; Crash and Leave end
 // them. A Runner isn't started twice: every start of a runner is a new incarnation with
@@ -26,35 +27,35 @@
 	"beechtide.org/beechtide/internal/loop"
 )
 
-// Config says what a runner is and how it behaves. Zero values are replaced by defaults.
+// Config configures a runner. Zero values are replaced by defaults.
 type Config struct {
 	Service         string
 	Zone            string
 	SoftwareVersion string
 	Listen          string   // address to accept requests on; port 0 for any
-	Advertise       string   // address told in heartbeats; empty: the one listened on
+	Advertise       string   // address sent in heartbeats; empty: the one listened on
 	Controllers     []string // control addresses for heartbeats
-	// Translate gives the address to dial for a control address named by a controller;
-	// nil: the same. It leads heartbeats through proxies.
+	// Translate returns the address to dial for a control address; nil: the same address.
+	// Tests use it to route heartbeats through proxies.
 	Translate      func(address string) string
 	ProbePath      string
 	Capacity       int // requests that run at a time
-	QueueLength    int // requests that wait for their turn
+	QueueLength    int // requests that wait for a slot
 	Model          string
 	WeightsVersion int64
 	CacheTokens    int
 	HeartbeatEvery time.Duration
-	PrefillTime    time.Duration // from the begin of a request to its first token
+	PrefillTime    time.Duration // from the start of a request to its first token
 	TokenTime      time.Duration // between two tokens of a stream
-	WorkTime       time.Duration // of a request that isn't a generation
+	WorkTime       time.Duration // duration of a request that isn't a generation
 	OrderTime      time.Duration // to load other weights
-	DrainTime      time.Duration // served on after draining is acknowledged
+	DrainTime      time.Duration // requests are still served this long after draining is acknowledged
 	OnRun          func(Run)
 	OnOrder        func(Order)
 }
 
-// Run is one request that a runner began to run. It is handed over when it begins and
-// again, with Ended set, when it has ended.
+// Run is one request that a runner began to run. It is passed to Config.OnRun when it
+// begins and again, with Ended set, when it has ended.
 type Run struct {
 	Attempt  string
 	Runner   string
@@ -65,8 +66,8 @@
 	Checksum uint32 // of the request's body
 	Began    time.Time
 	Ended    time.Time
-	Finished bool // the whole answer was written
-	Resumed  bool // began after the first event of its stream
+	Finished bool // the whole response was written
+	Resumed  bool // the request had a Last-Event-Id
 }
 
 // Defaults of the configuration.
@@ -97,19 +98,19 @@
 	weights  *weights
 	cache    *cache
 
-	mu       sync.Mutex
-	active   int
-	queued   int
-	draining bool
-	sequence int64 // of heartbeats
-	seals    int64
-	beatTo   string
+	mu              sync.Mutex
+	active          int
+	queued          int
+	draining        bool
+	sequence        int64 // of heartbeats
+	seals           int64
+	heartbeatTarget string
 
 	announcing sync.Mutex // held for a periodic heartbeat and for the leave; guards left
 	left       bool
 }
 
-// New gives a runner that isn't started yet.
+// New returns a runner that isn't started yet.
 func New(config Config) *Runner {
 	config.setDefaults()
 	return &Runner{
@@ -155,24 +156,24 @@
 	}
 }
 
-// ID is the id of this incarnation.
+// ID returns the id of this incarnation.
 func (r *Runner) ID() string { return r.id }
 
-// WeightsVersion is the version of the weights in force.
-func (r *Runner) WeightsVersion() int64 { return r.weights.inForce() }
+// WeightsVersion returns the version of the active weights.
+func (r *Runner) WeightsVersion() int64 { return r.weights.activeVersion() }
 
-// Listen opens the address for requests without accepting any, so that a proxy can be
-// put before it prior to Start.
+// Listen opens the address for requests without accepting any, so that a proxy for it can
+// be set up before Start.
 func (r *Runner) Listen() (address string, err error) {
 	r.listener, err = net.Listen("tcp4", r.config.Listen)
 	if err != nil {
-		return "", errors.Wrap(err, "standin: open the address for requests")
+		return "", errors.Wrap(err, "standin: listen on the address for requests")
 	}
 	return r.listener.Addr().String(), nil
 }
 
-// Start serves requests and, where controllers are configured, sends heartbeats. Listen
-// comes before it. advertise replaces Config.Advertise unless it is empty.
+// Start serves requests and, if controllers are configured, sends heartbeats. Listen must
+// be called first. advertise replaces Config.Advertise unless it is empty.
 func (r *Runner) Start(advertise string) {
 	if advertise != "" {
 		r.config.Advertise = advertise
@@ -187,16 +188,16 @@
 	}
 }
 
-// Crash ends the runner at once: its connections break and nobody is told.
+// Crash ends the runner at once: its connections break and no controller is notified.
 func (r *Runner) Crash() {
 	r.stop()
 	_ = r.server.Close()
 	r.loops.Wait()
 }
 
-// Leave ends the runner as planned: it reports draining until that is acknowledged,
-// serves on for Config.DrainTime, says that it leaves and ends. It gives the moment at
-// which draining was acknowledged; zero where it never was before ctx ended.
+// Leave shuts the runner down gracefully: it sends the state draining until a controller
+// acknowledges it, serves requests for Config.DrainTime, sends the leave call and ends. It
+// returns the time at which draining was acknowledged; zero if ctx ended before that.
 func (r *Runner) Leave(ctx context.Context) (acknowledged time.Time) {
 	r.mu.Lock()
 	r.draining = true
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -16,8 +16,9 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// start starts a runner and gives its URL and what it ran.
-func start(t *testing.T, config Config) (runner *Runner, url string, runs func() []Run) {
+// startRunner starts a runner. It returns the runner, its URL and a function that returns the
+// runs reported so far.
+func startRunner(t *testing.T, config Config) (runner *Runner, url string, runs func() []Run) {
 	t.Helper()
 	var mu sync.Mutex
 	var ran []Run
@@ -54,8 +55,8 @@
 	return response, string(raw)
 }
 
-func TestRequestsThatMayNotRunAreRejected(t *testing.T) {
-	_, url, runs := start(t, Config{})
+func TestServeRequestRejectsInvalidHeaders(t *testing.T) {
+	_, url, runs := startRunner(t, Config{})
 	for _, c := range []struct {
 		header map[string]string
 		status int
@@ -71,8 +72,8 @@
 	must.SliceEmpty(t, runs())
 }
 
-func TestStreamGoesOnAfterLastEvent(t *testing.T) {
-	runner, url, runs := start(t, Config{TokenTime: time.Millisecond})
+func TestStreamResumesAfterLastEvent(t *testing.T) {
+	runner, url, runs := startRunner(t, Config{TokenTime: time.Millisecond})
 	response, body := call(t, "POST", url+"/x/", "", map[string]string{
 		headerAttempt: "a", headerTokens: "80,4", headerParts: "01:64,02:16", headerLastEvent: "2",
 	})
@@ -88,9 +89,9 @@
 	must.Eq(t, 2, events.NextPage)
 }
 
-func TestOrderLoadsWeights(t *testing.T) {
+func TestOrderLoadsWeightsAndChecksFence(t *testing.T) {
 	var orders []Order
-	runner, url, _ := start(t, Config{Model: "m", OrderTime: time.Millisecond, OnOrder: func(order Order) { orders = append(orders, order) }})
+	runner, url, _ := startRunner(t, Config{Model: "m", OrderTime: time.Millisecond, OnOrder: func(order Order) { orders = append(orders, order) }})
 	send := func(order string) int {
 		response, _ := call(t, "POST", url+"/api/order", order, nil)
 		return response.StatusCode
@@ -109,7 +110,7 @@
 	must.Eq(t, 202, orders[1].Status)
 }
 
-func TestLeaveIsAnnounced(t *testing.T) {
+func TestLeaveSendsDrainingAndLeave(t *testing.T) {
 	var mu sync.Mutex
 	var calls []string
 	controller := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -120,15 +121,15 @@
 		calls = append(calls, strings.Split(request.URL.Path, "/")[2]+" "+string(beat.State))
 	}))
 	defer controller.Close()
-	runner, _, _ := start(t, Config{Controllers: []string{strings.TrimPrefix(controller.URL, "http://")}, HeartbeatEvery: time.Hour, DrainTime: time.Millisecond})
+	runner, _, _ := startRunner(t, Config{Controllers: []string{strings.TrimPrefix(controller.URL, "http://")}, HeartbeatEvery: time.Hour, DrainTime: time.Millisecond})
 	acknowledged := runner.Leave(t.Context())
 	must.False(t, acknowledged.IsZero())
 	must.SliceContains(t, calls, "Runners.Heartbeat draining")
 	must.Eq(t, "Runners.Leave ", calls[len(calls)-1])
 }
 
-func TestLeaveEndsWithoutAcknowledgement(t *testing.T) {
-	runner, _, _ := start(t, Config{Controllers: []string{"127.0.0.1:1"}})
+func TestLeaveReturnsZeroTimeWithoutAcknowledgement(t *testing.T) {
+	runner, _, _ := startRunner(t, Config{Controllers: []string{"127.0.0.1:1"}})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	must.True(t, runner.Leave(ctx).IsZero())
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -11,7 +11,7 @@
 	"beechtide.org/beechtide/internal/api"
 )
 
-// Order is an order that a runner was sent, and the status of its answer.
+// Order is an order that a runner received, and the status of its response.
 type Order struct {
 	Runner  string
 	Holder  string
@@ -22,14 +22,14 @@
 	Arrived time.Time
 }
 
-// weights is the model that a runner has loaded and the orders that it took.
+// weights is the state of the loaded model and of the order being executed.
 type weights struct {
 	loadTime time.Duration
 
 	mu       sync.Mutex
 	model    string
 	version  int64
-	target   int64 // being loaded; 0: nothing is
+	target   int64 // version being loaded; 0: none
 	sequence int64
 	fence    int64 // highest seen
 }
@@ -38,7 +38,7 @@
 	return &weights{model: model, version: version, loadTime: loadTime}
 }
 
-func (w *weights) inForce() int64 {
+func (w *weights) activeVersion() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version
@@ -50,16 +50,16 @@
 	return w.sequence, w.target != 0
 }
 
-// blocked reports whether requests for a model wait for an order to be done.
+// blocked reports whether an order that is being executed blocks requests for a model.
 func (w *weights) blocked(model string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.target != 0 && model == w.model
 }
 
-// take decides on an order and gives the status of its answer. Where it is 202, the new
-// weights are in force after the time to load them.
-func (w *weights) take(order api.Order) int {
+// accept evaluates an order and returns the status of the response. After 202 the new
+// weights become active when the load time has passed.
+func (w *weights) accept(order api.Order) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
@@ -77,11 +77,11 @@
 	}
 	w.sequence++
 	w.target = order.Version
-	time.AfterFunc(w.loadTime, w.finish)
+	time.AfterFunc(w.loadTime, w.activateTarget)
 	return http.StatusAccepted
 }
 
-func (w *weights) finish() {
+func (w *weights) activateTarget() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version, w.target = w.target, 0
@@ -98,7 +98,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status := r.weights.take(order)
+	status := r.weights.accept(order)
 	r.config.OnOrder(Order{
 		Runner: r.id, Holder: order.Holder, Fence: order.Fence,
 		Model: order.Model, Version: order.Version, Status: status, Arrived: arrived,
