--- a/cmd/beechtide/audit.go
+++ b/cmd/beechtide/audit.go
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/compliance"
 )
 
-// pathList is a flag that may be given more than once.
+// pathList is a repeatable flag that collects paths.
 type pathList []string
 
 func (p *pathList) String() string { return strings.Join(*p, ",") }
@@ -23,9 +23,8 @@
 	return nil
 }
 
-// runAudit checks audit trails of regulated requests. The status is 0 where a
-// trail holds no violation, 1 where it holds some or cannot be read, 2 on wrong
-// use.
+// runAudit checks audit trails of regulated requests. The exit status is 0 if they have
+// no violations, 1 if they have some or cannot be read, and 2 on wrong use.
 func runAudit(args []string) int {
 	flags := flag.NewFlagSet("beechtide audit", flag.ContinueOnError)
 	var configPaths pathList
@@ -73,7 +72,7 @@
 	return configs, nil
 }
 
-// readTrails reads trails and joins them in the order of the files.
+// readTrails reads audit trails and concatenates their entries in the order of the files.
 func readTrails(paths []string) ([]compliance.Entry, error) {
 	var entries []compliance.Entry
 	for _, path := range paths {
--- a/cmd/beechtide/check.go
+++ b/cmd/beechtide/check.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// runCheck tells whether a configuration is valid, and where it is not, which
-// field and why.
+// runCheck validates a configuration. For an invalid one it reports the field and the
+// reason, and returns exit status 1.
 func runCheck(args []string) int {
 	flags := flag.NewFlagSet("beechtide check", flag.ContinueOnError)
 	flags.Usage = func() { fmt.Fprintln(flags.Output(), "usage: beechtide check FILE") }
@@ -27,7 +27,7 @@
 	return statusOK
 }
 
-// readConfig reads and checks a configuration.
+// readConfig reads and validates a configuration file.
 func readConfig(path string) (api.Configuration, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/beechtide/doctor.go
+++ b/cmd/beechtide/doctor.go
@@ -21,26 +21,26 @@
 	doctorTimeout  = 30 * time.Second // for all requests to all nodes
 	doctorPoolSize = 16
 
-	// statusDoctorFailure is the status where the doctor cannot look at all, the
-	// same as for a fault of the system.
+	// statusDoctorFailure is the exit status if the examination itself fails, the same as
+	// for a fault of the system.
 	statusDoctorFailure = 3
 )
 
 // doctorOptions are the flags of the doctor command.
 type doctorOptions struct {
 	settingsPath string
-	from         string // address to ask from
+	from         string // local address for requests
 	asJSON       bool
-	rings        bool // print the log rings as well
-	duties       bool // print the duties at the platform as well
-	retired      bool // print the retired weights as well
-	partitions   bool // print tallies, evacuations, warm-ups and unreachable zones as well
-	rollouts     bool // print the rollouts of services as well
-	quotas       bool // print the counts of tenants with a limit as well
+	rings        bool // also print the log rings
+	duties       bool // also print the duties at the platform
+	retired      bool // also print the retired weights
+	partitions   bool // also print tallies, evacuations, warm-ups and unreachable zones
+	rollouts     bool // also print the rollouts of services
+	quotas       bool // also print the counts of tenants with a limit
 }
 
-// runDoctor looks for common faults of a running system. The status is 0 where
-// nothing is found, 1 on warnings, 3 on faults and 2 on wrong use.
+// runDoctor checks a running system for common faults. The exit status is 0 without
+// findings, 1 on warnings, 3 on faults and 2 on wrong use.
 func runDoctor(args []string) int {
 	var options doctorOptions
 	flags := flag.NewFlagSet("beechtide doctor", flag.ContinueOnError)
@@ -76,8 +76,8 @@
 	return status
 }
 
-// examineSystem asks the nodes, prints what it finds and returns the exit
-// status.
+// examineSystem queries the nodes, prints the findings and the requested sections, and
+// returns the exit status.
 func examineSystem(set settings.Settings, options doctorOptions) (status int, err error) {
 	pool, err := ants.NewPool(doctorPoolSize, ants.WithNonblocking(true))
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// printFindings prints findings and returns the exit status for them.
+// printFindings prints findings and returns their exit status.
 func printFindings(findings []doctor.Finding, asJSON bool) int {
 	if asJSON {
 		printJSON(findings)
@@ -133,7 +133,7 @@
 	return doctor.ExitStatus(findings)
 }
 
-// printJSON prints findings as one JSON array, also where there are none.
+// printJSON prints findings as one JSON array, which is empty if there are none.
 func printJSON(findings []doctor.Finding) {
 	_ = json.NewEncoder(os.Stdout).Encode(append([]doctor.Finding{}, findings...))
 }
--- a/cmd/beechtide/load.go
+++ b/cmd/beechtide/load.go
@@ -30,8 +30,8 @@
 	load       load.Config
 }
 
-// runLoad sends requests on the routes of a configuration. The status is 1 where a
-// response isn't what its runner sent.
+// runLoad sends requests for the routes of a configuration. The exit status is 1 if a
+// response differs from the one that its runner sent.
 func runLoad(args []string) int {
 	var options loadOptions
 	flags := flag.NewFlagSet("beechtide load", flag.ContinueOnError)
@@ -67,13 +67,14 @@
 	return statusOK
 }
 
-// sendLoad sends requests, prints how they ended, and counts the faulty responses.
+// sendLoad sends requests, prints the count of each outcome and returns the number of
+// faulty responses.
 func sendLoad(options loadOptions) (faults int, err error) {
 	config, err := readConfig(options.configPath)
 	if err != nil {
 		return 0, err
 	}
-	options.load.Kinds = kindsOf(config, options)
+	options.load.Kinds = requestKinds(config, options)
 	if options.load.Routers, err = parseRouters(options.routers); err != nil {
 		return 0, err
 	}
@@ -95,14 +96,14 @@
 		}
 	}
 	load.Run(ctx, options.load)
-	for _, ending := range slices.Sorted(maps.Keys(counts)) {
-		fmt.Printf("%6d %s\n", counts[ending], ending)
+	for _, outcome := range slices.Sorted(maps.Keys(counts)) {
+		fmt.Printf("%6d %s\n", counts[outcome], outcome)
 	}
 	return faults, nil
 }
 
-// kindsOf makes a kind of request of each route.
-func kindsOf(config api.Configuration, options loadOptions) []load.Kind {
+// requestKinds returns a kind of request for each route.
+func requestKinds(config api.Configuration, options loadOptions) []load.Kind {
 	key := options.key
 	if key == "" && len(config.Tenants) > 0 && len(config.Tenants[0].Keys) > 0 {
 		key = config.Tenants[0].Keys[0]
@@ -115,7 +116,7 @@
 	}
 	var kinds []load.Kind
 	for _, route := range config.Routes {
-		kind := load.Kind{Host: route.Host, Path: route.Prefix + "x", Key: key, Class: classOf(route), Model: models[route.Service], TimeLeft: options.timeLeft}
+		kind := load.Kind{Host: route.Host, Path: route.Prefix + "x", Key: key, Class: requestClass(route), Model: models[route.Service], TimeLeft: options.timeLeft}
 		if kind.Class.IsStream() {
 			kind.Tokens = options.tokens
 		}
@@ -127,7 +128,7 @@
 	return kinds
 }
 
-func classOf(route api.Route) load.Class {
+func requestClass(route api.Route) load.Class {
 	switch {
 	case route.Kind == api.Streaming && route.Resumable:
 		return load.Resumable
@@ -140,7 +141,7 @@
 	}
 }
 
-// parseRouters reads FRONT/READY addresses.
+// parseRouters parses FRONT/READY addresses separated by commas.
 func parseRouters(list string) ([]load.Router, error) {
 	var routers []load.Router
 	for entry := range strings.SplitSeq(list, ",") {
--- a/cmd/beechtide/main.go
+++ b/cmd/beechtide/main.go
@@ -1,8 +1,7 @@
 // Beechtide is a router fleet for language-model runners with an index of their
-// prefix caches. One program holds both roles, router and controller, and the
-// operator's commands; the first argument selects one. Each has a file of its
-// own here, which reads flags and settings and calls the packages under
-// internal.
+// prefix caches. One program contains both roles, router and controller, and the
+// operator's commands; the first argument selects one. Each command has its own file in
+// this package, which parses flags, loads settings and calls the packages under internal.
 package main
 
 import (
@@ -35,7 +34,7 @@
 Run beechtide COMMAND -h for its flags.
 `
 
-// Exit statuses. The doctor has its own for what it finds.
+// Exit statuses. The commands doctor and rollout have further ones.
 const (
 	statusOK      = 0
 	statusFailure = 1
@@ -44,7 +43,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs the role or command that args name and returns the exit status.
+// run runs the role or command named by the first argument and returns the exit status.
 func run(args []string) int {
 	if len(args) == 0 {
 		fmt.Fprint(os.Stderr, usage)
@@ -81,8 +80,8 @@
 	return statusUsage
 }
 
-// parseFlags parses a command's flags. Where done is true the command ends with
-// the status at once: after -h, or after wrong use, which it reports on one line.
+// parseFlags parses a command's flags. If done is true, the command must end with the
+// status at once: after -h, or after wrong use, which is reported on one line.
 func parseFlags(flags *flag.FlagSet, args []string) (status int, done bool) {
 	flags.SetOutput(io.Discard)
 	err := flags.Parse(args)
@@ -105,7 +104,7 @@
 	return statusUsage
 }
 
-// reportError reports why a command failed on one line.
+// reportError prints the error of a command on one line.
 func reportError(flags *flag.FlagSet, err error) {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", flags.Name(), err)
 }
--- a/cmd/beechtide/main_test.go
+++ b/cmd/beechtide/main_test.go
@@ -13,8 +13,8 @@
 	"beechtide.org/beechtide/internal/simulation/traffic"
 )
 
-// runCommand runs the command line and gives its status and what it wrote. It
-// replaces the process's standard streams: tests that use it are not parallel.
+// runCommand runs a command line and returns its exit status and output. It replaces the
+// standard streams of the process, so tests that use it must not be parallel.
 func runCommand(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	oldOut, oldErr := os.Stdout, os.Stderr
@@ -34,7 +34,7 @@
 	return status, string(out), string(errs)
 }
 
-// writeFile writes a file of the test and gives its path.
+// writeFile writes a file to a temporary folder of the test and returns its path.
 func writeFile(t *testing.T, name, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -42,7 +42,7 @@
 	return path
 }
 
-func TestWrongUseReturnsTwoAndOneLine(t *testing.T) {
+func TestWrongUseReturnsStatusTwoAndOneLine(t *testing.T) {
 	for _, args := range [][]string{
 		{"nonsense"},
 		{"router", "-x"},
@@ -103,7 +103,7 @@
 	must.StrContains(t, stderr, "unknown service")
 }
 
-func TestAuditStatusTellsViolations(t *testing.T) {
+func TestAuditStatusIsOneOnViolations(t *testing.T) {
 	config := writeFile(t, "config.json", `{"version":1,"routes":[],"services":[]}`)
 	const asked, answered = `{"step":"asked","attempt":"1","version":1}`, `{"step":"answered","attempt":"1","version":1}`
 	for _, c := range []struct {
--- a/cmd/beechtide/metrics.go
+++ b/cmd/beechtide/metrics.go
@@ -14,8 +14,8 @@
 
 const metricsTimeout = 5 * time.Second
 
-// runMetrics prints the figures of roles that are not 0. The status is 1 where one of
-// them does not answer.
+// runMetrics prints the non-zero metrics of roles. The exit status is 1 if one of them
+// cannot be read.
 func runMetrics(args []string) int {
 	flags := flag.NewFlagSet("beechtide metrics", flag.ContinueOnError)
 	path := flags.String("config", settings.Path(), "path of the settings file, for the addresses of this machine's roles")
--- a/cmd/beechtide/metrics_test.go
+++ b/cmd/beechtide/metrics_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestMetricsPrintsWhatIsNotZero(t *testing.T) {
+func TestMetricsPrintsNonZeroValues(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "# TYPE a_total counter\na_total{kind=\"x\"} 3\na_total{kind=\"y\"} 0\n")
 	}))
--- a/cmd/beechtide/role.go
+++ b/cmd/beechtide/role.go
@@ -23,16 +23,16 @@
 	"beechtide.org/beechtide/internal/settings"
 )
 
-// The roles, as named on the command line.
+// Names of the roles on the command line.
 const (
 	roleRouter     = "router"
 	roleController = "controller"
 )
 
 const (
-	logLines    = 512 // kept in memory
-	poolSize    = 512 // goroutines kept for requests; more are started when all are busy
-	gcPercent   = 100 // at 50 a tenth of a router's processor time went to it
+	logLines    = 512 // size of the log ring in memory
+	poolSize    = 512 // pooled goroutines for requests; more are started when all are busy
+	gcPercent   = 100 // at 50, garbage collection took a tenth of a router's CPU time
 	signalQueue = 4
 )
 
@@ -117,14 +117,14 @@
 	return controller.New(set, pool, clock, log)
 }
 
-// newClock gives a monotonic clock of microseconds that starts at 1: 0 stands
-// for "never" in many places.
+// newClock returns a monotonic clock in microseconds that starts at 1, as many callers use
+// 0 for "never".
 func newClock() func() int64 {
 	start := time.Now()
 	return func() int64 { return time.Since(start).Microseconds() + 1 }
 }
 
-// handleSignals dumps the log on SIGQUIT and reloads the settings on SIGHUP. It
+// handleSignals dumps the log ring on SIGQUIT and reloads the settings on SIGHUP. It
 // runs until the process ends.
 func handleSignals(signals <-chan os.Signal, r role, ring *logring.Ring, settingsPath string, log logr.Logger) {
 	for s := range signals {
--- a/cmd/beechtide/rollout.go
+++ b/cmd/beechtide/rollout.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	rolloutCallTimeout = 2 * time.Second
-	rolloutWatchPause  = 500 * time.Millisecond
-	// rolloutTries is how often a call without a clear answer is repeated, each time at the next
-	// controller.
-	rolloutTries = 9
+	rolloutCallTimeout  = 2 * time.Second
+	rolloutPollInterval = 500 * time.Millisecond
+	// maxRolloutAttempts is the maximum number of attempts of a call whose outcome is unknown. Each
+	// attempt calls the next controller.
+	maxRolloutAttempts = 9
 
-	// statusReverted is the status of `rollout watch` where the rollout has been reverted.
+	// statusReverted is the exit status of `rollout watch` if the rollout was reverted.
 	statusReverted = 3
 )
 
@@ -39,14 +39,14 @@
 rollout was reverted.
 `
 
-// rolloutCommand is one use of the command.
+// rolloutCommand is one invocation of the rollout command.
 type rolloutCommand struct {
 	flags *flag.FlagSet
 	addrs []string // of controllers
 	out   io.Writer
 }
 
-// runRollout orders and follows rollouts of services.
+// runRollout orders rollouts of services and reports their state.
 func runRollout(args []string) int {
 	flags := flag.NewFlagSet("beechtide rollout", flag.ContinueOnError)
 	path := flags.String("config", settings.Path(), "path of the settings file, whose seeds are called")
@@ -85,7 +85,7 @@
 	return c.watch(ctx, flags.Arg(0))
 }
 
-// begin sends an order.
+// begin sends an order to roll out a version of a service within a time.
 func (c *rolloutCommand) begin(ctx context.Context, service, version, seconds string) int {
 	over, err := time.ParseDuration(seconds + "s")
 	if err != nil || over <= 0 {
@@ -104,7 +104,7 @@
 	return statusOK
 }
 
-// state asks how far the newest rollout of a service has come.
+// state reads the state of the newest rollout of a service.
 func (c *rolloutCommand) state(ctx context.Context, service string) (api.RolloutState, error) {
 	var state api.RolloutState
 	body, err := c.call(ctx, http.MethodGet, "/api/Rollouts.Read/"+url.PathEscape(service), nil)
@@ -124,7 +124,7 @@
 	return statusOK
 }
 
-// watch prints each change of the state until it is final.
+// watch polls the state and prints each change until the rollout has settled or reverted.
 func (c *rolloutCommand) watch(ctx context.Context, service string) int {
 	var last api.RolloutState
 	for {
@@ -143,18 +143,19 @@
 		case api.Reverted:
 			return statusReverted
 		}
-		time.Sleep(rolloutWatchPause)
+		time.Sleep(rolloutPollInterval)
 	}
 }
 
-// call calls one controller after the other until one has a clear answer.
+// call calls one controller after the other. A status below 500 is final; after a network
+// error or a higher status it retries, maxRolloutAttempts attempts in all.
 func (c *rolloutCommand) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	if len(c.addrs) == 0 {
 		return nil, errors.New("no control address: name one with -at, or seeds in the settings")
 	}
 	var last error
-	for try := range rolloutTries {
-		answer, status, err := c.callOne(ctx, method, "http://"+c.addrs[try%len(c.addrs)]+path, body)
+	for try := range maxRolloutAttempts {
+		answer, status, err := c.callController(ctx, method, "http://"+c.addrs[try%len(c.addrs)]+path, body)
 		switch {
 		case err != nil:
 			last = err
@@ -165,12 +166,12 @@
 		default:
 			last = errors.Errorf("%d: %s", status, bytes.TrimSpace(answer))
 		}
-		time.Sleep(rolloutWatchPause / 5)
+		time.Sleep(rolloutPollInterval / 5)
 	}
 	return nil, errors.Wrap(last, "no controller gave a clear answer")
 }
 
-func (c *rolloutCommand) callOne(ctx context.Context, method, address string, body []byte) (answer []byte, status int, err error) {
+func (c *rolloutCommand) callController(ctx context.Context, method, address string, body []byte) (answer []byte, status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
--- a/cmd/beechtide/rollout_test.go
+++ b/cmd/beechtide/rollout_test.go
@@ -11,15 +11,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// controllerThat answers calls about rollouts: its first answers are unsure.
-func controllerThat(t *testing.T, unsure int32, states ...string) (addr string, orders *[]string) {
+// startRolloutServer starts a server that handles rollout calls. It responds to the first
+// calls, as many as unavailableCalls, with 503, and reports the given states to reads in order.
+func startRolloutServer(t *testing.T, unavailableCalls int32, states ...string) (addr string, orders *[]string) {
 	t.Helper()
 	var calls atomic.Int32
 	orders = &[]string{}
 	read := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
-		case calls.Add(1) <= unsure:
+		case calls.Add(1) <= unavailableCalls:
 			w.WriteHeader(503)
 		case r.Method == http.MethodPost:
 			body, _ := io.ReadAll(r.Body)
@@ -37,8 +38,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), orders
 }
 
-func TestRolloutIsOrderedAndFollowed(t *testing.T) {
-	addr, orders := controllerThat(t, 2, "running", "running", "settled")
+func TestRolloutBeginReadAndWatchPrintState(t *testing.T) {
+	addr, orders := startRolloutServer(t, 2, "running", "running", "settled")
 	status, stdout, _ := runCommand(t, "rollout", "begin", "-at", addr, "chat", "v2", "15")
 	must.Eq(t, 0, status)
 	must.Eq(t, "ordered: chat to v2 within 15s\n", stdout)
@@ -52,8 +53,8 @@
 	must.StrContains(t, stdout, "chat to v2: settled\n")
 }
 
-func TestRolloutThatIsRefusedOrRevertedHasAStatus(t *testing.T) {
-	addr, _ := controllerThat(t, 0, "reverted")
+func TestRolloutReturnsStatusOfRefusalAndReversion(t *testing.T) {
+	addr, _ := startRolloutServer(t, 0, "reverted")
 	status, _, stderr := runCommand(t, "rollout", "begin", "-at", addr, "chat", "v9", "15")
 	must.Eq(t, 1, status)
 	must.StrContains(t, stderr, "409")
--- a/cmd/beechtide/simulate.go
+++ b/cmd/beechtide/simulate.go
@@ -13,8 +13,8 @@
 
 const defaultSeeds = 1000
 
-// runSimulate runs simulated histories of the control plane. The status is 1
-// where a seed breaks a check.
+// runSimulate runs simulated histories of the control plane. The exit status is 1 if a
+// check fails for a seed or an invariant is violated.
 func runSimulate(args []string) int {
 	flags := flag.NewFlagSet("beechtide simulate", flag.ContinueOnError)
 	model := flags.String("model", "registers", "what to play: "+strings.Join(slices.Sorted(maps.Keys(simulation.Models)), ", "))
@@ -41,8 +41,7 @@
 	return checkHistories(simulation.Range{Model: *model, First: *first, Count: *seeds, Parallel: *parallel})
 }
 
-// checkHistories runs the seeds and prints the histories of those that break a
-// check.
+// checkHistories runs the seeds and prints the histories of those for which a check fails.
 func checkHistories(seeds simulation.Range) int {
 	failures := 0
 	counts := simulation.Run(seeds, simulation.Options{}, func(r simulation.Result) {
@@ -60,8 +59,7 @@
 	return statusOK
 }
 
-// printHistories runs the seeds one after the other and prints the history of
-// each.
+// printHistories runs the seeds sequentially and prints the history of each.
 func printHistories(model string, first, count uint64) int {
 	status := statusOK
 	for seed := first; seed < first+count; seed++ {
--- a/cmd/beechtide/soak.go
+++ b/cmd/beechtide/soak.go
@@ -23,17 +23,18 @@
 	logs    string
 }
 
-// Sizes of a soak where no flag says otherwise.
+// Default sizes of a soak run.
 const (
-	defaultSoakDuration = 30 * time.Second
-	shortSoakDuration   = 6 * time.Second
-	defaultSoakRouters  = 3
-	defaultSoakCore     = 3
-	defaultSoakRunners  = 3
-	defaultSoakClients  = 24
+	defaultSoakDuration    = 30 * time.Second
+	shortSoakDuration      = 6 * time.Second
+	defaultSoakRouters     = 3
+	defaultSoakControllers = 3
+	defaultSoakRunners     = 3
+	defaultSoakClients     = 24
 )
 
-// runSoak runs soaks, one for each seed. The status is 1 where one finds a violation.
+// runSoak runs one soak for each seed. The exit status is 1 if one of them finds a
+// violation.
 func runSoak(args []string) int {
 	var options soakOptions
 	flags := flag.NewFlagSet("beechtide soak", flag.ContinueOnError)
@@ -41,7 +42,7 @@
 	flags.Uint64Var(&options.seeds, "seeds", 1, "how many seeds, one after the other")
 	flags.DurationVar(&options.shape.Duration, "duration", defaultSoakDuration, "how long faults are played for each seed")
 	flags.IntVar(&options.shape.Routers, "routers", defaultSoakRouters, "router processes")
-	flags.IntVar(&options.shape.Controllers, "controllers", defaultSoakCore, "controller processes")
+	flags.IntVar(&options.shape.Controllers, "controllers", defaultSoakControllers, "controller processes")
 	flags.IntVar(&options.shape.Runners, "runners", defaultSoakRunners, "stand-in runners")
 	flags.IntVar(&options.shape.Overlap, "overlap", 0, "faults at a time; 0: two or three, drawn from the seed")
 	flags.IntVar(&options.clients, "clients", defaultSoakClients, "clients")
@@ -64,7 +65,7 @@
 	if options.short {
 		options.shape.Duration = shortSoakDuration
 	}
-	violations, err := playSoaks(options)
+	violations, err := runSeeds(options)
 	if err != nil {
 		reportError(flags, err)
 		return statusFailure
@@ -75,8 +76,9 @@
 	return statusOK
 }
 
-// playSoaks plays the seeds and counts the violations.
-func playSoaks(options soakOptions) (violations int, err error) {
+// runSeeds runs the seeds sequentially and returns the number of violations. Without -logs
+// it removes the folders of seeds without violations.
+func runSeeds(options soakOptions) (violations int, err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	root, keepAll := options.logs, options.logs != ""
@@ -84,11 +86,11 @@
 		if root, err = os.MkdirTemp("", "beechtide-soak-"); err != nil {
 			return 0, err
 		}
-		defer os.Remove(root) // stays where a folder of a seed is kept
+		defer os.Remove(root) // fails, as intended, if the folder of a seed remains in it
 	}
 	for seed := options.seed; seed < options.seed+options.seeds; seed++ {
 		dir := filepath.Join(root, fmt.Sprintf("seed-%d", seed))
-		found, err := playSoak(ctx, options, seed, dir)
+		found, err := runSeed(ctx, options, seed, dir)
 		if err != nil {
 			return violations, err
 		}
@@ -100,7 +102,7 @@
 	return violations, nil
 }
 
-func playSoak(ctx context.Context, options soakOptions, seed uint64, dir string) (violations int, err error) {
+func runSeed(ctx context.Context, options soakOptions, seed uint64, dir string) (violations int, err error) {
 	program, err := os.Executable()
 	if err != nil {
 		return 0, err
--- a/cmd/beechtide/standin.go
+++ b/cmd/beechtide/standin.go
@@ -12,8 +12,8 @@
 	"beechtide.org/beechtide/internal/standin"
 )
 
-// runStandin runs a stand-in for a model runner until SIGTERM, on which it leaves as
-// planned.
+// runStandin runs a stand-in for a model runner until SIGTERM or SIGINT, on which it
+// drains and leaves.
 func runStandin(args []string) int {
 	var config standin.Config
 	var controllers string
@@ -55,7 +55,7 @@
 	return statusOK
 }
 
-// leaveTimeout bounds a planned end beyond the time that the runner serves on.
+// leaveTimeout bounds a graceful shutdown, in addition to twice the drain time.
 const leaveTimeout = 10 * time.Second
 
 func serveStandin(config standin.Config) error {
--- a/cmd/beechtide/traffic.go
+++ b/cmd/beechtide/traffic.go
@@ -10,8 +10,8 @@
 	"beechtide.org/beechtide/internal/simulation/traffic"
 )
 
-// runTraffic simulates requests from many routers to shared runners and prints how they
-// were served.
+// runTraffic simulates requests from many routers to shared runners and prints the
+// latencies, outcomes and the balance of the runners.
 func runTraffic(args []string) int {
 	options := traffic.Defaults()
 	flags := flag.NewFlagSet("beechtide traffic", flag.ContinueOnError)
