--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// source is a parsed file of this repository, tests and generated files left out.
+// source is a parsed Go file of this repository.
 type source struct {
 	pkg  string // directory below the root, as "internal/router"
 	file *ast.File
@@ -23,7 +23,7 @@
 
 const root = "../.."
 
-// sources parses all files of the repository's packages.
+// sources parses all Go files of the repository except tests and generated files.
 func sources(t *testing.T) []source {
 	t.Helper()
 	var out []source
@@ -45,7 +45,7 @@
 	return out
 }
 
-// generated parses the generated types of messages, calls and settings.
+// generated parses the generated types of messages, API calls and settings.
 func generated(t *testing.T) []source {
 	t.Helper()
 	var out []source
@@ -75,21 +75,21 @@
 	return imports
 }
 
-// pure are the packages that get the time and all input as arguments: they may import each other and
-// the messages, and nothing that sends, serves or reads a clock.
+// pure lists the packages that receive the time and all input as arguments. They may import each
+// other and the messages, but no package that sends, serves or reads a clock.
 var pure = []string{
 	"internal/attempt", "internal/autoscale", "internal/canary", "internal/clocksync", "internal/lease", "internal/placement",
 	"internal/prefixindex", "internal/quota", "internal/reachability", "internal/rendezvous", "internal/rollout",
 	"internal/statesync", "internal/targets", "internal/usage",
 }
 
-// impure are the packages that a pure one must not import.
+// impure lists the packages that a pure one must not import, nor any package below them.
 var impure = []string{
 	"internal/controller", "internal/router", "internal/transport", "internal/upstream", "internal/httpserver", "internal/settings",
 	"internal/loop", "internal/dissemination", "internal/metrics",
 }
 
-func TestPurePackagesImportNothingThatActs(t *testing.T) {
+func TestPurePackagesDoNotImportImpureOnes(t *testing.T) {
 	imports := importsOf(sources(t))
 	for _, pkg := range pure {
 		for _, imported := range imports[pkg] {
@@ -100,8 +100,9 @@
 	}
 }
 
-// A role wires the packages below it. These know neither it nor the other role.
-func TestPackagesOfARoleDoNotImportTheRole(t *testing.T) {
+// A role connects the packages below it. These must import neither the role nor the packages of the
+// other role.
+func TestPackagesBelowRolesDoNotImportRoles(t *testing.T) {
 	for pkg, imported := range importsOf(sources(t)) {
 		for _, role := range []string{"internal/controller", "internal/router"} {
 			if pkg == "cmd/beechtide" {
@@ -117,8 +118,8 @@
 	}
 }
 
-// fieldsOfTheWhole are the fields that still point to a whole role, to be taken apart next.
-var fieldsOfTheWhole = map[string]bool{
+// rolePointerFields lists the fields that still point to a whole role. They are to be removed.
+var rolePointerFields = map[string]bool{
 	"internal/router exchange.router":   true,
 	"internal/simulation changing.node": true,
 	"internal/simulation reading.node":  true,
@@ -140,36 +141,36 @@
 	}
 }
 
-// pointsToTheWhole reports whether a field is a pointer to a role.
-func pointsToTheWhole(field *ast.Field) bool {
+// isRolePointer reports whether a field is a pointer to a role.
+func isRolePointer(field *ast.Field) bool {
 	star, ok := field.Type.(*ast.StarExpr)
 	if !ok {
 		return false
 	}
-	whole, ok := star.X.(*ast.Ident)
-	return ok && (whole.Name == "Router" || whole.Name == "Controller")
+	role, ok := star.X.(*ast.Ident)
+	return ok && (role.Name == "Router" || role.Name == "Controller")
 }
 
-func TestNoPartPointsToTheWhole(t *testing.T) {
+func TestOnlyListedFieldsPointToRoles(t *testing.T) {
 	found := map[string]bool{}
 	structs(sources(t), func(pkg, name string, fields []*ast.Field) {
 		for _, field := range fields {
-			if pointsToTheWhole(field) {
+			if isRolePointer(field) {
 				found[pkg+" "+name+"."+field.Names[0].Name] = true
 			}
 		}
 	})
-	must.Eq(t, fieldsOfTheWhole, found)
+	must.Eq(t, rolePointerFields, found)
 }
 
-// Limits of a type: a larger one does several jobs.
+// Limits of a type. A larger type usually has several responsibilities.
 const (
 	maxMethods = 25
 	maxFields  = 15
 )
 
-// largeTypes are the types that are still over a limit, with their methods and fields. They may
-// only get smaller: an entry is lowered with the code.
+// largeTypes lists the types that still exceed a limit, with their numbers of methods and fields.
+// The numbers may only decrease: a change that shrinks a type lowers its entry.
 var largeTypes = map[string]struct{ methods, fields int }{
 	"internal/admission Admission":        {0, 21},
 	"internal/admission Admitter":         {103, 24},
@@ -196,7 +197,7 @@
 	"internal/tally Replica":              {30, 7},
 }
 
-func TestTypesStayWithinTheirLimits(t *testing.T) {
+func TestTypesStayWithinMethodAndFieldLimits(t *testing.T) {
 	all := sources(t)
 	methods, fieldCount := map[string]int{}, map[string]int{}
 	for _, s := range all {
@@ -222,7 +223,7 @@
 	}
 }
 
-// receiverType returns the name of a method's type.
+// receiverType returns the name of a method's receiver type.
 func receiverType(method *ast.FuncDecl) string {
 	expr := method.Recv.List[0].Type
 	for {
@@ -241,14 +242,15 @@
 	}
 }
 
-// withdrawnWords may not come back as names or parts of names: glossary.md has the standard term of
-// each.
+// withdrawnWords matches words that must not be used as names or parts of names. glossary.md has the
+// standard term for each.
 var withdrawnWords = regexp.MustCompile(`(?i)^(told|tell|tells|heard|errand|ledger|kin|mates|fellow|ballotBox|news|mishap)$`)
 
-// finishedPackages have the standard names throughout.
+// finishedPackages lists the packages whose names are checked for withdrawn words, together with the
+// packages below them.
 var finishedPackages = []string{"internal/controller", "internal/router/quotaclient", "internal/router/usagereport", "internal/router/zoneping"}
 
-func TestWithdrawnWordsDoNotComeBack(t *testing.T) {
+func TestFinishedPackagesUseNoWithdrawnWords(t *testing.T) {
 	for _, s := range sources(t) {
 		finished := slices.ContainsFunc(finishedPackages, func(pkg string) bool { return s.pkg == pkg || strings.HasPrefix(s.pkg, pkg+"/") })
 		if !finished {
@@ -266,14 +268,14 @@
 
 var wordPattern = regexp.MustCompile(`[A-Z]?[a-z]+`)
 
-// wordsOf cuts a name in mixed case into its words.
+// wordsOf splits a mixed-case name into its words.
 func wordsOf(name string) []string { return wordPattern.FindAllString(name, -1) }
 
-// codeName is what docs/architecture.md puts into backticks where it names code: a package with
-// a function or type, or a type with a method.
+// codeName matches a reference to code in docs/architecture.md: a name in backticks of a package with
+// a function or type, optionally with a member, or of a type with a method.
 var codeName = regexp.MustCompile("`([a-zA-Z][a-zA-Z0-9]*)\\.([a-zA-Z][a-zA-Z0-9]*)(?:\\.([a-zA-Z][a-zA-Z0-9]*))?`")
 
-func TestArchitecturePageNamesWhatIsThere(t *testing.T) {
+func TestArchitecturePageNamesExistingCode(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
 	must.NoError(t, err)
 	calls, err := os.ReadFile(filepath.Join(root, "api", "calls.yaml"))
@@ -288,13 +290,13 @@
 		}
 		name := strings.Trim(parts[0], "`")
 		isCall := strings.Contains(string(calls), "/api/"+name)
-		if !known[name] && !isCall && !fileEndings[last] {
-			t.Errorf("nothing is named %s", name)
+		if !known[name] && !isCall && !fileExtensions[last] {
+			t.Errorf("docs/architecture.md names %s, which does not exist", name)
 		}
 	}
 }
 
-// qualifiedNames returns what is declared as package.Name, package.Type.Member and Type.Member.
+// qualifiedNames returns the declared names as package.Name, package.Type.Member and Type.Member.
 func qualifiedNames(all []source) map[string]bool {
 	known := map[string]bool{}
 	for _, s := range all {
@@ -324,10 +326,11 @@
 	known[pkg+"."+name+"."+member] = true
 }
 
-// fileEndings are the endings of file names, which look like methods.
-var fileEndings = map[string]bool{"go": true, "md": true, "toml": true, "yaml": true, "json": true}
+// fileExtensions lists file extensions, as file names look like references to methods.
+var fileExtensions = map[string]bool{"go": true, "md": true, "toml": true, "yaml": true, "json": true}
 
-// declaredNames returns the names that a declaration declares, fields of structs included.
+// declaredNames returns the names declared within a declaration, including fields, parameters and
+// local variables.
 func declaredNames(decl ast.Decl) []string {
 	var names []string
 	ast.Inspect(decl, func(node ast.Node) bool {
@@ -354,7 +357,7 @@
 	return names
 }
 
-// definedNames returns the names on the left of a short variable declaration.
+// definedNames returns the names on the left-hand side of a short variable declaration.
 func definedNames(left []ast.Expr) []string {
 	var names []string
 	for _, expr := range left {
--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,5 +1,5 @@
-// Package architecture has no code: its tests check the rules of the code's layout, which
-// docs/architecture.md describes. They fail where a package imports what is above it, where a part
-// points to a whole role, where a type grows over its limits, where a withdrawn word comes back, and
-// where the page names something that is no longer there.
+// Package architecture has no code: its tests check the layering rules that docs/architecture.md
+// describes. They fail if a package imports one of a higher layer, if a component has a pointer to a
+// whole role, if a type exceeds its limits of methods and fields, if a withdrawn word is used in a
+// name, or if the page names code that doesn't exist.
 package architecture
