--- a/internal/simulation/disk/disk.go
+++ b/internal/simulation/disk/disk.go
@@ -1,14 +1,14 @@
-// Package disk is a filesystem.FileSystem in memory that loses power as a real disk
-// does.
+// Package disk implements filesystem.FileSystem in memory and simulates the losses of a
+// real disk on a power failure.
 //
-// Of a file's bytes only those before its last sync are sure; what was written later
-// is there, missing or torn. Each name that was created, renamed or removed since the
-// directory was last synced is kept or lost by itself. A disk can be full, and it can
-// stop after any number of further operations, as a process that is killed, or a
-// machine that loses power, in the middle of a write. What is kept and what is lost is
-// drawn from the seed given to New.
+// Only the bytes of a file before its last sync are guaranteed to survive; later writes
+// may survive, be lost or be torn. Each name that was created, renamed or removed since the
+// last sync of the directory is kept or lost independently. A disk can be full, and it can
+// fail after any number of further operations, like a process that is killed, or a
+// machine that loses power, in the middle of a write. The seed given to New determines
+// which data are lost.
 //
-// It has no clock: a slow or stalled disk is one whose operations the caller delays by
+// It has no clock: to simulate a slow or stalled disk, the caller delays operations in
 // OnOperation. The package starts no goroutine.
 package disk
 
@@ -29,64 +29,64 @@
 	ErrStopped = errors.New("disk: the process has ended")
 )
 
-// content is a file apart from its names.
+// content is the data of a file, independent of its names.
 type content struct {
 	bytes  []byte
-	synced int // how many of them are sure to outlast a loss of power
+	synced int // number of bytes guaranteed to survive a power loss
 }
 
 // Disk is the simulated folder. It is safe for concurrent use.
 type Disk struct {
-	// OnOperation, where set, is called before each operation, without any lock.
+	// OnOperation, if set, is called before each operation, without any lock held.
 	OnOperation func(operation string)
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	names   map[string]*content // as a running process sees them
-	durable map[string]*content // as of the last sync of the folder
-	full    bool
-	steps   int // operations until the process ends; negative: it goes on
-	life    int // files opened in an earlier life write nothing
-	writes  int64
+	mu             sync.Mutex
+	rnd            *rand.Rand
+	names          map[string]*content // visible to the running process
+	durable        map[string]*content // as of the last sync of the folder
+	full           bool
+	operationsLeft int // operations until the process ends; negative: no limit
+	incarnation    int // process incarnation; files opened in an earlier one cannot be written
+	bytesWritten   int64
 }
 
 var _ filesystem.FileSystem = (*Disk)(nil)
 
-// New makes an empty disk whose losses are drawn from the seed.
+// New returns an empty disk whose losses are drawn from the seed.
 func New(seed uint64) *Disk {
-	return &Disk{rnd: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*content{}, durable: map[string]*content{}, steps: -1}
+	return &Disk{rnd: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*content{}, durable: map[string]*content{}, operationsLeft: -1}
 }
 
-// SetFull makes the disk refuse every write, or take them again. Names cost
-// nothing: a new file is made and stays empty.
+// SetFull makes the disk refuse every write, or accept writes again. Names need no space:
+// files can be created on a full disk, but stay empty.
 func (d *Disk) SetFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
 }
 
-// StopAfter ends the process after so many further operations: from then on each
-// one fails with ErrStopped, until Restart or LosePower.
+// StopAfter ends the process after the given number of further operations. From then on
+// each one fails with ErrStopped, until Restart, LosePower or Lose.
 func (d *Disk) StopAfter(operations int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.steps = operations
+	d.operationsLeft = operations
 }
 
-// Restart is a new process on the same disk, with all files as they were.
+// Restart starts a new process on the same disk, with all files unchanged.
 func (d *Disk) Restart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.steps = -1
-	d.life++
+	d.operationsLeft = -1
+	d.incarnation++
 }
 
-// LosePower takes away what was not synced, by lot, and starts anew. What is
-// found after it is durable.
+// LosePower drops a random selection of the data that were not synced, and starts a new
+// process. The remaining data are durable.
 func (d *Disk) LosePower() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, name := range d.unsettled() {
+	for _, name := range d.allNames() {
 		now, was := d.names[name], d.durable[name]
 		if now != was && d.rnd.IntN(2) == 0 {
 			now = was
@@ -98,13 +98,13 @@
 		d.names[name] = now
 	}
 	d.loseBytes()
-	d.durable = copied(d.names)
-	d.steps = -1
-	d.life++
+	d.durable = cloneNames(d.names)
+	d.operationsLeft = -1
+	d.incarnation++
 }
 
-// unsettled gives, in order, the names that are or were in the folder.
-func (d *Disk) unsettled() []string {
+// allNames returns, sorted, the current names and those of the last sync of the folder.
+func (d *Disk) allNames() []string {
 	seen := map[string]bool{}
 	for name := range d.names {
 		seen[name] = true
@@ -120,26 +120,27 @@
 	return list
 }
 
-// loseBytes tears files: each keeps what was synced and a part of the rest. A
-// file that two names were left for becomes two files.
+// loseBytes truncates each file at random, not before its synced bytes. A file for which
+// two names remain becomes two files.
 func (d *Disk) loseBytes() {
-	for _, name := range d.sorted() {
+	for _, name := range d.sortedNames() {
 		old := d.names[name]
 		kept := old.synced + d.rnd.IntN(len(old.bytes)-old.synced+1)
 		d.names[name] = &content{bytes: append([]byte{}, old.bytes[:kept]...), synced: kept}
 	}
 }
 
-// Lose takes the whole disk away: an empty one stands in its place.
+// Lose replaces the disk by an empty one and starts a new process.
 func (d *Disk) Lose() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.names, d.durable = map[string]*content{}, map[string]*content{}
-	d.steps = -1
-	d.life++
+	d.operationsLeft = -1
+	d.incarnation++
 }
 
-// Damage changes one byte of a file, durable or not, and tells whether it could.
+// Damage changes one random byte of a file, durable or not. It returns false if the file
+// is missing or empty.
 func (d *Disk) Damage(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -152,7 +153,7 @@
 	return true
 }
 
-// Bytes is what all files hold.
+// Bytes returns the total size of all files.
 func (d *Disk) Bytes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,30 +164,31 @@
 	return n
 }
 
-// Written is how many bytes have been written in all.
+// Written returns the number of bytes written since New.
 func (d *Disk) Written() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.writes
+	return d.bytesWritten
 }
 
-// operate starts an operation; the lock is held where it gives no error.
-func (d *Disk) operate(name string) error {
+// beginOperation counts an operation. Unless it returns an error, it returns with d.mu
+// locked.
+func (d *Disk) beginOperation(name string) error {
 	if d.OnOperation != nil {
 		d.OnOperation(name)
 	}
 	d.mu.Lock()
-	if d.steps == 0 {
+	if d.operationsLeft == 0 {
 		d.mu.Unlock()
 		return ErrStopped
 	}
-	if d.steps > 0 {
-		d.steps--
+	if d.operationsLeft > 0 {
+		d.operationsLeft--
 	}
 	return nil
 }
 
-func (d *Disk) sorted() []string {
+func (d *Disk) sortedNames() []string {
 	list := make([]string, 0, len(d.names))
 	for name := range d.names {
 		list = append(list, name)
@@ -195,18 +197,18 @@
 	return list
 }
 
-// List gives the names of all files.
+// List returns the sorted names of all files.
 func (d *Disk) List() ([]string, error) {
-	if err := d.operate("list"); err != nil {
+	if err := d.beginOperation("list"); err != nil {
 		return nil, err
 	}
 	defer d.mu.Unlock()
-	return d.sorted(), nil
+	return d.sortedNames(), nil
 }
 
-// Read gives the whole of a file.
+// Read returns the content of a file.
 func (d *Disk) Read(name string) ([]byte, error) {
-	if err := d.operate("read"); err != nil {
+	if err := d.beginOperation("read"); err != nil {
 		return nil, err
 	}
 	defer d.mu.Unlock()
@@ -217,9 +219,9 @@
 	return append([]byte{}, c.bytes...), nil
 }
 
-// Create makes a new, empty file.
+// Create creates an empty file and opens it for writing.
 func (d *Disk) Create(name string) (filesystem.File, error) {
-	if err := d.operate("create"); err != nil {
+	if err := d.beginOperation("create"); err != nil {
 		return nil, err
 	}
 	defer d.mu.Unlock()
@@ -228,12 +230,12 @@
 	}
 	c := &content{}
 	d.names[name] = c
-	return &file{disk: d, content: c, life: d.life}, nil
+	return &file{disk: d, content: c, incarnation: d.incarnation}, nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces an existing one of the new name.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.operate("rename"); err != nil {
+	if err := d.beginOperation("rename"); err != nil {
 		return err
 	}
 	defer d.mu.Unlock()
@@ -246,9 +248,9 @@
 	return nil
 }
 
-// Remove takes a name away.
+// Remove removes the name of a file.
 func (d *Disk) Remove(name string) error {
-	if err := d.operate("remove"); err != nil {
+	if err := d.beginOperation("remove"); err != nil {
 		return err
 	}
 	defer d.mu.Unlock()
@@ -261,15 +263,15 @@
 
 // Sync makes the names durable.
 func (d *Disk) Sync() error {
-	if err := d.operate("sync folder"); err != nil {
+	if err := d.beginOperation("sync folder"); err != nil {
 		return err
 	}
 	defer d.mu.Unlock()
-	d.durable = copied(d.names)
+	d.durable = cloneNames(d.names)
 	return nil
 }
 
-func copied(m map[string]*content) map[string]*content {
+func cloneNames(m map[string]*content) map[string]*content {
 	out := make(map[string]*content, len(m))
 	for k, v := range m {
 		out[k] = v
@@ -277,37 +279,39 @@
 	return out
 }
 
-// file is a file that one process has open.
+// file is a file opened by one process incarnation.
 type file struct {
-	disk    *Disk
-	content *content
-	life    int
+	disk        *Disk
+	content     *content
+	incarnation int
 }
 
-// Write appends. On a full disk, or where the process ends, a part may be taken.
+// Write appends to the file. If the process has ended, a random prefix of b may be
+// written.
 func (f *file) Write(b []byte) (int, error) {
 	d := f.disk
-	if err := d.operate("write"); err != nil {
-		return f.part(b), err
+	if err := d.beginOperation("write"); err != nil {
+		return f.writePrefix(b), err
 	}
 	defer d.mu.Unlock()
-	if f.life != d.life {
+	if f.incarnation != d.incarnation {
 		return 0, ErrStopped
 	}
 	if d.full {
 		return 0, ErrFull
 	}
 	f.content.bytes = append(f.content.bytes, b...)
-	d.writes += int64(len(b))
+	d.bytesWritten += int64(len(b))
 	return len(b), nil
 }
 
-// part is a write that the end of the process cuts short.
-func (f *file) part(b []byte) int {
+// writePrefix writes a random prefix of b, like a write interrupted by the end of the
+// process.
+func (f *file) writePrefix(b []byte) int {
 	d := f.disk
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if f.life != d.life {
+	if f.incarnation != d.incarnation {
 		return 0
 	}
 	n := d.rnd.IntN(len(b) + 1)
@@ -318,16 +322,16 @@
 // Sync makes the bytes durable.
 func (f *file) Sync() error {
 	d := f.disk
-	if err := d.operate("sync"); err != nil {
+	if err := d.beginOperation("sync"); err != nil {
 		return err
 	}
 	defer d.mu.Unlock()
-	if f.life != d.life {
+	if f.incarnation != d.incarnation {
 		return ErrStopped
 	}
 	f.content.synced = len(f.content.bytes)
 	return nil
 }
 
-// Close ends the writing.
+// Close does nothing.
 func (f *file) Close() error { return nil }
--- a/internal/simulation/disk/disk_test.go
+++ b/internal/simulation/disk/disk_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func put(t *testing.T, d *Disk, name, body string, sync bool) {
+func writeFile(t *testing.T, d *Disk, name, body string, sync bool) {
 	f, err := d.Create(name)
 	must.NoError(t, err)
 	_, err = f.Write([]byte(body))
@@ -17,19 +17,18 @@
 	}
 }
 
-// What was synced, bytes and name, outlasts every loss of power; a name that was
-// not is at times kept and at times lost, each by itself; a file is torn behind
-// what it had synced.
-func TestLossOfPowerTakesWhatWasNotSynced(t *testing.T) {
+// Synced bytes under a synced name must survive every power loss. Unsynced names must be
+// kept or lost independently of each other, and unsynced bytes may be torn.
+func TestPowerLossKeepsSyncedData(t *testing.T) {
 	outcomes := map[[2]bool]int{}
 	torn := 0
 	for seed := range uint64(200) {
 		d := New(seed)
-		put(t, d, "sure", "kept", true)
+		writeFile(t, d, "sure", "kept", true)
 		must.NoError(t, d.Sync())
-		put(t, d, "first.new", "synced", true)
+		writeFile(t, d, "first.new", "synced", true)
 		must.NoError(t, d.Rename("first.new", "first"))
-		put(t, d, "second", "not synced", false)
+		writeFile(t, d, "second", "not synced", false)
 		d.LosePower()
 		b, err := d.Read("sure")
 		must.NoError(t, err)
@@ -49,11 +48,11 @@
 	must.Positive(t, torn)
 }
 
-func TestRemovalsAreUndoneByLot(t *testing.T) {
+func TestPowerLossRevertsSomeUnsyncedRemovals(t *testing.T) {
 	back := 0
 	for seed := range uint64(50) {
 		d := New(seed)
-		put(t, d, "a", "x", true)
+		writeFile(t, d, "a", "x", true)
 		must.NoError(t, d.Sync())
 		must.NoError(t, d.Remove("a"))
 		d.LosePower()
@@ -65,9 +64,9 @@
 	must.Less(t, 50, back)
 }
 
-func TestStopsFullAndRestart(t *testing.T) {
+func TestFullDiskStopAndRestart(t *testing.T) {
 	d := New(1)
-	put(t, d, "a", "x", false)
+	writeFile(t, d, "a", "x", false)
 	d.SetFull(true)
 	f, err := d.Create("b")
 	must.NoError(t, err)
@@ -81,7 +80,7 @@
 	must.ErrorIs(t, err, ErrStopped)
 	d.Restart()
 	b, err := d.Read("a")
-	must.NoError(t, err, must.Sprint("a process that ends takes no files along"))
+	must.NoError(t, err, must.Sprint("the end of the process must not lose files"))
 	must.Eq(t, "x", string(b))
 	d.Lose()
 	_, err = d.Read("a")
--- a/internal/simulation/history/check.go
+++ b/internal/simulation/history/check.go
@@ -8,14 +8,15 @@
 	"github.com/pkg/errors"
 )
 
-// What Check may find.
+// Errors returned by Check.
 var (
 	ErrNotLinearizable = errors.New("history: no order of the calls explains the answers")
 	ErrRefusedTaken    = errors.New("history: a configuration that was refused for good is in force or acknowledged")
 	ErrUndecided       = errors.New("history: not decided in time")
 )
 
-// Check judges the history. The time bounds the search; 0 is none.
+// Check checks the history for linearizability and for orders that were both rejected and
+// accepted. limit bounds the search; 0 is no limit.
 func (h *History) Check(limit time.Duration) error {
 	if err := h.checkRefusals(); err != nil {
 		return err
@@ -30,9 +31,9 @@
 	}
 }
 
-// operations gives the calls as porcupine takes them. Reads without an answer
-// say nothing, nor do further unclear calls of the same change: what one may do
-// later, the first may do.
+// operations converts the calls to porcupine's operations. It omits reads without a clear
+// result, which constrain nothing, and repeated unclear calls of the same change: any
+// later effect of a repeat is also a possible effect of the first call.
 func (h *History) operations() []porcupine.Operation {
 	var out []porcupine.Operation
 	unclear := map[Call]bool{}
@@ -48,15 +49,15 @@
 	return out
 }
 
-// order is one change by one operator: repeats of it are the same order.
+// order identifies a change by an operator. Repeated calls are the same order.
 type order struct {
 	digest string
 	base   int64
 }
 
 // checkRefusals checks that no order is both refused and accepted. A refusal before the
-// acceptance would be linearizable, yet tells the operator something that does not stay
-// true.
+// acceptance would be linearizable, but the final refusal reported to the operator would
+// turn out wrong.
 func (h *History) checkRefusals() error {
 	orders := h.orders()
 	accepted := h.acceptedOrders(orders)
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// verdicts says how the calls of one order ended.
+// verdicts holds which final verdicts the calls of one order received.
 type verdicts struct{ accepted, refused bool }
 
 // orders collects the verdicts of all orders.
@@ -92,7 +93,8 @@
 }
 
 // acceptedOrders returns the orders that were acknowledged, or whose configuration was
-// read. A read tells the digest only, so it counts where one base was sent with it.
+// read. A read returns only the digest, so it counts only if the digest was sent with a
+// single base.
 func (h *History) acceptedOrders(orders map[order]verdicts) map[order]bool {
 	out := map[order]bool{}
 	byDigest := map[string][]order{}
@@ -113,20 +115,20 @@
 	return out
 }
 
-// register is the state of one register: the configuration's or that of one
-// model's weights. It is comparable, so that the search finds equal states fast.
+// register is the state of one register: the configuration or the weights version of one
+// model. It is comparable, so that the search detects equal states fast.
 type register struct {
 	version  int64
 	digest   string
-	accepted string // digests that were ever in force, each between bars
-	over     bool   // everything that was seen has happened
+	accepted string // digests that were ever in force, each between "|"
+	ended    bool   // after the closing operation; only unclear calls may follow
 }
 
 func (r register) has(digest string) bool { return strings.Contains(r.accepted, "|"+digest+"|") }
 
-// Model is the sequential specification: a configuration is taken where it
-// builds on the current version and is above it, a repeat of what was ever
-// taken is acknowledged, and weights only rise.
+// Model returns the sequential specification. A configuration is accepted if its base is
+// the current version and its own version is higher. A repeat of a configuration that was
+// ever accepted is acknowledged. The version of weights never decreases.
 func Model() porcupine.Model {
 	return porcupine.Model{
 		Partition: partition,
@@ -138,12 +140,13 @@
 	}
 }
 
-// theEnd closes each register's history. An unclear call that has no effect goes
-// after it, where nobody can see the difference; that spares the search all the
-// other places.
-const theEnd Kind = -1
+// endOfHistory is an operation that closes the history of each register. Unclear calls
+// without an effect are ordered after it, where no read observes them, so the search need
+// not try them at other positions.
+const endOfHistory Kind = -1
 
-// partition keeps the registers apart: each must be linearizable by itself.
+// partition splits the operations by register, as each must be linearizable by itself, and
+// appends endOfHistory to each part.
 func partition(history []porcupine.Operation) [][]porcupine.Operation {
 	by := map[string][]porcupine.Operation{}
 	var names []string
@@ -156,52 +159,52 @@
 	}
 	var out [][]porcupine.Operation
 	for _, name := range names {
-		end := porcupine.Operation{Input: Call{Kind: theEnd, Model: name}, Output: Answer{}, Call: open - 1, Return: open - 1}
+		end := porcupine.Operation{Input: Call{Kind: endOfHistory, Model: name}, Output: Answer{}, Call: neverEnded - 1, Return: neverEnded - 1}
 		out = append(out, append(by[name], end))
 	}
 	return out
 }
 
 func step(r register, c Call, a Answer) (bool, any) {
-	if r.over {
+	if r.ended {
 		return a.Verdict == Unclear, r
 	}
 	switch c.Kind {
-	case theEnd:
-		r.over = true
+	case endOfHistory:
+		r.ended = true
 		return true, r
 	case Read:
 		return a.Version == r.version && a.Digest == r.digest, r
 	case ReadWeights:
 		return a.Version == r.version, r
 	case NameWeights:
-		rises := c.Version > r.version
+		increases := c.Version > r.version
 		r.version = max(r.version, c.Version)
-		return rises || a.Verdict != Unclear, r
+		return increases || a.Verdict != Unclear, r
 	default:
 		return replace(r, c, a.Verdict)
 	}
 }
 
 func replace(r register, c Call, v Verdict) (bool, any) {
-	known := r.has(c.Digest)
-	takes := !known && !c.Faulty && c.Base == r.version && c.Version > r.version
+	accepted := r.has(c.Digest)
+	accepts := !accepted && !c.Faulty && c.Base == r.version && c.Version > r.version
 	switch v {
 	case Unclear:
-		return takes, r.take(c)
+		return accepts, r.accept(c)
 	case Taken:
-		if known {
+		if accepted {
 			return true, r
 		}
-		return takes, r.take(c)
+		return accepts, r.accept(c)
 	case Overtaken:
-		return !known && c.Base != r.version, r
+		return !accepted && c.Base != r.version, r
 	default:
-		return !known && (c.Faulty || c.Disputed || c.Base == r.version && c.Version <= r.version), r
+		return !accepted && (c.Faulty || c.Disputed || c.Base == r.version && c.Version <= r.version), r
 	}
 }
 
-func (r register) take(c Call) register {
+func (r register) accept(c Call) register {
 	accepted := r.accepted
 	if accepted == "" {
 		accepted = "|"
--- a/internal/simulation/history/history.go
+++ b/internal/simulation/history/history.go
@@ -1,10 +1,10 @@
 // Package history records the calls of operators to the control plane with their
-// answers, and checks them.
+// responses, and checks them. The simulated clusters use it.
 //
 // The register of the configuration and the named weights must be linearizable
 // (decided by porcupine), and an order that was refused for good must never come into
-// force. Time is a count of events: a call that returned before another began comes
-// before it.
+// force. Time is a count of events: a call that returned before another began precedes
+// it.
 //
 // The package is pure and starts no goroutine. A History is not safe for concurrent
 // use.
@@ -16,22 +16,22 @@
 	"strings"
 )
 
-// Kind says what a call asks for.
+// Kind is the type of a call.
 type Kind int
 
 // Kinds of calls.
 const (
-	Replace     Kind = iota // bring a configuration
+	Replace     Kind = iota // replace the configuration
 	Read                    // read the newest configuration
-	NameWeights             // name the newest weights of a model
-	ReadWeights             // read the newest weights of a model
+	NameWeights             // set the newest weights version of a model
+	ReadWeights             // read the newest weights version of a model
 )
 
-// Verdict is what the caller was told.
+// Verdict is the outcome of a call as seen by the caller.
 type Verdict int
 
-// Verdicts. Unclear stands for 503, silence and a lost answer alike: the call
-// may have had its effect, may have it later, or never.
+// Verdicts. Unclear stands for 503, a timeout or a lost response: the call may have taken
+// effect, may take effect later, or never.
 const (
 	Unclear   Verdict = iota
 	Taken             // 200
@@ -43,17 +43,17 @@
 	return [...]string{"unclear", "taken", "overtaken", "invalid"}[v]
 }
 
-// Call is what was asked.
+// Call is a call by an operator with its arguments.
 type Call struct {
 	Kind    Kind
 	Digest  string // of the configuration's bytes
 	Version int64  // of the configuration or the weights
-	Base    int64  // the version that the configuration builds on
-	Faulty  bool   // validation refuses the configuration
-	// Disputed says that some versions of the program take the configuration and
-	// others refuse it. Either will do, but not both.
+	Base    int64  // the version that the configuration replaces
+	Faulty  bool   // the configuration fails validation
+	// Disputed marks a configuration that some versions of the program accept and
+	// others refuse. Either outcome is correct, but not both.
 	Disputed bool
-	Model    string // whose weights
+	Model    string // of the weights
 }
 
 func (c Call) String() string {
@@ -71,8 +71,8 @@
 
 func (c Call) reads() bool { return c.Kind == Read || c.Kind == ReadWeights }
 
-// Answer is what came back. Digest and Version belong to reads; version 0 is
-// that of a register that holds nothing yet.
+// Answer is the result of a call. Digest and Version are set for reads; version 0 is that
+// of an empty register.
 type Answer struct {
 	Verdict Verdict
 	Digest  string
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("%s: version %d %s", a.Verdict, a.Version, a.Digest)
 }
 
-// entry is one call with its answer.
+// entry is a recorded call with its result.
 type entry struct {
 	client       int
 	call         Call
@@ -94,28 +94,28 @@
 	began, ended int64
 }
 
-// open is the end of a call that has no clear answer: it may still have its
-// effect after everything else.
-const open = math.MaxInt64
+// neverEnded is the end time of a call without a clear result: it may still take effect after
+// all other calls.
+const neverEnded = math.MaxInt64
 
-// History is a record of calls in the order in which they began and ended. The
-// zero value is empty and ready.
+// History is a record of calls in the order in which they began and ended. The zero value
+// is an empty history ready to use.
 type History struct {
 	entries []entry
 	lines   []string
 	now     int64
 }
 
-// Begin notes that a client makes a call, and returns its number.
+// Begin records the start of a call by a client, and returns the call's number.
 func (h *History) Begin(client int, call Call) int {
 	h.now++
-	h.entries = append(h.entries, entry{client: client, call: call, began: h.now, ended: open})
+	h.entries = append(h.entries, entry{client: client, call: call, began: h.now, ended: neverEnded})
 	id := len(h.entries) - 1
 	h.Note("call %d by client %d: %s", id, client, call)
 	return id
 }
 
-// End notes what the client was told. A call that never ends here is unclear.
+// End records the result of a call. A call without End is unclear.
 func (h *History) End(id int, answer Answer) {
 	h.now++
 	h.Note("call %d: %s", id, answer)
@@ -125,10 +125,10 @@
 	h.entries[id].answer, h.entries[id].ended = answer, h.now
 }
 
-// Note adds a line to the printed history: a fault, a step of a node.
+// Note adds a line to the printed history, such as a fault or a step of a node.
 func (h *History) Note(format string, args ...any) {
 	h.lines = append(h.lines, fmt.Sprintf("%5d  ", h.now)+fmt.Sprintf(format, args...))
 }
 
-// String prints the history in order.
+// String returns the lines of the history in order.
 func (h *History) String() string { return strings.Join(h.lines, "\n") }
--- a/internal/simulation/history/history_test.go
+++ b/internal/simulation/history/history_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// done is a call that ends before the next one begins.
-func (h *History) done(call Call, answer Answer) {
+// recordCall records a call that ends before the next one begins.
+func (h *History) recordCall(call Call, answer Answer) {
 	h.End(h.Begin(0, call), answer)
 }
 
@@ -20,7 +20,7 @@
 	name  = func(n int64) Call { return Call{Kind: NameWeights, Model: "m", Version: n} }
 )
 
-func TestCheck(t *testing.T) {
+func TestCheckAcceptsLinearizableHistoriesOnly(t *testing.T) {
 	yes := Answer{Verdict: Taken}
 	no := Answer{Verdict: Overtaken}
 	for _, c := range []struct {
@@ -28,38 +28,38 @@
 		play func(*History)
 		want error
 	}{
-		{"a repeat is acknowledged", func(h *History) { h.done(red, yes); h.done(green, yes); h.done(red, yes) }, nil},
-		{"one of two is refused", func(h *History) { h.done(red, yes); h.done(blue, no) }, nil},
-		{"two under one number", func(h *History) { h.done(red, yes); h.done(blue, yes) }, ErrNotLinearizable},
-		{"a repeat is refused", func(h *History) { h.done(red, yes); h.done(green, yes); h.done(red, no) }, ErrRefusedTaken},
+		{"a repeat is acknowledged", func(h *History) { h.recordCall(red, yes); h.recordCall(green, yes); h.recordCall(red, yes) }, nil},
+		{"one of two is refused", func(h *History) { h.recordCall(red, yes); h.recordCall(blue, no) }, nil},
+		{"two under one number", func(h *History) { h.recordCall(red, yes); h.recordCall(blue, yes) }, ErrNotLinearizable},
+		{"a repeat is refused", func(h *History) { h.recordCall(red, yes); h.recordCall(green, yes); h.recordCall(red, no) }, ErrRefusedTaken},
 		{"an unclear one comes into force late", func(h *History) {
-			h.done(red, Answer{})
-			h.done(Call{Kind: Read}, yes)
-			h.done(Call{Kind: Read}, Answer{Verdict: Taken, Digest: "red", Version: 1})
+			h.recordCall(red, Answer{})
+			h.recordCall(Call{Kind: Read}, yes)
+			h.recordCall(Call{Kind: Read}, Answer{Verdict: Taken, Digest: "red", Version: 1})
 		}, nil},
-		{"refused for good, then in force", func(h *History) { h.done(green, no); h.done(red, yes); h.done(green, yes) }, ErrRefusedTaken},
+		{"refused for good, then in force", func(h *History) { h.recordCall(green, no); h.recordCall(red, yes); h.recordCall(green, yes) }, ErrRefusedTaken},
 		{"refused for good, then read", func(h *History) {
-			h.done(green, Answer{})
-			h.done(green, no)
-			h.done(red, yes)
-			h.done(Call{Kind: Read}, Answer{Verdict: Taken, Digest: "green", Version: 2})
+			h.recordCall(green, Answer{})
+			h.recordCall(green, no)
+			h.recordCall(red, yes)
+			h.recordCall(Call{Kind: Read}, Answer{Verdict: Taken, Digest: "green", Version: 2})
 		}, ErrRefusedTaken},
 		{"an old read", func(h *History) {
-			h.done(red, yes)
-			h.done(green, yes)
-			h.done(Call{Kind: Read}, Answer{Verdict: Taken, Digest: "red", Version: 1})
+			h.recordCall(red, yes)
+			h.recordCall(green, yes)
+			h.recordCall(Call{Kind: Read}, Answer{Verdict: Taken, Digest: "red", Version: 1})
 		}, ErrNotLinearizable},
-		{"an invalid one is refused", func(h *History) { h.done(red, yes); h.done(wrong, Answer{Verdict: Invalid}) }, nil},
-		{"a valid one is called invalid", func(h *History) { h.done(red, yes); h.done(green, Answer{Verdict: Invalid}) }, ErrNotLinearizable},
+		{"an invalid one is refused", func(h *History) { h.recordCall(red, yes); h.recordCall(wrong, Answer{Verdict: Invalid}) }, nil},
+		{"a valid one is called invalid", func(h *History) { h.recordCall(red, yes); h.recordCall(green, Answer{Verdict: Invalid}) }, ErrNotLinearizable},
 		{"weights rise", func(h *History) {
-			h.done(name(3), yes)
-			h.done(name(2), yes)
-			h.done(Call{Kind: ReadWeights, Model: "m"}, Answer{Verdict: Taken, Version: 3})
+			h.recordCall(name(3), yes)
+			h.recordCall(name(2), yes)
+			h.recordCall(Call{Kind: ReadWeights, Model: "m"}, Answer{Verdict: Taken, Version: 3})
 		}, nil},
 		{"weights fall", func(h *History) {
-			h.done(name(3), yes)
-			h.done(name(2), yes)
-			h.done(Call{Kind: ReadWeights, Model: "m"}, Answer{Verdict: Taken, Version: 2})
+			h.recordCall(name(3), yes)
+			h.recordCall(name(2), yes)
+			h.recordCall(Call{Kind: ReadWeights, Model: "m"}, Answer{Verdict: Taken, Version: 2})
 		}, ErrNotLinearizable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/simulation/traffic/cut.go
+++ b/internal/simulation/traffic/cut.go
@@ -7,46 +7,47 @@
 	"beechtide.org/beechtide/internal/reachability"
 )
 
-// Cut is a partition between one zone and the others. Connections across it do not come up, and
-// pings get no answer; requests that were sent before are answered.
+// Cut is a network partition between one zone and the others. Connections across it cannot be
+// established and pings are lost; requests sent before it still complete.
 type Cut struct {
-	Zone string // empty: there is no cut
+	Zone string // empty: no partition
 	From time.Duration
 	For  time.Duration
-	// Unaware has routers find out for each runner by itself, as without package reachability.
+	// Unaware disables pings between zones, so that routers detect each unreachable runner
+	// separately, as without package reachability.
 	Unaware bool
 }
 
 const (
-	// connectWaitUs is how long a connection that does not come up takes.
-	connectWaitUs = 700_000
-	// maxUnsent bounds how many runners are tried whose connections do not come up.
-	maxUnsent = 4
-	// pingTickUs is how often routers look at their pings, pingUs how long an answer takes.
+	// connectTimeoutUs is the time until an attempt to connect across the partition fails.
+	connectTimeoutUs = 700_000
+	// maxFailedConnections is the number of failed connections after which a request is rejected.
+	maxFailedConnections = 4
+	// pingTickUs is the interval at which routers process their pings, pingUs the round-trip time.
 	pingTickUs = 50_000
 	pingUs     = 2_000
-	// noticeUs is after how long requests are no longer late for a partition that began a
-	// moment ago.
-	noticeUs = 1_500_000
-	// maxPingNodes is how many routers of a zone another one knows.
+	// detectionUs is the time from the start of a partition until its detection no longer delays
+	// requests.
+	detectionUs = 1_500_000
+	// maxPingNodes is the number of routers of each other zone that a router can ping.
 	maxPingNodes = 10
 )
 
-// cutNow reports whether the partition is in force.
-func (f *fleet) cutNow() bool {
+// partitionActive reports whether the partition exists at the current time.
+func (f *fleet) partitionActive() bool {
 	c, nowUs := f.options.Cut, f.kernel.NowUs()
 	return c.Zone != "" && nowUs >= c.From.Microseconds() && nowUs < (c.From+c.For).Microseconds()
 }
 
-// separated reports whether two zones are on different sides now.
+// separated reports whether the partition separates two zones at the current time.
 func (f *fleet) separated(one, other string) bool {
-	return f.cutNow() && (one == f.options.Cut.Zone) != (other == f.options.Cut.Zone)
+	return f.partitionActive() && (one == f.options.Cut.Zone) != (other == f.options.Cut.Zone)
 }
 
 func (f *fleet) zoneOf(router int) string { return zones[router%len(zones)] }
 
-// watchZones has every router ping the other zones.
-func (f *fleet) watchZones() {
+// startPings makes every router ping the other zones.
+func (f *fleet) startPings() {
 	if f.options.Cut.Zone == "" || f.options.Cut.Unaware {
 		return
 	}
@@ -65,7 +66,7 @@
 	}
 }
 
-// ping sends the pings that are due, and has the router go by what is known.
+// ping sends the pings that are due and updates the router's unreachable zones.
 func (f *fleet) ping(router int, tracker *reachability.Tracker) {
 	if f.kernel.NowUs() > f.endUs+settleUs {
 		return
@@ -80,13 +81,14 @@
 	f.kernel.After(pingTickUs, func() { f.ping(router, tracker) })
 }
 
-// connect tries a runner beyond the partition: after a while the request looks for another one.
-func (f *fleet) connect(r *request) {
-	f.kernel.After(connectWaitUs, func() {
+// failConnection simulates a connection attempt across the partition: after the timeout the router
+// submits the request again without this runner, or rejects it.
+func (f *fleet) failConnection(r *request) {
+	f.kernel.After(connectTimeoutUs, func() {
 		f.routers[r.router].Release(r.admitted, false, f.kernel.NowUs())
-		r.unsent++
+		r.failedConnections++
 		r.TimeLeftUs = r.arrivedUs + f.options.Classes[r.class].Deadline.Microseconds() - f.kernel.NowUs()
-		if r.unsent >= maxUnsent || r.TimeLeftUs <= 0 {
+		if r.failedConnections >= maxFailedConnections || r.TimeLeftUs <= 0 {
 			f.result.Classes[r.class].Rejected++
 			return
 		}
@@ -96,21 +98,21 @@
 	})
 }
 
-// CutResult is what became of the requests that arrived during the partition, from noticeUs
-// after its begin, and in the 3 s that began 3 s after its end.
+// CutResult counts the requests that arrived during the partition, from detectionUs after its
+// start, and those (After) that arrived in the 3 s that began 3 s after its end.
 type CutResult struct {
 	Sent, InAim           int
 	AfterSent, AfterInAim int
 }
 
-// phase returns where the counts of a request belong, by its arrival.
-func (f *fleet) phase(arrivedUs int64) (sent, inAim *int) {
+// partitionCounters returns the counters for a request with this arrival time.
+func (f *fleet) partitionCounters(arrivedUs int64) (sent, inAim *int) {
 	c := f.options.Cut
 	fromUs, toUs := c.From.Microseconds(), (c.From + c.For).Microseconds()
 	const restUs, countedUs = 3_000_000, 3_000_000
 	switch {
 	case c.Zone == "":
-	case arrivedUs >= fromUs+noticeUs && arrivedUs < toUs:
+	case arrivedUs >= fromUs+detectionUs && arrivedUs < toUs:
 		return &f.result.Cut.Sent, &f.result.Cut.InAim
 	case arrivedUs >= toUs+restUs && arrivedUs < toUs+restUs+countedUs:
 		return &f.result.Cut.AfterSent, &f.result.Cut.AfterInAim
@@ -118,11 +120,11 @@
 	return new(int), new(int)
 }
 
-// ShareInAim is the share of the requests that arrived during the partition whose first token
-// came in time.
+// ShareInAim returns the share of the requests that arrived during the partition whose first
+// token was on time.
 func (c *CutResult) ShareInAim() float64 { return float64(c.InAim) / float64(max(c.Sent, 1)) }
 
-// AfterInAimShare is the same for those that arrived after it.
+// AfterInAimShare returns the same share for the requests that arrived after the partition.
 func (c *CutResult) AfterInAimShare() float64 {
 	return float64(c.AfterInAim) / float64(max(c.AfterSent, 1))
 }
--- a/internal/simulation/traffic/cut_test.go
+++ b/internal/simulation/traffic/cut_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// cutFleet is a fleet of which one zone of five is cut off for a while.
+// cutFleet returns options of a fleet in which one of five zones is partitioned off for 5 s.
 func cutFleet(unaware bool) Options {
 	options := Defaults()
 	options.Routers, options.Runners, options.RequestsPerSecond = 50, 80, 180
@@ -17,16 +17,16 @@
 	return options
 }
 
-func TestBothSidesOfACutServeOn(t *testing.T) {
+func TestPartitionKeepsFirstTokensOnTimeWithPings(t *testing.T) {
 	aware, unaware := Play(cutFleet(false), 1), Play(cutFleet(true), 1)
 	t.Logf("routers that ping:\n%v\nthat do not:\n%v", &aware, &unaware)
 	must.Greater(t, 0.95, aware.Cut.ShareInAim())
 	must.Greater(t, 0.95, aware.Cut.AfterInAimShare())
-	must.Less(t, aware.Cut.ShareInAim()-0.05, unaware.Cut.ShareInAim(), must.Sprint("without pings it is worse"))
+	must.Less(t, aware.Cut.ShareInAim()-0.05, unaware.Cut.ShareInAim(), must.Sprint("without pings fewer requests must be on time"))
 	must.Zero(t, aware.DecidedTwice)
 }
 
-func TestCutsAreValidated(t *testing.T) {
+func TestValidateRejectsInvalidCuts(t *testing.T) {
 	options := cutFleet(false)
 	must.NoError(t, options.Validate())
 	options.Cut.Zone = "z"
--- a/internal/simulation/traffic/default.go
+++ b/internal/simulation/traffic/default.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Defaults are the options of a fleet of 300 nodes and 240 runners as users run it:
-// long prompts with short answers about many subjects, and short chats.
+// Defaults returns the options of a fleet of 300 nodes and 240 runners as users run it:
+// long prompts with short responses about many subjects, and short chats.
 func Defaults() Options {
 	return Options{
 		Routers: 100, Runners: 240, RequestsPerSecond: 800, Duration: 4 * time.Second,
--- a/internal/simulation/traffic/news.go
+++ b/internal/simulation/traffic/news.go
@@ -1,11 +1,12 @@
-// What routers learn of each other and of the runners, and when.
+// The delayed exchange of data among routers and the reports of runners.
 
 package traffic
 
 import "beechtide.org/beechtide/internal/messages"
 
-// noticePending sends the prefixes that runners are about to cache to the other routers.
-func (f *fleet) noticePending(from int) {
+// publishExpectedPrefixes sends the prefixes that runners are about to cache to the other
+// routers.
+func (f *fleet) publishExpectedPrefixes(from int) {
 	notes := f.routers[from].TakeExpectedPrefixes()
 	if len(notes) == 0 {
 		return
@@ -19,12 +20,12 @@
 	})
 }
 
-// shareLoads sends every router the loads of all the others, added up.
-func (f *fleet) shareLoads() {
+// publishLoads sends every router the sum of the loads of all the others.
+func (f *fleet) publishLoads() {
 	if f.kernel.NowUs() > f.endUs {
 		return
 	}
-	f.kernel.After(f.options.LoadInterval.Microseconds(), f.shareLoads)
+	f.kernel.After(f.options.LoadInterval.Microseconds(), f.publishLoads)
 	sum := map[string]messages.RunnerLoad{}
 	own := make([]map[string]messages.RunnerLoad, len(f.routers))
 	for i, a := range f.routers {
@@ -52,14 +53,14 @@
 	return sum
 }
 
-// shareReports sends every router what the runners report.
-func (f *fleet) shareReports() {
+// publishReports sends the load reports of the runners to every router.
+func (f *fleet) publishReports() {
 	if f.kernel.NowUs() > f.endUs {
 		return
 	}
-	f.kernel.After(reportIntervalUs, f.shareReports)
+	f.kernel.After(reportIntervalUs, f.publishReports)
 	for _, r := range f.runners {
-		note := messages.RunnerReport{ID: r.id, Active: r.active, Queued: len(r.queue), Total: runnerMemoryTokens, Used: r.used}
+		note := messages.RunnerReport{ID: r.id, Active: r.active, Queued: len(r.queue), Total: runnerMemoryTokens, Used: r.usedTokens}
 		f.kernel.After(reportDelayUs, func() {
 			for _, a := range f.routers {
 				a.RecordRunnerReport(note, f.kernel.NowUs())
--- a/internal/simulation/traffic/result.go
+++ b/internal/simulation/traffic/result.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Result is what one play measured.
+// Result holds the measurements of one simulation run.
 type Result struct {
 	Arrivals     []int // requests that were sent to each runner
 	Queued       int   // requests that waited in a router
-	DecidedTwice int   // requests that got two decisions, which must not be
-	TokensRead   int   // prompt tokens that runners read
+	DecidedTwice int   // requests with two decisions; must be 0
+	TokensRead   int   // prompt tokens prefilled by runners
 	Classes      []ClassResult
 	Cut          CutResult
 }
 
-// ClassResult is what became of the requests of one class. A request whose first token
-// does not come before the play ends is in Sent only.
+// ClassResult counts the outcomes of the requests of one class. A request whose first token
+// is not generated before the run ends counts only in Sent, unless it was rejected.
 type ClassResult struct {
 	Name           string
 	Sent, Rejected int
 	InAim          int
-	FirstTokenUs   []int64 // time from arrival
+	FirstTokenUs   []int64 // from arrival to first token
 	Paused         int     // responses with a pause of maxPauseUs between events
 }
 
-// maxPauseUs is the longest pause between two events of a response that is in time, while
-// the runner reads prompts without a gap.
+// maxPauseUs is the longest acceptable time for which a runner prefills prompts without a
+// gap while a response is decoded.
 const maxPauseUs = 600_000
 
-func (c *ClassResult) ended(longestPauseUs int64) {
+func (c *ClassResult) recordEnd(longestPauseUs int64) {
 	if longestPauseUs > maxPauseUs {
 		c.Paused++
 	}
@@ -45,18 +45,17 @@
 	return result
 }
 
-func (c *ClassResult) firstToken(us int64, class Class) {
+func (c *ClassResult) recordFirstToken(us int64, class Class) {
 	c.FirstTokenUs = append(c.FirstTokenUs, us)
 	if us <= class.Aim.Microseconds() {
 		c.InAim++
 	}
 }
 
-// ShareInAim is the share of the requests whose first token came in time.
+// ShareInAim returns the share of the requests whose first token was on time.
 func (c *ClassResult) ShareInAim() float64 { return float64(c.InAim) / float64(max(c.Sent, 1)) }
 
-// Quantile returns the time to the first token that a share q of the requests did not
-// exceed; 0 without any.
+// Quantile returns the quantile q of the time to the first token; 0 without any tokens.
 func (c *ClassResult) Quantile(q float64) time.Duration {
 	if len(c.FirstTokenUs) == 0 {
 		return 0
@@ -65,7 +64,7 @@
 	return time.Duration(sorted[int(q*float64(len(sorted)-1))]) * time.Microsecond
 }
 
-// Imbalance is the number of requests at the busiest runner over the mean.
+// Imbalance returns the number of requests at the busiest runner divided by the mean.
 func (r *Result) Imbalance() float64 {
 	total := 0
 	for _, n := range r.Arrivals {
@@ -77,15 +76,16 @@
 	return float64(slices.Max(r.Arrivals)) * float64(len(r.Arrivals)) / float64(total)
 }
 
-// Figures are the result in a form for machines.
+// Figures is the machine-readable form of a result.
 type Figures struct {
-	Imbalance  float64        `json:"imbalance"` // requests at the busiest runner over the mean
+	Imbalance  float64        `json:"imbalance"` // requests at the busiest runner divided by the mean
 	Queued     int            `json:"queued"`
 	TokensRead int            `json:"tokensRead"`
 	Classes    []ClassFigures `json:"classes"`
 }
 
-// ClassFigures are those of one class. Times are those to the first token.
+// ClassFigures are the figures of one class. P50Ms, P95Ms and P99Ms are quantiles of the
+// time to the first token.
 type ClassFigures struct {
 	Name     string  `json:"name"`
 	Sent     int     `json:"sent"`
@@ -97,28 +97,28 @@
 	P99Ms    float64 `json:"p99Ms"`
 }
 
-// Figures returns the result in a form for machines.
+// Figures returns the machine-readable form of the result.
 func (r *Result) Figures() Figures {
 	f := Figures{Imbalance: r.Imbalance(), Queued: r.Queued, TokensRead: r.TokensRead}
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		f.Classes = append(f.Classes, ClassFigures{
 			Name: c.Name, Sent: c.Sent, InAim: c.InAim, Paused: c.Paused, Rejected: c.Rejected,
-			P50Ms: inMs(c.Quantile(0.5)), P95Ms: inMs(c.Quantile(0.95)), P99Ms: inMs(c.Quantile(0.99)),
+			P50Ms: milliseconds(c.Quantile(0.5)), P95Ms: milliseconds(c.Quantile(0.95)), P99Ms: milliseconds(c.Quantile(0.99)),
 		})
 	}
 	return f
 }
 
-func inMs(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// String is a table of the figures.
+// String returns a table of the figures.
 func (r *Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "busiest runner %.2f of the mean; %d queued; %d tokens read\n", r.Imbalance(), r.Queued, r.TokensRead)
 	for i := range r.Classes {
 		c := &r.Classes[i]
-		fmt.Fprintf(&b, "%-14s %6d sent  %6d in aim (%.3f)  %5d paused  %5d rejected  first token %v p50, %v p95, %v p99\n", c.Name, c.Sent, c.InAim, c.ShareInAim(), c.Paused, c.Rejected, round(c.Quantile(0.5)), round(c.Quantile(0.95)), round(c.Quantile(0.99)))
+		fmt.Fprintf(&b, "%-14s %6d sent  %6d in aim (%.3f)  %5d paused  %5d rejected  first token %v p50, %v p95, %v p99\n", c.Name, c.Sent, c.InAim, c.ShareInAim(), c.Paused, c.Rejected, roundToMs(c.Quantile(0.5)), roundToMs(c.Quantile(0.95)), roundToMs(c.Quantile(0.99)))
 	}
 	if r.Cut.Sent > 0 {
 		fmt.Fprintf(&b, "during the partition %.3f of %d requests in aim, after it %.3f of %d\n", r.Cut.ShareInAim(), r.Cut.Sent, r.Cut.AfterInAimShare(), r.Cut.AfterSent)
@@ -126,4 +126,4 @@
 	return b.String()
 }
 
-func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+func roundToMs(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
--- a/internal/simulation/traffic/runner.go
+++ b/internal/simulation/traffic/runner.go
@@ -2,40 +2,39 @@
 
 import "slices"
 
-// runner is the model of a runner: it reads the prompts that it was sent one after the
-// other, in chunks between the tokens of the up to runnerCapacity requests that it
-// decodes at once. So a token takes decodeTokenUs while it reads nothing, and chunkUs
-// while it does.
+// runner models a runner with chunked prefill. It prefills prompts sequentially, in chunks
+// between the tokens of the up to runnerCapacity requests that it decodes at once. A token
+// takes chunkUs during prefill and decodeTokenUs otherwise.
 type runner struct {
-	id       string
-	rate     float64 // tokens read in a microsecond
-	queue    []*request
-	active   int
-	current  *request        // whose prompt it reads
-	reading  bool            // it reads, or has just ended a prompt and begins the next
-	cached   map[uint64]bool // keys of parts
-	used     int             // tokens of requests that run
-	arrivals int
-
-	decoding      []*stream
-	decodedTokens float64 // by a request that would have decoded since the start
-	updatedUs     int64   // when decodedTokens was brought up to date
-	readingUs     int64   // when the reading began that goes on without a gap
-	generation    int     // counts the changes that make a planned end of a stream void
+	id          string
+	prefillRate float64 // prefilled tokens per microsecond
+	queue       []*request
+	active      int
+	current     *request        // in prefill; nil: none
+	prefilling  bool            // in prefill, also between two prompts without a gap
+	cached      map[uint64]bool // by key of the prompt part
+	usedTokens  int             // prompt tokens of active requests
+	arrivals    int
+
+	decoding         []*stream
+	decodedTokens    float64 // tokens decoded per stream since the start of the run
+	updatedUs        int64   // time of the last update of decodedTokens
+	prefillStartedUs int64   // start of the current prefill without a gap
+	generation       int     // incremented to invalidate the scheduled end of a stream
 }
 
 // stream is a response that is being decoded.
 type stream struct {
-	request   *request
-	endTokens float64 // decodedTokens at its end
-	startedUs int64
-	longestUs int64 // the longest time that the runner read without a gap
+	request        *request
+	endTokens      float64 // decodedTokens at its end
+	startedUs      int64
+	longestPauseUs int64 // longest prefill without a gap during the stream
 }
 
 func newRunner(id string, slow bool) *runner {
-	r := &runner{id: id, rate: runnerRate, cached: map[uint64]bool{}}
+	r := &runner{id: id, prefillRate: prefillTokensPerUs, cached: map[uint64]bool{}}
 	if slow {
-		r.rate /= slowRunnerFactor
+		r.prefillRate /= slowRunnerFactor
 	}
 	return r
 }
@@ -43,32 +42,33 @@
 func (r *runner) enqueue(f *fleet, q *request) {
 	r.arrivals++
 	r.queue = append(r.queue, q)
-	r.readNext(f)
+	r.startPrefill(f)
 }
 
-// readNext begins to read the next prompt, if the runner is free for it.
-func (r *runner) readNext(f *fleet) {
+// startPrefill starts the prefill of the next prompt, unless another one is in prefill or
+// the runner is at capacity.
+func (r *runner) startPrefill(f *fleet) {
 	if r.current != nil || r.active >= runnerCapacity || len(r.queue) == 0 {
 		return
 	}
 	q := r.queue[0]
 	r.queue = r.queue[1:]
 	r.current = q
-	if !r.reading {
-		r.progress(f)
-		r.reading, r.readingUs = true, f.kernel.NowUs()
-		r.planEnd(f)
+	if !r.prefilling {
+		r.updateDecoded(f)
+		r.prefilling, r.prefillStartedUs = true, f.kernel.NowUs()
+		r.scheduleEnd(f)
 	}
 	r.active++
-	r.used += q.TokensIn
+	r.usedTokens += q.TokensIn
 	tokens, transferUs := r.uncached(f, q)
 	f.result.TokensRead += tokens
-	us := transferUs + float64(tokens)/r.rate + attentionUs(tokens, q.TokensIn) + decodeTokenUs
-	f.kernel.After(int64(us), func() { r.finishReading(f, q) })
+	us := transferUs + float64(tokens)/r.prefillRate + attentionUs(tokens, q.TokensIn) + decodeTokenUs
+	f.kernel.After(int64(us), func() { r.finishPrefill(f, q) })
 }
 
-// uncached returns how many tokens of a prompt the runner has to read, and how long the
-// transfer of cached blocks takes that the router asked for.
+// uncached returns the number of prompt tokens that need prefill, and the duration of the
+// transfer of cached blocks that the router requested.
 func (r *runner) uncached(f *fleet, q *request) (tokens int, transferUs float64) {
 	cached := r.cachedTokens(q)
 	if source := f.byAddr[q.admitted.Source]; source != nil {
@@ -80,7 +80,7 @@
 	return q.TokensIn - cached, transferUs
 }
 
-// cachedTokens counts the tokens of a prompt in the cache, from the first part on.
+// cachedTokens returns the length in tokens of the longest cached prefix of a prompt.
 func (r *runner) cachedTokens(q *request) int {
 	tokens := 0
 	for i, key := range q.admitted.Keys {
@@ -92,34 +92,34 @@
 	return tokens
 }
 
-// attentionUs is how much longer the last so many tokens of a prompt take, since each
-// attends to all before it.
-func attentionUs(tokens, of int) float64 {
-	pairs := float64(tokens) * (float64(of) - float64(tokens)/2)
+// attentionUs returns the additional time for the last tokens of a prompt, as each token
+// attends to all tokens before it.
+func attentionUs(tokens, promptTokens int) float64 {
+	pairs := float64(tokens) * (float64(promptTokens) - float64(tokens)/2)
 	return pairs * attentionPairUs
 }
 
-func (r *runner) finishReading(f *fleet, q *request) {
+func (r *runner) finishPrefill(f *fleet, q *request) {
 	r.current = nil
 	f.routers[q.router].RecordFirstToken(q.admitted, f.kernel.NowUs())
-	f.result.Classes[q.class].firstToken(f.kernel.NowUs()-q.arrivedUs, f.options.Classes[q.class])
+	f.result.Classes[q.class].recordFirstToken(f.kernel.NowUs()-q.arrivedUs, f.options.Classes[q.class])
 	if f.kernel.NowUs()-q.arrivedUs <= f.options.Classes[q.class].Aim.Microseconds() {
-		_, inAim := f.phase(q.arrivedUs)
+		_, inAim := f.partitionCounters(q.arrivedUs)
 		*inAim++
 	}
-	r.cache(f, q)
-	r.readNext(f)
-	r.progress(f)
+	r.cachePrompt(f, q)
+	r.startPrefill(f)
+	r.updateDecoded(f)
 	if r.current == nil {
-		r.endReading(f)
+		r.endPrefill(f)
 	}
 	r.decoding = append(r.decoding, &stream{request: q, endTokens: r.decodedTokens + float64(q.TokensOut), startedUs: f.kernel.NowUs()})
-	r.planEnd(f)
+	r.scheduleEnd(f)
 }
 
-// cache has the shared parts of a prompt in the cache from now on; routers learn of that
-// later.
-func (r *runner) cache(f *fleet, q *request) {
+// cachePrompt adds the shared parts of a prompt to the cache, and reports them to the
+// routers after eventDelayUs.
+func (r *runner) cachePrompt(f *fleet, q *request) {
 	for i, key := range q.admitted.Keys[:len(q.admitted.Keys)-1] {
 		r.cached[key] = true
 		tokens := int32(q.Parts[i].Tokens)
@@ -131,36 +131,36 @@
 	}
 }
 
-// endReading notes for all streams how long the runner has read without a gap.
-func (r *runner) endReading(f *fleet) {
+// endPrefill ends a prefill without a gap and records its duration for all streams.
+func (r *runner) endPrefill(f *fleet) {
 	for _, s := range r.decoding {
-		r.notePause(f, s)
+		r.recordPause(f, s)
 	}
-	r.reading = false
+	r.prefilling = false
 }
 
-// notePause notes for one stream how long the runner has read without a gap.
-func (r *runner) notePause(f *fleet, s *stream) {
-	s.longestUs = max(s.longestUs, f.kernel.NowUs()-max(r.readingUs, s.startedUs))
+// recordPause updates the longest prefill without a gap during a stream.
+func (r *runner) recordPause(f *fleet, s *stream) {
+	s.longestPauseUs = max(s.longestPauseUs, f.kernel.NowUs()-max(r.prefillStartedUs, s.startedUs))
 }
 
-// tokenUs is how long a token of each stream takes now.
+// tokenUs returns the current duration of a token of each stream.
 func (r *runner) tokenUs() float64 {
-	if r.reading {
+	if r.prefilling {
 		return chunkUs
 	}
 	return decodeTokenUs
 }
 
-// progress brings decodedTokens up to date.
-func (r *runner) progress(f *fleet) {
+// updateDecoded updates decodedTokens to the current time.
+func (r *runner) updateDecoded(f *fleet) {
 	now := f.kernel.NowUs()
 	r.decodedTokens += float64(now-r.updatedUs) / r.tokenUs()
 	r.updatedUs = now
 }
 
-// planEnd plans the end of the stream that ends first.
-func (r *runner) planEnd(f *fleet) {
+// scheduleEnd schedules the end of the stream that ends first.
+func (r *runner) scheduleEnd(f *fleet) {
 	r.generation++
 	if len(r.decoding) == 0 {
 		return
@@ -180,18 +180,18 @@
 }
 
 func (r *runner) endStream(f *fleet, s *stream) {
-	r.progress(f)
+	r.updateDecoded(f)
 	now := f.kernel.NowUs()
-	if r.reading {
-		r.notePause(f, s)
+	if r.prefilling {
+		r.recordPause(f, s)
 	}
 	r.decoding = slices.DeleteFunc(r.decoding, func(other *stream) bool { return other == s })
 	r.active--
-	r.used -= s.request.TokensIn
-	f.result.Classes[s.request.class].ended(s.longestUs)
+	r.usedTokens -= s.request.TokensIn
+	f.result.Classes[s.request.class].recordEnd(s.longestPauseUs)
 	router := f.routers[s.request.router]
 	router.RecordOutcome(s.request.admitted, true, now)
 	router.Release(s.request.admitted, true, now)
-	r.readNext(f)
-	r.planEnd(f)
+	r.startPrefill(f)
+	r.scheduleEnd(f)
 }
--- a/internal/simulation/traffic/traffic.go
+++ b/internal/simulation/traffic/traffic.go
@@ -1,12 +1,12 @@
 // Package traffic simulates requests from many routers to runners that they share.
 //
-// Every router has an admission.Admitter of its own, the code that runs in the role.
-// It knows its own requests exactly, and what the other routers send only after a
-// delay: the sum of loads every LoadInterval, LoadDelay old, and notices of prefixes
-// that a runner is about to cache, NoticeDelay old. Runners are modelled: they read
-// prompts one after the other, decode several at once, and report their load once a
-// second. The one fault is a partition between a zone and the others (Cut). What differs from a real fleet, and by how much, is not
-// known: the figures serve to compare designs, and sizes of one design.
+// Every router has its own admission.Admitter, the production code of the router role. It
+// has exact data on its own requests, and delayed data on those of the other routers: the
+// sum of their loads every LoadInterval, LoadDelay old, and notices of prefixes that a
+// runner is about to cache, NoticeDelay old. Runners are modelled: they prefill prompts
+// sequentially, decode several requests at once, and report their load once a second. The
+// only fault is a partition between a zone and the others (Cut). The deviation from a real
+// fleet is unknown: use the figures to compare designs, or sizes of one design.
 //
 // Play runs one simulation on one goroutine; the same options and seed give the same
 // result.
@@ -28,8 +28,8 @@
 	"beechtide.org/beechtide/internal/simulation"
 )
 
-// Class is a kind of request. Its prompt has a head that many requests share, a body
-// that the requests for one subject share, and a part of its own.
+// Class is a kind of request. Its prompt has a head shared by many requests, a body shared
+// by the requests for one subject, and a unique part (own).
 type Class struct {
 	Name       string
 	Share      float64 // of all requests
@@ -39,15 +39,16 @@
 	BodyTokens int
 	OwnTokens  int // mean of a log-normal distribution
 	OutTokens  int
-	Aim        time.Duration // latest first token
+	Aim        time.Duration // target of the time to the first token
 	Deadline   time.Duration
 }
 
-// Options are the size of a fleet and what its routers know of each other.
+// Options are the size of a fleet, its requests, and the delays of the data that routers
+// exchange.
 type Options struct {
 	Routers, Runners  int
 	RequestsPerSecond float64
-	Duration          time.Duration // requests arrive for so long
+	Duration          time.Duration // of the arrival of requests
 	LoadInterval      time.Duration
 	LoadDelay         time.Duration
 	NoticeDelay       time.Duration
@@ -78,26 +79,26 @@
 	return nil
 }
 
-// maxSize bounds the routers and the runners of a simulation: its memory grows with their
+// maxSize bounds the number of routers and that of runners, as memory use grows with their
 // product.
 const maxSize = 2000
 
-// Parameters of the modelled runners and of what is known of them.
+// Parameters of the modelled runners and of the data that routers receive about them.
 const (
 	runnerCapacity     = 16      // requests at once
 	runnerMemoryTokens = 232_000 // of the cache
-	runnerRate         = 0.0387  // tokens read in a microsecond
-	slowRunnerEvery    = 3       // one runner of so many is slower
+	prefillTokensPerUs = 0.0387  // prefilled tokens per microsecond
+	slowRunnerEvery    = 3       // one of this many runners is slower
 	slowRunnerFactor   = 1.3
-	decodeTokenUs      = 6_000  // of a token, while nothing is read
-	chunkUs            = 60_000 // of a token and the chunk that is read with it
+	decodeTokenUs      = 6_000  // duration of a token while nothing is prefilled
+	chunkUs            = 60_000 // duration of a token and the chunk that is prefilled with it
 	attentionPairUs    = 0.000737
 	transferStartUs    = 3_000
 	transferTokenUs    = 2.4
 	reportIntervalUs   = 1_000_000
 	reportDelayUs      = 300_000
-	eventDelayUs       = 400_000 // until a cached part is known to the routers
-	queueTickUs        = 8_000   // how often a router looks at its queue
+	eventDelayUs       = 400_000 // until the routers learn of a cached part
+	queueTickUs        = 8_000   // interval at which a router processes its queue
 	settleUs           = 5_000_000
 	service, model     = "service", "model"
 	tenants            = 190
@@ -106,42 +107,42 @@
 
 var zones = []string{"a", "b", "c", "d", "e"}
 
-// fleet is the state of one play.
+// fleet is the state of one simulation run.
 type fleet struct {
-	options Options
-	random  *rand.Rand
-	kernel  *simulation.Kernel
-	endUs   int64 // the last arrival
-	routers []*admission.Admitter
-	runners []*runner
-	byAddr  map[string]*runner
-	slab    inflight.Slab[admission.Decision]
-	queued  map[inflight.Ref]*request
-	counted int64
-	result  Result
+	options      Options
+	random       *rand.Rand
+	kernel       *simulation.Kernel
+	endUs        int64 // of the arrival of requests
+	routers      []*admission.Admitter
+	runners      []*runner
+	byAddr       map[string]*runner
+	slab         inflight.Slab[admission.Decision]
+	queued       map[inflight.Ref]*request
+	requestCount int64
+	result       Result
 }
 
 type request struct {
-	class     int
-	router    int
-	arrivedUs int64
-	decided   bool
-	unsent    int // connections that did not come up
+	class             int
+	router            int
+	arrivedUs         int64
+	decided           bool
+	failedConnections int // failed connections
 	admission.Request
 	admitted *admission.Admission
 }
 
-// Play simulates a fleet.
+// Play simulates a fleet and returns the measured result.
 func Play(options Options, seed uint64) Result {
 	f := &fleet{
 		options: options, kernel: simulation.NewKernel(seed, false), random: rand.New(rand.NewPCG(seed, 0)), endUs: options.Duration.Microseconds(),
 		byAddr: map[string]*runner{}, queued: map[inflight.Ref]*request{}, result: newResult(options),
 	}
 	f.build()
-	f.watchZones()
+	f.startPings()
 	f.kernel.After(0, f.arrive)
-	f.kernel.After(options.LoadInterval.Microseconds(), f.shareLoads)
-	f.kernel.After(reportIntervalUs, f.shareReports)
+	f.kernel.After(options.LoadInterval.Microseconds(), f.publishLoads)
+	f.kernel.After(reportIntervalUs, f.publishReports)
 	f.kernel.RunUntil(f.endUs + settleUs)
 	for _, r := range f.runners {
 		f.result.Arrivals = append(f.result.Arrivals, r.arrivals)
@@ -149,7 +150,7 @@
 	return f.result
 }
 
-// build makes the routers and the runners.
+// build creates the routers and the runners.
 func (f *fleet) build() {
 	var records []messages.RunnerRecord
 	for i := range f.options.Runners {
@@ -167,7 +168,7 @@
 	}
 }
 
-// arrive has one request arrive at a random router, and the next one come.
+// arrive submits one request to a random router and schedules the next arrival.
 func (f *fleet) arrive() {
 	if f.kernel.NowUs() > f.endUs {
 		return
@@ -175,11 +176,11 @@
 	f.kernel.After(int64(f.random.ExpFloat64()*1e6/f.options.RequestsPerSecond), f.arrive)
 	r := f.newRequest()
 	f.result.Classes[r.class].Sent++
-	sent, _ := f.phase(r.arrivedUs)
+	sent, _ := f.partitionCounters(r.arrivedUs)
 	*sent++
 	decision := f.routers[r.router].Submit(r.Request, f.kernel.NowUs())
 	f.decide(r, decision)
-	f.noticePending(r.router)
+	f.publishExpectedPrefixes(r.router)
 }
 
 func (f *fleet) newRequest() *request {
@@ -191,7 +192,7 @@
 	c := f.options.Classes[class]
 	subject := f.random.IntN(c.Subjects)
 	own := f.ownTokens(c)
-	f.counted++
+	f.requestCount++
 	return &request{
 		class: class, router: f.random.IntN(f.options.Routers), arrivedUs: f.kernel.NowUs(),
 		Request: admission.Request{
@@ -202,24 +203,24 @@
 			Parts: []prefixindex.Part{
 				{ID: fmt.Sprintf("%s/head-%d", c.Name, subject%c.Heads), Tokens: c.HeadTokens},
 				{ID: fmt.Sprintf("%s/body-%d", c.Name, subject), Tokens: c.BodyTokens},
-				{ID: fmt.Sprintf("%s/own-%d", c.Name, f.counted), Tokens: own},
+				{ID: fmt.Sprintf("%s/own-%d", c.Name, f.requestCount), Tokens: own},
 			},
 		},
 	}
 }
 
-// ownTokens draws from a log-normal distribution, cut off at maxOwnFactor of its mean.
+// ownTokens draws from a log-normal distribution, bounded by maxOwnFactor times its mean.
 func (f *fleet) ownTokens(c Class) int {
 	factor := math.Exp(f.random.NormFloat64() - 0.5)
 	return max(int(float64(c.OwnTokens)*min(factor, maxOwnFactor)), 1)
 }
 
-// decide carries out a decision of a router.
+// decide executes a decision of a router: it queues, rejects or sends the request.
 func (f *fleet) decide(r *request, decision admission.Decision) {
 	if decision.Queued {
 		f.queued[r.Ref] = r
 		f.result.Queued++
-		f.kernel.After(queueTickUs, func() { f.tick(r) })
+		f.kernel.After(queueTickUs, func() { f.tickQueue(r) })
 		return
 	}
 	if r.decided {
@@ -233,14 +234,14 @@
 	}
 	r.admitted = decision.Admission
 	if f.separated(f.zoneOf(r.router), decision.Admission.Runner.Zone) {
-		f.connect(r)
+		f.failConnection(r)
 		return
 	}
 	f.byAddr[decision.Admission.Runner.Addr].enqueue(f, r)
 }
 
-// tick lets a router look at its queue, while r waits in it.
-func (f *fleet) tick(r *request) {
+// tickQueue processes the queue of a router periodically while r waits in it.
+func (f *fleet) tickQueue(r *request) {
 	if f.queued[r.Ref] == nil {
 		return
 	}
@@ -249,8 +250,8 @@
 		delete(f.queued, decision.Ref)
 		f.decide(decided, decision)
 	}
-	f.noticePending(r.router)
+	f.publishExpectedPrefixes(r.router)
 	if f.queued[r.Ref] != nil {
-		f.kernel.After(queueTickUs, func() { f.tick(r) })
+		f.kernel.After(queueTickUs, func() { f.tickQueue(r) })
 	}
 }
--- a/internal/simulation/traffic/traffic_test.go
+++ b/internal/simulation/traffic/traffic_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// When all routers compare all runners, those that were idle a moment ago get
-// everything until the next news of loads: nearly five times the mean.
-func TestLateLoadsDoNotSendAllRequestsToFewRunners(t *testing.T) {
+// If all routers compared all runners, the runners that were idle in the last load update
+// would get all requests until the next one: nearly five times the mean.
+func TestDelayedLoadsKeepRunnersBalanced(t *testing.T) {
 	for _, delay := range []time.Duration{30 * time.Millisecond, 250 * time.Millisecond, time.Second} {
 		options := Defaults()
 		options.LoadDelay = delay
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestSmallFleetServesInAim(t *testing.T) {
+func TestSmallFleetMeetsFirstTokenTarget(t *testing.T) {
 	options := Defaults()
 	options.Routers, options.Runners, options.RequestsPerSecond = 23, 15, 42
 	options.Duration, options.LoadDelay = 10*time.Second, 120*time.Millisecond
