--- a/internal/simulation/traffic/traffic.go
+++ b/internal/simulation/traffic/traffic.go
@@ -8,8 +8,8 @@
 // only fault is a partition between a zone and the others (Cut). The deviation from a real
 // fleet is unknown: use the figures to compare designs, or sizes of one design.
 //
-// Play runs one simulation on one goroutine; the same options and seed give the same
-// result.
+// A simulation runs on one goroutine; the same options and seed give the same result. The
+// command traffic and the tests of this package run it.
 package traffic
 
 import (
