--- a/cmd/beechtide/role.go
+++ b/cmd/beechtide/role.go
@@ -40,7 +40,7 @@
 type role interface {
 	Run(ctx context.Context) error
 	Reload(set settings.Settings)
-	OnRing(show func() ([]byte, error))
+	ServeLogRing(show func() ([]byte, error))
 }
 
 // runRole runs a role until SIGTERM or SIGINT.
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	r.OnRing(func() ([]byte, error) { return ringText(ring), nil })
+	r.ServeLogRing(func() ([]byte, error) { return ringText(ring), nil })
 	log.Info("up", "node", set.Node, "bootstrap", set.Bootstrap)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
