--- a/cmd/beechtide/standin.go
+++ b/cmd/beechtide/standin.go
@@ -29,11 +29,11 @@
 	flags.IntVar(&config.CacheTokens, "cache-tokens", 100000, "tokens of prompts that are kept")
 	flags.StringVar(&config.Model, "model", "standin", "model that is loaded")
 	flags.Int64Var(&config.WeightsVersion, "weights", 1, "version of its weights")
-	flags.DurationVar(&config.HeartbeatEvery, "heartbeat", time.Second, "time between heartbeats")
+	flags.DurationVar(&config.HeartbeatInterval, "heartbeat", time.Second, "time between heartbeats")
 	flags.DurationVar(&config.PrefillTime, "prefill", 20*time.Millisecond, "time to the first token")
 	flags.DurationVar(&config.TokenTime, "token", 10*time.Millisecond, "time between two tokens")
 	flags.DurationVar(&config.WorkTime, "work", 10*time.Millisecond, "time of a request that isn't a generation")
-	flags.DurationVar(&config.OrderTime, "load", 500*time.Millisecond, "time to load other weights")
+	flags.DurationVar(&config.WeightsLoadTime, "load", 500*time.Millisecond, "time to load other weights")
 	flags.DurationVar(&config.DrainTime, "drain", 2*time.Second, "how long it serves on after its draining is acknowledged")
 	flags.Usage = func() {
 		fmt.Fprint(flags.Output(), "usage: beechtide standin -service NAME [flags]\n\nRuns a stand-in for a model runner until SIGTERM, on which it drains, leaves and ends.\n")
--- a/cmd/beechtide/traffic.go
+++ b/cmd/beechtide/traffic.go
@@ -41,7 +41,7 @@
 	if err := options.Validate(); err != nil {
 		return usageError(flags, err.Error())
 	}
-	result := traffic.Play(options, *seed)
+	result := traffic.Run(options, *seed)
 	if !*asJSON {
 		fmt.Print(result.String())
 		return statusOK
--- a/internal/consensus/cluster_faults_test.go
+++ b/internal/consensus/cluster_faults_test.go
@@ -63,7 +63,7 @@
 		return
 	}
 	node := c.nodes[c.rnd.IntN(len(c.nodes))]
-	c.hist.Note("%s loses its disk", node.addr)
+	c.hist.Logf("%s loses its disk", node.addr)
 	c.crash(node)
 	c.wipe(node)
 	node.up = true
@@ -113,7 +113,7 @@
 // validation, strict or lax.
 func (c *cluster) upgrade() {
 	c.strictValidation = !c.strictValidation
-	c.hist.Note("all nodes restart, strict validation: %v", c.strictValidation)
+	c.hist.Logf("all nodes restart, strict validation: %v", c.strictValidation)
 	for _, node := range c.nodes {
 		c.crash(node)
 		node.up = true
--- a/internal/consensus/cluster_operators_test.go
+++ b/internal/consensus/cluster_operators_test.go
@@ -106,7 +106,7 @@
 		c.read(i, node, weightsRegister)
 	case k < 4:
 		n := int64(1 + c.rnd.IntN(20))
-		call := history.Call{Kind: history.NameWeights, Model: "m", Version: n}
+		call := history.Call{Kind: history.SetWeights, Model: "m", Version: n}
 		c.startChange(&operation{id: c.hist.Begin(i, call), client: i, node: node, register: weightsRegister}, setWeights(n))
 	default:
 		if !operator.hasSubmission {
@@ -135,9 +135,9 @@
 func (c *cluster) submit(i int, node *clusterNode, requested submission) {
 	call := history.Call{Kind: history.Replace, Digest: requested.digest, Version: requested.version, Base: requested.base, Disputed: requested.disputed}
 	id := c.hist.Begin(i, call)
-	c.hist.Note("call %d is at %s", id, node.addr)
+	c.hist.Logf("call %d is at %s", id, node.addr)
 	if requested.toRouteConfig(c.strictValidation).AcceptedIn(bodyOf(node.learned[ConfigRegister])) {
-		c.answer(&operation{id: id, client: i}, history.Answer{Verdict: history.Taken})
+		c.answer(&operation{id: id, client: i}, history.Response{Verdict: history.Accepted})
 		return
 	}
 	c.startChange(&operation{id: id, client: i, node: node, register: ConfigRegister}, c.changeFor(requested))
@@ -155,24 +155,24 @@
 }
 
 // answer completes an operation; the answer to the operator may be lost.
-func (c *cluster) answer(op *operation, a history.Answer) {
+func (c *cluster) answer(op *operation, a history.Response) {
 	c.removeOperation(op)
 	if op.id < 0 {
 		return
 	}
 	if c.faultOneIn(6) {
-		c.hist.Note("call %d: %s, lost", op.id, a)
+		c.hist.Logf("call %d: %s, lost", op.id, a)
 		return
 	}
 	c.hist.End(op.id, a)
-	if op.read == nil && a.Verdict == history.Taken {
+	if op.read == nil && a.Verdict == history.Accepted {
 		c.committedSubmissions++
 	}
 	c.clients[op.client].receive(a, op)
 }
 
 // receive updates the client with an answer.
-func (c *client) receive(a history.Answer, op *operation) {
+func (c *client) receive(a history.Response, op *operation) {
 	if op.register != ConfigRegister || a.Verdict == history.Unclear {
 		return
 	}
@@ -180,7 +180,7 @@
 		c.knownVersion = a.Version
 		return
 	}
-	if a.Verdict == history.Taken {
+	if a.Verdict == history.Accepted {
 		c.knownVersion = max(c.knownVersion, c.submission.version)
 	}
 	c.hasSubmission = false
@@ -194,22 +194,22 @@
 	case op.read != nil: // the round that a read ran to finish an accepted value
 		c.startRead(op)
 	case err == nil, errors.Is(err, routeconfig.ErrAlreadyAccepted), errors.Is(err, errNotHigher):
-		c.answer(op, history.Answer{Verdict: history.Taken})
+		c.answer(op, history.Response{Verdict: history.Accepted})
 	case errors.Is(err, routeconfig.ErrVersionConflict):
-		c.answer(op, history.Answer{Verdict: history.Overtaken})
+		c.answer(op, history.Response{Verdict: history.Superseded})
 	case errors.As(err, &invalid):
-		c.answer(op, history.Answer{Verdict: history.Invalid})
+		c.answer(op, history.Response{Verdict: history.Invalid})
 	default:
-		c.answer(op, history.Answer{})
+		c.answer(op, history.Response{})
 	}
 }
 
 // answerRead completes a read with its base.
 func (c *cluster) answerRead(op *operation) {
 	if op.register == weightsRegister {
-		c.answer(op, history.Answer{Verdict: history.Taken, Version: weightsOf(op.read.Base)})
+		c.answer(op, history.Response{Verdict: history.Accepted, Version: weightsOf(op.read.Base)})
 		return
 	}
 	body := bodyOf(op.read.Base)
-	c.answer(op, history.Answer{Verdict: history.Taken, Version: body.Version, Digest: string(body.Raw)})
+	c.answer(op, history.Response{Verdict: history.Accepted, Version: body.Version, Digest: string(body.Raw)})
 }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -243,7 +243,7 @@
 		c.newest[op.register] = v
 	}
 	op.node.learn(op.register, v)
-	c.hist.Note("register %d version %d chosen at %s: %s", op.register, v.Version, op.node.addr, v.Stamp)
+	c.hist.Logf("register %d version %d chosen at %s: %s", op.register, v.Version, op.node.addr, v.Stamp)
 	for _, m := range unionOf(op.round.Base.Group, v.Group) {
 		request := messages.ConsensusRequest{Part: op.register, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
 		c.inFlight = append(c.inFlight, envelope{op: op, request: Request{To: m, Body: request}})
@@ -260,7 +260,7 @@
 	op := c.operations[c.rnd.IntN(len(c.operations))]
 	switch {
 	case c.faultOneIn(3):
-		c.hist.Note("call %d: no answer", op.id)
+		c.hist.Logf("call %d: no answer", op.id)
 		c.removeOperation(op)
 	case op.round != nil && op.round.SealPending():
 		c.send(op, op.round.Seal())
--- a/internal/consensus/disk_model_test.go
+++ b/internal/consensus/disk_model_test.go
@@ -128,7 +128,7 @@
 	if files, _ := d.store.recordFiles(d.rnd.IntN(RegisterCount)); len(files) > 0 && d.rnd.IntN(4) > 0 {
 		name = files[0].name
 	}
-	d.identityMayChange = d.disk.Damage(name) || d.identityMayChange
+	d.identityMayChange = d.disk.CorruptByte(name) || d.identityMayChange
 	d.disk.SetFull(false)
 	uninterrupted := d.rnd.IntN(2) == 0
 	if !uninterrupted { // ResetIdentity may be interrupted; a file name that was never synced may be lost, and the damaged file with it
--- a/internal/consensus/linearizability_test.go
+++ b/internal/consensus/linearizability_test.go
@@ -35,7 +35,7 @@
 			c.timeOut()
 		case k < 20:
 			if node := c.randomNode(); node != nil {
-				c.hist.Note("%s crashes", node.addr)
+				c.hist.Logf("%s crashes", node.addr)
 				c.crash(node)
 			}
 		case k < 26:
--- a/internal/consensus/storage_growth_test.go
+++ b/internal/consensus/storage_growth_test.go
@@ -53,7 +53,7 @@
 	}
 	maxDiskBytes := 0
 	for _, s := range seeds {
-		maxDiskBytes = max(maxDiskBytes, disks[s].Bytes())
+		maxDiskBytes = max(maxDiskBytes, disks[s].TotalBytes())
 	}
 	t.Logf("accept request: %d bytes at change 10, %d at 1000, %d at 2000, %d at %d; largest disk %d bytes", acceptSizes[9], acceptSizes[999], acceptSizes[1999], acceptSizes[changes-1], changes, maxDiskBytes)
 	must.Between(t, 25*990, acceptSizes[999]-acceptSizes[9], 28*990)
--- a/internal/load/response.go
+++ b/internal/load/response.go
@@ -27,7 +27,7 @@
 	if response.StatusCode/100 != 2 || record.Fault != "" {
 		return nil
 	}
-	if want := standin.AnswerBody(record.Attempt, record.Seal, record.Checksum); string(raw) != want {
+	if want := standin.ResponseBody(record.Attempt, record.Seal, record.Checksum); string(raw) != want {
 		record.Fault = fmt.Sprintf("body %q in place of %q", raw, want)
 	}
 	return nil
--- a/internal/simulation/disk/disk.go
+++ b/internal/simulation/disk/disk.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Lose replaces the disk by an empty one and starts a new process.
-func (d *Disk) Lose() {
+// Erase replaces the disk by an empty one and starts a new process.
+func (d *Disk) Erase() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.names, d.durable = map[string]*content{}, map[string]*content{}
@@ -139,9 +139,9 @@
 	d.incarnation++
 }
 
-// Damage changes one random byte of a file, durable or not. It returns false if the file
+// CorruptByte changes one random byte of a file, durable or not. It returns false if the file
 // is missing or empty.
-func (d *Disk) Damage(name string) bool {
+func (d *Disk) CorruptByte(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.names[name]
@@ -153,8 +153,8 @@
 	return true
 }
 
-// Bytes returns the total size of all files.
-func (d *Disk) Bytes() int {
+// TotalBytes returns the total size of all files.
+func (d *Disk) TotalBytes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
@@ -164,8 +164,8 @@
 	return n
 }
 
-// Written returns the number of bytes written since New.
-func (d *Disk) Written() int64 {
+// BytesWritten returns the number of bytes written since New.
+func (d *Disk) BytesWritten() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bytesWritten
--- a/internal/simulation/disk/disk_test.go
+++ b/internal/simulation/disk/disk_test.go
@@ -82,7 +82,7 @@
 	b, err := d.Read("a")
 	must.NoError(t, err, must.Sprint("the end of the process must not lose files"))
 	must.Eq(t, "x", string(b))
-	d.Lose()
+	d.Erase()
 	_, err = d.Read("a")
 	must.ErrorIs(t, err, fs.ErrNotExist)
 }
--- a/internal/simulation/history/check.go
+++ b/internal/simulation/history/check.go
@@ -11,7 +11,7 @@
 // Errors returned by Check.
 var (
 	ErrNotLinearizable = errors.New("history: no order of the calls explains the answers")
-	ErrRefusedTaken    = errors.New("history: a configuration that was refused for good is in force or acknowledged")
+	ErrRefusedAccepted = errors.New("history: a configuration that was refused for good is in force or acknowledged")
 	ErrUndecided       = errors.New("history: not decided in time")
 )
 
@@ -38,13 +38,13 @@
 	var out []porcupine.Operation
 	unclear := map[Call]bool{}
 	for _, e := range h.entries {
-		if e.answer.Verdict == Unclear {
+		if e.response.Verdict == Unclear {
 			if e.call.reads() || unclear[e.call] {
 				continue
 			}
 			unclear[e.call] = true
 		}
-		out = append(out, porcupine.Operation{ClientId: e.client, Input: e.call, Call: e.began, Output: e.answer, Return: e.ended})
+		out = append(out, porcupine.Operation{ClientId: e.client, Input: e.call, Call: e.began, Output: e.response, Return: e.ended})
 	}
 	return out
 }
@@ -63,7 +63,7 @@
 	accepted := h.acceptedOrders(orders)
 	for o := range orders {
 		if orders[o].refused && accepted[o] {
-			return errors.Wrapf(ErrRefusedTaken, "%s on %d", o.digest, o.base)
+			return errors.Wrapf(ErrRefusedAccepted, "%s on %d", o.digest, o.base)
 		}
 	}
 	return nil
@@ -81,10 +81,10 @@
 		}
 		o := order{e.call.Digest, e.call.Base}
 		v := out[o]
-		switch e.answer.Verdict {
-		case Taken:
+		switch e.response.Verdict {
+		case Accepted:
 			v.accepted = true
-		case Overtaken, Invalid:
+		case Superseded, Invalid:
 			v.refused = true
 		}
 		out[o] = v
@@ -105,10 +105,10 @@
 		}
 	}
 	for _, e := range h.entries {
-		if e.call.Kind != Read || e.answer.Verdict != Taken {
+		if e.call.Kind != Read || e.response.Verdict != Accepted {
 			continue
 		}
-		if sent := byDigest[e.answer.Digest]; len(sent) == 1 {
+		if sent := byDigest[e.response.Digest]; len(sent) == 1 {
 			out[sent[0]] = true
 		}
 	}
@@ -134,9 +134,9 @@
 		Partition: partition,
 		Init:      func() any { return register{} },
 		Step: func(state, input, output any) (bool, any) {
-			return step(state.(register), input.(Call), output.(Answer))
+			return step(state.(register), input.(Call), output.(Response))
 		},
-		DescribeOperation: func(input, output any) string { return input.(Call).String() + " -> " + output.(Answer).String() },
+		DescribeOperation: func(input, output any) string { return input.(Call).String() + " -> " + output.(Response).String() },
 	}
 }
 
@@ -159,13 +159,13 @@
 	}
 	var out [][]porcupine.Operation
 	for _, name := range names {
-		end := porcupine.Operation{Input: Call{Kind: endOfHistory, Model: name}, Output: Answer{}, Call: neverEnded - 1, Return: neverEnded - 1}
+		end := porcupine.Operation{Input: Call{Kind: endOfHistory, Model: name}, Output: Response{}, Call: neverEnded - 1, Return: neverEnded - 1}
 		out = append(out, append(by[name], end))
 	}
 	return out
 }
 
-func step(r register, c Call, a Answer) (bool, any) {
+func step(r register, c Call, a Response) (bool, any) {
 	if r.ended {
 		return a.Verdict == Unclear, r
 	}
@@ -177,7 +177,7 @@
 		return a.Version == r.version && a.Digest == r.digest, r
 	case ReadWeights:
 		return a.Version == r.version, r
-	case NameWeights:
+	case SetWeights:
 		increases := c.Version > r.version
 		r.version = max(r.version, c.Version)
 		return increases || a.Verdict != Unclear, r
@@ -192,12 +192,12 @@
 	switch v {
 	case Unclear:
 		return accepts, r.accept(c)
-	case Taken:
+	case Accepted:
 		if accepted {
 			return true, r
 		}
 		return accepts, r.accept(c)
-	case Overtaken:
+	case Superseded:
 		return !accepted && c.Base != r.version, r
 	default:
 		return !accepted && (c.Faulty || c.Disputed || c.Base == r.version && c.Version <= r.version), r
--- a/internal/simulation/history/history.go
+++ b/internal/simulation/history/history.go
@@ -23,7 +23,7 @@
 const (
 	Replace     Kind = iota // replace the configuration
 	Read                    // read the newest configuration
-	NameWeights             // set the newest weights version of a model
+	SetWeights              // set the newest weights version of a model
 	ReadWeights             // read the newest weights version of a model
 )
 
@@ -33,10 +33,10 @@
 // Verdicts. Unclear stands for 503, a timeout or a lost response: the call may have taken
 // effect, may take effect later, or never.
 const (
-	Unclear   Verdict = iota
-	Taken             // 200
-	Overtaken         // 412
-	Invalid           // 400
+	Unclear    Verdict = iota
+	Accepted           // 200
+	Superseded         // 412
+	Invalid            // 400
 )
 
 func (v Verdict) String() string {
@@ -62,7 +62,7 @@
 		return fmt.Sprintf("Replace %s version %d on %d", c.Digest, c.Version, c.Base)
 	case Read:
 		return "Read"
-	case NameWeights:
+	case SetWeights:
 		return fmt.Sprintf("NameWeights %s %d", c.Model, c.Version)
 	default:
 		return "ReadWeights " + c.Model
@@ -71,15 +71,15 @@
 
 func (c Call) reads() bool { return c.Kind == Read || c.Kind == ReadWeights }
 
-// Answer is the result of a call. Digest and Version are set for reads; version 0 is that
+// Response is the result of a call. Digest and Version are set for reads; version 0 is that
 // of an empty register.
-type Answer struct {
+type Response struct {
 	Verdict Verdict
 	Digest  string
 	Version int64
 }
 
-func (a Answer) String() string {
+func (a Response) String() string {
 	if a.Version == 0 && a.Digest == "" {
 		return a.Verdict.String()
 	}
@@ -90,7 +90,7 @@
 type entry struct {
 	client       int
 	call         Call
-	answer       Answer
+	response     Response
 	began, ended int64
 }
 
@@ -111,22 +111,22 @@
 	h.now++
 	h.entries = append(h.entries, entry{client: client, call: call, began: h.now, ended: neverEnded})
 	id := len(h.entries) - 1
-	h.Note("call %d by client %d: %s", id, client, call)
+	h.Logf("call %d by client %d: %s", id, client, call)
 	return id
 }
 
 // End records the result of a call. A call without End is unclear.
-func (h *History) End(id int, answer Answer) {
+func (h *History) End(id int, response Response) {
 	h.now++
-	h.Note("call %d: %s", id, answer)
-	if answer.Verdict == Unclear {
+	h.Logf("call %d: %s", id, response)
+	if response.Verdict == Unclear {
 		return
 	}
-	h.entries[id].answer, h.entries[id].ended = answer, h.now
+	h.entries[id].response, h.entries[id].ended = response, h.now
 }
 
-// Note adds a line to the printed history, such as a fault or a step of a node.
-func (h *History) Note(format string, args ...any) {
+// Logf adds a line to the printed history, such as a fault or a step of a node.
+func (h *History) Logf(format string, args ...any) {
 	h.lines = append(h.lines, fmt.Sprintf("%5d  ", h.now)+fmt.Sprintf(format, args...))
 }
 
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -57,7 +57,7 @@
 	case draw < 70:
 		call.Kind = history.Read
 	case draw < 90:
-		call = history.Call{Kind: history.NameWeights, Model: model, Version: k.Between(1, 40)}
+		call = history.Call{Kind: history.SetWeights, Model: model, Version: k.Between(1, 40)}
 	default:
 		call = history.Call{Kind: history.ReadWeights, Model: model}
 	}
@@ -76,12 +76,12 @@
 		}
 		over = true
 		if try == mostTries || o.cluster.healed {
-			o.end(call, history.Answer{})
+			o.end(call, history.Response{})
 			return
 		}
 		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.try(call, try+1) })
 	}
-	answer := func(a history.Answer) {
+	answer := func(a history.Response) {
 		switch {
 		case over:
 		case a.Verdict == history.Unclear:
@@ -95,7 +95,7 @@
 	k.After(callerWaitUs, again)
 }
 
-func (o *operator) end(call order, answer history.Answer) {
+func (o *operator) end(call order, answer history.Response) {
 	k := o.cluster.kernel
 	o.cluster.history.End(call.id, answer)
 	k.Note("%s: %s: %s", o.name, call.call, answer)
@@ -103,7 +103,7 @@
 	switch {
 	case answer.Verdict == history.Unclear:
 		counts.Unclear++
-	case answer.Verdict != history.Taken:
+	case answer.Verdict != history.Accepted:
 		counts.Refused++
 	case call.call.Kind == history.Replace:
 		counts.Taken++
@@ -113,7 +113,7 @@
 		counts.Read++
 		o.version = answer.Version
 	}
-	if answer.Verdict == history.Overtaken && k.Chance(700) {
+	if answer.Verdict == history.Superseded && k.Chance(700) {
 		o.version = max(o.version, o.cluster.anyVersion())
 	}
 	k.After(k.Between(20*Millisecond, 900*Millisecond), o.next)
@@ -123,10 +123,10 @@
 func (c *Cluster) anyVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
 
 // ask carries a call to a controller and its answer back, or neither.
-func (c *Cluster) ask(from string, node *Controller, call history.Call, answer func(history.Answer)) {
+func (c *Cluster) ask(from string, node *Controller, call history.Call, answer func(history.Response)) {
 	c.network.Send(from, node.addr, func() {
 		node.process.Deliver(func() {
-			node.serveInContact(call, func(a history.Answer) {
+			node.serveInContact(call, func(a history.Response) {
 				c.network.Send(node.addr, from, func() { answer(a) })
 			})
 		})
@@ -134,54 +134,54 @@
 }
 
 // serve carries a call out, as the handlers of the control address do.
-func (c *Controller) serve(call history.Call, answer func(history.Answer)) {
+func (c *Controller) serve(call history.Call, answer func(history.Response)) {
 	switch call.Kind {
 	case history.Replace:
 		c.serveReplace(call, answer)
-	case history.NameWeights:
+	case history.SetWeights:
 		name := func(cur messages.Value) ([]messages.Member, []byte, error) { return nameWeights(cur, call.Version) }
 		c.change(dutyPart, operatorWaitUs, name, func(_ messages.Value, err error) {
 			if err != nil && !errors.Is(err, errNoChange) {
-				answer(history.Answer{})
+				answer(history.Response{})
 				return
 			}
-			answer(history.Answer{Verdict: history.Taken})
+			answer(history.Response{Verdict: history.Accepted})
 		})
 	case history.Read:
-		c.serveRead(configPart, answer, func(v messages.Value) history.Answer {
+		c.serveRead(configPart, answer, func(v messages.Value) history.Response {
 			body := configOf(v)
-			return history.Answer{Verdict: history.Taken, Version: body.Version, Digest: string(body.Raw)}
+			return history.Response{Verdict: history.Accepted, Version: body.Version, Digest: string(body.Raw)}
 		})
 	case history.ReadWeights:
-		c.serveRead(dutyPart, answer, func(v messages.Value) history.Answer {
-			return history.Answer{Verdict: history.Taken, Version: weightsOf(dutyOf(v))}
+		c.serveRead(dutyPart, answer, func(v messages.Value) history.Response {
+			return history.Response{Verdict: history.Accepted, Version: weightsOf(dutyOf(v))}
 		})
 	}
 }
 
-func (c *Controller) serveRead(part int, answer func(history.Answer), tell func(messages.Value) history.Answer) {
+func (c *Controller) serveRead(part int, answer func(history.Response), tell func(messages.Value) history.Response) {
 	begunUs := c.process.NowUs()
 	c.read(part, operatorWaitUs, func(v messages.Value, err error) {
 		c.vouch(part, begunUs, err)
 		if err != nil {
-			answer(history.Answer{})
+			answer(history.Response{})
 			return
 		}
 		answer(tell(v))
 	})
 }
 
-func (c *Controller) serveReplace(call history.Call, answer func(history.Answer)) {
+func (c *Controller) serveReplace(call history.Call, answer func(history.Response)) {
 	wanted := submissionOf(call)
 	if cur, known := c.committed(configPart); known {
 		taken := wanted.AcceptedIn(configOf(cur))
 		switch {
 		case taken && !c.cluster.defects.ForgetTaken:
-			answer(history.Answer{Verdict: history.Taken})
+			answer(history.Response{Verdict: history.Accepted})
 			return
 		case !taken && configOf(cur).Version != call.Base && c.cluster.defects.DenyWithoutRound:
 			// A lower version than the base is refused too: this node may be behind.
-			answer(history.Answer{Verdict: history.Overtaken})
+			answer(history.Response{Verdict: history.Superseded})
 			return
 		}
 	}
@@ -191,7 +191,7 @@
 		if !errors.Is(err, consensus.ErrOutcomeUnknown) && !errors.Is(err, consensus.ErrNoGroup) {
 			c.vouch(configPart, begunUs, nil)
 		}
-		answer(history.Answer{Verdict: verdictOf(err)})
+		answer(history.Response{Verdict: verdictOf(err)})
 	})
 }
 
@@ -224,9 +224,9 @@
 	var invalid *routeconfig.InvalidError
 	switch {
 	case err == nil, errors.Is(err, routeconfig.ErrAlreadyAccepted):
-		return history.Taken
+		return history.Accepted
 	case errors.Is(err, routeconfig.ErrVersionConflict):
-		return history.Overtaken
+		return history.Superseded
 	case errors.As(err, &invalid):
 		return history.Invalid
 	}
--- a/internal/simulation/tallies.go
+++ b/internal/simulation/tallies.go
@@ -336,7 +336,7 @@
 		case slices.Contains(lost, r):
 			h.kernel.Note("%s loses its disk", r.addr)
 			r.process.Stop()
-			r.disk.Lose()
+			r.disk.Erase()
 			h.checks.lostDisk(r)
 			h.trouble(min(forUs, 3*Second)+tallyCatchUpUs, func() {})
 			h.later(min(forUs, 3*Second), r.bootIfDown)
--- a/internal/simulation/traffic/cut.go
+++ b/internal/simulation/traffic/cut.go
@@ -101,30 +101,30 @@
 // CutResult counts the requests that arrived during the partition, from detectionUs after its
 // start, and those (After) that arrived in the 3 s that began 3 s after its end.
 type CutResult struct {
-	Sent, InAim           int
-	AfterSent, AfterInAim int
+	Sent, OnTime           int
+	AfterSent, AfterOnTime int
 }
 
 // partitionCounters returns the counters for a request with this arrival time.
-func (f *fleet) partitionCounters(arrivedUs int64) (sent, inAim *int) {
+func (f *fleet) partitionCounters(arrivedUs int64) (sent, onTime *int) {
 	c := f.options.Cut
 	fromUs, toUs := c.From.Microseconds(), (c.From + c.For).Microseconds()
 	const restUs, countedUs = 3_000_000, 3_000_000
 	switch {
 	case c.Zone == "":
 	case arrivedUs >= fromUs+detectionUs && arrivedUs < toUs:
-		return &f.result.Cut.Sent, &f.result.Cut.InAim
+		return &f.result.Cut.Sent, &f.result.Cut.OnTime
 	case arrivedUs >= toUs+restUs && arrivedUs < toUs+restUs+countedUs:
-		return &f.result.Cut.AfterSent, &f.result.Cut.AfterInAim
+		return &f.result.Cut.AfterSent, &f.result.Cut.AfterOnTime
 	}
 	return new(int), new(int)
 }
 
-// ShareInAim returns the share of the requests that arrived during the partition whose first
+// OnTimeShare returns the share of the requests that arrived during the partition whose first
 // token was on time.
-func (c *CutResult) ShareInAim() float64 { return float64(c.InAim) / float64(max(c.Sent, 1)) }
+func (c *CutResult) OnTimeShare() float64 { return float64(c.OnTime) / float64(max(c.Sent, 1)) }
 
-// AfterInAimShare returns the same share for the requests that arrived after the partition.
-func (c *CutResult) AfterInAimShare() float64 {
-	return float64(c.AfterInAim) / float64(max(c.AfterSent, 1))
+// AfterOnTimeShare returns the same share for the requests that arrived after the partition.
+func (c *CutResult) AfterOnTimeShare() float64 {
+	return float64(c.AfterOnTime) / float64(max(c.AfterSent, 1))
 }
--- a/internal/simulation/traffic/cut_test.go
+++ b/internal/simulation/traffic/cut_test.go
@@ -18,11 +18,11 @@
 }
 
 func TestPartitionKeepsFirstTokensOnTimeWithPings(t *testing.T) {
-	aware, unaware := Play(cutFleet(false), 1), Play(cutFleet(true), 1)
+	aware, unaware := Run(cutFleet(false), 1), Run(cutFleet(true), 1)
 	t.Logf("routers that ping:\n%v\nthat do not:\n%v", &aware, &unaware)
-	must.Greater(t, 0.95, aware.Cut.ShareInAim())
-	must.Greater(t, 0.95, aware.Cut.AfterInAimShare())
-	must.Less(t, aware.Cut.ShareInAim()-0.05, unaware.Cut.ShareInAim(), must.Sprint("without pings fewer requests must be on time"))
+	must.Greater(t, 0.95, aware.Cut.OnTimeShare())
+	must.Greater(t, 0.95, aware.Cut.AfterOnTimeShare())
+	must.Less(t, aware.Cut.OnTimeShare()-0.05, unaware.Cut.OnTimeShare(), must.Sprint("without pings fewer requests must be on time"))
 	must.Zero(t, aware.DecidedTwice)
 }
 
--- a/internal/simulation/traffic/runner.go
+++ b/internal/simulation/traffic/runner.go
@@ -62,7 +62,7 @@
 	r.active++
 	r.usedTokens += q.TokensIn
 	tokens, transferUs := r.uncached(f, q)
-	f.result.TokensRead += tokens
+	f.result.PrefilledTokens += tokens
 	us := transferUs + float64(tokens)/r.prefillRate + attentionUs(tokens, q.TokensIn) + decodeTokenUs
 	f.kernel.After(int64(us), func() { r.finishPrefill(f, q) })
 }
@@ -103,9 +103,9 @@
 	r.current = nil
 	f.routers[q.router].RecordFirstToken(q.admitted, f.kernel.NowUs())
 	f.result.Classes[q.class].recordFirstToken(f.kernel.NowUs()-q.arrivedUs, f.options.Classes[q.class])
-	if f.kernel.NowUs()-q.arrivedUs <= f.options.Classes[q.class].Aim.Microseconds() {
-		_, inAim := f.partitionCounters(q.arrivedUs)
-		*inAim++
+	if f.kernel.NowUs()-q.arrivedUs <= f.options.Classes[q.class].FirstTokenTarget.Microseconds() {
+		_, onTime := f.partitionCounters(q.arrivedUs)
+		*onTime++
 	}
 	r.cachePrompt(f, q)
 	r.startPrefill(f)
--- a/internal/simulation/traffic/traffic.go
+++ b/internal/simulation/traffic/traffic.go
@@ -31,16 +31,16 @@
 // Class is a kind of request. Its prompt has a head shared by many requests, a body shared
 // by the requests for one subject, and a unique part (own).
 type Class struct {
-	Name       string
-	Share      float64 // of all requests
-	Heads      int     // different heads
-	Subjects   int     // different bodies
-	HeadTokens int
-	BodyTokens int
-	OwnTokens  int // mean of a log-normal distribution
-	OutTokens  int
-	Aim        time.Duration // target of the time to the first token
-	Deadline   time.Duration
+	Name             string
+	Share            float64 // of all requests
+	Heads            int     // different heads
+	Subjects         int     // different bodies
+	HeadTokens       int
+	BodyTokens       int
+	OwnTokens        int // mean of a log-normal distribution
+	OutTokens        int
+	FirstTokenTarget time.Duration // target of the time to the first token
+	Deadline         time.Duration
 }
 
 // Options are the size of a fleet, its requests, and the delays of the data that routers
@@ -132,8 +132,8 @@
 	admitted *admission.Admission
 }
 
-// Play simulates a fleet and returns the measured result.
-func Play(options Options, seed uint64) Result {
+// Run simulates a fleet and returns the measured result.
+func Run(options Options, seed uint64) Result {
 	f := &fleet{
 		options: options, kernel: simulation.NewKernel(seed, false), random: rand.New(rand.NewPCG(seed, 0)), endUs: options.Duration.Microseconds(),
 		byAddr: map[string]*runner{}, queued: map[inflight.Ref]*request{}, result: newResult(options),
@@ -199,7 +199,7 @@
 			Ref: f.slab.Store(func(admission.Decision) {}), Service: service, Model: model,
 			Tenant:   fmt.Sprint("tenant-", f.random.IntN(tenants)),
 			TokensIn: c.HeadTokens + c.BodyTokens + own, TokensOut: c.OutTokens,
-			SetpointUs: c.Aim.Microseconds(), TimeLeftUs: c.Deadline.Microseconds(),
+			SetpointUs: c.FirstTokenTarget.Microseconds(), TimeLeftUs: c.Deadline.Microseconds(),
 			Parts: []prefixindex.Part{
 				{ID: fmt.Sprintf("%s/head-%d", c.Name, subject%c.Heads), Tokens: c.HeadTokens},
 				{ID: fmt.Sprintf("%s/body-%d", c.Name, subject), Tokens: c.BodyTokens},
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &cluster{dir: dir, recorder: r, platform: standin.NewPlatform(standin.PlatformConfig{CallsPerS: callsPerS, OnCall: r.onCall})}
+	c := &cluster{dir: dir, recorder: r, platform: standin.NewPlatform(standin.PlatformConfig{CallsPerSecond: callsPerS, OnCall: r.onCall})}
 	platformAddress, err := c.platform.Start()
 	if err != nil {
 		return nil, err
@@ -238,8 +238,8 @@
 		controls = append(controls, p.settings.Listen.Control)
 	}
 	runner := standin.New(standin.Config{
-		Service: serviceName, Zone: zoneName, Controllers: controls, Translate: c.controlProxyAddress,
-		Model: modelName, HeartbeatEvery: heartbeatMs * time.Millisecond, DrainTime: drainMs * time.Millisecond,
+		Service: serviceName, Zone: zoneName, Controllers: controls, TranslateAddress: c.controlProxyAddress,
+		Model: modelName, HeartbeatInterval: heartbeatMs * time.Millisecond, DrainTime: drainMs * time.Millisecond,
 		Capacity: runnerCapacity, ProbePath: probePath, WeightsVersion: c.latestWeights.Load(),
 		OnRun: c.recorder.onRun, OnOrder: c.recorder.onOrder,
 	})
--- a/internal/standin/heartbeat.go
+++ b/internal/standin/heartbeat.go
@@ -34,7 +34,7 @@
 }
 
 func (r *Runner) sendHeartbeats(ctx context.Context) {
-	loop.Every(ctx, r.config.HeartbeatEvery, func() {
+	loop.Every(ctx, r.config.HeartbeatInterval, func() {
 		r.announcing.Lock()
 		defer r.announcing.Unlock()
 		if !r.left {
@@ -60,7 +60,7 @@
 		if err != nil {
 			return errors.Wrap(err, "standin: encode heartbeat")
 		}
-		raw, err := post(ctx, r.config.Translate(address), "/api/Runners.Heartbeat/"+r.id, body)
+		raw, err := post(ctx, r.config.TranslateAddress(address), "/api/Runners.Heartbeat/"+r.id, body)
 		if err == nil {
 			r.setHeartbeatTarget(address, raw)
 			return nil
@@ -72,7 +72,7 @@
 
 func (r *Runner) sendLeave(ctx context.Context) error {
 	for _, address := range r.controllerAddresses() {
-		if _, err := post(ctx, r.config.Translate(address), "/api/Runners.Leave/"+r.id, nil); err == nil {
+		if _, err := post(ctx, r.config.TranslateAddress(address), "/api/Runners.Leave/"+r.id, nil); err == nil {
 			return nil
 		}
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -36,16 +36,16 @@
 
 // PlatformConfig configures a platform. Zero values are replaced by defaults.
 type PlatformConfig struct {
-	Listen     string  // address to accept calls on; port 0 for any
-	CallsPerS  float64 // rate limit; calls beyond it get 429
-	AnswerTime time.Duration
-	OnCall     func(PlatformCall)
+	Listen         string  // address to accept calls on; port 0 for any
+	CallsPerSecond float64 // rate limit; calls beyond it get 429
+	ResponseDelay  time.Duration
+	OnCall         func(PlatformCall)
 }
 
 // Defaults of a platform.
 const (
-	defaultCallsPerS  = 50
-	defaultAnswerTime = 5 * time.Millisecond
+	defaultCallsPerSecond = 50
+	defaultResponseDelay  = 5 * time.Millisecond
 )
 
 // Platform is a stand-in for the platform's API. It accepts usage reports and orders of
@@ -68,12 +68,12 @@
 // NewPlatform returns a platform that isn't started yet.
 func NewPlatform(config PlatformConfig) *Platform {
 	setDefault(&config.Listen, "127.0.0.1:0")
-	setDefault(&config.CallsPerS, defaultCallsPerS)
-	setDefault(&config.AnswerTime, defaultAnswerTime)
+	setDefault(&config.CallsPerSecond, defaultCallsPerSecond)
+	setDefault(&config.ResponseDelay, defaultResponseDelay)
 	if config.OnCall == nil {
 		config.OnCall = func(PlatformCall) {}
 	}
-	return &Platform{config: config, fences: map[string]int64{}, usage: map[int64]api.UsageReport{}, tokens: config.CallsPerS, refilledAt: time.Now()}
+	return &Platform{config: config, fences: map[string]int64{}, usage: map[int64]api.UsageReport{}, tokens: config.CallsPerSecond, refilledAt: time.Now()}
 }
 
 // Start opens the listening address, accepts calls on it and returns it.
@@ -162,12 +162,12 @@
 			p.usage[call.Usage.WindowSeq] = call.Usage
 		}
 	}
-	return p.config.AnswerTime
+	return p.config.ResponseDelay
 }
 
 // allowCall takes a token for one call, and returns false if the rate limit is reached.
 func (p *Platform) allowCall(now time.Time) bool {
-	p.tokens = min(p.tokens+now.Sub(p.refilledAt).Seconds()*p.config.CallsPerS, p.config.CallsPerS)
+	p.tokens = min(p.tokens+now.Sub(p.refilledAt).Seconds()*p.config.CallsPerSecond, p.config.CallsPerSecond)
 	p.refilledAt = now
 	if p.tokens < 1 {
 		return false
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -42,7 +42,7 @@
 }
 
 func TestPlatformRespondsTooManyRequestsOverRateLimit(t *testing.T) {
-	p := NewPlatform(PlatformConfig{CallsPerS: 2})
+	p := NewPlatform(PlatformConfig{CallsPerSecond: 2})
 	address, err := p.Start()
 	must.NoError(t, err)
 	defer p.Close()
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -188,9 +188,9 @@
 	return tokens
 }
 
-// AnswerBody returns the body of a plain response. A client compares it with the attempt
+// ResponseBody returns the body of a plain response. A client compares it with the attempt
 // and the checksum that it sent.
-func AnswerBody(attempt, seal string, checksum uint32) string {
+func ResponseBody(attempt, seal string, checksum uint32) string {
 	return fmt.Sprintf("attempt=%s seal=%s sum=%08x", attempt, seal, checksum)
 }
 
@@ -199,7 +199,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	_, err := io.WriteString(w, AnswerBody(run.Attempt, run.Seal, run.Checksum))
+	_, err := io.WriteString(w, ResponseBody(run.Attempt, run.Seal, run.Checksum))
 	return err == nil
 }
 
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -37,21 +37,21 @@
 	Controllers     []string // control addresses for heartbeats
 	// Translate returns the address to dial for a control address; nil: the same address.
 	// Tests use it to route heartbeats through proxies.
-	Translate      func(address string) string
-	ProbePath      string
-	Capacity       int // requests that run at a time
-	QueueLength    int // requests that wait for a slot
-	Model          string
-	WeightsVersion int64
-	CacheTokens    int
-	HeartbeatEvery time.Duration
-	PrefillTime    time.Duration // from the start of a request to its first token
-	TokenTime      time.Duration // between two tokens of a stream
-	WorkTime       time.Duration // duration of a request that isn't a generation
-	OrderTime      time.Duration // to load other weights
-	DrainTime      time.Duration // requests are still served this long after draining is acknowledged
-	OnRun          func(Run)
-	OnOrder        func(Order)
+	TranslateAddress  func(address string) string
+	ProbePath         string
+	Capacity          int // requests that run at a time
+	QueueLength       int // requests that wait for a slot
+	Model             string
+	WeightsVersion    int64
+	CacheTokens       int
+	HeartbeatInterval time.Duration
+	PrefillTime       time.Duration // from the start of a request to its first token
+	TokenTime         time.Duration // between two tokens of a stream
+	WorkTime          time.Duration // duration of a request that isn't a generation
+	WeightsLoadTime   time.Duration // to load other weights
+	DrainTime         time.Duration // requests are still served this long after draining is acknowledged
+	OnRun             func(Run)
+	OnOrder           func(Order)
 }
 
 // Run is one request that a runner began to run. It is passed to Config.OnRun when it
@@ -72,17 +72,17 @@
 
 // Defaults of the configuration.
 const (
-	defaultCapacity       = 8
-	defaultQueueLength    = 4
-	defaultCacheTokens    = 100000
-	defaultHeartbeatEvery = time.Second
-	defaultPrefillTime    = 20 * time.Millisecond
-	defaultTokenTime      = 10 * time.Millisecond
-	defaultWorkTime       = 10 * time.Millisecond
-	defaultOrderTime      = 500 * time.Millisecond
-	defaultDrainTime      = 2 * time.Second
-	defaultProbePath      = "/health"
-	defaultModel          = "standin"
+	defaultCapacity          = 8
+	defaultQueueLength       = 4
+	defaultCacheTokens       = 100000
+	defaultHeartbeatInterval = time.Second
+	defaultPrefillTime       = 20 * time.Millisecond
+	defaultTokenTime         = 10 * time.Millisecond
+	defaultWorkTime          = 10 * time.Millisecond
+	defaultWeightsLoadTime   = 500 * time.Millisecond
+	defaultDrainTime         = 2 * time.Second
+	defaultProbePath         = "/health"
+	defaultModel             = "standin"
 )
 
 // Runner is one incarnation of a stand-in runner.
@@ -118,7 +118,7 @@
 		id:      fmt.Sprintf("i-%08x", rand.Uint32()),
 		began:   time.Now(),
 		slots:   make(chan struct{}, config.Capacity),
-		weights: newWeights(config.Model, config.WeightsVersion, config.OrderTime),
+		weights: newWeights(config.Model, config.WeightsVersion, config.WeightsLoadTime),
 		cache:   newCache(config.CacheTokens),
 	}
 }
@@ -127,11 +127,11 @@
 	setDefault(&c.Capacity, defaultCapacity)
 	setDefault(&c.QueueLength, defaultQueueLength)
 	setDefault(&c.CacheTokens, defaultCacheTokens)
-	setDefault(&c.HeartbeatEvery, defaultHeartbeatEvery)
+	setDefault(&c.HeartbeatInterval, defaultHeartbeatInterval)
 	setDefault(&c.PrefillTime, defaultPrefillTime)
 	setDefault(&c.TokenTime, defaultTokenTime)
 	setDefault(&c.WorkTime, defaultWorkTime)
-	setDefault(&c.OrderTime, defaultOrderTime)
+	setDefault(&c.WeightsLoadTime, defaultWeightsLoadTime)
 	setDefault(&c.DrainTime, defaultDrainTime)
 	setDefault(&c.ProbePath, defaultProbePath)
 	setDefault(&c.Model, defaultModel)
@@ -144,8 +144,8 @@
 	if c.OnOrder == nil {
 		c.OnOrder = func(Order) {}
 	}
-	if c.Translate == nil {
-		c.Translate = func(address string) string { return address }
+	if c.TranslateAddress == nil {
+		c.TranslateAddress = func(address string) string { return address }
 	}
 }
 
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -91,7 +91,7 @@
 
 func TestOrderLoadsWeightsAndChecksFence(t *testing.T) {
 	var orders []Order
-	runner, url, _ := startRunner(t, Config{Model: "m", OrderTime: time.Millisecond, OnOrder: func(order Order) { orders = append(orders, order) }})
+	runner, url, _ := startRunner(t, Config{Model: "m", WeightsLoadTime: time.Millisecond, OnOrder: func(order Order) { orders = append(orders, order) }})
 	send := func(order string) int {
 		response, _ := call(t, "POST", url+"/api/order", order, nil)
 		return response.StatusCode
@@ -121,7 +121,7 @@
 		calls = append(calls, strings.Split(request.URL.Path, "/")[2]+" "+string(beat.State))
 	}))
 	defer controller.Close()
-	runner, _, _ := startRunner(t, Config{Controllers: []string{strings.TrimPrefix(controller.URL, "http://")}, HeartbeatEvery: time.Hour, DrainTime: time.Millisecond})
+	runner, _, _ := startRunner(t, Config{Controllers: []string{strings.TrimPrefix(controller.URL, "http://")}, HeartbeatInterval: time.Hour, DrainTime: time.Millisecond})
 	acknowledged := runner.Leave(t.Context())
 	must.False(t, acknowledged.IsZero())
 	must.SliceContains(t, calls, "Runners.Heartbeat draining")
