--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -1,5 +1,5 @@
-// Engines: runners as far as rollouts are concerned, with requests in their queue,
-// long streams, and orders as the protocol has them.
+// Model of a runner for rollouts: queued requests, long streams, and load orders as
+// in the protocol.
 
 package simulation
 
@@ -10,37 +10,37 @@
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-// freshUs is how long routers keep the bound on old weights towards a runner that has
-// just come, also where they know none otherwise: no order can be there before it is
-// listed.
+// freshUs is how long routers enforce the age bound on weights for a runner that has just
+// started, even in histories without a bound: a runner cannot receive an order before it
+// is listed.
 const freshUs = Second
 
-// reportLagUs is how old a report is when it is given.
+// reportLagUs is the age of the state that a report contains.
 const reportLagUs = 200 * Millisecond
 
-// engine is one place in the fleet: an address with one runner after another.
+// engine models one runner address. Instances follow one another at the same address.
 type engine struct {
 	history  *rolloutHistory
 	address  string
 	instance int
 	up       bool
-	at       int // the registrar it beats at
+	at       int // index of the registrar that receives its heartbeats
 	beats    int64
 	slow     int64
 	begunUs  int64
 
 	version  int64
-	target   int64 // of the order under way; 0 where there is none
+	target   int64 // version of the order in progress; 0 if there is none
 	loads    bool
 	sequence int64
 	fence    int64
-	accepted int // orders that were taken, by all lives
+	accepted int // orders accepted by all instances
 	streams  int
-	queued   int64 // rises with each order: what waited before it is turned away
+	queued   int64 // incremented by each order, which rejects the requests queued before it
 	past     []pastReport
 }
 
-// pastReport is what a report would have said at a moment.
+// pastReport is the report for the state at a point in time.
 type pastReport struct {
 	atUs int64
 	said rollout.Report
@@ -48,7 +48,7 @@
 
 func (e *engine) id() string { return fmt.Sprintf("%s#%d", e.address, e.instance) }
 
-// begin starts a runner with the weights that the one before it had.
+// begin starts a new instance, which has the weights of the previous one.
 func (e *engine) begin() {
 	e.instance++
 	e.up, e.beats, e.sequence, e.fence, e.target, e.streams, e.past = true, 0, 0, 0, 0, 0, nil
@@ -69,7 +69,7 @@
 	e.up, e.loads = false, false
 }
 
-// lives tells whether an instance goes on.
+// lives reports whether an instance is still running.
 func (e *engine) lives(instance int) bool { return e.up && e.instance == instance }
 
 func (e *engine) beat(instance int) {
@@ -97,8 +97,9 @@
 	h.kernel.After(heartbeatUs, func() { e.beat(instance) })
 }
 
-// receive is the requests that routers send. A router knows what a registrar knew a
-// while ago; one that keeps the bound sends nothing to older weights from then on.
+// receive generates the requests of routers. A router acts on a registrar's state of a
+// while ago. If it enforces the bound, it sends no request to a runner whose weights are
+// over the bound in that state.
 func (e *engine) receive(instance int) {
 	h := e.history
 	if !e.lives(instance) {
@@ -121,13 +122,13 @@
 	})
 }
 
-// enqueue has a request wait for its prompt to be read, and run.
+// enqueue models one request: it waits in the queue and for its prefill, then streams.
 func (e *engine) enqueue(instance int) {
 	h, order := e.history, e.queued
 	waitUs := min(h.kernel.Between(0, 300*Millisecond)*e.slow, maxQueuedUs)
 	h.kernel.After(waitUs, func() {
 		if !e.lives(instance) || e.queued != order {
-			return // turned away by an order
+			return // rejected by an order
 		}
 		h.checks.begins(e)
 		e.streams++
@@ -144,7 +145,7 @@
 	})
 }
 
-// order is a runner's answer to an order. Nothing more begins until it is done.
+// order handles a load order. After an order is accepted, no request starts until the load is done.
 func (e *engine) order(o rollout.Order, fence int64, from *coordinator) rollout.Answer {
 	e.history.checks.order(e, from, fence)
 	switch {
@@ -168,7 +169,7 @@
 	return rollout.Accepted
 }
 
-// maybeLoad begins the load once the runs have ended.
+// maybeLoad starts the load of the ordered version once all streams have ended.
 func (e *engine) maybeLoad() {
 	h, instance := e.history, e.instance
 	if e.target == 0 || e.streams > 0 || e.loads {
@@ -189,7 +190,7 @@
 	})
 }
 
-// remember keeps what a report would say, for reports lag.
+// remember records the current report, since reports are delivered with a lag.
 func (e *engine) remember() {
 	said := rollout.Report{Version: e.version, Busy: e.target > 0, Idle: e.streams == 0, Sequence: e.sequence}
 	e.past = append(e.past, pastReport{e.history.kernel.NowUs(), said})
@@ -205,7 +206,7 @@
 	return said
 }
 
-// answersAfter is how long a runner takes to answer a call.
+// answersAfter draws the time in microseconds that a runner takes to answer a call.
 func (e *engine) answersAfter() int64 {
 	return e.history.kernel.Between(Millisecond, 40*Millisecond) * e.slow
 }
--- a/internal/simulation/kernel.go
+++ b/internal/simulation/kernel.go
@@ -1,16 +1,18 @@
-// Package simulation plays histories of controllers, operators, runners, links, disks
-// and clocks in memory, with virtual time and every choice drawn from one seed.
+// Package simulation is a deterministic discrete-event simulation of controllers,
+// operators, runners, links, disks and clocks. It runs in memory with virtual time, and
+// every random choice is drawn from one seed.
 //
-// The actors drive the real state machines of the control plane (consensus, lease,
-// registry, rollout, routeconfig, dissemination), so that a fault in them shows as a
-// failed check; the same seed plays the same history again. Models lists what can be
-// played, Run plays a range of seeds, and a Result says what a history broke. What is
-// a stand-in, and so not tested here, is named in docs/design/simulation.md: the
-// transport, the drivers in package controller, and the routers' request path.
+// The simulated processes drive the real state machines of the control plane (consensus,
+// lease, registry, rollout, routeconfig, dissemination), so that a fault in them shows as
+// a violated check. The same seed always reproduces the same history. Models lists the
+// simulation models, Run runs a range of seeds, and a Result holds the first check that a
+// history violated. docs/design/simulation.md lists the parts that are stand-ins and
+// therefore not tested here: the transport, the drivers in package controller, and the
+// request path of the routers.
 //
-// A history has one goroutine, that of its Kernel, which runs one event after the
-// other and owns all of its state. Run plays several histories at a time, each with
-// state of its own. Nothing here opens a socket, reads a clock or sleeps.
+// Each history runs on one goroutine, that of its Kernel, which executes the events in
+// order and owns all state. Run runs several histories in parallel, which share no state.
+// Nothing here opens a socket, reads a clock or sleeps.
 package simulation
 
 import (
@@ -25,14 +27,14 @@
 	Second      = 1_000 * Millisecond
 )
 
-// event is something that happens at a moment.
+// event is a callback scheduled for a point of virtual time.
 type event struct {
 	atUs   int64
 	serial int64
 	run    func()
 }
 
-// eventQueue is a heap of events by time, then by insertion.
+// eventQueue is a heap of events, ordered by time and then by insertion.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -56,7 +58,7 @@
 	return last
 }
 
-// Kernel is virtual time, the events to come and the only source of chance.
+// Kernel holds the virtual time, the scheduled events and the only source of randomness.
 type Kernel struct {
 	nowUs  int64
 	serial int64
@@ -68,21 +70,22 @@
 	failure   string
 }
 
-// NewKernel starts at time 1, so that 0 can mean "never".
+// NewKernel returns a kernel whose time starts at 1, so that 0 can mean "never".
 func NewKernel(seed uint64, recording bool) *Kernel {
 	return &Kernel{nowUs: 1, random: rand.New(rand.NewPCG(seed, 0x6265656368)), recording: recording}
 }
 
-// NowUs is the virtual time, which no actor sees: they have clocks of their own.
+// NowUs returns the virtual time. Simulated processes don't use it: each has its own
+// clock, see Process.NowUs.
 func (k *Kernel) NowUs() int64 { return k.nowUs }
 
-// After has something happen after a delay.
+// After schedules run after a delay.
 func (k *Kernel) After(delayUs int64, run func()) {
 	k.serial++
 	heap.Push(&k.queue, event{atUs: k.nowUs + max(delayUs, 0), serial: k.serial, run: run})
 }
 
-// RunUntil plays the events up to a moment, or up to the first broken check.
+// RunUntil runs the events up to a point of virtual time, or up to the first violated check.
 func (k *Kernel) RunUntil(untilUs int64) {
 	for len(k.queue) > 0 && k.queue[0].atUs <= untilUs && k.failure == "" {
 		next := heap.Pop(&k.queue).(event)
@@ -94,23 +97,23 @@
 	}
 }
 
-// Between draws from [low, high].
+// Between draws a number from [low, high].
 func (k *Kernel) Between(low, high int64) int64 { return low + k.random.Int64N(high-low+1) }
 
-// Below draws from [0, n).
+// Below draws a number from [0, n).
 func (k *Kernel) Below(n int) int { return k.random.IntN(n) }
 
-// Chance is true so many times in a thousand.
+// Chance returns true with a probability of perMille in a thousand.
 func (k *Kernel) Chance(perMille int) bool { return k.random.IntN(1000) < perMille }
 
-// Note adds a line to the history where one is recorded.
+// Note appends a line with the virtual time to the history, if it is recorded.
 func (k *Kernel) Note(format string, args ...any) {
 	if k.recording {
 		k.history = append(k.history, fmt.Sprintf("%9.3f ms  ", float64(k.nowUs)/float64(Millisecond))+fmt.Sprintf(format, args...))
 	}
 }
 
-// Fail notes a broken check; the first one ends the history.
+// Fail records a violated check. The first one ends the history.
 func (k *Kernel) Fail(format string, args ...any) {
 	if k.failure == "" {
 		k.failure = fmt.Sprintf(format, args...)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,11 +1,11 @@
-// The network: one link for each ordered pair, with delay, loss, duplication and
-// partitions; varying delays reorder messages.
+// Model of the network: one link for each ordered pair of addresses, with delay, loss,
+// duplication and partitions. Varying delays reorder messages.
 
 package simulation
 
-// Link is the way from one address to another.
+// Link is the state of the one-way link from one address to another.
 type Link struct {
-	Cuts           int // how many faults cut it now
+	Cuts           int // number of faults that cut the link now
 	LossPerMille   int
 	DoublePerMille int
 	DelayLowUs     int64
@@ -20,15 +20,15 @@
 	links  map[pair]*Link
 }
 
-// NewNetwork has whole links everywhere.
+// NewNetwork returns a network in which every link is in the ordinary state.
 func NewNetwork(k *Kernel) *Network { return &Network{kernel: k, links: map[pair]*Link{}} }
 
-// ordinary links lose a message now and then.
+// ordinary returns the state of a link without a fault, which still loses or duplicates a few messages.
 func ordinary() Link {
 	return Link{LossPerMille: 2, DoublePerMille: 2, DelayLowUs: 200, DelayHighUs: 4 * Millisecond}
 }
 
-// Link is the way between two addresses, to be changed in place.
+// Link returns the link from one address to another. Callers change it in place.
 func (n *Network) Link(from, to string) *Link {
 	l := n.links[pair{from, to}]
 	if l == nil {
@@ -39,15 +39,15 @@
 	return l
 }
 
-// Heal makes every link whole again.
+// Heal resets every link to the ordinary state.
 func (n *Network) Heal() {
 	for _, l := range n.links {
 		*l = ordinary()
 	}
 }
 
-// Send delivers after the link's delay, once, twice or never. A message that is
-// under way when the link is cut is lost with it.
+// Send calls deliver after the link's delay, once, twice or never. A message whose link
+// is cut when it is sent or when it would arrive is lost.
 func (n *Network) Send(from, to string, deliver func()) {
 	l := n.Link(from, to)
 	times := 1
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -1,4 +1,4 @@
-// Play runs one history from a seed and says what it broke.
+// Running one history of the registers model.
 
 package simulation
 
@@ -8,24 +8,24 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// mostSearchTime bounds the search for an order of the calls in one history.
+// mostSearchTime bounds the linearizability check of one history.
 const mostSearchTime = 20 * time.Second
 
-// Options say how a history is played.
+// Options configure the run of a history.
 type Options struct {
-	Record  bool // keep the history as text
+	Record  bool // record the history as text
 	Defects Defects
 }
 
-// Result is what came of a history.
+// Result is the outcome of one history.
 type Result struct {
 	Seed    uint64
-	Failure string // empty where every check held
+	Failure string // the first violated check; empty if there was none
 	History []string
 	Counts  Counts
 }
 
-// Play plays the controllers' history of a seed.
+// Play runs the history of the controllers for a seed.
 func Play(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	size := []int{3, 3, 3, 5, 5, 7}[k.Below(6)]
@@ -44,11 +44,11 @@
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: c.checks.counts}
 }
 
-// endWaitUs is how long each call of the last checks may take.
+// endWaitUs is the timeout of each read of the final check.
 const endWaitUs = Second
 
-// checkTheEnd has every node read each register: it must get the newest value
-// that was ever chosen, or a newer one.
+// checkTheEnd reads each register at every controller. Each read must return the
+// newest value that was ever chosen, or a newer one.
 func (c *Cluster) checkTheEnd() {
 	for _, node := range c.controllers {
 		for part := range parts {
--- a/internal/simulation/play_test.go
+++ b/internal/simulation/play_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// testRange is the fixed set of seeds that CI plays.
+// testRange is the fixed set of seeds that CI runs.
 var testRange = Range{Model: "registers", First: 0, Count: 300, Parallel: 3}
 
-// onceFailing are seeds that broke a check before a fault was mended.
+// onceFailing lists seeds that violated a check before a fault was fixed.
 var onceFailing = []uint64{71, 90, 1033, 1046, 1488, 1878, 2023, 3160}
 
 func TestSeedsBreakNothing(t *testing.T) {
@@ -41,37 +41,37 @@
 	}
 }
 
-// Each mechanism that can be taken out in the model is missed by a check.
+// For each mechanism that the model can disable, a check must detect that it is missing.
 func TestChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
-		from    uint64 // a seed shortly before the first that finds it
-		finds   string
+		from    uint64 // a seed shortly before the first that detects the defect
+		finds   string // part of the failure text
 	}{
 		{"response before durability", Defects{RespondBeforeDurable: true}, 0, ""},
-		{"refusal without a round", Defects{DenyWithoutRound: true}, 0, "history"},
+		{"rejection without a round", Defects{DenyWithoutRound: true}, 0, "history"},
 		{"read without a majority", Defects{ReadWithoutMajority: true}, 0, "history"},
-		{"repeats not looked for", Defects{ForgetTaken: true}, 0, "history"},
-		{"lease without its waits", Defects{ActWithoutWaiting: true}, 0, "acts under"},
-		{"first group not kept", Defects{ForgetGenesis: true}, 550, "no group"},
-		{"members taken in unconfirmed", Defects{JoinUnconfirmed: true}, 0, "joins part"},
-		{"answers without the lease of contact", Defects{AnswerOutOfContact: true}, 830, "no majority has handled"},
-		{"an end without a hand-over", Defects{EndWithoutHandOver: true}, 0, "stood ready"},
-		{"claim never used counts as used", Defects{TrustUnusedClaim: true}, 70, "acts under"},
+		{"repeated changes not detected", Defects{ForgetTaken: true}, 0, "history"},
+		{"lease without its waiting times", Defects{ActWithoutWaiting: true}, 0, "acts under"},
+		{"initial group not made durable", Defects{ForgetGenesis: true}, 550, "no group"},
+		{"members added without confirmation", Defects{JoinUnconfirmed: true}, 0, "joins part"},
+		{"answers without the contact lease", Defects{AnswerOutOfContact: true}, 830, "no majority has handled"},
+		{"shutdown without a hand-over", Defects{EndWithoutHandOver: true}, 0, "stood ready"},
+		{"unused lease treated as used", Defects{TrustUnusedClaim: true}, 70, "acts under"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			seed, failure := firstFailure(c.from, Options{Defects: c.defects}, c.finds)
-			t.Logf("found by seed %d: %s", seed, failure)
+			t.Logf("detected by seed %d: %s", seed, failure)
 			must.NotEq(t, "", failure)
 		})
 	}
 }
 
-// mostSeedsToFind bounds the search for a seed that misses a mechanism.
+// mostSeedsToFind bounds the search for a seed that detects a defect.
 const mostSeedsToFind = 2000
 
-// firstFailureOf is firstFailure for another model, from seed 0 on.
+// firstFailureOf is firstFailure for another model, starting at seed 0.
 func firstFailureOf(play func(uint64, Options) Result, options Options, finds string) (uint64, string) {
 	for seed := range uint64(mostSeedsToFind) {
 		if r := play(seed, options); r.Failure != "" && strings.Contains(r.Failure, finds) {
@@ -81,8 +81,8 @@
 	return mostSeedsToFind, ""
 }
 
-// firstFailure searches for a seed that the named check fails on: what is taken out may break
-// others before.
+// firstFailure returns the first seed whose failure contains the given text, and the failure.
+// The text is needed because a defect may violate other checks first.
 func firstFailure(from uint64, options Options, finds string) (uint64, string) {
 	for seed := from; seed < from+mostSeedsToFind; seed++ {
 		if r := Play(seed, options); r.Failure != "" && strings.Contains(r.Failure, finds) {
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -1,11 +1,11 @@
-// Processes: up, down or frozen, each with a monotonic clock of its own and a
-// time of day that steps.
+// Model of a process, which is up, down or frozen and has its own monotonic clock and
+// a time of day that can step.
 
 package simulation
 
-// Process is one run of a program after another at the same place. What was
-// scheduled in one life never happens in the next; what comes while it is
-// frozen happens at the thaw, in order.
+// Process models the process of one machine across restarts. A life is the time from a
+// start to a stop. Callbacks scheduled in one life never run in the next; those that
+// become due while the process is frozen run at the thaw, in order.
 type Process struct {
 	kernel *Kernel
 	life   int64
@@ -13,37 +13,37 @@
 	frozen bool
 	late   []func()
 
-	ratePpm   int64 // how much faster than virtual time the clock runs
+	ratePpm   int64 // rate error of the monotonic clock against virtual time
 	bootUs    int64
 	daySkewUs int64
 }
 
-// NewProcess is down, with a clock that runs a little wrong.
+// NewProcess returns a process that is down and whose clock has a small random rate error.
 func NewProcess(k *Kernel) *Process {
 	const mostWrongPpm = 200
 	return &Process{kernel: k, ratePpm: k.Between(-mostWrongPpm, mostWrongPpm)}
 }
 
-// Up tells whether the process lives, frozen or not.
+// Up reports whether the process is running, frozen or not.
 func (p *Process) Up() bool { return p.up }
 
-// Start begins a life; its monotonic clock begins anew.
+// Start begins a new life and restarts the monotonic clock.
 func (p *Process) Start() {
 	p.life++
 	p.up, p.frozen, p.late = true, false, nil
 	p.bootUs = p.kernel.nowUs
 }
 
-// Stop ends a life at once.
+// Stop ends the current life immediately and drops its callbacks.
 func (p *Process) Stop() {
 	p.life++
 	p.up, p.frozen, p.late = false, false, nil
 }
 
-// Freeze holds everything up until Thaw.
+// Freeze defers all callbacks of the process until Thaw.
 func (p *Process) Freeze() { p.frozen = p.up }
 
-// Thaw lets happen what came meanwhile.
+// Thaw ends a freeze and runs the deferred callbacks in order.
 func (p *Process) Thaw() {
 	if !p.frozen {
 		return
@@ -56,20 +56,20 @@
 	}
 }
 
-// NowUs is the monotonic clock, which starts at 1 with each life.
+// NowUs returns the monotonic clock, which starts at 1 in each life.
 func (p *Process) NowUs() int64 {
 	const million = 1_000_000
 	elapsed := p.kernel.nowUs - p.bootUs
 	return 1 + elapsed + elapsed*p.ratePpm/million
 }
 
-// StepTimeOfDay jumps the time of day. Nothing may depend on it.
+// StepTimeOfDay steps the time of day. Correctness must not depend on it.
 func (p *Process) StepTimeOfDay(byUs int64) { p.daySkewUs += byUs }
 
-// TimeOfDayUs is what the process takes for the time of day.
+// TimeOfDayUs returns the time of day as the process sees it.
 func (p *Process) TimeOfDayUs() int64 { return p.kernel.nowUs + p.daySkewUs }
 
-// InLife binds something to the present life: it happens in it or never.
+// InLife returns a callback that does nothing unless it runs in the current life.
 func (p *Process) InLife(run func()) func() { return p.inLifeOf(p.life, run) }
 
 func (p *Process) inLifeOf(life int64, run func()) func() {
@@ -86,8 +86,8 @@
 	return whenAwake
 }
 
-// Deliver has something happen in whatever life the process is in now.
+// Deliver runs a callback in the current life, after the thaw if the process is frozen.
 func (p *Process) Deliver(run func()) { p.InLife(run)() }
 
-// After is a timer that ends with the life that set it.
+// After schedules a callback that is dropped when the current life ends.
 func (p *Process) After(delayUs int64, run func()) { p.kernel.After(delayUs, p.InLife(run)) }
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -1,25 +1,26 @@
-// Run plays many seeds, several at a time.
+// Running a range of seeds, several in parallel.
 
 package simulation
 
 import "sync"
 
-// Models are what can be played, by name.
+// Models maps the name of each simulation model to the function that runs one seed of it.
 var Models = map[string]func(seed uint64, options Options) Result{
 	"registers": Play, "runners": PlayFleet, "runners-partial": PlayFleetPartial,
 	"rollouts": PlayRollouts, "distribution": PlayDistribution, "usage": PlayUsage,
 	"quota": PlayQuota, "tallies": PlayTallies, "requests": PlayRequests, "loads": PlayLoads, "versions": PlayVersions,
 }
 
-// Range is which seeds of a model to play.
+// Range selects the model and the seeds to run, and how many run in parallel.
 type Range struct {
 	Model        string
 	First, Count uint64
 	Parallel     int
 }
 
-// Run plays a range of seeds and hands over each history that broke a check,
-// played once more so that it is recorded. It gives what all were made of.
+// Run runs a range of seeds and returns the sum of their counts. A seed that violates
+// a check runs a second time with recording on, and failed is called with that result,
+// one call at a time.
 func Run(r Range, options Options, failed func(Result)) Counts {
 	play := Models[r.Model]
 	seeds := make(chan uint64)
