--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,4 +1,4 @@
-// The cluster: controllers, their links and the operators who call them.
+// The simulated cluster: controllers, the links between them and the operators that call them.
 
 package simulation
 
@@ -13,47 +13,47 @@
 	"beechtide.org/beechtide/internal/simulation/history"
 )
 
-// Defects take a mechanism out on purpose, so that a test can see the checks
-// find it missing.
+// Defects disable mechanisms on purpose, so that tests can verify that the checks detect
+// their absence.
 type Defects struct {
-	RespondBeforeDurable bool // a response leaves before its record is durable
-	DenyWithoutRound     bool // an order is refused by what this node has learned
-	ReadWithoutMajority  bool // a read is served by what this node has learned
-	ForgetTaken          bool // a repeated change isn't looked for
-	ActWithoutWaiting    bool // a holder acts as soon and as long as it thinks it holds
-	ForgetGenesis        bool // the first group isn't kept before the first value
-	JoinUnconfirmed      bool // members are taken in unasked whether they hold the value
-	TrustUnusedClaim     bool // a claim that was never acted under counts as one that was
-	OrderWithoutBound    bool // a rollout goes on only as runners are back
-	LeaveUnfinished      bool // nobody ends the round of a proposer that has ended
-	NeverCompare         bool // routers rely on their place in the tree
-	TrustOwnClock        bool // windows follow each machine's own time of day
-	ReportUnagreed       bool // a window is reported as its reporter has counted it
-	CountAtOneController bool // routers tell one controller what they have counted
-	NeverResend          bool // a controller that has restarted isn't told again
-	VoteAfterRestart     bool // a controller votes for owners as soon as it has started
-	OwnWithoutMajority   bool // a controller owns counts by its own vote
-	IgnoreTokenAge       bool // a token may be used at any time
-	AckOnOneDisk         bool // an add is acknowledged once its replica has it
-	TrustSilence         bool // a replica that does not answer counts as cut off
-	KeepOrigin           bool // a replica that lost its disk goes on under its old name
-	NeverPull            bool // replicas get no logs but those of who sends them
-	TrustOldEvidence     bool // an add is acknowledged by evidence of a cut that is older than itself
-	AnswerUnasked        bool // a replica that starts answers before it has asked the others
-	RepeatEffectful      bool // requests that may run once are sent again like others
-	PromiseAfterRun      bool // a request that may have run ends with a promise that it has not
-	MatchByOrder         bool // an answer belongs to whoever waits on its connection
-	RetryWithoutBudget   bool // attempts beyond the first cost nothing
-	ResumeFromStart      bool // a stream is taken up without the id of its last event
-	AnswerOutOfContact   bool // a controller answers operators without the lease of contact
-	EndWithoutHandOver   bool // a member that is told to end does so at once
-	ShiftUntried         bool // all requests go to a new version at once
-	IgnoreOutcomes       bool // bad answers of a new version are not looked at
-	CompareWithNothing   bool // outcomes of the other versions are not looked at
-	KeepSenders          bool // a relay keeps the loads of a subscriber that has ended
+	RespondBeforeDurable bool // a response is sent before its record is durable
+	DenyWithoutRound     bool // a change is rejected from what this node has learned, without a round
+	ReadWithoutMajority  bool // a read is served from what this node has learned
+	ForgetTaken          bool // a repeated change isn't detected
+	ActWithoutWaiting    bool // a lease holder acts without the waits before and the deadline after
+	ForgetGenesis        bool // the initial group isn't made durable before the first value
+	JoinUnconfirmed      bool // members are added without a confirmation that they have the value on disk
+	TrustUnusedClaim     bool // a lease that was never acted under is treated as used
+	OrderWithoutBound    bool // a rollout orders more runners only as others are back
+	LeaveUnfinished      bool // the rounds of proposers that have ended are never finished
+	NeverCompare         bool // routers don't compare versions outside the dissemination tree
+	TrustOwnClock        bool // usage windows follow each machine's own time of day
+	ReportUnagreed       bool // a usage window is reported from its reporter's own counts, without agreement
+	CountAtOneController bool // routers send their counts to one controller only
+	NeverResend          bool // counts aren't sent again to a controller that has restarted
+	VoteAfterRestart     bool // a controller votes for quota owners immediately after its start
+	OwnWithoutMajority   bool // a controller becomes the owner of a quota by its own vote alone
+	IgnoreTokenAge       bool // a token is accepted at any age
+	AckOnOneDisk         bool // an add is acknowledged once a single replica has it on disk
+	TrustSilence         bool // a replica that does not answer is treated as partitioned
+	KeepOrigin           bool // a replica that lost its disk continues under its old origin id
+	NeverPull            bool // a replica receives only the logs that their own origins send
+	TrustOldEvidence     bool // an add is acknowledged by evidence of a partition that is older than the add
+	AnswerUnasked        bool // a starting replica answers before it has queried the others
+	RepeatEffectful      bool // requests that may run at most once are retried like idempotent ones
+	PromiseAfterRun      bool // the response for a request that may have run states that it has not run
+	MatchByOrder         bool // a response is matched to whichever request waits on its connection
+	RetryWithoutBudget   bool // retries don't consume the retry budget
+	ResumeFromStart      bool // a stream is resumed without the id of its last event
+	AnswerOutOfContact   bool // a controller answers operators without the contact lease
+	EndWithoutHandOver   bool // a member that is shut down stops immediately, without a hand-over
+	ShiftUntried         bool // all requests go to a new version immediately, without a canary
+	IgnoreOutcomes       bool // bad responses of a new version are ignored
+	CompareWithNothing   bool // a new version isn't compared with the outcomes of the other versions
+	KeepSenders          bool // a relay keeps the load reports of a subscriber that has ended
 }
 
-// Cluster is everything in one history.
+// Cluster holds the state of one history of the registers model.
 type Cluster struct {
 	kernel      *Kernel
 	network     *Network
@@ -67,13 +67,13 @@
 	aimed       []func()
 	healed      bool
 
-	disturbances     int // faults so far
+	disturbances     int // number of faults so far
 	disturbedUntilUs int64
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// newCluster makes a group of the given size, and others who stand ready.
+// newCluster creates a group of the given size, ready spare controllers outside it, and operators.
 func newCluster(k *Kernel, size, ready, operators int, defects Defects) *Cluster {
 	c := &Cluster{kernel: k, network: NewNetwork(k), defects: defects}
 	for i := range size + ready {
@@ -104,36 +104,36 @@
 	return nil
 }
 
-// crash ends a process; what it was writing may or may not be seen afterwards.
+// crash stops a process. Its writes in progress may or may not be visible afterwards.
 func (c *Cluster) crash(node *Controller) {
 	c.kernel.Note("%s crashes", node.addr)
 	node.process.Stop()
 	node.disk.Kill()
 }
 
-// losePower ends a process and loses what its disk had not synced.
+// losePower stops a process and loses some of the unsynced content of its disk.
 func (c *Cluster) losePower(node *Controller) {
 	c.kernel.Note("%s loses power", node.addr)
 	node.process.Stop()
 	node.disk.LosePower()
 }
 
-// wipe ends a process and takes its disk.
+// wipe stops a process and wipes its disk.
 func (c *Cluster) wipe(node *Controller) {
 	c.kernel.Note("%s loses its disk", node.addr)
 	node.process.Stop()
 	node.disk.Wipe()
 }
 
-// restart begins another life where there is none.
+// restart boots the process if it is down.
 func (c *Cluster) restart(node *Controller) {
 	if !node.process.Up() {
 		node.boot(false)
 	}
 }
 
-// bearsLossOf tells whether the design promises to bear the loss of this disk
-// now, in every register.
+// bearsLossOf reports whether the design guarantees that every register tolerates the
+// loss of this disk in the current state.
 func (c *Cluster) bearsLossOf(victim *Controller) bool {
 	for part := range parts {
 		if !c.majorityKnows(part, victim) && !c.repairComplete(part, victim) {
@@ -143,8 +143,8 @@
 	return true
 }
 
-// majorityKnows tells whether without the victim a majority of the newest group
-// is left that knows from disk that it is the group.
+// majorityKnows reports whether a majority of the newest group remains without the victim
+// whose disks hold a value with that group.
 func (c *Cluster) majorityKnows(part int, victim *Controller) bool {
 	group, left := c.checks.newest[part].Group, 0
 	for _, m := range group {
@@ -156,8 +156,9 @@
 	return left > len(group)/2
 }
 
-// repairComplete tells whether those whom the last change took in hold it on
-// disk, and no more members than a minority are lost, the victim among them.
+// repairComplete reports whether every remaining member that the last change of the group
+// added has that change on disk, and at most a minority of the members is lost, including
+// the victim.
 func (c *Cluster) repairComplete(part int, victim *Controller) bool {
 	group, lost := c.checks.newest[part].Group, 0
 	for _, m := range group {
@@ -173,8 +174,8 @@
 	return lost <= (len(group)-1)/2
 }
 
-// knowsDurably tells whether a loss of power leaves this disk with an identity
-// and a register committed up to a version.
+// knowsDurably reports whether this disk durably holds the identity id and a committed
+// value of the register with at least the given version.
 func (c *Controller) knowsDurably(part int, id string, version int64) bool {
 	identity, ok := c.disk.Durable(identityFile)
 	if !ok || string(identity) != id {
@@ -191,7 +192,7 @@
 	return len(record.Committed.Group) > 0 && record.Committed.Version >= version
 }
 
-// heal ends every fault: links, disks and processes are as they should be.
+// heal ends every fault of links, disks and processes.
 func (c *Cluster) heal() {
 	c.kernel.Note("everything heals")
 	c.healed = true
@@ -204,5 +205,5 @@
 	}
 }
 
-// genesis is the value before the first.
+// genesis returns the initial value, which names the founders as the group.
 func (c *Cluster) genesis() messages.Value { return consensus.InitialValue(c.founders) }
--- a/internal/simulation/contact.go
+++ b/internal/simulation/contact.go
@@ -1,6 +1,6 @@
-// The lease of contact: a controller answers operators only while a majority of the
-// configuration's group has handled a request of it within the lease, as
-// controller/contact.go drives it.
+// The contact lease, driven as in controller/contact.go: a controller answers operators only
+// while a majority of the configuration register's group has handled one of its requests
+// within the lease time.
 
 package simulation
 
@@ -10,8 +10,8 @@
 	"beechtide.org/beechtide/internal/simulation/history"
 )
 
-// contactSlackUs is by how much the clock of a process may run wrong within a lease, and how
-// old the word behind its start may be.
+// contactSlackUs is the tolerance of the check for the clock error of a process within a
+// lease time and for the age of the message that starts it.
 const contactSlackUs = Millisecond
 
 func (c *Controller) configGroup() []string {
@@ -23,11 +23,11 @@
 	return ids
 }
 
-// startingUp is true while a controller has not had the time to come by a lease.
+// startingUp reports whether a controller has not yet run long enough to have acquired a lease.
 func (c *Controller) startingUp() bool { return c.process.NowUs() < lease.ContactUs }
 
-// serveInContact serves a call of an operator under the lease, and checks that again as the
-// answer leaves.
+// serveInContact serves an operator's call under the contact lease, which it checks before
+// the call and again before the answer.
 func (c *Controller) serveInContact(call history.Call, answer func(history.Answer)) {
 	begunUs := c.process.NowUs()
 	unchecked := c.cluster.defects.AnswerOutOfContact
@@ -49,13 +49,13 @@
 	})
 }
 
-// alreadyTaken reports whether a call needs no majority, as this node knows that it was taken.
+// alreadyTaken reports whether this node has learned that the call's change was accepted, so that the answer needs no majority.
 func (c *Controller) alreadyTaken(call history.Call) bool {
 	cur, known := c.committed(configPart)
 	return known && call.Kind == history.Replace && submissionOf(call).AcceptedIn(configOf(cur))
 }
 
-// handledBy notes that a controller has handled a request of this one, by true time.
+// handledBy records the virtual time at which a member has handled a request of this controller.
 func (c *Controller) handledBy(member string, life int64) {
 	if life != c.process.life {
 		return
@@ -63,8 +63,8 @@
 	c.handledUs[member] = c.cluster.kernel.NowUs()
 }
 
-// answersInContact checks, by true time, that a majority of the group that the controller knows
-// has handled a request of it within the lease.
+// answersInContact checks by virtual time that a majority of the group that the controller has
+// learned has handled one of its requests within the lease time.
 func (c *checks) answersInContact(node *Controller) {
 	nowUs := c.cluster.kernel.NowUs()
 	met := lease.Majority(node.configGroup(), func(member string) bool {
@@ -76,14 +76,14 @@
 	}
 }
 
-// vouch notes work on the configuration's register that a majority took part in.
+// vouch renews the contact lease after work on the configuration register in which a majority took part.
 func (c *Controller) vouch(part int, begunUs int64, err error) {
 	if err == nil && part == configPart {
 		c.contact.RecordMajorityWork(begunUs)
 	}
 }
 
-// answeredBy renews the lease with the response of a member.
+// answeredBy renews the contact lease with the response of a member.
 func (c *Controller) answeredBy(request messages.ConsensusRequest, r messages.ConsensusResponse, sentUs int64) {
 	if request.To != "" && request.Step != messages.Commit && r.Verdict != messages.Stranger {
 		c.contact.RecordAnswer(request.To, sentUs)
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -1,5 +1,5 @@
-// Controllers as members of the registers. Each one keeps its identity and its records
-// on its disk, and no response leaves before the record that it rests on is durable.
+// Model of a controller as a member of the registers. It stores its identity and its
+// records on its disk and sends no response before the record behind it is durable.
 
 package simulation
 
@@ -11,20 +11,20 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Registers of the model, by part.
+// Indexes of the registers of the model.
 const (
 	configPart = iota // the operator's configuration
-	dutyPart          // named weights and the lease of the one who rolls them out
+	dutyPart          // named weights and the lease of the controller that rolls them out
 	parts
 )
 
-// identityFile is where a controller keeps who it is.
+// identityFile holds the member id of a controller.
 const identityFile = "identity"
 
-// busyWaitUs is how long a request waits for the record it is about.
+// busyWaitUs is how long a request may wait for exclusive access to its record.
 const busyWaitUs = 2 * Second
 
-// register is a controller's part in one register.
+// register is a controller's state of one register.
 type register struct {
 	acceptor consensus.Acceptor
 	learned  *messages.Value
@@ -35,42 +35,42 @@
 	repair   partRepair
 }
 
-// notOnDisk says that no committed value is on disk.
+// notOnDisk means that no committed value is on disk.
 const notOnDisk = -1
 
-// Controller is one machine with a disk and the process on it.
+// Controller models one machine with a disk and a controller process.
 type Controller struct {
 	cluster *Cluster
 	addr    string
 	process *Process
 	disk    *Storage
 
-	// What follows is gone with each life of the process.
+	// The fields below are reset with each life of the process.
 	id        string
 	registers [parts]*register
 	heard     map[string]peer
-	direct    map[string]int64 // when another was last reached and answered
+	direct    map[string]int64 // by address: send time of the last ping that was answered
 	duty      lease.Lease
 	takeover  lease.Takeover
-	diskFault bool // the last write was refused
+	diskFault bool // the last write failed
 	dutyBusy  bool
-	actedAs   int64 // the fence under which it has noted that it acted
-	synced    bool  // what was read from the disk is durable
+	actedAs   int64 // the fence that it last recorded in actedFile
+	synced    bool  // the content that was read from the disk is durable
 	shutdown  shutdown
 	contact   lease.Contact
-	handledUs map[string]int64 // by member: when it last handled a request of this process, by true time
+	handledUs map[string]int64 // by member id: virtual time at which it last handled a request of this process
 }
 
-// peer is another controller as it was last heard of.
+// peer is the last news of another controller.
 type peer struct {
 	id      string
-	heardUs int64 // by the hearer's monotonic clock
+	heardUs int64 // by the receiver's monotonic clock
 }
 
 func recordFile(part int) string { return fmt.Sprintf("part-%d", part) }
 
-// boot begins a life of the process. Founders without a record start from the
-// first group.
+// boot starts a life of the process. A founder without a record starts from the initial
+// group.
 func (c *Controller) boot(founding bool) {
 	c.process.Start()
 	c.heard, c.direct, c.dutyBusy, c.actedAs = map[string]peer{}, map[string]int64{}, false, 0
@@ -98,7 +98,7 @@
 	}))
 }
 
-// afterWrite binds the end of a write to the present life.
+// afterWrite returns a completion callback for a write that only runs in the current life.
 func (c *Controller) afterWrite(done func(error)) func(error) {
 	var result error
 	run := c.process.InLife(func() { done(result) })
@@ -108,8 +108,9 @@
 	}
 }
 
-// open loads the records and begins to work once a founder's first group is on
-// disk: else a group that has not yet taken a value would forget itself.
+// open loads the records and starts the periodic work. A founder first writes the initial
+// group to disk: otherwise a group that has not yet accepted a value would be lost in a
+// restart.
 func (c *Controller) open(id string, founding bool) {
 	c.id = id
 	c.contact.Self = id
@@ -147,7 +148,7 @@
 	}
 }
 
-// work begins what a controller does by itself.
+// work starts the periodic tasks.
 func (c *Controller) work() {
 	c.cluster.kernel.Note("%s is up as %s", c.addr, c.id)
 	c.every(pingEveryUs, c.ping)
@@ -155,7 +156,7 @@
 	c.every(dutyEveryUs, c.workDuty)
 }
 
-// every repeats something for as long as the life lasts.
+// every runs a callback periodically for the rest of the current life.
 func (c *Controller) every(periodUs int64, run func()) {
 	c.process.After(c.cluster.kernel.Between(periodUs/2, periodUs), func() {
 		run()
@@ -163,7 +164,7 @@
 	})
 }
 
-// committed is the newest committed value the node knows.
+// committed returns the newest committed value that this node has learned.
 func (c *Controller) committed(part int) (messages.Value, bool) {
 	if c.registers[part] == nil || c.registers[part].learned == nil {
 		return messages.Value{}, false
@@ -171,7 +172,7 @@
 	return *c.registers[part].learned, true
 }
 
-// learn takes in a committed value, never an older one, and keeps it.
+// learn records a committed value if it is newer than the last one, and makes it durable.
 func (c *Controller) learn(part int, v messages.Value) {
 	r := c.registers[part]
 	if r == nil || len(v.Group) == 0 || r.learned != nil && r.learned.Version >= v.Version {
@@ -185,10 +186,10 @@
 	}
 }
 
-// keepAgainUs is how long a member waits before it tries a refused write again.
+// keepAgainUs is the delay before a failed write is retried.
 const keepAgainUs = 300 * Millisecond
 
-// keep makes what was learned durable, apart from everything else.
+// keep makes the learned value durable in the background.
 func (c *Controller) keep(part int) {
 	r := c.registers[part]
 	r.acquire(func(release func()) {
@@ -207,8 +208,8 @@
 	})
 }
 
-// makeDurable folds a committed value into the record and saves it, unless the
-// disk holds it already. The caller holds the register.
+// makeDurable applies a committed value to the record and saves it, unless it is on disk
+// already. The caller has acquired the register.
 func (c *Controller) makeDurable(part int, v messages.Value, done func(error)) {
 	r := c.registers[part]
 	before := r.acceptor.Record
@@ -224,8 +225,8 @@
 	})
 }
 
-// sync makes durable what this life has read: a process that was killed may have left records that
-// are not. It does so once.
+// sync makes the records durable that this life has read: a killed process may have left unsynced
+// ones. After a success it does nothing more in this life.
 func (c *Controller) sync(done func(error)) {
 	if c.synced {
 		done(nil)
@@ -253,7 +254,7 @@
 	}))
 }
 
-// acquire runs something while nothing else is at the record.
+// acquire runs a callback with exclusive access to the record, until it calls release.
 func (r *register) acquire(run func(release func())) {
 	if r.busy {
 		r.waiting = append(r.waiting, run)
@@ -273,8 +274,8 @@
 	r.acquire(next)
 }
 
-// handle answers a request between members. No reply is given where the disk
-// refuses or the record stays busy.
+// handle processes a request of another member. It doesn't reply if the write fails or
+// the record stays busy for too long.
 func (c *Controller) handle(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
 	r := c.registers[request.Part]
 	if r == nil {
@@ -324,7 +325,7 @@
 	})
 }
 
-// call carries a request to a member and its response back, or neither.
+// call sends a request to a member. done is called at most once, with the response.
 func (c *Controller) call(to string, request messages.ConsensusRequest, done func(messages.ConsensusResponse)) {
 	if to == c.addr {
 		c.handle(request, done)
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -1,5 +1,5 @@
-// Coordinators: controllers as far as rollouts are concerned. They drive the real
-// lease.Role and rollout.Shard as the controller's roleManager and rolloutManager do.
+// Model of a controller for rollouts. It drives the real lease.Role and rollout.Shard as
+// the controller's roleManager and rolloutManager do.
 
 package simulation
 
@@ -12,20 +12,20 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// Periods and waits of a coordinator.
+// Timeouts of a coordinator, and the shift of the fence in the sequence number of a cordon.
 const (
 	orderWaitUs  = 700 * Millisecond
 	reportWaitUs = 600 * Millisecond
 	cordonShift  = 20
 )
 
-// coordinator is one controller.
+// coordinator is the rollout side of one controller.
 type coordinator struct {
 	*leaseMember
 	history   *rolloutHistory
 	registrar *registrar
 
-	// What follows is gone with each life of the process.
+	// The fields below are reset with each life of the process.
 	shard   *rollout.Shard
 	targets targets.Table
 	startUs int64
@@ -54,8 +54,8 @@
 	h.fleet.every(c.process, roleEveryUs, c.soon(c.step))
 }
 
-// note takes the versions that a register names. What a process finds as it starts
-// was named before it began.
+// note records the versions named in the register. Versions learned right after the start
+// may have been named before the start, so their age is unknown.
 func (c *coordinator) note(named []messages.Target) {
 	for _, t := range named {
 		switch {
@@ -68,7 +68,7 @@
 	}
 }
 
-// name records a version, as a call of the operator does.
+// name adds a version to the register, as an operator's call does.
 func (c *coordinator) name(version int64, acknowledge func()) {
 	target := messages.Target{Model: rolloutModel, Version: version}
 	first := false
@@ -87,7 +87,7 @@
 	})
 }
 
-// step is one step of the role, and of the shard where the lease is held.
+// step runs one step of the role and of the shard, which issues orders under the role's grant.
 func (c *coordinator) step() {
 	if c.knownVersion == 0 {
 		return
@@ -128,7 +128,7 @@
 	}
 }
 
-// order sends an order, unless the confirmation behind it has run out.
+// order sends a load order, unless the lease confirmation behind it has expired.
 func (c *coordinator) order(o rollout.Order, step rollout.Step) {
 	answered := false
 	answer := func(a rollout.Answer) {
@@ -156,7 +156,7 @@
 	})
 }
 
-// call has something happen at a runner, and here when its answer is back.
+// call runs at in a runner, and the callback that it returns here once the answer arrives.
 func (c *coordinator) call(id string, at func(e *engine) func()) {
 	h := c.history
 	i := slices.IndexFunc(h.engines, func(e *engine) bool { return e.id() == id && e.up })
--- a/internal/simulation/injector.go
+++ b/internal/simulation/injector.go
@@ -1,15 +1,15 @@
-// Faults that last for a while, until their end or until everything heals.
+// Faults of limited duration, which end at their time or when everything heals.
 
 package simulation
 
-// injector strikes with faults.
+// injector injects faults into a network.
 type injector struct {
 	kernel  *Kernel
 	network *Network
 	healed  bool
 }
 
-// later ends a fault, unless all have been ended.
+// later ends a fault after a time, unless all faults have been ended before.
 func (i *injector) later(forUs int64, end func()) {
 	i.kernel.After(forUs, func() {
 		if !i.healed {
@@ -18,7 +18,7 @@
 	})
 }
 
-// cut cuts the link between two addresses both ways.
+// cut cuts the links between two addresses in both directions for a time.
 func (i *injector) cut(a, b string, forUs int64) {
 	i.cutOneWay(a, b, forUs)
 	i.cutOneWay(b, a, forUs)
--- a/internal/simulation/proposer.go
+++ b/internal/simulation/proposer.go
@@ -1,5 +1,5 @@
-// Proposers: consensus.Attempt, Round and Reading, driven by events as
-// consensus.Registers drives them by goroutines.
+// Proposers: consensus.Attempt, Round and QuorumRead, driven by events of the simulation
+// where consensus.Registers drives them by goroutines.
 
 package simulation
 
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Waits of the proposer, as in consensus.Registers.
+// Timeouts and delays of the proposer, as in consensus.Registers.
 const (
 	roundUs     = 500 * Millisecond
 	sealUs      = 150 * Millisecond
@@ -20,9 +20,9 @@
 	readAgainUs = 30 * Millisecond
 )
 
-var errSettled = errors.New("simulation: settled")
+var errSettled = errors.New("simulation: undecided slot settled, value unchanged")
 
-// changing is one Change under way.
+// changing is the state of one change in progress.
 type changing struct {
 	node    *Controller
 	part    int
@@ -32,11 +32,11 @@
 	attempt *consensus.Attempt
 	try     int
 	round   *consensus.Round
-	sealing bool // the wait before the round is sealed has begun
+	sealing bool // the delay before the round is sealed has started
 }
 
-// change runs rounds until the change is made, denied by itself, or the time is
-// over. After consensus.ErrOutcomeUnknown it may still come into force.
+// change runs rounds until the change is chosen, the change function rejects it, or the
+// time is over. After consensus.ErrOutcomeUnknown the change may still be chosen later.
 func (c *Controller) change(part int, forUs int64, change consensus.Change, done func(messages.Value, error)) {
 	c.cluster.serial++
 	p := &changing{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
@@ -62,8 +62,8 @@
 	p.post(round, round.Requests())
 }
 
-// post sends asks; those to one member go one after the other, each once the
-// one before it was answered.
+// post sends requests. Those to the same member are sent in order, each after the response
+// to the one before.
 func (p *changing) post(round *consensus.Round, asks []consensus.Request) {
 	var order []string
 	byMember := map[string][]consensus.Request{}
@@ -102,7 +102,7 @@
 	})
 }
 
-// sealLater closes the slot of a refusal that waits for members in vain.
+// sealLater seals the slot after a delay if a rejection still waits for responses of members.
 func (p *changing) sealLater(round *consensus.Round) {
 	if p.sealing || !round.SealPending() {
 		return
@@ -115,7 +115,7 @@
 	})
 }
 
-// finish looks at how a round ended and goes on, or is done.
+// finish evaluates the outcome of a round and either starts the next one or completes the change.
 func (p *changing) finish(round *consensus.Round) {
 	if p.round != round {
 		return
@@ -142,7 +142,7 @@
 	p.node.process.After(min(backOffUs, max(p.leftUs(), 0)), p.start)
 }
 
-// spread tells both groups what has been chosen.
+// spread sends the chosen value to the members of the old and the new group.
 func (p *changing) spread(round *consensus.Round) {
 	v := round.Value
 	p.node.learn(p.part, v)
@@ -158,7 +158,7 @@
 	}
 }
 
-// reading is one Read under way.
+// reading is the state of one linearizable read in progress.
 type reading struct {
 	node    *Controller
 	part    int
@@ -166,13 +166,13 @@
 	done    func(messages.Value, error)
 }
 
-// read gives the newest value that a majority vouches for.
+// read passes the newest value to done, after a majority has confirmed that it is current.
 func (c *Controller) read(part int, forUs int64, done func(messages.Value, error)) {
 	p := &reading{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
 	p.start()
 }
 
-// look is one question to the whole group.
+// look is one quorum read: a request to every member of the group.
 type look struct {
 	*consensus.QuorumRead
 	heard int
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,9 +1,9 @@
-// Scenarios: which faults come when, drawn from the seed.
+// Schedule of the faults of a history, drawn from the seed.
 
 package simulation
 
-// A history has a calm start, in which every register takes its first value,
-// then faults, then time to come back.
+// Phases of a history: a calm start, in which every register accepts its first value,
+// then faults, then time to recover. Also the shortest and longest duration of a fault.
 const (
 	calmUs     = 1_500 * Millisecond
 	faultsUs   = 10 * Second
@@ -12,11 +12,11 @@
 	mostFault  = 5 * Second
 )
 
-// fault is one kind of trouble; how often it is drawn is its weight.
+// fault is one kind of fault. Its weight determines how often it is drawn.
 type fault struct {
 	weight int
 	strike func(c *Cluster, victim *Controller, forUs int64)
-	// tellsItself is set for a fault that notes its own disturbance.
+	// tellsItself is set for a fault that records its own disturbance.
 	tellsItself bool
 }
 
@@ -41,7 +41,7 @@
 	{weight: 4, strike: (*Cluster).shutDownFor, tellsItself: true},
 }
 
-// plan draws the faults of a history.
+// plan draws and schedules the faults of a history.
 func (c *Cluster) plan() {
 	k := c.kernel
 	total := 0
@@ -69,7 +69,7 @@
 	}
 }
 
-// later ends a fault, where not everything has healed before.
+// later ends a fault after a time, unless heal has ended it before.
 func (c *Cluster) later(forUs int64, end func()) {
 	c.kernel.After(forUs, func() {
 		if !c.healed {
@@ -101,7 +101,7 @@
 	c.later(forUs, victim.process.Thaw)
 }
 
-// cutOffFor parts one from all other controllers; operators still reach it.
+// cutOffFor partitions one controller from all others. Operators still reach it.
 func (c *Cluster) cutOffFor(victim *Controller, forUs int64) {
 	c.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range c.controllers {
@@ -110,7 +110,7 @@
 	}
 }
 
-// cutOneWayFor has one either not heard by the others or not hear them.
+// cutOneWayFor cuts either all links to a controller from the others, or all links from it to them.
 func (c *Cluster) cutOneWayFor(victim *Controller, forUs int64) {
 	deaf := c.kernel.Chance(500)
 	c.kernel.Note("%s is cut off one way for %d us, deaf: %v", victim.addr, forUs, deaf)
@@ -123,7 +123,7 @@
 	}
 }
 
-// cutSomeFor cuts links one by one, so that probes may go round.
+// cutSomeFor cuts a random subset of the links, so that indirect paths may remain.
 func (c *Cluster) cutSomeFor(_ *Controller, forUs int64) {
 	c.kernel.Note("some links are cut for %d us", forUs)
 	for _, a := range c.controllers {
@@ -144,7 +144,7 @@
 	c.later(forUs, func() { l.Cuts-- })
 }
 
-// stormFor loses, doubles, delays and reorders everything.
+// stormFor makes every link lose, duplicate, delay and reorder messages.
 func (c *Cluster) stormFor(_ *Controller, forUs int64) {
 	c.kernel.Note("a storm for %d us", forUs)
 	names := []string{}
@@ -186,7 +186,7 @@
 	c.later(forUs, func() { victim.disk.SlowUs = 0 })
 }
 
-// wipeFor takes a disk where the design promises to bear that now.
+// wipeFor wipes a disk if the design guarantees that its loss is tolerated in this state.
 func (c *Cluster) wipeFor(victim *Controller, forUs int64) {
 	if !c.bearsLossOf(victim) {
 		return
@@ -202,10 +202,10 @@
 	}
 }
 
-// aim holds a fault back until an operator is told that a change was taken.
+// aim defers a fault until an operator next receives the acknowledgement of a change.
 func (c *Cluster) aim(strike func()) { c.aimed = append(c.aimed, strike) }
 
-// strikeAimed lets aimed faults come, at the moment they were aimed at.
+// strikeAimed injects the deferred faults, when an operator has received an acknowledgement.
 func (c *Cluster) strikeAimed() {
 	if c.healed {
 		return
--- a/internal/simulation/storage.go
+++ b/internal/simulation/storage.go
@@ -1,15 +1,15 @@
-// Disks: what is durable, what is only visible, stalls, full disks, loss of
+// Model of a disk: durable and merely visible content, stalls, full disks, loss of
 // power and loss of the whole disk.
 
 package simulation
 
 import "github.com/pkg/errors"
 
-// ErrDisk is why a write failed.
-var ErrDisk = errors.New("simulation: the disk refuses")
+// ErrDisk is the error of a write to a full disk.
+var ErrDisk = errors.New("simulation: write failed: the disk is full")
 
-// file is one name on a disk. Each write replaces the whole content; those that
-// were not synced are lost one by one when the power goes.
+// file is the content under one name. Each write replaces the whole content. A loss of
+// power loses or keeps each unsynced write at random.
 type file struct {
 	durable  []byte
 	unsynced [][]byte
@@ -22,7 +22,7 @@
 	return f.durable
 }
 
-// write is one that waits for the disk.
+// write is a queued write or sync.
 type write struct {
 	name    string
 	content []byte
@@ -35,16 +35,16 @@
 	files   map[string]*file
 	waiting []write
 	busy    bool
-	era     int64 // rises when writes under way are cut off
+	era     int64 // incremented when the writes in progress are aborted
 	Stalled bool
 	Full    bool
 	SlowUs  int64
 }
 
-// NewStorage is an empty disk.
+// NewStorage returns an empty disk.
 func NewStorage(k *Kernel) *Storage { return &Storage{kernel: k, files: map[string]*file{}} }
 
-// Read gives what a reader sees, synced or not.
+// Read returns the content that a reader sees, synced or not.
 func (s *Storage) Read(name string) ([]byte, bool) {
 	f := s.files[name]
 	if f == nil || f.visible() == nil {
@@ -53,7 +53,7 @@
 	return f.visible(), true
 }
 
-// Durable gives what a loss of power leaves for certain.
+// Durable returns the content that is certain to survive a loss of power.
 func (s *Storage) Durable(name string) ([]byte, bool) {
 	f := s.files[name]
 	if f == nil || f.durable == nil {
@@ -62,29 +62,29 @@
 	return f.durable, true
 }
 
-// Write replaces a file and calls done when that is durable, or refused.
+// Write replaces a file and calls done once that is durable or has failed.
 func (s *Storage) Write(name string, content []byte, done func(error)) {
 	s.waiting = append(s.waiting, write{name, content, done})
 	s.work()
 }
 
-// Sync makes durable what readers see, and calls done when it is, or refused.
+// Sync makes the visible content of all files durable and calls done once it is, or once that has failed.
 func (s *Storage) Sync(done func(error)) {
 	s.waiting = append(s.waiting, write{name: everyFile, done: done})
 	s.work()
 }
 
-// everyFile is the name under which a write stands that syncs what is there.
+// everyFile is the name of a queued sync, which applies to all files.
 const everyFile = ""
 
-// syncFiles makes durable what readers see.
+// syncFiles makes the visible content of all files durable.
 func (s *Storage) syncFiles() {
 	for _, f := range s.files {
 		f.durable, f.unsynced = f.visible(), nil
 	}
 }
 
-// Resume goes on after a stall.
+// Resume ends a stall and continues with the queued writes.
 func (s *Storage) Resume() {
 	s.Stalled = false
 	s.work()
@@ -99,7 +99,7 @@
 	s.kernel.After(s.kernel.Between(100, 3*Millisecond)+s.SlowUs, func() { s.sync(era) })
 }
 
-// sync ends the write at the head of the queue.
+// sync completes the write at the head of the queue.
 func (s *Storage) sync(era int64) {
 	if era != s.era {
 		return
@@ -123,8 +123,8 @@
 	s.work()
 }
 
-// Kill cuts off the writes under way, as the end of their process does. Each of
-// them may have got as far as the rename, and then readers see it.
+// Kill aborts the queued writes, as the end of their process does. Each of them may
+// have reached its rename; then its content is visible but not synced.
 func (s *Storage) Kill() {
 	for _, w := range s.waiting {
 		if s.Full || w.name == everyFile || !s.kernel.Chance(500) {
@@ -141,7 +141,7 @@
 	s.era++
 }
 
-// LosePower cuts off the writes under way and loses some of what was not synced.
+// LosePower aborts the queued writes and loses some of the unsynced content.
 func (s *Storage) LosePower() {
 	s.Kill()
 	for _, name := range sortedKeys(s.files) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// Wipe loses the disk; an empty one takes its place.
+// Wipe replaces the disk by an empty one.
 func (s *Storage) Wipe() {
 	s.Kill()
 	s.files = map[string]*file{}
