--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -1,5 +1,4 @@
-// Checks of the registers while a history runs, and the record of the operators' calls
-// for the check of linearizability afterwards.
+// Checks of the registers during a history, and the counts that it returns.
 
 package simulation
 
@@ -10,26 +9,26 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// deed is the last act of a holder of the duty.
+// deed records the last act of a holder of the rollout lease.
 type deed struct {
 	holder string
 	fence  int64
 	atUs   int64
 }
 
-// checks keeps what has been seen of each register.
+// checks holds what the checks have observed of each register.
 type checks struct {
 	cluster    *Cluster
 	stamps     [parts]map[int64]string
 	newest     [parts]messages.Value
 	groupSince [parts]int64
-	joined     [parts]map[string]bool // by the last change of the group
+	joined     [parts]map[string]bool // by member id: whether the last change of the group added it
 	holders    map[int64]string       // by fence
-	deeds      map[string]deed        // by holder
+	deeds      map[string]deed        // by holder id
 	counts     Counts
 }
 
-// Counts tell what histories were made of, so that a quiet one is seen.
+// Counts count the events of histories, so that tests detect a model in which something never happens.
 type Counts struct {
 	Histories, Chosen, Taken, Refused, Read, Unclear, Regroups, Acts, Wipes, Fleets, Distributions                  int64
 	Rollouts, Orders, Begun, Takeovers                                                                              int64
@@ -41,7 +40,7 @@
 	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                      int64
 }
 
-// Add sums counts up.
+// Add adds other to the counts.
 func (c *Counts) Add(other Counts) {
 	c.Histories += other.Histories
 	c.Chosen += other.Chosen
@@ -90,7 +89,7 @@
 	c.LoadReports += other.LoadReports
 }
 
-// String tells the counts in one line.
+// String returns the counts in one line.
 func (c Counts) String() string {
 	return fmt.Sprintf("%d histories: %d values chosen, %d changes of a group, %d disks lost, %d acts under a lease; "+
 		"operators: %d configurations taken, %d refused, %d reads, %d calls unclear; %d histories of runners, %d of configurations; "+
@@ -115,7 +114,7 @@
 	return out
 }
 
-// chosen is called where a proposer sees a value chosen.
+// chosen is called when a proposer observes that a value is chosen.
 func (c *checks) chosen(part int, v messages.Value) {
 	if old, known := c.stamps[part][v.Version]; known {
 		if old != v.Stamp {
@@ -140,8 +139,8 @@
 	c.newest[part] = v
 }
 
-// checkJoined sees to it that who is taken into a group holds on disk what the
-// change builds on, unless the disk has been lost since.
+// checkJoined checks that each member added to a group has the value before the change on
+// disk, unless its disk has been lost since.
 func (c *checks) checkJoined(part int, v messages.Value) {
 	for _, m := range v.Group {
 		node := c.cluster.at(m.Addr)
@@ -152,8 +151,8 @@
 	}
 }
 
-// committed is called where a node learns a value for committed; a value may be
-// seen here first, where its proposer did not live to see it chosen.
+// committed is called when a node learns a committed value. A value may be observed here
+// first if its proposer stopped before it observed that the value was chosen.
 func (c *checks) committed(node *Controller, part int, v messages.Value) {
 	if v.Version > 0 {
 		c.chosen(part, v)
@@ -164,7 +163,7 @@
 	}
 }
 
-// acted is called where a holder of the duty acts.
+// acted is called when a holder of the rollout lease acts.
 func (c *checks) acted(holder string, fence int64) {
 	now := c.cluster.kernel.NowUs()
 	c.counts.Acts++
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -1,7 +1,7 @@
-// Distribution: an operator's configurations on their way from the controllers to
-// every router. The real order of configurations, replica, tree, decisions of
-// subscribers and comparisons run; agreement between the controllers is taken as
-// given, as the model "registers" plays it. Any step of any process may take long.
+// Model of the distribution of an operator's configurations from the controllers to every
+// router. It runs the real ordering of configurations, replica, dissemination tree, parent
+// policy and comparisons. Agreement between the controllers is assumed, as the model
+// "registers" covers it. Any step of any process may take long.
 
 package simulation
 
@@ -12,7 +12,7 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// The deployment's bounds, as the rules name them, and how long a history is.
+// Bounds of the deployment, the length of a history, and the durations of steps.
 const (
 	convergeUs         = 2_500 * Millisecond
 	contactBoundUs     = 4 * Second
@@ -24,7 +24,7 @@
 	connectionBrokenUs = 1_500 * Millisecond
 )
 
-// release is a version of the register.
+// release is one version of the configuration register.
 type release struct {
 	version int64
 	order   routeconfig.Submission
@@ -32,7 +32,7 @@
 	ackedUs int64 // 0 while nobody has acknowledged it
 }
 
-// distribution is everything in one history of configurations.
+// distribution holds the state of one history of the distribution model.
 type distribution struct {
 	kernel       *Kernel
 	network      *Network
@@ -40,17 +40,17 @@
 	routers      []*sink
 	releases     []*release // by version of the register, from 1 on
 	chosen       messages.ConfigBody
-	refused      map[int64]bool // versions of configurations that were refused
-	slowSteps    int            // how many steps in a thousand take long
-	coreUs       int64          // when a fault of the core last began or ended
-	coreTroubles int            // controllers that are slowed now
+	refused      map[int64]bool // versions of configurations that were rejected
+	slowSteps    int            // number of steps in a thousand that take long
+	coreUs       int64          // when a fault of the controllers or their links last began or ended
+	coreTroubles int            // number of faults that slow a controller now
 	slowed       map[*Process]bool
 	healed       bool
 	defects      Defects
 	counts       Counts
 }
 
-// PlayDistribution plays the configurations' history of a seed.
+// PlayDistribution runs the history of configurations for a seed.
 func PlayDistribution(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	d := &distribution{kernel: k, network: NewNetwork(k), refused: map[int64]bool{}, slowed: map[*Process]bool{}, defects: options.Defects}
@@ -77,7 +77,7 @@
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: d.counts}
 }
 
-// step has something happen after the time that a step of a process takes.
+// step runs a callback after the time that a step of a process takes.
 func (d *distribution) step(p *Process, run func()) {
 	p.After(d.stepUs(p), run)
 }
@@ -92,7 +92,7 @@
 	return d.kernel.Between(0, ordinaryStepUs)
 }
 
-// every repeats something in the present life of a process; each turn may be late.
+// every runs a callback periodically in the current life of a process. Each run may be late.
 func (d *distribution) every(p *Process, periodUs int64, run func()) {
 	p.After(periodUs+d.stepUs(p), func() {
 		run()
@@ -100,8 +100,8 @@
 	})
 }
 
-// call carries a question and its answer; ended is called once, with false where no
-// answer came in time.
+// call sends a request and its response; ended is called once, with false if no response
+// arrived in time.
 func (d *distribution) call(from *Process, fromAddr string, to *Process, toAddr string, waitUs int64, serve func() func(), ended func(bool)) {
 	done := false
 	finish := func(ok bool) {
@@ -131,9 +131,9 @@
 	from.After(waitUs, func() { finish(false) })
 }
 
-// release is what an operator does: one more version of the configuration, by way of
-// a controller that reaches most of the others. Some are invalid, some build on a
-// version that has been overtaken; those must never be in force.
+// release submits one more version of the configuration at a controller, if that reaches a
+// majority. Some versions are invalid and some have an outdated base; a rejected version
+// must never be in force.
 func (d *distribution) release() {
 	at := d.controllers[d.kernel.Below(len(d.controllers))]
 	if !at.process.Up() || at.process.frozen || !at.reachesMost() {
@@ -164,7 +164,7 @@
 	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"bad","host":"h","prefix":"/bad/","kind":"idempotent","cutoffMs":1000,"service":"nowhere"}],"services":[]}`, version)
 }
 
-// draw makes a configuration of some routes of a fixed set, each to one of three
+// draw returns a random configuration: some routes of a fixed set, each to one of three
 // services.
 func (d *distribution) draw(version int64) []byte {
 	const places = 12
@@ -183,8 +183,8 @@
 	return append(out, "]}"...)
 }
 
-// accept is a won round: most members have accepted the value, and the proposer
-// learns it, acknowledges it and tells the others.
+// accept models a successful round: the members that the proposer reaches have accepted the
+// value, and the proposer learns it, sends it to the others and acknowledges it.
 func (d *distribution) accept(at *source, next messages.ConfigBody, order routeconfig.Submission) {
 	config, err := routeconfig.ParseAccepted(order.Raw)
 	if err != nil {
@@ -223,7 +223,7 @@
 	})
 }
 
-// newestDue is the newest version that every router in touch has to have by now.
+// newestDue returns the newest version that every router in contact must have by now.
 func (d *distribution) newestDue() int64 {
 	newest := int64(0)
 	for _, r := range d.releases {
@@ -234,7 +234,7 @@
 	return newest
 }
 
-// coreSettled tells whether the core has been without trouble for long enough.
+// coreSettled reports whether the controllers and their links have been without a fault for long enough.
 func (d *distribution) coreSettled() bool {
 	up := 0
 	for _, c := range d.controllers {
@@ -245,7 +245,7 @@
 	return d.coreTroubles == 0 && up > len(d.controllers)/2 && d.kernel.NowUs()-d.coreUs > contactBoundUs
 }
 
-// watch checks again and again that every router in touch is where it has to be.
+// watch checks periodically that every router in contact has the version that is due.
 func (d *distribution) watch() {
 	d.kernel.After(distributionCheck, func() {
 		due := d.newestDue()
--- a/internal/simulation/distribution_faults.go
+++ b/internal/simulation/distribution_faults.go
@@ -2,7 +2,7 @@
 
 import "beechtide.org/beechtide/internal/messages"
 
-// node is a place in the tree that others may hang on.
+// node is a node of the dissemination tree, which others may subscribe to.
 type node interface {
 	address() string
 	running() *Process
@@ -11,7 +11,7 @@
 }
 
 // subscription is one connection from a parent to a child. Feeds arrive in order, and
-// none is lost unless the connection ends.
+// none is lost unless the connection closes.
 type subscription struct {
 	d                     *distribution
 	parent                node
@@ -21,7 +21,7 @@
 	waiting               []messages.Feed
 }
 
-// push sends a feed after those that wait.
+// push enqueues a feed.
 func (s *subscription) push(f messages.Feed) {
 	if s.alive() {
 		s.waiting = append(s.waiting, f)
@@ -29,7 +29,7 @@
 	}
 }
 
-// alive tells whether both ends are still there; the end of one ends the connection.
+// alive reports whether the connection is open. It closes when the process at either end stops.
 func (s *subscription) alive() bool {
 	s.open = s.open && s.parent.running().life == s.parentLife && s.child.process.life == s.childLife
 	return s.open
@@ -46,8 +46,8 @@
 	s.d.kernel.After(s.d.kernel.Between(link.DelayLowUs, link.DelayHighUs), func() { s.arrive(f, s.d.kernel.NowUs()) })
 }
 
-// arrive hands a feed over once the link lets it through; a connection that gets
-// nothing through for long breaks.
+// arrive delivers a feed once the link is not cut. A connection that can't deliver one for
+// connectionBrokenUs closes.
 func (s *subscription) arrive(f messages.Feed, sentUs int64) {
 	const again = 50 * Millisecond
 	switch {
@@ -69,7 +69,7 @@
 	}
 }
 
-// pushAll sends a feed to all who are still there, and gives those.
+// pushAll pushes a feed to all open subscriptions and returns them.
 func pushAll(list []*subscription, f messages.Feed) []*subscription {
 	var alive []*subscription
 	for _, s := range list {
@@ -81,7 +81,7 @@
 	return alive
 }
 
-// plan draws the operator's changes and the faults.
+// plan draws and schedules the operator's changes and the faults.
 func (d *distribution) plan() {
 	k := d.kernel
 	for range 2 + k.Below(5) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// strike kills or freezes a controller.
+// strike stops or freezes a controller for a time.
 func (d *distribution) strike(c *source, forUs int64) {
 	if !c.process.Up() || c.process.frozen {
 		return
@@ -162,7 +162,7 @@
 	}
 }
 
-// trouble is a fault of a router or its links, which is not in touch meanwhile.
+// trouble injects a fault of a router or its links. The router is not in contact until it ends.
 func (d *distribution) trouble(r *sink, forUs int64, begin, end func()) {
 	if !r.process.Up() || r.process.frozen {
 		return
@@ -178,12 +178,12 @@
 	})
 }
 
-// later ends a fault after a time, at the latest with the end of all faults.
+// later ends a fault after a time, at the latest at distributionUs.
 func (d *distribution) later(forUs int64, end func()) {
 	d.kernel.After(min(forUs, distributionUs-d.kernel.NowUs()), end)
 }
 
-// heal is when the last fault ends; each of them does so by itself.
+// heal marks the end of all faults; later ends each one at this time or before.
 func (d *distribution) heal() {
 	d.kernel.Note("everything heals")
 	d.healed = true
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -10,7 +10,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Times of a router.
+// Periods, timeouts and limits of a router.
 const (
 	joinPauseUs       = 50 * Millisecond
 	dialWaitUs        = 250 * Millisecond
@@ -20,22 +20,22 @@
 	compareEveryUs    = convergeUs / dissemination.ComparisonParts
 	compareWaitUs     = convergeUs / dissemination.ComparisonWaitParts
 	overdueUs         = convergeUs / dissemination.OverdueParts
-	unseenUs          = 1_200 * Millisecond // until one that can't be heard is taken for dead
-	spoiledPerMille   = 2                   // changes whose digest does not come out
+	unseenUs          = 1_200 * Millisecond // after which a silent process is considered dead
+	spoiledPerMille   = 2                   // share of changes that arrive with a wrong digest
 	fewestBeforeRelay = 3
 )
 
-// sink is a router, as far as the configuration is concerned. It passes on what it
-// hears to those that hang on it.
+// sink is the configuration side of a router. It forwards the feeds of its parent to its
+// subscribers.
 type sink struct {
 	d          *distribution
 	addr       string
 	number     int
 	process    *Process
-	troubles   int   // faults that last
+	troubles   int   // number of active faults
 	troubledUs int64 // when a fault last began or ended
 
-	// What follows is gone with each life of the process.
+	// The fields below are reset with each life of the process.
 	replica     *routeconfig.Replica
 	policy      dissemination.ParentPolicy
 	pacer       dissemination.RequestPacer
@@ -43,8 +43,8 @@
 	parent      *subscription
 	joining     bool
 	bootUs      int64
-	lastUs      int64 // when the parent last sent anything
-	heardUs     int64 // when it did so in reach of the core
+	lastUs      int64 // when the last feed of a parent arrived
+	heardUs     int64 // when the last feed arrived that was not marked as cut off
 	subscribers []*subscription
 	inForce     int64 // the newest version that was in force in this life
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-// wanted lists the parents: for some routers one before them, then the controllers in
-// an order of the tree.
+// wanted returns the preferred parents: for some routers a relay with a lower number,
+// then the controllers in the order of the tree.
 func (r *sink) wanted() []string {
 	var out []string
 	if r.number >= fewestBeforeRelay && r.number%2 == 0 {
@@ -87,7 +87,7 @@
 	return append(out, dissemination.Parents(r.addr, "a", peers, nil)...)
 }
 
-// seen tells whether a process is in the others' views.
+// seen reports whether other processes consider a process alive.
 func (d *distribution) seen(p *Process, sinceUs int64) bool {
 	return p.Up() && !p.frozen || d.kernel.NowUs()-sinceUs < unseenUs
 }
@@ -112,7 +112,7 @@
 	return h
 }
 
-// join looks for a parent where there is none.
+// join tries to subscribe to a parent if there is none.
 func (r *sink) join() {
 	if r.parent != nil || r.joining {
 		return
@@ -153,7 +153,7 @@
 	})
 }
 
-// dial opens a connection, which the other machine does without its process.
+// dial opens a connection. The other machine accepts it even while its process is frozen or slow.
 func (r *sink) dial(to node, ended func(bool)) {
 	done := false
 	finish := r.process.InLife
@@ -170,7 +170,7 @@
 	r.process.After(dialWaitUs, func() { end(false) })
 }
 
-// tick leaves a parent that is silent, gone or no longer wanted.
+// tick leaves a parent that is silent, disconnected or no longer preferred.
 func (r *sink) tick() {
 	if r.parent == nil {
 		return
@@ -187,7 +187,7 @@
 	r.parent = nil
 }
 
-// hear takes a feed of the parent in and passes it on.
+// hear forwards and applies a feed of the parent, and requests a delta if it is behind.
 func (r *sink) hear(sub *subscription, f messages.Feed) {
 	if r.parent != nil && r.parent != sub {
 		return
@@ -215,7 +215,7 @@
 	}
 }
 
-// take applies the changes of a feed and checks what is in force then.
+// take applies the changes of a feed and checks the configuration in force afterwards.
 func (r *sink) take(f messages.Feed) (fits bool) {
 	fits = true
 	for _, change := range f.Configuration {
@@ -239,7 +239,7 @@
 
 func (r *sink) subscribe(sub *subscription) { r.subscribers = append(r.subscribers, sub) }
 
-// compare asks controllers beside the tree.
+// compare compares versions with controllers outside the tree.
 func (r *sink) compare() {
 	var alive []string
 	for _, c := range r.d.controllers {
@@ -286,8 +286,8 @@
 	})
 }
 
-// checkInForce looks at what is in force: never an older version within a life, never
-// one that was refused, and exactly the routes of its configuration.
+// checkInForce checks the configuration in force: it is never older than before in the same
+// life, was never rejected, and has exactly the routes of its version.
 func (r *sink) checkInForce() {
 	k, version := r.d.kernel, r.replica.Version()
 	if version < r.inForce {
@@ -320,7 +320,7 @@
 	}
 }
 
-// checkDue has a router in touch be at a version or a newer one.
+// checkDue checks that the router has the version that is due or a newer one, if it is in contact.
 func (r *sink) checkDue(due int64) {
 	inTouch := r.process.Up() && !r.process.frozen && r.troubles == 0 && r.d.kernel.NowUs()-r.troubledUs > contactBoundUs
 	if inTouch && r.replica.Version() < due {
--- a/internal/simulation/distribution_source.go
+++ b/internal/simulation/distribution_source.go
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// Times of a controller.
+// Periods and timeouts of a controller.
 const (
 	feedEveryUs       = 200 * Millisecond
 	catchUpUs         = 500 * Millisecond
@@ -17,17 +17,17 @@
 	unfinishedMostUs  = 900 * Millisecond
 )
 
-// source is a controller, as far as the configuration is concerned.
+// source is the configuration side of a controller.
 type source struct {
 	d       *distribution
 	addr    string
 	process *Process
-	taken   []*release // what it has accepted or learned, as its disk has it
+	taken   []*release // the releases that it has accepted, on disk
 	known   int64      // the newest committed version on its disk
-	downUs  int64      // since when it can't be heard, 0 for never
+	downUs  int64      // when it was last stopped or frozen in this life; 0 for never
 	startUs int64
 
-	// What follows is gone with each life of the process.
+	// The fields below are reset with each life of the process.
 	replica     *routeconfig.Replica
 	contact     *lease.Contact
 	subscribers []*subscription
@@ -41,8 +41,8 @@
 
 func (s *source) running() *Process { return s.process }
 
-// boot begins a life with what the disk holds: the newest version that was kept, or
-// an older one.
+// boot starts a life from the disk, which may hold the newest version that was learned or
+// one up to two versions older.
 func (s *source) boot() {
 	s.process.Start()
 	s.startUs, s.downUs = s.process.NowUs(), 0
@@ -64,7 +64,7 @@
 	return other.process.Up() && !other.process.frozen && n.Link(s.addr, other.addr).Cuts == 0 && n.Link(other.addr, s.addr).Cuts == 0
 }
 
-// reachesMost tells whether it reaches a majority of the controllers, itself included.
+// reachesMost reports whether it reaches a majority of the controllers, including itself.
 func (s *source) reachesMost() bool {
 	reached := 1
 	for _, other := range s.d.controllers {
@@ -75,14 +75,14 @@
 	return reached > len(s.d.controllers)/2
 }
 
-// accepted notes a value that the process has accepted and may hear no more of.
+// accepted records a release that the process has accepted and whose commit it may never receive.
 func (s *source) accepted(r *release) {
 	s.taken = append(s.taken, r)
 	s.finishLater(r)
 }
 
-// finishLater reads the register by a majority once a round has been unfinished for
-// a while.
+// finishLater reads the register by a majority if the round of a release remains unfinished
+// for a while.
 func (s *source) finishLater(r *release) {
 	if s.d.defects.LeaveUnfinished || s.known >= r.version {
 		return
@@ -97,7 +97,7 @@
 	})
 }
 
-// learn takes in a committed version, never an older one, and sends what changed.
+// learn applies a committed release, never an older one, and publishes the change.
 func (s *source) learn(r *release) {
 	if r.version <= s.known {
 		return
@@ -130,8 +130,9 @@
 	s.subscribers = pushAll(s.subscribers, f)
 }
 
-// since gives what a router lacks; a router that holds nothing gets nothing from a
-// controller without the lease, unless it takes anything.
+// since returns a feed with the changes that a router is missing. A router without any
+// configuration receives none from a controller without the contact lease, unless it
+// accepts any configuration.
 func (s *source) since(h messages.SyncState) messages.Feed {
 	f := s.feed()
 	if h.Configuration.Version == 0 && !h.Anything && !s.inContact() {
@@ -145,7 +146,7 @@
 
 func (s *source) subscribe(sub *subscription) { s.subscribers = append(s.subscribers, sub) }
 
-// catchUp compares versions with the other controllers, which renews the lease too.
+// catchUp compares versions with the other controllers, which also renews the contact lease.
 func (s *source) catchUp() {
 	for _, other := range s.d.controllers {
 		if other == s {
--- a/internal/simulation/distribution_test.go
+++ b/internal/simulation/distribution_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// distributionRange is the fixed set of seeds that CI plays.
+// distributionRange is the fixed set of seeds that CI runs.
 var distributionRange = Range{Model: "distribution", Count: 120, Parallel: 3}
 
 func TestDistributionSeedsBreakNothing(t *testing.T) {
@@ -25,23 +25,23 @@
 	}
 }
 
-// Each mechanism that can be taken out in the model is missed by a check.
+// For each mechanism that the model can disable, a check must detect that it is missing.
 func TestDistributionChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 	}{
-		{"nobody ends the round of a proposer that ended", Defects{LeaveUnfinished: true}},
-		{"no comparisons beside the tree", Defects{NeverCompare: true}},
+		{"rounds of ended proposers not finished", Defects{LeaveUnfinished: true}},
+		{"no comparisons outside the tree", Defects{NeverCompare: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(mostSeedsToFind) {
 				if r := PlayDistribution(seed, Options{Defects: c.defects}); r.Failure != "" {
-					t.Logf("found by seed %d: %s", seed, r.Failure)
+					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					return
 				}
 			}
-			t.Error("no seed finds it")
+			t.Error("no seed detects the defect")
 		})
 	}
 }
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -1,4 +1,4 @@
-// The lease of rolling out weights: who holds it, and when its holder acts.
+// The rollout lease in the registers model: how it is acquired and confirmed, and when its holder acts.
 
 package simulation
 
@@ -17,12 +17,12 @@
 	takeUs      = Second
 )
 
-// dutyTimes are those the controllers use.
+// dutyTimes are the lease times that the controllers use.
 var dutyTimes = lease.Times{LeaseUs: 3 * Second, ActUs: 400 * Millisecond, InFlightUs: 800 * Millisecond}
 
 var errNoChange = errors.New("simulation: nothing to change")
 
-// workDuty is one turn of the one who holds the duty, or would take it over.
+// workDuty runs one periodic step: the holder confirms the lease and acts, others watch the holder.
 func (c *Controller) workDuty() {
 	v, ok := c.committed(dutyPart)
 	if c.dutyBusy || !ok {
@@ -60,7 +60,7 @@
 	})
 }
 
-// watchHolder takes the duty over once its holder is gone.
+// watchHolder takes over the lease once its holder is gone.
 func (c *Controller) watchHolder(held messages.Lease) {
 	now := c.process.NowUs()
 	if c.duty.Fence() > 0 && c.duty.Fence() < held.Fence {
@@ -89,11 +89,11 @@
 	return c.duty.MayAct(now)
 }
 
-// actedFile is where a holder notes the fence that it has acted under.
+// actedFile holds the last fence under which this controller has acted.
 const actedFile = "acted"
 
-// act stands for an order to a runner. The first one under a fence is noted on
-// disk, at leisure: the note only spares a later life of this holder a wait.
+// act stands for an order to a runner. The first act under a fence is recorded on disk,
+// without waiting for the write: the record only saves a later life of this holder a wait.
 func (c *Controller) act() {
 	fence := c.duty.Fence()
 	c.cluster.checks.acted(c.id, fence)
@@ -104,14 +104,14 @@
 	c.disk.Write(actedFile, strconv.AppendInt(nil, fence, 10), func(error) {})
 }
 
-// actedUnder tells whether a life of this holder has acted under a fence, so
-// that nobody before it can still act.
+// actedUnder reports whether some life of this holder has acted under a fence, so that no
+// earlier holder can still act.
 func (c *Controller) actedUnder(fence int64) bool {
 	noted, ok := c.disk.Read(actedFile)
 	return c.cluster.defects.TrustUnusedClaim || ok && string(noted) == strconv.FormatInt(fence, 10)
 }
 
-// takeDuty wins the duty by a ballot, if it is still as it was.
+// takeDuty acquires the lease by a change of the register, unless the lease has changed since it was read.
 func (c *Controller) takeDuty(was messages.Lease) {
 	c.dutyBusy = true
 	take := func(cur messages.Value) ([]messages.Member, []byte, error) {
@@ -143,7 +143,7 @@
 	return false
 }
 
-// dutyOf reads the body of the duty's register.
+// dutyOf decodes the body of the register that holds the rollout lease.
 func dutyOf(v messages.Value) messages.LeaseBody {
 	body := messages.LeaseBody{Targets: []messages.Target{}}
 	if len(v.Body) > 0 {
--- a/internal/simulation/lease_group.go
+++ b/internal/simulation/lease_group.go
@@ -1,6 +1,6 @@
 // The lease of a singleton role among a group of controllers: the real lease.Role and
-// lease.Contact, driven as controller.roleManager does. The register of the lease is a model
-// of one (the model "registers" plays the real ones).
+// lease.Contact, driven as controller.roleManager drives them. The register of the lease is a
+// stand-in (the model "registers" runs the real registers).
 
 package simulation
 
@@ -11,15 +11,15 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Periods and waits of a member.
+// Periods and timeouts of a member.
 const (
 	roleEveryUs    = 100 * Millisecond
 	askEveryUs     = 500 * Millisecond
-	holderGoneUs   = 1_200 * Millisecond // a controller that has not answered for so long is gone
+	holderGoneUs   = 1_200 * Millisecond // a controller that has not answered for this time is considered gone
 	registerWaitUs = Second
 )
 
-// leaseGroup is the controllers that may hold the lease.
+// leaseGroup is the group of controllers that may hold the lease.
 type leaseGroup struct {
 	kernel   *Kernel
 	network  *Network
@@ -28,7 +28,7 @@
 	times    lease.Times
 }
 
-// lateBy is what a step of a process takes.
+// lateBy draws the delay of one step of a process.
 func (g *leaseGroup) lateBy() int64 {
 	if g.kernel.Chance(lateStepChance) {
 		return g.kernel.Between(0, lateStepUs)
@@ -45,7 +45,7 @@
 	return m
 }
 
-// holder is the member that the register names.
+// holder returns the member that the register names as the holder of the lease, or nil.
 func (g *leaseGroup) holder() *leaseMember {
 	for _, m := range g.members {
 		if m.member() == g.register.body.Lease.Holder {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// leaseMember is one controller as far as the lease is concerned.
+// leaseMember is the lease side of one controller.
 type leaseMember struct {
 	group    *leaseGroup
 	index    int
@@ -63,14 +63,14 @@
 	process  *Process
 	thawedUs int64
 	learned  func(body messages.LeaseBody)           // called with each newer body of the register
-	pinged   func(other *leaseMember) (there func()) // what goes along with a ping
+	pinged   func(other *leaseMember) (there func()) // called before each ping; there runs at the receiver
 
-	// What follows is on disk.
+	// The fields below are on disk.
 	knownVersion int64
 	known        messages.LeaseBody // the register as last learned
 	usedFence    int64
 
-	// What follows is gone with each life of the process.
+	// The fields below are reset with each life of the process.
 	role    *lease.Role
 	contact lease.Contact
 	reached map[string]int64
@@ -80,7 +80,7 @@
 func (m *leaseMember) member() string { return m.addr + "/0" }
 func (m *leaseMember) nowUs() int64   { return m.process.NowUs() }
 
-// boot begins a life; the process has been started.
+// boot initializes the member for a new life. The caller has started the process.
 func (m *leaseMember) boot() {
 	m.role = lease.NewRole(m.group.times)
 	m.contact = lease.Contact{Self: m.member()}
@@ -91,7 +91,7 @@
 	m.every(askEveryUs, m.ping)
 }
 
-// every runs something for the rest of this life.
+// every runs a callback periodically for the rest of the current life.
 func (m *leaseMember) every(periodUs int64, run func()) {
 	m.process.After(periodUs, func() {
 		run()
@@ -99,12 +99,12 @@
 	})
 }
 
-// soon is a step that may be late.
+// soon returns a callback that runs a step after a random delay.
 func (m *leaseMember) soon(run func()) func() {
 	return func() { m.process.After(m.group.lateBy(), run) }
 }
 
-// ping asks every other for an answer, and tells it what is known of the register.
+// ping sends the last learned value of the register to every other member and records its answer.
 func (m *leaseMember) ping() {
 	for _, other := range m.group.members {
 		if other == m {
@@ -125,7 +125,7 @@
 	}
 }
 
-// ask has something happen at another, and here when its answer is back.
+// ask runs there in another member, and answered here once the answer arrives.
 func (m *leaseMember) ask(other *leaseMember, there, answered func()) {
 	net, back := m.group.network, m.process.InLife(answered)
 	net.Send(m.addr, other.addr, func() {
@@ -143,8 +143,8 @@
 	}
 }
 
-// round asks a majority twice. The register is read or changed when it has answered
-// the first time; the outcome is known when it has answered the second time.
+// round contacts a majority twice. The register is read or changed after the first
+// majority has answered; the outcome is known after the second.
 func (m *leaseMember) round(edit func(body *messages.LeaseBody) bool, done func(ok bool, now messages.LeaseBody)) {
 	ended := false
 	end := func(ok bool, now messages.LeaseBody) {
@@ -165,7 +165,7 @@
 	}))
 }
 
-// spread tells the others what was committed; who misses it hears it with a ping.
+// spread sends the committed value to the others. A member that misses it receives it with a later ping.
 func (m *leaseMember) spread(version int64, body messages.LeaseBody) {
 	for _, other := range m.group.members {
 		if other != m {
@@ -174,7 +174,7 @@
 	}
 }
 
-// majority runs something once more than half of the controllers have answered.
+// majority runs a callback once a majority of the controllers, including this one, has answered.
 func (m *leaseMember) majority(run func()) {
 	votes, needed := 1, len(m.group.members)/2+1
 	for _, other := range m.group.members {
@@ -189,7 +189,7 @@
 	}
 }
 
-// stepRole is one step of the role; again is called once a confirmation has ended.
+// stepRole runs one step of the role. again is called after a successful confirmation that it starts.
 func (m *leaseMember) stepRole(needed bool, again func()) lease.Grant {
 	view := m.view(needed)
 	step := m.role.Step(view)
@@ -219,7 +219,7 @@
 	}
 }
 
-// isGone tells whether a controller has not answered for long.
+// isGone reports whether a controller has not answered for longer than holderGoneUs.
 func (m *leaseMember) isGone(member string) bool {
 	i := slices.IndexFunc(m.group.members, func(other *leaseMember) bool { return other != m && other.member() == member })
 	if i < 0 {
@@ -260,22 +260,22 @@
 	})
 }
 
-// recordFenceUsed notes on disk, at leisure, that this member has acted under a fence.
+// recordFenceUsed records on disk, after a delay, that this member has acted under a fence.
 func (m *leaseMember) recordFenceUsed(fence int64) {
 	if m.usedFence != fence {
 		m.process.After(m.group.lateBy(), func() { m.usedFence = fence })
 	}
 }
 
-// leaseRegister is the register of a lease and what it is for: one value, decided on where
-// a majority answers the one who asks.
+// leaseRegister is a stand-in for the register of a lease: one shared value, which members
+// access once a majority has answered them.
 type leaseRegister struct {
 	version int64
 	body    messages.LeaseBody
-	holders int64 // how often the lease changed hands
+	holders int64 // number of changes of the holder
 }
 
-// change replaces the value by what edit makes of it.
+// change replaces the value by the edited copy, unless edit returns false.
 func (r *leaseRegister) change(edit func(body *messages.LeaseBody) bool) {
 	body := r.copy()
 	if !edit(&body) {
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -1,6 +1,7 @@
-// Operators: they replace the configuration on top of what they last read, at times
-// under numbers that others use too, read it back and name weights versions. One that
-// gets no answer repeats the same call at another controller.
+// Model of operators. They replace the configuration on top of the version that they last
+// read, sometimes under version numbers that other operators use too, read it back and name
+// weights versions. An operator that receives no answer repeats the same call at another
+// controller.
 
 package simulation
 
@@ -16,8 +17,8 @@
 )
 
 const (
-	operatorWaitUs = 900 * Millisecond // as the controllers bound a change
-	callerWaitUs   = Second            // after which a caller moves on
+	operatorWaitUs = 900 * Millisecond // timeout of a change or read in a controller, as in package controller
+	callerWaitUs   = Second            // timeout after which an operator tries another controller
 	mostTries      = 6
 )
 
@@ -29,7 +30,7 @@
 	serial  int
 }
 
-// order is one call with all its repeats, from the first sending to the answer.
+// order is one call with all its attempts, up to the final answer.
 type order struct {
 	id   int // in the history
 	call history.Call
@@ -37,7 +38,7 @@
 
 const model = "model"
 
-// next thinks, calls, and comes back, until the end of the history.
+// next draws and starts the next call, until everything heals.
 func (o *operator) next() {
 	k := o.cluster.kernel
 	if o.cluster.healed {
@@ -64,8 +65,8 @@
 	o.try(order{id: o.cluster.history.Begin(o.number, call), call: call}, 1)
 }
 
-// try sends a call to some controller, and again to another where no final
-// answer comes in time.
+// try sends a call to a random controller, and retries at another one if no final answer
+// arrives in time.
 func (o *operator) try(call order, try int) {
 	k := o.cluster.kernel
 	node := o.cluster.controllers[k.Below(len(o.cluster.controllers))]
@@ -119,10 +120,10 @@
 	k.After(k.Between(20*Millisecond, 900*Millisecond), o.next)
 }
 
-// anyVersion is what some operator knows; two of them may build on one base.
+// anyVersion returns the version of a random operator, so that two operators may use the same base.
 func (c *Cluster) anyVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
 
-// ask carries a call to a controller and its answer back, or neither.
+// ask sends a call to a controller. answer is called if the response arrives.
 func (c *Cluster) ask(from string, node *Controller, call history.Call, answer func(history.Answer)) {
 	c.network.Send(from, node.addr, func() {
 		node.process.Deliver(func() {
@@ -133,7 +134,7 @@
 	})
 }
 
-// serve carries a call out, as the handlers of the control address do.
+// serve executes a call, as the handlers of the control address do.
 func (c *Controller) serve(call history.Call, answer func(history.Answer)) {
 	switch call.Kind {
 	case history.Replace:
@@ -180,7 +181,7 @@
 			answer(history.Answer{Verdict: history.Taken})
 			return
 		case !taken && configOf(cur).Version != call.Base && c.cluster.defects.DenyWithoutRound:
-			// A lower version than the base is refused too: this node may be behind.
+			// Also rejects a base that is newer than the version here, although this node may be behind.
 			answer(history.Answer{Verdict: history.Overtaken})
 			return
 		}
@@ -203,7 +204,7 @@
 	return wanted
 }
 
-// apply is the change that an order asks for.
+// apply returns the value of the configuration register after a submission.
 func (c *Controller) apply(cur messages.Value, wanted routeconfig.Submission) ([]messages.Member, []byte, error) {
 	body := configOf(cur)
 	if c.cluster.defects.ForgetTaken {
@@ -252,7 +253,7 @@
 	return 0
 }
 
-// nameWeights notes the newest weights of the one model there is.
+// nameWeights records the newest weights version of the only model, if it is newer.
 func nameWeights(cur messages.Value, version int64) ([]messages.Member, []byte, error) {
 	body := dutyOf(cur)
 	if weightsOf(body) >= version {
--- a/internal/simulation/pings.go
+++ b/internal/simulation/pings.go
@@ -1,6 +1,6 @@
-// Pings between controllers, and what they conclude from them. They stand for
-// membership.View: what one has received from another travels on, so that partitions
-// are gone round. An answer stands for a direct call that succeeded.
+// Pings between controllers, a stand-in for membership.View. A ping also carries the ages of
+// the sender's news of other controllers, so that news gets around partial partitions. An
+// answer to a ping stands for a successful direct call.
 
 package simulation
 
@@ -11,8 +11,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Waits of the pings. One that was never heard of counts as gone unknownUs after
-// the start, one that did not answer for unreachedUs as cut off.
+// Period and timeouts of the pings. A controller without any news is considered gone
+// unknownUs after the start; one that did not answer for unreachedUs is considered unreachable.
 const (
 	pingEveryUs = 300 * Millisecond
 	silentUs    = 1_500 * Millisecond
@@ -20,7 +20,7 @@
 	unreachedUs = 1_200 * Millisecond
 )
 
-// ping tells the others who this is, whom it has heard and what it knows.
+// ping sends this controller's id, the ages of its news and its committed versions to the others.
 func (c *Controller) ping() {
 	now := c.process.NowUs()
 	ages := map[string]peer{c.addr: {id: c.id}}
@@ -57,7 +57,7 @@
 	})
 }
 
-// pinged takes the word of another controller and pulls what it lacks.
+// pinged applies a ping of another controller and pulls the values that are newer there.
 func (c *Controller) pinged(from string, ages map[string]peer, versions [parts]int64) {
 	now := c.process.NowUs()
 	for addr, p := range ages {
@@ -74,14 +74,14 @@
 	}
 }
 
-// pull learns what another controller has committed.
+// pull requests and learns the committed value of another controller.
 func (c *Controller) pull(from string, part int) {
 	c.call(from, messages.ConsensusRequest{Part: part, Step: messages.Read}, func(r messages.ConsensusResponse) {
 		c.learn(part, r.Value)
 	})
 }
 
-// silentForUs tells for how long a peer has been taken for dead.
+// silentForUs returns for how long a peer has been considered dead; 0 if it is alive.
 func (c *Controller) silentForUs(addr string) int64 {
 	if addr == c.addr {
 		return 0
@@ -93,7 +93,7 @@
 	return max(c.process.NowUs()-p.heardUs-silentUs, 0)
 }
 
-// alive lists the live controllers by address, this one included.
+// alive returns the live controllers ordered by address, including this one.
 func (c *Controller) alive() []messages.Peer {
 	out := []messages.Peer{{Addr: c.addr, MemberID: c.id}}
 	for addr, p := range c.heard {
@@ -105,8 +105,8 @@
 	return out
 }
 
-// reaches tells whether direct calls to another controller have been answered of
-// late. One that was not tried for long counts as reached.
+// reaches reports whether another controller has answered a direct call within
+// unreachedUs, or this process has started within that time.
 func (c *Controller) reaches(addr string) bool {
 	return addr == c.addr || c.process.NowUs()-max(c.direct[addr], 1) <= unreachedUs
 }
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -1,6 +1,6 @@
-// Registrars: controllers as far as runners are concerned. Each has a registry, sends
-// the others what it is the first to know as a stream of deltas, and draws its own
-// conclusions from silence.
+// Model of a controller for the registry of runners. Each one has a registry, sends
+// changes to the others as a stream of deltas, and marks silent runners as stale or lost
+// by itself.
 
 package simulation
 
@@ -15,7 +15,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Waits of runners and registrars.
+// Periods and timeouts of runners and registrars.
 const (
 	heartbeatUs   = 1_200 * Millisecond
 	flushEveryUs  = 60 * Millisecond
@@ -25,21 +25,21 @@
 	recallEveryUs = 5 * Second
 )
 
-// silence is after how many heartbeats missed a runner counts as stale and lost.
+// silence holds the numbers of missed heartbeats after which a runner is stale and lost.
 var silence = registry.SilenceLimitsFor(heartbeatUs)
 
-// registrar is one controller's part in knowing the runners.
+// registrar is the registry side of one controller.
 type registrar struct {
 	fleet   *fleet
 	addr    string
 	process *Process
-	kept    []messages.RunnerRecord // what its disk would recall
+	kept    []messages.RunnerRecord // the records on its disk, loaded at the next start
 
-	// What follows is gone with each life of the process.
+	// The fields below are reset with each life of the process.
 	runners *registry.Registry
 	stream  *statesync.Entries
 	mirrors map[string]*statesync.Entries // the others' streams, by address
-	reached map[string]int64              // when another last answered
+	reached map[string]int64              // by address: send time of the last request that was answered
 }
 
 func (r *registrar) boot() {
@@ -61,14 +61,14 @@
 	r.fleet.every(r.process, recallEveryUs, func() { r.kept = r.records() })
 }
 
-// records lists what the registry holds, in order.
+// records returns the records of the registry, ordered by id.
 func (r *registrar) records() []messages.RunnerRecord {
 	all := r.runners.All()
 	slices.SortFunc(all, func(a, b messages.RunnerRecord) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// heartbeat takes one from a runner and passes it on at once.
+// heartbeat applies a heartbeat of a runner and forwards it to the other registrars immediately.
 func (r *registrar) heartbeat(record messages.RunnerRecord) {
 	r.hear(record)
 	for _, other := range r.others() {
@@ -90,7 +90,7 @@
 	}
 }
 
-// tell has the next flush send records as they are now.
+// tell publishes the current records to the stream, which the next flush sends.
 func (r *registrar) tell(ids ...string) {
 	if err := r.runners.Publish(r.stream, ids...); err != nil {
 		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
@@ -123,7 +123,7 @@
 	})
 }
 
-// take applies what another tells, and asks again where it does not fit.
+// take applies a delta of another registrar's stream and requests a new one if it does not apply.
 func (r *registrar) take(from *registrar, change statesync.Change[string, string]) {
 	switch r.mirrors[from.addr].Apply(change) {
 	case statesync.VersionGap, statesync.DigestMismatch:
@@ -139,7 +139,7 @@
 	r.tell(changed...)
 }
 
-// ask names what is held of another's stream and gets what is lacking.
+// ask sends the cursor of another registrar's stream to it, which returns the missing delta.
 func (r *registrar) ask(of *registrar) {
 	epoch, version := r.mirrors[of.addr].Cursor()
 	r.fleet.network.Send(r.addr, of.addr, func() {
@@ -151,8 +151,8 @@
 	})
 }
 
-// compare asks every other registrar for what is lacking of its stream and for
-// heartbeats of runners that are silent here.
+// compare requests from every other registrar the missing delta of its stream, and later
+// heartbeats of the runners that are silent here.
 func (r *registrar) compare() {
 	silent := r.runners.SilentRunners(r.process.NowUs(), silence)
 	for _, other := range r.others() {
@@ -161,7 +161,7 @@
 	}
 }
 
-// askForHeartbeats is the call that also shows that another is in reach.
+// askForHeartbeats requests later heartbeats. Its response also shows that the other registrar is reachable.
 func (r *registrar) askForHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
 	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
 	net.Send(r.addr, of.addr, func() {
@@ -175,7 +175,7 @@
 	})
 }
 
-// inContact tells whether a majority of the registrars answers.
+// inContact reports whether a majority of the registrars, including this one, has answered within contactUs.
 func (r *registrar) inContact() bool {
 	near := 1
 	for _, other := range r.others() {
@@ -187,8 +187,8 @@
 	return near > len(r.fleet.registrars)/2
 }
 
-// sweep draws this registrar's conclusions, and brings the stream to what the
-// registry holds.
+// sweep marks silent runners as stale or lost, and synchronizes the stream with the
+// registry.
 func (r *registrar) sweep() {
 	for _, record := range r.runners.Sweep(r.process.NowUs(), silence, r.inContact()) {
 		r.tell(record.ID)
@@ -198,7 +198,7 @@
 	}
 }
 
-// listed tells whether a runner may be sent requests, as this registrar sees it.
+// listed reports whether a runner may receive requests according to this registrar.
 func (r *registrar) listed(id string) bool {
 	record, ok := r.runners.Snapshot().ByID[id]
 	return ok && !record.Stale && !record.Gone && !record.Lost
--- a/internal/simulation/repairs.go
+++ b/internal/simulation/repairs.go
@@ -1,5 +1,5 @@
-// Repairs of the groups: a consensus.RepairCoordinator for each register, driven as
-// the controllers drive it.
+// Repairs of the register groups: each controller has a consensus.RepairCoordinator for
+// each register and drives it as package controller does.
 
 package simulation
 
@@ -10,7 +10,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Waits of the driver, as in the controllers.
+// Periods and limits of the repair driver, as in package controller.
 const (
 	repairEveryUs = 300 * Millisecond
 	confirmWaitUs = Second
@@ -19,13 +19,13 @@
 	stepsAtOnce   = 8
 )
 
-// partRepair is one register's coordinator.
+// partRepair is the state of the repair of one register's group.
 type partRepair struct {
 	coordinator consensus.RepairCoordinator
 	busy        bool // a step is being carried out
 }
 
-// repairGroups lets the coordinator of each register take its next steps.
+// repairGroups starts the next steps of the repair of each register, where some are due.
 func (c *Controller) repairGroups() {
 	for part, r := range c.registers {
 		if r.repair.busy {
@@ -49,7 +49,7 @@
 	})
 }
 
-// hasContact tells whether this controller reaches a majority of a group itself.
+// hasContact reports whether this controller reaches a majority of a group directly.
 func (c *Controller) hasContact(group []messages.Member) bool {
 	near := 0
 	for _, p := range c.alive() {
@@ -62,7 +62,7 @@
 	return near > len(group)/2
 }
 
-// repair carries out a step and those that follow from it.
+// repair executes a step and the steps that become due after it, up to left steps.
 func (c *Controller) repair(part int, step consensus.RepairStep, left int) {
 	again := func(went bool) {
 		if went && left > 1 {
@@ -80,7 +80,7 @@
 	c.propose(part, step, again)
 }
 
-// confirmAll asks members whether they hold the base on disk, all at once, until
+// confirmAll asks members in parallel to confirm that they have the base on disk, until
 // the coordinator has another step.
 func (c *Controller) confirmAll(part int, step consensus.RepairStep, done func(went bool)) {
 	base, ok := c.committed(part)
@@ -113,7 +113,7 @@
 	}
 }
 
-// confirm asks one member, and sends the value only where it is missing.
+// confirm asks one member for the confirmation, and sends the value only if it is missing there.
 func (c *Controller) confirm(part int, m messages.Member, v messages.Value, done func(kept bool)) {
 	if c.cluster.defects.JoinUnconfirmed {
 		done(true)
@@ -130,7 +130,7 @@
 	})
 }
 
-// flush answers a commit once the value is on disk.
+// flush replies to a commit once the value is on disk.
 func (c *Controller) flush(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
 	if request.To != c.id {
 		reply(messages.ConsensusResponse{Verdict: messages.Stranger})
@@ -154,8 +154,8 @@
 	})
 }
 
-// propose carries a change of the group through a round. It comes to nothing if
-// the register has moved on, since then nobody has confirmed its value.
+// propose changes the group of a register. It changes nothing if the register has a newer
+// version, since no member has confirmed that one.
 func (c *Controller) propose(part int, step consensus.RepairStep, done func(went bool)) {
 	regroup := func(cur messages.Value) ([]messages.Member, []byte, error) {
 		if cur.Version != step.Version {
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -1,5 +1,5 @@
-// Shutdown of a member, as controller/hand_over.go drives it: it looks for successors, hands
-// its places over, has the other members write what is committed, and ends.
+// Shutdown of a member, driven as in controller/hand_over.go: it finds successors, hands its
+// memberships over to them, makes the other members write the committed values to disk, and stops.
 
 package simulation
 
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Waits of a shutdown, as in the controllers.
+// Timeouts and limits of a shutdown, as in package controller.
 const (
 	handOverTotalUs   = 2_500 * Millisecond
 	handOverConfirmUs = 800 * Millisecond
@@ -17,15 +17,15 @@
 	maxSuccessors     = 3
 )
 
-// shutdown is a process that has been told to end.
+// shutdown is the state of the orderly shutdown of a process.
 type shutdown struct {
 	begun      bool
 	found      bool            // the successors are known
-	successors []messages.Peer // members, and those who may take a place over
+	successors []messages.Peer // members, and spares that may become members
 	untilUs    int64
 }
 
-// leave ends a process in order, and calls ended when it is to stop.
+// leave shuts a process down in order, and calls ended when it may stop.
 func (c *Controller) leave(ended func()) {
 	c.shutdown = shutdown{begun: true, untilUs: c.process.NowUs() + handOverTotalUs}
 	if c.cluster.defects.EndWithoutHandOver || !c.isMember() {
@@ -56,7 +56,7 @@
 	return false
 }
 
-// findSuccessors asks a few of the others whether they hold the configuration on disk.
+// findSuccessors asks a few spares to confirm that they have the configuration on disk.
 func (c *Controller) findSuccessors(found func([]messages.Peer)) {
 	base, _ := c.committed(configPart)
 	alive := c.alive()
@@ -100,7 +100,7 @@
 	return false
 }
 
-// status is who is alive, or where this process ends, who may take its places.
+// status covers the live controllers or, during a shutdown, the successors.
 func (c *Controller) status() consensus.Status {
 	alive := c.alive()
 	if c.shutdown.found {
@@ -109,7 +109,7 @@
 	return consensus.NewStatus(alive, c.silentForUs, goneUs)
 }
 
-// handOver repairs the groups until nothing is left to be handed over.
+// handOver repairs the groups until no membership is left to hand over, or the time is over.
 func (c *Controller) handOver(ended func()) {
 	if c.process.NowUs() >= c.shutdown.untilUs || !c.mayHandOver() {
 		c.flushOthers(ended)
@@ -136,7 +136,7 @@
 	return false
 }
 
-// flushOthers has the other members write what is committed to their disks.
+// flushOthers makes the other members write the committed values to their disks.
 func (c *Controller) flushOthers(ended func()) {
 	for part := range parts {
 		v, ok := c.committed(part)
@@ -152,16 +152,16 @@
 	c.process.After(handOverFlushUs, ended)
 }
 
-// undisturbedUs is for how long nothing else may have gone wrong for a hand-over to be due.
+// undisturbedUs is how long no other fault may have been active for the hand-over to be checked.
 const undisturbedUs = 3 * Second
 
-// disturb notes a fault that lasts so long.
+// disturb records a fault and its duration.
 func (c *Cluster) disturb(forUs int64) {
 	c.disturbances++
 	c.disturbedUntilUs = max(c.disturbedUntilUs, c.kernel.NowUs()+forUs)
 }
 
-// shutDownFor ends a process in order, and starts it again.
+// shutDownFor shuts a process down in order, and restarts it after a time.
 func (c *Cluster) shutDownFor(victim *Controller, forUs int64) {
 	if !victim.process.Up() || victim.process.frozen || victim.id == "" || victim.shutdown.begun {
 		return
@@ -183,7 +183,7 @@
 	})
 }
 
-// hasSpare reports whether a controller stands ready that is no member of a register's group.
+// hasSpare reports whether a running controller exists that is not a member of a register's group.
 func (c *Cluster) hasSpare(part int, victim *Controller) bool {
 	for _, node := range c.controllers {
 		if node != victim && node.process.Up() && !node.process.frozen && node.id != "" && !isIn(c.checks.newest[part].Group, node.id) {
@@ -193,8 +193,8 @@
 	return false
 }
 
-// handedOver checks that a member that ends has left each group for which another controller
-// stood ready.
+// handedOver checks that a member that has shut down has left each group for which a spare
+// controller was running.
 func (c *checks) handedOver(node *Controller, spare [parts]bool) {
 	for part := range spare {
 		if !spare[part] {
