--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -119,9 +119,9 @@
 
 // fieldsOfTheWhole are the fields that still point to a whole role, to be taken apart next.
 var fieldsOfTheWhole = map[string]bool{
-	"internal/router exchange.router":   true,
-	"internal/simulation changing.node": true,
-	"internal/simulation reading.node":  true,
+	"internal/router exchange.router":        true,
+	"internal/simulation pendingChange.node": true,
+	"internal/simulation pendingRead.node":   true,
 }
 
 // structs calls visit with each named struct and its fields.
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -9,8 +9,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// deed records the last act of a holder of the rollout lease.
-type deed struct {
+// leaseAct records the last act of a holder of the rollout lease.
+type leaseAct struct {
 	holder string
 	fence  int64
 	atUs   int64
@@ -24,39 +24,39 @@
 	groupSince [parts]int64
 	joined     [parts]map[string]bool // by member id: whether the last change of the group added it
 	holders    map[int64]string       // by fence
-	deeds      map[string]deed        // by holder id
+	lastActs   map[string]leaseAct    // by holder id
 	counts     Counts
 }
 
 // Counts count the events of histories, so that tests detect a model in which something never happens.
 type Counts struct {
-	Histories, Chosen, Taken, Refused, Read, Unclear, Regroups, Acts, Wipes, Fleets, Distributions                  int64
-	Rollouts, Orders, Begun, Takeovers                                                                              int64
-	UsageHistories, UsageWindows                                                                                    int64
-	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                              int64
-	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                 int64
-	VersionHistories, VersionRequests, VersionExposed, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted int64
-	HandOvers, OutOfContact, LoadHistories, LoadReports                                                             int64
-	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                      int64
+	Histories, Chosen, ConfigsAccepted, ConfigsRejected, Reads, CallsUnclear, Regroups, LeaseActs, DisksLost, Fleets, DistributionHistories int64
+	Rollouts, Orders, Begun, Takeovers                                                                                                      int64
+	UsageHistories, UsageWindows                                                                                                            int64
+	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                                                      int64
+	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                                         int64
+	VersionHistories, VersionRequests, VersionExposed, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted                         int64
+	HandOvers, OutOfContact, LoadHistories, LoadReports                                                                                     int64
+	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                                              int64
 }
 
 // Add adds other to the counts.
 func (c *Counts) Add(other Counts) {
 	c.Histories += other.Histories
 	c.Chosen += other.Chosen
-	c.Taken += other.Taken
-	c.Refused += other.Refused
-	c.Read += other.Read
-	c.Unclear += other.Unclear
+	c.ConfigsAccepted += other.ConfigsAccepted
+	c.ConfigsRejected += other.ConfigsRejected
+	c.Reads += other.Reads
+	c.CallsUnclear += other.CallsUnclear
 	c.Regroups += other.Regroups
-	c.Acts += other.Acts
-	c.Wipes += other.Wipes
+	c.LeaseActs += other.LeaseActs
+	c.DisksLost += other.DisksLost
 	c.Fleets += other.Fleets
 	c.Rollouts += other.Rollouts
 	c.Orders += other.Orders
 	c.Begun += other.Begun
 	c.Takeovers += other.Takeovers
-	c.Distributions += other.Distributions
+	c.DistributionHistories += other.DistributionHistories
 	c.UsageHistories += other.UsageHistories
 	c.UsageWindows += other.UsageWindows
 	c.TallyHistories += other.TallyHistories
@@ -98,7 +98,7 @@
 		"%d of tallies: %d adds sent, %d acknowledged, %d of them during a cut, %d not owed; "+
 		"%d of requests: %d sent, %d ran, %d attempts beyond the first, %d answered, %d rejected; %d hand-overs, %d calls refused out of contact; %d of loads: %d reports; "+
 		"%d of versions: %d requests, %d to the new version, %d of %d good ones settled, %d of %d bad ones reverted",
-		c.Histories, c.Chosen, c.Regroups, c.Wipes, c.Acts, c.Taken, c.Refused, c.Read, c.Unclear, c.Fleets, c.Distributions,
+		c.Histories, c.Chosen, c.Regroups, c.DisksLost, c.LeaseActs, c.ConfigsAccepted, c.ConfigsRejected, c.Reads, c.CallsUnclear, c.Fleets, c.DistributionHistories,
 		c.Rollouts, c.Orders, c.Begun, c.Takeovers, c.UsageHistories, c.UsageWindows, c.QuotaHistories, c.QuotaRan, c.QuotaAsked, c.QuotaDenied, c.QuotaUnknown, c.QuotaLate,
 		c.TallyHistories, c.TallySent, c.TallyAcked, c.TallyAckedCut, c.TallyNotOwed,
 		c.RequestHistories, c.RequestsSent, c.RequestsRun, c.RequestRetries, c.RequestsAnswered, c.RequestsRejected, c.HandOvers, c.OutOfContact, c.LoadHistories, c.LoadReports,
@@ -106,10 +106,10 @@
 }
 
 func newChecks(c *Cluster) *checks {
-	out := &checks{cluster: c, holders: map[int64]string{}, deeds: map[string]deed{}}
+	out := &checks{cluster: c, holders: map[int64]string{}, lastActs: map[string]leaseAct{}}
 	for part := range out.stamps {
 		out.stamps[part] = map[int64]string{}
-		out.newest[part] = c.genesis()
+		out.newest[part] = c.initialValue()
 	}
 	return out
 }
@@ -145,7 +145,7 @@
 	for _, m := range v.Group {
 		node := c.cluster.at(m.Addr)
 		identity, _ := node.disk.Durable(identityFile)
-		if c.joined[part][m.ID] && string(identity) == m.ID && !node.knowsDurably(part, m.ID, v.Version-1) {
+		if c.joined[part][m.ID] && string(identity) == m.ID && !node.hasDurably(part, m.ID, v.Version-1) {
 			c.cluster.kernel.Fail("%s joins part %d at version %d and does not hold the version before on disk", m.ID, part, v.Version)
 		}
 	}
@@ -163,19 +163,19 @@
 	}
 }
 
-// acted is called when a holder of the rollout lease acts.
-func (c *checks) acted(holder string, fence int64) {
+// recordAct is called when a holder of the rollout lease acts.
+func (c *checks) recordAct(holder string, fence int64) {
 	now := c.cluster.kernel.NowUs()
-	c.counts.Acts++
+	c.counts.LeaseActs++
 	if other, known := c.holders[fence]; known && other != holder {
 		c.cluster.kernel.Fail("%s and %s act under one fence %d", other, holder, fence)
 	}
 	c.holders[fence] = holder
-	for _, name := range sortedKeys(c.deeds) {
-		d := c.deeds[name]
+	for _, name := range sortedKeys(c.lastActs) {
+		d := c.lastActs[name]
 		if name != holder && now-d.atUs < dutyTimes.LeaseUs {
 			c.cluster.kernel.Fail("%s acts under fence %d, %d us after %s under fence %d", holder, fence, now-d.atUs, name, d.fence)
 		}
 	}
-	c.deeds[holder] = deed{holder, fence, now}
+	c.lastActs[holder] = leaseAct{holder, fence, now}
 }
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -16,67 +16,67 @@
 // Defects disable mechanisms on purpose, so that tests can verify that the checks detect
 // their absence.
 type Defects struct {
-	RespondBeforeDurable bool // a response is sent before its record is durable
-	DenyWithoutRound     bool // a change is rejected from what this node has learned, without a round
-	ReadWithoutMajority  bool // a read is served from what this node has learned
-	ForgetTaken          bool // a repeated change isn't detected
-	ActWithoutWaiting    bool // a lease holder acts without the waits before and the deadline after
-	ForgetGenesis        bool // the initial group isn't made durable before the first value
-	JoinUnconfirmed      bool // members are added without a confirmation that they have the value on disk
-	TrustUnusedClaim     bool // a lease that was never acted under is treated as used
-	OrderWithoutBound    bool // a rollout orders more runners only as others are back
-	LeaveUnfinished      bool // the rounds of proposers that have ended are never finished
-	NeverCompare         bool // routers don't compare versions outside the dissemination tree
-	TrustOwnClock        bool // usage windows follow each machine's own time of day
-	ReportUnagreed       bool // a usage window is reported from its reporter's own counts, without agreement
-	CountAtOneController bool // routers send their counts to one controller only
-	NeverResend          bool // counts aren't sent again to a controller that has restarted
-	VoteAfterRestart     bool // a controller votes for quota owners immediately after its start
-	OwnWithoutMajority   bool // a controller becomes the owner of a quota by its own vote alone
-	IgnoreTokenAge       bool // a token is accepted at any age
-	AckOnOneDisk         bool // an add is acknowledged once a single replica has it on disk
-	TrustSilence         bool // a replica that does not answer is treated as partitioned
-	KeepOrigin           bool // a replica that lost its disk continues under its old origin id
-	NeverPull            bool // a replica receives only the logs that their own origins send
-	TrustOldEvidence     bool // an add is acknowledged by evidence of a partition that is older than the add
-	AnswerUnasked        bool // a starting replica answers before it has queried the others
-	RepeatEffectful      bool // requests that may run at most once are retried like idempotent ones
-	PromiseAfterRun      bool // the response for a request that may have run states that it has not run
-	MatchByOrder         bool // a response is matched to whichever request waits on its connection
-	RetryWithoutBudget   bool // retries don't consume the retry budget
-	ResumeFromStart      bool // a stream is resumed without the id of its last event
-	AnswerOutOfContact   bool // a controller answers operators without the contact lease
-	EndWithoutHandOver   bool // a member that is shut down stops immediately, without a hand-over
-	ShiftUntried         bool // all requests go to a new version immediately, without a canary
-	IgnoreOutcomes       bool // bad responses of a new version are ignored
-	CompareWithNothing   bool // a new version isn't compared with the outcomes of the other versions
-	KeepSenders          bool // a relay keeps the load reports of a subscriber that has ended
+	RespondBeforeDurable      bool // a response is sent before its record is durable
+	RejectWithoutRound        bool // a change is rejected from what this node has learned, without a round
+	ReadWithoutMajority       bool // a read is served from what this node has learned
+	IgnoreAccepted            bool // a repeated change isn't detected
+	ActWithoutWaiting         bool // a lease holder acts without the waits before and the deadline after
+	SkipInitialGroupWrite     bool // the initial group isn't made durable before the first value
+	AddMembersUnconfirmed     bool // members are added without a confirmation that they have the value on disk
+	TreatUnusedLeaseAsUsed    bool // a lease that was never acted under is treated as used
+	OrderWithoutBound         bool // a rollout orders more runners only as others are back
+	LeaveRoundsUnfinished     bool // the rounds of proposers that have ended are never finished
+	SkipComparisons           bool // routers don't compare versions outside the dissemination tree
+	TrustOwnClock             bool // usage windows follow each machine's own time of day
+	ReportUnagreed            bool // a usage window is reported from its reporter's own counts, without agreement
+	CountAtOneController      bool // routers send their counts to one controller only
+	NeverResend               bool // counts aren't sent again to a controller that has restarted
+	VoteAfterRestart          bool // a controller votes for quota owners immediately after its start
+	OwnWithoutMajority        bool // a controller becomes the owner of a quota by its own vote alone
+	IgnoreTokenAge            bool // a token is accepted at any age
+	AckOnOneDisk              bool // an add is acknowledged once a single replica has it on disk
+	TrustSilence              bool // a replica that does not answer is treated as partitioned
+	KeepOrigin                bool // a replica that lost its disk continues under its old origin id
+	NeverPull                 bool // a replica receives only the logs that their own origins send
+	TrustOldEvidence          bool // an add is acknowledged by evidence of a partition that is older than the add
+	AnswerUnasked             bool // a starting replica answers before it has queried the others
+	RepeatEffectful           bool // requests that may run at most once are retried like idempotent ones
+	PromiseAfterRun           bool // the response for a request that may have run states that it has not run
+	MatchByOrder              bool // a response is matched to whichever request waits on its connection
+	RetryWithoutBudget        bool // retries don't consume the retry budget
+	ResumeFromStart           bool // a stream is resumed without the id of its last event
+	AnswerWithoutContactLease bool // a controller answers operators without the contact lease
+	ShutDownWithoutHandOver   bool // a member that is shut down stops immediately, without a hand-over
+	ShiftUntried              bool // all requests go to a new version immediately, without a canary
+	IgnoreOutcomes            bool // bad responses of a new version are ignored
+	CompareWithNothing        bool // a new version isn't compared with the outcomes of the other versions
+	KeepSenders               bool // a relay keeps the load reports of a subscriber that has ended
 }
 
 // Cluster holds the state of one history of the registers model.
 type Cluster struct {
-	kernel      *Kernel
-	network     *Network
-	controllers []*Controller
-	operators   []*operator
-	founders    []string
-	checks      *checks
-	history     history.History
-	defects     Defects
-	serial      int
-	aimed       []func()
-	healed      bool
-
-	disturbances     int // number of faults so far
-	disturbedUntilUs int64
+	kernel         *Kernel
+	network        *Network
+	controllers    []*Controller
+	operators      []*operator
+	founders       []string
+	checks         *checks
+	history        history.History
+	defects        Defects
+	serial         int
+	deferredFaults []func()
+	healed         bool
+
+	faultCount    int // number of faults so far
+	faultsUntilUs int64
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
 // newCluster creates a group of the given size, ready spare controllers outside it, and operators.
-func newCluster(k *Kernel, size, ready, operators int, defects Defects) *Cluster {
+func newCluster(k *Kernel, size, spares, operators int, defects Defects) *Cluster {
 	c := &Cluster{kernel: k, network: NewNetwork(k), defects: defects}
-	for i := range size + ready {
+	for i := range size + spares {
 		addr := fmt.Sprintf("c%d", i+1)
 		c.controllers = append(c.controllers, &Controller{cluster: c, addr: addr, process: NewProcess(k), disk: NewStorage(k)})
 		if i < size {
@@ -132,24 +132,24 @@
 	}
 }
 
-// bearsLossOf reports whether the design guarantees that every register tolerates the
+// toleratesLossOf reports whether the design guarantees that every register tolerates the
 // loss of this disk in the current state.
-func (c *Cluster) bearsLossOf(victim *Controller) bool {
+func (c *Cluster) toleratesLossOf(victim *Controller) bool {
 	for part := range parts {
-		if !c.majorityKnows(part, victim) && !c.repairComplete(part, victim) {
+		if !c.majorityHasGroup(part, victim) && !c.repairComplete(part, victim) {
 			return false
 		}
 	}
 	return true
 }
 
-// majorityKnows reports whether a majority of the newest group remains without the victim
+// majorityHasGroup reports whether a majority of the newest group remains without the victim
 // whose disks hold a value with that group.
-func (c *Cluster) majorityKnows(part int, victim *Controller) bool {
+func (c *Cluster) majorityHasGroup(part int, victim *Controller) bool {
 	group, left := c.checks.newest[part].Group, 0
 	for _, m := range group {
 		node := c.at(m.Addr)
-		if node != victim && node.knowsDurably(part, m.ID, c.checks.groupSince[part]) {
+		if node != victim && node.hasDurably(part, m.ID, c.checks.groupSince[part]) {
 			left++
 		}
 	}
@@ -167,16 +167,16 @@
 		switch {
 		case node == victim || !ok || string(identity) != m.ID:
 			lost++
-		case c.checks.joined[part][m.ID] && !node.knowsDurably(part, m.ID, c.checks.groupSince[part]):
+		case c.checks.joined[part][m.ID] && !node.hasDurably(part, m.ID, c.checks.groupSince[part]):
 			return false
 		}
 	}
 	return lost <= (len(group)-1)/2
 }
 
-// knowsDurably reports whether this disk durably holds the identity id and a committed
+// hasDurably reports whether this disk durably holds the identity id and a committed
 // value of the register with at least the given version.
-func (c *Controller) knowsDurably(part int, id string, version int64) bool {
+func (c *Controller) hasDurably(part int, id string, version int64) bool {
 	identity, ok := c.disk.Durable(identityFile)
 	if !ok || string(identity) != id {
 		return false
@@ -198,12 +198,12 @@
 	c.healed = true
 	c.network.Heal()
 	for _, node := range c.controllers {
-		node.disk.Full, node.disk.SlowUs = false, 0
+		node.disk.Full, node.disk.ExtraDelayUs = false, 0
 		node.disk.Resume()
 		node.process.Thaw()
 		c.restart(node)
 	}
 }
 
-// genesis returns the initial value, which names the founders as the group.
-func (c *Cluster) genesis() messages.Value { return consensus.InitialValue(c.founders) }
+// initialValue returns the initial value, which names the founders as the group.
+func (c *Cluster) initialValue() messages.Value { return consensus.InitialValue(c.founders) }
--- a/internal/simulation/contact.go
+++ b/internal/simulation/contact.go
@@ -30,42 +30,42 @@
 // the call and again before the answer.
 func (c *Controller) serveInContact(call history.Call, answer func(history.Answer)) {
 	begunUs := c.process.NowUs()
-	unchecked := c.cluster.defects.AnswerOutOfContact
+	unchecked := c.cluster.defects.AnswerWithoutContactLease
 	if !unchecked && !c.contact.Holds(c.configGroup(), begunUs) && !c.startingUp() {
 		c.cluster.checks.counts.OutOfContact++
 		answer(history.Answer{})
 		return
 	}
 	c.serve(call, func(a history.Answer) {
-		if a.Verdict != history.Unclear && !c.alreadyTaken(call) {
+		if a.Verdict != history.Unclear && !c.alreadyAccepted(call) {
 			if !unchecked && !c.contact.MayAnswer(c.configGroup(), begunUs, c.process.NowUs()) {
 				c.cluster.checks.counts.OutOfContact++
 				answer(history.Answer{})
 				return
 			}
-			c.cluster.checks.answersInContact(c)
+			c.cluster.checks.checkContact(c)
 		}
 		answer(a)
 	})
 }
 
-// alreadyTaken reports whether this node has learned that the call's change was accepted, so that the answer needs no majority.
-func (c *Controller) alreadyTaken(call history.Call) bool {
+// alreadyAccepted reports whether this node has learned that the call's change was accepted, so that the answer needs no majority.
+func (c *Controller) alreadyAccepted(call history.Call) bool {
 	cur, known := c.committed(configPart)
 	return known && call.Kind == history.Replace && submissionOf(call).AcceptedIn(configOf(cur))
 }
 
-// handledBy records the virtual time at which a member has handled a request of this controller.
-func (c *Controller) handledBy(member string, life int64) {
+// recordHandled records the virtual time at which a member has handled a request of this controller.
+func (c *Controller) recordHandled(member string, life int64) {
 	if life != c.process.life {
 		return
 	}
 	c.handledUs[member] = c.cluster.kernel.NowUs()
 }
 
-// answersInContact checks by virtual time that a majority of the group that the controller has
+// checkContact checks by virtual time that a majority of the group that the controller has
 // learned has handled one of its requests within the lease time.
-func (c *checks) answersInContact(node *Controller) {
+func (c *checks) checkContact(node *Controller) {
 	nowUs := c.cluster.kernel.NowUs()
 	met := lease.Majority(node.configGroup(), func(member string) bool {
 		handledUs, ok := node.handledUs[member]
@@ -76,15 +76,15 @@
 	}
 }
 
-// vouch renews the contact lease after work on the configuration register in which a majority took part.
-func (c *Controller) vouch(part int, begunUs int64, err error) {
+// renewContact renews the contact lease after work on the configuration register in which a majority took part.
+func (c *Controller) renewContact(part int, begunUs int64, err error) {
 	if err == nil && part == configPart {
 		c.contact.RecordMajorityWork(begunUs)
 	}
 }
 
-// answeredBy renews the contact lease with the response of a member.
-func (c *Controller) answeredBy(request messages.ConsensusRequest, r messages.ConsensusResponse, sentUs int64) {
+// recordAnswer renews the contact lease with the response of a member.
+func (c *Controller) recordAnswer(request messages.ConsensusRequest, r messages.ConsensusResponse, sentUs int64) {
 	if request.To != "" && request.Step != messages.Commit && r.Verdict != messages.Stranger {
 		c.contact.RecordAnswer(request.To, sentUs)
 	}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -13,26 +13,26 @@
 
 // Indexes of the registers of the model.
 const (
-	configPart = iota // the operator's configuration
-	dutyPart          // named weights and the lease of the controller that rolls them out
+	configPart       = iota // the operator's configuration
+	rolloutLeasePart        // named weights and the lease of the controller that rolls them out
 	parts
 )
 
 // identityFile holds the member id of a controller.
 const identityFile = "identity"
 
-// busyWaitUs is how long a request may wait for exclusive access to its record.
-const busyWaitUs = 2 * Second
+// acquireTimeoutUs is how long a request may wait for exclusive access to its record.
+const acquireTimeoutUs = 2 * Second
 
 // register is a controller's state of one register.
 type register struct {
-	acceptor consensus.Acceptor
-	learned  *messages.Value
-	waiting  []func(release func())
-	busy     bool
-	keeping  bool
-	durable  int64 // the committed version on disk, notOnDisk for none
-	repair   partRepair
+	acceptor       consensus.Acceptor
+	learned        *messages.Value
+	waiting        []func(release func())
+	busy           bool
+	persisting     bool
+	durableVersion int64 // the committed version on disk, notOnDisk for none
+	repair         groupRepair
 }
 
 // notOnDisk means that no committed value is on disk.
@@ -46,25 +46,25 @@
 	disk    *Storage
 
 	// The fields below are reset with each life of the process.
-	id        string
-	registers [parts]*register
-	heard     map[string]peer
-	direct    map[string]int64 // by address: send time of the last ping that was answered
-	duty      lease.Lease
-	takeover  lease.Takeover
-	diskFault bool // the last write failed
-	dutyBusy  bool
-	actedAs   int64 // the fence that it last recorded in actedFile
-	synced    bool  // the content that was read from the disk is durable
-	shutdown  shutdown
-	contact   lease.Contact
-	handledUs map[string]int64 // by member id: virtual time at which it last handled a request of this process
+	id             string
+	registers      [parts]*register
+	peers          map[string]peer
+	lastAnsweredUs map[string]int64 // by address: send time of the last ping that was answered
+	rolloutLease   lease.Lease
+	takeover       lease.Takeover
+	diskFault      bool // the last write failed
+	leaseBusy      bool
+	recordedFence  int64 // the fence that it last recorded in actedFile
+	synced         bool  // the content that was read from the disk is durable
+	shutdown       shutdown
+	contact        lease.Contact
+	handledUs      map[string]int64 // by member id: virtual time at which it last handled a request of this process
 }
 
 // peer is the last news of another controller.
 type peer struct {
-	id      string
-	heardUs int64 // by the receiver's monotonic clock
+	id          string
+	lastHeardUs int64 // by the receiver's monotonic clock
 }
 
 func recordFile(part int) string { return fmt.Sprintf("part-%d", part) }
@@ -73,8 +73,8 @@
 // group.
 func (c *Controller) boot(founding bool) {
 	c.process.Start()
-	c.heard, c.direct, c.dutyBusy, c.actedAs = map[string]peer{}, map[string]int64{}, false, 0
-	c.duty = lease.Lease{Times: dutyTimes}
+	c.peers, c.lastAnsweredUs, c.leaseBusy, c.recordedFence = map[string]peer{}, map[string]int64{}, false, 0
+	c.rolloutLease = lease.Lease{Times: dutyTimes}
 	c.takeover = lease.Takeover{}
 	c.synced = false
 	c.shutdown, c.contact, c.handledUs = shutdown{}, lease.Contact{}, map[string]int64{}
@@ -123,20 +123,20 @@
 				c.cluster.kernel.Fail("a record at %s does not read: %v", c.addr, err)
 			}
 		} else if founding {
-			record.Committed = c.cluster.genesis()
+			record.Committed = c.cluster.initialValue()
 		}
-		r := &register{acceptor: consensus.Acceptor{ID: id, Record: record}, durable: notOnDisk}
+		r := &register{acceptor: consensus.Acceptor{ID: id, Record: record}, durableVersion: notOnDisk}
 		if ok && len(record.Committed.Group) > 0 {
-			r.durable = record.Committed.Version
+			r.durableVersion = record.Committed.Version
 		}
 		c.registers[part] = r
 		if len(record.Committed.Group) > 0 {
 			value := record.Committed
 			r.learned = &value
 		}
-		if !ok && founding && !c.cluster.defects.ForgetGenesis {
+		if !ok && founding && !c.cluster.defects.SkipInitialGroupWrite {
 			unsaved++
-			c.save(part, func(error) {
+			c.saveRecord(part, func(error) {
 				if unsaved--; unsaved == 0 {
 					c.work()
 				}
@@ -153,7 +153,7 @@
 	c.cluster.kernel.Note("%s is up as %s", c.addr, c.id)
 	c.every(pingEveryUs, c.ping)
 	c.every(repairEveryUs, c.repairGroups)
-	c.every(dutyEveryUs, c.workDuty)
+	c.every(leaseStepEveryUs, c.stepLease)
 }
 
 // every runs a callback periodically for the rest of the current life.
@@ -180,29 +180,29 @@
 	}
 	c.cluster.checks.committed(c, part, v)
 	r.learned = &v
-	if !r.keeping {
-		r.keeping = true
-		c.keep(part)
+	if !r.persisting {
+		r.persisting = true
+		c.persistLearned(part)
 	}
 }
 
-// keepAgainUs is the delay before a failed write is retried.
-const keepAgainUs = 300 * Millisecond
+// persistRetryUs is the delay before a failed write is retried.
+const persistRetryUs = 300 * Millisecond
 
-// keep makes the learned value durable in the background.
-func (c *Controller) keep(part int) {
+// persistLearned makes the learned value durable in the background.
+func (c *Controller) persistLearned(part int) {
 	r := c.registers[part]
 	r.acquire(func(release func()) {
-		kept := r.learned
-		c.makeDurable(part, *kept, func(err error) {
+		value := r.learned
+		c.makeDurable(part, *value, func(err error) {
 			release()
 			switch {
 			case err != nil:
-				c.process.After(keepAgainUs, func() { c.keep(part) })
-			case r.learned != kept:
-				c.keep(part)
+				c.process.After(persistRetryUs, func() { c.persistLearned(part) })
+			case r.learned != value:
+				c.persistLearned(part)
 			default:
-				r.keeping = false
+				r.persisting = false
 			}
 		})
 	})
@@ -213,11 +213,11 @@
 func (c *Controller) makeDurable(part int, v messages.Value, done func(error)) {
 	r := c.registers[part]
 	before := r.acceptor.Record
-	if !r.acceptor.Learn(v) && r.durable >= r.acceptor.Record.Committed.Version {
+	if !r.acceptor.Learn(v) && r.durableVersion >= r.acceptor.Record.Committed.Version {
 		c.sync(done)
 		return
 	}
-	c.save(part, func(err error) {
+	c.saveRecord(part, func(err error) {
 		if err != nil {
 			r.acceptor.Record = before
 		}
@@ -238,7 +238,7 @@
 	}))
 }
 
-func (c *Controller) save(part int, done func(error)) {
+func (c *Controller) saveRecord(part int, done func(error)) {
 	r := c.registers[part]
 	raw, err := r.acceptor.Record.MarshalMsg(nil)
 	if err != nil {
@@ -247,7 +247,7 @@
 	committed := r.acceptor.Record.Committed
 	c.disk.Write(recordFile(part), raw, c.afterWrite(func(err error) {
 		if err == nil && len(committed.Group) > 0 {
-			r.durable = committed.Version
+			r.durableVersion = committed.Version
 		}
 		c.diskFault = err != nil
 		done(err)
@@ -274,9 +274,9 @@
 	r.acquire(next)
 }
 
-// handle processes a request of another member. It doesn't reply if the write fails or
+// handleRequest processes a request of another member. It doesn't reply if the write fails or
 // the record stays busy for too long.
-func (c *Controller) handle(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
+func (c *Controller) handleRequest(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
 	r := c.registers[request.Part]
 	if r == nil {
 		return
@@ -284,15 +284,15 @@
 	if request.Step == messages.Commit {
 		c.learn(request.Part, request.Value)
 		if request.Flush {
-			c.flush(request, reply)
+			c.handleFlush(request, reply)
 			return
 		}
 		reply(messages.ConsensusResponse{Verdict: messages.Granted})
 		return
 	}
-	untilUs := c.process.NowUs() + busyWaitUs
+	deadlineUs := c.process.NowUs() + acquireTimeoutUs
 	r.acquire(func(release func()) {
-		if c.process.NowUs() > untilUs {
+		if c.process.NowUs() > deadlineUs {
 			release()
 			return
 		}
@@ -313,7 +313,7 @@
 		if c.cluster.defects.RespondBeforeDurable {
 			reply(response)
 		}
-		c.save(request.Part, func(err error) {
+		c.saveRecord(request.Part, func(err error) {
 			if err != nil {
 				r.acceptor.Record = before
 			}
@@ -328,7 +328,7 @@
 // call sends a request to a member. done is called at most once, with the response.
 func (c *Controller) call(to string, request messages.ConsensusRequest, done func(messages.ConsensusResponse)) {
 	if to == c.addr {
-		c.handle(request, done)
+		c.handleRequest(request, done)
 		return
 	}
 	target := c.cluster.at(to)
@@ -339,12 +339,12 @@
 	sentUs := c.process.NowUs()
 	net.Send(c.addr, to, func() {
 		target.process.Deliver(func() {
-			target.handle(request, func(response messages.ConsensusResponse) {
-				c.handledBy(target.id, life)
+			target.handleRequest(request, func(response messages.ConsensusResponse) {
+				c.recordHandled(target.id, life)
 				net.Send(to, c.addr, c.process.inLifeOf(life, func() {
 					if !answered {
 						answered = true
-						c.answeredBy(request, response, sentUs)
+						c.recordAnswer(request, response, sentUs)
 						done(response)
 					}
 				}))
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -14,9 +14,9 @@
 
 // Timeouts of a coordinator, and the shift of the fence in the sequence number of a cordon.
 const (
-	orderWaitUs  = 700 * Millisecond
-	reportWaitUs = 600 * Millisecond
-	cordonShift  = 20
+	orderTimeoutUs  = 700 * Millisecond
+	reportTimeoutUs = 600 * Millisecond
+	cordonShift     = 20
 )
 
 // coordinator is the rollout side of one controller.
@@ -35,8 +35,8 @@
 
 func newCoordinator(h *rolloutHistory, r *registrar) *coordinator {
 	c := &coordinator{history: h, registrar: r, leaseMember: h.group.add(r.addr, r.process)}
-	c.learned = func(body messages.LeaseBody) { c.note(body.Targets) }
-	c.pinged = func(other *leaseMember) func() {
+	c.learned = func(body messages.LeaseBody) { c.recordNamed(body.Targets) }
+	c.onPing = func(other *leaseMember) func() {
 		ages := c.targets.Ages(c.nowUs())
 		there := h.coordinators[other.index]
 		return func() { there.targets.MergeAges(ages, there.nowUs()) }
@@ -54,9 +54,9 @@
 	h.fleet.every(c.process, roleEveryUs, c.soon(c.step))
 }
 
-// note records the versions named in the register. Versions learned right after the start
+// recordNamed records the versions named in the register. Versions learned right after the start
 // may have been named before the start, so their age is unknown.
-func (c *coordinator) note(named []messages.Target) {
+func (c *coordinator) recordNamed(named []messages.Target) {
 	for _, t := range named {
 		switch {
 		case t.Version <= c.targets.Newest(t.Model).Version:
@@ -94,7 +94,7 @@
 	}
 	models := c.models()
 	grant := c.stepRole(rollout.Unfinished(models), c.step)
-	c.carryOut(c.shard.Step(c.nowUs(), grant, models))
+	c.executeStep(c.shard.Step(c.nowUs(), grant, models))
 }
 
 func (c *coordinator) models() []rollout.Model {
@@ -104,7 +104,7 @@
 	}}
 }
 
-func (c *coordinator) carryOut(step rollout.Step) {
+func (c *coordinator) executeStep(step rollout.Step) {
 	if step.HasOrders() {
 		c.recordFenceUsed(step.Fence)
 	}
@@ -113,7 +113,7 @@
 			c.setCordon(cordon, step.Fence)
 		}
 		for _, o := range a.Orders {
-			c.process.After(c.group.lateBy(), func() { c.order(o, step) })
+			c.process.After(c.group.stepDelayUs(), func() { c.order(o, step) })
 		}
 		for _, id := range a.Poll {
 			c.poll(id)
@@ -124,7 +124,7 @@
 func (c *coordinator) setCordon(to rollout.Cordon, fence int64) {
 	c.cordons++
 	if n, changed := c.registrar.runners.SetCordon(to.ID, to.Draining, to.Cordoned, fence<<cordonShift|c.cordons); changed {
-		c.registrar.tell(n.ID)
+		c.registrar.publish(n.ID)
 	}
 }
 
@@ -144,7 +144,7 @@
 		answer(rollout.NoAnswer)
 		return
 	}
-	c.process.After(orderWaitUs, func() { answer(rollout.NoAnswer) })
+	c.process.After(orderTimeoutUs, func() { answer(rollout.NoAnswer) })
 	c.call(o.ID, func(e *engine) func() {
 		a := e.order(o, step.Fence, c)
 		return func() {
@@ -169,7 +169,7 @@
 			return
 		}
 		back := at(e)
-		h.kernel.After(e.answersAfter(), func() { h.network.Send(e.address, c.addr, c.process.InLife(back)) })
+		h.kernel.After(e.answerDelayUs(), func() { h.network.Send(e.address, c.addr, c.process.InLife(back)) })
 	})
 }
 
@@ -178,28 +178,28 @@
 		return
 	}
 	c.polling[id] = true
-	askedUs, answered := c.nowUs(), false
-	c.process.After(reportWaitUs, func() {
+	sentUs, answered := c.nowUs(), false
+	c.process.After(reportTimeoutUs, func() {
 		delete(c.polling, id)
 		if !answered {
 			c.shard.RecordMissingReport(rolloutModel, id)
 		}
 	})
 	c.call(id, func(e *engine) func() {
-		said := e.report()
+		report := e.report()
 		return func() {
 			answered = true
 			delete(c.polling, id)
-			if !said.Busy {
-				c.recordWeights(id, said.Version)
+			if !report.Busy {
+				c.recordWeights(id, report.Version)
 			}
-			c.shard.RecordReport(rolloutModel, id, said, askedUs, c.nowUs())
+			c.shard.RecordReport(rolloutModel, id, report, sentUs, c.nowUs())
 		}
 	})
 }
 
 func (c *coordinator) recordWeights(id string, version int64) {
 	if n, changed := c.registrar.runners.SetWeights(id, rolloutModel, version); changed {
-		c.registrar.tell(n.ID)
+		c.registrar.publish(n.ID)
 	}
 }
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -19,8 +19,8 @@
 	distributionUs     = 30 * Second
 	distributionCalmUs = 12 * Second
 	distributionCheck  = 50 * Millisecond
-	mostStepUs         = 400 * Millisecond
-	ordinaryStepUs     = 2 * Millisecond
+	maxSlowStepUs      = 400 * Millisecond
+	maxOrdinaryStepUs  = 2 * Millisecond
 	connectionBrokenUs = 1_500 * Millisecond
 )
 
@@ -34,27 +34,27 @@
 
 // distribution holds the state of one history of the distribution model.
 type distribution struct {
-	kernel       *Kernel
-	network      *Network
-	controllers  []*source
-	routers      []*sink
-	releases     []*release // by version of the register, from 1 on
-	chosen       messages.ConfigBody
-	refused      map[int64]bool // versions of configurations that were rejected
-	slowSteps    int            // number of steps in a thousand that take long
-	coreUs       int64          // when a fault of the controllers or their links last began or ended
-	coreTroubles int            // number of faults that slow a controller now
-	slowed       map[*Process]bool
-	healed       bool
-	defects      Defects
-	counts       Counts
+	kernel            *Kernel
+	network           *Network
+	controllers       []*source
+	routers           []*sink
+	releases          []*release // by version of the register, from 1 on
+	chosen            messages.ConfigBody
+	refused           map[int64]bool // versions of configurations that were rejected
+	slowStepsPerMille int            // number of steps in a thousand that take long
+	coreUs            int64          // when a fault of the controllers or their links last began or ended
+	activeCoreFaults  int            // number of faults that slow a controller now
+	slowed            map[*Process]bool
+	healed            bool
+	defects           Defects
+	counts            Counts
 }
 
 // PlayDistribution runs the history of configurations for a seed.
 func PlayDistribution(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	d := &distribution{kernel: k, network: NewNetwork(k), refused: map[int64]bool{}, slowed: map[*Process]bool{}, defects: options.Defects}
-	d.slowSteps = []int{0, 20, 60, 120, 250, 500}[k.Below(6)]
+	d.slowStepsPerMille = []int{0, 20, 60, 120, 250, 500}[k.Below(6)]
 	for i := range 3 + k.Below(3) {
 		d.controllers = append(d.controllers, newSource(d, i))
 	}
@@ -73,7 +73,7 @@
 	k.RunUntil(distributionUs)
 	d.heal()
 	k.RunUntil(distributionUs + distributionCalmUs)
-	d.counts.Distributions = 1
+	d.counts.DistributionHistories = 1
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: d.counts}
 }
 
@@ -84,12 +84,12 @@
 
 func (d *distribution) stepUs(p *Process) int64 {
 	if d.slowed[p] {
-		return d.kernel.Between(0, 2*mostStepUs)
+		return d.kernel.Between(0, 2*maxSlowStepUs)
 	}
-	if d.kernel.Chance(d.slowSteps) {
-		return d.kernel.Between(0, mostStepUs)
+	if d.kernel.Chance(d.slowStepsPerMille) {
+		return d.kernel.Between(0, maxSlowStepUs)
 	}
-	return d.kernel.Between(0, ordinaryStepUs)
+	return d.kernel.Between(0, maxOrdinaryStepUs)
 }
 
 // every runs a callback periodically in the current life of a process. Each run may be late.
@@ -140,7 +140,7 @@
 		return
 	}
 	version, base := d.chosen.Version+int64(1+d.kernel.Below(3)), d.chosen.Version
-	raw := d.draw(version)
+	raw := d.randomConfiguration(version)
 	switch {
 	case len(d.releases) == 0:
 	case d.kernel.Chance(100):
@@ -153,7 +153,7 @@
 	next, err := order.Apply(d.chosen)
 	if err != nil {
 		d.refused[version] = true
-		d.counts.Refused++
+		d.counts.ConfigsRejected++
 		return
 	}
 	delete(d.refused, version)
@@ -164,20 +164,20 @@
 	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"bad","host":"h","prefix":"/bad/","kind":"idempotent","cutoffMs":1000,"service":"nowhere"}],"services":[]}`, version)
 }
 
-// draw returns a random configuration: some routes of a fixed set, each to one of three
+// randomConfiguration returns a random configuration: some routes of a fixed set, each to one of three
 // services.
-func (d *distribution) draw(version int64) []byte {
-	const places = 12
+func (d *distribution) randomConfiguration(version int64) []byte {
+	const maxRoutes = 12
 	out := fmt.Appendf(nil, `{"version":%d,"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"}],"routes":[`, version)
-	some := false
-	for i := range places {
+	hasRoute := false
+	for i := range maxRoutes {
 		if d.kernel.Chance(300) {
 			continue
 		}
-		if some {
+		if hasRoute {
 			out = append(out, ',')
 		}
-		some = true
+		hasRoute = true
 		out = fmt.Appendf(out, `{"name":"r%d","host":"h","prefix":"/r%d/","kind":"idempotent","cutoffMs":1000,"service":"s%d"}`, i, i, d.kernel.Below(3))
 	}
 	return append(out, "]}"...)
@@ -199,7 +199,7 @@
 	d.chosen = next
 	r := &release{version: int64(len(d.releases)) + 1, order: order, entries: entries}
 	d.releases = append(d.releases, r)
-	d.counts.Taken++
+	d.counts.ConfigsAccepted++
 	d.kernel.Note("%s: version %d, configuration %d, is chosen", at.addr, r.version, next.Version)
 	for _, c := range d.controllers {
 		if c.process.Up() && !c.process.frozen && (c == at || at.reaches(c)) {
@@ -242,7 +242,7 @@
 			up++
 		}
 	}
-	return d.coreTroubles == 0 && up > len(d.controllers)/2 && d.kernel.NowUs()-d.coreUs > contactBoundUs
+	return d.activeCoreFaults == 0 && up > len(d.controllers)/2 && d.kernel.NowUs()-d.coreUs > contactBoundUs
 }
 
 // watch checks periodically that every router in contact has the version that is due.
--- a/internal/simulation/distribution_faults.go
+++ b/internal/simulation/distribution_faults.go
@@ -6,7 +6,7 @@
 type node interface {
 	address() string
 	running() *Process
-	since(h messages.SyncState) messages.Feed
+	feedSince(h messages.SyncState) messages.Feed
 	subscribe(sub *subscription)
 }
 
@@ -17,7 +17,7 @@
 	parent                node
 	child                 *sink
 	parentLife, childLife int64
-	open, pumping         bool
+	open, delivering      bool
 	waiting               []messages.Feed
 }
 
@@ -25,7 +25,7 @@
 func (s *subscription) push(f messages.Feed) {
 	if s.alive() {
 		s.waiting = append(s.waiting, f)
-		s.pump()
+		s.deliverNext()
 	}
 }
 
@@ -35,11 +35,11 @@
 	return s.open
 }
 
-func (s *subscription) pump() {
-	if s.pumping || len(s.waiting) == 0 || !s.alive() {
+func (s *subscription) deliverNext() {
+	if s.delivering || len(s.waiting) == 0 || !s.alive() {
 		return
 	}
-	s.pumping = true
+	s.delivering = true
 	f := s.waiting[0]
 	s.waiting = s.waiting[1:]
 	link := s.d.network.Link(s.parent.address(), s.child.addr)
@@ -56,10 +56,10 @@
 		s.child.process.Deliver(func() {
 			s.d.step(s.child.process, func() {
 				if s.alive() {
-					s.child.hear(s, f)
+					s.child.receiveFeed(s, f)
 				}
-				s.pumping = false
-				s.pump()
+				s.delivering = false
+				s.deliverNext()
 			})
 		})
 	case s.d.kernel.NowUs()-sentUs > connectionBrokenUs:
@@ -70,9 +70,9 @@
 }
 
 // pushAll pushes a feed to all open subscriptions and returns them.
-func pushAll(list []*subscription, f messages.Feed) []*subscription {
+func pushAll(subscriptions []*subscription, f messages.Feed) []*subscription {
 	var alive []*subscription
-	for _, s := range list {
+	for _, s := range subscriptions {
 		if s.alive() {
 			s.push(f)
 			alive = append(alive, s)
@@ -116,9 +116,9 @@
 	case 6:
 		d.trouble(r, forUs, r.process.Stop, r.boot)
 	case 7:
-		d.coreTroubles++
+		d.activeCoreFaults++
 		d.slowed[c.process] = true
-		d.later(forUs, func() { d.coreTroubles--; d.coreUs = k.NowUs(); delete(d.slowed, c.process) })
+		d.later(forUs, func() { d.activeCoreFaults--; d.coreUs = k.NowUs(); delete(d.slowed, c.process) })
 	default:
 		relay := d.routers[r.number/2]
 		for _, pair := range [][2]string{{c.addr, r.addr}, {relay.addr, r.addr}} {
@@ -169,11 +169,11 @@
 	}
 	d.kernel.Note("%s is in trouble for %d us", r.addr, forUs)
 	r.troubles++
-	r.troubledUs = d.kernel.NowUs()
+	r.lastFaultUs = d.kernel.NowUs()
 	begin()
 	d.later(forUs, func() {
 		r.troubles--
-		r.troubledUs = d.kernel.NowUs()
+		r.lastFaultUs = d.kernel.NowUs()
 		end()
 	})
 }
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -12,41 +12,41 @@
 
 // Periods, timeouts and limits of a router.
 const (
-	joinPauseUs       = 50 * Millisecond
-	dialWaitUs        = 250 * Millisecond
-	subscribeWaitUs   = 600 * Millisecond
-	subscriberTickUs  = 250 * Millisecond
-	anythingUs        = 2_500 * Millisecond
-	compareEveryUs    = convergeUs / dissemination.ComparisonParts
-	compareWaitUs     = convergeUs / dissemination.ComparisonWaitParts
-	overdueUs         = convergeUs / dissemination.OverdueParts
-	unseenUs          = 1_200 * Millisecond // after which a silent process is considered dead
-	spoiledPerMille   = 2                   // share of changes that arrive with a wrong digest
-	fewestBeforeRelay = 3
+	joinPauseUs         = 50 * Millisecond
+	dialWaitUs          = 250 * Millisecond
+	subscribeWaitUs     = 600 * Millisecond
+	subscriberTickUs    = 250 * Millisecond
+	acceptAnyAfterUs    = 2_500 * Millisecond
+	compareEveryUs      = convergeUs / dissemination.ComparisonParts
+	compareWaitUs       = convergeUs / dissemination.ComparisonWaitParts
+	overdueUs           = convergeUs / dissemination.OverdueParts
+	deadAfterUs         = 1_200 * Millisecond // after which a silent process is considered dead
+	corruptPerMille     = 2                   // share of changes that arrive with a wrong digest
+	minRelayChildNumber = 3
 )
 
 // sink is the configuration side of a router. It forwards the feeds of its parent to its
 // subscribers.
 type sink struct {
-	d          *distribution
-	addr       string
-	number     int
-	process    *Process
-	troubles   int   // number of active faults
-	troubledUs int64 // when a fault last began or ended
+	d           *distribution
+	addr        string
+	number      int
+	process     *Process
+	troubles    int   // number of active faults
+	lastFaultUs int64 // when a fault last began or ended
 
 	// The fields below are reset with each life of the process.
-	replica     *routeconfig.Replica
-	policy      dissemination.ParentPolicy
-	pacer       dissemination.RequestPacer
-	comparisons *dissemination.Comparisons
-	parent      *subscription
-	joining     bool
-	bootUs      int64
-	lastUs      int64 // when the last feed of a parent arrived
-	heardUs     int64 // when the last feed arrived that was not marked as cut off
-	subscribers []*subscription
-	inForce     int64 // the newest version that was in force in this life
+	replica             *routeconfig.Replica
+	policy              dissemination.ParentPolicy
+	pacer               dissemination.RequestPacer
+	comparisons         *dissemination.Comparisons
+	parent              *subscription
+	joining             bool
+	bootUs              int64
+	lastUs              int64 // when the last feed of a parent arrived
+	lastConnectedFeedUs int64 // when the last feed arrived that was not marked as cut off
+	subscribers         []*subscription
+	inForce             int64 // the newest version that was in force in this life
 }
 
 func newSink(d *distribution, i int) *sink {
@@ -61,10 +61,10 @@
 	r.process.Start()
 	r.replica, r.policy, r.pacer = routeconfig.NewReplica(), dissemination.ParentPolicy{}, dissemination.RequestPacer{}
 	r.comparisons, r.parent, r.joining = dissemination.NewComparisons(r.d.kernel.Below(64)), nil, false
-	r.bootUs, r.lastUs, r.heardUs, r.subscribers, r.inForce = r.process.NowUs(), 0, 0, nil, 0
+	r.bootUs, r.lastUs, r.lastConnectedFeedUs, r.subscribers, r.inForce = r.process.NowUs(), 0, 0, nil, 0
 	r.d.every(r.process, joinPauseUs, r.join)
 	r.d.every(r.process, subscriberTickUs, r.tick)
-	if !r.d.defects.NeverCompare {
+	if !r.d.defects.SkipComparisons {
 		r.d.every(r.process, compareEveryUs, r.compare)
 	}
 }
@@ -73,8 +73,8 @@
 // then the controllers in the order of the tree.
 func (r *sink) wanted() []string {
 	var out []string
-	if r.number >= fewestBeforeRelay && r.number%2 == 0 {
-		if relay := r.d.routers[r.number/2]; r.d.seen(relay.process, relay.troubledUs) {
+	if r.number >= minRelayChildNumber && r.number%2 == 0 {
+		if relay := r.d.routers[r.number/2]; r.d.seen(relay.process, relay.lastFaultUs) {
 			out = append(out, relay.addr)
 		}
 	}
@@ -89,10 +89,10 @@
 
 // seen reports whether other processes consider a process alive.
 func (d *distribution) seen(p *Process, sinceUs int64) bool {
-	return p.Up() && !p.frozen || d.kernel.NowUs()-sinceUs < unseenUs
+	return p.Up() && !p.frozen || d.kernel.NowUs()-sinceUs < deadAfterUs
 }
 
-func (d *distribution) node(addr string) node {
+func (d *distribution) nodeAt(addr string) node {
 	for _, c := range d.controllers {
 		if c.addr == addr {
 			return c
@@ -106,9 +106,9 @@
 	return nil
 }
 
-func (r *sink) hold() messages.SyncState {
+func (r *sink) syncState() messages.SyncState {
 	h := messages.SyncState{Configuration: r.replica.Cursor()}
-	h.Anything = h.Configuration.Version == 0 && r.process.NowUs()-r.bootUs > anythingUs
+	h.Anything = h.Configuration.Version == 0 && r.process.NowUs()-r.bootUs > acceptAnyAfterUs
 	return h
 }
 
@@ -121,13 +121,13 @@
 	r.try(r.policy.Order(r.wanted(), r.process.NowUs()))
 }
 
-func (r *sink) try(list []string) {
-	if len(list) == 0 {
+func (r *sink) try(parents []string) {
+	if len(parents) == 0 {
 		r.joining = false
 		return
 	}
-	next := r.process.InLife(func() { r.try(list[1:]) })
-	to := r.d.node(list[0])
+	next := r.process.InLife(func() { r.try(parents[1:]) })
+	to := r.d.nodeAt(parents[0])
 	r.dial(to, func(ok bool) {
 		if !ok {
 			next()
@@ -139,8 +139,8 @@
 				return nil
 			}
 			to.subscribe(sub)
-			h := r.hold()
-			r.d.step(to.running(), func() { sub.push(to.since(h)) })
+			h := r.syncState()
+			r.d.step(to.running(), func() { sub.push(to.feedSince(h)) })
 			return func() { r.parent, r.lastUs = sub, r.process.NowUs() }
 		}, func(ok bool) {
 			if !ok {
@@ -187,39 +187,39 @@
 	r.parent = nil
 }
 
-// hear forwards and applies a feed of the parent, and requests a delta if it is behind.
-func (r *sink) hear(sub *subscription, f messages.Feed) {
+// receiveFeed forwards and applies a feed of the parent, and requests a delta if it is behind.
+func (r *sink) receiveFeed(sub *subscription, f messages.Feed) {
 	if r.parent != nil && r.parent != sub {
 		return
 	}
 	nowUs := r.process.NowUs()
 	r.lastUs = nowUs
 	if !f.CutOff {
-		r.heardUs = nowUs
+		r.lastConnectedFeedUs = nowUs
 	}
 	r.subscribers = pushAll(r.subscribers, f)
-	fits := r.take(f)
+	fits := r.applyFeed(f)
 	if r.pacer.Due(!fits || r.replica.Version() < f.Versions[0], nowUs) {
-		h := r.hold()
+		h := r.syncState()
 		r.d.network.Send(r.addr, sub.parent.address(), func() {
 			sub.parent.running().Deliver(func() {
-				r.d.step(sub.parent.running(), func() { sub.push(sub.parent.since(h)) })
+				r.d.step(sub.parent.running(), func() { sub.push(sub.parent.feedSince(h)) })
 			})
 		})
 	}
 	if !f.CutOff || r.parent != sub {
 		return
 	}
-	if h := r.hold(); h.Configuration.Version == 0 && !h.Anything || r.policy.LeaveCutOff(sub.parent.address(), nowUs) {
+	if h := r.syncState(); h.Configuration.Version == 0 && !h.Anything || r.policy.LeaveCutOff(sub.parent.address(), nowUs) {
 		r.leave()
 	}
 }
 
-// take applies the changes of a feed and checks the configuration in force afterwards.
-func (r *sink) take(f messages.Feed) (fits bool) {
+// applyFeed applies the changes of a feed and checks the configuration in force afterwards.
+func (r *sink) applyFeed(f messages.Feed) (fits bool) {
 	fits = true
 	for _, change := range f.Configuration {
-		if r.d.kernel.Chance(spoiledPerMille) {
+		if r.d.kernel.Chance(corruptPerMille) {
 			change.Digest++
 		}
 		result, _, err := r.replica.Apply(change)
@@ -229,7 +229,7 @@
 	return fits
 }
 
-func (r *sink) since(h messages.SyncState) messages.Feed {
+func (r *sink) feedSince(h messages.SyncState) messages.Feed {
 	f := messages.Feed{Versions: []int64{r.replica.Version()}}
 	if change, lacks := r.replica.DeltaSince(h.Configuration); lacks {
 		f.Configuration = []messages.EntryChange{change}
@@ -251,9 +251,9 @@
 	if r.parent != nil {
 		parent = r.parent.parent.address()
 	}
-	overdue := r.process.NowUs()-r.heardUs > overdueUs
+	overdue := r.process.NowUs()-r.lastConnectedFeedUs > overdueUs
 	for _, addr := range r.comparisons.Next(alive, parent, overdue) {
-		r.compareWith(r.d.node(addr), overdue)
+		r.compareWith(r.d.nodeAt(addr), overdue)
 	}
 }
 
@@ -262,7 +262,7 @@
 	var version int64
 	ended := func(ok bool) { r.comparisons.Ended(to.address(), ok, true) }
 	r.d.call(r.process, r.addr, to.running(), to.address(), compareWaitUs, func() func() {
-		f := to.since(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 1 << 62}})
+		f := to.feedSince(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 1 << 62}})
 		return func() { version = f.Versions[0] }
 	}, func(ok bool) {
 		leftUs := compareWaitUs - (r.process.NowUs() - begunUs)
@@ -277,8 +277,8 @@
 		}
 		h := messages.SyncState{Configuration: r.replica.Cursor()}
 		r.d.call(r.process, r.addr, to.running(), to.address(), leftUs, func() func() {
-			f := to.since(h)
-			return func() { r.take(f) }
+			f := to.feedSince(h)
+			return func() { r.applyFeed(f) }
 		}, func(ok bool) {
 			r.comparisons.EndFetch()
 			ended(ok)
@@ -322,7 +322,7 @@
 
 // checkDue checks that the router has the version that is due or a newer one, if it is in contact.
 func (r *sink) checkDue(due int64) {
-	inTouch := r.process.Up() && !r.process.frozen && r.troubles == 0 && r.d.kernel.NowUs()-r.troubledUs > contactBoundUs
+	inTouch := r.process.Up() && !r.process.frozen && r.troubles == 0 && r.d.kernel.NowUs()-r.lastFaultUs > contactBoundUs
 	if inTouch && r.replica.Version() < due {
 		parent := "nobody"
 		if r.parent != nil {
--- a/internal/simulation/distribution_source.go
+++ b/internal/simulation/distribution_source.go
@@ -10,22 +10,22 @@
 
 // Periods and timeouts of a controller.
 const (
-	feedEveryUs       = 200 * Millisecond
-	catchUpUs         = 500 * Millisecond
-	catchUpWaitUs     = 450 * Millisecond
-	unfinishedLeastUs = 300 * Millisecond
-	unfinishedMostUs  = 900 * Millisecond
+	feedEveryUs     = 200 * Millisecond
+	catchUpUs       = 500 * Millisecond
+	catchUpWaitUs   = 450 * Millisecond
+	unfinishedMinUs = 300 * Millisecond
+	unfinishedMaxUs = 900 * Millisecond
 )
 
 // source is the configuration side of a controller.
 type source struct {
-	d       *distribution
-	addr    string
-	process *Process
-	taken   []*release // the releases that it has accepted, on disk
-	known   int64      // the newest committed version on its disk
-	downUs  int64      // when it was last stopped or frozen in this life; 0 for never
-	startUs int64
+	d                *distribution
+	addr             string
+	process          *Process
+	acceptedReleases []*release // the releases that it has accepted, on disk
+	known            int64      // the newest committed version on its disk
+	downUs           int64      // when it was last stopped or frozen in this life; 0 for never
+	startUs          int64
 
 	// The fields below are reset with each life of the process.
 	replica     *routeconfig.Replica
@@ -54,7 +54,7 @@
 	}
 	s.d.every(s.process, feedEveryUs, func() { s.publish(nil) })
 	s.d.every(s.process, catchUpUs, s.catchUp)
-	for _, r := range s.taken {
+	for _, r := range s.acceptedReleases {
 		s.finishLater(r)
 	}
 }
@@ -77,17 +77,17 @@
 
 // accepted records a release that the process has accepted and whose commit it may never receive.
 func (s *source) accepted(r *release) {
-	s.taken = append(s.taken, r)
+	s.acceptedReleases = append(s.acceptedReleases, r)
 	s.finishLater(r)
 }
 
 // finishLater reads the register by a majority if the round of a release remains unfinished
 // for a while.
 func (s *source) finishLater(r *release) {
-	if s.d.defects.LeaveUnfinished || s.known >= r.version {
+	if s.d.defects.LeaveRoundsUnfinished || s.known >= r.version {
 		return
 	}
-	s.process.After(s.d.kernel.Between(unfinishedLeastUs, unfinishedMostUs), func() {
+	s.process.After(s.d.kernel.Between(unfinishedMinUs, unfinishedMaxUs), func() {
 		s.d.step(s.process, func() {
 			if s.known < r.version && s.reachesMost() {
 				s.learn(s.d.releases[len(s.d.releases)-1])
@@ -118,10 +118,10 @@
 
 func (s *source) inContact() bool { return s.contact.Holds(s.group(), s.process.NowUs()) }
 
-func (s *source) starting() bool { return s.process.NowUs()-s.startUs < lease.ContactUs }
+func (s *source) startingUp() bool { return s.process.NowUs()-s.startUs < lease.ContactUs }
 
 func (s *source) feed() messages.Feed {
-	return messages.Feed{Versions: []int64{s.replica.Version()}, CutOff: !s.starting() && !s.inContact()}
+	return messages.Feed{Versions: []int64{s.replica.Version()}, CutOff: !s.startingUp() && !s.inContact()}
 }
 
 func (s *source) publish(changes []messages.EntryChange) {
@@ -130,10 +130,10 @@
 	s.subscribers = pushAll(s.subscribers, f)
 }
 
-// since returns a feed with the changes that a router is missing. A router without any
+// feedSince returns a feed with the changes that a router is missing. A router without any
 // configuration receives none from a controller without the contact lease, unless it
 // accepts any configuration.
-func (s *source) since(h messages.SyncState) messages.Feed {
+func (s *source) feedSince(h messages.SyncState) messages.Feed {
 	f := s.feed()
 	if h.Configuration.Version == 0 && !h.Anything && !s.inContact() {
 		return f
--- a/internal/simulation/distribution_test.go
+++ b/internal/simulation/distribution_test.go
@@ -10,15 +10,15 @@
 // distributionRange is the fixed set of seeds that CI runs.
 var distributionRange = Range{Model: "distribution", Count: 120, Parallel: 3}
 
-func TestDistributionSeedsBreakNothing(t *testing.T) {
+func TestDistributionSeedsViolateNoCheck(t *testing.T) {
 	counts := Run(distributionRange, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
-	must.Eq(t, int64(distributionRange.Count), counts.Distributions)
-	must.Positive(t, counts.Taken)
-	must.Positive(t, counts.Refused)
+	must.Eq(t, int64(distributionRange.Count), counts.DistributionHistories)
+	must.Positive(t, counts.ConfigsAccepted)
+	must.Positive(t, counts.ConfigsRejected)
 }
 
-func TestOneDistributionSeedPlaysOneHistory(t *testing.T) {
+func TestDistributionSameSeedReproducesHistory(t *testing.T) {
 	for seed := range uint64(10) {
 		a, b := PlayDistribution(seed, Options{Record: true}), PlayDistribution(seed, Options{Record: true})
 		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
@@ -26,13 +26,13 @@
 }
 
 // For each mechanism that the model can disable, a check must detect that it is missing.
-func TestDistributionChecksFindWhatIsTakenOut(t *testing.T) {
+func TestDistributionChecksDetectDefects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 	}{
-		{"rounds of ended proposers not finished", Defects{LeaveUnfinished: true}},
-		{"no comparisons outside the tree", Defects{NeverCompare: true}},
+		{"rounds of ended proposers not finished", Defects{LeaveRoundsUnfinished: true}},
+		{"no comparisons outside the tree", Defects{SkipComparisons: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(mostSeedsToFind) {
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	dutyEveryUs = 250 * Millisecond
-	confirmUs   = 600 * Millisecond
-	takeUs      = Second
+	leaseStepEveryUs      = 250 * Millisecond
+	leaseConfirmTimeoutUs = 600 * Millisecond
+	leaseAcquireTimeoutUs = Second
 )
 
 // dutyTimes are the lease times that the controllers use.
@@ -22,19 +22,19 @@
 
 var errNoChange = errors.New("simulation: nothing to change")
 
-// workDuty runs one periodic step: the holder confirms the lease and acts, others watch the holder.
-func (c *Controller) workDuty() {
-	v, ok := c.committed(dutyPart)
-	if c.dutyBusy || !ok {
+// stepLease runs one periodic step: the holder confirms the lease and acts, others watch the holder.
+func (c *Controller) stepLease() {
+	v, ok := c.committed(rolloutLeasePart)
+	if c.leaseBusy || !ok {
 		return
 	}
-	held := dutyOf(v).Lease
+	held := leaseBodyOf(v).Lease
 	if held.Holder != c.id {
 		c.watchHolder(held)
 		return
 	}
-	if c.duty.Fence() != held.Fence {
-		c.takeDuty(held)
+	if c.rolloutLease.Fence() != held.Fence {
+		c.acquireLease(held)
 		return
 	}
 	if c.mayAct() {
@@ -42,18 +42,18 @@
 		return
 	}
 	askedUs := c.process.NowUs()
-	c.dutyBusy = true
-	c.read(dutyPart, confirmUs, func(v messages.Value, err error) {
-		c.dutyBusy = false
+	c.leaseBusy = true
+	c.read(rolloutLeasePart, leaseConfirmTimeoutUs, func(v messages.Value, err error) {
+		c.leaseBusy = false
 		if err != nil {
 			return
 		}
-		now := dutyOf(v).Lease
+		now := leaseBodyOf(v).Lease
 		if now.Holder != c.id {
-			c.duty.Released()
+			c.rolloutLease.Released()
 			return
 		}
-		c.duty.Confirmed(now.Fence, askedUs)
+		c.rolloutLease.Confirmed(now.Fence, askedUs)
 		if c.mayAct() {
 			c.act()
 		}
@@ -63,8 +63,8 @@
 // watchHolder takes over the lease once its holder is gone.
 func (c *Controller) watchHolder(held messages.Lease) {
 	now := c.process.NowUs()
-	if c.duty.Fence() > 0 && c.duty.Fence() < held.Fence {
-		c.duty.Released()
+	if c.rolloutLease.Fence() > 0 && c.rolloutLease.Fence() < held.Fence {
+		c.rolloutLease.Released()
 		c.takeover.Lost(now)
 	}
 	var candidates []string
@@ -75,18 +75,18 @@
 		}
 	}
 	rank, found := lease.Rank(candidates, c.addr, held)
-	view := lease.TakeoverView{Holder: held.Holder, Fence: held.Fence, Gone: !hasMember(alive, held.Holder), InContact: found, Needed: true, Rank: rank}
+	view := lease.TakeoverView{Holder: held.Holder, Fence: held.Fence, Gone: !hasPeer(alive, held.Holder), InContact: found, Needed: true, Rank: rank}
 	if c.takeover.Due(view, now) {
-		c.takeDuty(held)
+		c.acquireLease(held)
 	}
 }
 
 func (c *Controller) mayAct() bool {
 	now := c.process.NowUs()
 	if c.cluster.defects.ActWithoutWaiting {
-		return c.duty.Fence() > 0
+		return c.rolloutLease.Fence() > 0
 	}
-	return c.duty.MayAct(now)
+	return c.rolloutLease.MayAct(now)
 }
 
 // actedFile holds the last fence under which this controller has acted.
@@ -95,12 +95,12 @@
 // act stands for an order to a runner. The first act under a fence is recorded on disk,
 // without waiting for the write: the record only saves a later life of this holder a wait.
 func (c *Controller) act() {
-	fence := c.duty.Fence()
-	c.cluster.checks.acted(c.id, fence)
-	if c.actedAs == fence {
+	fence := c.rolloutLease.Fence()
+	c.cluster.checks.recordAct(c.id, fence)
+	if c.recordedFence == fence {
 		return
 	}
-	c.actedAs = fence
+	c.recordedFence = fence
 	c.disk.Write(actedFile, strconv.AppendInt(nil, fence, 10), func(error) {})
 }
 
@@ -108,14 +108,14 @@
 // earlier holder can still act.
 func (c *Controller) actedUnder(fence int64) bool {
 	noted, ok := c.disk.Read(actedFile)
-	return c.cluster.defects.TrustUnusedClaim || ok && string(noted) == strconv.FormatInt(fence, 10)
+	return c.cluster.defects.TreatUnusedLeaseAsUsed || ok && string(noted) == strconv.FormatInt(fence, 10)
 }
 
-// takeDuty acquires the lease by a change of the register, unless the lease has changed since it was read.
-func (c *Controller) takeDuty(was messages.Lease) {
-	c.dutyBusy = true
-	take := func(cur messages.Value) ([]messages.Member, []byte, error) {
-		body := dutyOf(cur)
+// acquireLease acquires the lease by a change of the register, unless the lease has changed since it was read.
+func (c *Controller) acquireLease(was messages.Lease) {
+	c.leaseBusy = true
+	acquire := func(cur messages.Value) ([]messages.Member, []byte, error) {
+		body := leaseBodyOf(cur)
 		if body.Lease != was {
 			return nil, nil, errNoChange
 		}
@@ -123,18 +123,18 @@
 		raw, err := body.MarshalMsg(nil)
 		return nil, raw, err
 	}
-	c.change(dutyPart, takeUs, take, func(v messages.Value, err error) {
-		c.dutyBusy = false
-		if err != nil || dutyOf(v).Lease.Holder != c.id {
+	c.change(rolloutLeasePart, leaseAcquireTimeoutUs, acquire, func(v messages.Value, err error) {
+		c.leaseBusy = false
+		if err != nil || leaseBodyOf(v).Lease.Holder != c.id {
 			return
 		}
 		predecessor := lease.PredecessorOf(was.Holder, c.id, c.actedUnder(was.Fence))
-		c.duty.Acquired(dutyOf(v).Lease.Fence, predecessor, c.process.NowUs())
-		c.cluster.kernel.Note("%s takes the duty under fence %d", c.id, c.duty.Fence())
+		c.rolloutLease.Acquired(leaseBodyOf(v).Lease.Fence, predecessor, c.process.NowUs())
+		c.cluster.kernel.Note("%s takes the duty under fence %d", c.id, c.rolloutLease.Fence())
 	})
 }
 
-func hasMember(peers []messages.Peer, id string) bool {
+func hasPeer(peers []messages.Peer, id string) bool {
 	for _, p := range peers {
 		if p.MemberID == id {
 			return true
@@ -143,8 +143,8 @@
 	return false
 }
 
-// dutyOf decodes the body of the register that holds the rollout lease.
-func dutyOf(v messages.Value) messages.LeaseBody {
+// leaseBodyOf decodes the body of the register that holds the rollout lease.
+func leaseBodyOf(v messages.Value) messages.LeaseBody {
 	body := messages.LeaseBody{Targets: []messages.Target{}}
 	if len(v.Body) > 0 {
 		if _, err := body.UnmarshalMsg(v.Body); err != nil {
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -10,10 +10,10 @@
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-// freshUs is how long routers enforce the age bound on weights for a runner that has just
+// freshRunnerUs is how long routers enforce the age bound on weights for a runner that has just
 // started, even in histories without a bound: a runner cannot receive an order before it
 // is listed.
-const freshUs = Second
+const freshRunnerUs = Second
 
 // reportLagUs is the age of the state that a report contains.
 const reportLagUs = 200 * Millisecond
@@ -29,21 +29,21 @@
 	slow     int64
 	begunUs  int64
 
-	version  int64
-	target   int64 // version of the order in progress; 0 if there is none
-	loads    bool
-	sequence int64
-	fence    int64
-	accepted int // orders accepted by all instances
-	streams  int
-	queued   int64 // incremented by each order, which rejects the requests queued before it
-	past     []pastReport
+	version     int64
+	target      int64 // version of the order in progress; 0 if there is none
+	loadStarted bool
+	sequence    int64
+	fence       int64
+	accepted    int // orders accepted by all instances
+	streams     int
+	queued      int64 // incremented by each order, which rejects the requests queued before it
+	pastReports []pastReport
 }
 
 // pastReport is the report for the state at a point in time.
 type pastReport struct {
-	atUs int64
-	said rollout.Report
+	atUs   int64
+	report rollout.Report
 }
 
 func (e *engine) id() string { return fmt.Sprintf("%s#%d", e.address, e.instance) }
@@ -51,22 +51,22 @@
 // begin starts a new instance, which has the weights of the previous one.
 func (e *engine) begin() {
 	e.instance++
-	e.up, e.beats, e.sequence, e.fence, e.target, e.streams, e.past = true, 0, 0, 0, 0, 0, nil
-	e.loads, e.begunUs = false, e.history.kernel.NowUs()
+	e.up, e.beats, e.sequence, e.fence, e.target, e.streams, e.pastReports = true, 0, 0, 0, 0, 0, nil
+	e.loadStarted, e.begunUs = false, e.history.kernel.NowUs()
 	e.slow = max(e.slow, 1)
 	e.at = e.history.kernel.Below(len(e.history.fleet.registrars))
 	e.history.kernel.Note("%s begins on version %d", e.id(), e.version)
-	e.remember()
+	e.recordReport()
 	e.beat(e.instance)
 	e.receive(e.instance)
 }
 
 func (e *engine) end() {
 	e.history.kernel.Note("%s ends", e.id())
-	if e.loads {
+	if e.loadStarted {
 		e.history.loading--
 	}
-	e.up, e.loads = false, false
+	e.up, e.loadStarted = false, false
 }
 
 // lives reports whether an instance is still running.
@@ -111,7 +111,7 @@
 		return
 	}
 	record, ok := from.runners.Snapshot().ByID[e.id()]
-	fresh := h.kernel.NowUs()-e.begunUs < freshUs
+	fresh := h.kernel.NowUs()-e.begunUs < freshRunnerUs
 	if !ok || record.Cordoned || (h.bounded || fresh) && h.checks.boundPassed(e.version, routerBoundUs) {
 		return
 	}
@@ -139,7 +139,7 @@
 		h.kernel.After(runsUs, func() {
 			if e.lives(instance) {
 				e.streams--
-				e.maybeLoad()
+				e.startLoadIfIdle()
 			}
 		})
 	})
@@ -164,49 +164,49 @@
 	e.accepted++
 	e.sequence++
 	e.queued++
-	e.remember()
-	e.maybeLoad()
+	e.recordReport()
+	e.startLoadIfIdle()
 	return rollout.Accepted
 }
 
-// maybeLoad starts the load of the ordered version once all streams have ended.
-func (e *engine) maybeLoad() {
+// startLoadIfIdle starts the load of the ordered version once all streams have ended.
+func (e *engine) startLoadIfIdle() {
 	h, instance := e.history, e.instance
-	if e.target == 0 || e.streams > 0 || e.loads {
+	if e.target == 0 || e.streams > 0 || e.loadStarted {
 		return
 	}
-	e.loads = true
+	e.loadStarted = true
 	h.loading++
 	takesUs := loadTakesUs * e.slow * max(1, int64(h.loading-siteLoads+1))
-	e.remember()
+	e.recordReport()
 	h.kernel.After(takesUs, func() {
 		if !e.lives(instance) {
 			return
 		}
 		h.loading--
 		h.kernel.Note("%s holds version %d", e.id(), e.target)
-		e.loads, e.version, e.target = false, e.target, 0
-		e.remember()
+		e.loadStarted, e.version, e.target = false, e.target, 0
+		e.recordReport()
 	})
 }
 
-// remember records the current report, since reports are delivered with a lag.
-func (e *engine) remember() {
+// recordReport records the current report, since reports are delivered with a lag.
+func (e *engine) recordReport() {
 	said := rollout.Report{Version: e.version, Busy: e.target > 0, Idle: e.streams == 0, Sequence: e.sequence}
-	e.past = append(e.past, pastReport{e.history.kernel.NowUs(), said})
+	e.pastReports = append(e.pastReports, pastReport{e.history.kernel.NowUs(), said})
 }
 
 func (e *engine) report() rollout.Report {
-	said := e.past[0].said
-	for _, p := range e.past {
+	said := e.pastReports[0].report
+	for _, p := range e.pastReports {
 		if p.atUs <= e.history.kernel.NowUs()-reportLagUs {
-			said = p.said
+			said = p.report
 		}
 	}
 	return said
 }
 
-// answersAfter draws the time in microseconds that a runner takes to answer a call.
-func (e *engine) answersAfter() int64 {
+// answerDelayUs draws the time in microseconds that a runner takes to answer a call.
+func (e *engine) answerDelayUs() int64 {
 	return e.history.kernel.Between(Millisecond, 40*Millisecond) * e.slow
 }
--- a/internal/simulation/lease_group.go
+++ b/internal/simulation/lease_group.go
@@ -13,10 +13,10 @@
 
 // Periods and timeouts of a member.
 const (
-	roleEveryUs    = 100 * Millisecond
-	askEveryUs     = 500 * Millisecond
-	holderGoneUs   = 1_200 * Millisecond // a controller that has not answered for this time is considered gone
-	registerWaitUs = Second
+	roleEveryUs       = 100 * Millisecond
+	memberPingEveryUs = 500 * Millisecond
+	holderGoneUs      = 1_200 * Millisecond // a controller that has not answered for this time is considered gone
+	registerTimeoutUs = Second
 )
 
 // leaseGroup is the group of controllers that may hold the lease.
@@ -28,8 +28,8 @@
 	times    lease.Times
 }
 
-// lateBy draws the delay of one step of a process.
-func (g *leaseGroup) lateBy() int64 {
+// stepDelayUs draws the delay of one step of a process.
+func (g *leaseGroup) stepDelayUs() int64 {
 	if g.kernel.Chance(lateStepChance) {
 		return g.kernel.Between(0, lateStepUs)
 	}
@@ -39,7 +39,7 @@
 func (g *leaseGroup) add(addr string, process *Process) *leaseMember {
 	m := &leaseMember{
 		group: g, index: len(g.members), addr: addr, process: process,
-		learned: func(messages.LeaseBody) {}, pinged: func(*leaseMember) func() { return func() {} },
+		learned: func(messages.LeaseBody) {}, onPing: func(*leaseMember) func() { return func() {} },
 	}
 	g.members = append(g.members, m)
 	return m
@@ -63,7 +63,7 @@
 	process  *Process
 	thawedUs int64
 	learned  func(body messages.LeaseBody)           // called with each newer body of the register
-	pinged   func(other *leaseMember) (there func()) // called before each ping; there runs at the receiver
+	onPing   func(other *leaseMember) (there func()) // called before each ping; there runs at the receiver
 
 	// The fields below are on disk.
 	knownVersion int64
@@ -71,10 +71,10 @@
 	usedFence    int64
 
 	// The fields below are reset with each life of the process.
-	role    *lease.Role
-	contact lease.Contact
-	reached map[string]int64
-	busy    bool
+	role           *lease.Role
+	contact        lease.Contact
+	lastAnsweredUs map[string]int64
+	busy           bool
 }
 
 func (m *leaseMember) member() string { return m.addr + "/0" }
@@ -84,11 +84,11 @@
 func (m *leaseMember) boot() {
 	m.role = lease.NewRole(m.group.times)
 	m.contact = lease.Contact{Self: m.member()}
-	m.reached, m.busy = map[string]int64{}, false
+	m.lastAnsweredUs, m.busy = map[string]int64{}, false
 	if m.knownVersion > 0 {
 		m.learned(m.known)
 	}
-	m.every(askEveryUs, m.ping)
+	m.every(memberPingEveryUs, m.ping)
 }
 
 // every runs a callback periodically for the rest of the current life.
@@ -101,7 +101,7 @@
 
 // soon returns a callback that runs a step after a random delay.
 func (m *leaseMember) soon(run func()) func() {
-	return func() { m.process.After(m.group.lateBy(), run) }
+	return func() { m.process.After(m.group.stepDelayUs(), run) }
 }
 
 // ping sends the last learned value of the register to every other member and records its answer.
@@ -110,16 +110,16 @@
 		if other == m {
 			continue
 		}
-		if _, ever := m.reached[other.addr]; !ever {
-			m.reached[other.addr] = m.nowUs()
+		if _, ever := m.lastAnsweredUs[other.addr]; !ever {
+			m.lastAnsweredUs[other.addr] = m.nowUs()
 		}
 		version, body, sentUs := m.knownVersion, m.known, m.nowUs()
-		there := m.pinged(other)
+		there := m.onPing(other)
 		m.ask(other, func() {
 			other.learn(version, body)
 			there()
 		}, func() {
-			m.reached[other.addr] = m.nowUs()
+			m.lastAnsweredUs[other.addr] = m.nowUs()
 			m.contact.RecordAnswer(other.member(), sentUs)
 		})
 	}
@@ -153,20 +153,20 @@
 			done(ok, now)
 		}
 	}
-	m.process.After(registerWaitUs, func() { end(false, messages.LeaseBody{}) })
-	m.majority(m.soon(func() {
+	m.process.After(registerTimeoutUs, func() { end(false, messages.LeaseBody{}) })
+	m.afterMajority(m.soon(func() {
 		m.group.register.change(edit)
 		version, body := m.group.register.version, m.group.register.copy()
-		m.majority(m.soon(func() {
+		m.afterMajority(m.soon(func() {
 			m.learn(version, body)
-			m.spread(version, body)
+			m.broadcast(version, body)
 			end(true, body)
 		}))
 	}))
 }
 
-// spread sends the committed value to the others. A member that misses it receives it with a later ping.
-func (m *leaseMember) spread(version int64, body messages.LeaseBody) {
+// broadcast sends the committed value to the others. A member that misses it receives it with a later ping.
+func (m *leaseMember) broadcast(version int64, body messages.LeaseBody) {
 	for _, other := range m.group.members {
 		if other != m {
 			m.ask(other, func() { other.learn(version, body) }, func() {})
@@ -174,8 +174,8 @@
 	}
 }
 
-// majority runs a callback once a majority of the controllers, including this one, has answered.
-func (m *leaseMember) majority(run func()) {
+// afterMajority runs a callback once a majority of the controllers, including this one, has answered.
+func (m *leaseMember) afterMajority(run func()) {
 	votes, needed := 1, len(m.group.members)/2+1
 	for _, other := range m.group.members {
 		if other == m {
@@ -225,15 +225,15 @@
 	if i < 0 {
 		return false
 	}
-	lastUs, ever := m.reached[m.group.members[i].addr]
+	lastUs, ever := m.lastAnsweredUs[m.group.members[i].addr]
 	return ever && m.nowUs()-lastUs > holderGoneUs
 }
 
 func (m *leaseMember) acquire(view lease.RoleView) {
-	was := view.Lease
-	next := m.role.NextLease(was, view.FenceFloor)
+	previous := view.Lease
+	next := m.role.NextLease(previous, view.FenceFloor)
 	edit := func(body *messages.LeaseBody) bool {
-		if body.Lease != was {
+		if body.Lease != previous {
 			return false
 		}
 		body.Lease = next
@@ -243,18 +243,18 @@
 		m.busy = false
 		if ok && now.Lease == next {
 			m.group.kernel.Note("%s acquires the lease under fence %d", m.addr, next.Fence)
-			m.role.Acquired(was, next, m.usedFence == was.Fence, m.nowUs())
+			m.role.Acquired(previous, next, m.usedFence == previous.Fence, m.nowUs())
 		}
 	})
 }
 
 func (m *leaseMember) confirm(again func()) {
-	askedUs := m.nowUs()
+	sentUs := m.nowUs()
 	unchanged := func(*messages.LeaseBody) bool { return false }
 	m.round(unchanged, func(ok bool, now messages.LeaseBody) {
 		m.busy = false
 		if ok {
-			m.role.Confirmed(now.Lease, askedUs, m.nowUs())
+			m.role.Confirmed(now.Lease, sentUs, m.nowUs())
 			again()
 		}
 	})
@@ -263,7 +263,7 @@
 // recordFenceUsed records on disk, after a delay, that this member has acted under a fence.
 func (m *leaseMember) recordFenceUsed(fence int64) {
 	if m.usedFence != fence {
-		m.process.After(m.group.lateBy(), func() { m.usedFence = fence })
+		m.process.After(m.group.stepDelayUs(), func() { m.usedFence = fence })
 	}
 }
 
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -23,8 +23,8 @@
 // NewNetwork returns a network in which every link is in the ordinary state.
 func NewNetwork(k *Kernel) *Network { return &Network{kernel: k, links: map[pair]*Link{}} }
 
-// ordinary returns the state of a link without a fault, which still loses or duplicates a few messages.
-func ordinary() Link {
+// ordinaryLink returns the state of a link without a fault, which still loses or duplicates a few messages.
+func ordinaryLink() Link {
 	return Link{LossPerMille: 2, DoublePerMille: 2, DelayLowUs: 200, DelayHighUs: 4 * Millisecond}
 }
 
@@ -32,8 +32,8 @@
 func (n *Network) Link(from, to string) *Link {
 	l := n.links[pair{from, to}]
 	if l == nil {
-		whole := ordinary()
-		l = &whole
+		link := ordinaryLink()
+		l = &link
 		n.links[pair{from, to}] = l
 	}
 	return l
@@ -42,7 +42,7 @@
 // Heal resets every link to the ordinary state.
 func (n *Network) Heal() {
 	for _, l := range n.links {
-		*l = ordinary()
+		*l = ordinaryLink()
 	}
 }
 
@@ -50,14 +50,14 @@
 // is cut when it is sent or when it would arrive is lost.
 func (n *Network) Send(from, to string, deliver func()) {
 	l := n.Link(from, to)
-	times := 1
+	copies := 1
 	if n.kernel.Chance(l.DoublePerMille) {
-		times = 2
+		copies = 2
 	}
 	if l.Cuts > 0 || n.kernel.Chance(l.LossPerMille) {
 		return
 	}
-	for range times {
+	for range copies {
 		n.kernel.After(n.kernel.Between(l.DelayLowUs, l.DelayHighUs), func() {
 			if l.Cuts == 0 {
 				deliver()
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	operatorWaitUs = 900 * Millisecond // timeout of a change or read in a controller, as in package controller
-	callerWaitUs   = Second            // timeout after which an operator tries another controller
-	mostTries      = 6
+	serveTimeoutUs = 900 * Millisecond // timeout of a change or read in a controller, as in package controller
+	callTimeoutUs  = Second            // timeout after which an operator tries another controller
+	maxAttempts    = 6
 )
 
 type operator struct {
@@ -67,33 +67,33 @@
 
 // try sends a call to a random controller, and retries at another one if no final answer
 // arrives in time.
-func (o *operator) try(call order, try int) {
+func (o *operator) try(call order, attemptNumber int) {
 	k := o.cluster.kernel
 	node := o.cluster.controllers[k.Below(len(o.cluster.controllers))]
-	over := false
-	again := func() {
-		if over {
+	finished := false
+	retry := func() {
+		if finished {
 			return
 		}
-		over = true
-		if try == mostTries || o.cluster.healed {
+		finished = true
+		if attemptNumber == maxAttempts || o.cluster.healed {
 			o.end(call, history.Answer{})
 			return
 		}
-		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.try(call, try+1) })
+		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.try(call, attemptNumber+1) })
 	}
 	answer := func(a history.Answer) {
 		switch {
-		case over:
+		case finished:
 		case a.Verdict == history.Unclear:
-			again()
+			retry()
 		default:
-			over = true
+			finished = true
 			o.end(call, a)
 		}
 	}
 	o.cluster.ask(o.name, node, call.call, answer)
-	k.After(callerWaitUs, again)
+	k.After(callTimeoutUs, retry)
 }
 
 func (o *operator) end(call order, answer history.Answer) {
@@ -103,25 +103,25 @@
 	counts := &o.cluster.checks.counts
 	switch {
 	case answer.Verdict == history.Unclear:
-		counts.Unclear++
+		counts.CallsUnclear++
 	case answer.Verdict != history.Taken:
-		counts.Refused++
+		counts.ConfigsRejected++
 	case call.call.Kind == history.Replace:
-		counts.Taken++
+		counts.ConfigsAccepted++
 		o.version = call.call.Version
-		o.cluster.strikeAimed()
+		o.cluster.injectDeferredFaults()
 	case call.call.Kind == history.Read:
-		counts.Read++
+		counts.Reads++
 		o.version = answer.Version
 	}
 	if answer.Verdict == history.Overtaken && k.Chance(700) {
-		o.version = max(o.version, o.cluster.anyVersion())
+		o.version = max(o.version, o.cluster.randomVersion())
 	}
 	k.After(k.Between(20*Millisecond, 900*Millisecond), o.next)
 }
 
-// anyVersion returns the version of a random operator, so that two operators may use the same base.
-func (c *Cluster) anyVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
+// randomVersion returns the version of a random operator, so that two operators may use the same base.
+func (c *Cluster) randomVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
 
 // ask sends a call to a controller. answer is called if the response arrives.
 func (c *Cluster) ask(from string, node *Controller, call history.Call, answer func(history.Answer)) {
@@ -141,7 +141,7 @@
 		c.serveReplace(call, answer)
 	case history.NameWeights:
 		name := func(cur messages.Value) ([]messages.Member, []byte, error) { return nameWeights(cur, call.Version) }
-		c.change(dutyPart, operatorWaitUs, name, func(_ messages.Value, err error) {
+		c.change(rolloutLeasePart, serveTimeoutUs, name, func(_ messages.Value, err error) {
 			if err != nil && !errors.Is(err, errNoChange) {
 				answer(history.Answer{})
 				return
@@ -154,64 +154,64 @@
 			return history.Answer{Verdict: history.Taken, Version: body.Version, Digest: string(body.Raw)}
 		})
 	case history.ReadWeights:
-		c.serveRead(dutyPart, answer, func(v messages.Value) history.Answer {
-			return history.Answer{Verdict: history.Taken, Version: weightsOf(dutyOf(v))}
+		c.serveRead(rolloutLeasePart, answer, func(v messages.Value) history.Answer {
+			return history.Answer{Verdict: history.Taken, Version: weightsOf(leaseBodyOf(v))}
 		})
 	}
 }
 
-func (c *Controller) serveRead(part int, answer func(history.Answer), tell func(messages.Value) history.Answer) {
+func (c *Controller) serveRead(part int, answer func(history.Answer), toAnswer func(messages.Value) history.Answer) {
 	begunUs := c.process.NowUs()
-	c.read(part, operatorWaitUs, func(v messages.Value, err error) {
-		c.vouch(part, begunUs, err)
+	c.read(part, serveTimeoutUs, func(v messages.Value, err error) {
+		c.renewContact(part, begunUs, err)
 		if err != nil {
 			answer(history.Answer{})
 			return
 		}
-		answer(tell(v))
+		answer(toAnswer(v))
 	})
 }
 
 func (c *Controller) serveReplace(call history.Call, answer func(history.Answer)) {
-	wanted := submissionOf(call)
+	submission := submissionOf(call)
 	if cur, known := c.committed(configPart); known {
-		taken := wanted.AcceptedIn(configOf(cur))
+		accepted := submission.AcceptedIn(configOf(cur))
 		switch {
-		case taken && !c.cluster.defects.ForgetTaken:
+		case accepted && !c.cluster.defects.IgnoreAccepted:
 			answer(history.Answer{Verdict: history.Taken})
 			return
-		case !taken && configOf(cur).Version != call.Base && c.cluster.defects.DenyWithoutRound:
+		case !accepted && configOf(cur).Version != call.Base && c.cluster.defects.RejectWithoutRound:
 			// Also rejects a base that is newer than the version here, although this node may be behind.
 			answer(history.Answer{Verdict: history.Overtaken})
 			return
 		}
 	}
-	replace := func(cur messages.Value) ([]messages.Member, []byte, error) { return c.apply(cur, wanted) }
+	replace := func(cur messages.Value) ([]messages.Member, []byte, error) { return c.applySubmission(cur, submission) }
 	begunUs := c.process.NowUs()
-	c.change(configPart, operatorWaitUs, replace, func(_ messages.Value, err error) {
+	c.change(configPart, serveTimeoutUs, replace, func(_ messages.Value, err error) {
 		if !errors.Is(err, consensus.ErrOutcomeUnknown) && !errors.Is(err, consensus.ErrNoGroup) {
-			c.vouch(configPart, begunUs, nil)
+			c.renewContact(configPart, begunUs, nil)
 		}
 		answer(history.Answer{Verdict: verdictOf(err)})
 	})
 }
 
 func submissionOf(call history.Call) routeconfig.Submission {
-	wanted := routeconfig.Submission{Raw: []byte(call.Digest), Version: call.Version, Base: call.Base}
+	submission := routeconfig.Submission{Raw: []byte(call.Digest), Version: call.Version, Base: call.Base}
 	if call.Faulty {
-		wanted.ValidationErr = &routeconfig.InvalidError{Field: "services", Reason: "faulty"}
+		submission.ValidationErr = &routeconfig.InvalidError{Field: "services", Reason: "faulty"}
 	}
-	return wanted
+	return submission
 }
 
-// apply returns the value of the configuration register after a submission.
-func (c *Controller) apply(cur messages.Value, wanted routeconfig.Submission) ([]messages.Member, []byte, error) {
+// applySubmission returns the value of the configuration register after a submission.
+func (c *Controller) applySubmission(cur messages.Value, submission routeconfig.Submission) ([]messages.Member, []byte, error) {
 	body := configOf(cur)
-	if c.cluster.defects.ForgetTaken {
+	if c.cluster.defects.IgnoreAccepted {
 		body.AcceptedDigest = nil
 	}
-	next, err := wanted.Apply(body)
-	if err != nil && wanted.AcceptableWithOtherChecks(body) {
+	next, err := submission.Apply(body)
+	if err != nil && submission.AcceptableWithOtherChecks(body) {
 		return nil, nil, consensus.SealRejection(err)
 	}
 	if err != nil {
@@ -255,7 +255,7 @@
 
 // nameWeights records the newest weights version of the only model, if it is newer.
 func nameWeights(cur messages.Value, version int64) ([]messages.Member, []byte, error) {
-	body := dutyOf(cur)
+	body := leaseBodyOf(cur)
 	if weightsOf(body) >= version {
 		return nil, nil, errNoChange
 	}
--- a/internal/simulation/pings.go
+++ b/internal/simulation/pings.go
@@ -12,20 +12,20 @@
 )
 
 // Period and timeouts of the pings. A controller without any news is considered gone
-// unknownUs after the start; one that did not answer for unreachedUs is considered unreachable.
+// unknownGoneAfterUs after the start; one that did not answer for unreachableAfterUs is considered unreachable.
 const (
-	pingEveryUs = 300 * Millisecond
-	silentUs    = 1_500 * Millisecond
-	unknownUs   = 2 * Second
-	unreachedUs = 1_200 * Millisecond
+	pingEveryUs        = 300 * Millisecond
+	silentAfterUs      = 1_500 * Millisecond
+	unknownGoneAfterUs = 2 * Second
+	unreachableAfterUs = 1_200 * Millisecond
 )
 
 // ping sends this controller's id, the ages of its news and its committed versions to the others.
 func (c *Controller) ping() {
 	now := c.process.NowUs()
 	ages := map[string]peer{c.addr: {id: c.id}}
-	for addr, p := range c.heard {
-		ages[addr] = peer{id: p.id, heardUs: now - p.heardUs}
+	for addr, p := range c.peers {
+		ages[addr] = peer{id: p.id, lastHeardUs: now - p.lastHeardUs}
 	}
 	var versions [parts]int64
 	for part := range versions {
@@ -45,11 +45,11 @@
 	net.Send(c.addr, to.addr, func() {
 		to.process.Deliver(func() {
 			if to.id != "" {
-				to.pinged(c.addr, ages, versions)
+				to.handlePing(c.addr, ages, versions)
 				member := to.id
-				c.handledBy(member, life)
+				c.recordHandled(member, life)
 				net.Send(to.addr, c.addr, c.process.inLifeOf(life, func() {
-					c.direct[to.addr] = max(c.direct[to.addr], sentUs)
+					c.lastAnsweredUs[to.addr] = max(c.lastAnsweredUs[to.addr], sentUs)
 					c.contact.RecordAnswer(member, sentUs)
 				}))
 			}
@@ -57,13 +57,13 @@
 	})
 }
 
-// pinged applies a ping of another controller and pulls the values that are newer there.
-func (c *Controller) pinged(from string, ages map[string]peer, versions [parts]int64) {
+// handlePing applies a ping of another controller and pulls the values that are newer there.
+func (c *Controller) handlePing(from string, ages map[string]peer, versions [parts]int64) {
 	now := c.process.NowUs()
 	for addr, p := range ages {
-		heardUs := now - p.heardUs
-		if known, ok := c.heard[addr]; addr != c.addr && (!ok || known.heardUs < heardUs) {
-			c.heard[addr] = peer{id: p.id, heardUs: heardUs}
+		heardUs := now - p.lastHeardUs
+		if known, ok := c.peers[addr]; addr != c.addr && (!ok || known.lastHeardUs < heardUs) {
+			c.peers[addr] = peer{id: p.id, lastHeardUs: heardUs}
 		}
 	}
 	for part, version := range versions {
@@ -86,17 +86,17 @@
 	if addr == c.addr {
 		return 0
 	}
-	p, known := c.heard[addr]
+	p, known := c.peers[addr]
 	if !known {
-		return max(c.process.NowUs()-unknownUs, 0)
+		return max(c.process.NowUs()-unknownGoneAfterUs, 0)
 	}
-	return max(c.process.NowUs()-p.heardUs-silentUs, 0)
+	return max(c.process.NowUs()-p.lastHeardUs-silentAfterUs, 0)
 }
 
 // alive returns the live controllers ordered by address, including this one.
 func (c *Controller) alive() []messages.Peer {
 	out := []messages.Peer{{Addr: c.addr, MemberID: c.id}}
-	for addr, p := range c.heard {
+	for addr, p := range c.peers {
 		if c.silentForUs(addr) == 0 {
 			out = append(out, messages.Peer{Addr: addr, MemberID: p.id})
 		}
@@ -106,7 +106,7 @@
 }
 
 // reaches reports whether another controller has answered a direct call within
-// unreachedUs, or this process has started within that time.
+// unreachableAfterUs, or this process has started within that time.
 func (c *Controller) reaches(addr string) bool {
-	return addr == c.addr || c.process.NowUs()-max(c.direct[addr], 1) <= unreachedUs
+	return addr == c.addr || c.process.NowUs()-max(c.lastAnsweredUs[addr], 1) <= unreachableAfterUs
 }
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -8,8 +8,8 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// mostSearchTime bounds the linearizability check of one history.
-const mostSearchTime = 20 * time.Second
+// maxSearchTime bounds the linearizability check of one history.
+const maxSearchTime = 20 * time.Second
 
 // Options configure the run of a history.
 type Options struct {
@@ -31,12 +31,12 @@
 	size := []int{3, 3, 3, 5, 5, 7}[k.Below(6)]
 	c := newCluster(k, size, k.Below(3), 2+k.Below(3), options.Defects)
 	c.plan()
-	k.RunUntil(calmUs + faultsUs + mostFault/2)
+	k.RunUntil(calmUs + faultPhaseUs + mostFault/2)
 	c.heal()
-	k.RunUntil(k.NowUs() + comeBackUs)
-	c.checkTheEnd()
+	k.RunUntil(k.NowUs() + recoveryUs)
+	c.checkFinalState()
 	if k.failure == "" {
-		if err := c.history.Check(mostSearchTime); err != nil {
+		if err := c.history.Check(maxSearchTime); err != nil {
 			k.Fail("%v", err)
 		}
 	}
@@ -44,12 +44,12 @@
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: c.checks.counts}
 }
 
-// endWaitUs is the timeout of each read of the final check.
-const endWaitUs = Second
+// finalReadTimeoutUs is the timeout of each read of the final check.
+const finalReadTimeoutUs = Second
 
-// checkTheEnd reads each register at every controller. Each read must return the
+// checkFinalState reads each register at every controller. Each read must return the
 // newest value that was ever chosen, or a newer one.
-func (c *Cluster) checkTheEnd() {
+func (c *Cluster) checkFinalState() {
 	for _, node := range c.controllers {
 		for part := range parts {
 			c.checkRead(node, part)
@@ -59,19 +59,19 @@
 
 func (c *Cluster) checkRead(node *Controller, part int) {
 	k := c.kernel
-	least, answered := c.checks.newest[part].Version, false
+	minVersion, answered := c.checks.newest[part].Version, false
 	node.process.Deliver(func() {
-		node.read(part, endWaitUs, func(v messages.Value, err error) {
+		node.read(part, finalReadTimeoutUs, func(v messages.Value, err error) {
 			answered = true
 			switch {
 			case err != nil:
-				k.Fail("%s can't read part %d, %d us after everything healed: %v", node.addr, part, comeBackUs, err)
-			case v.Version < least:
-				k.Fail("%s reads version %d of part %d after %d was chosen", node.addr, v.Version, part, least)
+				k.Fail("%s can't read part %d, %d us after everything healed: %v", node.addr, part, recoveryUs, err)
+			case v.Version < minVersion:
+				k.Fail("%s reads version %d of part %d after %d was chosen", node.addr, v.Version, part, minVersion)
 			}
 		})
 	})
-	for waitedUs := int64(0); !answered && waitedUs < 2*endWaitUs; waitedUs += 5 * Millisecond {
+	for waitedUs := int64(0); !answered && waitedUs < 2*finalReadTimeoutUs; waitedUs += 5 * Millisecond {
 		k.RunUntil(k.NowUs() + 5*Millisecond)
 	}
 	if !answered {
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -20,8 +20,8 @@
 
 // NewProcess returns a process that is down and whose clock has a small random rate error.
 func NewProcess(k *Kernel) *Process {
-	const mostWrongPpm = 200
-	return &Process{kernel: k, ratePpm: k.Between(-mostWrongPpm, mostWrongPpm)}
+	const maxRateErrorPpm = 200
+	return &Process{kernel: k, ratePpm: k.Between(-maxRateErrorPpm, maxRateErrorPpm)}
 }
 
 // Up reports whether the process is running, frozen or not.
@@ -49,9 +49,9 @@
 		return
 	}
 	p.frozen = false
-	late := p.late
+	deferred := p.late
 	p.late = nil
-	for _, run := range late {
+	for _, run := range deferred {
 		run()
 	}
 }
@@ -73,17 +73,17 @@
 func (p *Process) InLife(run func()) func() { return p.inLifeOf(p.life, run) }
 
 func (p *Process) inLifeOf(life int64, run func()) func() {
-	var whenAwake func()
-	whenAwake = func() {
+	var runWhenAwake func()
+	runWhenAwake = func() {
 		switch {
 		case p.life != life || !p.up:
 		case p.frozen:
-			p.late = append(p.late, whenAwake)
+			p.late = append(p.late, runWhenAwake)
 		default:
 			run()
 		}
 	}
-	return whenAwake
+	return runWhenAwake
 }
 
 // Deliver runs a callback in the current life, after the thaw if the process is frozen.
--- a/internal/simulation/proposer.go
+++ b/internal/simulation/proposer.go
@@ -14,16 +14,16 @@
 
 // Timeouts and delays of the proposer, as in consensus.Registers.
 const (
-	roundUs     = 500 * Millisecond
-	sealUs      = 150 * Millisecond
-	readUs      = 400 * Millisecond
-	readAgainUs = 30 * Millisecond
+	roundTimeoutUs   = 500 * Millisecond
+	sealDelayUs      = 150 * Millisecond
+	readTimeoutUs    = 400 * Millisecond
+	readRetryDelayUs = 30 * Millisecond
 )
 
 var errSettled = errors.New("simulation: undecided slot settled, value unchanged")
 
-// changing is the state of one change in progress.
-type changing struct {
+// pendingChange is the state of one change in progress.
+type pendingChange struct {
 	node    *Controller
 	part    int
 	untilUs int64
@@ -39,15 +39,15 @@
 // time is over. After consensus.ErrOutcomeUnknown the change may still be chosen later.
 func (c *Controller) change(part int, forUs int64, change consensus.Change, done func(messages.Value, error)) {
 	c.cluster.serial++
-	p := &changing{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
+	p := &pendingChange{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
 	p.attempt = consensus.NewAttempt(part, fmt.Sprintf("%s#%d", c.addr, c.cluster.serial), change)
 	p.start()
 }
 
-func (p *changing) leftUs() int64 { return p.untilUs - p.node.process.NowUs() }
+func (p *pendingChange) remainingUs() int64 { return p.untilUs - p.node.process.NowUs() }
 
-func (p *changing) start() {
-	if p.leftUs() <= 0 {
+func (p *pendingChange) start() {
+	if p.remainingUs() <= 0 {
 		p.done(messages.Value{}, consensus.ErrOutcomeUnknown)
 		return
 	}
@@ -58,34 +58,34 @@
 	}
 	round := p.attempt.Round(base)
 	p.round, p.sealing = round, false
-	p.node.process.After(min(roundUs, p.leftUs()), func() { p.finish(round) })
-	p.post(round, round.Requests())
+	p.node.process.After(min(roundTimeoutUs, p.remainingUs()), func() { p.finish(round) })
+	p.send(round, round.Requests())
 }
 
-// post sends requests. Those to the same member are sent in order, each after the response
+// send sends requests. Those to the same member are sent in order, each after the response
 // to the one before.
-func (p *changing) post(round *consensus.Round, asks []consensus.Request) {
+func (p *pendingChange) send(round *consensus.Round, requests []consensus.Request) {
 	var order []string
 	byMember := map[string][]consensus.Request{}
-	for _, a := range asks {
+	for _, a := range requests {
 		if byMember[a.To.ID] == nil {
 			order = append(order, a.To.ID)
 		}
 		byMember[a.To.ID] = append(byMember[a.To.ID], a)
 	}
 	for _, id := range order {
-		p.postInTurn(round, byMember[id])
+		p.sendInOrder(round, byMember[id])
 	}
 }
 
-func (p *changing) postInTurn(round *consensus.Round, asks []consensus.Request) {
-	if len(asks) == 0 || p.round != round {
+func (p *pendingChange) sendInOrder(round *consensus.Round, requests []consensus.Request) {
+	if len(requests) == 0 || p.round != round {
 		return
 	}
-	a := asks[0]
+	a := requests[0]
 	p.node.call(a.To.Addr, a.Body, func(r messages.ConsensusResponse) {
 		if a.Body.Step == messages.Commit {
-			p.postInTurn(round, asks[1:])
+			p.sendInOrder(round, requests[1:])
 			return
 		}
 		if p.round != round || round.Outcome != consensus.InProgress {
@@ -97,26 +97,26 @@
 			return
 		}
 		p.sealLater(round)
-		p.post(round, more)
-		p.postInTurn(round, asks[1:])
+		p.send(round, more)
+		p.sendInOrder(round, requests[1:])
 	})
 }
 
 // sealLater seals the slot after a delay if a rejection still waits for responses of members.
-func (p *changing) sealLater(round *consensus.Round) {
+func (p *pendingChange) sealLater(round *consensus.Round) {
 	if p.sealing || !round.SealPending() {
 		return
 	}
 	p.sealing = true
-	p.node.process.After(sealUs, func() {
+	p.node.process.After(sealDelayUs, func() {
 		if p.round == round {
-			p.post(round, round.Seal())
+			p.send(round, round.Seal())
 		}
 	})
 }
 
 // finish evaluates the outcome of a round and either starts the next one or completes the change.
-func (p *changing) finish(round *consensus.Round) {
+func (p *pendingChange) finish(round *consensus.Round) {
 	if p.round != round {
 		return
 	}
@@ -124,7 +124,7 @@
 	switch round.Outcome {
 	case consensus.Chosen:
 		p.node.cluster.checks.chosen(p.part, round.Value)
-		p.spread(round)
+		p.broadcastCommit(round)
 	case consensus.Superseded:
 		p.node.learn(p.part, round.Value)
 	}
@@ -139,18 +139,18 @@
 	}
 	backOffUs := p.node.cluster.kernel.Between(0, int64(10+20*min(p.try, 8))*Millisecond)
 	p.try++
-	p.node.process.After(min(backOffUs, max(p.leftUs(), 0)), p.start)
+	p.node.process.After(min(backOffUs, max(p.remainingUs(), 0)), p.start)
 }
 
-// spread sends the chosen value to the members of the old and the new group.
-func (p *changing) spread(round *consensus.Round) {
+// broadcastCommit sends the chosen value to the members of the old and the new group.
+func (p *pendingChange) broadcastCommit(round *consensus.Round) {
 	v := round.Value
 	p.node.learn(p.part, v)
-	told := map[string]bool{p.node.addr: true}
+	sent := map[string]bool{p.node.addr: true}
 	for _, group := range [][]messages.Member{round.Base.Group, v.Group} {
 		for _, m := range group {
-			if !told[m.Addr] {
-				told[m.Addr] = true
+			if !sent[m.Addr] {
+				sent[m.Addr] = true
 				commit := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Commit, Slot: v.Version, Value: v}
 				p.node.call(m.Addr, commit, func(messages.ConsensusResponse) {})
 			}
@@ -158,8 +158,8 @@
 	}
 }
 
-// reading is the state of one linearizable read in progress.
-type reading struct {
+// pendingRead is the state of one linearizable read in progress.
+type pendingRead struct {
 	node    *Controller
 	part    int
 	untilUs int64
@@ -168,18 +168,18 @@
 
 // read passes the newest value to done, after a majority has confirmed that it is current.
 func (c *Controller) read(part int, forUs int64, done func(messages.Value, error)) {
-	p := &reading{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
+	p := &pendingRead{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
 	p.start()
 }
 
 // look is one quorum read: a request to every member of the group.
 type look struct {
 	*consensus.QuorumRead
-	heard int
-	over  bool
+	responses int
+	finished  bool
 }
 
-func (p *reading) start() {
+func (p *pendingRead) start() {
 	base, ok := p.node.committed(p.part)
 	switch {
 	case p.node.process.NowUs() >= p.untilUs:
@@ -193,30 +193,30 @@
 		return
 	}
 	q := &look{QuorumRead: consensus.NewQuorumRead(base)}
-	p.node.process.After(readUs, func() { p.finish(q) })
+	p.node.process.After(readTimeoutUs, func() { p.finish(q) })
 	for _, m := range base.Group {
 		request := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Read, Slot: base.Version + 1}
-		p.node.call(m.Addr, request, func(r messages.ConsensusResponse) { p.hear(q, m, r) })
+		p.node.call(m.Addr, request, func(r messages.ConsensusResponse) { p.receive(q, m, r) })
 	}
 }
 
-func (p *reading) hear(q *look, from messages.Member, r messages.ConsensusResponse) {
-	if q.over {
+func (p *pendingRead) receive(q *look, from messages.Member, r messages.ConsensusResponse) {
+	if q.finished {
 		return
 	}
-	q.heard++
+	q.responses++
 	q.Receive(from, r)
 	found := q.Result()
-	if found == consensus.Current || found == consensus.Newer || q.heard == len(q.Base.Group) {
+	if found == consensus.Current || found == consensus.Newer || q.responses == len(q.Base.Group) {
 		p.finish(q)
 	}
 }
 
-func (p *reading) finish(q *look) {
-	if q.over {
+func (p *pendingRead) finish(q *look) {
+	if q.finished {
 		return
 	}
-	q.over = true
+	q.finished = true
 	switch q.Result() {
 	case consensus.Newer:
 		p.node.learn(p.part, q.NewerValue)
@@ -224,8 +224,8 @@
 	case consensus.Current:
 		p.done(q.Base, nil)
 	case consensus.Undecided:
-		nothing := func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errSettled }
-		p.node.change(p.part, p.untilUs-p.node.process.NowUs(), nothing, func(_ messages.Value, err error) {
+		noChange := func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errSettled }
+		p.node.change(p.part, p.untilUs-p.node.process.NowUs(), noChange, func(_ messages.Value, err error) {
 			if err != nil && !errors.Is(err, errSettled) {
 				p.done(messages.Value{}, err)
 				return
@@ -233,6 +233,6 @@
 			p.start()
 		})
 	default:
-		p.node.process.After(readAgainUs, p.start)
+		p.node.process.After(readRetryDelayUs, p.start)
 	}
 }
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -36,10 +36,10 @@
 	kept    []messages.RunnerRecord // the records on its disk, loaded at the next start
 
 	// The fields below are reset with each life of the process.
-	runners *registry.Registry
-	stream  *statesync.Entries
-	mirrors map[string]*statesync.Entries // the others' streams, by address
-	reached map[string]int64              // by address: send time of the last request that was answered
+	runners        *registry.Registry
+	stream         *statesync.Entries
+	mirrors        map[string]*statesync.Entries // the others' streams, by address
+	lastAnsweredUs map[string]int64              // by address: send time of the last request that was answered
 }
 
 func (r *registrar) boot() {
@@ -47,7 +47,7 @@
 	r.fleet.epoch++
 	r.runners, r.stream = registry.New(), statesync.NewEntries()
 	r.stream.Begin(r.fleet.epoch, 0)
-	r.mirrors, r.reached = map[string]*statesync.Entries{}, map[string]int64{}
+	r.mirrors, r.lastAnsweredUs = map[string]*statesync.Entries{}, map[string]int64{}
 	for _, other := range r.fleet.registrars {
 		r.mirrors[other.addr] = statesync.NewEntries()
 	}
@@ -70,28 +70,28 @@
 
 // heartbeat applies a heartbeat of a runner and forwards it to the other registrars immediately.
 func (r *registrar) heartbeat(record messages.RunnerRecord) {
-	r.hear(record)
+	r.applyHeartbeat(record)
 	for _, other := range r.others() {
 		r.fleet.network.Send(r.addr, other.addr, func() {
-			other.process.Deliver(func() { other.hear(record) })
+			other.process.Deliver(func() { other.applyHeartbeat(record) })
 		})
 	}
 }
 
-func (r *registrar) hear(record messages.RunnerRecord) {
+func (r *registrar) applyHeartbeat(record messages.RunnerRecord) {
 	if r.runners.ApplyHeartbeat(record, r.process.NowUs()) {
-		r.tell(record.ID)
+		r.publish(record.ID)
 	}
 }
 
 func (r *registrar) leave(id string) {
 	if _, changed := r.runners.Leave(id, r.process.NowUs()); changed {
-		r.tell(id)
+		r.publish(id)
 	}
 }
 
-// tell publishes the current records to the stream, which the next flush sends.
-func (r *registrar) tell(ids ...string) {
+// publish publishes the current records to the stream, which the next flush sends.
+func (r *registrar) publish(ids ...string) {
 	if err := r.runners.Publish(r.stream, ids...); err != nil {
 		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
 	}
@@ -119,12 +119,12 @@
 
 func (r *registrar) send(to *registrar, change statesync.Change[string, string]) {
 	r.fleet.network.Send(r.addr, to.addr, func() {
-		to.process.Deliver(func() { to.take(r, change) })
+		to.process.Deliver(func() { to.applyDelta(r, change) })
 	})
 }
 
-// take applies a delta of another registrar's stream and requests a new one if it does not apply.
-func (r *registrar) take(from *registrar, change statesync.Change[string, string]) {
+// applyDelta applies a delta of another registrar's stream and requests a new one if it does not apply.
+func (r *registrar) applyDelta(from *registrar, change statesync.Change[string, string]) {
 	switch r.mirrors[from.addr].Apply(change) {
 	case statesync.VersionGap, statesync.DigestMismatch:
 		r.ask(from)
@@ -136,7 +136,7 @@
 	if malformed > 0 {
 		r.fleet.kernel.Fail("%d records of runners do not read", malformed)
 	}
-	r.tell(changed...)
+	r.publish(changed...)
 }
 
 // ask sends the cursor of another registrar's stream to it, which returns the missing delta.
@@ -157,19 +157,19 @@
 	silent := r.runners.SilentRunners(r.process.NowUs(), silence)
 	for _, other := range r.others() {
 		r.ask(other)
-		r.askForHeartbeats(other, silent)
+		r.requestHeartbeats(other, silent)
 	}
 }
 
-// askForHeartbeats requests later heartbeats. Its response also shows that the other registrar is reachable.
-func (r *registrar) askForHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
+// requestHeartbeats requests later heartbeats. Its response also shows that the other registrar is reachable.
+func (r *registrar) requestHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
 	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
 	net.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
 			heard := of.runners.LaterHeartbeats(silent, of.process.NowUs())
 			net.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
-				r.reached[of.addr] = max(r.reached[of.addr], sentUs)
-				r.tell(r.runners.ApplyLaterHeartbeats(heard, sentUs, r.process.NowUs())...)
+				r.lastAnsweredUs[of.addr] = max(r.lastAnsweredUs[of.addr], sentUs)
+				r.publish(r.runners.ApplyLaterHeartbeats(heard, sentUs, r.process.NowUs())...)
 			}))
 		})
 	})
@@ -177,21 +177,21 @@
 
 // inContact reports whether a majority of the registrars, including this one, has answered within contactUs.
 func (r *registrar) inContact() bool {
-	near := 1
+	reachable := 1
 	for _, other := range r.others() {
-		sentUs, ever := r.reached[other.addr]
+		sentUs, ever := r.lastAnsweredUs[other.addr]
 		if ever && r.process.NowUs()-sentUs < contactUs {
-			near++
+			reachable++
 		}
 	}
-	return near > len(r.fleet.registrars)/2
+	return reachable > len(r.fleet.registrars)/2
 }
 
 // sweep marks silent runners as stale or lost, and synchronizes the stream with the
 // registry.
 func (r *registrar) sweep() {
 	for _, record := range r.runners.Sweep(r.process.NowUs(), silence, r.inContact()) {
-		r.tell(record.ID)
+		r.publish(record.ID)
 	}
 	if err := r.runners.Sync(r.stream); err != nil {
 		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
--- a/internal/simulation/repairs.go
+++ b/internal/simulation/repairs.go
@@ -12,15 +12,15 @@
 
 // Periods and limits of the repair driver, as in package controller.
 const (
-	repairEveryUs = 300 * Millisecond
-	confirmWaitUs = Second
-	proposeUs     = 2 * Second
-	goneUs        = Second
-	stepsAtOnce   = 8
+	repairEveryUs    = 300 * Millisecond
+	confirmTimeoutUs = Second
+	proposeTimeoutUs = 2 * Second
+	goneAfterUs      = Second
+	maxStepsPerRun   = 8
 )
 
-// partRepair is the state of the repair of one register's group.
-type partRepair struct {
+// groupRepair is the state of the repair of one register's group.
+type groupRepair struct {
 	coordinator consensus.RepairCoordinator
 	busy        bool // a step is being carried out
 }
@@ -33,7 +33,7 @@
 		}
 		if step, due := c.nextRepair(part); due {
 			r.repair.busy = true
-			c.repair(part, step, stepsAtOnce)
+			c.repair(part, step, maxStepsPerRun)
 		}
 	}
 }
@@ -45,29 +45,29 @@
 	}
 	return c.registers[part].repair.coordinator.Step(c.process.NowUs(), consensus.RepairView{
 		Self: c.addr, Base: base, Status: c.status(),
-		QuorumReachable: c.hasContact(base.Group), DiskFault: c.diskFault, Leaving: c.shutdown.found,
+		QuorumReachable: c.reachesMajority(base.Group), DiskFault: c.diskFault, Leaving: c.shutdown.successorsFound,
 	})
 }
 
-// hasContact reports whether this controller reaches a majority of a group directly.
-func (c *Controller) hasContact(group []messages.Member) bool {
-	near := 0
+// reachesMajority reports whether this controller reaches a majority of a group directly.
+func (c *Controller) reachesMajority(group []messages.Member) bool {
+	reachable := 0
 	for _, p := range c.alive() {
 		for _, m := range group {
 			if m.ID == p.MemberID && c.reaches(p.Addr) {
-				near++
+				reachable++
 			}
 		}
 	}
-	return near > len(group)/2
+	return reachable > len(group)/2
 }
 
 // repair executes a step and the steps that become due after it, up to left steps.
-func (c *Controller) repair(part int, step consensus.RepairStep, left int) {
-	again := func(went bool) {
-		if went && left > 1 {
+func (c *Controller) repair(part int, step consensus.RepairStep, stepsLeft int) {
+	again := func(progressed bool) {
+		if progressed && stepsLeft > 1 {
 			if next, due := c.nextRepair(part); due {
-				c.repair(part, next, left-1)
+				c.repair(part, next, stepsLeft-1)
 				return
 			}
 		}
@@ -82,31 +82,31 @@
 
 // confirmAll asks members in parallel to confirm that they have the base on disk, until
 // the coordinator has another step.
-func (c *Controller) confirmAll(part int, step consensus.RepairStep, done func(went bool)) {
+func (c *Controller) confirmAll(part int, step consensus.RepairStep, done func(progressed bool)) {
 	base, ok := c.committed(part)
 	if !ok || base.Version != step.Version {
 		done(ok)
 		return
 	}
-	over, words := false, 0
-	end := func(went bool) {
-		if !over {
-			over = true
-			done(went)
+	finished, answers := false, 0
+	end := func(progressed bool) {
+		if !finished {
+			finished = true
+			done(progressed)
 		}
 	}
-	c.process.After(confirmWaitUs, func() { end(false) })
+	c.process.After(confirmTimeoutUs, func() { end(false) })
 	for _, m := range step.Confirm {
-		c.confirm(part, m, base, func(kept bool) {
-			if words++; kept {
+		c.confirm(part, m, base, func(durable bool) {
+			if answers++; durable {
 				c.registers[part].repair.coordinator.RecordConfirmation(m.ID, base.Version)
 			}
-			if over {
+			if finished {
 				return
 			}
-			if next, due := c.nextRepair(part); kept && (!due || len(next.Propose) > 0) {
+			if next, due := c.nextRepair(part); durable && (!due || len(next.Propose) > 0) {
 				end(true)
-			} else if words == len(step.Confirm) {
+			} else if answers == len(step.Confirm) {
 				end(false)
 			}
 		})
@@ -115,7 +115,7 @@
 
 // confirm asks one member for the confirmation, and sends the value only if it is missing there.
 func (c *Controller) confirm(part int, m messages.Member, v messages.Value, done func(kept bool)) {
-	if c.cluster.defects.JoinUnconfirmed {
+	if c.cluster.defects.AddMembersUnconfirmed {
 		done(true)
 		return
 	}
@@ -130,8 +130,8 @@
 	})
 }
 
-// flush replies to a commit once the value is on disk.
-func (c *Controller) flush(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
+// handleFlush replies to a commit once the value is on disk.
+func (c *Controller) handleFlush(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
 	if request.To != c.id {
 		reply(messages.ConsensusResponse{Verdict: messages.Stranger})
 		return
@@ -146,9 +146,9 @@
 		c.makeDurable(request.Part, *r.learned, func(err error) {
 			release()
 			if err == nil {
-				joins := !isIn(r.acceptor.Record.Committed.Group, c.id)
-				kept := r.durable >= request.Slot && !(joins && c.shutdown.begun)
-				reply(messages.ConsensusResponse{Verdict: messages.Granted, Version: r.durable, Durable: kept})
+				joins := !containsMember(r.acceptor.Record.Committed.Group, c.id)
+				durable := r.durableVersion >= request.Slot && !(joins && c.shutdown.begun)
+				reply(messages.ConsensusResponse{Verdict: messages.Granted, Version: r.durableVersion, Durable: durable})
 			}
 		})
 	})
@@ -163,7 +163,7 @@
 		}
 		return step.Propose, cur.Body, nil
 	}
-	c.change(part, proposeUs, regroup, func(v messages.Value, err error) {
+	c.change(part, proposeTimeoutUs, regroup, func(v messages.Value, err error) {
 		c.cluster.kernel.Note("%s regroups part %d: version %d, %v", c.addr, part, v.Version, err)
 		done(err == nil || errors.Is(err, errNoChange))
 	})
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -25,18 +25,18 @@
 	play := Models[r.Model]
 	seeds := make(chan uint64)
 	var (
-		wait   sync.WaitGroup
+		wg     sync.WaitGroup
 		mu     sync.Mutex
 		counts Counts
 	)
 	for range max(r.Parallel, 1) {
-		wait.Go(func() {
+		wg.Go(func() {
 			for seed := range seeds {
 				result := play(seed, options)
 				if result.Failure != "" {
-					again := options
-					again.Record = true
-					result = play(seed, again)
+					recordOptions := options
+					recordOptions.Record = true
+					result = play(seed, recordOptions)
 				}
 				mu.Lock()
 				counts.Add(result.Counts)
@@ -51,6 +51,6 @@
 		seeds <- seed
 	}
 	close(seeds)
-	wait.Wait()
+	wg.Wait()
 	return counts
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -5,19 +5,19 @@
 // Phases of a history: a calm start, in which every register accepts its first value,
 // then faults, then time to recover. Also the shortest and longest duration of a fault.
 const (
-	calmUs     = 1_500 * Millisecond
-	faultsUs   = 10 * Second
-	comeBackUs = 6 * Second
-	leastFault = 100 * Millisecond
-	mostFault  = 5 * Second
+	calmUs       = 1_500 * Millisecond
+	faultPhaseUs = 10 * Second
+	recoveryUs   = 6 * Second
+	leastFault   = 100 * Millisecond
+	mostFault    = 5 * Second
 )
 
 // fault is one kind of fault. Its weight determines how often it is drawn.
 type fault struct {
 	weight int
 	strike func(c *Cluster, victim *Controller, forUs int64)
-	// tellsItself is set for a fault that records its own disturbance.
-	tellsItself bool
+	// recordsDisturbance is set for a fault that records its own disturbance.
+	recordsDisturbance bool
 }
 
 var faults = []fault{
@@ -28,17 +28,17 @@
 	{weight: 3, strike: (*Cluster).cutOffFor},
 	{weight: 3, strike: (*Cluster).cutOneWayFor},
 	{weight: 3, strike: (*Cluster).cutSomeFor},
-	{weight: 2, strike: (*Cluster).stormFor},
-	{weight: 2, strike: (*Cluster).stallFor},
-	{weight: 1, strike: (*Cluster).fillFor},
+	{weight: 2, strike: (*Cluster).degradeAllLinksFor},
+	{weight: 2, strike: (*Cluster).stallDiskFor},
+	{weight: 1, strike: (*Cluster).fillDiskFor},
 	{weight: 1, strike: (*Cluster).slowDiskFor},
-	{weight: 4, strike: (*Cluster).wipeFor},
+	{weight: 4, strike: (*Cluster).wipeDiskFor},
 	{weight: 1, strike: (*Cluster).slowAllDisksFor},
-	{weight: 4, strike: (*Cluster).aimAllPower},
-	{weight: 2, strike: (*Cluster).aimWipe},
-	{weight: 2, strike: (*Cluster).aimKillAll},
+	{weight: 4, strike: (*Cluster).deferAllPowerLoss},
+	{weight: 2, strike: (*Cluster).deferWipe},
+	{weight: 2, strike: (*Cluster).deferCrashAll},
 	{weight: 1, strike: (*Cluster).stepClock},
-	{weight: 4, strike: (*Cluster).shutDownFor, tellsItself: true},
+	{weight: 4, strike: (*Cluster).shutDownFor, recordsDisturbance: true},
 }
 
 // plan draws and schedules the faults of a history.
@@ -58,11 +58,11 @@
 		if k.Chance(300) {
 			forUs = k.Between(1, leastFault)
 		}
-		k.After(calmUs+k.Between(0, faultsUs), func() {
+		k.After(calmUs+k.Between(0, faultPhaseUs), func() {
 			if !c.healed {
 				faults[chosen].strike(c, c.controllers[k.Below(len(c.controllers))], forUs)
-				if !faults[chosen].tellsItself {
-					c.disturb(forUs)
+				if !faults[chosen].recordsDisturbance {
+					c.recordFault(forUs)
 				}
 			}
 		})
@@ -112,10 +112,10 @@
 
 // cutOneWayFor cuts either all links to a controller from the others, or all links from it to them.
 func (c *Cluster) cutOneWayFor(victim *Controller, forUs int64) {
-	deaf := c.kernel.Chance(500)
-	c.kernel.Note("%s is cut off one way for %d us, deaf: %v", victim.addr, forUs, deaf)
+	inbound := c.kernel.Chance(500)
+	c.kernel.Note("%s is cut off one way for %d us, deaf: %v", victim.addr, forUs, inbound)
 	for _, other := range c.controllers {
-		if deaf {
+		if inbound {
 			c.cutLink(other.addr, victim.addr, forUs)
 		} else {
 			c.cutLink(victim.addr, other.addr, forUs)
@@ -144,8 +144,8 @@
 	c.later(forUs, func() { l.Cuts-- })
 }
 
-// stormFor makes every link lose, duplicate, delay and reorder messages.
-func (c *Cluster) stormFor(_ *Controller, forUs int64) {
+// degradeAllLinksFor makes every link lose, duplicate, delay and reorder messages.
+func (c *Cluster) degradeAllLinksFor(_ *Controller, forUs int64) {
 	c.kernel.Note("a storm for %d us", forUs)
 	names := []string{}
 	for _, node := range c.controllers {
@@ -161,20 +161,20 @@
 			l.LossPerMille, l.DoublePerMille, l.DelayHighUs = loss, 100, 150*Millisecond
 			c.later(forUs, func() {
 				cuts := l.Cuts
-				*l = ordinary()
+				*l = ordinaryLink()
 				l.Cuts = cuts
 			})
 		}
 	}
 }
 
-func (c *Cluster) stallFor(victim *Controller, forUs int64) {
+func (c *Cluster) stallDiskFor(victim *Controller, forUs int64) {
 	c.kernel.Note("the disk of %s stalls for %d us", victim.addr, forUs)
 	victim.disk.Stalled = true
 	c.later(forUs, victim.disk.Resume)
 }
 
-func (c *Cluster) fillFor(victim *Controller, forUs int64) {
+func (c *Cluster) fillDiskFor(victim *Controller, forUs int64) {
 	c.kernel.Note("the disk of %s is full for %d us", victim.addr, forUs)
 	victim.disk.Full = true
 	c.later(forUs, func() { victim.disk.Full = false })
@@ -182,16 +182,16 @@
 
 func (c *Cluster) slowDiskFor(victim *Controller, forUs int64) {
 	c.kernel.Note("the disk of %s is slow for %d us", victim.addr, forUs)
-	victim.disk.SlowUs = c.kernel.Between(10*Millisecond, 400*Millisecond)
-	c.later(forUs, func() { victim.disk.SlowUs = 0 })
+	victim.disk.ExtraDelayUs = c.kernel.Between(10*Millisecond, 400*Millisecond)
+	c.later(forUs, func() { victim.disk.ExtraDelayUs = 0 })
 }
 
-// wipeFor wipes a disk if the design guarantees that its loss is tolerated in this state.
-func (c *Cluster) wipeFor(victim *Controller, forUs int64) {
-	if !c.bearsLossOf(victim) {
+// wipeDiskFor wipes a disk if the design guarantees that its loss is tolerated in this state.
+func (c *Cluster) wipeDiskFor(victim *Controller, forUs int64) {
+	if !c.toleratesLossOf(victim) {
 		return
 	}
-	c.checks.counts.Wipes++
+	c.checks.counts.DisksLost++
 	c.wipe(victim)
 	c.later(forUs, func() { c.restart(victim) })
 }
@@ -202,32 +202,32 @@
 	}
 }
 
-// aim defers a fault until an operator next receives the acknowledgement of a change.
-func (c *Cluster) aim(strike func()) { c.aimed = append(c.aimed, strike) }
+// deferFault defers a fault until an operator next receives the acknowledgement of a change.
+func (c *Cluster) deferFault(inject func()) { c.deferredFaults = append(c.deferredFaults, inject) }
 
-// strikeAimed injects the deferred faults, when an operator has received an acknowledgement.
-func (c *Cluster) strikeAimed() {
+// injectDeferredFaults injects the deferred faults, when an operator has received an acknowledgement.
+func (c *Cluster) injectDeferredFaults() {
 	if c.healed {
 		return
 	}
-	aimed := c.aimed
-	c.aimed = nil
-	for _, strike := range aimed {
-		c.disturb(mostFault)
-		strike()
+	deferred := c.deferredFaults
+	c.deferredFaults = nil
+	for _, inject := range deferred {
+		c.recordFault(mostFault)
+		inject()
 	}
 }
 
-func (c *Cluster) aimAllPower(victim *Controller, forUs int64) {
-	c.aim(func() { c.loseAllPower(victim, forUs) })
+func (c *Cluster) deferAllPowerLoss(victim *Controller, forUs int64) {
+	c.deferFault(func() { c.loseAllPower(victim, forUs) })
 }
 
-func (c *Cluster) aimWipe(victim *Controller, forUs int64) {
-	c.aim(func() { c.wipeFor(victim, forUs) })
+func (c *Cluster) deferWipe(victim *Controller, forUs int64) {
+	c.deferFault(func() { c.wipeDiskFor(victim, forUs) })
 }
 
-func (c *Cluster) aimKillAll(_ *Controller, forUs int64) {
-	c.aim(func() {
+func (c *Cluster) deferCrashAll(_ *Controller, forUs int64) {
+	c.deferFault(func() {
 		for _, node := range c.controllers {
 			c.crashFor(node, c.kernel.Between(0, forUs))
 		}
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -19,35 +19,35 @@
 
 // shutdown is the state of the orderly shutdown of a process.
 type shutdown struct {
-	begun      bool
-	found      bool            // the successors are known
-	successors []messages.Peer // members, and spares that may become members
-	untilUs    int64
+	begun           bool
+	successorsFound bool            // the successors are known
+	successors      []messages.Peer // members, and spares that may become members
+	untilUs         int64
 }
 
 // leave shuts a process down in order, and calls ended when it may stop.
 func (c *Controller) leave(ended func()) {
 	c.shutdown = shutdown{begun: true, untilUs: c.process.NowUs() + handOverTotalUs}
-	if c.cluster.defects.EndWithoutHandOver || !c.isMember() {
+	if c.cluster.defects.ShutDownWithoutHandOver || !c.isMember() {
 		ended()
 		return
 	}
 	c.findSuccessors(func(successors []messages.Peer) {
-		c.shutdown.found, c.shutdown.successors = true, successors
+		c.shutdown.successorsFound, c.shutdown.successors = true, successors
 		c.handOver(ended)
 	})
 }
 
 func (c *Controller) isMember() bool {
 	for part := range parts {
-		if v, ok := c.committed(part); ok && isIn(v.Group, c.id) {
+		if v, ok := c.committed(part); ok && containsMember(v.Group, c.id) {
 			return true
 		}
 	}
 	return false
 }
 
-func isIn(group []messages.Member, id string) bool {
+func containsMember(group []messages.Member, id string) bool {
 	for _, m := range group {
 		if m.ID == id {
 			return true
@@ -60,14 +60,14 @@
 func (c *Controller) findSuccessors(found func([]messages.Peer)) {
 	base, _ := c.committed(configPart)
 	alive := c.alive()
-	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, c.silentForUs, goneUs))
+	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, c.silentForUs, goneAfterUs))
 	newcomers = newcomers[:min(len(newcomers), maxSuccessors)]
-	confirmed, answers, over := map[string]bool{}, 0, false
+	confirmed, answers, finished := map[string]bool{}, 0, false
 	end := func() {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		var out []messages.Peer
 		for _, p := range alive {
 			if confirmed[p.MemberID] || c.isMemberOfAny(p.MemberID) {
@@ -77,8 +77,8 @@
 		found(out)
 	}
 	for _, m := range newcomers {
-		c.confirm(configPart, m, base, func(kept bool) {
-			confirmed[m.ID] = kept
+		c.confirm(configPart, m, base, func(durable bool) {
+			confirmed[m.ID] = durable
 			if answers++; answers == len(newcomers) {
 				end()
 			}
@@ -93,7 +93,7 @@
 
 func (c *Controller) isMemberOfAny(id string) bool {
 	for part := range parts {
-		if v, ok := c.committed(part); ok && isIn(v.Group, id) {
+		if v, ok := c.committed(part); ok && containsMember(v.Group, id) {
 			return true
 		}
 	}
@@ -103,10 +103,10 @@
 // status covers the live controllers or, during a shutdown, the successors.
 func (c *Controller) status() consensus.Status {
 	alive := c.alive()
-	if c.shutdown.found {
+	if c.shutdown.successorsFound {
 		alive = c.shutdown.successors
 	}
-	return consensus.NewStatus(alive, c.silentForUs, goneUs)
+	return consensus.NewStatus(alive, c.silentForUs, goneAfterUs)
 }
 
 // handOver repairs the groups until no membership is left to hand over, or the time is over.
@@ -152,13 +152,13 @@
 	c.process.After(handOverFlushUs, ended)
 }
 
-// undisturbedUs is how long no other fault may have been active for the hand-over to be checked.
-const undisturbedUs = 3 * Second
+// faultFreeBeforeUs is how long no other fault may have been active for the hand-over to be checked.
+const faultFreeBeforeUs = 3 * Second
 
-// disturb records a fault and its duration.
-func (c *Cluster) disturb(forUs int64) {
-	c.disturbances++
-	c.disturbedUntilUs = max(c.disturbedUntilUs, c.kernel.NowUs()+forUs)
+// recordFault records a fault and its duration.
+func (c *Cluster) recordFault(forUs int64) {
+	c.faultCount++
+	c.faultsUntilUs = max(c.faultsUntilUs, c.kernel.NowUs()+forUs)
 }
 
 // shutDownFor shuts a process down in order, and restarts it after a time.
@@ -166,17 +166,17 @@
 	if !victim.process.Up() || victim.process.frozen || victim.id == "" || victim.shutdown.begun {
 		return
 	}
-	undisturbed := c.kernel.NowUs() > c.disturbedUntilUs+undisturbedUs
-	count := c.disturbances
+	undisturbed := c.kernel.NowUs() > c.faultsUntilUs+faultFreeBeforeUs
+	count := c.faultCount
 	spare := [parts]bool{}
 	for part := range spare {
 		spare[part] = c.hasSpare(part, victim)
 	}
 	c.kernel.Note("%s is told to end", victim.addr)
-	c.disturb(handOverTotalUs + handOverConfirmUs + handOverFlushUs + forUs)
+	c.recordFault(handOverTotalUs + handOverConfirmUs + handOverFlushUs + forUs)
 	victim.leave(func() {
-		if undisturbed && count == c.disturbances-1 && !c.healed {
-			c.checks.handedOver(victim, spare)
+		if undisturbed && count == c.faultCount-1 && !c.healed {
+			c.checks.checkHandOver(victim, spare)
 		}
 		c.crash(victim)
 		c.later(forUs, func() { c.restart(victim) })
@@ -186,22 +186,22 @@
 // hasSpare reports whether a running controller exists that is not a member of a register's group.
 func (c *Cluster) hasSpare(part int, victim *Controller) bool {
 	for _, node := range c.controllers {
-		if node != victim && node.process.Up() && !node.process.frozen && node.id != "" && !isIn(c.checks.newest[part].Group, node.id) {
+		if node != victim && node.process.Up() && !node.process.frozen && node.id != "" && !containsMember(c.checks.newest[part].Group, node.id) {
 			return true
 		}
 	}
 	return false
 }
 
-// handedOver checks that a member that has shut down has left each group for which a spare
+// checkHandOver checks that a member that has shut down has left each group for which a spare
 // controller was running.
-func (c *checks) handedOver(node *Controller, spare [parts]bool) {
+func (c *checks) checkHandOver(node *Controller, spare [parts]bool) {
 	for part := range spare {
 		if !spare[part] {
 			continue
 		}
 		c.counts.HandOvers++
-		if isIn(c.newest[part].Group, node.id) {
+		if containsMember(c.newest[part].Group, node.id) {
 			c.cluster.kernel.Fail("%s ends as a member of part %d, where another controller stood ready", node.addr, part)
 		}
 	}
--- a/internal/simulation/storage.go
+++ b/internal/simulation/storage.go
@@ -31,14 +31,14 @@
 
 // Storage is the disk of one machine.
 type Storage struct {
-	kernel  *Kernel
-	files   map[string]*file
-	waiting []write
-	busy    bool
-	era     int64 // incremented when the writes in progress are aborted
-	Stalled bool
-	Full    bool
-	SlowUs  int64
+	kernel       *Kernel
+	files        map[string]*file
+	waiting      []write
+	busy         bool
+	generation   int64 // incremented when the writes in progress are aborted
+	Stalled      bool
+	Full         bool
+	ExtraDelayUs int64
 }
 
 // NewStorage returns an empty disk.
@@ -70,12 +70,12 @@
 
 // Sync makes the visible content of all files durable and calls done once it is, or once that has failed.
 func (s *Storage) Sync(done func(error)) {
-	s.waiting = append(s.waiting, write{name: everyFile, done: done})
+	s.waiting = append(s.waiting, write{name: allFiles, done: done})
 	s.work()
 }
 
-// everyFile is the name of a queued sync, which applies to all files.
-const everyFile = ""
+// allFiles is the name of a queued sync, which applies to all files.
+const allFiles = ""
 
 // syncFiles makes the visible content of all files durable.
 func (s *Storage) syncFiles() {
@@ -95,13 +95,13 @@
 		return
 	}
 	s.busy = true
-	era := s.era
-	s.kernel.After(s.kernel.Between(100, 3*Millisecond)+s.SlowUs, func() { s.sync(era) })
+	generation := s.generation
+	s.kernel.After(s.kernel.Between(100, 3*Millisecond)+s.ExtraDelayUs, func() { s.completeWrite(generation) })
 }
 
-// sync completes the write at the head of the queue.
-func (s *Storage) sync(era int64) {
-	if era != s.era {
+// completeWrite completes the write at the head of the queue.
+func (s *Storage) completeWrite(generation int64) {
+	if generation != s.generation {
 		return
 	}
 	s.busy = false
@@ -113,7 +113,7 @@
 	switch {
 	case s.Full:
 		w.done(ErrDisk)
-	case w.name == everyFile:
+	case w.name == allFiles:
 		s.syncFiles()
 		w.done(nil)
 	default:
@@ -127,7 +127,7 @@
 // have reached its rename; then its content is visible but not synced.
 func (s *Storage) Kill() {
 	for _, w := range s.waiting {
-		if s.Full || w.name == everyFile || !s.kernel.Chance(500) {
+		if s.Full || w.name == allFiles || !s.kernel.Chance(500) {
 			continue
 		}
 		f := s.files[w.name]
@@ -138,7 +138,7 @@
 		f.unsynced = append(f.unsynced, w.content)
 	}
 	s.waiting, s.busy = nil, false
-	s.era++
+	s.generation++
 }
 
 // LosePower aborts the queued writes and loses some of the unsynced content.
@@ -162,5 +162,5 @@
 func (s *Storage) Wipe() {
 	s.Kill()
 	s.files = map[string]*file{}
-	s.Stalled, s.Full, s.SlowUs = false, false, 0
+	s.Stalled, s.Full, s.ExtraDelayUs = false, false, 0
 }
