--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -143,7 +143,7 @@
 // disk, unless its disk has been lost since.
 func (c *checks) checkJoined(part int, v messages.Value) {
 	for _, m := range v.Group {
-		node := c.cluster.at(m.Addr)
+		node := c.cluster.controllerAt(m.Addr)
 		identity, _ := node.disk.Durable(identityFile)
 		if c.joined[part][m.ID] && string(identity) == m.ID && !node.hasDurably(part, m.ID, v.Version-1) {
 			c.cluster.kernel.Fail("%s joins part %d at version %d and does not hold the version before on disk", m.ID, part, v.Version)
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -90,12 +90,12 @@
 	for i := range operators {
 		o := &operator{cluster: c, name: fmt.Sprintf("operator-%d", i+1), number: i}
 		c.operators = append(c.operators, o)
-		k.After(k.Between(Second/2, 2*Second), o.next)
+		k.After(k.Between(Second/2, 2*Second), o.startNextCall)
 	}
 	return c
 }
 
-func (c *Cluster) at(addr string) *Controller {
+func (c *Cluster) controllerAt(addr string) *Controller {
 	for _, node := range c.controllers {
 		if node.addr == addr {
 			return node
@@ -148,7 +148,7 @@
 func (c *Cluster) majorityHasGroup(part int, victim *Controller) bool {
 	group, left := c.checks.newest[part].Group, 0
 	for _, m := range group {
-		node := c.at(m.Addr)
+		node := c.controllerAt(m.Addr)
 		if node != victim && node.hasDurably(part, m.ID, c.checks.groupSince[part]) {
 			left++
 		}
@@ -162,7 +162,7 @@
 func (c *Cluster) repairComplete(part int, victim *Controller) bool {
 	group, lost := c.checks.newest[part].Group, 0
 	for _, m := range group {
-		node := c.at(m.Addr)
+		node := c.controllerAt(m.Addr)
 		identity, ok := node.disk.Durable(identityFile)
 		switch {
 		case node == victim || !ok || string(identity) != m.ID:
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -28,7 +28,7 @@
 type register struct {
 	acceptor       consensus.Acceptor
 	learned        *messages.Value
-	waiting        []func(release func())
+	waiters        []func(release func())
 	busy           bool
 	persisting     bool
 	durableVersion int64 // the committed version on disk, notOnDisk for none
@@ -138,18 +138,18 @@
 			unsaved++
 			c.saveRecord(part, func(error) {
 				if unsaved--; unsaved == 0 {
-					c.work()
+					c.startTasks()
 				}
 			})
 		}
 	}
 	if unsaved == 0 {
-		c.work()
+		c.startTasks()
 	}
 }
 
-// work starts the periodic tasks.
-func (c *Controller) work() {
+// startTasks starts the periodic tasks.
+func (c *Controller) startTasks() {
 	c.cluster.kernel.Note("%s is up as %s", c.addr, c.id)
 	c.every(pingEveryUs, c.ping)
 	c.every(repairEveryUs, c.repairGroups)
@@ -257,7 +257,7 @@
 // acquire runs a callback with exclusive access to the record, until it calls release.
 func (r *register) acquire(run func(release func())) {
 	if r.busy {
-		r.waiting = append(r.waiting, run)
+		r.waiters = append(r.waiters, run)
 		return
 	}
 	r.busy = true
@@ -266,11 +266,11 @@
 
 func (r *register) release() {
 	r.busy = false
-	if len(r.waiting) == 0 {
+	if len(r.waiters) == 0 {
 		return
 	}
-	next := r.waiting[0]
-	r.waiting = r.waiting[1:]
+	next := r.waiters[0]
+	r.waiters = r.waiters[1:]
 	r.acquire(next)
 }
 
@@ -331,7 +331,7 @@
 		c.handleRequest(request, done)
 		return
 	}
-	target := c.cluster.at(to)
+	target := c.cluster.controllerAt(to)
 	if target == nil {
 		return
 	}
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -113,7 +113,7 @@
 			c.setCordon(cordon, step.Fence)
 		}
 		for _, o := range a.Orders {
-			c.process.After(c.group.stepDelayUs(), func() { c.order(o, step) })
+			c.process.After(c.group.stepDelayUs(), func() { c.sendOrder(o, step) })
 		}
 		for _, id := range a.Poll {
 			c.poll(id)
@@ -128,8 +128,8 @@
 	}
 }
 
-// order sends a load order, unless the lease confirmation behind it has expired.
-func (c *coordinator) order(o rollout.Order, step rollout.Step) {
+// sendOrder sends a load order, unless the lease confirmation behind it has expired.
+func (c *coordinator) sendOrder(o rollout.Order, step rollout.Step) {
 	answered := false
 	answer := func(a rollout.Answer) {
 		if !answered {
@@ -146,7 +146,7 @@
 	}
 	c.process.After(orderTimeoutUs, func() { answer(rollout.NoAnswer) })
 	c.call(o.ID, func(e *engine) func() {
-		a := e.order(o, step.Fence, c)
+		a := e.handleOrder(o, step.Fence, c)
 		return func() {
 			if a == rollout.AlreadyLoaded {
 				c.recordWeights(o.ID, o.Version)
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -40,9 +40,9 @@
 	routers           []*sink
 	releases          []*release // by version of the register, from 1 on
 	chosen            messages.ConfigBody
-	refused           map[int64]bool // versions of configurations that were rejected
+	rejected          map[int64]bool // versions of configurations that were rejected
 	slowStepsPerMille int            // number of steps in a thousand that take long
-	coreUs            int64          // when a fault of the controllers or their links last began or ended
+	coreFaultUs       int64          // when a fault of the controllers or their links last began or ended
 	activeCoreFaults  int            // number of faults that slow a controller now
 	slowed            map[*Process]bool
 	healed            bool
@@ -53,7 +53,7 @@
 // PlayDistribution runs the history of configurations for a seed.
 func PlayDistribution(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
-	d := &distribution{kernel: k, network: NewNetwork(k), refused: map[int64]bool{}, slowed: map[*Process]bool{}, defects: options.Defects}
+	d := &distribution{kernel: k, network: NewNetwork(k), rejected: map[int64]bool{}, slowed: map[*Process]bool{}, defects: options.Defects}
 	d.slowStepsPerMille = []int{0, 20, 60, 120, 250, 500}[k.Below(6)]
 	for i := range 3 + k.Below(3) {
 		d.controllers = append(d.controllers, newSource(d, i))
@@ -64,12 +64,12 @@
 	for _, c := range d.controllers {
 		c.boot()
 	}
-	d.release()
+	d.submitRelease()
 	for _, r := range d.routers {
 		r.boot()
 	}
-	d.plan()
-	d.watch()
+	d.schedule()
+	d.checkPeriodically()
 	k.RunUntil(distributionUs)
 	d.heal()
 	k.RunUntil(distributionUs + distributionCalmUs)
@@ -131,10 +131,10 @@
 	from.After(waitUs, func() { finish(false) })
 }
 
-// release submits one more version of the configuration at a controller, if that reaches a
+// submitRelease submits one more version of the configuration at a controller, if that reaches a
 // majority. Some versions are invalid and some have an outdated base; a rejected version
 // must never be in force.
-func (d *distribution) release() {
+func (d *distribution) submitRelease() {
 	at := d.controllers[d.kernel.Below(len(d.controllers))]
 	if !at.process.Up() || at.process.frozen || !at.reachesMost() {
 		return
@@ -152,11 +152,11 @@
 	order.Base = base
 	next, err := order.Apply(d.chosen)
 	if err != nil {
-		d.refused[version] = true
+		d.rejected[version] = true
 		d.counts.ConfigsRejected++
 		return
 	}
-	delete(d.refused, version)
+	delete(d.rejected, version)
 	d.accept(at, next, order)
 }
 
@@ -203,7 +203,7 @@
 	d.kernel.Note("%s: version %d, configuration %d, is chosen", at.addr, r.version, next.Version)
 	for _, c := range d.controllers {
 		if c.process.Up() && !c.process.frozen && (c == at || at.reaches(c)) {
-			c.accepted(r)
+			c.recordAccepted(r)
 		}
 	}
 	at.learn(r)
@@ -218,7 +218,7 @@
 		r.ackedUs = d.kernel.NowUs()
 		d.kernel.Note("%s acknowledges version %d", at.addr, r.version)
 		if !d.healed && d.kernel.Chance(40) {
-			d.strike(at, d.kernel.Between(Second, 8*Second))
+			d.stopOrFreeze(at, d.kernel.Between(Second, 8*Second))
 		}
 	})
 }
@@ -242,11 +242,11 @@
 			up++
 		}
 	}
-	return d.activeCoreFaults == 0 && up > len(d.controllers)/2 && d.kernel.NowUs()-d.coreUs > contactBoundUs
+	return d.activeCoreFaults == 0 && up > len(d.controllers)/2 && d.kernel.NowUs()-d.coreFaultUs > contactBoundUs
 }
 
-// watch checks periodically that every router in contact has the version that is due.
-func (d *distribution) watch() {
+// checkPeriodically checks periodically that every router in contact has the version that is due.
+func (d *distribution) checkPeriodically() {
 	d.kernel.After(distributionCheck, func() {
 		due := d.newestDue()
 		if d.coreSettled() {
@@ -254,6 +254,6 @@
 				r.checkDue(due)
 			}
 		}
-		d.watch()
+		d.checkPeriodically()
 	})
 }
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -28,12 +28,12 @@
 // sink is the configuration side of a router. It forwards the feeds of its parent to its
 // subscribers.
 type sink struct {
-	d           *distribution
-	addr        string
-	number      int
-	process     *Process
-	troubles    int   // number of active faults
-	lastFaultUs int64 // when a fault last began or ended
+	d            *distribution
+	addr         string
+	number       int
+	process      *Process
+	activeFaults int   // number of active faults
+	lastFaultUs  int64 // when a fault last began or ended
 
 	// The fields below are reset with each life of the process.
 	replica             *routeconfig.Replica
@@ -43,7 +43,7 @@
 	parent              *subscription
 	joining             bool
 	bootUs              int64
-	lastUs              int64 // when the last feed of a parent arrived
+	lastFeedUs          int64 // when the last feed of a parent arrived
 	lastConnectedFeedUs int64 // when the last feed arrived that was not marked as cut off
 	subscribers         []*subscription
 	inForce             int64 // the newest version that was in force in this life
@@ -55,13 +55,13 @@
 
 func (r *sink) address() string { return r.addr }
 
-func (r *sink) running() *Process { return r.process }
+func (r *sink) proc() *Process { return r.process }
 
 func (r *sink) boot() {
 	r.process.Start()
 	r.replica, r.policy, r.pacer = routeconfig.NewReplica(), dissemination.ParentPolicy{}, dissemination.RequestPacer{}
 	r.comparisons, r.parent, r.joining = dissemination.NewComparisons(r.d.kernel.Below(64)), nil, false
-	r.bootUs, r.lastUs, r.lastConnectedFeedUs, r.subscribers, r.inForce = r.process.NowUs(), 0, 0, nil, 0
+	r.bootUs, r.lastFeedUs, r.lastConnectedFeedUs, r.subscribers, r.inForce = r.process.NowUs(), 0, 0, nil, 0
 	r.d.every(r.process, joinPauseUs, r.join)
 	r.d.every(r.process, subscriberTickUs, r.tick)
 	if !r.d.defects.SkipComparisons {
@@ -69,26 +69,26 @@
 	}
 }
 
-// wanted returns the preferred parents: for some routers a relay with a lower number,
+// preferredParents returns the preferred parents: for some routers a relay with a lower number,
 // then the controllers in the order of the tree.
-func (r *sink) wanted() []string {
+func (r *sink) preferredParents() []string {
 	var out []string
 	if r.number >= minRelayChildNumber && r.number%2 == 0 {
-		if relay := r.d.routers[r.number/2]; r.d.seen(relay.process, relay.lastFaultUs) {
+		if relay := r.d.routers[r.number/2]; r.d.isSeenAlive(relay.process, relay.lastFaultUs) {
 			out = append(out, relay.addr)
 		}
 	}
 	var peers []messages.Peer
 	for _, c := range r.d.controllers {
-		if r.d.seen(c.process, c.downUs) {
+		if r.d.isSeenAlive(c.process, c.downUs) {
 			peers = append(peers, messages.Peer{Addr: c.addr, Zone: "a", Counted: true})
 		}
 	}
 	return append(out, dissemination.Parents(r.addr, "a", peers, nil)...)
 }
 
-// seen reports whether other processes consider a process alive.
-func (d *distribution) seen(p *Process, sinceUs int64) bool {
+// isSeenAlive reports whether other processes consider a process alive.
+func (d *distribution) isSeenAlive(p *Process, sinceUs int64) bool {
 	return p.Up() && !p.frozen || d.kernel.NowUs()-sinceUs < deadAfterUs
 }
 
@@ -118,30 +118,30 @@
 		return
 	}
 	r.joining = true
-	r.try(r.policy.Order(r.wanted(), r.process.NowUs()))
+	r.tryParents(r.policy.Order(r.preferredParents(), r.process.NowUs()))
 }
 
-func (r *sink) try(parents []string) {
+func (r *sink) tryParents(parents []string) {
 	if len(parents) == 0 {
 		r.joining = false
 		return
 	}
-	next := r.process.InLife(func() { r.try(parents[1:]) })
+	next := r.process.InLife(func() { r.tryParents(parents[1:]) })
 	to := r.d.nodeAt(parents[0])
 	r.dial(to, func(ok bool) {
 		if !ok {
 			next()
 			return
 		}
-		sub := &subscription{d: r.d, parent: to, child: r, parentLife: to.running().life, childLife: r.process.life, open: true}
-		r.d.call(r.process, r.addr, to.running(), to.address(), subscribeWaitUs, func() func() {
-			if sub.parentLife != to.running().life {
+		sub := &subscription{d: r.d, parent: to, child: r, parentLife: to.proc().life, childLife: r.process.life, open: true}
+		r.d.call(r.process, r.addr, to.proc(), to.address(), subscribeWaitUs, func() func() {
+			if sub.parentLife != to.proc().life {
 				return nil
 			}
 			to.subscribe(sub)
 			h := r.syncState()
-			r.d.step(to.running(), func() { sub.push(to.feedSince(h)) })
-			return func() { r.parent, r.lastUs = sub, r.process.NowUs() }
+			r.d.step(to.proc(), func() { sub.push(to.feedSince(h)) })
+			return func() { r.parent, r.lastFeedUs = sub, r.process.NowUs() }
 		}, func(ok bool) {
 			if !ok {
 				sub.open = false
@@ -164,7 +164,7 @@
 		}
 	}
 	r.d.network.Send(r.addr, to.address(), func() {
-		up := to.running().Up()
+		up := to.proc().Up()
 		r.d.network.Send(to.address(), r.addr, finish(func() { r.d.step(r.process, func() { end(up) }) }))
 	})
 	r.process.After(dialWaitUs, func() { end(false) })
@@ -177,7 +177,7 @@
 	}
 	nowUs := r.process.NowUs()
 	addr := r.parent.parent.address()
-	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastUs, nowUs) || r.policy.Moves(r.wanted(), addr, nowUs) {
+	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastFeedUs, nowUs) || r.policy.Moves(r.preferredParents(), addr, nowUs) {
 		r.leave()
 	}
 }
@@ -193,7 +193,7 @@
 		return
 	}
 	nowUs := r.process.NowUs()
-	r.lastUs = nowUs
+	r.lastFeedUs = nowUs
 	if !f.CutOff {
 		r.lastConnectedFeedUs = nowUs
 	}
@@ -202,8 +202,8 @@
 	if r.pacer.Due(!fits || r.replica.Version() < f.Versions[0], nowUs) {
 		h := r.syncState()
 		r.d.network.Send(r.addr, sub.parent.address(), func() {
-			sub.parent.running().Deliver(func() {
-				r.d.step(sub.parent.running(), func() { sub.push(sub.parent.feedSince(h)) })
+			sub.parent.proc().Deliver(func() {
+				r.d.step(sub.parent.proc(), func() { sub.push(sub.parent.feedSince(h)) })
 			})
 		})
 	}
@@ -243,7 +243,7 @@
 func (r *sink) compare() {
 	var alive []string
 	for _, c := range r.d.controllers {
-		if r.d.seen(c.process, c.downUs) {
+		if r.d.isSeenAlive(c.process, c.downUs) {
 			alive = append(alive, c.addr)
 		}
 	}
@@ -261,7 +261,7 @@
 	begunUs := r.process.NowUs()
 	var version int64
 	ended := func(ok bool) { r.comparisons.Ended(to.address(), ok, true) }
-	r.d.call(r.process, r.addr, to.running(), to.address(), compareWaitUs, func() func() {
+	r.d.call(r.process, r.addr, to.proc(), to.address(), compareWaitUs, func() func() {
 		f := to.feedSince(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 1 << 62}})
 		return func() { version = f.Versions[0] }
 	}, func(ok bool) {
@@ -276,7 +276,7 @@
 			return
 		}
 		h := messages.SyncState{Configuration: r.replica.Cursor()}
-		r.d.call(r.process, r.addr, to.running(), to.address(), leftUs, func() func() {
+		r.d.call(r.process, r.addr, to.proc(), to.address(), leftUs, func() func() {
 			f := to.feedSince(h)
 			return func() { r.applyFeed(f) }
 		}, func(ok bool) {
@@ -298,7 +298,7 @@
 		return
 	}
 	r.inForce = version
-	if r.d.refused[table.Version] {
+	if r.d.rejected[table.Version] {
 		k.Fail("%s has configuration %d in force, which was refused", r.addr, table.Version)
 		return
 	}
@@ -322,7 +322,7 @@
 
 // checkDue checks that the router has the version that is due or a newer one, if it is in contact.
 func (r *sink) checkDue(due int64) {
-	inTouch := r.process.Up() && !r.process.frozen && r.troubles == 0 && r.d.kernel.NowUs()-r.lastFaultUs > contactBoundUs
+	inTouch := r.process.Up() && !r.process.frozen && r.activeFaults == 0 && r.d.kernel.NowUs()-r.lastFaultUs > contactBoundUs
 	if inTouch && r.replica.Version() < due {
 		parent := "nobody"
 		if r.parent != nil {
--- a/internal/simulation/distribution_source.go
+++ b/internal/simulation/distribution_source.go
@@ -23,7 +23,7 @@
 	addr             string
 	process          *Process
 	acceptedReleases []*release // the releases that it has accepted, on disk
-	known            int64      // the newest committed version on its disk
+	knownVersion     int64      // the newest committed version on its disk
 	downUs           int64      // when it was last stopped or frozen in this life; 0 for never
 	startUs          int64
 
@@ -39,7 +39,7 @@
 
 func (s *source) address() string { return s.addr }
 
-func (s *source) running() *Process { return s.process }
+func (s *source) proc() *Process { return s.process }
 
 // boot starts a life from the disk, which may hold the newest version that was learned or
 // one up to two versions older.
@@ -47,9 +47,9 @@
 	s.process.Start()
 	s.startUs, s.downUs = s.process.NowUs(), 0
 	s.replica, s.contact, s.subscribers = routeconfig.NewSource(), &lease.Contact{Self: s.addr}, nil
-	if s.known > 0 {
-		recalled := max(s.known-int64(s.d.kernel.Below(3)), 1)
-		s.known = 0
+	if s.knownVersion > 0 {
+		recalled := max(s.knownVersion-int64(s.d.kernel.Below(3)), 1)
+		s.knownVersion = 0
 		s.learn(s.d.releases[recalled-1])
 	}
 	s.d.every(s.process, feedEveryUs, func() { s.publish(nil) })
@@ -75,8 +75,8 @@
 	return reached > len(s.d.controllers)/2
 }
 
-// accepted records a release that the process has accepted and whose commit it may never receive.
-func (s *source) accepted(r *release) {
+// recordAccepted records a release that the process has accepted and whose commit it may never receive.
+func (s *source) recordAccepted(r *release) {
 	s.acceptedReleases = append(s.acceptedReleases, r)
 	s.finishLater(r)
 }
@@ -84,12 +84,12 @@
 // finishLater reads the register by a majority if the round of a release remains unfinished
 // for a while.
 func (s *source) finishLater(r *release) {
-	if s.d.defects.LeaveRoundsUnfinished || s.known >= r.version {
+	if s.d.defects.LeaveRoundsUnfinished || s.knownVersion >= r.version {
 		return
 	}
 	s.process.After(s.d.kernel.Between(unfinishedMinUs, unfinishedMaxUs), func() {
 		s.d.step(s.process, func() {
-			if s.known < r.version && s.reachesMost() {
+			if s.knownVersion < r.version && s.reachesMost() {
 				s.learn(s.d.releases[len(s.d.releases)-1])
 			}
 			s.finishLater(r)
@@ -99,10 +99,10 @@
 
 // learn applies a committed release, never an older one, and publishes the change.
 func (s *source) learn(r *release) {
-	if r.version <= s.known {
+	if r.version <= s.knownVersion {
 		return
 	}
-	s.known = r.version
+	s.knownVersion = r.version
 	if change, newer := s.replica.Commit(r.version, r.entries); newer {
 		s.d.step(s.process, func() { s.publish([]messages.EntryChange{change}) })
 	}
@@ -154,10 +154,10 @@
 		}
 		sentUs := s.process.NowUs()
 		s.d.call(s.process, s.addr, other.process, other.addr, catchUpWaitUs, func() func() {
-			known := other.known
+			known := other.knownVersion
 			return func() {
 				s.contact.RecordAnswer(other.addr, sentUs)
-				if known > s.known {
+				if known > s.knownVersion {
 					s.learn(s.d.releases[known-1])
 				}
 			}
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -20,14 +20,14 @@
 
 // engine models one runner address. Instances follow one another at the same address.
 type engine struct {
-	history  *rolloutHistory
-	address  string
-	instance int
-	up       bool
-	at       int // index of the registrar that receives its heartbeats
-	beats    int64
-	slow     int64
-	begunUs  int64
+	history        *rolloutHistory
+	address        string
+	instance       int
+	up             bool
+	registrarIndex int // index of the registrar that receives its heartbeats
+	heartbeats     int64
+	slow           int64
+	startedUs      int64
 
 	version     int64
 	target      int64 // version of the order in progress; 0 if there is none
@@ -51,14 +51,14 @@
 // begin starts a new instance, which has the weights of the previous one.
 func (e *engine) begin() {
 	e.instance++
-	e.up, e.beats, e.sequence, e.fence, e.target, e.streams, e.pastReports = true, 0, 0, 0, 0, 0, nil
-	e.loadStarted, e.begunUs = false, e.history.kernel.NowUs()
+	e.up, e.heartbeats, e.sequence, e.fence, e.target, e.streams, e.pastReports = true, 0, 0, 0, 0, 0, nil
+	e.loadStarted, e.startedUs = false, e.history.kernel.NowUs()
 	e.slow = max(e.slow, 1)
-	e.at = e.history.kernel.Below(len(e.history.fleet.registrars))
+	e.registrarIndex = e.history.kernel.Below(len(e.history.fleet.registrars))
 	e.history.kernel.Note("%s begins on version %d", e.id(), e.version)
 	e.recordReport()
-	e.beat(e.instance)
-	e.receive(e.instance)
+	e.sendHeartbeat(e.instance)
+	e.generateRequests(e.instance)
 }
 
 func (e *engine) end() {
@@ -69,18 +69,18 @@
 	e.up, e.loadStarted = false, false
 }
 
-// lives reports whether an instance is still running.
-func (e *engine) lives(instance int) bool { return e.up && e.instance == instance }
+// isCurrent reports whether an instance is still running.
+func (e *engine) isCurrent(instance int) bool { return e.up && e.instance == instance }
 
-func (e *engine) beat(instance int) {
+func (e *engine) sendHeartbeat(instance int) {
 	h := e.history
-	if !e.lives(instance) {
+	if !e.isCurrent(instance) {
 		return
 	}
-	e.beats++
-	to, answered := h.fleet.registrars[e.at], false
+	e.heartbeats++
+	to, answered := h.fleet.registrars[e.registrarIndex], false
 	record := messages.RunnerRecord{
-		ID: e.id(), Service: rolloutService, Addr: e.address, Capacity: 1, Seq: e.beats,
+		ID: e.id(), Service: rolloutService, Addr: e.address, Capacity: 1, Seq: e.heartbeats,
 		Models: []messages.Target{{Model: rolloutModel, Version: e.version}},
 	}
 	h.network.Send(e.address, to.addr, func() {
@@ -91,32 +91,32 @@
 	})
 	h.kernel.After(answerWaitUs, func() {
 		if !answered {
-			e.at = (e.at + 1) % len(h.fleet.registrars)
+			e.registrarIndex = (e.registrarIndex + 1) % len(h.fleet.registrars)
 		}
 	})
-	h.kernel.After(heartbeatUs, func() { e.beat(instance) })
+	h.kernel.After(heartbeatUs, func() { e.sendHeartbeat(instance) })
 }
 
-// receive generates the requests of routers. A router acts on a registrar's state of a
+// generateRequests generates the requests of routers. A router acts on a registrar's state of a
 // while ago. If it enforces the bound, it sends no request to a runner whose weights are
 // over the bound in that state.
-func (e *engine) receive(instance int) {
+func (e *engine) generateRequests(instance int) {
 	h := e.history
-	if !e.lives(instance) {
+	if !e.isCurrent(instance) {
 		return
 	}
-	h.kernel.After(h.kernel.Between(20*Millisecond, 600*Millisecond), func() { e.receive(instance) })
+	h.kernel.After(h.kernel.Between(20*Millisecond, 600*Millisecond), func() { e.generateRequests(instance) })
 	from := h.fleet.registrars[h.kernel.Below(len(h.fleet.registrars))]
 	if !from.process.Up() {
 		return
 	}
 	record, ok := from.runners.Snapshot().ByID[e.id()]
-	fresh := h.kernel.NowUs()-e.begunUs < freshRunnerUs
+	fresh := h.kernel.NowUs()-e.startedUs < freshRunnerUs
 	if !ok || record.Cordoned || (h.bounded || fresh) && h.checks.boundPassed(e.version, routerBoundUs) {
 		return
 	}
 	h.kernel.After(h.kernel.Between(0, 300*Millisecond), func() {
-		if e.lives(instance) && e.target == 0 {
+		if e.isCurrent(instance) && e.target == 0 {
 			e.enqueue(instance)
 		}
 	})
@@ -127,7 +127,7 @@
 	h, order := e.history, e.queued
 	waitUs := min(h.kernel.Between(0, 300*Millisecond)*e.slow, maxQueuedUs)
 	h.kernel.After(waitUs, func() {
-		if !e.lives(instance) || e.queued != order {
+		if !e.isCurrent(instance) || e.queued != order {
 			return // rejected by an order
 		}
 		h.checks.begins(e)
@@ -137,7 +137,7 @@
 			runsUs = h.kernel.Between(2*Second, maxStreamUs)
 		}
 		h.kernel.After(runsUs, func() {
-			if e.lives(instance) {
+			if e.isCurrent(instance) {
 				e.streams--
 				e.startLoadIfIdle()
 			}
@@ -145,8 +145,8 @@
 	})
 }
 
-// order handles a load order. After an order is accepted, no request starts until the load is done.
-func (e *engine) order(o rollout.Order, fence int64, from *coordinator) rollout.Answer {
+// handleOrder handles a load order. After an order is accepted, no request starts until the load is done.
+func (e *engine) handleOrder(o rollout.Order, fence int64, from *coordinator) rollout.Answer {
 	e.history.checks.order(e, from, fence)
 	switch {
 	case fence < e.fence:
@@ -180,7 +180,7 @@
 	takesUs := loadTakesUs * e.slow * max(1, int64(h.loading-siteLoads+1))
 	e.recordReport()
 	h.kernel.After(takesUs, func() {
-		if !e.lives(instance) {
+		if !e.isCurrent(instance) {
 			return
 		}
 		h.loading--
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -30,16 +30,16 @@
 	serial  int
 }
 
-// order is one call with all its attempts, up to the final answer.
-type order struct {
+// pendingCall is one call with all its attempts, up to the final answer.
+type pendingCall struct {
 	id   int // in the history
 	call history.Call
 }
 
-const model = "model"
+const modelName = "model"
 
-// next draws and starts the next call, until everything heals.
-func (o *operator) next() {
+// startNextCall draws and starts the next call, until everything heals.
+func (o *operator) startNextCall() {
 	k := o.cluster.kernel
 	if o.cluster.healed {
 		return
@@ -58,16 +58,16 @@
 	case draw < 70:
 		call.Kind = history.Read
 	case draw < 90:
-		call = history.Call{Kind: history.NameWeights, Model: model, Version: k.Between(1, 40)}
+		call = history.Call{Kind: history.NameWeights, Model: modelName, Version: k.Between(1, 40)}
 	default:
-		call = history.Call{Kind: history.ReadWeights, Model: model}
+		call = history.Call{Kind: history.ReadWeights, Model: modelName}
 	}
-	o.try(order{id: o.cluster.history.Begin(o.number, call), call: call}, 1)
+	o.attempt(pendingCall{id: o.cluster.history.Begin(o.number, call), call: call}, 1)
 }
 
-// try sends a call to a random controller, and retries at another one if no final answer
+// attempt sends a call to a random controller, and retries at another one if no final answer
 // arrives in time.
-func (o *operator) try(call order, attemptNumber int) {
+func (o *operator) attempt(call pendingCall, attemptNumber int) {
 	k := o.cluster.kernel
 	node := o.cluster.controllers[k.Below(len(o.cluster.controllers))]
 	finished := false
@@ -80,7 +80,7 @@
 			o.end(call, history.Answer{})
 			return
 		}
-		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.try(call, attemptNumber+1) })
+		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.attempt(call, attemptNumber+1) })
 	}
 	answer := func(a history.Answer) {
 		switch {
@@ -92,11 +92,11 @@
 			o.end(call, a)
 		}
 	}
-	o.cluster.ask(o.name, node, call.call, answer)
+	o.cluster.callController(o.name, node, call.call, answer)
 	k.After(callTimeoutUs, retry)
 }
 
-func (o *operator) end(call order, answer history.Answer) {
+func (o *operator) end(call pendingCall, answer history.Answer) {
 	k := o.cluster.kernel
 	o.cluster.history.End(call.id, answer)
 	k.Note("%s: %s: %s", o.name, call.call, answer)
@@ -117,14 +117,14 @@
 	if answer.Verdict == history.Overtaken && k.Chance(700) {
 		o.version = max(o.version, o.cluster.randomVersion())
 	}
-	k.After(k.Between(20*Millisecond, 900*Millisecond), o.next)
+	k.After(k.Between(20*Millisecond, 900*Millisecond), o.startNextCall)
 }
 
 // randomVersion returns the version of a random operator, so that two operators may use the same base.
 func (c *Cluster) randomVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
 
-// ask sends a call to a controller. answer is called if the response arrives.
-func (c *Cluster) ask(from string, node *Controller, call history.Call, answer func(history.Answer)) {
+// callController sends a call to a controller. answer is called if the response arrives.
+func (c *Cluster) callController(from string, node *Controller, call history.Call, answer func(history.Answer)) {
 	c.network.Send(from, node.addr, func() {
 		node.process.Deliver(func() {
 			node.serveInContact(call, func(a history.Answer) {
@@ -246,7 +246,7 @@
 
 func weightsOf(body messages.LeaseBody) int64 {
 	for _, t := range body.Targets {
-		if t.Model == model {
+		if t.Model == modelName {
 			return t.Version
 		}
 	}
@@ -259,7 +259,7 @@
 	if weightsOf(body) >= version {
 		return nil, nil, errNoChange
 	}
-	body.Targets = []messages.Target{{Model: model, Version: version}}
+	body.Targets = []messages.Target{{Model: modelName, Version: version}}
 	raw, err := body.MarshalMsg(nil)
 	return nil, raw, err
 }
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -7,11 +7,11 @@
 // start to a stop. Callbacks scheduled in one life never run in the next; those that
 // become due while the process is frozen run at the thaw, in order.
 type Process struct {
-	kernel *Kernel
-	life   int64
-	up     bool
-	frozen bool
-	late   []func()
+	kernel   *Kernel
+	life     int64
+	up       bool
+	frozen   bool
+	deferred []func()
 
 	ratePpm   int64 // rate error of the monotonic clock against virtual time
 	bootUs    int64
@@ -30,14 +30,14 @@
 // Start begins a new life and restarts the monotonic clock.
 func (p *Process) Start() {
 	p.life++
-	p.up, p.frozen, p.late = true, false, nil
+	p.up, p.frozen, p.deferred = true, false, nil
 	p.bootUs = p.kernel.nowUs
 }
 
 // Stop ends the current life immediately and drops its callbacks.
 func (p *Process) Stop() {
 	p.life++
-	p.up, p.frozen, p.late = false, false, nil
+	p.up, p.frozen, p.deferred = false, false, nil
 }
 
 // Freeze defers all callbacks of the process until Thaw.
@@ -49,8 +49,8 @@
 		return
 	}
 	p.frozen = false
-	deferred := p.late
-	p.late = nil
+	deferred := p.deferred
+	p.deferred = nil
 	for _, run := range deferred {
 		run()
 	}
@@ -78,7 +78,7 @@
 		switch {
 		case p.life != life || !p.up:
 		case p.frozen:
-			p.late = append(p.late, runWhenAwake)
+			p.deferred = append(p.deferred, runWhenAwake)
 		default:
 			run()
 		}
--- a/internal/simulation/proposer.go
+++ b/internal/simulation/proposer.go
@@ -24,27 +24,27 @@
 
 // pendingChange is the state of one change in progress.
 type pendingChange struct {
-	node    *Controller
-	part    int
-	untilUs int64
-	done    func(messages.Value, error)
-
-	attempt *consensus.Attempt
-	try     int
-	round   *consensus.Round
-	sealing bool // the delay before the round is sealed has started
+	node       *Controller
+	part       int
+	deadlineUs int64
+	done       func(messages.Value, error)
+
+	attempt  *consensus.Attempt
+	attempts int
+	round    *consensus.Round
+	sealing  bool // the delay before the round is sealed has started
 }
 
 // change runs rounds until the change is chosen, the change function rejects it, or the
 // time is over. After consensus.ErrOutcomeUnknown the change may still be chosen later.
 func (c *Controller) change(part int, forUs int64, change consensus.Change, done func(messages.Value, error)) {
 	c.cluster.serial++
-	p := &pendingChange{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
+	p := &pendingChange{node: c, part: part, deadlineUs: c.process.NowUs() + forUs, done: done}
 	p.attempt = consensus.NewAttempt(part, fmt.Sprintf("%s#%d", c.addr, c.cluster.serial), change)
 	p.start()
 }
 
-func (p *pendingChange) remainingUs() int64 { return p.untilUs - p.node.process.NowUs() }
+func (p *pendingChange) remainingUs() int64 { return p.deadlineUs - p.node.process.NowUs() }
 
 func (p *pendingChange) start() {
 	if p.remainingUs() <= 0 {
@@ -133,12 +133,12 @@
 		p.done(round.Value, round.Err)
 		return
 	case consensus.NextRound:
-		p.try++
+		p.attempts++
 		p.start()
 		return
 	}
-	backOffUs := p.node.cluster.kernel.Between(0, int64(10+20*min(p.try, 8))*Millisecond)
-	p.try++
+	backOffUs := p.node.cluster.kernel.Between(0, int64(10+20*min(p.attempts, 8))*Millisecond)
+	p.attempts++
 	p.node.process.After(min(backOffUs, max(p.remainingUs(), 0)), p.start)
 }
 
@@ -160,20 +160,20 @@
 
 // pendingRead is the state of one linearizable read in progress.
 type pendingRead struct {
-	node    *Controller
-	part    int
-	untilUs int64
-	done    func(messages.Value, error)
+	node       *Controller
+	part       int
+	deadlineUs int64
+	done       func(messages.Value, error)
 }
 
 // read passes the newest value to done, after a majority has confirmed that it is current.
 func (c *Controller) read(part int, forUs int64, done func(messages.Value, error)) {
-	p := &pendingRead{node: c, part: part, untilUs: c.process.NowUs() + forUs, done: done}
+	p := &pendingRead{node: c, part: part, deadlineUs: c.process.NowUs() + forUs, done: done}
 	p.start()
 }
 
-// look is one quorum read: a request to every member of the group.
-type look struct {
+// quorumRead is one quorum read: a request to every member of the group.
+type quorumRead struct {
 	*consensus.QuorumRead
 	responses int
 	finished  bool
@@ -182,7 +182,7 @@
 func (p *pendingRead) start() {
 	base, ok := p.node.committed(p.part)
 	switch {
-	case p.node.process.NowUs() >= p.untilUs:
+	case p.node.process.NowUs() >= p.deadlineUs:
 		p.done(messages.Value{}, consensus.ErrOutcomeUnknown)
 		return
 	case !ok:
@@ -192,7 +192,7 @@
 		p.done(base, nil)
 		return
 	}
-	q := &look{QuorumRead: consensus.NewQuorumRead(base)}
+	q := &quorumRead{QuorumRead: consensus.NewQuorumRead(base)}
 	p.node.process.After(readTimeoutUs, func() { p.finish(q) })
 	for _, m := range base.Group {
 		request := messages.ConsensusRequest{Part: p.part, To: m.ID, Step: messages.Read, Slot: base.Version + 1}
@@ -200,7 +200,7 @@
 	}
 }
 
-func (p *pendingRead) receive(q *look, from messages.Member, r messages.ConsensusResponse) {
+func (p *pendingRead) receive(q *quorumRead, from messages.Member, r messages.ConsensusResponse) {
 	if q.finished {
 		return
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-func (p *pendingRead) finish(q *look) {
+func (p *pendingRead) finish(q *quorumRead) {
 	if q.finished {
 		return
 	}
@@ -225,7 +225,7 @@
 		p.done(q.Base, nil)
 	case consensus.Undecided:
 		noChange := func(messages.Value) ([]messages.Member, []byte, error) { return nil, nil, errSettled }
-		p.node.change(p.part, p.untilUs-p.node.process.NowUs(), noChange, func(_ messages.Value, err error) {
+		p.node.change(p.part, p.deadlineUs-p.node.process.NowUs(), noChange, func(_ messages.Value, err error) {
 			if err != nil && !errors.Is(err, errSettled) {
 				p.done(messages.Value{}, err)
 				return
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -25,8 +25,8 @@
 	recallEveryUs = 5 * Second
 )
 
-// silence holds the numbers of missed heartbeats after which a runner is stale and lost.
-var silence = registry.SilenceLimitsFor(heartbeatUs)
+// silenceLimits holds the numbers of missed heartbeats after which a runner is stale and lost.
+var silenceLimits = registry.SilenceLimitsFor(heartbeatUs)
 
 // registrar is the registry side of one controller.
 type registrar struct {
@@ -127,7 +127,7 @@
 func (r *registrar) applyDelta(from *registrar, change statesync.Change[string, string]) {
 	switch r.mirrors[from.addr].Apply(change) {
 	case statesync.VersionGap, statesync.DigestMismatch:
-		r.ask(from)
+		r.requestDelta(from)
 		return
 	case statesync.AlreadyApplied:
 		return
@@ -139,8 +139,8 @@
 	r.publish(changed...)
 }
 
-// ask sends the cursor of another registrar's stream to it, which returns the missing delta.
-func (r *registrar) ask(of *registrar) {
+// requestDelta sends the cursor of another registrar's stream to it, which returns the missing delta.
+func (r *registrar) requestDelta(of *registrar) {
 	epoch, version := r.mirrors[of.addr].Cursor()
 	r.fleet.network.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
@@ -154,9 +154,9 @@
 // compare requests from every other registrar the missing delta of its stream, and later
 // heartbeats of the runners that are silent here.
 func (r *registrar) compare() {
-	silent := r.runners.SilentRunners(r.process.NowUs(), silence)
+	silent := r.runners.SilentRunners(r.process.NowUs(), silenceLimits)
 	for _, other := range r.others() {
-		r.ask(other)
+		r.requestDelta(other)
 		r.requestHeartbeats(other, silent)
 	}
 }
@@ -190,7 +190,7 @@
 // sweep marks silent runners as stale or lost, and synchronizes the stream with the
 // registry.
 func (r *registrar) sweep() {
-	for _, record := range r.runners.Sweep(r.process.NowUs(), silence, r.inContact()) {
+	for _, record := range r.runners.Sweep(r.process.NowUs(), silenceLimits, r.inContact()) {
 		r.publish(record.ID)
 	}
 	if err := r.runners.Sync(r.stream); err != nil {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -15,34 +15,34 @@
 // fault is one kind of fault. Its weight determines how often it is drawn.
 type fault struct {
 	weight int
-	strike func(c *Cluster, victim *Controller, forUs int64)
+	inject func(c *Cluster, victim *Controller, forUs int64)
 	// recordsDisturbance is set for a fault that records its own disturbance.
 	recordsDisturbance bool
 }
 
 var faults = []fault{
-	{weight: 3, strike: (*Cluster).crashFor},
-	{weight: 2, strike: (*Cluster).losePowerFor},
-	{weight: 2, strike: (*Cluster).loseAllPower},
-	{weight: 3, strike: (*Cluster).freezeFor},
-	{weight: 3, strike: (*Cluster).cutOffFor},
-	{weight: 3, strike: (*Cluster).cutOneWayFor},
-	{weight: 3, strike: (*Cluster).cutSomeFor},
-	{weight: 2, strike: (*Cluster).degradeAllLinksFor},
-	{weight: 2, strike: (*Cluster).stallDiskFor},
-	{weight: 1, strike: (*Cluster).fillDiskFor},
-	{weight: 1, strike: (*Cluster).slowDiskFor},
-	{weight: 4, strike: (*Cluster).wipeDiskFor},
-	{weight: 1, strike: (*Cluster).slowAllDisksFor},
-	{weight: 4, strike: (*Cluster).deferAllPowerLoss},
-	{weight: 2, strike: (*Cluster).deferWipe},
-	{weight: 2, strike: (*Cluster).deferCrashAll},
-	{weight: 1, strike: (*Cluster).stepClock},
-	{weight: 4, strike: (*Cluster).shutDownFor, recordsDisturbance: true},
-}
-
-// plan draws and schedules the faults of a history.
-func (c *Cluster) plan() {
+	{weight: 3, inject: (*Cluster).crashFor},
+	{weight: 2, inject: (*Cluster).losePowerFor},
+	{weight: 2, inject: (*Cluster).loseAllPower},
+	{weight: 3, inject: (*Cluster).freezeFor},
+	{weight: 3, inject: (*Cluster).cutOffFor},
+	{weight: 3, inject: (*Cluster).cutOneWayFor},
+	{weight: 3, inject: (*Cluster).cutSomeFor},
+	{weight: 2, inject: (*Cluster).degradeAllLinksFor},
+	{weight: 2, inject: (*Cluster).stallDiskFor},
+	{weight: 1, inject: (*Cluster).fillDiskFor},
+	{weight: 1, inject: (*Cluster).slowDiskFor},
+	{weight: 4, inject: (*Cluster).wipeDiskFor},
+	{weight: 1, inject: (*Cluster).slowAllDisksFor},
+	{weight: 4, inject: (*Cluster).deferAllPowerLoss},
+	{weight: 2, inject: (*Cluster).deferWipe},
+	{weight: 2, inject: (*Cluster).deferCrashAll},
+	{weight: 1, inject: (*Cluster).stepClock},
+	{weight: 4, inject: (*Cluster).shutDownFor, recordsDisturbance: true},
+}
+
+// scheduleFaults draws and schedules the faults of a history.
+func (c *Cluster) scheduleFaults() {
 	k := c.kernel
 	total := 0
 	for _, f := range faults {
@@ -60,7 +60,7 @@
 		}
 		k.After(calmUs+k.Between(0, faultPhaseUs), func() {
 			if !c.healed {
-				faults[chosen].strike(c, c.controllers[k.Below(len(c.controllers))], forUs)
+				faults[chosen].inject(c, c.controllers[k.Below(len(c.controllers))], forUs)
 				if !faults[chosen].recordsDisturbance {
 					c.recordFault(forUs)
 				}
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -22,12 +22,12 @@
 	begun           bool
 	successorsFound bool            // the successors are known
 	successors      []messages.Peer // members, and spares that may become members
-	untilUs         int64
+	deadlineUs      int64
 }
 
-// leave shuts a process down in order, and calls ended when it may stop.
-func (c *Controller) leave(ended func()) {
-	c.shutdown = shutdown{begun: true, untilUs: c.process.NowUs() + handOverTotalUs}
+// beginShutdown shuts a process down in order, and calls ended when it may stop.
+func (c *Controller) beginShutdown(ended func()) {
+	c.shutdown = shutdown{begun: true, deadlineUs: c.process.NowUs() + handOverTotalUs}
 	if c.cluster.defects.ShutDownWithoutHandOver || !c.isMember() {
 		ended()
 		return
@@ -111,7 +111,7 @@
 
 // handOver repairs the groups until no membership is left to hand over, or the time is over.
 func (c *Controller) handOver(ended func()) {
-	if c.process.NowUs() >= c.shutdown.untilUs || !c.mayHandOver() {
+	if c.process.NowUs() >= c.shutdown.deadlineUs || !c.mayHandOver() {
 		c.flushOthers(ended)
 		return
 	}
@@ -174,7 +174,7 @@
 	}
 	c.kernel.Note("%s is told to end", victim.addr)
 	c.recordFault(handOverTotalUs + handOverConfirmUs + handOverFlushUs + forUs)
-	victim.leave(func() {
+	victim.beginShutdown(func() {
 		if undisturbed && count == c.faultCount-1 && !c.healed {
 			c.checks.checkHandOver(victim, spare)
 		}
--- a/internal/simulation/storage.go
+++ b/internal/simulation/storage.go
@@ -33,7 +33,7 @@
 type Storage struct {
 	kernel       *Kernel
 	files        map[string]*file
-	waiting      []write
+	queue        []write
 	busy         bool
 	generation   int64 // incremented when the writes in progress are aborted
 	Stalled      bool
@@ -64,14 +64,14 @@
 
 // Write replaces a file and calls done once that is durable or has failed.
 func (s *Storage) Write(name string, content []byte, done func(error)) {
-	s.waiting = append(s.waiting, write{name, content, done})
-	s.work()
+	s.queue = append(s.queue, write{name, content, done})
+	s.startNext()
 }
 
 // Sync makes the visible content of all files durable and calls done once it is, or once that has failed.
 func (s *Storage) Sync(done func(error)) {
-	s.waiting = append(s.waiting, write{name: allFiles, done: done})
-	s.work()
+	s.queue = append(s.queue, write{name: allFiles, done: done})
+	s.startNext()
 }
 
 // allFiles is the name of a queued sync, which applies to all files.
@@ -87,11 +87,11 @@
 // Resume ends a stall and continues with the queued writes.
 func (s *Storage) Resume() {
 	s.Stalled = false
-	s.work()
+	s.startNext()
 }
 
-func (s *Storage) work() {
-	if s.busy || s.Stalled || len(s.waiting) == 0 {
+func (s *Storage) startNext() {
+	if s.busy || s.Stalled || len(s.queue) == 0 {
 		return
 	}
 	s.busy = true
@@ -108,8 +108,8 @@
 	if s.Stalled {
 		return
 	}
-	w := s.waiting[0]
-	s.waiting = s.waiting[1:]
+	w := s.queue[0]
+	s.queue = s.queue[1:]
 	switch {
 	case s.Full:
 		w.done(ErrDisk)
@@ -120,13 +120,13 @@
 		s.files[w.name] = &file{durable: w.content}
 		w.done(nil)
 	}
-	s.work()
+	s.startNext()
 }
 
 // Kill aborts the queued writes, as the end of their process does. Each of them may
 // have reached its rename; then its content is visible but not synced.
 func (s *Storage) Kill() {
-	for _, w := range s.waiting {
+	for _, w := range s.queue {
 		if s.Full || w.name == allFiles || !s.kernel.Chance(500) {
 			continue
 		}
@@ -137,7 +137,7 @@
 		}
 		f.unsynced = append(f.unsynced, w.content)
 	}
-	s.waiting, s.busy = nil, false
+	s.queue, s.busy = nil, false
 	s.generation++
 }
 
