--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -1,4 +1,4 @@
-// Checks of the registers during a history, and the counts that it returns.
+// Checks of the registers during a history, and the counts of its events.
 
 package simulation
 
@@ -18,26 +18,26 @@
 
 // checks holds what the checks have observed of each register.
 type checks struct {
-	cluster    *Cluster
-	stamps     [parts]map[int64]string
-	newest     [parts]messages.Value
-	groupSince [parts]int64
-	joined     [parts]map[string]bool // by member id: whether the last change of the group added it
-	holders    map[int64]string       // by fence
-	lastActs   map[string]leaseAct    // by holder id
-	counts     Counts
+	cluster      *Cluster
+	stamps       [parts]map[int64]string
+	newest       [parts]messages.Value
+	groupVersion [parts]int64
+	addedMembers [parts]map[string]bool // by member id: whether the last group change added it
+	holders      map[int64]string       // by fence
+	lastActs     map[string]leaseAct    // by holder id
+	counts       Counts
 }
 
 // Counts count the events of histories, so that tests detect a model in which something never happens.
 type Counts struct {
-	Histories, Chosen, ConfigsAccepted, ConfigsRejected, Reads, CallsUnclear, Regroups, LeaseActs, DisksLost, Fleets, DistributionHistories int64
-	Rollouts, Orders, Begun, Takeovers                                                                                                      int64
-	UsageHistories, UsageWindows                                                                                                            int64
-	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                                                      int64
-	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                                         int64
-	VersionHistories, VersionRequests, VersionExposed, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted                         int64
-	HandOvers, OutOfContact, LoadHistories, LoadReports                                                                                     int64
-	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                                              int64
+	Histories, Chosen, ConfigsAccepted, ConfigsRejected, Reads, CallsUnclear, GroupChanges, LeaseActs, DisksLost, Fleets, DistributionHistories int64
+	Rollouts, Orders, Begun, Takeovers                                                                                                          int64
+	UsageHistories, UsageWindows                                                                                                                int64
+	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                                                          int64
+	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                                             int64
+	VersionHistories, VersionRequests, VersionExposed, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted                             int64
+	HandOvers, OutOfContact, LoadHistories, LoadReports                                                                                         int64
+	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                                                  int64
 }
 
 // Add adds other to the counts.
@@ -48,7 +48,7 @@
 	c.ConfigsRejected += other.ConfigsRejected
 	c.Reads += other.Reads
 	c.CallsUnclear += other.CallsUnclear
-	c.Regroups += other.Regroups
+	c.GroupChanges += other.GroupChanges
 	c.LeaseActs += other.LeaseActs
 	c.DisksLost += other.DisksLost
 	c.Fleets += other.Fleets
@@ -98,7 +98,7 @@
 		"%d of tallies: %d adds sent, %d acknowledged, %d of them during a cut, %d not owed; "+
 		"%d of requests: %d sent, %d ran, %d attempts beyond the first, %d answered, %d rejected; %d hand-overs, %d calls refused out of contact; %d of loads: %d reports; "+
 		"%d of versions: %d requests, %d to the new version, %d of %d good ones settled, %d of %d bad ones reverted",
-		c.Histories, c.Chosen, c.Regroups, c.DisksLost, c.LeaseActs, c.ConfigsAccepted, c.ConfigsRejected, c.Reads, c.CallsUnclear, c.Fleets, c.DistributionHistories,
+		c.Histories, c.Chosen, c.GroupChanges, c.DisksLost, c.LeaseActs, c.ConfigsAccepted, c.ConfigsRejected, c.Reads, c.CallsUnclear, c.Fleets, c.DistributionHistories,
 		c.Rollouts, c.Orders, c.Begun, c.Takeovers, c.UsageHistories, c.UsageWindows, c.QuotaHistories, c.QuotaRan, c.QuotaAsked, c.QuotaDenied, c.QuotaUnknown, c.QuotaLate,
 		c.TallyHistories, c.TallySent, c.TallyAcked, c.TallyAckedCut, c.TallyNotOwed,
 		c.RequestHistories, c.RequestsSent, c.RequestsRun, c.RequestRetries, c.RequestsAnswered, c.RequestsRejected, c.HandOvers, c.OutOfContact, c.LoadHistories, c.LoadReports,
@@ -114,8 +114,8 @@
 	return out
 }
 
-// chosen is called when a proposer observes that a value is chosen.
-func (c *checks) chosen(part int, v messages.Value) {
+// recordChosen is called when a proposer observes that a value is chosen.
+func (c *checks) recordChosen(part int, v messages.Value) {
 	if old, known := c.stamps[part][v.Version]; known {
 		if old != v.Stamp {
 			c.cluster.kernel.Fail("two values under version %d of part %d: %s and %s", v.Version, part, old, v.Stamp)
@@ -129,33 +129,33 @@
 		return
 	}
 	if !slices.Equal(v.Group, c.newest[part].Group) {
-		c.groupSince[part], c.joined[part] = v.Version, map[string]bool{}
+		c.groupVersion[part], c.addedMembers[part] = v.Version, map[string]bool{}
 		for _, m := range v.Group {
-			c.joined[part][m.ID] = !slices.Contains(c.newest[part].Group, m)
+			c.addedMembers[part][m.ID] = !slices.Contains(c.newest[part].Group, m)
 		}
-		c.counts.Regroups++
-		c.checkJoined(part, v)
+		c.counts.GroupChanges++
+		c.checkAddedMembers(part, v)
 	}
 	c.newest[part] = v
 }
 
-// checkJoined checks that each member added to a group has the value before the change on
+// checkAddedMembers checks that each member added to a group has the value before the change on
 // disk, unless its disk has been lost since.
-func (c *checks) checkJoined(part int, v messages.Value) {
+func (c *checks) checkAddedMembers(part int, v messages.Value) {
 	for _, m := range v.Group {
 		node := c.cluster.controllerAt(m.Addr)
 		identity, _ := node.disk.Durable(identityFile)
-		if c.joined[part][m.ID] && string(identity) == m.ID && !node.hasDurably(part, m.ID, v.Version-1) {
+		if c.addedMembers[part][m.ID] && string(identity) == m.ID && !node.hasDurably(part, m.ID, v.Version-1) {
 			c.cluster.kernel.Fail("%s joins part %d at version %d and does not hold the version before on disk", m.ID, part, v.Version)
 		}
 	}
 }
 
-// committed is called when a node learns a committed value. A value may be observed here
+// checkCommitted is called when a node learns a committed value. A value may be observed here
 // first if its proposer stopped before it observed that the value was chosen.
-func (c *checks) committed(node *Controller, part int, v messages.Value) {
+func (c *checks) checkCommitted(node *Controller, part int, v messages.Value) {
 	if v.Version > 0 {
-		c.chosen(part, v)
+		c.recordChosen(part, v)
 	}
 	known, ok := node.committed(part)
 	if ok && known.Version > v.Version {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -146,14 +146,14 @@
 // majorityHasGroup reports whether a majority of the newest group remains without the victim
 // whose disks hold a value with that group.
 func (c *Cluster) majorityHasGroup(part int, victim *Controller) bool {
-	group, left := c.checks.newest[part].Group, 0
+	group, remaining := c.checks.newest[part].Group, 0
 	for _, m := range group {
 		node := c.controllerAt(m.Addr)
-		if node != victim && node.hasDurably(part, m.ID, c.checks.groupSince[part]) {
-			left++
+		if node != victim && node.hasDurably(part, m.ID, c.checks.groupVersion[part]) {
+			remaining++
 		}
 	}
-	return left > len(group)/2
+	return remaining > len(group)/2
 }
 
 // repairComplete reports whether every remaining member that the last change of the group
@@ -167,7 +167,7 @@
 		switch {
 		case node == victim || !ok || string(identity) != m.ID:
 			lost++
-		case c.checks.joined[part][m.ID] && !node.hasDurably(part, m.ID, c.checks.groupSince[part]):
+		case c.checks.addedMembers[part][m.ID] && !node.hasDurably(part, m.ID, c.checks.groupVersion[part]):
 			return false
 		}
 	}
--- a/internal/simulation/contact.go
+++ b/internal/simulation/contact.go
@@ -51,8 +51,8 @@
 
 // alreadyAccepted reports whether this node has learned that the call's change was accepted, so that the answer needs no majority.
 func (c *Controller) alreadyAccepted(call history.Call) bool {
-	cur, known := c.committed(configPart)
-	return known && call.Kind == history.Replace && submissionOf(call).AcceptedIn(configOf(cur))
+	current, known := c.committed(configPart)
+	return known && call.Kind == history.Replace && submissionOf(call).AcceptedIn(configOf(current))
 }
 
 // recordHandled records the virtual time at which a member has handled a request of this controller.
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -79,8 +79,8 @@
 	c.synced = false
 	c.shutdown, c.contact, c.handledUs = shutdown{}, lease.Contact{}, map[string]int64{}
 	c.id, c.registers = "", [parts]*register{}
-	if kept, ok := c.disk.Read(identityFile); ok {
-		c.open(string(kept), founding)
+	if identity, ok := c.disk.Read(identityFile); ok {
+		c.open(string(identity), founding)
 		return
 	}
 	id := consensus.BootstrapID(c.addr)
@@ -178,7 +178,7 @@
 	if r == nil || len(v.Group) == 0 || r.learned != nil && r.learned.Version >= v.Version {
 		return
 	}
-	c.cluster.checks.committed(c, part, v)
+	c.cluster.checks.checkCommitted(c, part, v)
 	r.learned = &v
 	if !r.persisting {
 		r.persisting = true
@@ -335,13 +335,13 @@
 	if target == nil {
 		return
 	}
-	net, life, answered := c.cluster.network, c.process.life, false
+	network, life, answered := c.cluster.network, c.process.life, false
 	sentUs := c.process.NowUs()
-	net.Send(c.addr, to, func() {
+	network.Send(c.addr, to, func() {
 		target.process.Deliver(func() {
 			target.handleRequest(request, func(response messages.ConsensusResponse) {
 				c.recordHandled(target.id, life)
-				net.Send(to, c.addr, c.process.inLifeOf(life, func() {
+				network.Send(to, c.addr, c.process.inLifeOf(life, func() {
 					if !answered {
 						answered = true
 						c.recordAnswer(request, response, sentUs)
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -26,10 +26,10 @@
 
 // release is one version of the configuration register.
 type release struct {
-	version int64
-	order   routeconfig.Submission
-	entries map[string]string
-	ackedUs int64 // 0 while nobody has acknowledged it
+	version    int64
+	submission routeconfig.Submission
+	entries    map[string]string
+	ackedUs    int64 // 0 while nobody has acknowledged it
 }
 
 // distribution holds the state of one history of the distribution model.
@@ -148,16 +148,16 @@
 	case d.kernel.Chance(100) && base > 1:
 		base--
 	}
-	order := routeconfig.ParseSubmission(raw)
-	order.Base = base
-	next, err := order.Apply(d.chosen)
+	submission := routeconfig.ParseSubmission(raw)
+	submission.Base = base
+	next, err := submission.Apply(d.chosen)
 	if err != nil {
 		d.rejected[version] = true
 		d.counts.ConfigsRejected++
 		return
 	}
 	delete(d.rejected, version)
-	d.accept(at, next, order)
+	d.accept(at, next, submission)
 }
 
 func invalidConfiguration(version int64) []byte {
@@ -185,8 +185,8 @@
 
 // accept models a successful round: the members that the proposer reaches have accepted the
 // value, and the proposer learns it, sends it to the others and acknowledges it.
-func (d *distribution) accept(at *source, next messages.ConfigBody, order routeconfig.Submission) {
-	config, err := routeconfig.ParseAccepted(order.Raw)
+func (d *distribution) accept(at *source, next messages.ConfigBody, submission routeconfig.Submission) {
+	config, err := routeconfig.ParseAccepted(submission.Raw)
 	if err != nil {
 		d.kernel.Fail("a configuration that was taken can't be read: %v", err)
 		return
@@ -197,7 +197,7 @@
 		return
 	}
 	d.chosen = next
-	r := &release{version: int64(len(d.releases)) + 1, order: order, entries: entries}
+	r := &release{version: int64(len(d.releases)) + 1, submission: submission, entries: entries}
 	d.releases = append(d.releases, r)
 	d.counts.ConfigsAccepted++
 	d.kernel.Note("%s: version %d, configuration %d, is chosen", at.addr, r.version, next.Version)
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -156,7 +156,7 @@
 // dial opens a connection. The other machine accepts it even while its process is frozen or slow.
 func (r *sink) dial(to node, ended func(bool)) {
 	done := false
-	finish := r.process.InLife
+	inLife := r.process.InLife
 	end := func(ok bool) {
 		if !done {
 			done = true
@@ -165,7 +165,7 @@
 	}
 	r.d.network.Send(r.addr, to.address(), func() {
 		up := to.proc().Up()
-		r.d.network.Send(to.address(), r.addr, finish(func() { r.d.step(r.process, func() { end(up) }) }))
+		r.d.network.Send(to.address(), r.addr, inLife(func() { r.d.step(r.process, func() { end(up) }) }))
 	})
 	r.process.After(dialWaitUs, func() { end(false) })
 }
@@ -302,7 +302,7 @@
 		k.Fail("%s has configuration %d in force, which was refused", r.addr, table.Version)
 		return
 	}
-	config, err := routeconfig.ParseAccepted(r.d.releases[version-1].order.Raw)
+	config, err := routeconfig.ParseAccepted(r.d.releases[version-1].submission.Raw)
 	if err != nil || config.Version != table.Version {
 		k.Fail("%s has configuration %d in force under version %d: %v", r.addr, table.Version, version, err)
 		return
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -74,8 +74,8 @@
 			candidates = append(candidates, p.Addr)
 		}
 	}
-	rank, found := lease.Rank(candidates, c.addr, held)
-	view := lease.TakeoverView{Holder: held.Holder, Fence: held.Fence, Gone: !hasPeer(alive, held.Holder), InContact: found, Needed: true, Rank: rank}
+	rank, inGroup := lease.Rank(candidates, c.addr, held)
+	view := lease.TakeoverView{Holder: held.Holder, Fence: held.Fence, Gone: !hasPeer(alive, held.Holder), InContact: inGroup, Needed: true, Rank: rank}
 	if c.takeover.Due(view, now) {
 		c.acquireLease(held)
 	}
@@ -112,14 +112,14 @@
 }
 
 // acquireLease acquires the lease by a change of the register, unless the lease has changed since it was read.
-func (c *Controller) acquireLease(was messages.Lease) {
+func (c *Controller) acquireLease(previous messages.Lease) {
 	c.leaseBusy = true
 	acquire := func(cur messages.Value) ([]messages.Member, []byte, error) {
 		body := leaseBodyOf(cur)
-		if body.Lease != was {
+		if body.Lease != previous {
 			return nil, nil, errNoChange
 		}
-		body.Lease = messages.Lease{Holder: c.id, Fence: was.Fence + 1}
+		body.Lease = messages.Lease{Holder: c.id, Fence: previous.Fence + 1}
 		raw, err := body.MarshalMsg(nil)
 		return nil, raw, err
 	}
@@ -128,7 +128,7 @@
 		if err != nil || leaseBodyOf(v).Lease.Holder != c.id {
 			return
 		}
-		predecessor := lease.PredecessorOf(was.Holder, c.id, c.actedUnder(was.Fence))
+		predecessor := lease.PredecessorOf(previous.Holder, c.id, c.actedUnder(previous.Fence))
 		c.rolloutLease.Acquired(leaseBodyOf(v).Lease.Fence, predecessor, c.process.NowUs())
 		c.cluster.kernel.Note("%s takes the duty under fence %d", c.id, c.rolloutLease.Fence())
 	})
--- a/internal/simulation/kernel.go
+++ b/internal/simulation/kernel.go
@@ -106,7 +106,7 @@
 // Chance returns true with a probability of perMille in a thousand.
 func (k *Kernel) Chance(perMille int) bool { return k.random.IntN(1000) < perMille }
 
-// Note appends a line with the virtual time to the history, if it is recorded.
+// Note appends a formatted line with the virtual time to the history, if it is recorded.
 func (k *Kernel) Note(format string, args ...any) {
 	if k.recording {
 		k.history = append(k.history, fmt.Sprintf("%9.3f ms  ", float64(k.nowUs)/float64(Millisecond))+fmt.Sprintf(format, args...))
--- a/internal/simulation/lease_group.go
+++ b/internal/simulation/lease_group.go
@@ -127,11 +127,11 @@
 
 // ask runs there in another member, and answered here once the answer arrives.
 func (m *leaseMember) ask(other *leaseMember, there, answered func()) {
-	net, back := m.group.network, m.process.InLife(answered)
-	net.Send(m.addr, other.addr, func() {
+	network, back := m.group.network, m.process.InLife(answered)
+	network.Send(m.addr, other.addr, func() {
 		other.process.Deliver(func() {
 			there()
-			net.Send(other.addr, m.addr, back)
+			network.Send(other.addr, m.addr, back)
 		})
 	})
 }
@@ -230,20 +230,20 @@
 }
 
 func (m *leaseMember) acquire(view lease.RoleView) {
-	previous := view.Lease
-	next := m.role.NextLease(previous, view.FenceFloor)
+	previousLease := view.Lease
+	nextLease := m.role.NextLease(previousLease, view.FenceFloor)
 	edit := func(body *messages.LeaseBody) bool {
-		if body.Lease != previous {
+		if body.Lease != previousLease {
 			return false
 		}
-		body.Lease = next
+		body.Lease = nextLease
 		return true
 	}
 	m.round(edit, func(ok bool, now messages.LeaseBody) {
 		m.busy = false
-		if ok && now.Lease == next {
-			m.group.kernel.Note("%s acquires the lease under fence %d", m.addr, next.Fence)
-			m.role.Acquired(previous, next, m.usedFence == previous.Fence, m.nowUs())
+		if ok && now.Lease == nextLease {
+			m.group.kernel.Note("%s acquires the lease under fence %d", m.addr, nextLease.Fence)
+			m.role.Acquired(previousLease, nextLease, m.usedFence == previousLease.Fence, m.nowUs())
 		}
 	})
 }
--- a/internal/simulation/pings.go
+++ b/internal/simulation/pings.go
@@ -41,14 +41,14 @@
 }
 
 func (c *Controller) pingOne(to *Controller, ages map[string]peer, versions [parts]int64) {
-	net, life, sentUs := c.cluster.network, c.process.life, c.process.NowUs()
-	net.Send(c.addr, to.addr, func() {
+	network, life, sentUs := c.cluster.network, c.process.life, c.process.NowUs()
+	network.Send(c.addr, to.addr, func() {
 		to.process.Deliver(func() {
 			if to.id != "" {
 				to.handlePing(c.addr, ages, versions)
 				member := to.id
 				c.recordHandled(member, life)
-				net.Send(to.addr, c.addr, c.process.inLifeOf(life, func() {
+				network.Send(to.addr, c.addr, c.process.inLifeOf(life, func() {
 					c.lastAnsweredUs[to.addr] = max(c.lastAnsweredUs[to.addr], sentUs)
 					c.contact.RecordAnswer(member, sentUs)
 				}))
--- a/internal/simulation/play_test.go
+++ b/internal/simulation/play_test.go
@@ -20,7 +20,7 @@
 	must.Positive(t, counts.ConfigsRejected)
 	must.Positive(t, counts.Reads)
 	must.Positive(t, counts.CallsUnclear)
-	must.Positive(t, counts.Regroups)
+	must.Positive(t, counts.GroupChanges)
 	must.Positive(t, counts.DisksLost)
 	must.Positive(t, counts.LeaseActs)
 	must.Positive(t, counts.HandOvers)
--- a/internal/simulation/proposer.go
+++ b/internal/simulation/proposer.go
@@ -123,7 +123,7 @@
 	p.round = nil
 	switch round.Outcome {
 	case consensus.Chosen:
-		p.node.cluster.checks.chosen(p.part, round.Value)
+		p.node.cluster.checks.recordChosen(p.part, round.Value)
 		p.broadcastCommit(round)
 	case consensus.Superseded:
 		p.node.learn(p.part, round.Value)
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -163,11 +163,11 @@
 
 // requestHeartbeats requests later heartbeats. Its response also shows that the other registrar is reachable.
 func (r *registrar) requestHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
-	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
-	net.Send(r.addr, of.addr, func() {
+	network, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
+	network.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
 			heard := of.runners.LaterHeartbeats(silent, of.process.NowUs())
-			net.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
+			network.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
 				r.lastAnsweredUs[of.addr] = max(r.lastAnsweredUs[of.addr], sentUs)
 				r.publish(r.runners.ApplyLaterHeartbeats(heard, sentUs, r.process.NowUs())...)
 			}))
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -16,8 +16,8 @@
 type fault struct {
 	weight int
 	inject func(c *Cluster, victim *Controller, forUs int64)
-	// recordsDisturbance is set for a fault that records its own disturbance.
-	recordsDisturbance bool
+	// recordsFault is set for a fault that records its own disturbance.
+	recordsFault bool
 }
 
 var faults = []fault{
@@ -38,7 +38,7 @@
 	{weight: 2, inject: (*Cluster).deferWipe},
 	{weight: 2, inject: (*Cluster).deferCrashAll},
 	{weight: 1, inject: (*Cluster).stepClock},
-	{weight: 4, inject: (*Cluster).shutDownFor, recordsDisturbance: true},
+	{weight: 4, inject: (*Cluster).shutDownFor, recordsFault: true},
 }
 
 // scheduleFaults draws and schedules the faults of a history.
@@ -61,7 +61,7 @@
 		k.After(calmUs+k.Between(0, faultPhaseUs), func() {
 			if !c.healed {
 				faults[chosen].inject(c, c.controllers[k.Below(len(c.controllers))], forUs)
-				if !faults[chosen].recordsDisturbance {
+				if !faults[chosen].recordsFault {
 					c.recordFault(forUs)
 				}
 			}
