--- a/internal/simulation/contact.go
+++ b/internal/simulation/contact.go
@@ -28,19 +28,19 @@
 
 // serveInContact serves an operator's call under the contact lease, which it checks before
 // the call and again before the answer.
-func (c *Controller) serveInContact(call history.Call, answer func(history.Answer)) {
+func (c *Controller) serveInContact(call history.Call, answer func(history.Response)) {
 	begunUs := c.process.NowUs()
 	unchecked := c.cluster.defects.AnswerWithoutContactLease
 	if !unchecked && !c.contact.Holds(c.configGroup(), begunUs) && !c.startingUp() {
 		c.cluster.checks.counts.OutOfContact++
-		answer(history.Answer{})
+		answer(history.Response{})
 		return
 	}
-	c.serve(call, func(a history.Answer) {
+	c.serve(call, func(a history.Response) {
 		if a.Verdict != history.Unclear && !c.alreadyAccepted(call) {
 			if !unchecked && !c.contact.MayAnswer(c.configGroup(), begunUs, c.process.NowUs()) {
 				c.cluster.checks.counts.OutOfContact++
-				answer(history.Answer{})
+				answer(history.Response{})
 				return
 			}
 			c.cluster.checks.checkContact(c)
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -17,9 +17,9 @@
 	subscribeWaitUs     = 600 * Millisecond
 	subscriberTickUs    = 250 * Millisecond
 	acceptAnyAfterUs    = 2_500 * Millisecond
-	compareEveryUs      = convergeUs / dissemination.ComparisonParts
-	compareWaitUs       = convergeUs / dissemination.ComparisonWaitParts
-	overdueUs           = convergeUs / dissemination.OverdueParts
+	compareEveryUs      = convergeUs / dissemination.ComparisonIntervalDivisor
+	compareWaitUs       = convergeUs / dissemination.ComparisonTimeoutDivisor
+	overdueUs           = convergeUs / dissemination.OverdueDivisor
 	deadAfterUs         = 1_200 * Millisecond // after which a silent process is considered dead
 	corruptPerMille     = 2                   // share of changes that arrive with a wrong digest
 	minRelayChildNumber = 3
@@ -177,7 +177,7 @@
 	}
 	nowUs := r.process.NowUs()
 	addr := r.parent.parent.address()
-	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastFeedUs, nowUs) || r.policy.Moves(r.preferredParents(), addr, nowUs) {
+	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastFeedUs, nowUs) || r.policy.ShouldMove(r.preferredParents(), addr, nowUs) {
 		r.leave()
 	}
 }
@@ -260,7 +260,7 @@
 func (r *sink) compareWith(to node, overdue bool) {
 	begunUs := r.process.NowUs()
 	var version int64
-	ended := func(ok bool) { r.comparisons.Ended(to.address(), ok, true) }
+	ended := func(ok bool) { r.comparisons.RecordResult(to.address(), ok, true) }
 	r.d.call(r.process, r.addr, to.proc(), to.address(), compareWaitUs, func() func() {
 		f := to.feedSince(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 1 << 62}})
 		return func() { version = f.Versions[0] }
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -58,7 +58,7 @@
 	case draw < 70:
 		call.Kind = history.Read
 	case draw < 90:
-		call = history.Call{Kind: history.NameWeights, Model: modelName, Version: k.Between(1, 40)}
+		call = history.Call{Kind: history.SetWeights, Model: modelName, Version: k.Between(1, 40)}
 	default:
 		call = history.Call{Kind: history.ReadWeights, Model: modelName}
 	}
@@ -77,12 +77,12 @@
 		}
 		finished = true
 		if attemptNumber == maxAttempts || o.cluster.healed {
-			o.end(call, history.Answer{})
+			o.end(call, history.Response{})
 			return
 		}
 		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.attempt(call, attemptNumber+1) })
 	}
-	answer := func(a history.Answer) {
+	answer := func(a history.Response) {
 		switch {
 		case finished:
 		case a.Verdict == history.Unclear:
@@ -96,7 +96,7 @@
 	k.After(callTimeoutUs, retry)
 }
 
-func (o *operator) end(call pendingCall, answer history.Answer) {
+func (o *operator) end(call pendingCall, answer history.Response) {
 	k := o.cluster.kernel
 	o.cluster.history.End(call.id, answer)
 	k.Note("%s: %s: %s", o.name, call.call, answer)
@@ -104,7 +104,7 @@
 	switch {
 	case answer.Verdict == history.Unclear:
 		counts.CallsUnclear++
-	case answer.Verdict != history.Taken:
+	case answer.Verdict != history.Accepted:
 		counts.ConfigsRejected++
 	case call.call.Kind == history.Replace:
 		counts.ConfigsAccepted++
@@ -114,7 +114,7 @@
 		counts.Reads++
 		o.version = answer.Version
 	}
-	if answer.Verdict == history.Overtaken && k.Chance(700) {
+	if answer.Verdict == history.Superseded && k.Chance(700) {
 		o.version = max(o.version, o.cluster.randomVersion())
 	}
 	k.After(k.Between(20*Millisecond, 900*Millisecond), o.startNextCall)
@@ -124,10 +124,10 @@
 func (c *Cluster) randomVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
 
 // callController sends a call to a controller. answer is called if the response arrives.
-func (c *Cluster) callController(from string, node *Controller, call history.Call, answer func(history.Answer)) {
+func (c *Cluster) callController(from string, node *Controller, call history.Call, answer func(history.Response)) {
 	c.network.Send(from, node.addr, func() {
 		node.process.Deliver(func() {
-			node.serveInContact(call, func(a history.Answer) {
+			node.serveInContact(call, func(a history.Response) {
 				c.network.Send(node.addr, from, func() { answer(a) })
 			})
 		})
@@ -135,54 +135,54 @@
 }
 
 // serve executes a call, as the handlers of the control address do.
-func (c *Controller) serve(call history.Call, answer func(history.Answer)) {
+func (c *Controller) serve(call history.Call, answer func(history.Response)) {
 	switch call.Kind {
 	case history.Replace:
 		c.serveReplace(call, answer)
-	case history.NameWeights:
+	case history.SetWeights:
 		name := func(cur messages.Value) ([]messages.Member, []byte, error) { return nameWeights(cur, call.Version) }
 		c.change(rolloutLeasePart, serveTimeoutUs, name, func(_ messages.Value, err error) {
 			if err != nil && !errors.Is(err, errNoChange) {
-				answer(history.Answer{})
+				answer(history.Response{})
 				return
 			}
-			answer(history.Answer{Verdict: history.Taken})
+			answer(history.Response{Verdict: history.Accepted})
 		})
 	case history.Read:
-		c.serveRead(configPart, answer, func(v messages.Value) history.Answer {
+		c.serveRead(configPart, answer, func(v messages.Value) history.Response {
 			body := configOf(v)
-			return history.Answer{Verdict: history.Taken, Version: body.Version, Digest: string(body.Raw)}
+			return history.Response{Verdict: history.Accepted, Version: body.Version, Digest: string(body.Raw)}
 		})
 	case history.ReadWeights:
-		c.serveRead(rolloutLeasePart, answer, func(v messages.Value) history.Answer {
-			return history.Answer{Verdict: history.Taken, Version: weightsOf(leaseBodyOf(v))}
+		c.serveRead(rolloutLeasePart, answer, func(v messages.Value) history.Response {
+			return history.Response{Verdict: history.Accepted, Version: weightsOf(leaseBodyOf(v))}
 		})
 	}
 }
 
-func (c *Controller) serveRead(part int, answer func(history.Answer), toAnswer func(messages.Value) history.Answer) {
+func (c *Controller) serveRead(part int, answer func(history.Response), toAnswer func(messages.Value) history.Response) {
 	begunUs := c.process.NowUs()
 	c.read(part, serveTimeoutUs, func(v messages.Value, err error) {
 		c.renewContact(part, begunUs, err)
 		if err != nil {
-			answer(history.Answer{})
+			answer(history.Response{})
 			return
 		}
 		answer(toAnswer(v))
 	})
 }
 
-func (c *Controller) serveReplace(call history.Call, answer func(history.Answer)) {
+func (c *Controller) serveReplace(call history.Call, answer func(history.Response)) {
 	submission := submissionOf(call)
 	if cur, known := c.committed(configPart); known {
 		accepted := submission.AcceptedIn(configOf(cur))
 		switch {
 		case accepted && !c.cluster.defects.IgnoreAccepted:
-			answer(history.Answer{Verdict: history.Taken})
+			answer(history.Response{Verdict: history.Accepted})
 			return
 		case !accepted && configOf(cur).Version != call.Base && c.cluster.defects.RejectWithoutRound:
 			// Also rejects a base that is newer than the version here, although this node may be behind.
-			answer(history.Answer{Verdict: history.Overtaken})
+			answer(history.Response{Verdict: history.Superseded})
 			return
 		}
 	}
@@ -192,7 +192,7 @@
 		if !errors.Is(err, consensus.ErrOutcomeUnknown) && !errors.Is(err, consensus.ErrNoGroup) {
 			c.renewContact(configPart, begunUs, nil)
 		}
-		answer(history.Answer{Verdict: verdictOf(err)})
+		answer(history.Response{Verdict: verdictOf(err)})
 	})
 }
 
@@ -225,9 +225,9 @@
 	var invalid *routeconfig.InvalidError
 	switch {
 	case err == nil, errors.Is(err, routeconfig.ErrAlreadyAccepted):
-		return history.Taken
+		return history.Accepted
 	case errors.Is(err, routeconfig.ErrVersionConflict):
-		return history.Overtaken
+		return history.Superseded
 	case errors.As(err, &invalid):
 		return history.Invalid
 	}
