--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -1,5 +1,4 @@
-// Checks of the registers while a history runs, and the record of the operators' calls
-// for the check of linearizability afterwards.
+// Checks of the registers during a history, and the counts of its events.
 
 package simulation
 
@@ -10,54 +9,54 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// deed is the last act of a holder of the duty.
-type deed struct {
+// leaseAct records the last act of a holder of the rollout lease.
+type leaseAct struct {
 	holder string
 	fence  int64
 	atUs   int64
 }
 
-// checks keeps what has been seen of each register.
+// checks holds what the checks have observed of each register.
 type checks struct {
-	cluster    *Cluster
-	stamps     [parts]map[int64]string
-	newest     [parts]messages.Value
-	groupSince [parts]int64
-	joined     [parts]map[string]bool // by the last change of the group
-	holders    map[int64]string       // by fence
-	deeds      map[string]deed        // by holder
-	counts     Counts
+	cluster      *Cluster
+	stamps       [parts]map[int64]string
+	newest       [parts]messages.Value
+	groupVersion [parts]int64
+	addedMembers [parts]map[string]bool // by member id: whether the last group change added it
+	holders      map[int64]string       // by fence
+	lastActs     map[string]leaseAct    // by holder id
+	counts       Counts
 }
 
-// Counts tell what histories were made of, so that a quiet one is seen.
+// Counts count the events of histories, so that tests detect a model in which something never happens.
 type Counts struct {
-	Histories, Chosen, Taken, Refused, Read, Unclear, Regroups, Acts, Wipes, Fleets, Distributions                  int64
-	Rollouts, Orders, Begun, Takeovers                                                                              int64
-	UsageHistories, UsageWindows                                                                                    int64
-	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                              int64
-	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                 int64
-	VersionHistories, VersionRequests, VersionExposed, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted int64
-	HandOvers, OutOfContact, LoadHistories, LoadReports                                                             int64
-	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                      int64
+	Histories, Chosen, ConfigsAccepted, ConfigsRejected, Reads, CallsUnclear, GroupChanges, LeaseActs, DisksLost, Fleets, DistributionHistories int64
+	Rollouts, Orders, Begun, Takeovers                                                                                                          int64
+	UsageHistories, UsageWindows                                                                                                                int64
+	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                                                          int64
+	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                                             int64
+	VersionHistories, VersionRequests, VersionExposed, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted                             int64
+	HandOvers, OutOfContact, LoadHistories, LoadReports                                                                                         int64
+	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                                                  int64
 }
 
-// Add sums counts up.
+// Add adds other to the counts.
 func (c *Counts) Add(other Counts) {
 	c.Histories += other.Histories
 	c.Chosen += other.Chosen
-	c.Taken += other.Taken
-	c.Refused += other.Refused
-	c.Read += other.Read
-	c.Unclear += other.Unclear
-	c.Regroups += other.Regroups
-	c.Acts += other.Acts
-	c.Wipes += other.Wipes
+	c.ConfigsAccepted += other.ConfigsAccepted
+	c.ConfigsRejected += other.ConfigsRejected
+	c.Reads += other.Reads
+	c.CallsUnclear += other.CallsUnclear
+	c.GroupChanges += other.GroupChanges
+	c.LeaseActs += other.LeaseActs
+	c.DisksLost += other.DisksLost
 	c.Fleets += other.Fleets
 	c.Rollouts += other.Rollouts
 	c.Orders += other.Orders
 	c.Begun += other.Begun
 	c.Takeovers += other.Takeovers
-	c.Distributions += other.Distributions
+	c.DistributionHistories += other.DistributionHistories
 	c.UsageHistories += other.UsageHistories
 	c.UsageWindows += other.UsageWindows
 	c.TallyHistories += other.TallyHistories
@@ -90,7 +89,7 @@
 	c.LoadReports += other.LoadReports
 }
 
-// String tells the counts in one line.
+// String returns the counts in one line.
 func (c Counts) String() string {
 	return fmt.Sprintf("%d histories: %d values chosen, %d changes of a group, %d disks lost, %d acts under a lease; "+
 		"operators: %d configurations taken, %d refused, %d reads, %d calls unclear; %d histories of runners, %d of configurations; "+
@@ -99,7 +98,7 @@
 		"%d of tallies: %d adds sent, %d acknowledged, %d of them during a cut, %d not owed; "+
 		"%d of requests: %d sent, %d ran, %d attempts beyond the first, %d answered, %d rejected; %d hand-overs, %d calls refused out of contact; %d of loads: %d reports; "+
 		"%d of versions: %d requests, %d to the new version, %d of %d good ones settled, %d of %d bad ones reverted",
-		c.Histories, c.Chosen, c.Regroups, c.Wipes, c.Acts, c.Taken, c.Refused, c.Read, c.Unclear, c.Fleets, c.Distributions,
+		c.Histories, c.Chosen, c.GroupChanges, c.DisksLost, c.LeaseActs, c.ConfigsAccepted, c.ConfigsRejected, c.Reads, c.CallsUnclear, c.Fleets, c.DistributionHistories,
 		c.Rollouts, c.Orders, c.Begun, c.Takeovers, c.UsageHistories, c.UsageWindows, c.QuotaHistories, c.QuotaRan, c.QuotaAsked, c.QuotaDenied, c.QuotaUnknown, c.QuotaLate,
 		c.TallyHistories, c.TallySent, c.TallyAcked, c.TallyAckedCut, c.TallyNotOwed,
 		c.RequestHistories, c.RequestsSent, c.RequestsRun, c.RequestRetries, c.RequestsAnswered, c.RequestsRejected, c.HandOvers, c.OutOfContact, c.LoadHistories, c.LoadReports,
@@ -107,16 +106,16 @@
 }
 
 func newChecks(c *Cluster) *checks {
-	out := &checks{cluster: c, holders: map[int64]string{}, deeds: map[string]deed{}}
+	out := &checks{cluster: c, holders: map[int64]string{}, lastActs: map[string]leaseAct{}}
 	for part := range out.stamps {
 		out.stamps[part] = map[int64]string{}
-		out.newest[part] = c.genesis()
+		out.newest[part] = c.initialValue()
 	}
 	return out
 }
 
-// chosen is called where a proposer sees a value chosen.
-func (c *checks) chosen(part int, v messages.Value) {
+// recordChosen is called when a proposer observes that a value is chosen.
+func (c *checks) recordChosen(part int, v messages.Value) {
 	if old, known := c.stamps[part][v.Version]; known {
 		if old != v.Stamp {
 			c.cluster.kernel.Fail("two values under version %d of part %d: %s and %s", v.Version, part, old, v.Stamp)
@@ -130,33 +129,33 @@
 		return
 	}
 	if !slices.Equal(v.Group, c.newest[part].Group) {
-		c.groupSince[part], c.joined[part] = v.Version, map[string]bool{}
+		c.groupVersion[part], c.addedMembers[part] = v.Version, map[string]bool{}
 		for _, m := range v.Group {
-			c.joined[part][m.ID] = !slices.Contains(c.newest[part].Group, m)
+			c.addedMembers[part][m.ID] = !slices.Contains(c.newest[part].Group, m)
 		}
-		c.counts.Regroups++
-		c.checkJoined(part, v)
+		c.counts.GroupChanges++
+		c.checkAddedMembers(part, v)
 	}
 	c.newest[part] = v
 }
 
-// checkJoined sees to it that who is taken into a group holds on disk what the
-// change builds on, unless the disk has been lost since.
-func (c *checks) checkJoined(part int, v messages.Value) {
+// checkAddedMembers checks that each member added to a group has the value before the change on
+// disk, unless its disk has been lost since.
+func (c *checks) checkAddedMembers(part int, v messages.Value) {
 	for _, m := range v.Group {
-		node := c.cluster.at(m.Addr)
+		node := c.cluster.controllerAt(m.Addr)
 		identity, _ := node.disk.Durable(identityFile)
-		if c.joined[part][m.ID] && string(identity) == m.ID && !node.knowsDurably(part, m.ID, v.Version-1) {
+		if c.addedMembers[part][m.ID] && string(identity) == m.ID && !node.hasDurably(part, m.ID, v.Version-1) {
 			c.cluster.kernel.Fail("%s joins part %d at version %d and does not hold the version before on disk", m.ID, part, v.Version)
 		}
 	}
 }
 
-// committed is called where a node learns a value for committed; a value may be
-// seen here first, where its proposer did not live to see it chosen.
-func (c *checks) committed(node *Controller, part int, v messages.Value) {
+// checkCommitted is called when a node learns a committed value. A value may be observed here
+// first if its proposer stopped before it observed that the value was chosen.
+func (c *checks) checkCommitted(node *Controller, part int, v messages.Value) {
 	if v.Version > 0 {
-		c.chosen(part, v)
+		c.recordChosen(part, v)
 	}
 	known, ok := node.committed(part)
 	if ok && known.Version > v.Version {
@@ -164,19 +163,19 @@
 	}
 }
 
-// acted is called where a holder of the duty acts.
-func (c *checks) acted(holder string, fence int64) {
+// recordAct is called when a holder of the rollout lease acts.
+func (c *checks) recordAct(holder string, fence int64) {
 	now := c.cluster.kernel.NowUs()
-	c.counts.Acts++
+	c.counts.LeaseActs++
 	if other, known := c.holders[fence]; known && other != holder {
 		c.cluster.kernel.Fail("%s and %s act under one fence %d", other, holder, fence)
 	}
 	c.holders[fence] = holder
-	for _, name := range sortedKeys(c.deeds) {
-		d := c.deeds[name]
+	for _, name := range sortedKeys(c.lastActs) {
+		d := c.lastActs[name]
 		if name != holder && now-d.atUs < dutyTimes.LeaseUs {
 			c.cluster.kernel.Fail("%s acts under fence %d, %d us after %s under fence %d", holder, fence, now-d.atUs, name, d.fence)
 		}
 	}
-	c.deeds[holder] = deed{holder, fence, now}
+	c.lastActs[holder] = leaseAct{holder, fence, now}
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -1,5 +1,5 @@
-// Controllers as members of the registers. Each one keeps its identity and its records
-// on its disk, and no response leaves before the record that it rests on is durable.
+// Model of a controller as a member of the registers. It stores its identity and its
+// records on its disk and sends no response before the record behind it is durable.
 
 package simulation
 
@@ -11,76 +11,76 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Registers of the model, by part.
+// Indexes of the registers of the model.
 const (
-	configPart = iota // the operator's configuration
-	dutyPart          // named weights and the lease of the one who rolls them out
+	configPart       = iota // the operator's configuration
+	rolloutLeasePart        // named weights and the lease of the controller that rolls them out
 	parts
 )
 
-// identityFile is where a controller keeps who it is.
+// identityFile holds the member id of a controller.
 const identityFile = "identity"
 
-// busyWaitUs is how long a request waits for the record it is about.
-const busyWaitUs = 2 * Second
+// acquireTimeoutUs is how long a request may wait for exclusive access to its record.
+const acquireTimeoutUs = 2 * Second
 
-// register is a controller's part in one register.
+// register is a controller's state of one register.
 type register struct {
-	acceptor consensus.Acceptor
-	learned  *messages.Value
-	waiting  []func(release func())
-	busy     bool
-	keeping  bool
-	durable  int64 // the committed version on disk, notOnDisk for none
-	repair   partRepair
+	acceptor       consensus.Acceptor
+	learned        *messages.Value
+	waiters        []func(release func())
+	busy           bool
+	persisting     bool
+	durableVersion int64 // the committed version on disk, notOnDisk for none
+	repair         groupRepair
 }
 
-// notOnDisk says that no committed value is on disk.
+// notOnDisk means that no committed value is on disk.
 const notOnDisk = -1
 
-// Controller is one machine with a disk and the process on it.
+// Controller models one machine with a disk and a controller process.
 type Controller struct {
 	cluster *Cluster
 	addr    string
 	process *Process
 	disk    *Storage
 
-	// What follows is gone with each life of the process.
-	id        string
-	registers [parts]*register
-	heard     map[string]peer
-	direct    map[string]int64 // when another was last reached and answered
-	duty      lease.Lease
-	takeover  lease.Takeover
-	diskFault bool // the last write was refused
-	dutyBusy  bool
-	actedAs   int64 // the fence under which it has noted that it acted
-	synced    bool  // what was read from the disk is durable
-	shutdown  shutdown
-	contact   lease.Contact
-	handledUs map[string]int64 // by member: when it last handled a request of this process, by true time
+	// The fields below are reset with each life of the process.
+	id             string
+	registers      [parts]*register
+	peers          map[string]peer
+	lastAnsweredUs map[string]int64 // by address: send time of the last ping that was answered
+	rolloutLease   lease.Lease
+	takeover       lease.Takeover
+	diskFault      bool // the last write failed
+	leaseBusy      bool
+	recordedFence  int64 // the fence that it last recorded in actedFile
+	synced         bool  // the content that was read from the disk is durable
+	shutdown       shutdown
+	contact        lease.Contact
+	handledUs      map[string]int64 // by member id: virtual time at which it last handled a request of this process
 }
 
-// peer is another controller as it was last heard of.
+// peer is the last news of another controller.
 type peer struct {
-	id      string
-	heardUs int64 // by the hearer's monotonic clock
+	id          string
+	lastHeardUs int64 // by the receiver's monotonic clock
 }
 
 func recordFile(part int) string { return fmt.Sprintf("part-%d", part) }
 
-// boot begins a life of the process. Founders without a record start from the
-// first group.
+// boot starts a life of the process. A founder without a record starts from the initial
+// group.
 func (c *Controller) boot(founding bool) {
 	c.process.Start()
-	c.heard, c.direct, c.dutyBusy, c.actedAs = map[string]peer{}, map[string]int64{}, false, 0
-	c.duty = lease.Lease{Times: dutyTimes}
+	c.peers, c.lastAnsweredUs, c.leaseBusy, c.recordedFence = map[string]peer{}, map[string]int64{}, false, 0
+	c.rolloutLease = lease.Lease{Times: dutyTimes}
 	c.takeover = lease.Takeover{}
 	c.synced = false
 	c.shutdown, c.contact, c.handledUs = shutdown{}, lease.Contact{}, map[string]int64{}
 	c.id, c.registers = "", [parts]*register{}
-	if kept, ok := c.disk.Read(identityFile); ok {
-		c.open(string(kept), founding)
+	if identity, ok := c.disk.Read(identityFile); ok {
+		c.open(string(identity), founding)
 		return
 	}
 	id := consensus.BootstrapID(c.addr)
@@ -98,7 +98,7 @@
 	}))
 }
 
-// afterWrite binds the end of a write to the present life.
+// afterWrite returns a completion callback for a write that only runs in the current life.
 func (c *Controller) afterWrite(done func(error)) func(error) {
 	var result error
 	run := c.process.InLife(func() { done(result) })
@@ -108,8 +108,9 @@
 	}
 }
 
-// open loads the records and begins to work once a founder's first group is on
-// disk: else a group that has not yet taken a value would forget itself.
+// open loads the records and starts the periodic work. A founder first writes the initial
+// group to disk: otherwise a group that has not yet accepted a value would be lost in a
+// restart.
 func (c *Controller) open(id string, founding bool) {
 	c.id = id
 	c.contact.Self = id
@@ -122,40 +123,40 @@
 				c.cluster.kernel.Fail("a record at %s does not read: %v", c.addr, err)
 			}
 		} else if founding {
-			record.Committed = c.cluster.genesis()
+			record.Committed = c.cluster.initialValue()
 		}
-		r := &register{acceptor: consensus.Acceptor{ID: id, Record: record}, durable: notOnDisk}
+		r := &register{acceptor: consensus.Acceptor{ID: id, Record: record}, durableVersion: notOnDisk}
 		if ok && len(record.Committed.Group) > 0 {
-			r.durable = record.Committed.Version
+			r.durableVersion = record.Committed.Version
 		}
 		c.registers[part] = r
 		if len(record.Committed.Group) > 0 {
 			value := record.Committed
 			r.learned = &value
 		}
-		if !ok && founding && !c.cluster.defects.ForgetGenesis {
+		if !ok && founding && !c.cluster.defects.SkipInitialGroupWrite {
 			unsaved++
-			c.save(part, func(error) {
+			c.saveRecord(part, func(error) {
 				if unsaved--; unsaved == 0 {
-					c.work()
+					c.startTasks()
 				}
 			})
 		}
 	}
 	if unsaved == 0 {
-		c.work()
+		c.startTasks()
 	}
 }
 
-// work begins what a controller does by itself.
-func (c *Controller) work() {
+// startTasks starts the periodic tasks.
+func (c *Controller) startTasks() {
 	c.cluster.kernel.Note("%s is up as %s", c.addr, c.id)
 	c.every(pingEveryUs, c.ping)
 	c.every(repairEveryUs, c.repairGroups)
-	c.every(dutyEveryUs, c.workDuty)
+	c.every(leaseStepEveryUs, c.stepLease)
 }
 
-// every repeats something for as long as the life lasts.
+// every runs a callback periodically for the rest of the current life.
 func (c *Controller) every(periodUs int64, run func()) {
 	c.process.After(c.cluster.kernel.Between(periodUs/2, periodUs), func() {
 		run()
@@ -163,7 +164,7 @@
 	})
 }
 
-// committed is the newest committed value the node knows.
+// committed returns the newest committed value that this node has learned.
 func (c *Controller) committed(part int) (messages.Value, bool) {
 	if c.registers[part] == nil || c.registers[part].learned == nil {
 		return messages.Value{}, false
@@ -171,52 +172,52 @@
 	return *c.registers[part].learned, true
 }
 
-// learn takes in a committed value, never an older one, and keeps it.
+// learn records a committed value if it is newer than the last one, and makes it durable.
 func (c *Controller) learn(part int, v messages.Value) {
 	r := c.registers[part]
 	if r == nil || len(v.Group) == 0 || r.learned != nil && r.learned.Version >= v.Version {
 		return
 	}
-	c.cluster.checks.committed(c, part, v)
+	c.cluster.checks.checkCommitted(c, part, v)
 	r.learned = &v
-	if !r.keeping {
-		r.keeping = true
-		c.keep(part)
+	if !r.persisting {
+		r.persisting = true
+		c.persistLearned(part)
 	}
 }
 
-// keepAgainUs is how long a member waits before it tries a refused write again.
-const keepAgainUs = 300 * Millisecond
+// persistRetryUs is the delay before a failed write is retried.
+const persistRetryUs = 300 * Millisecond
 
-// keep makes what was learned durable, apart from everything else.
-func (c *Controller) keep(part int) {
+// persistLearned makes the learned value durable in the background.
+func (c *Controller) persistLearned(part int) {
 	r := c.registers[part]
 	r.acquire(func(release func()) {
-		kept := r.learned
-		c.makeDurable(part, *kept, func(err error) {
+		value := r.learned
+		c.makeDurable(part, *value, func(err error) {
 			release()
 			switch {
 			case err != nil:
-				c.process.After(keepAgainUs, func() { c.keep(part) })
-			case r.learned != kept:
-				c.keep(part)
+				c.process.After(persistRetryUs, func() { c.persistLearned(part) })
+			case r.learned != value:
+				c.persistLearned(part)
 			default:
-				r.keeping = false
+				r.persisting = false
 			}
 		})
 	})
 }
 
-// makeDurable folds a committed value into the record and saves it, unless the
-// disk holds it already. The caller holds the register.
+// makeDurable applies a committed value to the record and saves it, unless it is on disk
+// already. The caller has acquired the register.
 func (c *Controller) makeDurable(part int, v messages.Value, done func(error)) {
 	r := c.registers[part]
 	before := r.acceptor.Record
-	if !r.acceptor.Learn(v) && r.durable >= r.acceptor.Record.Committed.Version {
+	if !r.acceptor.Learn(v) && r.durableVersion >= r.acceptor.Record.Committed.Version {
 		c.sync(done)
 		return
 	}
-	c.save(part, func(err error) {
+	c.saveRecord(part, func(err error) {
 		if err != nil {
 			r.acceptor.Record = before
 		}
@@ -224,8 +225,8 @@
 	})
 }
 
-// sync makes durable what this life has read: a process that was killed may have left records that
-// are not. It does so once.
+// sync makes the records durable that this life has read: a killed process may have left unsynced
+// ones. After a success it does nothing more in this life.
 func (c *Controller) sync(done func(error)) {
 	if c.synced {
 		done(nil)
@@ -237,7 +238,7 @@
 	}))
 }
 
-func (c *Controller) save(part int, done func(error)) {
+func (c *Controller) saveRecord(part int, done func(error)) {
 	r := c.registers[part]
 	raw, err := r.acceptor.Record.MarshalMsg(nil)
 	if err != nil {
@@ -246,17 +247,17 @@
 	committed := r.acceptor.Record.Committed
 	c.disk.Write(recordFile(part), raw, c.afterWrite(func(err error) {
 		if err == nil && len(committed.Group) > 0 {
-			r.durable = committed.Version
+			r.durableVersion = committed.Version
 		}
 		c.diskFault = err != nil
 		done(err)
 	}))
 }
 
-// acquire runs something while nothing else is at the record.
+// acquire runs a callback with exclusive access to the record, until it calls release.
 func (r *register) acquire(run func(release func())) {
 	if r.busy {
-		r.waiting = append(r.waiting, run)
+		r.waiters = append(r.waiters, run)
 		return
 	}
 	r.busy = true
@@ -265,17 +266,17 @@
 
 func (r *register) release() {
 	r.busy = false
-	if len(r.waiting) == 0 {
+	if len(r.waiters) == 0 {
 		return
 	}
-	next := r.waiting[0]
-	r.waiting = r.waiting[1:]
+	next := r.waiters[0]
+	r.waiters = r.waiters[1:]
 	r.acquire(next)
 }
 
-// handle answers a request between members. No reply is given where the disk
-// refuses or the record stays busy.
-func (c *Controller) handle(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
+// handleRequest processes a request of another member. It doesn't reply if the write fails or
+// the record stays busy for too long.
+func (c *Controller) handleRequest(request messages.ConsensusRequest, reply func(messages.ConsensusResponse)) {
 	r := c.registers[request.Part]
 	if r == nil {
 		return
@@ -283,15 +284,15 @@
 	if request.Step == messages.Commit {
 		c.learn(request.Part, request.Value)
 		if request.Flush {
-			c.flush(request, reply)
+			c.handleFlush(request, reply)
 			return
 		}
 		reply(messages.ConsensusResponse{Verdict: messages.Granted})
 		return
 	}
-	untilUs := c.process.NowUs() + busyWaitUs
+	deadlineUs := c.process.NowUs() + acquireTimeoutUs
 	r.acquire(func(release func()) {
-		if c.process.NowUs() > untilUs {
+		if c.process.NowUs() > deadlineUs {
 			release()
 			return
 		}
@@ -312,7 +313,7 @@
 		if c.cluster.defects.RespondBeforeDurable {
 			reply(response)
 		}
-		c.save(request.Part, func(err error) {
+		c.saveRecord(request.Part, func(err error) {
 			if err != nil {
 				r.acceptor.Record = before
 			}
@@ -324,26 +325,26 @@
 	})
 }
 
-// call carries a request to a member and its response back, or neither.
+// call sends a request to a member. done is called at most once, with the response.
 func (c *Controller) call(to string, request messages.ConsensusRequest, done func(messages.ConsensusResponse)) {
 	if to == c.addr {
-		c.handle(request, done)
+		c.handleRequest(request, done)
 		return
 	}
-	target := c.cluster.at(to)
+	target := c.cluster.controllerAt(to)
 	if target == nil {
 		return
 	}
-	net, life, answered := c.cluster.network, c.process.life, false
+	network, life, answered := c.cluster.network, c.process.life, false
 	sentUs := c.process.NowUs()
-	net.Send(c.addr, to, func() {
+	network.Send(c.addr, to, func() {
 		target.process.Deliver(func() {
-			target.handle(request, func(response messages.ConsensusResponse) {
-				c.handledBy(target.id, life)
-				net.Send(to, c.addr, c.process.inLifeOf(life, func() {
+			target.handleRequest(request, func(response messages.ConsensusResponse) {
+				c.recordHandled(target.id, life)
+				network.Send(to, c.addr, c.process.inLifeOf(life, func() {
 					if !answered {
 						answered = true
-						c.answeredBy(request, response, sentUs)
+						c.recordAnswer(request, response, sentUs)
 						done(response)
 					}
 				}))
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -1,5 +1,5 @@
-// Coordinators: controllers as far as rollouts are concerned. They drive the real
-// lease.Role and rollout.Shard as the controller's roleManager and rolloutManager do.
+// Model of a controller for rollouts. It drives the real lease.Role and rollout.Shard as
+// the controller's roleManager and rolloutManager do.
 
 package simulation
 
@@ -12,20 +12,20 @@
 	"beechtide.org/beechtide/internal/targets"
 )
 
-// Periods and waits of a coordinator.
+// Timeouts of a coordinator, and the shift of the fence in the sequence number of a cordon.
 const (
-	orderWaitUs  = 700 * Millisecond
-	reportWaitUs = 600 * Millisecond
-	cordonShift  = 20
+	orderTimeoutUs  = 700 * Millisecond
+	reportTimeoutUs = 600 * Millisecond
+	cordonShift     = 20
 )
 
-// coordinator is one controller.
+// coordinator is the rollout side of one controller.
 type coordinator struct {
 	*leaseMember
 	history   *rolloutHistory
 	registrar *registrar
 
-	// What follows is gone with each life of the process.
+	// The fields below are reset with each life of the process.
 	shard   *rollout.Shard
 	targets targets.Table
 	startUs int64
@@ -35,8 +35,8 @@
 
 func newCoordinator(h *rolloutHistory, r *registrar) *coordinator {
 	c := &coordinator{history: h, registrar: r, leaseMember: h.group.add(r.addr, r.process)}
-	c.learned = func(body messages.LeaseBody) { c.note(body.Targets) }
-	c.pinged = func(other *leaseMember) func() {
+	c.learned = func(body messages.LeaseBody) { c.recordNamed(body.Targets) }
+	c.onPing = func(other *leaseMember) func() {
 		ages := c.targets.Ages(c.nowUs())
 		there := h.coordinators[other.index]
 		return func() { there.targets.MergeAges(ages, there.nowUs()) }
@@ -54,9 +54,9 @@
 	h.fleet.every(c.process, roleEveryUs, c.soon(c.step))
 }
 
-// note takes the versions that a register names. What a process finds as it starts
-// was named before it began.
-func (c *coordinator) note(named []messages.Target) {
+// recordNamed records the versions named in the register. Versions learned right after the start
+// may have been named before the start, so their age is unknown.
+func (c *coordinator) recordNamed(named []messages.Target) {
 	for _, t := range named {
 		switch {
 		case t.Version <= c.targets.Newest(t.Model).Version:
@@ -68,7 +68,7 @@
 	}
 }
 
-// name records a version, as a call of the operator does.
+// name adds a version to the register, as an operator's call does.
 func (c *coordinator) name(version int64, acknowledge func()) {
 	target := messages.Target{Model: rolloutModel, Version: version}
 	first := false
@@ -87,14 +87,14 @@
 	})
 }
 
-// step is one step of the role, and of the shard where the lease is held.
+// step runs one step of the role and of the shard, which issues orders under the role's grant.
 func (c *coordinator) step() {
 	if c.knownVersion == 0 {
 		return
 	}
 	models := c.models()
 	grant := c.stepRole(rollout.Unfinished(models), c.step)
-	c.carryOut(c.shard.Step(c.nowUs(), grant, models))
+	c.executeStep(c.shard.Step(c.nowUs(), grant, models))
 }
 
 func (c *coordinator) models() []rollout.Model {
@@ -104,7 +104,7 @@
 	}}
 }
 
-func (c *coordinator) carryOut(step rollout.Step) {
+func (c *coordinator) executeStep(step rollout.Step) {
 	if step.HasOrders() {
 		c.recordFenceUsed(step.Fence)
 	}
@@ -113,7 +113,7 @@
 			c.setCordon(cordon, step.Fence)
 		}
 		for _, o := range a.Orders {
-			c.process.After(c.group.lateBy(), func() { c.order(o, step) })
+			c.process.After(c.group.stepDelayUs(), func() { c.sendOrder(o, step) })
 		}
 		for _, id := range a.Poll {
 			c.poll(id)
@@ -124,12 +124,12 @@
 func (c *coordinator) setCordon(to rollout.Cordon, fence int64) {
 	c.cordons++
 	if n, changed := c.registrar.runners.SetCordon(to.ID, to.Draining, to.Cordoned, fence<<cordonShift|c.cordons); changed {
-		c.registrar.tell(n.ID)
+		c.registrar.publish(n.ID)
 	}
 }
 
-// order sends an order, unless the confirmation behind it has run out.
-func (c *coordinator) order(o rollout.Order, step rollout.Step) {
+// sendOrder sends a load order, unless the lease confirmation behind it has expired.
+func (c *coordinator) sendOrder(o rollout.Order, step rollout.Step) {
 	answered := false
 	answer := func(a rollout.Answer) {
 		if !answered {
@@ -144,9 +144,9 @@
 		answer(rollout.NoAnswer)
 		return
 	}
-	c.process.After(orderWaitUs, func() { answer(rollout.NoAnswer) })
+	c.process.After(orderTimeoutUs, func() { answer(rollout.NoAnswer) })
 	c.call(o.ID, func(e *engine) func() {
-		a := e.order(o, step.Fence, c)
+		a := e.handleOrder(o, step.Fence, c)
 		return func() {
 			if a == rollout.AlreadyLoaded {
 				c.recordWeights(o.ID, o.Version)
@@ -156,7 +156,7 @@
 	})
 }
 
-// call has something happen at a runner, and here when its answer is back.
+// call runs at in a runner, and the callback that it returns here once the answer arrives.
 func (c *coordinator) call(id string, at func(e *engine) func()) {
 	h := c.history
 	i := slices.IndexFunc(h.engines, func(e *engine) bool { return e.id() == id && e.up })
@@ -169,7 +169,7 @@
 			return
 		}
 		back := at(e)
-		h.kernel.After(e.answersAfter(), func() { h.network.Send(e.address, c.addr, c.process.InLife(back)) })
+		h.kernel.After(e.answerDelayUs(), func() { h.network.Send(e.address, c.addr, c.process.InLife(back)) })
 	})
 }
 
@@ -178,28 +178,28 @@
 		return
 	}
 	c.polling[id] = true
-	askedUs, answered := c.nowUs(), false
-	c.process.After(reportWaitUs, func() {
+	sentUs, answered := c.nowUs(), false
+	c.process.After(reportTimeoutUs, func() {
 		delete(c.polling, id)
 		if !answered {
 			c.shard.RecordMissingReport(rolloutModel, id)
 		}
 	})
 	c.call(id, func(e *engine) func() {
-		said := e.report()
+		report := e.report()
 		return func() {
 			answered = true
 			delete(c.polling, id)
-			if !said.Busy {
-				c.recordWeights(id, said.Version)
+			if !report.Busy {
+				c.recordWeights(id, report.Version)
 			}
-			c.shard.RecordReport(rolloutModel, id, said, askedUs, c.nowUs())
+			c.shard.RecordReport(rolloutModel, id, report, sentUs, c.nowUs())
 		}
 	})
 }
 
 func (c *coordinator) recordWeights(id string, version int64) {
 	if n, changed := c.registrar.runners.SetWeights(id, rolloutModel, version); changed {
-		c.registrar.tell(n.ID)
+		c.registrar.publish(n.ID)
 	}
 }
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -1,7 +1,7 @@
-// Distribution: an operator's configurations on their way from the controllers to
-// every router. The real order of configurations, replica, tree, decisions of
-// subscribers and comparisons run; agreement between the controllers is taken as
-// given, as the model "registers" plays it. Any step of any process may take long.
+// Model of the distribution of an operator's configurations from the controllers to every
+// router. It runs the real ordering of configurations, replica, dissemination tree, parent
+// policy and comparisons. Agreement between the controllers is assumed, as the model
+// "registers" covers it. Any step of any process may take long.
 
 package simulation
 
@@ -12,49 +12,49 @@
 	"beechtide.org/beechtide/internal/routeconfig"
 )
 
-// The deployment's bounds, as the rules name them, and how long a history is.
+// Bounds of the deployment, the length of a history, and the durations of steps.
 const (
 	convergeUs         = 2_500 * Millisecond
 	contactBoundUs     = 4 * Second
 	distributionUs     = 30 * Second
 	distributionCalmUs = 12 * Second
 	distributionCheck  = 50 * Millisecond
-	mostStepUs         = 400 * Millisecond
-	ordinaryStepUs     = 2 * Millisecond
+	maxSlowStepUs      = 400 * Millisecond
+	maxOrdinaryStepUs  = 2 * Millisecond
 	connectionBrokenUs = 1_500 * Millisecond
 )
 
-// release is a version of the register.
+// release is one version of the configuration register.
 type release struct {
-	version int64
-	order   routeconfig.Submission
-	entries map[string]string
-	ackedUs int64 // 0 while nobody has acknowledged it
+	version    int64
+	submission routeconfig.Submission
+	entries    map[string]string
+	ackedUs    int64 // 0 while nobody has acknowledged it
 }
 
-// distribution is everything in one history of configurations.
+// distribution holds the state of one history of the distribution model.
 type distribution struct {
-	kernel       *Kernel
-	network      *Network
-	controllers  []*source
-	routers      []*sink
-	releases     []*release // by version of the register, from 1 on
-	chosen       messages.ConfigBody
-	refused      map[int64]bool // versions of configurations that were refused
-	slowSteps    int            // how many steps in a thousand take long
-	coreUs       int64          // when a fault of the core last began or ended
-	coreTroubles int            // controllers that are slowed now
-	slowed       map[*Process]bool
-	healed       bool
-	defects      Defects
-	counts       Counts
+	kernel            *Kernel
+	network           *Network
+	controllers       []*source
+	routers           []*sink
+	releases          []*release // by version of the register, from 1 on
+	chosen            messages.ConfigBody
+	rejected          map[int64]bool // versions of configurations that were rejected
+	slowStepsPerMille int            // number of steps in a thousand that take long
+	coreFaultUs       int64          // when a fault of the controllers or their links last began or ended
+	activeCoreFaults  int            // number of faults that slow a controller now
+	slowed            map[*Process]bool
+	healed            bool
+	defects           Defects
+	counts            Counts
 }
 
-// PlayDistribution plays the configurations' history of a seed.
+// PlayDistribution runs the history of configurations for a seed.
 func PlayDistribution(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
-	d := &distribution{kernel: k, network: NewNetwork(k), refused: map[int64]bool{}, slowed: map[*Process]bool{}, defects: options.Defects}
-	d.slowSteps = []int{0, 20, 60, 120, 250, 500}[k.Below(6)]
+	d := &distribution{kernel: k, network: NewNetwork(k), rejected: map[int64]bool{}, slowed: map[*Process]bool{}, defects: options.Defects}
+	d.slowStepsPerMille = []int{0, 20, 60, 120, 250, 500}[k.Below(6)]
 	for i := range 3 + k.Below(3) {
 		d.controllers = append(d.controllers, newSource(d, i))
 	}
@@ -64,35 +64,35 @@
 	for _, c := range d.controllers {
 		c.boot()
 	}
-	d.release()
+	d.submitRelease()
 	for _, r := range d.routers {
 		r.boot()
 	}
-	d.plan()
-	d.watch()
+	d.schedule()
+	d.checkPeriodically()
 	k.RunUntil(distributionUs)
 	d.heal()
 	k.RunUntil(distributionUs + distributionCalmUs)
-	d.counts.Distributions = 1
+	d.counts.DistributionHistories = 1
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: d.counts}
 }
 
-// step has something happen after the time that a step of a process takes.
+// step runs a callback after the time that a step of a process takes.
 func (d *distribution) step(p *Process, run func()) {
 	p.After(d.stepUs(p), run)
 }
 
 func (d *distribution) stepUs(p *Process) int64 {
 	if d.slowed[p] {
-		return d.kernel.Between(0, 2*mostStepUs)
+		return d.kernel.Between(0, 2*maxSlowStepUs)
 	}
-	if d.kernel.Chance(d.slowSteps) {
-		return d.kernel.Between(0, mostStepUs)
+	if d.kernel.Chance(d.slowStepsPerMille) {
+		return d.kernel.Between(0, maxSlowStepUs)
 	}
-	return d.kernel.Between(0, ordinaryStepUs)
+	return d.kernel.Between(0, maxOrdinaryStepUs)
 }
 
-// every repeats something in the present life of a process; each turn may be late.
+// every runs a callback periodically in the current life of a process. Each run may be late.
 func (d *distribution) every(p *Process, periodUs int64, run func()) {
 	p.After(periodUs+d.stepUs(p), func() {
 		run()
@@ -100,8 +100,8 @@
 	})
 }
 
-// call carries a question and its answer; ended is called once, with false where no
-// answer came in time.
+// call sends a request and its response; ended is called once, with false if no response
+// arrived in time.
 func (d *distribution) call(from *Process, fromAddr string, to *Process, toAddr string, waitUs int64, serve func() func(), ended func(bool)) {
 	done := false
 	finish := func(ok bool) {
@@ -131,16 +131,16 @@
 	from.After(waitUs, func() { finish(false) })
 }
 
-// release is what an operator does: one more version of the configuration, by way of
-// a controller that reaches most of the others. Some are invalid, some build on a
-// version that has been overtaken; those must never be in force.
-func (d *distribution) release() {
+// submitRelease submits one more version of the configuration at a controller, if that reaches a
+// majority. Some versions are invalid and some have an outdated base; a rejected version
+// must never be in force.
+func (d *distribution) submitRelease() {
 	at := d.controllers[d.kernel.Below(len(d.controllers))]
 	if !at.process.Up() || at.process.frozen || !at.reachesMost() {
 		return
 	}
 	version, base := d.chosen.Version+int64(1+d.kernel.Below(3)), d.chosen.Version
-	raw := d.draw(version)
+	raw := d.randomConfiguration(version)
 	switch {
 	case len(d.releases) == 0:
 	case d.kernel.Chance(100):
@@ -148,45 +148,45 @@
 	case d.kernel.Chance(100) && base > 1:
 		base--
 	}
-	order := routeconfig.ParseSubmission(raw)
-	order.Base = base
-	next, err := order.Apply(d.chosen)
+	submission := routeconfig.ParseSubmission(raw)
+	submission.Base = base
+	next, err := submission.Apply(d.chosen)
 	if err != nil {
-		d.refused[version] = true
-		d.counts.Refused++
+		d.rejected[version] = true
+		d.counts.ConfigsRejected++
 		return
 	}
-	delete(d.refused, version)
-	d.accept(at, next, order)
+	delete(d.rejected, version)
+	d.accept(at, next, submission)
 }
 
 func invalidConfiguration(version int64) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"bad","host":"h","prefix":"/bad/","kind":"idempotent","cutoffMs":1000,"service":"nowhere"}],"services":[]}`, version)
 }
 
-// draw makes a configuration of some routes of a fixed set, each to one of three
+// randomConfiguration returns a random configuration: some routes of a fixed set, each to one of three
 // services.
-func (d *distribution) draw(version int64) []byte {
-	const places = 12
+func (d *distribution) randomConfiguration(version int64) []byte {
+	const maxRoutes = 12
 	out := fmt.Appendf(nil, `{"version":%d,"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"}],"routes":[`, version)
-	some := false
-	for i := range places {
+	hasRoute := false
+	for i := range maxRoutes {
 		if d.kernel.Chance(300) {
 			continue
 		}
-		if some {
+		if hasRoute {
 			out = append(out, ',')
 		}
-		some = true
+		hasRoute = true
 		out = fmt.Appendf(out, `{"name":"r%d","host":"h","prefix":"/r%d/","kind":"idempotent","cutoffMs":1000,"service":"s%d"}`, i, i, d.kernel.Below(3))
 	}
 	return append(out, "]}"...)
 }
 
-// accept is a won round: most members have accepted the value, and the proposer
-// learns it, acknowledges it and tells the others.
-func (d *distribution) accept(at *source, next messages.ConfigBody, order routeconfig.Submission) {
-	config, err := routeconfig.ParseAccepted(order.Raw)
+// accept models a successful round: the members that the proposer reaches have accepted the
+// value, and the proposer learns it, sends it to the others and acknowledges it.
+func (d *distribution) accept(at *source, next messages.ConfigBody, submission routeconfig.Submission) {
+	config, err := routeconfig.ParseAccepted(submission.Raw)
 	if err != nil {
 		d.kernel.Fail("a configuration that was taken can't be read: %v", err)
 		return
@@ -197,13 +197,13 @@
 		return
 	}
 	d.chosen = next
-	r := &release{version: int64(len(d.releases)) + 1, order: order, entries: entries}
+	r := &release{version: int64(len(d.releases)) + 1, submission: submission, entries: entries}
 	d.releases = append(d.releases, r)
-	d.counts.Taken++
+	d.counts.ConfigsAccepted++
 	d.kernel.Note("%s: version %d, configuration %d, is chosen", at.addr, r.version, next.Version)
 	for _, c := range d.controllers {
 		if c.process.Up() && !c.process.frozen && (c == at || at.reaches(c)) {
-			c.accepted(r)
+			c.recordAccepted(r)
 		}
 	}
 	at.learn(r)
@@ -218,12 +218,12 @@
 		r.ackedUs = d.kernel.NowUs()
 		d.kernel.Note("%s acknowledges version %d", at.addr, r.version)
 		if !d.healed && d.kernel.Chance(40) {
-			d.strike(at, d.kernel.Between(Second, 8*Second))
+			d.stopOrFreeze(at, d.kernel.Between(Second, 8*Second))
 		}
 	})
 }
 
-// newestDue is the newest version that every router in touch has to have by now.
+// newestDue returns the newest version that every router in contact must have by now.
 func (d *distribution) newestDue() int64 {
 	newest := int64(0)
 	for _, r := range d.releases {
@@ -234,7 +234,7 @@
 	return newest
 }
 
-// coreSettled tells whether the core has been without trouble for long enough.
+// coreSettled reports whether the controllers and their links have been without a fault for long enough.
 func (d *distribution) coreSettled() bool {
 	up := 0
 	for _, c := range d.controllers {
@@ -242,11 +242,11 @@
 			up++
 		}
 	}
-	return d.coreTroubles == 0 && up > len(d.controllers)/2 && d.kernel.NowUs()-d.coreUs > contactBoundUs
+	return d.activeCoreFaults == 0 && up > len(d.controllers)/2 && d.kernel.NowUs()-d.coreFaultUs > contactBoundUs
 }
 
-// watch checks again and again that every router in touch is where it has to be.
-func (d *distribution) watch() {
+// checkPeriodically checks periodically that every router in contact has the version that is due.
+func (d *distribution) checkPeriodically() {
 	d.kernel.After(distributionCheck, func() {
 		due := d.newestDue()
 		if d.coreSettled() {
@@ -254,6 +254,6 @@
 				r.checkDue(due)
 			}
 		}
-		d.watch()
+		d.checkPeriodically()
 	})
 }
--- a/internal/simulation/distribution_sink.go
+++ b/internal/simulation/distribution_sink.go
@@ -10,43 +10,43 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Times of a router.
+// Periods, timeouts and limits of a router.
 const (
-	joinPauseUs       = 50 * Millisecond
-	dialWaitUs        = 250 * Millisecond
-	subscribeWaitUs   = 600 * Millisecond
-	subscriberTickUs  = 250 * Millisecond
-	anythingUs        = 2_500 * Millisecond
-	compareEveryUs    = convergeUs / dissemination.ComparisonIntervalDivisor
-	compareWaitUs     = convergeUs / dissemination.ComparisonTimeoutDivisor
-	overdueUs         = convergeUs / dissemination.OverdueDivisor
-	unseenUs          = 1_200 * Millisecond // until one that can't be heard is taken for dead
-	spoiledPerMille   = 2                   // changes whose digest does not come out
-	fewestBeforeRelay = 3
+	joinPauseUs         = 50 * Millisecond
+	dialWaitUs          = 250 * Millisecond
+	subscribeWaitUs     = 600 * Millisecond
+	subscriberTickUs    = 250 * Millisecond
+	acceptAnyAfterUs    = 2_500 * Millisecond
+	compareEveryUs      = convergeUs / dissemination.ComparisonIntervalDivisor
+	compareWaitUs       = convergeUs / dissemination.ComparisonTimeoutDivisor
+	overdueUs           = convergeUs / dissemination.OverdueDivisor
+	deadAfterUs         = 1_200 * Millisecond // after which a silent process is considered dead
+	corruptPerMille     = 2                   // share of changes that arrive with a wrong digest
+	minRelayChildNumber = 3
 )
 
-// sink is a router, as far as the configuration is concerned. It passes on what it
-// hears to those that hang on it.
+// sink is the configuration side of a router. It forwards the feeds of its parent to its
+// subscribers.
 type sink struct {
-	d          *distribution
-	addr       string
-	number     int
-	process    *Process
-	troubles   int   // faults that last
-	troubledUs int64 // when a fault last began or ended
+	d            *distribution
+	addr         string
+	number       int
+	process      *Process
+	activeFaults int   // number of active faults
+	lastFaultUs  int64 // when a fault last began or ended
 
-	// What follows is gone with each life of the process.
-	replica     *routeconfig.Replica
-	policy      dissemination.ParentPolicy
-	pacer       dissemination.RequestPacer
-	comparisons *dissemination.Comparisons
-	parent      *subscription
-	joining     bool
-	bootUs      int64
-	lastUs      int64 // when the parent last sent anything
-	heardUs     int64 // when it did so in reach of the core
-	subscribers []*subscription
-	inForce     int64 // the newest version that was in force in this life
+	// The fields below are reset with each life of the process.
+	replica             *routeconfig.Replica
+	policy              dissemination.ParentPolicy
+	pacer               dissemination.RequestPacer
+	comparisons         *dissemination.Comparisons
+	parent              *subscription
+	joining             bool
+	bootUs              int64
+	lastFeedUs          int64 // when the last feed of a parent arrived
+	lastConnectedFeedUs int64 // when the last feed arrived that was not marked as cut off
+	subscribers         []*subscription
+	inForce             int64 // the newest version that was in force in this life
 }
 
 func newSink(d *distribution, i int) *sink {
@@ -55,44 +55,44 @@
 
 func (r *sink) address() string { return r.addr }
 
-func (r *sink) running() *Process { return r.process }
+func (r *sink) proc() *Process { return r.process }
 
 func (r *sink) boot() {
 	r.process.Start()
 	r.replica, r.policy, r.pacer = routeconfig.NewReplica(), dissemination.ParentPolicy{}, dissemination.RequestPacer{}
 	r.comparisons, r.parent, r.joining = dissemination.NewComparisons(r.d.kernel.Below(64)), nil, false
-	r.bootUs, r.lastUs, r.heardUs, r.subscribers, r.inForce = r.process.NowUs(), 0, 0, nil, 0
+	r.bootUs, r.lastFeedUs, r.lastConnectedFeedUs, r.subscribers, r.inForce = r.process.NowUs(), 0, 0, nil, 0
 	r.d.every(r.process, joinPauseUs, r.join)
 	r.d.every(r.process, subscriberTickUs, r.tick)
-	if !r.d.defects.NeverCompare {
+	if !r.d.defects.SkipComparisons {
 		r.d.every(r.process, compareEveryUs, r.compare)
 	}
 }
 
-// wanted lists the parents: for some routers one before them, then the controllers in
-// an order of the tree.
-func (r *sink) wanted() []string {
+// preferredParents returns the preferred parents: for some routers a relay with a lower number,
+// then the controllers in the order of the tree.
+func (r *sink) preferredParents() []string {
 	var out []string
-	if r.number >= fewestBeforeRelay && r.number%2 == 0 {
-		if relay := r.d.routers[r.number/2]; r.d.seen(relay.process, relay.troubledUs) {
+	if r.number >= minRelayChildNumber && r.number%2 == 0 {
+		if relay := r.d.routers[r.number/2]; r.d.isSeenAlive(relay.process, relay.lastFaultUs) {
 			out = append(out, relay.addr)
 		}
 	}
 	var peers []messages.Peer
 	for _, c := range r.d.controllers {
-		if r.d.seen(c.process, c.downUs) {
+		if r.d.isSeenAlive(c.process, c.downUs) {
 			peers = append(peers, messages.Peer{Addr: c.addr, Zone: "a", Counted: true})
 		}
 	}
 	return append(out, dissemination.Parents(r.addr, "a", peers, nil)...)
 }
 
-// seen tells whether a process is in the others' views.
-func (d *distribution) seen(p *Process, sinceUs int64) bool {
-	return p.Up() && !p.frozen || d.kernel.NowUs()-sinceUs < unseenUs
+// isSeenAlive reports whether other processes consider a process alive.
+func (d *distribution) isSeenAlive(p *Process, sinceUs int64) bool {
+	return p.Up() && !p.frozen || d.kernel.NowUs()-sinceUs < deadAfterUs
 }
 
-func (d *distribution) node(addr string) node {
+func (d *distribution) nodeAt(addr string) node {
 	for _, c := range d.controllers {
 		if c.addr == addr {
 			return c
@@ -106,42 +106,42 @@
 	return nil
 }
 
-func (r *sink) hold() messages.SyncState {
+func (r *sink) syncState() messages.SyncState {
 	h := messages.SyncState{Configuration: r.replica.Cursor()}
-	h.Anything = h.Configuration.Version == 0 && r.process.NowUs()-r.bootUs > anythingUs
+	h.Anything = h.Configuration.Version == 0 && r.process.NowUs()-r.bootUs > acceptAnyAfterUs
 	return h
 }
 
-// join looks for a parent where there is none.
+// join tries to subscribe to a parent if there is none.
 func (r *sink) join() {
 	if r.parent != nil || r.joining {
 		return
 	}
 	r.joining = true
-	r.try(r.policy.Order(r.wanted(), r.process.NowUs()))
+	r.tryParents(r.policy.Order(r.preferredParents(), r.process.NowUs()))
 }
 
-func (r *sink) try(list []string) {
-	if len(list) == 0 {
+func (r *sink) tryParents(parents []string) {
+	if len(parents) == 0 {
 		r.joining = false
 		return
 	}
-	next := r.process.InLife(func() { r.try(list[1:]) })
-	to := r.d.node(list[0])
+	next := r.process.InLife(func() { r.tryParents(parents[1:]) })
+	to := r.d.nodeAt(parents[0])
 	r.dial(to, func(ok bool) {
 		if !ok {
 			next()
 			return
 		}
-		sub := &subscription{d: r.d, parent: to, child: r, parentLife: to.running().life, childLife: r.process.life, open: true}
-		r.d.call(r.process, r.addr, to.running(), to.address(), subscribeWaitUs, func() func() {
-			if sub.parentLife != to.running().life {
+		sub := &subscription{d: r.d, parent: to, child: r, parentLife: to.proc().life, childLife: r.process.life, open: true}
+		r.d.call(r.process, r.addr, to.proc(), to.address(), subscribeWaitUs, func() func() {
+			if sub.parentLife != to.proc().life {
 				return nil
 			}
 			to.subscribe(sub)
-			h := r.hold()
-			r.d.step(to.running(), func() { sub.push(to.since(h)) })
-			return func() { r.parent, r.lastUs = sub, r.process.NowUs() }
+			h := r.syncState()
+			r.d.step(to.proc(), func() { sub.push(to.feedSince(h)) })
+			return func() { r.parent, r.lastFeedUs = sub, r.process.NowUs() }
 		}, func(ok bool) {
 			if !ok {
 				sub.open = false
@@ -153,10 +153,10 @@
 	})
 }
 
-// dial opens a connection, which the other machine does without its process.
+// dial opens a connection. The other machine accepts it even while its process is frozen or slow.
 func (r *sink) dial(to node, ended func(bool)) {
 	done := false
-	finish := r.process.InLife
+	inLife := r.process.InLife
 	end := func(ok bool) {
 		if !done {
 			done = true
@@ -164,20 +164,20 @@
 		}
 	}
 	r.d.network.Send(r.addr, to.address(), func() {
-		up := to.running().Up()
-		r.d.network.Send(to.address(), r.addr, finish(func() { r.d.step(r.process, func() { end(up) }) }))
+		up := to.proc().Up()
+		r.d.network.Send(to.address(), r.addr, inLife(func() { r.d.step(r.process, func() { end(up) }) }))
 	})
 	r.process.After(dialWaitUs, func() { end(false) })
 }
 
-// tick leaves a parent that is silent, gone or no longer wanted.
+// tick leaves a parent that is silent, disconnected or no longer preferred.
 func (r *sink) tick() {
 	if r.parent == nil {
 		return
 	}
 	nowUs := r.process.NowUs()
 	addr := r.parent.parent.address()
-	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastUs, nowUs) || r.policy.ShouldMove(r.wanted(), addr, nowUs) {
+	if !r.parent.open || r.policy.LeaveSilent(addr, nowUs-r.lastFeedUs, nowUs) || r.policy.ShouldMove(r.preferredParents(), addr, nowUs) {
 		r.leave()
 	}
 }
@@ -187,39 +187,39 @@
 	r.parent = nil
 }
 
-// hear takes a feed of the parent in and passes it on.
-func (r *sink) hear(sub *subscription, f messages.Feed) {
+// receiveFeed forwards and applies a feed of the parent, and requests a delta if it is behind.
+func (r *sink) receiveFeed(sub *subscription, f messages.Feed) {
 	if r.parent != nil && r.parent != sub {
 		return
 	}
 	nowUs := r.process.NowUs()
-	r.lastUs = nowUs
+	r.lastFeedUs = nowUs
 	if !f.CutOff {
-		r.heardUs = nowUs
+		r.lastConnectedFeedUs = nowUs
 	}
 	r.subscribers = pushAll(r.subscribers, f)
-	fits := r.take(f)
+	fits := r.applyFeed(f)
 	if r.pacer.Due(!fits || r.replica.Version() < f.Versions[0], nowUs) {
-		h := r.hold()
+		h := r.syncState()
 		r.d.network.Send(r.addr, sub.parent.address(), func() {
-			sub.parent.running().Deliver(func() {
-				r.d.step(sub.parent.running(), func() { sub.push(sub.parent.since(h)) })
+			sub.parent.proc().Deliver(func() {
+				r.d.step(sub.parent.proc(), func() { sub.push(sub.parent.feedSince(h)) })
 			})
 		})
 	}
 	if !f.CutOff || r.parent != sub {
 		return
 	}
-	if h := r.hold(); h.Configuration.Version == 0 && !h.Anything || r.policy.LeaveCutOff(sub.parent.address(), nowUs) {
+	if h := r.syncState(); h.Configuration.Version == 0 && !h.Anything || r.policy.LeaveCutOff(sub.parent.address(), nowUs) {
 		r.leave()
 	}
 }
 
-// take applies the changes of a feed and checks what is in force then.
-func (r *sink) take(f messages.Feed) (fits bool) {
+// applyFeed applies the changes of a feed and checks the configuration in force afterwards.
+func (r *sink) applyFeed(f messages.Feed) (fits bool) {
 	fits = true
 	for _, change := range f.Configuration {
-		if r.d.kernel.Chance(spoiledPerMille) {
+		if r.d.kernel.Chance(corruptPerMille) {
 			change.Digest++
 		}
 		result, _, err := r.replica.Apply(change)
@@ -229,7 +229,7 @@
 	return fits
 }
 
-func (r *sink) since(h messages.SyncState) messages.Feed {
+func (r *sink) feedSince(h messages.SyncState) messages.Feed {
 	f := messages.Feed{Versions: []int64{r.replica.Version()}}
 	if change, lacks := r.replica.DeltaSince(h.Configuration); lacks {
 		f.Configuration = []messages.EntryChange{change}
@@ -239,11 +239,11 @@
 
 func (r *sink) subscribe(sub *subscription) { r.subscribers = append(r.subscribers, sub) }
 
-// compare asks controllers beside the tree.
+// compare compares versions with controllers outside the tree.
 func (r *sink) compare() {
 	var alive []string
 	for _, c := range r.d.controllers {
-		if r.d.seen(c.process, c.downUs) {
+		if r.d.isSeenAlive(c.process, c.downUs) {
 			alive = append(alive, c.addr)
 		}
 	}
@@ -251,9 +251,9 @@
 	if r.parent != nil {
 		parent = r.parent.parent.address()
 	}
-	overdue := r.process.NowUs()-r.heardUs > overdueUs
+	overdue := r.process.NowUs()-r.lastConnectedFeedUs > overdueUs
 	for _, addr := range r.comparisons.Next(alive, parent, overdue) {
-		r.compareWith(r.d.node(addr), overdue)
+		r.compareWith(r.d.nodeAt(addr), overdue)
 	}
 }
 
@@ -261,8 +261,8 @@
 	begunUs := r.process.NowUs()
 	var version int64
 	ended := func(ok bool) { r.comparisons.RecordResult(to.address(), ok, true) }
-	r.d.call(r.process, r.addr, to.running(), to.address(), compareWaitUs, func() func() {
-		f := to.since(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 1 << 62}})
+	r.d.call(r.process, r.addr, to.proc(), to.address(), compareWaitUs, func() func() {
+		f := to.feedSince(messages.SyncState{Configuration: messages.Cursor{Epoch: routeconfig.Epoch, Version: 1 << 62}})
 		return func() { version = f.Versions[0] }
 	}, func(ok bool) {
 		leftUs := compareWaitUs - (r.process.NowUs() - begunUs)
@@ -276,9 +276,9 @@
 			return
 		}
 		h := messages.SyncState{Configuration: r.replica.Cursor()}
-		r.d.call(r.process, r.addr, to.running(), to.address(), leftUs, func() func() {
-			f := to.since(h)
-			return func() { r.take(f) }
+		r.d.call(r.process, r.addr, to.proc(), to.address(), leftUs, func() func() {
+			f := to.feedSince(h)
+			return func() { r.applyFeed(f) }
 		}, func(ok bool) {
 			r.comparisons.EndFetch()
 			ended(ok)
@@ -286,8 +286,8 @@
 	})
 }
 
-// checkInForce looks at what is in force: never an older version within a life, never
-// one that was refused, and exactly the routes of its configuration.
+// checkInForce checks the configuration in force: it is never older than before in the same
+// life, was never rejected, and has exactly the routes of its version.
 func (r *sink) checkInForce() {
 	k, version := r.d.kernel, r.replica.Version()
 	if version < r.inForce {
@@ -298,11 +298,11 @@
 		return
 	}
 	r.inForce = version
-	if r.d.refused[table.Version] {
+	if r.d.rejected[table.Version] {
 		k.Fail("%s has configuration %d in force, which was refused", r.addr, table.Version)
 		return
 	}
-	config, err := routeconfig.ParseAccepted(r.d.releases[version-1].order.Raw)
+	config, err := routeconfig.ParseAccepted(r.d.releases[version-1].submission.Raw)
 	if err != nil || config.Version != table.Version {
 		k.Fail("%s has configuration %d in force under version %d: %v", r.addr, table.Version, version, err)
 		return
@@ -320,9 +320,9 @@
 	}
 }
 
-// checkDue has a router in touch be at a version or a newer one.
+// checkDue checks that the router has the version that is due or a newer one, if it is in contact.
 func (r *sink) checkDue(due int64) {
-	inTouch := r.process.Up() && !r.process.frozen && r.troubles == 0 && r.d.kernel.NowUs()-r.troubledUs > contactBoundUs
+	inTouch := r.process.Up() && !r.process.frozen && r.activeFaults == 0 && r.d.kernel.NowUs()-r.lastFaultUs > contactBoundUs
 	if inTouch && r.replica.Version() < due {
 		parent := "nobody"
 		if r.parent != nil {
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -1,4 +1,4 @@
-// The lease of rolling out weights: who holds it, and when its holder acts.
+// The rollout lease in the registers model: how it is acquired and confirmed, and when its holder acts.
 
 package simulation
 
@@ -12,29 +12,29 @@
 )
 
 const (
-	dutyEveryUs = 250 * Millisecond
-	confirmUs   = 600 * Millisecond
-	takeUs      = Second
+	leaseStepEveryUs      = 250 * Millisecond
+	leaseConfirmTimeoutUs = 600 * Millisecond
+	leaseAcquireTimeoutUs = Second
 )
 
-// dutyTimes are those the controllers use.
+// dutyTimes are the lease times that the controllers use.
 var dutyTimes = lease.Times{LeaseUs: 3 * Second, ActUs: 400 * Millisecond, InFlightUs: 800 * Millisecond}
 
 var errNoChange = errors.New("simulation: nothing to change")
 
-// workDuty is one turn of the one who holds the duty, or would take it over.
-func (c *Controller) workDuty() {
-	v, ok := c.committed(dutyPart)
-	if c.dutyBusy || !ok {
+// stepLease runs one periodic step: the holder confirms the lease and acts, others watch the holder.
+func (c *Controller) stepLease() {
+	v, ok := c.committed(rolloutLeasePart)
+	if c.leaseBusy || !ok {
 		return
 	}
-	held := dutyOf(v).Lease
+	held := leaseBodyOf(v).Lease
 	if held.Holder != c.id {
 		c.watchHolder(held)
 		return
 	}
-	if c.duty.Fence() != held.Fence {
-		c.takeDuty(held)
+	if c.rolloutLease.Fence() != held.Fence {
+		c.acquireLease(held)
 		return
 	}
 	if c.mayAct() {
@@ -42,29 +42,29 @@
 		return
 	}
 	askedUs := c.process.NowUs()
-	c.dutyBusy = true
-	c.read(dutyPart, confirmUs, func(v messages.Value, err error) {
-		c.dutyBusy = false
+	c.leaseBusy = true
+	c.read(rolloutLeasePart, leaseConfirmTimeoutUs, func(v messages.Value, err error) {
+		c.leaseBusy = false
 		if err != nil {
 			return
 		}
-		now := dutyOf(v).Lease
+		now := leaseBodyOf(v).Lease
 		if now.Holder != c.id {
-			c.duty.Released()
+			c.rolloutLease.Released()
 			return
 		}
-		c.duty.Confirmed(now.Fence, askedUs)
+		c.rolloutLease.Confirmed(now.Fence, askedUs)
 		if c.mayAct() {
 			c.act()
 		}
 	})
 }
 
-// watchHolder takes the duty over once its holder is gone.
+// watchHolder takes over the lease once its holder is gone.
 func (c *Controller) watchHolder(held messages.Lease) {
 	now := c.process.NowUs()
-	if c.duty.Fence() > 0 && c.duty.Fence() < held.Fence {
-		c.duty.Released()
+	if c.rolloutLease.Fence() > 0 && c.rolloutLease.Fence() < held.Fence {
+		c.rolloutLease.Released()
 		c.takeover.Lost(now)
 	}
 	var candidates []string
@@ -74,67 +74,67 @@
 			candidates = append(candidates, p.Addr)
 		}
 	}
-	rank, found := lease.Rank(candidates, c.addr, held)
-	view := lease.TakeoverView{Holder: held.Holder, Fence: held.Fence, Gone: !hasMember(alive, held.Holder), InContact: found, Needed: true, Rank: rank}
+	rank, inGroup := lease.Rank(candidates, c.addr, held)
+	view := lease.TakeoverView{Holder: held.Holder, Fence: held.Fence, Gone: !hasPeer(alive, held.Holder), InContact: inGroup, Needed: true, Rank: rank}
 	if c.takeover.Due(view, now) {
-		c.takeDuty(held)
+		c.acquireLease(held)
 	}
 }
 
 func (c *Controller) mayAct() bool {
 	now := c.process.NowUs()
 	if c.cluster.defects.ActWithoutWaiting {
-		return c.duty.Fence() > 0
+		return c.rolloutLease.Fence() > 0
 	}
-	return c.duty.MayAct(now)
+	return c.rolloutLease.MayAct(now)
 }
 
-// actedFile is where a holder notes the fence that it has acted under.
+// actedFile holds the last fence under which this controller has acted.
 const actedFile = "acted"
 
-// act stands for an order to a runner. The first one under a fence is noted on
-// disk, at leisure: the note only spares a later life of this holder a wait.
+// act stands for an order to a runner. The first act under a fence is recorded on disk,
+// without waiting for the write: the record only saves a later life of this holder a wait.
 func (c *Controller) act() {
-	fence := c.duty.Fence()
-	c.cluster.checks.acted(c.id, fence)
-	if c.actedAs == fence {
+	fence := c.rolloutLease.Fence()
+	c.cluster.checks.recordAct(c.id, fence)
+	if c.recordedFence == fence {
 		return
 	}
-	c.actedAs = fence
+	c.recordedFence = fence
 	c.disk.Write(actedFile, strconv.AppendInt(nil, fence, 10), func(error) {})
 }
 
-// actedUnder tells whether a life of this holder has acted under a fence, so
-// that nobody before it can still act.
+// actedUnder reports whether some life of this holder has acted under a fence, so that no
+// earlier holder can still act.
 func (c *Controller) actedUnder(fence int64) bool {
 	noted, ok := c.disk.Read(actedFile)
-	return c.cluster.defects.TrustUnusedClaim || ok && string(noted) == strconv.FormatInt(fence, 10)
+	return c.cluster.defects.TreatUnusedLeaseAsUsed || ok && string(noted) == strconv.FormatInt(fence, 10)
 }
 
-// takeDuty wins the duty by a ballot, if it is still as it was.
-func (c *Controller) takeDuty(was messages.Lease) {
-	c.dutyBusy = true
-	take := func(cur messages.Value) ([]messages.Member, []byte, error) {
-		body := dutyOf(cur)
-		if body.Lease != was {
+// acquireLease acquires the lease by a change of the register, unless the lease has changed since it was read.
+func (c *Controller) acquireLease(previous messages.Lease) {
+	c.leaseBusy = true
+	acquire := func(cur messages.Value) ([]messages.Member, []byte, error) {
+		body := leaseBodyOf(cur)
+		if body.Lease != previous {
 			return nil, nil, errNoChange
 		}
-		body.Lease = messages.Lease{Holder: c.id, Fence: was.Fence + 1}
+		body.Lease = messages.Lease{Holder: c.id, Fence: previous.Fence + 1}
 		raw, err := body.MarshalMsg(nil)
 		return nil, raw, err
 	}
-	c.change(dutyPart, takeUs, take, func(v messages.Value, err error) {
-		c.dutyBusy = false
-		if err != nil || dutyOf(v).Lease.Holder != c.id {
+	c.change(rolloutLeasePart, leaseAcquireTimeoutUs, acquire, func(v messages.Value, err error) {
+		c.leaseBusy = false
+		if err != nil || leaseBodyOf(v).Lease.Holder != c.id {
 			return
 		}
-		predecessor := lease.PredecessorOf(was.Holder, c.id, c.actedUnder(was.Fence))
-		c.duty.Acquired(dutyOf(v).Lease.Fence, predecessor, c.process.NowUs())
-		c.cluster.kernel.Note("%s takes the duty under fence %d", c.id, c.duty.Fence())
+		predecessor := lease.PredecessorOf(previous.Holder, c.id, c.actedUnder(previous.Fence))
+		c.rolloutLease.Acquired(leaseBodyOf(v).Lease.Fence, predecessor, c.process.NowUs())
+		c.cluster.kernel.Note("%s takes the duty under fence %d", c.id, c.rolloutLease.Fence())
 	})
 }
 
-func hasMember(peers []messages.Peer, id string) bool {
+func hasPeer(peers []messages.Peer, id string) bool {
 	for _, p := range peers {
 		if p.MemberID == id {
 			return true
@@ -143,8 +143,8 @@
 	return false
 }
 
-// dutyOf reads the body of the duty's register.
-func dutyOf(v messages.Value) messages.LeaseBody {
+// leaseBodyOf decodes the body of the register that holds the rollout lease.
+func leaseBodyOf(v messages.Value) messages.LeaseBody {
 	body := messages.LeaseBody{Targets: []messages.Target{}}
 	if len(v.Body) > 0 {
 		if _, err := body.UnmarshalMsg(v.Body); err != nil {
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -1,5 +1,5 @@
-// Engines: runners as far as rollouts are concerned, with requests in their queue,
-// long streams, and orders as the protocol has them.
+// Model of a runner for rollouts: queued requests, long streams, and load orders as
+// in the protocol.
 
 package simulation
 
@@ -10,77 +10,77 @@
 	"beechtide.org/beechtide/internal/rollout"
 )
 
-// freshUs is how long routers keep the bound on old weights towards a runner that has
-// just come, also where they know none otherwise: no order can be there before it is
-// listed.
-const freshUs = Second
+// freshRunnerUs is how long routers enforce the age bound on weights for a runner that has just
+// started, even in histories without a bound: a runner cannot receive an order before it
+// is listed.
+const freshRunnerUs = Second
 
-// reportLagUs is how old a report is when it is given.
+// reportLagUs is the age of the state that a report contains.
 const reportLagUs = 200 * Millisecond
 
-// engine is one place in the fleet: an address with one runner after another.
+// engine models one runner address. Instances follow one another at the same address.
 type engine struct {
-	history  *rolloutHistory
-	address  string
-	instance int
-	up       bool
-	at       int // the registrar it beats at
-	beats    int64
-	slow     int64
-	begunUs  int64
-
-	version  int64
-	target   int64 // of the order under way; 0 where there is none
-	loads    bool
-	sequence int64
-	fence    int64
-	accepted int // orders that were taken, by all lives
-	streams  int
-	queued   int64 // rises with each order: what waited before it is turned away
-	past     []pastReport
+	history        *rolloutHistory
+	address        string
+	instance       int
+	up             bool
+	registrarIndex int // index of the registrar that receives its heartbeats
+	heartbeats     int64
+	slow           int64
+	startedUs      int64
+
+	version     int64
+	target      int64 // version of the order in progress; 0 if there is none
+	loadStarted bool
+	sequence    int64
+	fence       int64
+	accepted    int // orders accepted by all instances
+	streams     int
+	queued      int64 // incremented by each order, which rejects the requests queued before it
+	pastReports []pastReport
 }
 
-// pastReport is what a report would have said at a moment.
+// pastReport is the report for the state at a point in time.
 type pastReport struct {
-	atUs int64
-	said rollout.Report
+	atUs   int64
+	report rollout.Report
 }
 
 func (e *engine) id() string { return fmt.Sprintf("%s#%d", e.address, e.instance) }
 
-// begin starts a runner with the weights that the one before it had.
+// begin starts a new instance, which has the weights of the previous one.
 func (e *engine) begin() {
 	e.instance++
-	e.up, e.beats, e.sequence, e.fence, e.target, e.streams, e.past = true, 0, 0, 0, 0, 0, nil
-	e.loads, e.begunUs = false, e.history.kernel.NowUs()
+	e.up, e.heartbeats, e.sequence, e.fence, e.target, e.streams, e.pastReports = true, 0, 0, 0, 0, 0, nil
+	e.loadStarted, e.startedUs = false, e.history.kernel.NowUs()
 	e.slow = max(e.slow, 1)
-	e.at = e.history.kernel.Below(len(e.history.fleet.registrars))
+	e.registrarIndex = e.history.kernel.Below(len(e.history.fleet.registrars))
 	e.history.kernel.Note("%s begins on version %d", e.id(), e.version)
-	e.remember()
-	e.beat(e.instance)
-	e.receive(e.instance)
+	e.recordReport()
+	e.sendHeartbeat(e.instance)
+	e.generateRequests(e.instance)
 }
 
 func (e *engine) end() {
 	e.history.kernel.Note("%s ends", e.id())
-	if e.loads {
+	if e.loadStarted {
 		e.history.loading--
 	}
-	e.up, e.loads = false, false
+	e.up, e.loadStarted = false, false
 }
 
-// lives tells whether an instance goes on.
-func (e *engine) lives(instance int) bool { return e.up && e.instance == instance }
+// isCurrent reports whether an instance is still running.
+func (e *engine) isCurrent(instance int) bool { return e.up && e.instance == instance }
 
-func (e *engine) beat(instance int) {
+func (e *engine) sendHeartbeat(instance int) {
 	h := e.history
-	if !e.lives(instance) {
+	if !e.isCurrent(instance) {
 		return
 	}
-	e.beats++
-	to, answered := h.fleet.registrars[e.at], false
+	e.heartbeats++
+	to, answered := h.fleet.registrars[e.registrarIndex], false
 	record := messages.RunnerRecord{
-		ID: e.id(), Service: rolloutService, Addr: e.address, Capacity: 1, Seq: e.beats,
+		ID: e.id(), Service: rolloutService, Addr: e.address, Capacity: 1, Seq: e.heartbeats,
 		Models: []messages.Target{{Model: rolloutModel, Version: e.version}},
 	}
 	h.network.Send(e.address, to.addr, func() {
@@ -91,43 +91,44 @@
 	})
 	h.kernel.After(answerWaitUs, func() {
 		if !answered {
-			e.at = (e.at + 1) % len(h.fleet.registrars)
+			e.registrarIndex = (e.registrarIndex + 1) % len(h.fleet.registrars)
 		}
 	})
-	h.kernel.After(heartbeatUs, func() { e.beat(instance) })
+	h.kernel.After(heartbeatUs, func() { e.sendHeartbeat(instance) })
 }
 
-// receive is the requests that routers send. A router knows what a registrar knew a
-// while ago; one that keeps the bound sends nothing to older weights from then on.
-func (e *engine) receive(instance int) {
+// generateRequests generates the requests of routers. A router acts on a registrar's state of a
+// while ago. If it enforces the bound, it sends no request to a runner whose weights are
+// over the bound in that state.
+func (e *engine) generateRequests(instance int) {
 	h := e.history
-	if !e.lives(instance) {
+	if !e.isCurrent(instance) {
 		return
 	}
-	h.kernel.After(h.kernel.Between(20*Millisecond, 600*Millisecond), func() { e.receive(instance) })
+	h.kernel.After(h.kernel.Between(20*Millisecond, 600*Millisecond), func() { e.generateRequests(instance) })
 	from := h.fleet.registrars[h.kernel.Below(len(h.fleet.registrars))]
 	if !from.process.Up() {
 		return
 	}
 	record, ok := from.runners.Snapshot().ByID[e.id()]
-	fresh := h.kernel.NowUs()-e.begunUs < freshUs
+	fresh := h.kernel.NowUs()-e.startedUs < freshRunnerUs
 	if !ok || record.Cordoned || (h.bounded || fresh) && h.checks.boundPassed(e.version, routerBoundUs) {
 		return
 	}
 	h.kernel.After(h.kernel.Between(0, 300*Millisecond), func() {
-		if e.lives(instance) && e.target == 0 {
+		if e.isCurrent(instance) && e.target == 0 {
 			e.enqueue(instance)
 		}
 	})
 }
 
-// enqueue has a request wait for its prompt to be read, and run.
+// enqueue models one request: it waits in the queue and for its prefill, then streams.
 func (e *engine) enqueue(instance int) {
 	h, order := e.history, e.queued
 	waitUs := min(h.kernel.Between(0, 300*Millisecond)*e.slow, maxQueuedUs)
 	h.kernel.After(waitUs, func() {
-		if !e.lives(instance) || e.queued != order {
-			return // turned away by an order
+		if !e.isCurrent(instance) || e.queued != order {
+			return // rejected by an order
 		}
 		h.checks.begins(e)
 		e.streams++
@@ -136,16 +137,16 @@
 			runsUs = h.kernel.Between(2*Second, maxStreamUs)
 		}
 		h.kernel.After(runsUs, func() {
-			if e.lives(instance) {
+			if e.isCurrent(instance) {
 				e.streams--
-				e.maybeLoad()
+				e.startLoadIfIdle()
 			}
 		})
 	})
 }
 
-// order is a runner's answer to an order. Nothing more begins until it is done.
-func (e *engine) order(o rollout.Order, fence int64, from *coordinator) rollout.Answer {
+// handleOrder handles a load order. After an order is accepted, no request starts until the load is done.
+func (e *engine) handleOrder(o rollout.Order, fence int64, from *coordinator) rollout.Answer {
 	e.history.checks.order(e, from, fence)
 	switch {
 	case fence < e.fence:
@@ -163,49 +164,49 @@
 	e.accepted++
 	e.sequence++
 	e.queued++
-	e.remember()
-	e.maybeLoad()
+	e.recordReport()
+	e.startLoadIfIdle()
 	return rollout.Accepted
 }
 
-// maybeLoad begins the load once the runs have ended.
-func (e *engine) maybeLoad() {
+// startLoadIfIdle starts the load of the ordered version once all streams have ended.
+func (e *engine) startLoadIfIdle() {
 	h, instance := e.history, e.instance
-	if e.target == 0 || e.streams > 0 || e.loads {
+	if e.target == 0 || e.streams > 0 || e.loadStarted {
 		return
 	}
-	e.loads = true
+	e.loadStarted = true
 	h.loading++
 	takesUs := loadTakesUs * e.slow * max(1, int64(h.loading-siteLoads+1))
-	e.remember()
+	e.recordReport()
 	h.kernel.After(takesUs, func() {
-		if !e.lives(instance) {
+		if !e.isCurrent(instance) {
 			return
 		}
 		h.loading--
 		h.kernel.Note("%s holds version %d", e.id(), e.target)
-		e.loads, e.version, e.target = false, e.target, 0
-		e.remember()
+		e.loadStarted, e.version, e.target = false, e.target, 0
+		e.recordReport()
 	})
 }
 
-// remember keeps what a report would say, for reports lag.
-func (e *engine) remember() {
+// recordReport records the current report, since reports are delivered with a lag.
+func (e *engine) recordReport() {
 	said := rollout.Report{Version: e.version, Busy: e.target > 0, Idle: e.streams == 0, Sequence: e.sequence}
-	e.past = append(e.past, pastReport{e.history.kernel.NowUs(), said})
+	e.pastReports = append(e.pastReports, pastReport{e.history.kernel.NowUs(), said})
 }
 
 func (e *engine) report() rollout.Report {
-	said := e.past[0].said
-	for _, p := range e.past {
+	said := e.pastReports[0].report
+	for _, p := range e.pastReports {
 		if p.atUs <= e.history.kernel.NowUs()-reportLagUs {
-			said = p.said
+			said = p.report
 		}
 	}
 	return said
 }
 
-// answersAfter is how long a runner takes to answer a call.
-func (e *engine) answersAfter() int64 {
+// answerDelayUs draws the time in microseconds that a runner takes to answer a call.
+func (e *engine) answerDelayUs() int64 {
 	return e.history.kernel.Between(Millisecond, 40*Millisecond) * e.slow
 }
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -1,6 +1,7 @@
-// Operators: they replace the configuration on top of what they last read, at times
-// under numbers that others use too, read it back and name weights versions. One that
-// gets no answer repeats the same call at another controller.
+// Model of operators. They replace the configuration on top of the version that they last
+// read, sometimes under version numbers that other operators use too, read it back and name
+// weights versions. An operator that receives no answer repeats the same call at another
+// controller.
 
 package simulation
 
@@ -16,9 +17,9 @@
 )
 
 const (
-	operatorWaitUs = 900 * Millisecond // as the controllers bound a change
-	callerWaitUs   = Second            // after which a caller moves on
-	mostTries      = 6
+	serveTimeoutUs = 900 * Millisecond // timeout of a change or read in a controller, as in package controller
+	callTimeoutUs  = Second            // timeout after which an operator tries another controller
+	maxAttempts    = 6
 )
 
 type operator struct {
@@ -29,16 +30,16 @@
 	serial  int
 }
 
-// order is one call with all its repeats, from the first sending to the answer.
-type order struct {
+// pendingCall is one call with all its attempts, up to the final answer.
+type pendingCall struct {
 	id   int // in the history
 	call history.Call
 }
 
-const model = "model"
+const modelName = "model"
 
-// next thinks, calls, and comes back, until the end of the history.
-func (o *operator) next() {
+// startNextCall draws and starts the next call, until everything heals.
+func (o *operator) startNextCall() {
 	k := o.cluster.kernel
 	if o.cluster.healed {
 		return
@@ -57,73 +58,73 @@
 	case draw < 70:
 		call.Kind = history.Read
 	case draw < 90:
-		call = history.Call{Kind: history.SetWeights, Model: model, Version: k.Between(1, 40)}
+		call = history.Call{Kind: history.SetWeights, Model: modelName, Version: k.Between(1, 40)}
 	default:
-		call = history.Call{Kind: history.ReadWeights, Model: model}
+		call = history.Call{Kind: history.ReadWeights, Model: modelName}
 	}
-	o.try(order{id: o.cluster.history.Begin(o.number, call), call: call}, 1)
+	o.attempt(pendingCall{id: o.cluster.history.Begin(o.number, call), call: call}, 1)
 }
 
-// try sends a call to some controller, and again to another where no final
-// answer comes in time.
-func (o *operator) try(call order, try int) {
+// attempt sends a call to a random controller, and retries at another one if no final answer
+// arrives in time.
+func (o *operator) attempt(call pendingCall, attemptNumber int) {
 	k := o.cluster.kernel
 	node := o.cluster.controllers[k.Below(len(o.cluster.controllers))]
-	over := false
-	again := func() {
-		if over {
+	finished := false
+	retry := func() {
+		if finished {
 			return
 		}
-		over = true
-		if try == mostTries || o.cluster.healed {
+		finished = true
+		if attemptNumber == maxAttempts || o.cluster.healed {
 			o.end(call, history.Response{})
 			return
 		}
-		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.try(call, try+1) })
+		k.After(k.Between(5*Millisecond, 60*Millisecond), func() { o.attempt(call, attemptNumber+1) })
 	}
 	answer := func(a history.Response) {
 		switch {
-		case over:
+		case finished:
 		case a.Verdict == history.Unclear:
-			again()
+			retry()
 		default:
-			over = true
+			finished = true
 			o.end(call, a)
 		}
 	}
-	o.cluster.ask(o.name, node, call.call, answer)
-	k.After(callerWaitUs, again)
+	o.cluster.callController(o.name, node, call.call, answer)
+	k.After(callTimeoutUs, retry)
 }
 
-func (o *operator) end(call order, answer history.Response) {
+func (o *operator) end(call pendingCall, answer history.Response) {
 	k := o.cluster.kernel
 	o.cluster.history.End(call.id, answer)
 	k.Note("%s: %s: %s", o.name, call.call, answer)
 	counts := &o.cluster.checks.counts
 	switch {
 	case answer.Verdict == history.Unclear:
-		counts.Unclear++
+		counts.CallsUnclear++
 	case answer.Verdict != history.Accepted:
-		counts.Refused++
+		counts.ConfigsRejected++
 	case call.call.Kind == history.Replace:
-		counts.Taken++
+		counts.ConfigsAccepted++
 		o.version = call.call.Version
-		o.cluster.strikeAimed()
+		o.cluster.injectDeferredFaults()
 	case call.call.Kind == history.Read:
-		counts.Read++
+		counts.Reads++
 		o.version = answer.Version
 	}
 	if answer.Verdict == history.Superseded && k.Chance(700) {
-		o.version = max(o.version, o.cluster.anyVersion())
+		o.version = max(o.version, o.cluster.randomVersion())
 	}
-	k.After(k.Between(20*Millisecond, 900*Millisecond), o.next)
+	k.After(k.Between(20*Millisecond, 900*Millisecond), o.startNextCall)
 }
 
-// anyVersion is what some operator knows; two of them may build on one base.
-func (c *Cluster) anyVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
+// randomVersion returns the version of a random operator, so that two operators may use the same base.
+func (c *Cluster) randomVersion() int64 { return c.operators[c.kernel.Below(len(c.operators))].version }
 
-// ask carries a call to a controller and its answer back, or neither.
-func (c *Cluster) ask(from string, node *Controller, call history.Call, answer func(history.Response)) {
+// callController sends a call to a controller. answer is called if the response arrives.
+func (c *Cluster) callController(from string, node *Controller, call history.Call, answer func(history.Response)) {
 	c.network.Send(from, node.addr, func() {
 		node.process.Deliver(func() {
 			node.serveInContact(call, func(a history.Response) {
@@ -133,14 +134,14 @@
 	})
 }
 
-// serve carries a call out, as the handlers of the control address do.
+// serve executes a call, as the handlers of the control address do.
 func (c *Controller) serve(call history.Call, answer func(history.Response)) {
 	switch call.Kind {
 	case history.Replace:
 		c.serveReplace(call, answer)
 	case history.SetWeights:
 		name := func(cur messages.Value) ([]messages.Member, []byte, error) { return nameWeights(cur, call.Version) }
-		c.change(dutyPart, operatorWaitUs, name, func(_ messages.Value, err error) {
+		c.change(rolloutLeasePart, serveTimeoutUs, name, func(_ messages.Value, err error) {
 			if err != nil && !errors.Is(err, errNoChange) {
 				answer(history.Response{})
 				return
@@ -153,64 +154,64 @@
 			return history.Response{Verdict: history.Accepted, Version: body.Version, Digest: string(body.Raw)}
 		})
 	case history.ReadWeights:
-		c.serveRead(dutyPart, answer, func(v messages.Value) history.Response {
-			return history.Response{Verdict: history.Accepted, Version: weightsOf(dutyOf(v))}
+		c.serveRead(rolloutLeasePart, answer, func(v messages.Value) history.Response {
+			return history.Response{Verdict: history.Accepted, Version: weightsOf(leaseBodyOf(v))}
 		})
 	}
 }
 
-func (c *Controller) serveRead(part int, answer func(history.Response), tell func(messages.Value) history.Response) {
+func (c *Controller) serveRead(part int, answer func(history.Response), toAnswer func(messages.Value) history.Response) {
 	begunUs := c.process.NowUs()
-	c.read(part, operatorWaitUs, func(v messages.Value, err error) {
-		c.vouch(part, begunUs, err)
+	c.read(part, serveTimeoutUs, func(v messages.Value, err error) {
+		c.renewContact(part, begunUs, err)
 		if err != nil {
 			answer(history.Response{})
 			return
 		}
-		answer(tell(v))
+		answer(toAnswer(v))
 	})
 }
 
 func (c *Controller) serveReplace(call history.Call, answer func(history.Response)) {
-	wanted := submissionOf(call)
+	submission := submissionOf(call)
 	if cur, known := c.committed(configPart); known {
-		taken := wanted.AcceptedIn(configOf(cur))
+		accepted := submission.AcceptedIn(configOf(cur))
 		switch {
-		case taken && !c.cluster.defects.ForgetTaken:
+		case accepted && !c.cluster.defects.IgnoreAccepted:
 			answer(history.Response{Verdict: history.Accepted})
 			return
-		case !taken && configOf(cur).Version != call.Base && c.cluster.defects.DenyWithoutRound:
-			// A lower version than the base is refused too: this node may be behind.
+		case !accepted && configOf(cur).Version != call.Base && c.cluster.defects.RejectWithoutRound:
+			// Also rejects a base that is newer than the version here, although this node may be behind.
 			answer(history.Response{Verdict: history.Superseded})
 			return
 		}
 	}
-	replace := func(cur messages.Value) ([]messages.Member, []byte, error) { return c.apply(cur, wanted) }
+	replace := func(cur messages.Value) ([]messages.Member, []byte, error) { return c.applySubmission(cur, submission) }
 	begunUs := c.process.NowUs()
-	c.change(configPart, operatorWaitUs, replace, func(_ messages.Value, err error) {
+	c.change(configPart, serveTimeoutUs, replace, func(_ messages.Value, err error) {
 		if !errors.Is(err, consensus.ErrOutcomeUnknown) && !errors.Is(err, consensus.ErrNoGroup) {
-			c.vouch(configPart, begunUs, nil)
+			c.renewContact(configPart, begunUs, nil)
 		}
 		answer(history.Response{Verdict: verdictOf(err)})
 	})
 }
 
 func submissionOf(call history.Call) routeconfig.Submission {
-	wanted := routeconfig.Submission{Raw: []byte(call.Digest), Version: call.Version, Base: call.Base}
+	submission := routeconfig.Submission{Raw: []byte(call.Digest), Version: call.Version, Base: call.Base}
 	if call.Faulty {
-		wanted.ValidationErr = &routeconfig.InvalidError{Field: "services", Reason: "faulty"}
+		submission.ValidationErr = &routeconfig.InvalidError{Field: "services", Reason: "faulty"}
 	}
-	return wanted
+	return submission
 }
 
-// apply is the change that an order asks for.
-func (c *Controller) apply(cur messages.Value, wanted routeconfig.Submission) ([]messages.Member, []byte, error) {
+// applySubmission returns the value of the configuration register after a submission.
+func (c *Controller) applySubmission(cur messages.Value, submission routeconfig.Submission) ([]messages.Member, []byte, error) {
 	body := configOf(cur)
-	if c.cluster.defects.ForgetTaken {
+	if c.cluster.defects.IgnoreAccepted {
 		body.AcceptedDigest = nil
 	}
-	next, err := wanted.Apply(body)
-	if err != nil && wanted.AcceptableWithOtherChecks(body) {
+	next, err := submission.Apply(body)
+	if err != nil && submission.AcceptableWithOtherChecks(body) {
 		return nil, nil, consensus.SealRejection(err)
 	}
 	if err != nil {
@@ -245,20 +246,20 @@
 
 func weightsOf(body messages.LeaseBody) int64 {
 	for _, t := range body.Targets {
-		if t.Model == model {
+		if t.Model == modelName {
 			return t.Version
 		}
 	}
 	return 0
 }
 
-// nameWeights notes the newest weights of the one model there is.
+// nameWeights records the newest weights version of the only model, if it is newer.
 func nameWeights(cur messages.Value, version int64) ([]messages.Member, []byte, error) {
-	body := dutyOf(cur)
+	body := leaseBodyOf(cur)
 	if weightsOf(body) >= version {
 		return nil, nil, errNoChange
 	}
-	body.Targets = []messages.Target{{Model: model, Version: version}}
+	body.Targets = []messages.Target{{Model: modelName, Version: version}}
 	raw, err := body.MarshalMsg(nil)
 	return nil, raw, err
 }
--- a/internal/simulation/pings.go
+++ b/internal/simulation/pings.go
@@ -1,6 +1,6 @@
-// Pings between controllers, and what they conclude from them. They stand for
-// membership.View: what one has received from another travels on, so that partitions
-// are gone round. An answer stands for a direct call that succeeded.
+// Pings between controllers, a stand-in for membership.View. A ping also carries the ages of
+// the sender's news of other controllers, so that news gets around partial partitions. An
+// answer to a ping stands for a successful direct call.
 
 package simulation
 
@@ -11,21 +11,21 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Waits of the pings. One that was never heard of counts as gone unknownUs after
-// the start, one that did not answer for unreachedUs as cut off.
+// Period and timeouts of the pings. A controller without any news is considered gone
+// unknownGoneAfterUs after the start; one that did not answer for unreachableAfterUs is considered unreachable.
 const (
-	pingEveryUs = 300 * Millisecond
-	silentUs    = 1_500 * Millisecond
-	unknownUs   = 2 * Second
-	unreachedUs = 1_200 * Millisecond
+	pingEveryUs        = 300 * Millisecond
+	silentAfterUs      = 1_500 * Millisecond
+	unknownGoneAfterUs = 2 * Second
+	unreachableAfterUs = 1_200 * Millisecond
 )
 
-// ping tells the others who this is, whom it has heard and what it knows.
+// ping sends this controller's id, the ages of its news and its committed versions to the others.
 func (c *Controller) ping() {
 	now := c.process.NowUs()
 	ages := map[string]peer{c.addr: {id: c.id}}
-	for addr, p := range c.heard {
-		ages[addr] = peer{id: p.id, heardUs: now - p.heardUs}
+	for addr, p := range c.peers {
+		ages[addr] = peer{id: p.id, lastHeardUs: now - p.lastHeardUs}
 	}
 	var versions [parts]int64
 	for part := range versions {
@@ -41,15 +41,15 @@
 }
 
 func (c *Controller) pingOne(to *Controller, ages map[string]peer, versions [parts]int64) {
-	net, life, sentUs := c.cluster.network, c.process.life, c.process.NowUs()
-	net.Send(c.addr, to.addr, func() {
+	network, life, sentUs := c.cluster.network, c.process.life, c.process.NowUs()
+	network.Send(c.addr, to.addr, func() {
 		to.process.Deliver(func() {
 			if to.id != "" {
-				to.pinged(c.addr, ages, versions)
+				to.handlePing(c.addr, ages, versions)
 				member := to.id
-				c.handledBy(member, life)
-				net.Send(to.addr, c.addr, c.process.inLifeOf(life, func() {
-					c.direct[to.addr] = max(c.direct[to.addr], sentUs)
+				c.recordHandled(member, life)
+				network.Send(to.addr, c.addr, c.process.inLifeOf(life, func() {
+					c.lastAnsweredUs[to.addr] = max(c.lastAnsweredUs[to.addr], sentUs)
 					c.contact.RecordAnswer(member, sentUs)
 				}))
 			}
@@ -57,13 +57,13 @@
 	})
 }
 
-// pinged takes the word of another controller and pulls what it lacks.
-func (c *Controller) pinged(from string, ages map[string]peer, versions [parts]int64) {
+// handlePing applies a ping of another controller and pulls the values that are newer there.
+func (c *Controller) handlePing(from string, ages map[string]peer, versions [parts]int64) {
 	now := c.process.NowUs()
 	for addr, p := range ages {
-		heardUs := now - p.heardUs
-		if known, ok := c.heard[addr]; addr != c.addr && (!ok || known.heardUs < heardUs) {
-			c.heard[addr] = peer{id: p.id, heardUs: heardUs}
+		heardUs := now - p.lastHeardUs
+		if known, ok := c.peers[addr]; addr != c.addr && (!ok || known.lastHeardUs < heardUs) {
+			c.peers[addr] = peer{id: p.id, lastHeardUs: heardUs}
 		}
 	}
 	for part, version := range versions {
@@ -74,29 +74,29 @@
 	}
 }
 
-// pull learns what another controller has committed.
+// pull requests and learns the committed value of another controller.
 func (c *Controller) pull(from string, part int) {
 	c.call(from, messages.ConsensusRequest{Part: part, Step: messages.Read}, func(r messages.ConsensusResponse) {
 		c.learn(part, r.Value)
 	})
 }
 
-// silentForUs tells for how long a peer has been taken for dead.
+// silentForUs returns for how long a peer has been considered dead; 0 if it is alive.
 func (c *Controller) silentForUs(addr string) int64 {
 	if addr == c.addr {
 		return 0
 	}
-	p, known := c.heard[addr]
+	p, known := c.peers[addr]
 	if !known {
-		return max(c.process.NowUs()-unknownUs, 0)
+		return max(c.process.NowUs()-unknownGoneAfterUs, 0)
 	}
-	return max(c.process.NowUs()-p.heardUs-silentUs, 0)
+	return max(c.process.NowUs()-p.lastHeardUs-silentAfterUs, 0)
 }
 
-// alive lists the live controllers by address, this one included.
+// alive returns the live controllers ordered by address, including this one.
 func (c *Controller) alive() []messages.Peer {
 	out := []messages.Peer{{Addr: c.addr, MemberID: c.id}}
-	for addr, p := range c.heard {
+	for addr, p := range c.peers {
 		if c.silentForUs(addr) == 0 {
 			out = append(out, messages.Peer{Addr: addr, MemberID: p.id})
 		}
@@ -105,8 +105,8 @@
 	return out
 }
 
-// reaches tells whether direct calls to another controller have been answered of
-// late. One that was not tried for long counts as reached.
+// reaches reports whether another controller has answered a direct call within
+// unreachableAfterUs, or this process has started within that time.
 func (c *Controller) reaches(addr string) bool {
-	return addr == c.addr || c.process.NowUs()-max(c.direct[addr], 1) <= unreachedUs
+	return addr == c.addr || c.process.NowUs()-max(c.lastAnsweredUs[addr], 1) <= unreachableAfterUs
 }
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -1,4 +1,4 @@
-// Play runs one history from a seed and says what it broke.
+// Running one history of the registers model.
 
 package simulation
 
@@ -8,35 +8,35 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// mostSearchTime bounds the search for an order of the calls in one history.
-const mostSearchTime = 20 * time.Second
+// maxSearchTime bounds the linearizability check of one history.
+const maxSearchTime = 20 * time.Second
 
-// Options say how a history is played.
+// Options configure the run of a history.
 type Options struct {
-	Record  bool // keep the history as text
+	Record  bool // record the history as text
 	Defects Defects
 }
 
-// Result is what came of a history.
+// Result is the outcome of one history.
 type Result struct {
 	Seed    uint64
-	Failure string // empty where every check held
+	Failure string // the first violated check; empty if there was none
 	History []string
 	Counts  Counts
 }
 
-// Play plays the controllers' history of a seed.
+// Play runs the history of the controllers for a seed.
 func Play(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	size := []int{3, 3, 3, 5, 5, 7}[k.Below(6)]
 	c := newCluster(k, size, k.Below(3), 2+k.Below(3), options.Defects)
-	c.plan()
-	k.RunUntil(calmUs + faultsUs + mostFault/2)
+	c.scheduleFaults()
+	k.RunUntil(calmUs + faultPhaseUs + mostFault/2)
 	c.heal()
-	k.RunUntil(k.NowUs() + comeBackUs)
-	c.checkTheEnd()
+	k.RunUntil(k.NowUs() + recoveryUs)
+	c.checkFinalState()
 	if k.failure == "" {
-		if err := c.history.Check(mostSearchTime); err != nil {
+		if err := c.history.Check(maxSearchTime); err != nil {
 			k.Fail("%v", err)
 		}
 	}
@@ -44,12 +44,12 @@
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: c.checks.counts}
 }
 
-// endWaitUs is how long each call of the last checks may take.
-const endWaitUs = Second
+// finalReadTimeoutUs is the timeout of each read of the final check.
+const finalReadTimeoutUs = Second
 
-// checkTheEnd has every node read each register: it must get the newest value
-// that was ever chosen, or a newer one.
-func (c *Cluster) checkTheEnd() {
+// checkFinalState reads each register at every controller. Each read must return the
+// newest value that was ever chosen, or a newer one.
+func (c *Cluster) checkFinalState() {
 	for _, node := range c.controllers {
 		for part := range parts {
 			c.checkRead(node, part)
@@ -59,19 +59,19 @@
 
 func (c *Cluster) checkRead(node *Controller, part int) {
 	k := c.kernel
-	least, answered := c.checks.newest[part].Version, false
+	minVersion, answered := c.checks.newest[part].Version, false
 	node.process.Deliver(func() {
-		node.read(part, endWaitUs, func(v messages.Value, err error) {
+		node.read(part, finalReadTimeoutUs, func(v messages.Value, err error) {
 			answered = true
 			switch {
 			case err != nil:
-				k.Fail("%s can't read part %d, %d us after everything healed: %v", node.addr, part, comeBackUs, err)
-			case v.Version < least:
-				k.Fail("%s reads version %d of part %d after %d was chosen", node.addr, v.Version, part, least)
+				k.Fail("%s can't read part %d, %d us after everything healed: %v", node.addr, part, recoveryUs, err)
+			case v.Version < minVersion:
+				k.Fail("%s reads version %d of part %d after %d was chosen", node.addr, v.Version, part, minVersion)
 			}
 		})
 	})
-	for waitedUs := int64(0); !answered && waitedUs < 2*endWaitUs; waitedUs += 5 * Millisecond {
+	for waitedUs := int64(0); !answered && waitedUs < 2*finalReadTimeoutUs; waitedUs += 5 * Millisecond {
 		k.RunUntil(k.NowUs() + 5*Millisecond)
 	}
 	if !answered {
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -1,6 +1,6 @@
-// Registrars: controllers as far as runners are concerned. Each has a registry, sends
-// the others what it is the first to know as a stream of deltas, and draws its own
-// conclusions from silence.
+// Model of a controller for the registry of runners. Each one has a registry, sends
+// changes to the others as a stream of deltas, and marks silent runners as stale or lost
+// by itself.
 
 package simulation
 
@@ -15,7 +15,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Waits of runners and registrars.
+// Periods and timeouts of runners and registrars.
 const (
 	heartbeatUs   = 1_200 * Millisecond
 	flushEveryUs  = 60 * Millisecond
@@ -25,21 +25,21 @@
 	recallEveryUs = 5 * Second
 )
 
-// silence is after how many heartbeats missed a runner counts as stale and lost.
-var silence = registry.SilenceLimitsFor(heartbeatUs)
+// silenceLimits holds the numbers of missed heartbeats after which a runner is stale and lost.
+var silenceLimits = registry.SilenceLimitsFor(heartbeatUs)
 
-// registrar is one controller's part in knowing the runners.
+// registrar is the registry side of one controller.
 type registrar struct {
 	fleet   *fleet
 	addr    string
 	process *Process
-	kept    []messages.RunnerRecord // what its disk would recall
+	kept    []messages.RunnerRecord // the records on its disk, loaded at the next start
 
-	// What follows is gone with each life of the process.
-	runners *registry.Registry
-	stream  *statesync.Entries
-	mirrors map[string]*statesync.Entries // the others' streams, by address
-	reached map[string]int64              // when another last answered
+	// The fields below are reset with each life of the process.
+	runners        *registry.Registry
+	stream         *statesync.Entries
+	mirrors        map[string]*statesync.Entries // the others' streams, by address
+	lastAnsweredUs map[string]int64              // by address: send time of the last request that was answered
 }
 
 func (r *registrar) boot() {
@@ -47,7 +47,7 @@
 	r.fleet.epoch++
 	r.runners, r.stream = registry.New(), statesync.NewEntries()
 	r.stream.Begin(r.fleet.epoch, 0)
-	r.mirrors, r.reached = map[string]*statesync.Entries{}, map[string]int64{}
+	r.mirrors, r.lastAnsweredUs = map[string]*statesync.Entries{}, map[string]int64{}
 	for _, other := range r.fleet.registrars {
 		r.mirrors[other.addr] = statesync.NewEntries()
 	}
@@ -61,37 +61,37 @@
 	r.fleet.every(r.process, recallEveryUs, func() { r.kept = r.records() })
 }
 
-// records lists what the registry holds, in order.
+// records returns the records of the registry, ordered by id.
 func (r *registrar) records() []messages.RunnerRecord {
 	all := r.runners.All()
 	slices.SortFunc(all, func(a, b messages.RunnerRecord) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// heartbeat takes one from a runner and passes it on at once.
+// heartbeat applies a heartbeat of a runner and forwards it to the other registrars immediately.
 func (r *registrar) heartbeat(record messages.RunnerRecord) {
-	r.hear(record)
+	r.applyHeartbeat(record)
 	for _, other := range r.others() {
 		r.fleet.network.Send(r.addr, other.addr, func() {
-			other.process.Deliver(func() { other.hear(record) })
+			other.process.Deliver(func() { other.applyHeartbeat(record) })
 		})
 	}
 }
 
-func (r *registrar) hear(record messages.RunnerRecord) {
+func (r *registrar) applyHeartbeat(record messages.RunnerRecord) {
 	if r.runners.ApplyHeartbeat(record, r.process.NowUs()) {
-		r.tell(record.ID)
+		r.publish(record.ID)
 	}
 }
 
 func (r *registrar) leave(id string) {
 	if _, changed := r.runners.Leave(id, r.process.NowUs()); changed {
-		r.tell(id)
+		r.publish(id)
 	}
 }
 
-// tell has the next flush send records as they are now.
-func (r *registrar) tell(ids ...string) {
+// publish publishes the current records to the stream, which the next flush sends.
+func (r *registrar) publish(ids ...string) {
 	if err := r.runners.Publish(r.stream, ids...); err != nil {
 		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
 	}
@@ -119,15 +119,15 @@
 
 func (r *registrar) send(to *registrar, change statesync.Change[string, string]) {
 	r.fleet.network.Send(r.addr, to.addr, func() {
-		to.process.Deliver(func() { to.take(r, change) })
+		to.process.Deliver(func() { to.applyDelta(r, change) })
 	})
 }
 
-// take applies what another tells, and asks again where it does not fit.
-func (r *registrar) take(from *registrar, change statesync.Change[string, string]) {
+// applyDelta applies a delta of another registrar's stream and requests a new one if it does not apply.
+func (r *registrar) applyDelta(from *registrar, change statesync.Change[string, string]) {
 	switch r.mirrors[from.addr].Apply(change) {
 	case statesync.VersionGap, statesync.DigestMismatch:
-		r.ask(from)
+		r.requestDelta(from)
 		return
 	case statesync.AlreadyApplied:
 		return
@@ -136,11 +136,11 @@
 	if malformed > 0 {
 		r.fleet.kernel.Fail("%d records of runners do not read", malformed)
 	}
-	r.tell(changed...)
+	r.publish(changed...)
 }
 
-// ask names what is held of another's stream and gets what is lacking.
-func (r *registrar) ask(of *registrar) {
+// requestDelta sends the cursor of another registrar's stream to it, which returns the missing delta.
+func (r *registrar) requestDelta(of *registrar) {
 	epoch, version := r.mirrors[of.addr].Cursor()
 	r.fleet.network.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
@@ -151,54 +151,54 @@
 	})
 }
 
-// compare asks every other registrar for what is lacking of its stream and for
-// heartbeats of runners that are silent here.
+// compare requests from every other registrar the missing delta of its stream, and later
+// heartbeats of the runners that are silent here.
 func (r *registrar) compare() {
-	silent := r.runners.SilentRunners(r.process.NowUs(), silence)
+	silent := r.runners.SilentRunners(r.process.NowUs(), silenceLimits)
 	for _, other := range r.others() {
-		r.ask(other)
-		r.askForHeartbeats(other, silent)
+		r.requestDelta(other)
+		r.requestHeartbeats(other, silent)
 	}
 }
 
-// askForHeartbeats is the call that also shows that another is in reach.
-func (r *registrar) askForHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
-	net, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
-	net.Send(r.addr, of.addr, func() {
+// requestHeartbeats requests later heartbeats. Its response also shows that the other registrar is reachable.
+func (r *registrar) requestHeartbeats(of *registrar, silent []messages.LastHeartbeat) {
+	network, life, sentUs := r.fleet.network, r.process.life, r.process.NowUs()
+	network.Send(r.addr, of.addr, func() {
 		of.process.Deliver(func() {
 			heard := of.runners.LaterHeartbeats(silent, of.process.NowUs())
-			net.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
-				r.reached[of.addr] = max(r.reached[of.addr], sentUs)
-				r.tell(r.runners.ApplyLaterHeartbeats(heard, sentUs, r.process.NowUs())...)
+			network.Send(of.addr, r.addr, r.process.inLifeOf(life, func() {
+				r.lastAnsweredUs[of.addr] = max(r.lastAnsweredUs[of.addr], sentUs)
+				r.publish(r.runners.ApplyLaterHeartbeats(heard, sentUs, r.process.NowUs())...)
 			}))
 		})
 	})
 }
 
-// inContact tells whether a majority of the registrars answers.
+// inContact reports whether a majority of the registrars, including this one, has answered within contactUs.
 func (r *registrar) inContact() bool {
-	near := 1
+	reachable := 1
 	for _, other := range r.others() {
-		sentUs, ever := r.reached[other.addr]
+		sentUs, ever := r.lastAnsweredUs[other.addr]
 		if ever && r.process.NowUs()-sentUs < contactUs {
-			near++
+			reachable++
 		}
 	}
-	return near > len(r.fleet.registrars)/2
+	return reachable > len(r.fleet.registrars)/2
 }
 
-// sweep draws this registrar's conclusions, and brings the stream to what the
-// registry holds.
+// sweep marks silent runners as stale or lost, and synchronizes the stream with the
+// registry.
 func (r *registrar) sweep() {
-	for _, record := range r.runners.Sweep(r.process.NowUs(), silence, r.inContact()) {
-		r.tell(record.ID)
+	for _, record := range r.runners.Sweep(r.process.NowUs(), silenceLimits, r.inContact()) {
+		r.publish(record.ID)
 	}
 	if err := r.runners.Sync(r.stream); err != nil {
 		r.fleet.kernel.Fail("a runner's record does not marshal: %v", err)
 	}
 }
 
-// listed tells whether a runner may be sent requests, as this registrar sees it.
+// listed reports whether a runner may receive requests according to this registrar.
 func (r *registrar) listed(id string) bool {
 	record, ok := r.runners.Snapshot().ByID[id]
 	return ok && !record.Stale && !record.Gone && !record.Lost
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -1,5 +1,5 @@
-// Shutdown of a member, as controller/hand_over.go drives it: it looks for successors, hands
-// its places over, has the other members write what is committed, and ends.
+// Shutdown of a member, driven as in controller/hand_over.go: it finds successors, hands its
+// memberships over to them, makes the other members write the committed values to disk, and stops.
 
 package simulation
 
@@ -8,7 +8,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Waits of a shutdown, as in the controllers.
+// Timeouts and limits of a shutdown, as in package controller.
 const (
 	handOverTotalUs   = 2_500 * Millisecond
 	handOverConfirmUs = 800 * Millisecond
@@ -17,37 +17,37 @@
 	maxSuccessors     = 3
 )
 
-// shutdown is a process that has been told to end.
+// shutdown is the state of the orderly shutdown of a process.
 type shutdown struct {
-	begun      bool
-	found      bool            // the successors are known
-	successors []messages.Peer // members, and those who may take a place over
-	untilUs    int64
+	begun           bool
+	successorsFound bool            // the successors are known
+	successors      []messages.Peer // members, and spares that may become members
+	deadlineUs      int64
 }
 
-// leave ends a process in order, and calls ended when it is to stop.
-func (c *Controller) leave(ended func()) {
-	c.shutdown = shutdown{begun: true, untilUs: c.process.NowUs() + handOverTotalUs}
-	if c.cluster.defects.EndWithoutHandOver || !c.isMember() {
+// beginShutdown shuts a process down in order, and calls ended when it may stop.
+func (c *Controller) beginShutdown(ended func()) {
+	c.shutdown = shutdown{begun: true, deadlineUs: c.process.NowUs() + handOverTotalUs}
+	if c.cluster.defects.ShutDownWithoutHandOver || !c.isMember() {
 		ended()
 		return
 	}
 	c.findSuccessors(func(successors []messages.Peer) {
-		c.shutdown.found, c.shutdown.successors = true, successors
+		c.shutdown.successorsFound, c.shutdown.successors = true, successors
 		c.handOver(ended)
 	})
 }
 
 func (c *Controller) isMember() bool {
 	for part := range parts {
-		if v, ok := c.committed(part); ok && isIn(v.Group, c.id) {
+		if v, ok := c.committed(part); ok && containsMember(v.Group, c.id) {
 			return true
 		}
 	}
 	return false
 }
 
-func isIn(group []messages.Member, id string) bool {
+func containsMember(group []messages.Member, id string) bool {
 	for _, m := range group {
 		if m.ID == id {
 			return true
@@ -56,18 +56,18 @@
 	return false
 }
 
-// findSuccessors asks a few of the others whether they hold the configuration on disk.
+// findSuccessors asks a few spares to confirm that they have the configuration on disk.
 func (c *Controller) findSuccessors(found func([]messages.Peer)) {
 	base, _ := c.committed(configPart)
 	alive := c.alive()
-	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, c.silentForUs, goneUs))
+	newcomers := consensus.Candidates(base.Group, consensus.NewStatus(alive, c.silentForUs, goneAfterUs))
 	newcomers = newcomers[:min(len(newcomers), maxSuccessors)]
-	confirmed, answers, over := map[string]bool{}, 0, false
+	confirmed, answers, finished := map[string]bool{}, 0, false
 	end := func() {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		var out []messages.Peer
 		for _, p := range alive {
 			if confirmed[p.MemberID] || c.isMemberOfAny(p.MemberID) {
@@ -77,8 +77,8 @@
 		found(out)
 	}
 	for _, m := range newcomers {
-		c.confirm(configPart, m, base, func(kept bool) {
-			confirmed[m.ID] = kept
+		c.confirm(configPart, m, base, func(durable bool) {
+			confirmed[m.ID] = durable
 			if answers++; answers == len(newcomers) {
 				end()
 			}
@@ -93,25 +93,25 @@
 
 func (c *Controller) isMemberOfAny(id string) bool {
 	for part := range parts {
-		if v, ok := c.committed(part); ok && isIn(v.Group, id) {
+		if v, ok := c.committed(part); ok && containsMember(v.Group, id) {
 			return true
 		}
 	}
 	return false
 }
 
-// status is who is alive, or where this process ends, who may take its places.
+// status covers the live controllers or, during a shutdown, the successors.
 func (c *Controller) status() consensus.Status {
 	alive := c.alive()
-	if c.shutdown.found {
+	if c.shutdown.successorsFound {
 		alive = c.shutdown.successors
 	}
-	return consensus.NewStatus(alive, c.silentForUs, goneUs)
+	return consensus.NewStatus(alive, c.silentForUs, goneAfterUs)
 }
 
-// handOver repairs the groups until nothing is left to be handed over.
+// handOver repairs the groups until no membership is left to hand over, or the time is over.
 func (c *Controller) handOver(ended func()) {
-	if c.process.NowUs() >= c.shutdown.untilUs || !c.mayHandOver() {
+	if c.process.NowUs() >= c.shutdown.deadlineUs || !c.mayHandOver() {
 		c.flushOthers(ended)
 		return
 	}
@@ -136,7 +136,7 @@
 	return false
 }
 
-// flushOthers has the other members write what is committed to their disks.
+// flushOthers makes the other members write the committed values to their disks.
 func (c *Controller) flushOthers(ended func()) {
 	for part := range parts {
 		v, ok := c.committed(part)
@@ -152,56 +152,56 @@
 	c.process.After(handOverFlushUs, ended)
 }
 
-// undisturbedUs is for how long nothing else may have gone wrong for a hand-over to be due.
-const undisturbedUs = 3 * Second
+// faultFreeBeforeUs is how long no other fault may have been active for the hand-over to be checked.
+const faultFreeBeforeUs = 3 * Second
 
-// disturb notes a fault that lasts so long.
-func (c *Cluster) disturb(forUs int64) {
-	c.disturbances++
-	c.disturbedUntilUs = max(c.disturbedUntilUs, c.kernel.NowUs()+forUs)
+// recordFault records a fault and its duration.
+func (c *Cluster) recordFault(forUs int64) {
+	c.faultCount++
+	c.faultsUntilUs = max(c.faultsUntilUs, c.kernel.NowUs()+forUs)
 }
 
-// shutDownFor ends a process in order, and starts it again.
+// shutDownFor shuts a process down in order, and restarts it after a time.
 func (c *Cluster) shutDownFor(victim *Controller, forUs int64) {
 	if !victim.process.Up() || victim.process.frozen || victim.id == "" || victim.shutdown.begun {
 		return
 	}
-	undisturbed := c.kernel.NowUs() > c.disturbedUntilUs+undisturbedUs
-	count := c.disturbances
+	undisturbed := c.kernel.NowUs() > c.faultsUntilUs+faultFreeBeforeUs
+	count := c.faultCount
 	spare := [parts]bool{}
 	for part := range spare {
 		spare[part] = c.hasSpare(part, victim)
 	}
 	c.kernel.Note("%s is told to end", victim.addr)
-	c.disturb(handOverTotalUs + handOverConfirmUs + handOverFlushUs + forUs)
-	victim.leave(func() {
-		if undisturbed && count == c.disturbances-1 && !c.healed {
-			c.checks.handedOver(victim, spare)
+	c.recordFault(handOverTotalUs + handOverConfirmUs + handOverFlushUs + forUs)
+	victim.beginShutdown(func() {
+		if undisturbed && count == c.faultCount-1 && !c.healed {
+			c.checks.checkHandOver(victim, spare)
 		}
 		c.crash(victim)
 		c.later(forUs, func() { c.restart(victim) })
 	})
 }
 
-// hasSpare reports whether a controller stands ready that is no member of a register's group.
+// hasSpare reports whether a running controller exists that is not a member of a register's group.
 func (c *Cluster) hasSpare(part int, victim *Controller) bool {
 	for _, node := range c.controllers {
-		if node != victim && node.process.Up() && !node.process.frozen && node.id != "" && !isIn(c.checks.newest[part].Group, node.id) {
+		if node != victim && node.process.Up() && !node.process.frozen && node.id != "" && !containsMember(c.checks.newest[part].Group, node.id) {
 			return true
 		}
 	}
 	return false
 }
 
-// handedOver checks that a member that ends has left each group for which another controller
-// stood ready.
-func (c *checks) handedOver(node *Controller, spare [parts]bool) {
+// checkHandOver checks that a member that has shut down has left each group for which a spare
+// controller was running.
+func (c *checks) checkHandOver(node *Controller, spare [parts]bool) {
 	for part := range spare {
 		if !spare[part] {
 			continue
 		}
 		c.counts.HandOvers++
-		if isIn(c.newest[part].Group, node.id) {
+		if containsMember(c.newest[part].Group, node.id) {
 			c.cluster.kernel.Fail("%s ends as a member of part %d, where another controller stood ready", node.addr, part)
 		}
 	}
