--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// fieldsOfTheWhole are the fields that still point to a whole role, to be taken apart next.
-var fieldsOfTheWhole = map[string]bool{
+// rolePointerFields lists the fields that still point to a whole role. They are to be removed.
+var rolePointerFields = map[string]bool{
 	"internal/router exchange.router":        true,
 	"internal/simulation pendingChange.node": true,
 	"internal/simulation pendingRead.node":   true,
