--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -30,14 +30,14 @@
 
 // Counts count the events of histories, so that tests detect a model in which something never happens.
 type Counts struct {
-	Histories, Chosen, ConfigsAccepted, ConfigsRejected, Reads, CallsUnclear, GroupChanges, LeaseActs, DisksLost, Fleets, DistributionHistories int64
-	Rollouts, Orders, Begun, Takeovers                                                                                                          int64
-	UsageHistories, UsageWindows                                                                                                                int64
-	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                                                          int64
-	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                                             int64
-	VersionHistories, VersionRequests, VersionExposed, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted                             int64
-	HandOvers, OutOfContact, LoadHistories, LoadReports                                                                                         int64
-	QuotaHistories, QuotaRan, QuotaAsked, QuotaDenied, QuotaUnknown, QuotaLate                                                                  int64
+	Histories, Chosen, ConfigsAccepted, ConfigsRejected, Reads, CallsUnclear, GroupChanges, LeaseActs, DisksLost, RunnerHistories, DistributionHistories int64
+	RolloutHistories, Orders, RolloutRequestsStarted, LeaseTakeovers                                                                                     int64
+	UsageHistories, UsageWindows                                                                                                                         int64
+	TallyHistories, TallySent, TallyAcked, TallyAckedCut, TallyNotOwed                                                                                   int64
+	RequestHistories, RequestsSent, RequestsRun, RequestRetries, RequestsAnswered, RequestsRejected                                                      int64
+	VersionHistories, VersionRequests, NewVersionRequests, VersionsGood, VersionsSettled, VersionsBad, VersionsReverted                                  int64
+	HandOvers, OutOfContact, LoadHistories, LoadReports                                                                                                  int64
+	QuotaHistories, QuotaRequestsRun, QuotaWithinLimit, QuotaDenied, QuotaOwnerUnknown, QuotaRejectedLate                                                int64
 }
 
 // Add adds other to the counts.
@@ -51,11 +51,11 @@
 	c.GroupChanges += other.GroupChanges
 	c.LeaseActs += other.LeaseActs
 	c.DisksLost += other.DisksLost
-	c.Fleets += other.Fleets
-	c.Rollouts += other.Rollouts
+	c.RunnerHistories += other.RunnerHistories
+	c.RolloutHistories += other.RolloutHistories
 	c.Orders += other.Orders
-	c.Begun += other.Begun
-	c.Takeovers += other.Takeovers
+	c.RolloutRequestsStarted += other.RolloutRequestsStarted
+	c.LeaseTakeovers += other.LeaseTakeovers
 	c.DistributionHistories += other.DistributionHistories
 	c.UsageHistories += other.UsageHistories
 	c.UsageWindows += other.UsageWindows
@@ -65,11 +65,11 @@
 	c.TallyAckedCut += other.TallyAckedCut
 	c.TallyNotOwed += other.TallyNotOwed
 	c.QuotaHistories += other.QuotaHistories
-	c.QuotaRan += other.QuotaRan
-	c.QuotaAsked += other.QuotaAsked
+	c.QuotaRequestsRun += other.QuotaRequestsRun
+	c.QuotaWithinLimit += other.QuotaWithinLimit
 	c.QuotaDenied += other.QuotaDenied
-	c.QuotaUnknown += other.QuotaUnknown
-	c.QuotaLate += other.QuotaLate
+	c.QuotaOwnerUnknown += other.QuotaOwnerUnknown
+	c.QuotaRejectedLate += other.QuotaRejectedLate
 	c.RequestHistories += other.RequestHistories
 	c.RequestsSent += other.RequestsSent
 	c.RequestsRun += other.RequestsRun
@@ -78,7 +78,7 @@
 	c.RequestsRejected += other.RequestsRejected
 	c.VersionHistories += other.VersionHistories
 	c.VersionRequests += other.VersionRequests
-	c.VersionExposed += other.VersionExposed
+	c.NewVersionRequests += other.NewVersionRequests
 	c.VersionsGood += other.VersionsGood
 	c.VersionsSettled += other.VersionsSettled
 	c.VersionsBad += other.VersionsBad
@@ -98,11 +98,11 @@
 		"%d of tallies: %d adds sent, %d acknowledged, %d of them during a cut, %d not owed; "+
 		"%d of requests: %d sent, %d ran, %d attempts beyond the first, %d answered, %d rejected; %d hand-overs, %d calls refused out of contact; %d of loads: %d reports; "+
 		"%d of versions: %d requests, %d to the new version, %d of %d good ones settled, %d of %d bad ones reverted",
-		c.Histories, c.Chosen, c.GroupChanges, c.DisksLost, c.LeaseActs, c.ConfigsAccepted, c.ConfigsRejected, c.Reads, c.CallsUnclear, c.Fleets, c.DistributionHistories,
-		c.Rollouts, c.Orders, c.Begun, c.Takeovers, c.UsageHistories, c.UsageWindows, c.QuotaHistories, c.QuotaRan, c.QuotaAsked, c.QuotaDenied, c.QuotaUnknown, c.QuotaLate,
+		c.Histories, c.Chosen, c.GroupChanges, c.DisksLost, c.LeaseActs, c.ConfigsAccepted, c.ConfigsRejected, c.Reads, c.CallsUnclear, c.RunnerHistories, c.DistributionHistories,
+		c.RolloutHistories, c.Orders, c.RolloutRequestsStarted, c.LeaseTakeovers, c.UsageHistories, c.UsageWindows, c.QuotaHistories, c.QuotaRequestsRun, c.QuotaWithinLimit, c.QuotaDenied, c.QuotaOwnerUnknown, c.QuotaRejectedLate,
 		c.TallyHistories, c.TallySent, c.TallyAcked, c.TallyAckedCut, c.TallyNotOwed,
 		c.RequestHistories, c.RequestsSent, c.RequestsRun, c.RequestRetries, c.RequestsAnswered, c.RequestsRejected, c.HandOvers, c.OutOfContact, c.LoadHistories, c.LoadReports,
-		c.VersionHistories, c.VersionRequests, c.VersionExposed, c.VersionsSettled, c.VersionsGood, c.VersionsReverted, c.VersionsBad)
+		c.VersionHistories, c.VersionRequests, c.NewVersionRequests, c.VersionsSettled, c.VersionsGood, c.VersionsReverted, c.VersionsBad)
 }
 
 func newChecks(c *Cluster) *checks {
@@ -124,7 +124,7 @@
 	}
 	c.stamps[part][v.Version] = v.Stamp
 	c.counts.Chosen++
-	c.cluster.kernel.Note("part %d version %d is chosen: %s, group %v", part, v.Version, v.Stamp, v.Group)
+	c.cluster.kernel.Log("part %d version %d is chosen: %s, group %v", part, v.Version, v.Stamp, v.Group)
 	if v.Version <= c.newest[part].Version {
 		return
 	}
@@ -173,7 +173,7 @@
 	c.holders[fence] = holder
 	for _, name := range sortedKeys(c.lastActs) {
 		d := c.lastActs[name]
-		if name != holder && now-d.atUs < dutyTimes.LeaseUs {
+		if name != holder && now-d.atUs < controllerLeaseTimes.LeaseUs {
 			c.cluster.kernel.Fail("%s acts under fence %d, %d us after %s under fence %d", holder, fence, now-d.atUs, name, d.fence)
 		}
 	}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -28,29 +28,29 @@
 	LeaveRoundsUnfinished     bool // the rounds of proposers that have ended are never finished
 	SkipComparisons           bool // routers don't compare versions outside the dissemination tree
 	TrustOwnClock             bool // usage windows follow each machine's own time of day
-	ReportUnagreed            bool // a usage window is reported from its reporter's own counts, without agreement
+	ReportWithoutAgreement    bool // a usage window is reported from its reporter's own counts, without agreement
 	CountAtOneController      bool // routers send their counts to one controller only
 	NeverResend               bool // counts aren't sent again to a controller that has restarted
 	VoteAfterRestart          bool // a controller votes for quota owners immediately after its start
 	OwnWithoutMajority        bool // a controller becomes the owner of a quota by its own vote alone
 	IgnoreTokenAge            bool // a token is accepted at any age
 	AckOnOneDisk              bool // an add is acknowledged once a single replica has it on disk
-	TrustSilence              bool // a replica that does not answer is treated as partitioned
-	KeepOrigin                bool // a replica that lost its disk continues under its old origin id
-	NeverPull                 bool // a replica receives only the logs that their own origins send
-	TrustOldEvidence          bool // an add is acknowledged by evidence of a partition that is older than the add
-	AnswerUnasked             bool // a starting replica answers before it has queried the others
-	RepeatEffectful           bool // requests that may run at most once are retried like idempotent ones
-	PromiseAfterRun           bool // the response for a request that may have run states that it has not run
-	MatchByOrder              bool // a response is matched to whichever request waits on its connection
+	TreatSilenceAsPartition   bool // a replica that does not answer is treated as partitioned
+	KeepOriginAfterDiskLoss   bool // a replica that lost its disk continues under its old origin id
+	SkipLogPull               bool // a replica receives only the logs that their own origins send
+	AcceptOldEvidence         bool // an add is acknowledged by evidence of a partition that is older than the add
+	AnswerBeforeQuery         bool // a starting replica answers before it has queried the others
+	RetryNonIdempotent        bool // requests that may run at most once are retried like idempotent ones
+	ReportNotRunAfterRun      bool // the response for a request that may have run states that it has not run
+	MatchResponsesByOrder     bool // a response is matched to whichever request waits on its connection
 	RetryWithoutBudget        bool // retries don't consume the retry budget
 	ResumeFromStart           bool // a stream is resumed without the id of its last event
 	AnswerWithoutContactLease bool // a controller answers operators without the contact lease
 	ShutDownWithoutHandOver   bool // a member that is shut down stops immediately, without a hand-over
-	ShiftUntried              bool // all requests go to a new version immediately, without a canary
+	SkipCanary                bool // all requests go to a new version immediately, without a canary
 	IgnoreOutcomes            bool // bad responses of a new version are ignored
-	CompareWithNothing        bool // a new version isn't compared with the outcomes of the other versions
-	KeepSenders               bool // a relay keeps the load reports of a subscriber that has ended
+	IgnoreBaseline            bool // a new version isn't compared with the outcomes of the other versions
+	KeepEndedSenders          bool // a relay keeps the load reports of a subscriber that has ended
 }
 
 // Cluster holds the state of one history of the registers model.
@@ -106,21 +106,21 @@
 
 // crash stops a process. Its writes in progress may or may not be visible afterwards.
 func (c *Cluster) crash(node *Controller) {
-	c.kernel.Note("%s crashes", node.addr)
+	c.kernel.Log("%s crashes", node.addr)
 	node.process.Stop()
 	node.disk.Kill()
 }
 
 // losePower stops a process and loses some of the unsynced content of its disk.
 func (c *Cluster) losePower(node *Controller) {
-	c.kernel.Note("%s loses power", node.addr)
+	c.kernel.Log("%s loses power", node.addr)
 	node.process.Stop()
 	node.disk.LosePower()
 }
 
 // wipe stops a process and wipes its disk.
 func (c *Cluster) wipe(node *Controller) {
-	c.kernel.Note("%s loses its disk", node.addr)
+	c.kernel.Log("%s loses its disk", node.addr)
 	node.process.Stop()
 	node.disk.Wipe()
 }
@@ -194,7 +194,7 @@
 
 // heal ends every fault of links, disks and processes.
 func (c *Cluster) heal() {
-	c.kernel.Note("everything heals")
+	c.kernel.Log("everything heals")
 	c.healed = true
 	c.network.Heal()
 	for _, node := range c.controllers {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -74,7 +74,7 @@
 func (c *Controller) boot(founding bool) {
 	c.process.Start()
 	c.peers, c.lastAnsweredUs, c.leaseBusy, c.recordedFence = map[string]peer{}, map[string]int64{}, false, 0
-	c.rolloutLease = lease.Lease{Times: dutyTimes}
+	c.rolloutLease = lease.Lease{Times: controllerLeaseTimes}
 	c.takeover = lease.Takeover{}
 	c.synced = false
 	c.shutdown, c.contact, c.handledUs = shutdown{}, lease.Contact{}, map[string]int64{}
@@ -150,7 +150,7 @@
 
 // startTasks starts the periodic tasks.
 func (c *Controller) startTasks() {
-	c.cluster.kernel.Note("%s is up as %s", c.addr, c.id)
+	c.cluster.kernel.Log("%s is up as %s", c.addr, c.id)
 	c.every(pingEveryUs, c.ping)
 	c.every(repairEveryUs, c.repairGroups)
 	c.every(leaseStepEveryUs, c.stepLease)
--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -35,7 +35,7 @@
 
 func newCoordinator(h *rolloutHistory, r *registrar) *coordinator {
 	c := &coordinator{history: h, registrar: r, leaseMember: h.group.add(r.addr, r.process)}
-	c.learned = func(body messages.LeaseBody) { c.recordNamed(body.Targets) }
+	c.onLearn = func(body messages.LeaseBody) { c.recordNamed(body.Targets) }
 	c.onPing = func(other *leaseMember) func() {
 		ages := c.targets.Ages(c.nowUs())
 		there := h.coordinators[other.index]
@@ -51,7 +51,7 @@
 	c.targets, c.startUs = targets.Table{}, c.nowUs()
 	c.polling = map[string]bool{}
 	c.leaseMember.boot()
-	h.fleet.every(c.process, roleEveryUs, c.soon(c.step))
+	h.fleet.every(c.process, roleEveryUs, c.delayed(c.step))
 }
 
 // recordNamed records the versions named in the register. Versions learned right after the start
@@ -68,15 +68,15 @@
 	}
 }
 
-// name adds a version to the register, as an operator's call does.
-func (c *coordinator) name(version int64, acknowledge func()) {
+// nameVersion adds a version to the register, as an operator's call does.
+func (c *coordinator) nameVersion(version int64, acknowledge func()) {
 	target := messages.Target{Model: rolloutModel, Version: version}
 	first := false
 	edit := func(body *messages.LeaseBody) bool {
 		first = body.Lease.Holder == ""
 		return rollout.RecordTarget(body, target, c.member())
 	}
-	c.round(edit, func(ok bool, now messages.LeaseBody) {
+	c.runRound(edit, func(ok bool, now messages.LeaseBody) {
 		if !ok {
 			return
 		}
--- a/internal/simulation/distribution.go
+++ b/internal/simulation/distribution.go
@@ -200,7 +200,7 @@
 	r := &release{version: int64(len(d.releases)) + 1, submission: submission, entries: entries}
 	d.releases = append(d.releases, r)
 	d.counts.ConfigsAccepted++
-	d.kernel.Note("%s: version %d, configuration %d, is chosen", at.addr, r.version, next.Version)
+	d.kernel.Log("%s: version %d, configuration %d, is chosen", at.addr, r.version, next.Version)
 	for _, c := range d.controllers {
 		if c.process.Up() && !c.process.frozen && (c == at || at.reaches(c)) {
 			c.recordAccepted(r)
@@ -216,7 +216,7 @@
 	}
 	d.step(at.process, func() {
 		r.ackedUs = d.kernel.NowUs()
-		d.kernel.Note("%s acknowledges version %d", at.addr, r.version)
+		d.kernel.Log("%s acknowledges version %d", at.addr, r.version)
 		if !d.healed && d.kernel.Chance(40) {
 			d.stopOrFreeze(at, d.kernel.Between(Second, 8*Second))
 		}
--- a/internal/simulation/distribution_faults.go
+++ b/internal/simulation/distribution_faults.go
@@ -118,7 +118,7 @@
 	case 7:
 		d.activeCoreFaults++
 		d.slowed[c.process] = true
-		d.later(forUs, func() { d.activeCoreFaults--; d.coreFaultUs = k.NowUs(); delete(d.slowed, c.process) })
+		d.endFaultAfter(forUs, func() { d.activeCoreFaults--; d.coreFaultUs = k.NowUs(); delete(d.slowed, c.process) })
 	default:
 		relay := d.routers[r.number/2]
 		for _, pair := range [][2]string{{c.addr, r.addr}, {relay.addr, r.addr}} {
@@ -136,21 +136,21 @@
 	}
 	d.coreFaultUs, c.downUs = d.kernel.NowUs(), d.kernel.NowUs()
 	if d.kernel.Chance(500) {
-		d.kernel.Note("%s freezes for %d us", c.addr, forUs)
+		d.kernel.Log("%s freezes for %d us", c.addr, forUs)
 		c.process.Freeze()
-		d.later(forUs, func() { d.coreFaultUs = d.kernel.NowUs(); c.process.Thaw() })
+		d.endFaultAfter(forUs, func() { d.coreFaultUs = d.kernel.NowUs(); c.process.Thaw() })
 		return
 	}
-	d.kernel.Note("%s is killed for %d us", c.addr, forUs)
+	d.kernel.Log("%s is killed for %d us", c.addr, forUs)
 	c.process.Stop()
-	d.later(forUs, func() { d.coreFaultUs = d.kernel.NowUs(); c.boot() })
+	d.endFaultAfter(forUs, func() { d.coreFaultUs = d.kernel.NowUs(); c.boot() })
 }
 
 func (d *distribution) cutCore(a, b *source, forUs int64, oneWay bool) {
 	if a == b {
 		return
 	}
-	d.kernel.Note("%s and %s are cut apart for %d us, one way %v", a.addr, b.addr, forUs, oneWay)
+	d.kernel.Log("%s and %s are cut apart for %d us, one way %v", a.addr, b.addr, forUs, oneWay)
 	links := []*Link{d.network.Link(a.addr, b.addr)}
 	if !oneWay {
 		links = append(links, d.network.Link(b.addr, a.addr))
@@ -158,7 +158,7 @@
 	d.coreFaultUs = d.kernel.NowUs()
 	for _, l := range links {
 		l.Cuts++
-		d.later(forUs, func() { d.coreFaultUs = d.kernel.NowUs(); l.Cuts-- })
+		d.endFaultAfter(forUs, func() { d.coreFaultUs = d.kernel.NowUs(); l.Cuts-- })
 	}
 }
 
@@ -167,24 +167,24 @@
 	if !r.process.Up() || r.process.frozen {
 		return
 	}
-	d.kernel.Note("%s is in trouble for %d us", r.addr, forUs)
+	d.kernel.Log("%s is in trouble for %d us", r.addr, forUs)
 	r.activeFaults++
 	r.lastFaultUs = d.kernel.NowUs()
 	begin()
-	d.later(forUs, func() {
+	d.endFaultAfter(forUs, func() {
 		r.activeFaults--
 		r.lastFaultUs = d.kernel.NowUs()
 		end()
 	})
 }
 
-// later ends a fault after a time, at the latest at distributionUs.
-func (d *distribution) later(forUs int64, end func()) {
+// endFaultAfter ends a fault after a time, at the latest at distributionUs.
+func (d *distribution) endFaultAfter(forUs int64, end func()) {
 	d.kernel.After(min(forUs, distributionUs-d.kernel.NowUs()), end)
 }
 
 // heal marks the end of all faults; endFaultAfter ends each one at this time or before.
 func (d *distribution) heal() {
-	d.kernel.Note("everything heals")
+	d.kernel.Log("everything heals")
 	d.healed = true
 }
--- a/internal/simulation/distribution_test.go
+++ b/internal/simulation/distribution_test.go
@@ -35,7 +35,7 @@
 		{"no comparisons outside the tree", Defects{SkipComparisons: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range uint64(mostSeedsToFind) {
+			for seed := range uint64(maxSeedsToDetect) {
 				if r := PlayDistribution(seed, Options{Defects: c.defects}); r.Failure != "" {
 					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					return
--- a/internal/simulation/duties.go
+++ b/internal/simulation/duties.go
@@ -17,8 +17,8 @@
 	leaseAcquireTimeoutUs = Second
 )
 
-// dutyTimes are the lease times that the controllers use.
-var dutyTimes = lease.Times{LeaseUs: 3 * Second, ActUs: 400 * Millisecond, InFlightUs: 800 * Millisecond}
+// controllerLeaseTimes are the lease times that the controllers use.
+var controllerLeaseTimes = lease.Times{LeaseUs: 3 * Second, ActUs: 400 * Millisecond, InFlightUs: 800 * Millisecond}
 
 var errNoChange = errors.New("simulation: nothing to change")
 
@@ -130,7 +130,7 @@
 		}
 		predecessor := lease.PredecessorOf(previous.Holder, c.id, c.actedUnder(previous.Fence))
 		c.rolloutLease.Acquired(leaseBodyOf(v).Lease.Fence, predecessor, c.process.NowUs())
-		c.cluster.kernel.Note("%s takes the duty under fence %d", c.id, c.rolloutLease.Fence())
+		c.cluster.kernel.Log("%s takes the duty under fence %d", c.id, c.rolloutLease.Fence())
 	})
 }
 
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -26,18 +26,18 @@
 	up             bool
 	registrarIndex int // index of the registrar that receives its heartbeats
 	heartbeats     int64
-	slow           int64
+	slowFactor     int64
 	startedUs      int64
 
-	version     int64
-	target      int64 // version of the order in progress; 0 if there is none
-	loadStarted bool
-	sequence    int64
-	fence       int64
-	accepted    int // orders accepted by all instances
-	streams     int
-	queued      int64 // incremented by each order, which rejects the requests queued before it
-	pastReports []pastReport
+	version       int64
+	targetVersion int64 // version of the order in progress; 0 if there is none
+	loadStarted   bool
+	sequence      int64
+	fence         int64
+	accepted      int // orders accepted by all instances
+	streams       int
+	queued        int64 // incremented by each order, which rejects the requests queued before it
+	pastReports   []pastReport
 }
 
 // pastReport is the report for the state at a point in time.
@@ -48,21 +48,21 @@
 
 func (e *engine) id() string { return fmt.Sprintf("%s#%d", e.address, e.instance) }
 
-// begin starts a new instance, which has the weights of the previous one.
-func (e *engine) begin() {
+// start starts a new instance, which has the weights of the previous one.
+func (e *engine) start() {
 	e.instance++
-	e.up, e.heartbeats, e.sequence, e.fence, e.target, e.streams, e.pastReports = true, 0, 0, 0, 0, 0, nil
+	e.up, e.heartbeats, e.sequence, e.fence, e.targetVersion, e.streams, e.pastReports = true, 0, 0, 0, 0, 0, nil
 	e.loadStarted, e.startedUs = false, e.history.kernel.NowUs()
-	e.slow = max(e.slow, 1)
+	e.slowFactor = max(e.slowFactor, 1)
 	e.registrarIndex = e.history.kernel.Below(len(e.history.fleet.registrars))
-	e.history.kernel.Note("%s begins on version %d", e.id(), e.version)
+	e.history.kernel.Log("%s begins on version %d", e.id(), e.version)
 	e.recordReport()
 	e.sendHeartbeat(e.instance)
 	e.generateRequests(e.instance)
 }
 
-func (e *engine) end() {
-	e.history.kernel.Note("%s ends", e.id())
+func (e *engine) stop() {
+	e.history.kernel.Log("%s ends", e.id())
 	if e.loadStarted {
 		e.history.loading--
 	}
@@ -85,7 +85,7 @@
 	}
 	h.network.Send(e.address, to.addr, func() {
 		to.process.Deliver(func() {
-			to.heartbeat(record)
+			to.receiveHeartbeat(record)
 			h.network.Send(to.addr, e.address, func() { answered = true })
 		})
 	})
@@ -116,7 +116,7 @@
 		return
 	}
 	h.kernel.After(h.kernel.Between(0, 300*Millisecond), func() {
-		if e.isCurrent(instance) && e.target == 0 {
+		if e.isCurrent(instance) && e.targetVersion == 0 {
 			e.enqueue(instance)
 		}
 	})
@@ -125,7 +125,7 @@
 // enqueue models one request: it waits in the queue and for its prefill, then streams.
 func (e *engine) enqueue(instance int) {
 	h, order := e.history, e.queued
-	waitUs := min(h.kernel.Between(0, 300*Millisecond)*e.slow, maxQueuedUs)
+	waitUs := min(h.kernel.Between(0, 300*Millisecond)*e.slowFactor, maxQueuedUs)
 	h.kernel.After(waitUs, func() {
 		if !e.isCurrent(instance) || e.queued != order {
 			return // rejected by an order
@@ -151,7 +151,7 @@
 	switch {
 	case fence < e.fence:
 		return rollout.FenceRefused
-	case e.target > 0, o.Expected != nil && *o.Expected != e.sequence:
+	case e.targetVersion > 0, o.Expected != nil && *o.Expected != e.sequence:
 		e.fence = fence
 		return rollout.Conflict
 	}
@@ -159,8 +159,8 @@
 	if e.version >= o.Version {
 		return rollout.AlreadyLoaded
 	}
-	e.history.kernel.Note("%s is ordered to version %d under fence %d by %s", e.id(), o.Version, fence, from.addr)
-	e.target = o.Version
+	e.history.kernel.Log("%s is ordered to version %d under fence %d by %s", e.id(), o.Version, fence, from.addr)
+	e.targetVersion = o.Version
 	e.accepted++
 	e.sequence++
 	e.queued++
@@ -172,27 +172,27 @@
 // startLoadIfIdle starts the load of the ordered version once all streams have ended.
 func (e *engine) startLoadIfIdle() {
 	h, instance := e.history, e.instance
-	if e.target == 0 || e.streams > 0 || e.loadStarted {
+	if e.targetVersion == 0 || e.streams > 0 || e.loadStarted {
 		return
 	}
 	e.loadStarted = true
 	h.loading++
-	takesUs := loadTakesUs * e.slow * max(1, int64(h.loading-siteLoads+1))
+	takesUs := loadTakesUs * e.slowFactor * max(1, int64(h.loading-siteLoads+1))
 	e.recordReport()
 	h.kernel.After(takesUs, func() {
 		if !e.isCurrent(instance) {
 			return
 		}
 		h.loading--
-		h.kernel.Note("%s holds version %d", e.id(), e.target)
-		e.loadStarted, e.version, e.target = false, e.target, 0
+		h.kernel.Log("%s holds version %d", e.id(), e.targetVersion)
+		e.loadStarted, e.version, e.targetVersion = false, e.targetVersion, 0
 		e.recordReport()
 	})
 }
 
 // recordReport records the current report, since reports are delivered with a lag.
 func (e *engine) recordReport() {
-	said := rollout.Report{Version: e.version, Busy: e.target > 0, Idle: e.streams == 0, Sequence: e.sequence}
+	said := rollout.Report{Version: e.version, Busy: e.targetVersion > 0, Idle: e.streams == 0, Sequence: e.sequence}
 	e.pastReports = append(e.pastReports, pastReport{e.history.kernel.NowUs(), said})
 }
 
@@ -208,5 +208,5 @@
 
 // answerDelayUs draws the time in microseconds that a runner takes to answer a call.
 func (e *engine) answerDelayUs() int64 {
-	return e.history.kernel.Between(Millisecond, 40*Millisecond) * e.slow
+	return e.history.kernel.Between(Millisecond, 40*Millisecond) * e.slowFactor
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -89,14 +89,14 @@
 		r.begin()
 	}
 	f.plan()
-	k.RunUntil(fleetFaultsUs + calmUs)
+	k.RunUntil(fleetFaultsUs + calmPhaseUs)
 	f.heal()
 	k.RunUntil(k.NowUs() + listedUs)
 	f.checkListed()
 	k.RunUntil(k.NowUs() + unlistedUs - listedUs)
 	f.checkUnlisted()
 	f.checkListed()
-	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: Counts{Fleets: 1}}
+	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: Counts{RunnerHistories: 1}}
 }
 
 func (f *fleet) every(p *Process, periodUs int64, run func()) {
@@ -112,7 +112,7 @@
 	r.sequence, r.state = 0, beating
 	r.life++
 	r.begunUs = r.fleet.kernel.NowUs()
-	r.fleet.kernel.Note("%s begins", r.id())
+	r.fleet.kernel.Log("%s begins", r.id())
 	r.beat(r.life)
 }
 
@@ -120,7 +120,7 @@
 
 // end is a crash, or the end after leaving.
 func (r *runner) end() {
-	r.fleet.kernel.Note("%s ends", r.id())
+	r.fleet.kernel.Log("%s ends", r.id())
 	r.fleet.gone = append(r.fleet.gone, endedInstance{r.id(), r.fleet.kernel.NowUs()})
 	r.state = ended
 	r.life++
@@ -142,7 +142,7 @@
 			if leaves {
 				to.leave(id)
 			} else {
-				to.heartbeat(record)
+				to.receiveHeartbeat(record)
 			}
 			net.Send(to.addr, r.address, func() {
 				if answered = true; leaves && r.life == life {
@@ -165,7 +165,7 @@
 	for range 3 + k.Below(8) {
 		// The first one only beats: where nobody is heard, silence says nothing.
 		r := f.runners[1+k.Below(len(f.runners)-1)]
-		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.turn(r) })
+		k.After(calmPhaseUs+k.Between(0, fleetFaultsUs), func() { f.turn(r) })
 	}
 	faults := 1 + k.Below(4)
 	if f.partial {
@@ -173,12 +173,12 @@
 	}
 	for range faults {
 		victim := f.registrars[k.Below(len(f.registrars))]
-		forUs := k.Between(leastFault, mostFleetCut)
+		forUs := k.Between(minFaultUs, mostFleetCut)
 		strike := []func(*registrar, int64){f.cutOff, f.cutOff, f.cutOneWay, f.freeze, f.crash, f.lose}[k.Below(6)]
 		if f.partial {
 			strike = f.cutOne
 		}
-		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.strike(strike, victim, forUs) })
+		k.After(calmPhaseUs+k.Between(0, fleetFaultsUs), func() { f.strike(strike, victim, forUs) })
 	}
 }
 
@@ -205,7 +205,7 @@
 	case r.state == ended:
 		r.begin()
 	case r.state == beating && k.Chance(400):
-		k.Note("%s drains", r.id())
+		k.Log("%s drains", r.id())
 		r.state = draining
 		k.After(k.Between(0, 3*Second), func() {
 			if r.state == draining {
@@ -244,7 +244,7 @@
 
 // cutOff parts a registrar from the others; some runners still reach it.
 func (f *fleet) cutOff(victim *registrar, forUs int64) {
-	f.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
+	f.kernel.Log("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range victim.others() {
 		f.cutLinks(victim.addr, other.addr, forUs)
 		f.cutLinks(other.addr, victim.addr, forUs)
@@ -261,7 +261,7 @@
 func (f *fleet) cutOne(victim *registrar, forUs int64) {
 	others := victim.others()
 	other := others[f.kernel.Below(len(others))]
-	f.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
+	f.kernel.Log("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
 	f.cutLinks(victim.addr, other.addr, forUs)
 	f.cutLinks(other.addr, victim.addr, forUs)
 	for _, r := range []*registrar{victim, other} {
@@ -276,27 +276,27 @@
 }
 
 func (f *fleet) cutOneWay(victim *registrar, forUs int64) {
-	f.kernel.Note("%s does not hear the others for %d us", victim.addr, forUs)
+	f.kernel.Log("%s does not hear the others for %d us", victim.addr, forUs)
 	for _, other := range victim.others() {
 		f.cutLinks(other.addr, victim.addr, forUs)
 	}
 }
 
 func (f *fleet) freeze(victim *registrar, forUs int64) {
-	f.kernel.Note("%s freezes for %d us", victim.addr, forUs)
+	f.kernel.Log("%s freezes for %d us", victim.addr, forUs)
 	victim.process.Freeze()
 	f.later(forUs, victim.process.Thaw)
 }
 
 func (f *fleet) crash(victim *registrar, forUs int64) {
-	f.kernel.Note("%s crashes", victim.addr)
+	f.kernel.Log("%s crashes", victim.addr)
 	victim.process.Stop()
 	f.later(forUs, func() { f.restart(victim) })
 }
 
 // lose is a crash that takes along what the registrar would recall.
 func (f *fleet) lose(victim *registrar, forUs int64) {
-	victim.kept = nil
+	victim.onDisk = nil
 	f.crash(victim, forUs)
 }
 
@@ -307,7 +307,7 @@
 }
 
 func (f *fleet) heal() {
-	f.kernel.Note("everything heals")
+	f.kernel.Log("everything heals")
 	f.healed = true
 	f.network.Heal()
 	for _, r := range f.registrars {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -9,7 +9,7 @@
 func TestFleetSeedsBreakNothing(t *testing.T) {
 	fleets := Range{Model: "runners", Count: 300, Parallel: 3}
 	counts := Run(fleets, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
-	must.Eq(t, int64(fleets.Count), counts.Fleets)
+	must.Eq(t, int64(fleets.Count), counts.RunnerHistories)
 }
 
 // fleetsOnceFailing are seeds that broke a check before a fault was mended.
@@ -26,5 +26,5 @@
 func TestPartialCutsTakeNoLiveRunnerAway(t *testing.T) {
 	fleets := Range{Model: "runners-partial", Count: 300, Parallel: 3}
 	counts := Run(fleets, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
-	must.Eq(t, int64(fleets.Count), counts.Fleets)
+	must.Eq(t, int64(fleets.Count), counts.RunnerHistories)
 }
--- a/internal/simulation/injector.go
+++ b/internal/simulation/injector.go
@@ -9,8 +9,8 @@
 	healed  bool
 }
 
-// later ends a fault after a time, unless all faults have been ended before.
-func (i *injector) later(forUs int64, end func()) {
+// endFaultAfter ends a fault after a time, unless all faults have been ended before.
+func (i *injector) endFaultAfter(forUs int64, end func()) {
 	i.kernel.After(forUs, func() {
 		if !i.healed {
 			end()
@@ -18,8 +18,8 @@
 	})
 }
 
-// cut cuts the links between two addresses in both directions for a time.
-func (i *injector) cut(a, b string, forUs int64) {
+// cutBothWays cuts the links between two addresses in both directions for a time.
+func (i *injector) cutBothWays(a, b string, forUs int64) {
 	i.cutOneWay(a, b, forUs)
 	i.cutOneWay(b, a, forUs)
 }
@@ -27,5 +27,5 @@
 func (i *injector) cutOneWay(from, to string, forUs int64) {
 	link := i.network.Link(from, to)
 	link.Cuts++
-	i.later(forUs, func() { link.Cuts-- })
+	i.endFaultAfter(forUs, func() { link.Cuts-- })
 }
--- a/internal/simulation/kernel.go
+++ b/internal/simulation/kernel.go
@@ -106,8 +106,8 @@
 // Chance returns true with a probability of perMille in a thousand.
 func (k *Kernel) Chance(perMille int) bool { return k.random.IntN(1000) < perMille }
 
-// Note appends a formatted line with the virtual time to the history, if it is recorded.
-func (k *Kernel) Note(format string, args ...any) {
+// Log appends a formatted line with the virtual time to the history, if it is recorded.
+func (k *Kernel) Log(format string, args ...any) {
 	if k.recording {
 		k.history = append(k.history, fmt.Sprintf("%9.3f ms  ", float64(k.nowUs)/float64(Millisecond))+fmt.Sprintf(format, args...))
 	}
@@ -117,6 +117,6 @@
 func (k *Kernel) Fail(format string, args ...any) {
 	if k.failure == "" {
 		k.failure = fmt.Sprintf(format, args...)
-		k.Note("BROKEN: %s", k.failure)
+		k.Log("BROKEN: %s", k.failure)
 	}
 }
--- a/internal/simulation/lease_group.go
+++ b/internal/simulation/lease_group.go
@@ -39,7 +39,7 @@
 func (g *leaseGroup) add(addr string, process *Process) *leaseMember {
 	m := &leaseMember{
 		group: g, index: len(g.members), addr: addr, process: process,
-		learned: func(messages.LeaseBody) {}, onPing: func(*leaseMember) func() { return func() {} },
+		onLearn: func(messages.LeaseBody) {}, onPing: func(*leaseMember) func() { return func() {} },
 	}
 	g.members = append(g.members, m)
 	return m
@@ -62,19 +62,19 @@
 	addr     string
 	process  *Process
 	thawedUs int64
-	learned  func(body messages.LeaseBody)           // called with each newer body of the register
+	onLearn  func(body messages.LeaseBody)           // called with each newer body of the register
 	onPing   func(other *leaseMember) (there func()) // called before each ping; there runs at the receiver
 
 	// The fields below are on disk.
 	knownVersion int64
-	known        messages.LeaseBody // the register as last learned
+	knownBody    messages.LeaseBody // the register as last learned
 	usedFence    int64
 
 	// The fields below are reset with each life of the process.
 	role           *lease.Role
 	contact        lease.Contact
 	lastAnsweredUs map[string]int64
-	busy           bool
+	roundActive    bool
 }
 
 func (m *leaseMember) member() string { return m.addr + "/0" }
@@ -84,9 +84,9 @@
 func (m *leaseMember) boot() {
 	m.role = lease.NewRole(m.group.times)
 	m.contact = lease.Contact{Self: m.member()}
-	m.lastAnsweredUs, m.busy = map[string]int64{}, false
+	m.lastAnsweredUs, m.roundActive = map[string]int64{}, false
 	if m.knownVersion > 0 {
-		m.learned(m.known)
+		m.onLearn(m.knownBody)
 	}
 	m.every(memberPingEveryUs, m.ping)
 }
@@ -99,8 +99,8 @@
 	})
 }
 
-// soon returns a callback that runs a step after a random delay.
-func (m *leaseMember) soon(run func()) func() {
+// delayed returns a callback that runs a step after a random delay.
+func (m *leaseMember) delayed(run func()) func() {
 	return func() { m.process.After(m.group.stepDelayUs(), run) }
 }
 
@@ -113,9 +113,9 @@
 		if _, ever := m.lastAnsweredUs[other.addr]; !ever {
 			m.lastAnsweredUs[other.addr] = m.nowUs()
 		}
-		version, body, sentUs := m.knownVersion, m.known, m.nowUs()
+		version, body, sentUs := m.knownVersion, m.knownBody, m.nowUs()
 		there := m.onPing(other)
-		m.ask(other, func() {
+		m.callMember(other, func() {
 			other.learn(version, body)
 			there()
 		}, func() {
@@ -125,8 +125,8 @@
 	}
 }
 
-// ask runs there in another member, and answered here once the answer arrives.
-func (m *leaseMember) ask(other *leaseMember, there, answered func()) {
+// callMember runs there in another member, and answered here once the answer arrives.
+func (m *leaseMember) callMember(other *leaseMember, there, answered func()) {
 	network, back := m.group.network, m.process.InLife(answered)
 	network.Send(m.addr, other.addr, func() {
 		other.process.Deliver(func() {
@@ -138,14 +138,14 @@
 
 func (m *leaseMember) learn(version int64, body messages.LeaseBody) {
 	if version > m.knownVersion {
-		m.knownVersion, m.known = version, body
-		m.learned(body)
+		m.knownVersion, m.knownBody = version, body
+		m.onLearn(body)
 	}
 }
 
-// round contacts a majority twice. The register is read or changed after the first
+// runRound contacts a majority twice. The register is read or changed after the first
 // majority has answered; the outcome is known after the second.
-func (m *leaseMember) round(edit func(body *messages.LeaseBody) bool, done func(ok bool, now messages.LeaseBody)) {
+func (m *leaseMember) runRound(edit func(body *messages.LeaseBody) bool, done func(ok bool, now messages.LeaseBody)) {
 	ended := false
 	end := func(ok bool, now messages.LeaseBody) {
 		if !ended {
@@ -154,10 +154,10 @@
 		}
 	}
 	m.process.After(registerTimeoutUs, func() { end(false, messages.LeaseBody{}) })
-	m.afterMajority(m.soon(func() {
+	m.afterMajority(m.delayed(func() {
 		m.group.register.change(edit)
 		version, body := m.group.register.version, m.group.register.copy()
-		m.afterMajority(m.soon(func() {
+		m.afterMajority(m.delayed(func() {
 			m.learn(version, body)
 			m.broadcast(version, body)
 			end(true, body)
@@ -169,7 +169,7 @@
 func (m *leaseMember) broadcast(version int64, body messages.LeaseBody) {
 	for _, other := range m.group.members {
 		if other != m {
-			m.ask(other, func() { other.learn(version, body) }, func() {})
+			m.callMember(other, func() { other.learn(version, body) }, func() {})
 		}
 	}
 }
@@ -181,7 +181,7 @@
 		if other == m {
 			continue
 		}
-		m.ask(other, func() {}, func() {
+		m.callMember(other, func() {}, func() {
 			if votes++; votes == needed {
 				run()
 			}
@@ -193,8 +193,8 @@
 func (m *leaseMember) stepRole(needed bool, again func()) lease.Grant {
 	view := m.view(needed)
 	step := m.role.Step(view)
-	if (step.Acquire || step.Confirm) && !m.busy {
-		m.busy = true
+	if (step.Acquire || step.Confirm) && !m.roundActive {
+		m.roundActive = true
 		if step.Acquire {
 			m.acquire(view)
 		} else {
@@ -208,14 +208,14 @@
 	var group, candidates []string
 	for _, other := range m.group.members {
 		group = append(group, other.member())
-		if other.member() != m.known.Lease.Holder && !m.isGone(other.member()) {
+		if other.member() != m.knownBody.Lease.Holder && !m.isGone(other.member()) {
 			candidates = append(candidates, other.addr)
 		}
 	}
-	rank, _ := lease.Rank(candidates, m.addr, m.known.Lease)
+	rank, _ := lease.Rank(candidates, m.addr, m.knownBody.Lease)
 	return lease.RoleView{
-		NowUs: m.nowUs(), Self: m.member(), Lease: m.known.Lease, Needed: needed,
-		HolderGone: m.isGone(m.known.Lease.Holder), InContact: m.contact.Holds(group, m.nowUs()), Rank: rank,
+		NowUs: m.nowUs(), Self: m.member(), Lease: m.knownBody.Lease, Needed: needed,
+		HolderGone: m.isGone(m.knownBody.Lease.Holder), InContact: m.contact.Holds(group, m.nowUs()), Rank: rank,
 	}
 }
 
@@ -239,10 +239,10 @@
 		body.Lease = nextLease
 		return true
 	}
-	m.round(edit, func(ok bool, now messages.LeaseBody) {
-		m.busy = false
+	m.runRound(edit, func(ok bool, now messages.LeaseBody) {
+		m.roundActive = false
 		if ok && now.Lease == nextLease {
-			m.group.kernel.Note("%s acquires the lease under fence %d", m.addr, nextLease.Fence)
+			m.group.kernel.Log("%s acquires the lease under fence %d", m.addr, nextLease.Fence)
 			m.role.Acquired(previousLease, nextLease, m.usedFence == previousLease.Fence, m.nowUs())
 		}
 	})
@@ -251,8 +251,8 @@
 func (m *leaseMember) confirm(again func()) {
 	sentUs := m.nowUs()
 	unchanged := func(*messages.LeaseBody) bool { return false }
-	m.round(unchanged, func(ok bool, now messages.LeaseBody) {
-		m.busy = false
+	m.runRound(unchanged, func(ok bool, now messages.LeaseBody) {
+		m.roundActive = false
 		if ok {
 			m.role.Confirmed(now.Lease, sentUs, m.nowUs())
 			again()
@@ -270,9 +270,9 @@
 // leaseRegister is a stand-in for the register of a lease: one shared value, which members
 // access once a majority has answered them.
 type leaseRegister struct {
-	version int64
-	body    messages.LeaseBody
-	holders int64 // number of changes of the holder
+	version       int64
+	body          messages.LeaseBody
+	holderChanges int64 // number of changes of the holder
 }
 
 // change replaces the value by the edited copy, unless edit returns false.
@@ -282,7 +282,7 @@
 		return
 	}
 	if body.Lease.Holder != r.body.Lease.Holder {
-		r.holders++
+		r.holderChanges++
 	}
 	r.version++
 	r.body = body
--- a/internal/simulation/loads.go
+++ b/internal/simulation/loads.go
@@ -147,7 +147,7 @@
 	}
 	n.history.links++
 	link := &loadLink{name: fmt.Sprintf("%s/%d", n.addr, n.history.links), child: n, parent: parent, childLife: n.process.life, parentLife: parent.process.life, open: true, known: true}
-	n.history.kernel.Note("%s follows %s", n.addr, parent.addr)
+	n.history.kernel.Log("%s follows %s", n.addr, parent.addr)
 	n.parent, n.sendAll = link, true
 	parent.below = append(parent.below, link)
 }
@@ -165,7 +165,7 @@
 }
 
 func (l *loadLink) forget() {
-	if l.known && !l.parent.history.defects.KeepSenders {
+	if l.known && !l.parent.history.defects.KeepEndedSenders {
 		l.parent.subtree.Remove(l.name)
 	}
 	l.known = false
@@ -228,17 +228,17 @@
 	}
 	switch k.Below(3) {
 	case 0:
-		k.Note("%s is killed for %d us", n.addr, forUs)
+		k.Log("%s is killed for %d us", n.addr, forUs)
 		n.process.Stop()
 		n.connectionsEnd()
 		k.After(forUs, n.restart)
 	case 1:
-		k.Note("%s freezes for %d us", n.addr, forUs)
+		k.Log("%s freezes for %d us", n.addr, forUs)
 		n.process.Freeze()
 		k.After(forUs, n.process.Thaw)
 	default:
 		if n.parent != nil {
-			k.Note("the connection of %s is cut", n.addr)
+			k.Log("the connection of %s is cut", n.addr)
 			n.parent.cut = true
 		}
 	}
@@ -261,7 +261,7 @@
 }
 
 func (h *loadHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed = true
 	for _, n := range h.nodes {
 		n.process.Thaw()
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,11 +5,11 @@
 
 // Link is the state of the one-way link from one address to another.
 type Link struct {
-	Cuts           int // number of faults that cut the link now
-	LossPerMille   int
-	DoublePerMille int
-	DelayLowUs     int64
-	DelayHighUs    int64
+	Cuts              int // number of faults that cut the link now
+	LossPerMille      int
+	DuplicatePerMille int
+	DelayLowUs        int64
+	DelayHighUs       int64
 }
 
 type pair struct{ from, to string }
@@ -25,7 +25,7 @@
 
 // ordinaryLink returns the state of a link without a fault, which still loses or duplicates a few messages.
 func ordinaryLink() Link {
-	return Link{LossPerMille: 2, DoublePerMille: 2, DelayLowUs: 200, DelayHighUs: 4 * Millisecond}
+	return Link{LossPerMille: 2, DuplicatePerMille: 2, DelayLowUs: 200, DelayHighUs: 4 * Millisecond}
 }
 
 // Link returns the link from one address to another. Callers change it in place.
@@ -51,7 +51,7 @@
 func (n *Network) Send(from, to string, deliver func()) {
 	l := n.Link(from, to)
 	copies := 1
-	if n.kernel.Chance(l.DoublePerMille) {
+	if n.kernel.Chance(l.DuplicatePerMille) {
 		copies = 2
 	}
 	if l.Cuts > 0 || n.kernel.Chance(l.LossPerMille) {
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -99,7 +99,7 @@
 func (o *operator) end(call pendingCall, answer history.Response) {
 	k := o.cluster.kernel
 	o.cluster.history.End(call.id, answer)
-	k.Note("%s: %s: %s", o.name, call.call, answer)
+	k.Log("%s: %s: %s", o.name, call.call, answer)
 	counts := &o.cluster.checks.counts
 	switch {
 	case answer.Verdict == history.Unclear:
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -31,7 +31,7 @@
 	size := []int{3, 3, 3, 5, 5, 7}[k.Below(6)]
 	c := newCluster(k, size, k.Below(3), 2+k.Below(3), options.Defects)
 	c.scheduleFaults()
-	k.RunUntil(calmUs + faultPhaseUs + mostFault/2)
+	k.RunUntil(calmPhaseUs + faultPhaseUs + maxFaultUs/2)
 	c.heal()
 	k.RunUntil(k.NowUs() + recoveryUs)
 	c.checkFinalState()
--- a/internal/simulation/play_test.go
+++ b/internal/simulation/play_test.go
@@ -68,26 +68,26 @@
 	}
 }
 
-// mostSeedsToFind bounds the search for a seed that detects a defect.
-const mostSeedsToFind = 2000
+// maxSeedsToDetect bounds the search for a seed that detects a defect.
+const maxSeedsToDetect = 2000
 
 // firstFailureOf is firstFailure for another model, starting at seed 0.
 func firstFailureOf(play func(uint64, Options) Result, options Options, failureText string) (uint64, string) {
-	for seed := range uint64(mostSeedsToFind) {
+	for seed := range uint64(maxSeedsToDetect) {
 		if r := play(seed, options); r.Failure != "" && strings.Contains(r.Failure, failureText) {
 			return seed, r.Failure
 		}
 	}
-	return mostSeedsToFind, ""
+	return maxSeedsToDetect, ""
 }
 
 // firstFailure returns the first seed whose failure contains the given text, and the failure.
 // The text is needed because a defect may violate other checks first.
 func firstFailure(from uint64, options Options, failureText string) (uint64, string) {
-	for seed := from; seed < from+mostSeedsToFind; seed++ {
+	for seed := from; seed < from+maxSeedsToDetect; seed++ {
 		if r := Play(seed, options); r.Failure != "" && strings.Contains(r.Failure, failureText) {
 			return seed, r.Failure
 		}
 	}
-	return mostSeedsToFind, ""
+	return maxSeedsToDetect, ""
 }
--- a/internal/simulation/quota_checks.go
+++ b/internal/simulation/quota_checks.go
@@ -110,12 +110,12 @@
 	out := Counts{QuotaHistories: 1}
 	for t, tally := range c.tallies {
 		if t.demand < 1 && !c.calm {
-			out.QuotaAsked += tally.asked
+			out.QuotaWithinLimit += tally.asked
 			out.QuotaDenied += tally.denied
-			out.QuotaUnknown += tally.unknown
-			out.QuotaLate += tally.late
+			out.QuotaOwnerUnknown += tally.unknown
+			out.QuotaRejectedLate += tally.late
 		}
-		out.QuotaRan += tally.ran
+		out.QuotaRequestsRun += tally.ran
 	}
 	return out
 }
--- a/internal/simulation/registrar.go
+++ b/internal/simulation/registrar.go
@@ -33,7 +33,7 @@
 	fleet   *fleet
 	addr    string
 	process *Process
-	kept    []messages.RunnerRecord // the records on its disk, loaded at the next start
+	onDisk  []messages.RunnerRecord // the records on its disk, loaded at the next start
 
 	// The fields below are reset with each life of the process.
 	runners        *registry.Registry
@@ -51,14 +51,14 @@
 	for _, other := range r.fleet.registrars {
 		r.mirrors[other.addr] = statesync.NewEntries()
 	}
-	for _, record := range r.kept {
+	for _, record := range r.onDisk {
 		record.Stale, record.Lost = false, false
 		r.runners.Merge(record, r.process.NowUs())
 	}
 	r.fleet.every(r.process, flushEveryUs, r.flush)
 	r.fleet.every(r.process, compareUs, r.compare)
 	r.fleet.every(r.process, sweepEveryUs, r.sweep)
-	r.fleet.every(r.process, recallEveryUs, func() { r.kept = r.records() })
+	r.fleet.every(r.process, recallEveryUs, func() { r.onDisk = r.records() })
 }
 
 // records returns the records of the registry, ordered by id.
@@ -68,8 +68,8 @@
 	return all
 }
 
-// heartbeat applies a heartbeat of a runner and forwards it to the other registrars immediately.
-func (r *registrar) heartbeat(record messages.RunnerRecord) {
+// receiveHeartbeat applies a heartbeat of a runner and forwards it to the other registrars immediately.
+func (r *registrar) receiveHeartbeat(record messages.RunnerRecord) {
 	r.applyHeartbeat(record)
 	for _, other := range r.others() {
 		r.fleet.network.Send(r.addr, other.addr, func() {
--- a/internal/simulation/repairs.go
+++ b/internal/simulation/repairs.go
@@ -164,7 +164,7 @@
 		return step.Propose, cur.Body, nil
 	}
 	c.change(part, proposeTimeoutUs, regroup, func(v messages.Value, err error) {
-		c.cluster.kernel.Note("%s regroups part %d: version %d, %v", c.addr, part, v.Version, err)
+		c.cluster.kernel.Log("%s regroups part %d: version %d, %v", c.addr, part, v.Version, err)
 		done(err == nil || errors.Is(err, errNoChange))
 	})
 }
--- a/internal/simulation/requests_checks.go
+++ b/internal/simulation/requests_checks.go
@@ -90,7 +90,7 @@
 // answered is called where a client gets an answer, or sees its connection end.
 func (c *requestChecks) answered(in *incoming, status int, body string) {
 	seen, k := c.seen[in.id], c.history.kernel
-	k.Note("%s is answered %d", in.id, status)
+	k.Log("%s is answered %d", in.id, status)
 	switch {
 	case status == 503 || status == 429:
 		seen.promised = true
--- a/internal/simulation/requests_router.go
+++ b/internal/simulation/requests_router.go
@@ -107,7 +107,7 @@
 			e.timeOver()
 		}
 	})
-	h.kernel.Note("%s takes %s", r.name, in.id)
+	h.kernel.Log("%s takes %s", r.name, in.id)
 	e.next()
 }
 
@@ -121,7 +121,7 @@
 
 func (e *requestExchange) rules() attempt.Request {
 	rules := e.in.client.rules()
-	if e.router.history.defects.RepeatEffectful {
+	if e.router.history.defects.RetryNonIdempotent {
 		rules.Repeatable = true
 	}
 	return rules
@@ -214,7 +214,7 @@
 }
 
 func (e *requestExchange) endStatus() int {
-	if e.router.history.defects.PromiseAfterRun {
+	if e.router.history.defects.ReportNotRunAfterRun {
 		return 503
 	}
 	return e.sequence.EndStatus(e.isOver())
@@ -258,7 +258,7 @@
 
 // received handles an answer on the connection of the present attempt.
 func (e *requestExchange) received(conn *requestConn, a runnerAnswer) {
-	if a.id != e.in.id && !e.router.history.defects.MatchByOrder {
+	if a.id != e.in.id && !e.router.history.defects.MatchResponsesByOrder {
 		conn.tainted = true // a late answer to an earlier request: skipped
 		return
 	}
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -33,14 +33,14 @@
 		defects Defects
 		finds   string
 	}{
-		{"requests with an effect are repeated", Defects{RepeatEffectful: true}, "runs twice"},
-		{"a promise after a possible run", Defects{PromiseAfterRun: true}, "answered"},
-		{"answers matched by their order", Defects{MatchByOrder: true}, "gets"},
+		{"requests with an effect are repeated", Defects{RetryNonIdempotent: true}, "runs twice"},
+		{"a promise after a possible run", Defects{ReportNotRunAfterRun: true}, "answered"},
+		{"answers matched by their order", Defects{MatchResponsesByOrder: true}, "gets"},
 		{"retries without a budget", Defects{RetryWithoutBudget: true}, "retries"},
 		{"streams resumed from their start", Defects{ResumeFromStart: true}, "gets"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range uint64(mostSeedsToFind) {
+			for seed := range uint64(maxSeedsToDetect) {
 				if r := PlayRequests(seed, Options{Defects: c.defects}); r.Failure != "" {
 					t.Logf("found by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -5,11 +5,11 @@
 // Phases of a history: a calm start, in which every register accepts its first value,
 // then faults, then time to recover. Also the shortest and longest duration of a fault.
 const (
-	calmUs       = 1_500 * Millisecond
+	calmPhaseUs  = 1_500 * Millisecond
 	faultPhaseUs = 10 * Second
 	recoveryUs   = 6 * Second
-	leastFault   = 100 * Millisecond
-	mostFault    = 5 * Second
+	minFaultUs   = 100 * Millisecond
+	maxFaultUs   = 5 * Second
 )
 
 // fault is one kind of fault. Its weight determines how often it is drawn.
@@ -54,11 +54,11 @@
 			draw -= faults[chosen].weight
 			chosen++
 		}
-		forUs := k.Between(leastFault, mostFault)
+		forUs := k.Between(minFaultUs, maxFaultUs)
 		if k.Chance(300) {
-			forUs = k.Between(1, leastFault)
+			forUs = k.Between(1, minFaultUs)
 		}
-		k.After(calmUs+k.Between(0, faultPhaseUs), func() {
+		k.After(calmPhaseUs+k.Between(0, faultPhaseUs), func() {
 			if !c.healed {
 				faults[chosen].inject(c, c.controllers[k.Below(len(c.controllers))], forUs)
 				if !faults[chosen].recordsFault {
@@ -69,8 +69,8 @@
 	}
 }
 
-// later ends a fault after a time, unless heal has ended it before.
-func (c *Cluster) later(forUs int64, end func()) {
+// endFaultAfter ends a fault after a time, unless heal has ended it before.
+func (c *Cluster) endFaultAfter(forUs int64, end func()) {
 	c.kernel.After(forUs, func() {
 		if !c.healed {
 			end()
@@ -80,30 +80,30 @@
 
 func (c *Cluster) crashFor(victim *Controller, forUs int64) {
 	c.crash(victim)
-	c.later(forUs, func() { c.restart(victim) })
+	c.endFaultAfter(forUs, func() { c.restart(victim) })
 }
 
 func (c *Cluster) losePowerFor(victim *Controller, forUs int64) {
 	c.losePower(victim)
-	c.later(forUs, func() { c.restart(victim) })
+	c.endFaultAfter(forUs, func() { c.restart(victim) })
 }
 
 func (c *Cluster) loseAllPower(_ *Controller, forUs int64) {
 	for _, node := range c.controllers {
 		c.losePower(node)
-		c.later(c.kernel.Between(0, forUs), func() { c.restart(node) })
+		c.endFaultAfter(c.kernel.Between(0, forUs), func() { c.restart(node) })
 	}
 }
 
 func (c *Cluster) freezeFor(victim *Controller, forUs int64) {
-	c.kernel.Note("%s freezes for %d us", victim.addr, forUs)
+	c.kernel.Log("%s freezes for %d us", victim.addr, forUs)
 	victim.process.Freeze()
-	c.later(forUs, victim.process.Thaw)
+	c.endFaultAfter(forUs, victim.process.Thaw)
 }
 
 // cutOffFor partitions one controller from all others. Operators still reach it.
 func (c *Cluster) cutOffFor(victim *Controller, forUs int64) {
-	c.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
+	c.kernel.Log("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range c.controllers {
 		c.cutLink(victim.addr, other.addr, forUs)
 		c.cutLink(other.addr, victim.addr, forUs)
@@ -113,7 +113,7 @@
 // cutOneWayFor cuts either all links to a controller from the others, or all links from it to them.
 func (c *Cluster) cutOneWayFor(victim *Controller, forUs int64) {
 	inbound := c.kernel.Chance(500)
-	c.kernel.Note("%s is cut off one way for %d us, deaf: %v", victim.addr, forUs, inbound)
+	c.kernel.Log("%s is cut off one way for %d us, deaf: %v", victim.addr, forUs, inbound)
 	for _, other := range c.controllers {
 		if inbound {
 			c.cutLink(other.addr, victim.addr, forUs)
@@ -125,7 +125,7 @@
 
 // cutSomeFor cuts a random subset of the links, so that indirect paths may remain.
 func (c *Cluster) cutSomeFor(_ *Controller, forUs int64) {
-	c.kernel.Note("some links are cut for %d us", forUs)
+	c.kernel.Log("some links are cut for %d us", forUs)
 	for _, a := range c.controllers {
 		for _, b := range c.controllers {
 			if a != b && c.kernel.Chance(300) {
@@ -141,12 +141,12 @@
 	}
 	l := c.network.Link(from, to)
 	l.Cuts++
-	c.later(forUs, func() { l.Cuts-- })
+	c.endFaultAfter(forUs, func() { l.Cuts-- })
 }
 
 // degradeAllLinksFor makes every link lose, duplicate, delay and reorder messages.
 func (c *Cluster) degradeAllLinksFor(_ *Controller, forUs int64) {
-	c.kernel.Note("a storm for %d us", forUs)
+	c.kernel.Log("a storm for %d us", forUs)
 	names := []string{}
 	for _, node := range c.controllers {
 		names = append(names, node.addr)
@@ -158,8 +158,8 @@
 	for _, from := range names {
 		for _, to := range names {
 			l := c.network.Link(from, to)
-			l.LossPerMille, l.DoublePerMille, l.DelayHighUs = loss, 100, 150*Millisecond
-			c.later(forUs, func() {
+			l.LossPerMille, l.DuplicatePerMille, l.DelayHighUs = loss, 100, 150*Millisecond
+			c.endFaultAfter(forUs, func() {
 				cuts := l.Cuts
 				*l = ordinaryLink()
 				l.Cuts = cuts
@@ -169,21 +169,21 @@
 }
 
 func (c *Cluster) stallDiskFor(victim *Controller, forUs int64) {
-	c.kernel.Note("the disk of %s stalls for %d us", victim.addr, forUs)
+	c.kernel.Log("the disk of %s stalls for %d us", victim.addr, forUs)
 	victim.disk.Stalled = true
-	c.later(forUs, victim.disk.Resume)
+	c.endFaultAfter(forUs, victim.disk.Resume)
 }
 
 func (c *Cluster) fillDiskFor(victim *Controller, forUs int64) {
-	c.kernel.Note("the disk of %s is full for %d us", victim.addr, forUs)
+	c.kernel.Log("the disk of %s is full for %d us", victim.addr, forUs)
 	victim.disk.Full = true
-	c.later(forUs, func() { victim.disk.Full = false })
+	c.endFaultAfter(forUs, func() { victim.disk.Full = false })
 }
 
 func (c *Cluster) slowDiskFor(victim *Controller, forUs int64) {
-	c.kernel.Note("the disk of %s is slow for %d us", victim.addr, forUs)
+	c.kernel.Log("the disk of %s is slow for %d us", victim.addr, forUs)
 	victim.disk.ExtraDelayUs = c.kernel.Between(10*Millisecond, 400*Millisecond)
-	c.later(forUs, func() { victim.disk.ExtraDelayUs = 0 })
+	c.endFaultAfter(forUs, func() { victim.disk.ExtraDelayUs = 0 })
 }
 
 // wipeDiskFor wipes a disk if the design guarantees that its loss is tolerated in this state.
@@ -193,7 +193,7 @@
 	}
 	c.checks.counts.DisksLost++
 	c.wipe(victim)
-	c.later(forUs, func() { c.restart(victim) })
+	c.endFaultAfter(forUs, func() { c.restart(victim) })
 }
 
 func (c *Cluster) slowAllDisksFor(_ *Controller, forUs int64) {
@@ -213,7 +213,7 @@
 	deferred := c.deferredFaults
 	c.deferredFaults = nil
 	for _, inject := range deferred {
-		c.recordFault(mostFault)
+		c.recordFault(maxFaultUs)
 		inject()
 	}
 }
--- a/internal/simulation/shutdown.go
+++ b/internal/simulation/shutdown.go
@@ -172,14 +172,14 @@
 	for part := range spare {
 		spare[part] = c.hasSpare(part, victim)
 	}
-	c.kernel.Note("%s is told to end", victim.addr)
+	c.kernel.Log("%s is told to end", victim.addr)
 	c.recordFault(handOverTotalUs + handOverConfirmUs + handOverFlushUs + forUs)
 	victim.beginShutdown(func() {
 		if undisturbed && count == c.faultCount-1 && !c.healed {
 			c.checks.checkHandOver(victim, spare)
 		}
 		c.crash(victim)
-		c.later(forUs, func() { c.restart(victim) })
+		c.endFaultAfter(forUs, func() { c.restart(victim) })
 	})
 }
 
--- a/internal/simulation/tallies.go
+++ b/internal/simulation/tallies.go
@@ -167,7 +167,7 @@
 // trouble begins a fault that ends after forUs, unless everything heals before.
 func (h *tallyHistory) trouble(forUs int64, end func()) {
 	h.troubles++
-	h.later(forUs, func() {
+	h.endFaultAfter(forUs, func() {
 		h.troubles--
 		h.checks.troubleUs = h.kernel.NowUs()
 		end()
@@ -197,7 +197,7 @@
 			if oneWay {
 				h.cutOneWay(a, b, forUs)
 			} else {
-				h.cut(a, b, forUs)
+				h.cutBothWays(a, b, forUs)
 			}
 		}
 	}
@@ -205,7 +205,7 @@
 
 func (h *tallyHistory) cutZone(forUs int64) {
 	zone := h.zones[h.kernel.Below(len(h.zones))]
-	h.kernel.Note("zone %s is cut off for %d us", zone, forUs)
+	h.kernel.Log("zone %s is cut off for %d us", zone, forUs)
 	var others []string
 	for _, other := range h.zones {
 		if other != zone {
@@ -219,14 +219,14 @@
 func (h *tallyHistory) cutBridge(forUs int64) {
 	i := h.kernel.Below(len(h.zones))
 	one, other := h.zones[i], h.zones[(i+1)%len(h.zones)]
-	h.kernel.Note("zones %s and %s do not reach each other for %d us", one, other, forUs)
+	h.kernel.Log("zones %s and %s do not reach each other for %d us", one, other, forUs)
 	h.separate(h.addrsOf(one), h.addrsOf(other), false, forUs)
 }
 
 // cutReplicaOff cuts one replica off from the others; the routers reach it.
 func (h *tallyHistory) cutReplicaOff(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("%s is cut off from the other replicas for %d us", r.addr, forUs)
+	h.kernel.Log("%s is cut off from the other replicas for %d us", r.addr, forUs)
 	var others []string
 	for _, other := range h.replicas {
 		if other != r {
@@ -238,7 +238,7 @@
 
 // cutCore cuts half of the replicas off from the other half; the routers reach all.
 func (h *tallyHistory) cutCore(forUs int64) {
-	h.kernel.Note("the replicas are cut into halves for %d us", forUs)
+	h.kernel.Log("the replicas are cut into halves for %d us", forUs)
 	var halves [2][]string
 	for _, r := range h.replicas {
 		half := h.kernel.Below(2)
@@ -255,7 +255,7 @@
 	perMille := []int{150, 600, 1000}[h.kernel.Below(3)]
 	for _, r := range h.replicas {
 		if h.kernel.Chance(perMille) {
-			h.kernel.Note("%s is killed", r.addr)
+			h.kernel.Log("%s is killed", r.addr)
 			r.process.Stop()
 			r.disk.Restart()
 			h.trouble(min(forUs, 2*Second), r.bootIfDown)
@@ -265,13 +265,13 @@
 
 func (h *tallyHistory) freezeOne(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("%s freezes for %d us", r.addr, forUs)
+	h.kernel.Log("%s freezes for %d us", r.addr, forUs)
 	r.process.Freeze()
 	h.trouble(forUs, r.process.Thaw)
 }
 
 func (h *tallyHistory) powerOff(r *tallyReplica, forUs int64) {
-	h.kernel.Note("%s loses power for %d us", r.addr, forUs)
+	h.kernel.Log("%s loses power for %d us", r.addr, forUs)
 	r.process.Stop()
 	r.disk.LosePower()
 	h.trouble(forUs, r.bootIfDown)
@@ -334,12 +334,12 @@
 	for _, r := range h.replicas {
 		switch {
 		case slices.Contains(lost, r):
-			h.kernel.Note("%s loses its disk", r.addr)
+			h.kernel.Log("%s loses its disk", r.addr)
 			r.process.Stop()
 			r.disk.Erase()
 			h.checks.lostDisk(r)
 			h.trouble(min(forUs, 3*Second)+tallyCatchUpUs, func() {})
-			h.later(min(forUs, 3*Second), r.bootIfDown)
+			h.endFaultAfter(min(forUs, 3*Second), r.bootIfDown)
 		case powerOff:
 			h.powerOff(r, min(forUs, 3*Second))
 		}
@@ -348,20 +348,20 @@
 
 func (h *tallyHistory) stallDisk(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("the disk of %s stalls for %d us", r.addr, forUs)
+	h.kernel.Log("the disk of %s stalls for %d us", r.addr, forUs)
 	r.stalledUntilUs = h.kernel.NowUs() + forUs
 	h.trouble(forUs, func() {})
 }
 
 func (h *tallyHistory) fillDisk(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("the disk of %s is full for %d us", r.addr, forUs)
+	h.kernel.Log("the disk of %s is full for %d us", r.addr, forUs)
 	r.disk.SetFull(true)
 	h.trouble(forUs, func() { r.disk.SetFull(false) })
 }
 
 func (h *tallyHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed = true
 	h.cuts, h.troubles = 0, 0
 	h.checks.troubleUs, h.checks.healedUs = h.kernel.NowUs(), h.kernel.NowUs()
--- a/internal/simulation/tallies_test.go
+++ b/internal/simulation/tallies_test.go
@@ -33,14 +33,14 @@
 		from    uint64 // the first seed that is played
 	}{
 		{"quorum of disks", Defects{AckOnOneDisk: true}, "acknowledges an add on", 0},
-		{"witnesses", Defects{TrustSilence: true}, "acknowledges an add on", 0},
-		{"a new origin for a lost disk", Defects{KeepOrigin: true}, "lacks an add", 0},
-		{"evidence younger than the add", Defects{TrustOldEvidence: true}, "acknowledges an add on", 170},
-		{"the others asked at the start", Defects{AnswerUnasked: true}, "answers, and does not have", 0},
-		{"anti-entropy", Defects{NeverPull: true}, "lacks an add", 215},
+		{"witnesses", Defects{TreatSilenceAsPartition: true}, "acknowledges an add on", 0},
+		{"a new origin for a lost disk", Defects{KeepOriginAfterDiskLoss: true}, "lacks an add", 0},
+		{"evidence younger than the add", Defects{AcceptOldEvidence: true}, "acknowledges an add on", 170},
+		{"the others asked at the start", Defects{AnswerBeforeQuery: true}, "answers, and does not have", 0},
+		{"anti-entropy", Defects{SkipLogPull: true}, "lacks an add", 215},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := c.from; seed < c.from+mostSeedsToFind; seed++ {
+			for seed := c.from; seed < c.from+maxSeedsToDetect; seed++ {
 				r := PlayTallies(seed, Options{Defects: c.defects})
 				if strings.Contains(r.Failure, c.finds) {
 					t.Logf("found by seed %d: %s", seed, r.Failure)
--- a/internal/simulation/tally_actors.go
+++ b/internal/simulation/tally_actors.go
@@ -104,7 +104,7 @@
 }
 
 func (r *tallyReplica) newOrigin() tally.Origin {
-	if r.history.defects.KeepOrigin {
+	if r.history.defects.KeepOriginAfterDiskLoss {
 		return tally.Origin(r.addr)
 	}
 	return tally.Origin(fmt.Sprintf("%s-%d", r.addr, r.lives))
@@ -120,8 +120,8 @@
 	for _, other := range r.history.replicas {
 		waits = waits || other != r && !r.asked[other.addr] && !r.replica.Unreachable(other.addr)
 	}
-	waits = waits && !r.history.defects.AnswerUnasked
-	if r.ready = !waits && (len(r.asked) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerUnasked); !r.ready {
+	waits = waits && !r.history.defects.AnswerBeforeQuery
+	if r.ready = !waits && (len(r.asked) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerBeforeQuery); !r.ready {
 		r.process.After(20*Millisecond, r.checkReady)
 		return
 	}
@@ -289,7 +289,7 @@
 // compareWith compares digests with another replica now and then.
 func (r *tallyReplica) compareWith(other *tallyReplica) {
 	defer r.process.After(tallyCompareUs, func() { r.compareWith(other) })
-	if r.history.defects.NeverPull {
+	if r.history.defects.SkipLogPull {
 		return
 	}
 	r.call(other, func(answer func(func())) {
@@ -313,7 +313,7 @@
 	}
 	number, arrivedUs := r.replica.Append(add), r.process.NowUs()
 	r.replica.RecordWaiter(arrivedUs)
-	if r.history.defects.TrustOldEvidence {
+	if r.history.defects.AcceptOldEvidence {
 		arrivedUs = 0
 	}
 	r.wake()
@@ -339,7 +339,7 @@
 		})
 	})
 	r.process.After(tallyWitnessWaitUs, func() {
-		if r.history.defects.TrustSilence {
+		if r.history.defects.TreatSilenceAsPartition {
 			verdict = tally.WitnessCut
 		}
 		r.replica.RecordWitness(other.addr, verdict, askedUs)
--- a/internal/simulation/usage_platform.go
+++ b/internal/simulation/usage_platform.go
@@ -64,7 +64,7 @@
 		}
 		return statusAccepted
 	}
-	k.Note("window %d is reported by %s under fence %d: %v", window.Window, from.addr, fence, counts)
+	k.Log("window %d is reported by %s under fence %d: %v", window.Window, from.addr, fence, counts)
 	p.accepted[window.Window] = counts
 	p.history.checks.reported(window.Window, counts)
 	return statusAccepted
@@ -77,7 +77,7 @@
 		return
 	}
 	for _, other := range sortedKeys(p.lastUs) {
-		if other != from.addr && now-p.lastUs[other] < dutyTimes.LeaseUs {
+		if other != from.addr && now-p.lastUs[other] < controllerLeaseTimes.LeaseUs {
 			p.history.kernel.Fail("%s reports %d us after %s", from.addr, now-p.lastUs[other], other)
 		}
 	}
--- a/internal/simulation/usage_test.go
+++ b/internal/simulation/usage_test.go
@@ -13,7 +13,7 @@
 	t.Log(counts)
 	must.Eq(t, int64(histories.Count), counts.UsageHistories)
 	must.Greater(t, 5*counts.UsageHistories, counts.UsageWindows)
-	must.Greater(t, counts.UsageHistories, counts.Takeovers)
+	must.Greater(t, counts.UsageHistories, counts.LeaseTakeovers)
 }
 
 func TestOneSeedPlaysOneUsageHistory(t *testing.T) {
@@ -31,13 +31,13 @@
 		finds   string
 	}{
 		{"lease without its waits", Defects{ActWithoutWaiting: true}, "us after"},
-		{"counts of the reporter", Defects{ReportUnagreed: true}, "is reported with"},
+		{"counts of the reporter", Defects{ReportWithoutAgreement: true}, "is reported with"},
 		{"own time of day", Defects{TrustOwnClock: true}, "window"},
 		{"counts at one controller", Defects{CountAtOneController: true}, "was reported with"},
 		{"counts sent once", Defects{NeverResend: true}, "was reported with"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range uint64(mostSeedsToFind) {
+			for seed := range uint64(maxSeedsToDetect) {
 				if r := PlayUsage(seed, Options{Defects: c.defects}); r.Failure != "" {
 					t.Logf("found by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
--- a/internal/simulation/versions_checks.go
+++ b/internal/simulation/versions_checks.go
@@ -54,14 +54,14 @@
 		h.strikeHolder(forUs)
 	case 1:
 		r := h.routers[k.Below(len(h.routers))]
-		k.Note("a router is cut off for %d us", forUs)
+		k.Log("a router is cut off for %d us", forUs)
 		r.trouble(forUs, func() { r.cut = true }, func() { r.cut = false; r.learn() })
 	case 2:
 		r := h.routers[k.Below(len(h.routers))]
-		k.Note("a router is killed for %d us", forUs)
+		k.Log("a router is killed for %d us", forUs)
 		r.trouble(forUs, func() { r.process.Stop(); r.reported = nil }, r.boot)
 	default:
-		k.Note("answers fail everywhere for %d us", forUs)
+		k.Log("answers fail everywhere for %d us", forUs)
 		before := h.background
 		h.background = max(h.background, 0.25)
 		k.After(forUs, func() { h.background = before })
@@ -90,12 +90,12 @@
 	}
 	h.disturbCore()
 	if k.Chance(500) {
-		k.Note("the holder freezes for %d us", forUs)
+		k.Log("the holder freezes for %d us", forUs)
 		c.process.Freeze()
 		k.After(forUs, func() { h.disturbCore(); c.process.Thaw() })
 		return
 	}
-	k.Note("the holder is killed for %d us", forUs)
+	k.Log("the holder is killed for %d us", forUs)
 	c.process.Stop()
 	k.After(forUs, func() {
 		h.disturbCore()
@@ -112,7 +112,7 @@
 		return
 	}
 	stage := canary.Stage(h.register[0].Stage)
-	h.counts.VersionExposed += int64(h.checks.exposed)
+	h.counts.NewVersionRequests += int64(h.checks.exposed)
 	if h.badness == goodVersion {
 		h.counts.VersionsGood++
 		if stage == canary.Settled {
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -23,9 +23,9 @@
 		defects Defects
 		finds   string
 	}{
-		{"no trial", Defects{ShiftUntried: true}, "allowed"},
+		{"no trial", Defects{SkipCanary: true}, "allowed"},
 		{"outcomes not looked at", Defects{IgnoreOutcomes: true}, "bad"},
-		{"outcomes of the others not looked at", Defects{CompareWithNothing: true}, "a good version"},
+		{"outcomes of the others not looked at", Defects{IgnoreBaseline: true}, "a good version"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			seed, failure := firstFailureOf(PlayVersions, Options{Defects: c.defects}, c.finds)
