--- a/internal/simulation/quota.go
+++ b/internal/simulation/quota.go
@@ -1,6 +1,7 @@
-// Quota: requests of tenants with a limit are counted by owners, while members of the group
-// and routers are killed, frozen and cut off, and a limit is lowered. The real quota.Member
-// and quota.Grantee run; the drivers in controller and router are mirrored.
+// Model "quota": shard owners count the requests of rate-limited tenants while group members
+// and routers are killed, frozen and partitioned, and a limit is lowered. quota.Member and
+// quota.Grantee are the production code; their drivers in packages controller and router are
+// reimplemented here.
 
 package simulation
 
@@ -11,7 +12,7 @@
 	"beechtide.org/beechtide/internal/quota"
 )
 
-// Bounds of a history of quota.
+// Durations and sizes of a quota history.
 const (
 	quotaFaultsFrom  = 3 * Second
 	quotaFaultsUs    = 30 * Second
@@ -19,20 +20,20 @@
 	quotaConvergeUs  = Second      // for a lowered limit to reach every router
 	mostQuotaFaultUs = 5 * Second
 	quotaSpares      = 2                 // controllers that are not in the group at first
-	groupKnownUs     = 400 * Millisecond // after a change of the group every member knows it
+	groupKnownUs     = 400 * Millisecond // after a change of the group every member has received it
 )
 
-// quotaBounds are those of the deployments.
+// quotaBounds are the bounds that deployments use.
 var quotaBounds = quota.NewBounds(5, 0.1, 20)
 
-// quotaTenant is a tenant and what it sends.
+// quotaTenant is a tenant with its limit and its request rate.
 type quotaTenant struct {
 	name   string
 	limit  quota.Limit
-	demand float64 // parts of the rate; above 1 the tenant sends more than it may
+	demand float64 // request rate as a fraction of the limit; above 1 the tenant exceeds its limit
 }
 
-// quotaHistory is everything in one history.
+// quotaHistory is the state of one simulated history.
 type quotaHistory struct {
 	*injector
 	defects Defects
@@ -41,11 +42,11 @@
 	tenants []*quotaTenant
 	checks  *quotaChecks
 	group   quota.Group
-	// busyUntilUs is until when no runner has room.
+	// busyUntilUs is the time until which all runners are full.
 	busyUntilUs int64
 }
 
-// PlayQuota plays the quota's history of a seed. One seed in eight has no faults.
+// PlayQuota simulates the quota history of a seed. One seed in eight has no faults.
 func PlayQuota(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := newQuotaHistory(k, options.Defects, 3+2*k.Below(3), 4+k.Below(8))
@@ -95,7 +96,7 @@
 	return h
 }
 
-// send has a request of a tenant come to a router, and the next one later.
+// send delivers a request of a tenant to a random router and schedules the next one.
 func (h *quotaHistory) send(t *quotaTenant) {
 	if r := h.routers[h.kernel.Below(len(h.routers))]; r.process.Up() {
 		h.checks.asked(t)
@@ -105,7 +106,7 @@
 	h.kernel.After(h.kernel.Between(0, 2*meanUs), func() { h.send(t) })
 }
 
-// plan draws what happens.
+// plan schedules the faults and the lowering of a limit at random times.
 func (h *quotaHistory) plan() {
 	k := h.kernel
 	for range 2 + k.Below(8) {
@@ -115,7 +116,7 @@
 	k.After(quotaFaultsFrom+k.Between(0, quotaFaultsUs/2), h.lower)
 }
 
-// lower lowers a limit by half. Requests that come to a router later are under it.
+// lower halves a limit. It applies to requests that reach a router afterwards.
 func (h *quotaHistory) lower() {
 	t := h.tenants[h.kernel.Below(len(h.tenants))]
 	h.kernel.Note("the limit of %s is lowered", t.name)
@@ -123,7 +124,7 @@
 	h.checks.lowered(t)
 }
 
-// quotaFaults are what strikes for a while.
+// quotaFaults are the faults that plan chooses from; each lasts for forUs.
 var quotaFaults = []func(h *quotaHistory, forUs int64){
 	(*quotaHistory).killOwner, (*quotaHistory).freezeOwner, (*quotaHistory).cutOwnerOff, (*quotaHistory).cutPair,
 	(*quotaHistory).killManyMembers, (*quotaHistory).killAllMembers, (*quotaHistory).cutRouters, (*quotaHistory).freezeRouters,
@@ -131,7 +132,7 @@
 	(*quotaHistory).replaceMember,
 }
 
-// victim is a member that owns a tenant's count, mostly.
+// victim returns a member, most often one that owns a tenant's shard.
 func (h *quotaHistory) victim() *quotaMember {
 	shard := quota.ShardOf(h.tenants[h.kernel.Below(len(h.tenants))].name)
 	for _, m := range h.members {
@@ -162,7 +163,7 @@
 	}
 }
 
-// killAllMembers kills all at once; some are back within less than a lease.
+// killAllMembers kills all members at once; some restart within less than a lease.
 func (h *quotaHistory) killAllMembers(forUs int64) {
 	for _, m := range h.members {
 		h.kill(m, h.kernel.Between(Millisecond, min(forUs, 2*Second)))
@@ -180,7 +181,7 @@
 	h.freeze(m.process, m.addr, forUs)
 }
 
-// cutOwnerOff cuts a member off from the others. Routers reach both sides.
+// cutOwnerOff partitions a member from the others. Routers still reach both sides.
 func (h *quotaHistory) cutOwnerOff(forUs int64) {
 	m := h.victim()
 	h.kernel.Note("%s is cut off from the members for %d us", m.addr, forUs)
@@ -196,7 +197,7 @@
 	}
 }
 
-// cutOwnerOffAndRestart cuts a member off, and the others restart at once.
+// cutOwnerOffAndRestart partitions a member from the others, which restart at once.
 func (h *quotaHistory) cutOwnerOffAndRestart(forUs int64) {
 	m := h.victim()
 	h.kernel.Note("%s is cut off for %d us, the others restart", m.addr, forUs)
@@ -208,7 +209,7 @@
 	}
 }
 
-// replaceMember puts another controller in the place of a member, which may be dead.
+// replaceMember replaces a group member, which may be down, by a spare controller.
 func (h *quotaHistory) replaceMember(forUs int64) {
 	old := h.group.Members[h.kernel.Below(len(h.group.Members))]
 	var spares []string
@@ -242,7 +243,7 @@
 	h.cut(m.addr, other.addr, forUs)
 }
 
-// cutRouters cuts a third of the routers off from all members, or from all but one.
+// cutRouters partitions about a third of the routers from all members, or from all but one.
 func (h *quotaHistory) cutRouters(forUs int64) {
 	spared := h.kernel.Below(2 * len(h.members))
 	for _, r := range h.routers {
@@ -281,7 +282,7 @@
 	}
 }
 
-// slowLinks makes all links of a member slow and lossy.
+// slowLinks makes all links between a member and the other members slow and lossy.
 func (h *quotaHistory) slowLinks(forUs int64) {
 	m := h.victim()
 	h.kernel.Note("the links of %s are slow for %d us", m.addr, forUs)
@@ -295,7 +296,7 @@
 	}
 }
 
-// fillRunners leaves no room at any runner; then all requests that wait may run at once.
+// fillRunners makes all runners full for forUs; then all queued requests may run at once.
 func (h *quotaHistory) fillRunners(forUs int64) {
 	h.kernel.Note("the runners are full for %d us", forUs)
 	h.busyUntilUs = h.kernel.NowUs() + forUs
--- a/internal/simulation/quota_checks.go
+++ b/internal/simulation/quota_checks.go
@@ -2,16 +2,16 @@
 
 import "beechtide.org/beechtide/internal/quota"
 
-// quotaRun is a request that ran.
+// quotaRun records a request that ran.
 type quotaRun struct {
 	atUs int64
-	// allowed is how many may run in the window that begins with it.
+	// allowed is the number of requests that may run in the window that starts with this one.
 	allowed float64
 }
 
-// quotaTally is what has been seen of a tenant.
+// quotaTally records the requests of a tenant by outcome.
 type quotaTally struct {
-	runs      []quotaRun // of the newest window
+	runs      []quotaRun // in the latest window
 	first     quota.Limit
 	loweredUs int64
 	asked     int64
@@ -21,11 +21,11 @@
 	ran       int64
 }
 
-// quotaChecks checks the bound over every window, and that what is inside the limit is not
-// rejected where nothing fails.
+// quotaChecks checks the bound on requests over every window, and that without faults requests
+// within the limit are not rejected.
 type quotaChecks struct {
 	history *quotaHistory
-	calm    bool // no fault is played
+	calm    bool // no faults are injected
 	tallies map[*quotaTenant]*quotaTally
 }
 
@@ -54,7 +54,7 @@
 
 func (c *quotaChecks) rejectedLate(t *quotaTenant) { c.tally(t).late++ }
 
-// answered checks that nobody else owns the shard of a member that has answered as owner.
+// answered checks that no other member owns the shard of a member that answered as its owner.
 func (c *quotaChecks) answered(owner *quotaMember, shard int) {
 	for _, other := range c.history.members {
 		if other != owner && other.process.Up() && other.member.Owns(shard, other.process.NowUs()) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// ran records that a request has run, and checks every window that it is in.
+// ran records that a request ran and checks the oldest window that contains it.
 func (c *quotaChecks) ran(t *quotaTenant) {
 	tally, nowUs := c.tally(t), c.history.kernel.NowUs()
 	tally.ran++
@@ -82,15 +82,15 @@
 	}
 }
 
-// Bounds of what may be rejected of a tenant inside its limit where nothing fails: links
-// lose a message now and then.
+// Bounds on the rejected requests of a tenant within its limit when there are no faults: links
+// still lose an occasional message.
 const (
 	mostRejectedPerMille = 2
 	mostRejectedBeside   = 2
 )
 
-// end checks what was rejected where nothing failed, and that tenants over their limit were
-// served up to it.
+// end checks, for histories without faults, the number of rejected requests and that tenants
+// over their limit were served up to the limit.
 func (c *quotaChecks) end() {
 	if !c.calm {
 		return
@@ -105,7 +105,8 @@
 	}
 }
 
-// counts sums up the tenants that stay inside their limit.
+// counts adds up the counts of the tenants. Outcomes are counted for tenants within their limit
+// in histories with faults, requests that ran for all.
 func (c *quotaChecks) counts() Counts {
 	out := Counts{QuotaHistories: 1}
 	for t, tally := range c.tallies {
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Each mechanism that can be taken out is missed by a check.
+// Each injected defect must be detected by a check.
 func TestQuotaChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -1,6 +1,7 @@
-// Requests: the way of a request through a router, its attempts at runners, and the answer
-// back. The real decisions about attempts, the real retry budget and the real cutting of
-// streams into events run; connections, runners and clients are modelled.
+// Model "requests": a request passes through a router, which makes attempts at runners and
+// returns the response. The retry decisions (attempt.Sequence), the retry budget and the
+// splitting of streams into events are the production code; connections, runners and clients
+// are modelled.
 
 package simulation
 
@@ -10,16 +11,16 @@
 	"beechtide.org/beechtide/internal/attempt"
 )
 
-// Sizes and times of a history of requests.
+// Sizes and durations of a history of requests.
 const (
 	requestsFaultsUs  = 12 * Second
 	requestsCalmUs    = 5 * Second
 	requestDeadlineUs = 1_500 * Millisecond
-	// requestLateUs is how long after its deadline a client may wait for the end at most,
-	// where the router was not frozen.
+	// requestLateUs is the longest time after its deadline that a request may end, unless its
+	// router was frozen.
 	requestLateUs      = 100 * Millisecond
 	requestConnectUs   = 50 * Millisecond
-	requestRetryGapUs  = 100 * Millisecond // until a client tries again
+	requestRetryGapUs  = 100 * Millisecond // longest wait before a client retries
 	clientTries        = 3
 	runnerQueue        = 3
 	maxStreamEvents    = 6
@@ -30,7 +31,7 @@
 	requestPausesBelow = 40 * Millisecond
 )
 
-// requestKind is how a route's requests may be repeated.
+// requestKind determines whether and how a route's requests may be retried.
 type requestKind int
 
 const (
@@ -40,7 +41,7 @@
 	requestKinds
 )
 
-// requestHistory is everything in one history of requests.
+// requestHistory is the state of one simulated history of requests.
 type requestHistory struct {
 	kernel  *Kernel
 	network *Network
@@ -52,7 +53,7 @@
 	healed  bool
 }
 
-// PlayRequests plays the requests' history of a seed.
+// PlayRequests simulates the request history of a seed.
 func PlayRequests(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := &requestHistory{kernel: k, network: NewNetwork(k), defects: options.Defects}
@@ -73,7 +74,7 @@
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.checks.counts}
 }
 
-// arrive has clients send requests, one after a pause each.
+// arrive makes clients send requests at random intervals.
 func (h *requestHistory) arrive(meanUs int64) {
 	h.kernel.After(h.kernel.Between(0, 2*meanUs), func() {
 		if h.kernel.NowUs() > requestsFaultsUs+requestsCalmUs-2*requestDeadlineUs {
@@ -89,17 +90,17 @@
 	})
 }
 
-// requestClient is one client with one request, which it may try a few times. Each try has an
-// id of its own.
+// requestClient is a client with one request, which it may send up to clientTries times. Each
+// try has its own id.
 type requestClient struct {
 	history *requestHistory
 	name    string
 	kind    requestKind
-	tries   int // of the route
+	tries   int // the route's maximum number of attempts
 	untilUs int64
 }
 
-// incoming is one try of a client, as its router sees it.
+// incoming is one try of a client, as received by its router.
 type incoming struct {
 	client *requestClient
 	id     string
@@ -110,7 +111,7 @@
 	left   bool // the client has closed its connection
 }
 
-// try sends the request to a router, over a connection of its own.
+// try sends the request to a random router over a new connection.
 func (c *requestClient) try(number int) {
 	h, k := c.history, c.history.kernel
 	in := &incoming{client: c, id: fmt.Sprintf("%s-%d", c.name, number), number: number, router: h.routers[k.Below(len(h.routers))], sentUs: k.NowUs()}
@@ -128,7 +129,7 @@
 	k.After(c.untilUs-k.NowUs()+requestLateUs, func() { h.checks.overdue(in) })
 }
 
-// leave closes the client's connection before there is an answer.
+// leave closes the client's connection before the response.
 func (in *incoming) leave() {
 	if !in.ended {
 		in.left, in.ended = true, true
@@ -139,7 +140,7 @@
 	}
 }
 
-// answer ends a try with an answer, or with a closed connection where the status is 0.
+// answer ends a try with a response, or with a closed connection if the status is 0.
 func (in *incoming) answer(status int, body string) {
 	if in.ended {
 		return
@@ -155,7 +156,7 @@
 	}
 }
 
-// tryAgain has the client try once more a little later, where it has tries and time left.
+// tryAgain schedules the client's next try if it has tries and time left.
 func (in *incoming) tryAgain() {
 	c, k := in.client, in.client.history.kernel
 	if in.number < clientTries && k.NowUs()+requestRetryGapUs < c.untilUs {
@@ -163,12 +164,12 @@
 	}
 }
 
-// rules are what the route of a request says of repeats.
+// rules returns the retry rules of the request's route.
 func (c *requestClient) rules() attempt.Request {
 	return attempt.Request{Repeatable: c.kind != effectfulRequest, MaxAttempts: c.tries}
 }
 
-// plan draws the faults of a history.
+// plan schedules the faults of a history at random times.
 func (h *requestHistory) plan() {
 	k := h.kernel
 	for range 2 + k.Below(8) {
@@ -219,7 +220,7 @@
 	}
 }
 
-// later ends a fault, where not everything has healed before.
+// later ends a fault after forUs, unless all faults have been healed before.
 func (h *requestHistory) later(forUs int64, end func()) {
 	h.kernel.After(forUs, func() {
 		if !h.healed {
--- a/internal/simulation/requests_checks.go
+++ b/internal/simulation/requests_checks.go
@@ -7,8 +7,8 @@
 	"beechtide.org/beechtide/internal/attempt"
 )
 
-// unknownOrBroken is the result of an attempt whose connection ended: it may have run, and a
-// part of its answer may have gone out.
+// unknownOrBroken returns the result of an attempt whose connection ended: the request may have
+// run, and part of its response may have been sent to the client.
 func unknownOrBroken(e *requestExchange) attempt.Result {
 	if e.stream.Len() > 0 {
 		return attempt.Interrupted
@@ -16,19 +16,19 @@
 	return attempt.Unknown
 }
 
-// requestChecks keeps what was seen of each request.
+// requestChecks records the events of each request and checks the invariants.
 type requestChecks struct {
 	history *requestHistory
 	seen    map[string]*requestSeen
-	sentUs  []int64 // when requests were sent
-	extraUs []int64 // when attempts beyond the first arrived at runners
+	sentUs  []int64 // send times of requests
+	extraUs []int64 // arrival times at runners of attempts after the first
 	counts  Counts
 }
 
-// requestSeen is what was seen of one try of a client.
+// requestSeen records the events of one try of a client.
 type requestSeen struct {
 	arrivals, runs int
-	promised       bool // it was answered that it has not run and never will
+	promised       bool // the client received 503 or 429: it has not run and never will
 }
 
 func newRequestChecks(h *requestHistory) *requestChecks {
@@ -41,7 +41,7 @@
 	c.counts.RequestsSent++
 }
 
-// arrived is called where a runner gets a request.
+// arrived is called when a runner receives a request.
 func (c *requestChecks) arrived(in *incoming) {
 	seen := c.seen[in.id]
 	seen.arrivals++
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkBudget holds the retries of the last window against the requests.
+// checkBudget compares the retries of the last window with the limit that the requests allow.
 func (c *requestChecks) checkBudget() {
 	nowUs := c.history.kernel.NowUs()
 	requests, retries := 0, 0
@@ -71,7 +71,7 @@
 	}
 }
 
-// runs is called where a runner begins a request.
+// runs is called when a runner starts to execute a request.
 func (c *requestChecks) runs(in *incoming) {
 	seen := c.seen[in.id]
 	seen.runs++
@@ -87,7 +87,7 @@
 	}
 }
 
-// answered is called where a client gets an answer, or sees its connection end.
+// answered is called when a client receives a response or its connection ends.
 func (c *requestChecks) answered(in *incoming, status int, body string) {
 	seen, k := c.seen[in.id], c.history.kernel
 	k.Note("%s is answered %d", in.id, status)
@@ -108,7 +108,7 @@
 	}
 }
 
-// wholeAnswer is the whole body of the answer to a request.
+// wholeAnswer returns the complete response body of a request.
 func (c *requestChecks) wholeAnswer(in *incoming) string {
 	if in.client.kind != resumableStream {
 		return "answer to " + in.id
@@ -120,8 +120,8 @@
 	return out.String()
 }
 
-// overdue is called when a client's deadline has passed: its request has ended by then,
-// unless its router stood still.
+// overdue is called requestLateUs after a client's deadline and checks that the request has
+// ended by then, unless its router was frozen in between.
 func (c *requestChecks) overdue(in *incoming) {
 	r := in.router
 	stood := r.process.frozen || r.thawedUs >= in.sentUs
@@ -130,7 +130,7 @@
 	}
 }
 
-// end checks that enough happened for the checks to mean something.
+// end checks that requests were answered, without which the other checks would be vacuous.
 func (c *requestChecks) end() {
 	if c.history.kernel.failure == "" && c.counts.RequestsSent > 50 && c.counts.RequestsAnswered == 0 {
 		c.history.kernel.Fail("%d requests and no answer", c.counts.RequestsSent)
--- a/internal/simulation/requests_router.go
+++ b/internal/simulation/requests_router.go
@@ -9,7 +9,7 @@
 	"beechtide.org/beechtide/internal/upstream"
 )
 
-// requestRouter drives the attempts of its requests as the role does.
+// requestRouter makes the attempts of its requests as the router role does.
 type requestRouter struct {
 	history  *requestHistory
 	name     string
@@ -17,11 +17,11 @@
 	frozenUs int64 // when it last froze, 0 for never
 	thawedUs int64
 
-	// What follows is gone with each life of the process.
+	// The following fields are lost when the process restarts.
 	budget    *upstream.Budget
 	idle      map[*requestRunner][]*requestConn
 	exchanges map[*incoming]*requestExchange
-	open      map[*incoming]bool // whose clients wait
+	open      map[*incoming]bool // requests whose clients wait for a response
 }
 
 func newRequestRouter(h *requestHistory, i int) *requestRouter {
@@ -36,14 +36,14 @@
 	r.idle, r.exchanges = map[*requestRunner][]*requestConn{}, map[*incoming]*requestExchange{}
 }
 
-// restart begins another life where there is none.
+// restart starts the process if it is not running.
 func (r *requestRouter) restart() {
 	if !r.process.Up() {
 		r.begin()
 	}
 }
 
-// end kills the process: all of its connections end.
+// end kills the process, which closes all its connections.
 func (r *requestRouter) end() {
 	r.process.Stop()
 	for _, e := range r.sortedExchanges() {
@@ -77,7 +77,7 @@
 	return list
 }
 
-// requestExchange is one request at its router.
+// requestExchange is the state of one request at its router.
 type requestExchange struct {
 	router   *requestRouter
 	in       *incoming
@@ -87,11 +87,11 @@
 	conn     *requestConn
 	runner   *requestRunner
 	events   upstream.Events
-	stream   strings.Builder // what the client has
-	number   int             // of the present attempt, so that late events of another one are told apart
+	stream   strings.Builder // bytes sent to the client
+	number   int             // of the current attempt; late events of earlier attempts are ignored by it
 }
 
-// serve takes a request of a client.
+// serve starts to process a client's request.
 func (r *requestRouter) serve(in *incoming) {
 	if in.ended {
 		return
@@ -111,7 +111,7 @@
 	e.next()
 }
 
-// Spend takes a retry from the router's budget.
+// Spend consumes one retry from the router's budget and reports whether it was available.
 func (e *requestExchange) Spend() bool {
 	if e.router.history.defects.RetryWithoutBudget {
 		return true
@@ -129,7 +129,7 @@
 
 func (e *requestExchange) isOver() bool { return e.router.process.NowUs() >= e.endUs }
 
-// next makes the next attempt.
+// next starts the next attempt.
 func (e *requestExchange) next() {
 	r, h := e.router, e.router.history
 	if e.in.ended {
@@ -166,7 +166,7 @@
 	})
 }
 
-// choose is the next runner: one that has not failed this request, where there is one.
+// choose returns a random runner that is not to be avoided for this request, or nil.
 func (e *requestExchange) choose() *requestRunner {
 	h := e.router.history
 	start := h.kernel.Below(len(h.runners))
@@ -192,7 +192,7 @@
 	return e.events.LastID
 }
 
-// failed decides what follows an attempt that has failed.
+// failed handles a failed attempt: it starts a retry or ends the request.
 func (e *requestExchange) failed(result attempt.Result) {
 	if e.in.ended {
 		return
@@ -220,7 +220,7 @@
 	return e.sequence.EndStatus(e.isOver())
 }
 
-// timeOver ends a request whose time is over, wherever it is.
+// timeOver ends a request whose deadline has passed, whatever its state.
 func (e *requestExchange) timeOver() {
 	e.number++
 	if e.conn != nil {
@@ -231,8 +231,8 @@
 	e.finish(e.endStatus())
 }
 
-// finish ends a request with a status of the router's own; one whose answer has begun ends
-// with its connection.
+// finish ends a request with a status set by the router. If part of the response has been sent,
+// the connection is closed instead.
 func (e *requestExchange) finish(status int) {
 	delete(e.router.exchanges, e.in)
 	if e.stream.Len() > 0 {
@@ -241,7 +241,7 @@
 	e.in.answer(status, "")
 }
 
-// clientLeft ends the attempt of a client that has left.
+// clientLeft cancels the attempt of a client that has disconnected.
 func (r *requestRouter) clientLeft(in *incoming) {
 	r.process.Deliver(func() {
 		e := r.exchanges[in]
@@ -256,10 +256,10 @@
 	})
 }
 
-// received handles an answer on the connection of the present attempt.
+// received handles a response on the connection of the current attempt.
 func (e *requestExchange) received(conn *requestConn, a runnerAnswer) {
 	if a.id != e.in.id && !e.router.history.defects.MatchByOrder {
-		conn.tainted = true // a late answer to an earlier request: skipped
+		conn.tainted = true // a late response to an earlier request is ignored
 		return
 	}
 	switch {
@@ -277,13 +277,13 @@
 	}
 }
 
-// receivedEvent passes on what makes whole events.
+// receivedEvent forwards complete events to the client.
 func (e *requestExchange) receivedEvent(bytes string) {
 	whole := e.events.Add([]byte(bytes))
 	e.stream.Write(whole)
 }
 
-// release puts a connection back, as nothing more is due on it.
+// release returns a connection to the idle pool after its response, or closes it if tainted.
 func (e *requestExchange) release(conn *requestConn) {
 	e.conn = nil
 	conn.exchange = nil
--- a/internal/simulation/requests_runner.go
+++ b/internal/simulation/requests_runner.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// runnerAnswer is an answer of a runner, or an event of a streamed one.
+// runnerAnswer is a runner's response, or an event of a streamed response.
 type runnerAnswer struct {
-	id     string // of the request that it belongs to
+	id     string // of the request
 	status int
 	notRun bool
 	body   string
-	event  string // bytes of a stream, perhaps a part of an event
+	event  string // bytes of a stream, possibly an incomplete event
 }
 
-// requestRunner runs requests, one on a connection at a time.
+// requestRunner executes requests, one at a time per connection.
 type requestRunner struct {
 	history *requestHistory
 	addr    string
@@ -23,24 +23,24 @@
 	losesAnswers, answersTwice bool
 	slow                       int64
 
-	// What follows is gone with each life of the process.
+	// The following fields are lost when the process restarts.
 	conns   []*requestConn
 	running int
 	waiting int
 }
 
-// requestConn is a connection from a router to a runner. What either end sends arrives in
-// order, or the connection ends; the end of one is seen by the other after a while.
+// requestConn is a connection from a router to a runner. Messages arrive in order, or the
+// connection ends. When one side closes it, the other notices after a delay.
 type requestConn struct {
 	runner   *requestRunner
 	router   *requestRouter
-	exchange *requestExchange // that waits for an answer on it
-	number   int              // the attempt of the exchange
-	open     bool             // as the router sees it
-	serving  bool             // as the runner sees it
-	tainted  bool             // it has carried bytes that belong to no request
-	arrived  bool             // bytes have arrived that nobody waits for
-	lastUs   int64            // when the newest answer arrives
+	exchange *requestExchange // that waits for a response on it
+	number   int              // attempt number of the exchange
+	open     bool             // state at the router
+	serving  bool             // state at the runner
+	tainted  bool             // it carried a response that matched no current request
+	arrived  bool             // bytes arrived while it was idle
+	lastUs   int64            // arrival time of the latest response
 }
 
 func newRequestRunner(h *requestHistory, i int) *requestRunner {
@@ -54,14 +54,14 @@
 	r.conns, r.running, r.waiting = nil, 0, 0
 }
 
-// restart begins another life where there is none.
+// restart starts the process if it is not running.
 func (r *requestRunner) restart() {
 	if !r.process.Up() {
 		r.begin()
 	}
 }
 
-// end is a crash: what runs ends, and all connections are reset.
+// end simulates a crash: running requests end and all connections are reset.
 func (r *requestRunner) end() {
 	r.process.Stop()
 	r.resetConnections()
@@ -75,7 +75,7 @@
 	r.conns = nil
 }
 
-// accept opens a connection, which the machine does without its process.
+// accept opens a connection. The operating system accepts it even if the process is frozen.
 func (r *requestRunner) accept(e *requestExchange) *requestConn {
 	if !r.process.Up() {
 		return nil
@@ -85,18 +85,18 @@
 	return conn
 }
 
-// reusable reports whether an idle connection is open and nothing has arrived on it.
+// reusable reports whether an idle connection is open and has received no unexpected bytes.
 func (c *requestConn) reusable() bool { return c.open && !c.arrived && !c.tainted }
 
-// close ends the connection at the router; the runner sees it a little later, and drops what
-// it has not begun.
+// close closes the connection at the router. The runner notices after a delay and then drops
+// requests that it has not started.
 func (c *requestConn) close() {
 	c.open, c.exchange = false, nil
 	k := c.router.history.kernel
 	k.After(k.Between(200, 5*Millisecond), func() { c.serving = false })
 }
 
-// reset is the end of the connection as the router sees it.
+// reset ends the connection at the router and fails the attempt that uses it.
 func (c *requestConn) reset() {
 	if !c.open {
 		return
@@ -114,7 +114,7 @@
 	})
 }
 
-// request carries a request to the runner.
+// request delivers a request to the runner after a network delay.
 func (c *requestConn) request(in *incoming, lastEvent string) {
 	k := c.router.history.kernel
 	k.After(k.Between(200, 5*Millisecond), func() {
@@ -126,7 +126,7 @@
 	})
 }
 
-// receive takes a request: it runs, waits for a slot, or is turned away.
+// receive queues a request for execution, or rejects it if the queue is full.
 func (r *requestRunner) receive(c *requestConn, in *incoming, lastEvent string) {
 	if !c.serving {
 		return
@@ -140,7 +140,7 @@
 	r.process.After(r.history.kernel.Between(0, 30*Millisecond)*r.slow, func() {
 		r.waiting--
 		if !c.serving {
-			return // its connection has ended
+			return // the connection has ended
 		}
 		r.history.checks.runs(in)
 		r.run(c, in, lastEvent)
@@ -167,8 +167,8 @@
 	})
 }
 
-// streamFrom sends the events of a stream from one on, and its end. At times it breaks off, in
-// the middle of an event.
+// streamFrom sends the events of a stream from the given number on, and then the end of the
+// response. With a chance of 40 in 1000 per event it breaks off in the middle of the event.
 func (r *requestRunner) streamFrom(c *requestConn, in *incoming, number int) {
 	k := r.history.kernel
 	r.process.After(k.Between(Millisecond, 30*Millisecond)*r.slow, func() {
@@ -187,8 +187,8 @@
 	})
 }
 
-// respond sends an answer. In trouble it is lost with its connection, or comes a second time
-// later, in the place of another one.
+// respond sends a response. Under a fault it is lost with its connection, or is delivered a
+// second time later, when the router may expect the response to another request.
 func (r *requestRunner) respond(c *requestConn, a runnerAnswer) {
 	k := r.history.kernel
 	if r.losesAnswers && k.Chance(400) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// deliver brings an answer to the router, after those before it.
+// deliver delivers a response to the router, in order with earlier ones.
 func (c *requestConn) deliver(a runnerAnswer, delayUs int64) {
 	k := c.router.history.kernel
 	c.lastUs = max(c.lastUs, k.NowUs()+delayUs)
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// requestRange is the fixed set of seeds that CI plays.
+// requestRange is the fixed range of seeds that CI simulates.
 var requestRange = Range{Model: "requests", Count: 150, Parallel: 3}
 
 func TestRequestSeedsBreakNothing(t *testing.T) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// Each mechanism that can be taken out in the model is missed by a check.
+// Each injected defect must be detected by a check.
 func TestRequestChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
