--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,5 +1,5 @@
-// Fleets: runners that send heartbeats to registrars, drain, leave, crash and come
-// back at the same address, while registrars are cut off, frozen and restarted.
+// Models "runners" and "runners-partial": runners send heartbeats to registrars, drain, leave,
+// crash and restart at the same address, while registrars are partitioned, frozen and restarted.
 
 package simulation
 
@@ -9,29 +9,30 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Bounds of a fleet's history, and of what it has to come back to: runners that
-// beat are listed soon, those that ended are not once silence can tell.
+// Durations of a fleet history and bounds on its recovery: runners that send heartbeats are
+// listed within listedUs, and runners that ended are unlisted within unlistedUs, after their
+// silence has been detected.
 const (
 	fleetFaultsUs = 40 * Second
 	mostFleetCut  = 25 * Second
 	listedUs      = 5 * Second
 	unlistedUs    = 20 * Second
-	staleUs       = 10 * Second // the same where nothing but links to some is cut
+	staleUs       = 10 * Second // bound like unlistedUs if only some links are cut
 	answerWaitUs  = Second
 )
 
-// never is a moment before every history.
+// never is a time before the start of every history.
 const never = -fleetFaultsUs
 
-// runner is one place in the fleet: an address with one instance after another.
+// runner is an address in the fleet with successive runner instances.
 type runner struct {
 	fleet    *fleet
 	address  string
 	instance int
 	sequence int64
 	state    runnerState
-	at       int // the registrar it beats at
-	life     int // rises with each end, so that old timers find nothing
+	at       int // index of the registrar that receives its heartbeats
+	life     int // incremented at each start and end, which invalidates old timers
 	begunUs  int64
 }
 
@@ -44,7 +45,7 @@
 	ended
 )
 
-// fleet is everything in one history of runners.
+// fleet is the state of one simulated history of runners.
 type fleet struct {
 	kernel     *Kernel
 	network    *Network
@@ -53,25 +54,25 @@
 	gone       []endedInstance
 	epoch      int64
 	partial    bool
-	active     int // faults of registrars under way
-	turns      int // how many of them have begun or ended
+	active     int // active registrar faults
+	turns      int // number of starts and ends of registrar faults
 	healed     bool
 
-	partitionedAtUs int64 // when some registrars last had no way to each other
+	partitionedAtUs int64 // last time at which some registrars had no path to each other
 }
 
-// endedInstance is one that has left or crashed.
+// endedInstance is a runner instance that has left or crashed.
 type endedInstance struct {
 	id   string
 	atUs int64
 }
 
-// PlayFleet plays the runners' history of a seed.
+// PlayFleet simulates the fleet history of a seed.
 func PlayFleet(seed uint64, options Options) Result { return playFleet(seed, options, false) }
 
-// PlayFleetPartial is PlayFleet with cuts between some registrars only: one that
-// does not reach the registrar at which a runner beats must not take that runner
-// for silent while there is a way through others.
+// PlayFleetPartial is PlayFleet with cuts between pairs of registrars only. A registrar that
+// cannot reach the one that receives a runner's heartbeats must not consider the runner silent
+// while there is a path through others.
 func PlayFleetPartial(seed uint64, options Options) Result { return playFleet(seed, options, true) }
 
 func playFleet(seed uint64, options Options, partial bool) Result {
@@ -118,7 +119,7 @@
 
 func (r *runner) id() string { return fmt.Sprintf("%s#%d", r.address, r.instance) }
 
-// end is a crash, or the end after leaving.
+// end ends the instance, by a crash or after it has left.
 func (r *runner) end() {
 	r.fleet.kernel.Note("%s ends", r.id())
 	r.fleet.gone = append(r.fleet.gone, endedInstance{r.id(), r.fleet.kernel.NowUs()})
@@ -126,8 +127,8 @@
 	r.life++
 }
 
-// beat sends a heartbeat, or the word of leaving, and goes on to another
-// registrar where no answer comes.
+// beat sends a heartbeat, or a leave message if the runner is leaving, and switches to the next
+// registrar if there is no response.
 func (r *runner) beat(life int) {
 	if r.life != life {
 		return
@@ -159,17 +160,18 @@
 	r.fleet.kernel.After(heartbeatUs, func() { r.beat(life) })
 }
 
-// plan draws what happens to runners and registrars.
+// plan schedules the events of runners and the faults of registrars at random times.
 func (f *fleet) plan() {
 	k := f.kernel
 	for range 3 + k.Below(8) {
-		// The first one only beats: where nobody is heard, silence says nothing.
+		// The first runner only sends heartbeats: without any heartbeat, a registrar cannot
+		// conclude from silence that runners have ended.
 		r := f.runners[1+k.Below(len(f.runners)-1)]
 		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.turn(r) })
 	}
 	faults := 1 + k.Below(4)
 	if f.partial {
-		faults = 1 + k.Below(2*len(f.registrars)) // so that some reach each other through two others only
+		faults = 1 + k.Below(2*len(f.registrars)) // enough that some reach each other only through two others
 	}
 	for range faults {
 		victim := f.registrars[k.Below(len(f.registrars))]
@@ -195,7 +197,7 @@
 	})
 }
 
-// turn is the next thing in a runner's life.
+// turn applies a random lifecycle event to a runner.
 func (f *fleet) turn(r *runner) {
 	k := f.kernel
 	if f.healed {
@@ -242,7 +244,7 @@
 	})
 }
 
-// cutOff parts a registrar from the others; some runners still reach it.
+// cutOff partitions a registrar from the others; about half of the runners still reach it.
 func (f *fleet) cutOff(victim *registrar, forUs int64) {
 	f.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range victim.others() {
@@ -257,7 +259,7 @@
 	f.later(forUs, f.conclusionsOf(victim))
 }
 
-// cutOne parts two registrars; both see the others.
+// cutOne cuts the links between two registrars; both still reach the others.
 func (f *fleet) cutOne(victim *registrar, forUs int64) {
 	others := victim.others()
 	other := others[f.kernel.Below(len(others))]
@@ -270,7 +272,7 @@
 	}
 }
 
-// settled tells that a runner beats, and has for long enough to be known.
+// settled reports whether a runner has been sending heartbeats for at least listedUs.
 func (r *runner) settled() bool {
 	return r.state == beating && r.fleet.kernel.NowUs()-r.begunUs >= listedUs
 }
@@ -294,7 +296,7 @@
 	f.later(forUs, func() { f.restart(victim) })
 }
 
-// lose is a crash that takes along what the registrar would recall.
+// lose crashes a registrar and deletes its stored state.
 func (f *fleet) lose(victim *registrar, forUs int64) {
 	victim.kept = nil
 	f.crash(victim, forUs)
--- a/internal/simulation/fleet_checks.go
+++ b/internal/simulation/fleet_checks.go
@@ -1,17 +1,16 @@
-// Checks of a fleet: while registrars are partitioned, and after everything has
-// healed.
+// Checks of a fleet during partitions of registrars and after all faults have been healed.
 
 package simulation
 
-// notePartition is called as links come and go.
+// notePartition is called when links are cut or restored.
 func (f *fleet) notePartition() {
 	if !f.connected() {
 		f.partitionedAtUs = f.kernel.NowUs()
 	}
 }
 
-// connected tells whether every two registrars have a way to each other, be it
-// through others.
+// connected reports whether every two registrars have a path to each other, possibly through
+// others.
 func (f *fleet) connected() bool {
 	reached := map[*registrar]bool{f.registrars[0]: true}
 	queue := []*registrar{f.registrars[0]}
@@ -29,8 +28,9 @@
 	return len(reached) == len(f.registrars)
 }
 
-// endedUnlistedAt gives a check for the end of a cut that was alone, so that all
-// registrars were in contact: instances that ended are stale or gone by then.
+// endedUnlistedAt returns a check to run at the end of a cut. If the cut was the only fault, so
+// that all registrars were in contact, instances that ended more than staleUs ago must be
+// unlisted.
 func (f *fleet) endedUnlistedAt(victim *registrar) func() {
 	turns, alone := f.turns, f.active == 1
 	return func() {
@@ -46,11 +46,10 @@
 	}
 }
 
-// conclusionsOf gives a check for the end of a cut: whoever was cut off drew no
-// conclusions about runners that went on beating, wherever they were heard. It
-// looks at cuts that were alone, since a runner that beats at a registrar which
-// is itself cut off is silent to all others, and at partial cuts that left a way
-// between all registrars.
+// conclusionsOf returns a check to run at the end of a cut: the registrar that was cut off must
+// not have unlisted runners that kept sending heartbeats to any registrar. The check applies to
+// cuts that were the only fault, since a runner whose registrar is itself cut off is silent to
+// all others, and to partial cuts that left a path between all registrars.
 func (f *fleet) conclusionsOf(victim *registrar) func() {
 	begunUs, turns, alone := f.kernel.NowUs(), f.turns, f.active == 1
 	undisturbed := func() bool {
@@ -72,7 +71,7 @@
 	}
 }
 
-// checkListed has every runner that beats be listed at every registrar.
+// checkListed checks that every settled runner is listed at every registrar.
 func (f *fleet) checkListed() {
 	for _, r := range f.runners {
 		for _, at := range f.registrars {
@@ -84,7 +83,7 @@
 	}
 }
 
-// checkUnlisted has no runner that ended be listed anywhere.
+// checkUnlisted checks that no ended instance is listed at any registrar.
 func (f *fleet) checkUnlisted() {
 	for _, instance := range f.gone {
 		for _, at := range f.registrars {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -12,7 +12,7 @@
 	must.Eq(t, int64(fleets.Count), counts.Fleets)
 }
 
-// fleetsOnceFailing are seeds that broke a check before a fault was mended.
+// fleetsOnceFailing are regression seeds that violated a check before a fault was fixed.
 var fleetsOnceFailing = []uint64{10803}
 
 func TestOnceFailingFleetSeedsBreakNothing(t *testing.T) {
@@ -21,8 +21,8 @@
 	}
 }
 
-// Controllers are cut apart and reach each other through others. A runner that
-// beats at one of them is not silent at the other.
+// Pairs of controllers lose their direct links but reach each other through others. A runner that
+// sends heartbeats to one of them must not be considered silent by the other.
 func TestPartialCutsTakeNoLiveRunnerAway(t *testing.T) {
 	fleets := Range{Model: "runners-partial", Count: 300, Parallel: 3}
 	counts := Run(fleets, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
--- a/internal/simulation/loads.go
+++ b/internal/simulation/loads.go
@@ -1,6 +1,6 @@
-// Loads: what routers have in flight at runners, on its way up the relay tree to the
-// controllers. The real sums and streams of loads run; connections are modelled: reports arrive
-// in order, or the connection ends.
+// Model "loads": routers report their in-flight requests per runner up the relay tree to the
+// controllers. The load sums and streams (package statesync) are the production code; connections
+// are modelled: reports arrive in order, or the connection ends.
 
 package simulation
 
@@ -11,7 +11,7 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Times and sizes of a history of loads.
+// Durations and sizes of a load history.
 const (
 	loadsFaultsUs     = 8 * Second
 	loadsCalmUs       = 4 * Second
@@ -19,10 +19,10 @@
 	loadParentUs      = 250 * Millisecond
 	loadRunners       = 8
 	ownLoads          = "own"
-	fewestBeforeChild = 2 // routers with a lower number hang on controllers only
+	fewestBeforeChild = 2 // routers with a lower index have only controllers as parents
 )
 
-// loadHistory is everything in one history of loads.
+// loadHistory is the state of one simulated history.
 type loadHistory struct {
 	kernel  *Kernel
 	nodes   []*loadNode // controllers first
@@ -33,15 +33,15 @@
 	healed  bool
 }
 
-// loadNode is a controller, or a router that reports to a parent.
+// loadNode is a controller, or a router that reports to its parent.
 type loadNode struct {
 	history *loadHistory
 	number  int
 	addr    string
 	process *Process
 
-	// What follows is gone with each life of the process.
-	own     map[string]messages.RunnerLoad // in flight now
+	// The following fields are lost when the process restarts.
+	own     map[string]messages.RunnerLoad // requests in flight
 	stream  *statesync.Loads
 	subtree *statesync.LoadSum
 	parent  *loadLink
@@ -51,16 +51,16 @@
 
 // loadLink is a connection from a router to its parent.
 type loadLink struct {
-	name                  string // as the parent calls the sender
+	name                  string // sender name at the parent
 	child, parent         *loadNode
 	childLife, parentLife int64
-	open                  bool // as the child sees it
-	known                 bool // as the parent sees it
+	open                  bool // state at the child
+	known                 bool // state at the parent
 	lastUs                int64
 	cut                   bool
 }
 
-// PlayLoads plays the loads' history of a seed.
+// PlayLoads simulates the load history of a seed.
 func PlayLoads(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := &loadHistory{kernel: k, cores: 2 + k.Below(2), defects: options.Defects}
@@ -103,7 +103,7 @@
 	})
 }
 
-// work changes what is in flight, until everything has healed.
+// work changes the in-flight requests at random until all faults have been healed.
 func (n *loadNode) work() {
 	k := n.history.kernel
 	if n.history.healed || k.Chance(400) {
@@ -118,7 +118,8 @@
 	n.own[id] = load
 }
 
-// wanted is the parent that a router should have: one before it, or a controller.
+// wanted returns the preferred parent of a router: a router with a lower index or a controller,
+// or nil if none is running.
 func (n *loadNode) wanted() *loadNode {
 	h := n.history
 	place := n.number - h.cores
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// follow keeps a connection to the wanted parent.
+// follow maintains a connection to the preferred parent.
 func (n *loadNode) follow() {
 	parent := n.wanted()
 	if n.parent != nil && (n.parent.parent != parent || !n.parent.alive() || n.parent.cut) {
@@ -152,12 +153,12 @@
 	parent.below = append(parent.below, link)
 }
 
-// alive reports whether both processes are the ones that made the connection.
+// alive reports whether the connection is open and neither process has restarted since.
 func (l *loadLink) alive() bool {
 	return l.open && l.parent.process.life == l.parentLife && l.child.process.life == l.childLife
 }
 
-// end closes the connection; the parent notices a little later and drops what came on it.
+// end closes the connection; the parent notices after a delay and drops the loads received on it.
 func (l *loadLink) end() {
 	l.open = false
 	k := l.parent.history.kernel
@@ -171,7 +172,7 @@
 	l.known = false
 }
 
-// report sends what has changed to the parent, with what came from those below.
+// report sends changed loads of the node's subtree to its parent.
 func (n *loadNode) report() {
 	n.stream.Replace(n.own)
 	if n.stream.Dirty() {
@@ -191,20 +192,20 @@
 	n.parent.carry(statesync.EncodeLoads(change))
 }
 
-// carry brings a report to the parent, after those before it. One that does not arrive ends
-// the connection.
+// carry delivers a report to the parent, in order with earlier ones. After a cut no more reports
+// are delivered, and the child replaces the connection.
 func (l *loadLink) carry(change messages.LoadChange) {
 	k := l.parent.history.kernel
 	l.lastUs = max(l.lastUs+1, k.NowUs()+k.Between(200, 8*Millisecond))
 	k.After(l.lastUs-k.NowUs(), func() {
 		if l.cut {
-			return // nothing gets through any more
+			return // no more messages are delivered
 		}
 		l.parent.process.inLifeOf(l.parentLife, func() { l.receive(change) })()
 	})
 }
 
-// receive applies a report, or asks for all loads where one before it is missing.
+// receive applies a report, or requests all loads if an earlier report is missing.
 func (l *loadLink) receive(change messages.LoadChange) {
 	if !l.known {
 		return
@@ -244,7 +245,7 @@
 	}
 }
 
-// connectionsEnd is what the peers of a killed process see.
+// connectionsEnd closes the connections of a killed process at its peers.
 func (n *loadNode) connectionsEnd() {
 	if n.parent != nil {
 		n.parent.end()
@@ -269,7 +270,7 @@
 	}
 }
 
-// checkSums holds what the controllers have together against what the routers have in flight.
+// checkSums compares the controllers' total loads with the routers' in-flight requests.
 func (h *loadHistory) checkSums() {
 	for i := range loadRunners {
 		id := fmt.Sprintf("s%d", i)
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// loadRange is the fixed set of seeds that CI plays.
+// loadRange is the fixed range of seeds that CI simulates.
 var loadRange = Range{Model: "loads", Count: 200, Parallel: 3}
 
 func TestLoadSeedsBreakNothing(t *testing.T) {
--- a/internal/simulation/quota_actors.go
+++ b/internal/simulation/quota_actors.go
@@ -7,13 +7,13 @@
 	"beechtide.org/beechtide/internal/quota"
 )
 
-// quotaMember is a controller as far as quota is concerned.
+// quotaMember models the quota part of a controller.
 type quotaMember struct {
 	history *quotaHistory
 	addr    string
 	process *Process
 	lives   int
-	known   quota.Group // as this member has learned it; on its disk
+	known   quota.Group // the group as last received by this member; survives restarts
 	member  *quota.Member
 }
 
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// answer answers a router.
+// answer handles a router's request for tokens.
 func (m *quotaMember) answer(ask messages.QuotaAsk) messages.QuotaGrant {
 	grant := m.member.HandleAsk(ask, m.process.NowUs())
 	if grant.Owner {
@@ -83,17 +83,17 @@
 	return grant
 }
 
-// Waits of a router, as in package router.
+// Timeouts of a router, as in package router.
 const (
 	quotaAnswerWaitUs = 45 * Millisecond
 	quotaTries        = 2
 	quotaPauseUs      = 25 * Millisecond
 	quotaBorrowWaitUs = 20 * Millisecond
-	quotaRequestUs    = 100 * Millisecond // how long a request waits for a token
-	mostQueueUs       = 300 * Millisecond // how long it then waits for a runner
+	quotaRequestUs    = 100 * Millisecond // longest wait of a request for a token
+	mostQueueUs       = 300 * Millisecond // longest wait for a runner afterwards
 )
 
-// quotaRouter is a router as far as quota is concerned.
+// quotaRouter models the quota part of a router.
 type quotaRouter struct {
 	history *quotaHistory
 	addr    string
@@ -104,10 +104,10 @@
 	owners  map[int]string
 }
 
-// quotaRequest is a request that wants a token.
+// quotaRequest is a request that waits for a token.
 type quotaRequest struct {
 	tenant *quotaTenant
-	limit  quota.Limit // as this router knew it when the request came
+	limit  quota.Limit // the tenant's limit when the request arrived
 	decide func(token quota.Token, denied bool)
 }
 
@@ -118,7 +118,7 @@
 	r.see()
 }
 
-// see looks at which routers there are.
+// see refreshes the grantee's list of running routers every second.
 func (r *quotaRouter) see() {
 	var alive []string
 	for _, other := range r.history.routers {
@@ -130,7 +130,7 @@
 	r.process.After(Second, r.see)
 }
 
-// arrive takes a request of a client.
+// arrive handles a client's request.
 func (r *quotaRouter) arrive(t *quotaTenant, limit quota.Limit) {
 	token, ok := r.grantee.CountAndAcquire(t.name, r.process.NowUs())
 	r.acquire(t, limit, token, ok, func(token quota.Token, denied bool) {
@@ -142,7 +142,8 @@
 	})
 }
 
-// queue has the request wait for a runner, then run if its token is still valid.
+// queue makes the request wait for a runner. It then runs if its token is still valid or another
+// token is granted.
 func (r *quotaRouter) queue(t *quotaTenant, limit quota.Limit, token quota.Token) {
 	k := r.history.kernel
 	waitUs := max(k.Between(0, mostQueueUs), r.history.busyUntilUs-k.NowUs())
@@ -162,7 +163,8 @@
 	})
 }
 
-// acquire decides at once where there is a token, or once an owner has answered.
+// acquire calls decide at once if it has a token, otherwise after an owner's response or a
+// timeout.
 func (r *quotaRouter) acquire(t *quotaTenant, limit quota.Limit, token quota.Token, ok bool, decide func(quota.Token, bool)) {
 	if ok {
 		decide(token, false)
@@ -177,7 +179,7 @@
 	}
 }
 
-// giveUp takes a request that has waited long enough for an owner to the lenders.
+// giveUp ends a request's wait for an owner and tries to borrow a token from other routers.
 func (r *quotaRouter) giveUp(request *quotaRequest) {
 	list := r.waiting[request.tenant]
 	for i, other := range list {
@@ -189,7 +191,7 @@
 	}
 }
 
-// borrow asks one lender after the other.
+// borrow requests a token from one lender after the other.
 func (r *quotaRouter) borrow(request *quotaRequest, lenders []string) {
 	if len(lenders) == 0 {
 		request.decide(quota.Token{}, false)
@@ -232,7 +234,7 @@
 	return nil
 }
 
-// ask asks the members, the most likely owner first.
+// ask requests tokens from the members, the most likely owner first.
 func (r *quotaRouter) ask(t *quotaTenant) {
 	if len(r.waiting[t]) == 0 {
 		r.asking[t] = false
@@ -249,7 +251,8 @@
 	r.askNext(t, shard, "", addrs, map[string]int{})
 }
 
-// askNext asks the member that another has named as the owner, or else the next one.
+// askNext sends the request to addr, the owner that another member has returned as a hint, or
+// else to the next member.
 func (r *quotaRouter) askNext(t *quotaTenant, shard int, addr string, addrs []string, tries map[string]int) {
 	for addr == "" && len(addrs) > 0 {
 		if tries[addrs[0]] == 0 {
@@ -275,7 +278,7 @@
 	})
 }
 
-// call asks one member. What it grants is taken also after the wait.
+// call requests tokens from one member. A grant that arrives after the timeout is still used.
 func (r *quotaRouter) call(addr string, t *quotaTenant, done func(messages.QuotaGrant, bool)) {
 	net, askedUs, ended := r.history.network, r.process.NowUs(), false
 	end := func(grant messages.QuotaGrant, answered bool) {
@@ -306,7 +309,7 @@
 	r.process.After(quotaAnswerWaitUs, func() { end(messages.QuotaGrant{}, false) })
 }
 
-// limit is the newest limit under which a request waits.
+// limit returns the limit of the latest waiting request.
 func (r *quotaRouter) limit(t *quotaTenant) quota.Limit {
 	limit := t.limit
 	if list := r.waiting[t]; len(list) > 0 {
@@ -315,7 +318,8 @@
 	return limit
 }
 
-// settle hands out what an owner has granted.
+// settle distributes the tokens granted by an owner to the waiting requests, and denies requests
+// beyond the grant.
 func (r *quotaRouter) settle(addr string, t *quotaTenant, limit quota.Limit, need int, grant messages.QuotaGrant, askedUs int64) {
 	nowUs := r.process.NowUs()
 	r.owners[quota.ShardOf(t.name)] = addr
--- a/internal/simulation/rollout_checks.go
+++ b/internal/simulation/rollout_checks.go
@@ -1,14 +1,14 @@
-// Checks of rollouts, as the runners and the operator see them.
+// Checks of rollouts from the point of view of the runners and the operator.
 
 package simulation
 
-// rolloutChecks keeps what has been seen.
+// rolloutChecks records the events of a history and checks the invariants.
 type rolloutChecks struct {
 	history *rolloutHistory
-	ackedUs map[int64]int64 // by version, when its naming was acknowledged
-	fence   int64           // the highest that came with an order
+	ackedUs map[int64]int64 // by version, when setting it as the target was acknowledged
+	fence   int64           // highest fencing token of an order
 	lastUs  map[string]int64
-	holders map[int64]string // by fence
+	holders map[int64]string // by fencing token
 	orders  int64
 	begun   int64
 }
@@ -26,7 +26,7 @@
 
 func (c *rolloutChecks) isNamed(version int64) bool { return c.ackedUs[version] > 0 }
 
-// boundPassed tells whether a newer version was acknowledged so long ago.
+// boundPassed reports whether a newer version was acknowledged more than boundUs ago.
 func (c *rolloutChecks) boundPassed(version, boundUs int64) bool {
 	for newer, atUs := range c.ackedUs {
 		if newer > version && c.history.kernel.NowUs()-atUs > boundUs {
@@ -36,7 +36,7 @@
 	return false
 }
 
-// begins is called where a request begins to run.
+// begins is called when a request starts to run.
 func (c *rolloutChecks) begins(e *engine) {
 	c.begun++
 	if c.boundPassed(e.version, versionUs) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// order is called where an order reaches a runner. Orders of a sender that has just
-// thawed are not counted.
+// order is called when an order reaches a runner. Orders from a sender that was thawed within
+// thawSlackUs are not checked.
 func (c *rolloutChecks) order(e *engine, from *coordinator, fence int64) {
 	k, now := c.history.kernel, c.history.kernel.NowUs()
 	c.orders++
@@ -68,7 +68,7 @@
 	c.lastUs[from.addr] = now
 }
 
-// ordered has every runner be on the newest weights or under an order.
+// ordered checks that every runner has the newest weights or an order to load them.
 func (c *rolloutChecks) ordered() {
 	newest := targetOf(c.history.group.register.body)
 	for _, e := range c.history.engines {
@@ -78,7 +78,8 @@
 	}
 }
 
-// completed has every runner serve on the newest weights, at every registrar.
+// completed checks that every runner serves the newest weights and that every registrar lists it
+// as available.
 func (c *rolloutChecks) completed() {
 	newest := targetOf(c.history.group.register.body)
 	for _, e := range c.history.engines {
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -1,7 +1,7 @@
-// Rollouts: weights are named while holders are lost, runners are slow and
-// replaced, and any step of a process may be late. The real rollout.Shard,
-// lease.Contact and registry.Registry run; the register of the lease is a model of
-// one (the model "registers" plays the real ones), as are the routers.
+// Model "rollouts": an operator sets new target weights while lease holders fail, runners are
+// slow and replaced, and any step of a process may be delayed. rollout.Shard, lease.Contact and
+// registry.Registry are the production code; the lease register (covered by the model
+// "registers") and the routers are modelled.
 
 package simulation
 
@@ -12,45 +12,45 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// Bounds of a history of rollouts.
+// Durations and bounds of a rollout history.
 const (
 	rolloutModel    = "model"
 	rolloutService  = "service"
-	versionUs       = 8 * Second          // nothing begins on older weights later after an acknowledgement
-	orderBoundUs    = 5_500 * Millisecond // all orders have gone out
-	routerBoundUs   = 5_700 * Millisecond // routers send nothing to older weights
-	rolloutFaultsUs = 30 * Second         // faults come and versions are named
+	versionUs       = 8 * Second          // after an acknowledgement, no request starts on older weights
+	orderBoundUs    = 5_500 * Millisecond // all orders have been sent
+	routerBoundUs   = 5_700 * Millisecond // routers send no requests to older weights
+	rolloutFaultsUs = 30 * Second         // faults are injected and versions are set
 	orderedUs       = 12 * Second         // after the last fault every runner has been ordered
-	completedUs     = 45 * Second         // and holds the newest weights
-	thawSlackUs     = Second              // orders of a sender that has just thawed are not counted
-	lateStepUs      = 400 * Millisecond   // what any step of a process may take
-	lateStepChance  = 60                  // in a thousand
-	maxStreamUs     = 20 * Second         // the longest run at a runner
-	maxQueuedUs     = 1_800 * Millisecond // the longest wait in a runner's queue
-	siteLoads       = 3                   // loads that run at once without slowing one another down
-	loadTakesUs     = 400 * Millisecond   // of one load
-	noVersionsUs    = 2_500 * Millisecond // before the first naming: processes know of one another
+	completedUs     = 45 * Second         // and has the newest weights
+	thawSlackUs     = Second              // orders from a sender that was thawed more recently are not checked
+	lateStepUs      = 400 * Millisecond   // longest delay of a process step
+	lateStepChance  = 60                  // per mille
+	maxStreamUs     = 20 * Second         // longest execution of a request at a runner
+	maxQueuedUs     = 1_800 * Millisecond // longest wait in a runner's queue
+	siteLoads       = 3                   // concurrent weight loads that do not slow each other down
+	loadTakesUs     = 400 * Millisecond   // duration of one weight load
+	noVersionsUs    = 2_500 * Millisecond // before the first version is set: processes discover each other
 )
 
-// rolloutHistory is everything in one history.
+// rolloutHistory is the state of one simulated history.
 type rolloutHistory struct {
 	kernel       *Kernel
 	network      *Network
-	fleet        *fleet // the registrars, which the coordinators go by
+	fleet        *fleet // the registrars that the coordinators read runners from
 	coordinators []*coordinator
 	engines      []*engine
 	group        *leaseGroup
 	checks       rolloutChecks
 	defects      Defects
-	bounded      bool // routers keep the bound on old weights
-	disturbed    bool // faults of controllers are part of the history
+	bounded      bool // routers enforce the bound on old weights
+	disturbed    bool // controller faults are injected
 	healed       bool
 	loading      int
 }
 
-// PlayRollouts plays the rollouts' history of a seed. In every second history no
-// controller has trouble and the routers know no bound, so that the rollout alone
-// keeps old weights from being used too late.
+// PlayRollouts simulates the rollout history of a seed. In half of the histories there are no
+// controller faults and routers do not enforce the bound, so that only the rollout itself keeps
+// requests from starting on old weights too late.
 func PlayRollouts(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	disturbed := k.Chance(500)
@@ -89,7 +89,7 @@
 	return h
 }
 
-// plan draws what happens.
+// plan schedules the versions and the faults at random times.
 func (h *rolloutHistory) plan() {
 	k := h.kernel
 	for i := range 1 + k.Below(3) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// name has an operator name a version, again until it is acknowledged.
+// name makes an operator set the target version, and retry until it is acknowledged.
 func (h *rolloutHistory) name(version int64) {
 	c := h.coordinators[h.kernel.Below(len(h.coordinators))]
 	acknowledged := func() { h.checks.named(version) }
@@ -128,8 +128,8 @@
 	})
 }
 
-// replaceEngines ends some runners; others come in their place, with the weights
-// that these had. They register under new identities.
+// replaceEngines stops some runners. Replacements start at the same addresses with the same
+// weights and register under new ids.
 func (h *rolloutHistory) replaceEngines() {
 	if h.healed {
 		return
@@ -148,7 +148,7 @@
 	h.kernel.After(forUs, func() { e.slow = 1 })
 }
 
-// holder is the controller that the register names.
+// holder returns the lease holder according to the register, or nil.
 func (h *rolloutHistory) holder() *coordinator {
 	if holder := h.group.holder(); holder != nil {
 		return h.coordinators[holder.index]
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// strike disturbs one controller, mostly the holder of the lease.
+// strike injects a fault into one controller, most often the lease holder.
 func (h *rolloutHistory) strike(forUs int64) {
 	if h.healed {
 		return
@@ -169,7 +169,7 @@
 	controllerFaults[k.Below(len(controllerFaults))](h, victim, forUs)
 }
 
-// controllerFaults are what strikes a controller for a while.
+// controllerFaults are the faults that strike chooses from; each lasts for forUs.
 var controllerFaults = []func(h *rolloutHistory, victim *coordinator, forUs int64){
 	(*rolloutHistory).kill, (*rolloutHistory).freeze, (*rolloutHistory).cutOff, (*rolloutHistory).cutApart,
 }
@@ -186,7 +186,7 @@
 	h.later(forUs, func() { h.thaw(victim) })
 }
 
-// cutOff parts a controller from all others; runners still reach it.
+// cutOff partitions a controller from all others; runners still reach it.
 func (h *rolloutHistory) cutOff(victim *coordinator, forUs int64) {
 	h.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range h.coordinators {
@@ -194,7 +194,7 @@
 	}
 }
 
-// cutApart parts two controllers that both reach the others.
+// cutApart cuts the links between two controllers that both still reach the others.
 func (h *rolloutHistory) cutApart(victim *coordinator, forUs int64) {
 	other := h.coordinators[h.kernel.Below(len(h.coordinators))]
 	h.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
@@ -242,7 +242,7 @@
 	}
 }
 
-// times are those of the lease, unless a test takes the waits out.
+// times returns the lease durations, without the waits if that defect is injected.
 func (h *rolloutHistory) times() lease.Times {
 	if h.defects.ActWithoutWaiting {
 		return lease.Times{ActUs: dutyTimes.ActUs}
@@ -250,7 +250,7 @@
 	return dutyTimes
 }
 
-// bound is by when the plan has all orders sent.
+// bound returns the time within which the plan must send all orders.
 func (h *rolloutHistory) bound() int64 {
 	if h.defects.OrderWithoutBound {
 		return 100 * Second
@@ -258,7 +258,7 @@
 	return orderBoundUs
 }
 
-// targetOf is the version that a body names.
+// targetOf returns the target version in a lease body, or 0.
 func targetOf(body messages.LeaseBody) int64 {
 	for _, t := range body.Targets {
 		if t.Model == rolloutModel {
--- a/internal/simulation/rollouts_test.go
+++ b/internal/simulation/rollouts_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// A successor goes on where the holder was: every runner comes to the weights by one
-// order, within what the takeover needs. What it needs: the holder is found gone
-// (1.2 s), the candidates' ranks (0.3 s each), the wait of the lease (4.2 s) and late
+// A new lease holder continues where the previous one stopped: every runner loads the weights
+// after exactly one order, within the takeover time. That is the detection of the lost holder
+// (1.2 s), the delay by candidate rank (0.3 s each), the wait for the lease (4.2 s) and late
 // steps.
 func TestHolderLostAtEveryStepLosesNoProgress(t *testing.T) {
 	const takeoverUs = 8 * Second
@@ -60,7 +60,7 @@
 	}
 }
 
-// Each mechanism that can be taken out in the model is missed by a check.
+// Each injected defect must be detected by a check.
 func TestRolloutChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/simulation/tallies.go
+++ b/internal/simulation/tallies.go
@@ -1,6 +1,7 @@
-// Tallies: clients add to counters at replicas that are cut off, killed, frozen, without power
-// and wiped. The real tally.Replica, tally.Set and tally.Log run, the last on a disk that loses
-// power; the driver in package controller is mirrored.
+// Model "tallies": clients add to counters at replicas that are partitioned, killed, frozen,
+// powered off and wiped. tally.Replica, tally.Set and tally.Log are the production code, the
+// log on a simulated disk that can lose power; their driver in package controller is
+// reimplemented here.
 
 package simulation
 
@@ -12,34 +13,34 @@
 	"beechtide.org/beechtide/internal/tally"
 )
 
-// Bounds of a history of tallies.
+// Durations and sizes of a tally history.
 const (
 	tallyFaultsFrom  = 4 * Second
 	tallyFaultsUs    = 40 * Second
 	tallyRestUs      = 8 * Second // after the last fault
 	mostTallyFaultUs = 14 * Second
-	tallyMergeUs     = 3 * Second // after trouble, until every replica has everything
-	tallyCatchUpUs   = 6 * Second // between two losses of disks
-	mostTalliesLost  = 2          // disks that are lost at once
+	tallyMergeUs     = 3 * Second // after the last fault, until every replica has all adds
+	tallyCatchUpUs   = 6 * Second // after a disk loss, until the replica has caught up
+	mostTalliesLost  = 2          // disks that may be lost at once
 	tallyNames       = 3
 )
 
-// tallyHistory is everything in one history.
+// tallyHistory is the state of one simulated history.
 type tallyHistory struct {
 	*injector
 	defects  Defects
 	zones    []string
 	replicas []*tallyReplica
-	routers  []*tallyRouter // one a zone
+	routers  []*tallyRouter // one per zone
 	checks   *tallyChecks
 	serial   int
-	// cuts is how many faults cut replicas off from each other now; troubles all that are
-	// under way.
+	// cuts is the number of active faults that partition replicas; troubles is the number of
+	// all active faults.
 	cuts, troubles int
-	lossAllowedUs  int64 // from when on disks may be lost again
+	lossAllowedUs  int64 // time from which disks may be lost again
 }
 
-// PlayTallies plays the tallies' history of a seed. One seed in eight has no faults.
+// PlayTallies simulates the tally history of a seed. One seed in eight has no faults.
 func PlayTallies(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := newTallyHistory(k, options.Defects, 2+k.Below(3))
@@ -78,7 +79,7 @@
 	return h
 }
 
-// client has a client of a zone add, and the next one later.
+// client sends an add from a client of a zone and schedules the next one.
 func (h *tallyHistory) client(zone string) {
 	h.serial++
 	name, id := fmt.Sprint("t", h.kernel.Below(tallyNames)), fmt.Sprint(h.serial)
@@ -88,22 +89,22 @@
 	h.kernel.After(h.kernel.Between(0, 400*Millisecond), func() { h.client(zone) })
 }
 
-// Clients' tries: they go on after a second of silence.
+// Clients retry after a second without a response.
 const (
 	tallyTries    = 4
 	tallySilentUs = Second
 )
 
-// tallyCall is a client's add on its way.
+// tallyCall is a client's add with its retries.
 type tallyCall struct {
 	history *tallyHistory
 	zone    string
 	add     tally.Add
 	tries   int
-	ended   bool // the client has an answer, or has given up
+	ended   bool // the client has received an acknowledgement
 }
 
-// try brings the add to a replica, of the client's own zone first.
+// try sends the add to a replica, first mostly in the client's own zone.
 func (c *tallyCall) try() {
 	if c.ended || c.tries == tallyTries {
 		return
@@ -147,7 +148,7 @@
 	})
 }
 
-// plan draws what happens.
+// plan schedules the faults at random times.
 func (h *tallyHistory) plan() {
 	k := h.kernel
 	for range 2 + k.Below(8) {
@@ -157,14 +158,14 @@
 	}
 }
 
-// tallyFaults are what strikes for a while.
+// tallyFaults are the faults that plan chooses from; each lasts for about forUs.
 var tallyFaults = []func(h *tallyHistory, forUs int64){
 	(*tallyHistory).cutZone, (*tallyHistory).cutZone, (*tallyHistory).cutBridge, (*tallyHistory).cutReplicaOff, (*tallyHistory).cutCore,
 	(*tallyHistory).killSome, (*tallyHistory).freezeOne, (*tallyHistory).powerOffSome, (*tallyHistory).powerOffAll,
 	(*tallyHistory).loseDisks, (*tallyHistory).loseDisks, (*tallyHistory).loseZone, (*tallyHistory).stallDisk, (*tallyHistory).fillDisk,
 }
 
-// trouble begins a fault that ends after forUs, unless everything heals before.
+// trouble registers a fault that ends after forUs, unless all faults have been healed before.
 func (h *tallyHistory) trouble(forUs int64, end func()) {
 	h.troubles++
 	h.later(forUs, func() {
@@ -174,7 +175,7 @@
 	})
 }
 
-// addrsOf are all addresses in a zone but its clients'.
+// addrsOf returns the addresses of a zone's replicas and router.
 func (h *tallyHistory) addrsOf(zone string) []string {
 	var addrs []string
 	for _, r := range h.replicas {
@@ -185,7 +186,8 @@
 	return append(addrs, "router-"+zone)
 }
 
-// separate cuts two sets of addresses off from each other.
+// separate cuts the links between two sets of addresses, or those from the first to the second
+// only if oneWay is set.
 func (h *tallyHistory) separate(one, other []string, oneWay bool, forUs int64) {
 	h.cuts++
 	h.trouble(forUs, func() {
@@ -223,7 +225,7 @@
 	h.separate(h.addrsOf(one), h.addrsOf(other), false, forUs)
 }
 
-// cutReplicaOff cuts one replica off from the others; the routers reach it.
+// cutReplicaOff partitions one replica from the others; routers still reach it.
 func (h *tallyHistory) cutReplicaOff(forUs int64) {
 	r := h.someReplica()
 	h.kernel.Note("%s is cut off from the other replicas for %d us", r.addr, forUs)
@@ -236,7 +238,7 @@
 	h.separate([]string{r.addr}, others, h.kernel.Chance(300), forUs)
 }
 
-// cutCore cuts half of the replicas off from the other half; the routers reach all.
+// cutCore partitions the replicas into two random groups; routers still reach all.
 func (h *tallyHistory) cutCore(forUs int64) {
 	h.kernel.Note("the replicas are cut into halves for %d us", forUs)
 	var halves [2][]string
@@ -277,7 +279,7 @@
 	h.trouble(forUs, r.bootIfDown)
 }
 
-// powerOffSome takes the power from one replica, or from all but one or two.
+// powerOffSome powers off one replica, or all but one or two.
 func (h *tallyHistory) powerOffSome(forUs int64) {
 	if h.kernel.Chance(500) {
 		h.powerOff(h.someReplica(), forUs)
@@ -295,7 +297,7 @@
 	}
 }
 
-// order is the places of the replicas in a random order.
+// order returns the indexes of the replicas in random order.
 func (h *tallyHistory) order() []int {
 	places := make([]int, len(h.replicas))
 	for i := range places {
@@ -308,8 +310,8 @@
 	return places
 }
 
-// loseDisks takes the disks of as many replicas as may be lost; at times all others lose power
-// at that moment.
+// loseDisks wipes the disks of mostTalliesLost replicas; sometimes all others lose power at the
+// same time.
 func (h *tallyHistory) loseDisks(forUs int64) {
 	order := h.order()
 	var lost []*tallyReplica
@@ -319,7 +321,7 @@
 	h.lose(lost, forUs)
 }
 
-// loseZone does the same with all replicas of a zone.
+// loseZone does the same to all replicas of a zone.
 func (h *tallyHistory) loseZone(forUs int64) {
 	zone := h.zones[h.kernel.Below(len(h.zones))]
 	h.lose(slices.DeleteFunc(slices.Clone(h.replicas), func(r *tallyReplica) bool { return r.zone != zone }), forUs)
@@ -329,7 +331,7 @@
 	if h.kernel.NowUs() < h.lossAllowedUs || h.troubles > 0 && h.kernel.Chance(500) {
 		return
 	}
-	h.lossAllowedUs = h.kernel.NowUs() + tallyFaultsUs // one loss in a history
+	h.lossAllowedUs = h.kernel.NowUs() + tallyFaultsUs // at most one loss per history
 	powerOff := h.kernel.Chance(500)
 	for _, r := range h.replicas {
 		switch {
--- a/internal/simulation/tallies_test.go
+++ b/internal/simulation/tallies_test.go
@@ -24,13 +24,13 @@
 	}
 }
 
-// Each mechanism that can be taken out is missed by a check.
+// Each injected defect must be detected by a check.
 func TestTallyChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 		finds   string
-		from    uint64 // the first seed that is played
+		from    uint64 // first seed to simulate
 	}{
 		{"quorum of disks", Defects{AckOnOneDisk: true}, "acknowledges an add on", 0},
 		{"witnesses", Defects{TrustSilence: true}, "acknowledges an add on", 0},
--- a/internal/simulation/tally_actors.go
+++ b/internal/simulation/tally_actors.go
@@ -7,7 +7,7 @@
 	"beechtide.org/beechtide/internal/tally"
 )
 
-// Times of a replica's driver, as in package controller.
+// Timeouts and intervals of a replica's driver, as in package controller.
 const (
 	tallyCallWaitUs    = 300 * Millisecond
 	tallyProbeWaitUs   = 150 * Millisecond
@@ -21,11 +21,11 @@
 	tallyWitnessWaitUs = 250 * Millisecond
 	tallyWitnessPause  = 400 * Millisecond
 	tallyReachWaitUs   = 150 * Millisecond
-	tallyTickUs        = 5 * Millisecond // how often waiting calls look
+	tallyTickUs        = 5 * Millisecond // poll interval of waiting calls
 	tallySimBatch      = 200
 )
 
-// tallyReplica is a controller as far as tallies are concerned.
+// tallyReplica models the tally part of a controller.
 type tallyReplica struct {
 	history *tallyHistory
 	addr    string
@@ -36,13 +36,13 @@
 	stalledUntilUs int64
 	log            *tally.Log
 	replica        *tally.Replica
-	writing        bool                     // a write is under way, or about to be
-	idle           map[string]*tallyReplica // replicas that lacked nothing when they were last looked at
+	writing        bool                     // a write is in progress or scheduled
+	idle           map[string]*tallyReplica // replicas that had no outgoing adds at the last check
 	ready          bool
 	asked          map[string]bool
 	differing      map[string]bool
 	lives          int
-	bootUs         int64 // when the present life began, by true time
+	bootUs         int64 // start of the current process by the simulation's clock
 }
 
 func (r *tallyReplica) bootIfDown() {
@@ -58,7 +58,7 @@
 	r.writing, r.ready, r.asked, r.differing = false, false, map[string]bool{}, map[string]bool{}
 	r.idle = map[string]*tallyReplica{}
 	opened, err := tally.OpenLog(r.disk, r.newOrigin)
-	if err != nil { // a full disk: the process ends and is started again
+	if err != nil { // the disk is full: the process exits and is restarted
 		r.process.After(200*Millisecond, func() {
 			r.process.Stop()
 			r.disk.Restart()
@@ -90,7 +90,7 @@
 	r.process.After(0, r.checkReady)
 }
 
-// wake has the writer and the senders look for work, as the driver does after each change.
+// wake starts the writer and the idle senders, as the driver does after each change.
 func (r *tallyReplica) wake() {
 	if !r.writing {
 		r.writing = true
@@ -110,8 +110,8 @@
 	return tally.Origin(fmt.Sprintf("%s-%d", r.addr, r.lives))
 }
 
-// checkReady mirrors the driver: reads wait until every other replica has been asked or is out
-// of reach.
+// checkReady mirrors the driver: the replica serves requests only after it has pulled from every
+// other replica or found it unreachable.
 func (r *tallyReplica) checkReady() {
 	if r.ready {
 		return
@@ -128,8 +128,7 @@
 	r.history.checks.becameReady(r)
 }
 
-// write brings adds to the disk. A sync takes a while; what a loss of power finds under way is
-// lost.
+// write writes adds to the disk. A sync takes a while; a power loss during it loses the adds.
 func (r *tallyReplica) write() {
 	k := r.history.kernel
 	delay := k.Between(Millisecond, 6*Millisecond)
@@ -155,7 +154,8 @@
 	})
 }
 
-// call sends a question to another replica and hands its answer over, or nothing in time.
+// call sends a request to another replica and runs the response handler, or failed after a
+// timeout.
 func (r *tallyReplica) call(other *tallyReplica, serve func(answer func(func())), failed func()) {
 	r.callFor(other, tallyCallWaitUs, serve, failed)
 }
@@ -191,7 +191,7 @@
 	})
 }
 
-// sendTo sends another replica what it lacks of the own log, for as long as this life lasts.
+// sendTo sends another replica the adds that it lacks, for as long as this process runs.
 func (r *tallyReplica) sendTo(other *tallyReplica) {
 	again := func() { r.pauseAfterFailure(other) }
 	if !r.asked[other.addr] {
@@ -213,8 +213,8 @@
 	r.call(other, func(answer func(func())) { other.receive(next.Origin, runs, answer, r) }, again)
 }
 
-// pauseAfterFailure waits before the next call. One that is out of reach is probed meanwhile
-// where somebody waits for an add.
+// pauseAfterFailure waits before the next call. An unreachable replica is probed during the
+// pause if an add waits for its acknowledgement.
 func (r *tallyReplica) pauseAfterFailure(other *tallyReplica) {
 	if !r.replica.Unreachable(other.addr) {
 		r.process.After(tallyPauseUs, func() { r.sendTo(other) })
@@ -231,7 +231,8 @@
 	})
 }
 
-// receive answers another replica once its adds are on the disk.
+// receive merges another replica's adds and responds when they are on disk or the wait times
+// out.
 func (r *tallyReplica) receive(origin tally.Origin, runs []tally.Run, answer func(func()), from *tallyReplica) {
 	r.replica.Merge(runs)
 	r.wake()
@@ -245,7 +246,7 @@
 	})
 }
 
-// await looks again and again whether a condition holds.
+// await polls a condition until it holds or untilUs has passed.
 func (r *tallyReplica) await(untilUs int64, holds func() bool, then func(ok bool)) {
 	if ok := holds(); ok || r.process.NowUs() >= untilUs {
 		then(ok)
@@ -254,7 +255,7 @@
 	r.process.After(tallyTickUs, func() { r.await(untilUs, holds, then) })
 }
 
-// pull fetches what this replica lacks.
+// pull fetches the adds that this replica lacks from another one.
 func (r *tallyReplica) pull(other *tallyReplica, done, failed func()) {
 	vector, before := r.replica.Set().Vector(), r.replica.Set().Len()
 	r.call(other, func(answer func(func())) {
@@ -286,7 +287,8 @@
 	return count
 }
 
-// compareWith compares digests with another replica now and then.
+// compareWith periodically compares digests with another replica and pulls from it if they
+// differ twice in a row, or at the first comparison.
 func (r *tallyReplica) compareWith(other *tallyReplica) {
 	defer r.process.After(tallyCompareUs, func() { r.compareWith(other) })
 	if r.history.defects.NeverPull {
@@ -305,7 +307,8 @@
 	}, func() { delete(r.differing, other.addr) })
 }
 
-// amend serves a client. answer gets false where nothing was done or where it is not known.
+// amend handles a client's add. answer receives false if the add was rejected or its outcome is
+// unknown.
 func (r *tallyReplica) amend(add tally.Add, answer func(number uint64, ok bool)) {
 	if r.replica == nil || !r.ready || !r.replica.CanConfirm() {
 		answer(0, false)
@@ -320,7 +323,7 @@
 	r.await(r.process.NowUs()+tallyAmendWaitUs, func() bool { return r.replica.MayAcknowledge(number, arrivedUs) }, func(ok bool) { answer(number, ok) })
 }
 
-// watch asks a router about a replica that does not answer.
+// watch requests a witness verdict from a router in the zone of a replica that does not respond.
 func (r *tallyReplica) watch(other *tallyReplica) {
 	if !r.replica.Failing(other.addr) {
 		r.process.After(100*Millisecond, func() { r.watch(other) })
@@ -348,7 +351,7 @@
 	})
 }
 
-// tallyRouter is a router that is asked whether it reaches a replica.
+// tallyRouter is a router that checks, as a witness, whether it reaches a replica.
 type tallyRouter struct {
 	history *tallyHistory
 	addr    string
--- a/internal/simulation/tally_checks.go
+++ b/internal/simulation/tally_checks.go
@@ -2,18 +2,18 @@
 
 import "beechtide.org/beechtide/internal/tally"
 
-// ackedAdd is an add that was acknowledged.
+// ackedAdd is an acknowledged add.
 type ackedAdd struct {
 	add     tally.Add
 	atUs    int64
 	by      *tallyReplica
 	life    int
 	whenCut bool
-	notOwed bool // acknowledged during a cut by a replica that lost its disk soon
+	notOwed bool // acknowledged during a partition by a replica that lost its disk soon after
 }
 
-// tallyChecks checks that no total counts an add twice, that a replica's reads have what it
-// acknowledged, and that after trouble every replica has everything.
+// tallyChecks checks that no total counts an add twice, that a replica's reads include the adds
+// that it acknowledged, and that after faults every replica has all adds.
 type tallyChecks struct {
 	history   *tallyHistory
 	sentAdds  map[tally.Key]tally.Add
@@ -28,8 +28,9 @@
 
 func (c *tallyChecks) sent(add tally.Add) { c.sentAdds[add.Key] = add }
 
-// tallyStaleUs bounds for how long after the end of a cut an add may still be acknowledged by
-// evidence of it: the longest call or question that has just begun when the cut ends, and a look.
+// tallyStaleUs is the longest time after the end of a partition in which an add may still be
+// acknowledged on evidence of the partition: the longest call or witness request that starts just
+// before the end, plus polling.
 const tallyStaleUs = tallyWitnessWaitUs + 2*tallyTickUs
 
 func (c *tallyChecks) acked(add tally.Add, by *tallyReplica, number uint64) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// checkDisks checks that an add that is acknowledged without a partition is on enough disks.
+// checkDisks checks that an add acknowledged without a partition is on enough disks.
 func (c *tallyChecks) checkDisks(by *tallyReplica, number uint64) {
 	disks, zones := 0, map[string]bool{}
 	for _, r := range c.history.replicas {
@@ -55,8 +56,8 @@
 	}
 }
 
-// becameReady checks that a replica that begins to answer has what was acknowledged before it
-// started, where nothing was wrong meanwhile but its own loss.
+// becameReady checks that a replica that starts to serve has all adds acknowledged before it
+// started, if there was no other fault since then.
 func (c *tallyChecks) becameReady(r *tallyReplica) {
 	if c.history.troubles > 0 || c.troubleUs > r.bootUs {
 		return
@@ -68,8 +69,8 @@
 	}
 }
 
-// lostDisk records that a replica has lost its disk: what it acknowledged during a cut that has
-// not healed for tallyMergeUs is not owed.
+// lostDisk records that a replica has lost its disk: adds that it acknowledged during a
+// partition may be lost if the partition ended less than tallyMergeUs ago.
 func (c *tallyChecks) lostDisk(r *tallyReplica) {
 	recent := c.history.cuts > 0 || c.history.kernel.NowUs() < c.healedUs+tallyMergeUs
 	for _, a := range c.ackedAdds {
@@ -79,7 +80,7 @@
 	}
 }
 
-// look reads every replica that answers, and looks again later.
+// look checks every replica that serves requests, every 500 ms.
 func (c *tallyChecks) look() {
 	calm := c.history.troubles == 0
 	for _, r := range c.history.replicas {
@@ -95,7 +96,7 @@
 	c.history.kernel.After(500*Millisecond, c.look)
 }
 
-// checkTotals adds up what a replica should count, and nothing else.
+// checkTotals checks that a replica's totals are the sums of the adds that it has.
 func (c *tallyChecks) checkTotals(r *tallyReplica) {
 	want := map[string]int64{}
 	for key, add := range c.sentAdds {
@@ -110,7 +111,7 @@
 	}
 }
 
-// checkOwn looks for what a replica has acknowledged in its life.
+// checkOwn checks that a replica has all adds that it acknowledged since its start.
 func (c *tallyChecks) checkOwn(r *tallyReplica) {
 	for _, a := range c.ackedAdds {
 		if a.by == r && a.life == r.lives && !r.replica.Set().Contains(a.add.Key) {
@@ -119,7 +120,8 @@
 	}
 }
 
-// checkAll looks for what anybody has acknowledged, once there was no trouble for long enough.
+// checkAll checks, from sinceUs on, that a replica has the adds that any replica acknowledged
+// at least tallyMergeUs ago.
 func (c *tallyChecks) checkAll(r *tallyReplica, sinceUs int64) {
 	nowUs := c.history.kernel.NowUs()
 	if nowUs < sinceUs {
@@ -132,7 +134,7 @@
 	}
 }
 
-// end checks every replica after everything has healed.
+// end checks every replica after all faults have been healed.
 func (c *tallyChecks) end() {
 	for _, r := range c.history.replicas {
 		if !r.process.Up() || !r.ready {
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -1,7 +1,7 @@
-// Usage: requests are counted by routers and reported to the platform by the holder of a
-// lease, while holders are lost, clocks jump and the platform loses answers. The real
-// usage.Counter, Collector and Plan, clocksync.Clock and lease.Role run; the register and
-// the platform are models.
+// Model "usage": routers count requests and the lease holder reports them to the platform, while
+// holders fail, clocks jump and the platform loses responses. usage.Counter, Collector and Plan,
+// clocksync.Clock and lease.Role are the production code; the register and the platform are
+// modelled.
 
 package simulation
 
@@ -13,34 +13,34 @@
 	"beechtide.org/beechtide/internal/usage"
 )
 
-// Bounds of a history of usage.
+// Durations and bounds of a usage history.
 const (
 	windowUs         = 5 * Second
-	usageDelayUs     = 10 * Second // after its end a window has been reported
-	usageFaultsFrom  = 4 * Second  // processes know of one another
+	usageDelayUs     = 10 * Second // after the end of a window, until it must have been reported
+	usageFaultsFrom  = 4 * Second  // by then processes have discovered each other
 	usageFaultsUs    = 30 * Second
 	usageRestUs      = 25 * Second // after the last fault
 	meterReportUs    = 400 * Millisecond
 	meterCompareUs   = 500 * Millisecond
 	meterQueryWaitUs = 700 * Millisecond
 	usageKeepUs      = Second
-	// Requests of so long may be on no controller's disk, where none of them was
-	// disturbed for usageUpUs.
+	// Requests of the last usageLossUs may be on no controller's disk if there was no
+	// controller fault for usageUpUs.
 	usageLossUs     = 2 * Second
 	usageUpUs       = 8 * Second
 	meterReceivers  = 2
-	meterIdle       = 5 // periods without a change after which a receiver is asked
+	meterIdle       = 5 // periods without a change after which a report is sent anyway
 	clockTolerance  = 60 * Millisecond
 	mostClockJumpUs = 2_500 * Millisecond
-	requestEveryUs  = 20 * Millisecond // of one router
+	requestEveryUs  = 20 * Millisecond // mean interval at one router
 	usageTenants    = 4
-	dayStartUs      = 1000 * windowUs // the time of day at the start of a history
+	dayStartUs      = 1000 * windowUs // time of day at the start of a history
 )
 
-// timeOfDayUs is what a machine takes the time of day for.
+// timeOfDayUs returns the time of day by a machine's own clock.
 func timeOfDayUs(p *Process) int64 { return dayStartUs + p.TimeOfDayUs() }
 
-// usageHistory is everything in one history.
+// usageHistory is the state of one simulated history.
 type usageHistory struct {
 	*injector
 	group     *leaseGroup
@@ -49,12 +49,12 @@
 	platform  *platform
 	checks    *usageChecks
 	defects   Defects
-	// disturbedUs is when a fault of a controller or its links last began; none lasts for
-	// longer than usageUpUs less the time that it takes to be back.
+	// disturbedUs is the start of the last kill or freeze of a controller. No fault lasts longer
+	// than usageUpUs minus the recovery time.
 	disturbedUs int64
 }
 
-// PlayUsage plays the usage's history of a seed.
+// PlayUsage simulates the usage history of a seed.
 func PlayUsage(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := newUsageHistory(k, options.Defects, 3+2*k.Below(2), 3+k.Below(4))
@@ -96,7 +96,7 @@
 	return h
 }
 
-// reporter is a controller as far as usage is concerned.
+// reporter models the usage part of a controller.
 type reporter struct {
 	*leaseMember
 	history   *usageHistory
@@ -121,10 +121,11 @@
 	p.every(usageKeepUs, func() { p.kept = p.collector.Rows(0, 1<<62) })
 }
 
-// refilling is as in the controller.
+// refilling reports whether the collector is still being refilled after a start, as in package
+// controller.
 func (p *reporter) refilling() bool { return p.nowUs() < usage.RefillUs }
 
-// timeUs is the time of day that this controller keeps.
+// timeUs returns the time of day by this controller's synchronized clock.
 func (p *reporter) timeUs() int64 {
 	if p.history.defects.TrustOwnClock {
 		return timeOfDayUs(p.process)
@@ -148,8 +149,8 @@
 func (p *reporter) step() {
 	p.clock.Observe(timeOfDayUs(p.process), p.nowUs())
 	if p.knownVersion == 0 && p.group.register.version > 0 {
-		// Who changed it has told nobody. As a controller ends rounds that another has left
-		// unfinished, it is read.
+		// The controller that changed the register has not published the change. As a controller
+		// completes rounds that another one left unfinished, the register is read.
 		p.readRegister()
 		return
 	}
@@ -172,7 +173,7 @@
 	}
 }
 
-// readRegister reads the register with a majority.
+// readRegister reads the register from a majority.
 func (p *reporter) readRegister() {
 	if p.busy {
 		return
@@ -181,7 +182,8 @@
 	p.round(func(*messages.LeaseBody) bool { return false }, func(bool, messages.LeaseBody) { p.busy = false })
 }
 
-// closeWindow collects the rows of a window and agrees on their sums.
+// closeWindow collects the rows of a window from all controllers and proposes their sums to the
+// register.
 func (p *reporter) closeWindow(window int64) {
 	body, awaited, ended := p.known, len(p.history.reporters)-1, false
 	agree := func() {
@@ -233,7 +235,7 @@
 	p.round(edit, func(ok bool, _ messages.LeaseBody) { p.plan.EndClose(ok, p.nowUs()) })
 }
 
-// report tells the platform a window, unless the confirmation of the lease has run out.
+// report sends a window to the platform, unless the confirmation of the lease has expired.
 func (p *reporter) report(window messages.UsageWindow, fence int64) {
 	answered := false
 	answer := func(accepted bool) {
@@ -259,7 +261,7 @@
 	})
 }
 
-// meter is a router as far as usage is concerned.
+// meter models the usage part of a router.
 type meter struct {
 	history   *usageHistory
 	addr      string
@@ -268,12 +270,12 @@
 	counter   *usage.Counter
 	lives     int
 	receivers map[string]*meterReceiver
-	recent    []int64 // when its last requests began
-	heldUs    []int64 // when those began that are not in a window yet
+	recent    []int64 // start times of all requests of this process
+	heldUs    []int64 // start times of requests not yet assigned to a window
 	bootUs    int64
 }
 
-// meterReceiver is a controller that gets a router's counts.
+// meterReceiver is the state of a router's reports to one controller.
 type meterReceiver struct {
 	life, change int64
 	waiting      bool
@@ -308,13 +310,13 @@
 	return timeUs
 }
 
-// known reports whether the time of day has been compared, or there was time for it.
+// known reports whether the time of day has been synchronized, or usage.ClockWaitUs has passed.
 func (m *meter) known() bool {
 	_, agreed := m.clock.TimeUs(m.process.NowUs())
 	return agreed || m.history.defects.TrustOwnClock || m.process.NowUs() > usage.ClockWaitUs
 }
 
-// serve counts a request that begins to run now.
+// serve counts a request that starts now.
 func (m *meter) serve() {
 	tenant := fmt.Sprintf("t%d", m.history.kernel.Below(usageTenants))
 	if m.known() {
@@ -346,7 +348,7 @@
 	})
 }
 
-// report sends what has changed to the live controllers that come first.
+// report sends changed counts to the first running controllers, as many as receivers returns.
 func (m *meter) report() {
 	if m.counter.HasDeferred() && m.known() {
 		sinceUs := m.process.NowUs()
@@ -398,7 +400,7 @@
 	})
 }
 
-// plan draws what happens.
+// plan schedules the faults at random times.
 func (h *usageHistory) plan() {
 	k := h.kernel
 	for range 2 + k.Below(6) {
@@ -407,7 +409,7 @@
 	}
 }
 
-// usageFaults are what strikes for a while.
+// usageFaults are the faults that plan chooses from; each lasts for about forUs.
 var usageFaults = []func(h *usageHistory, forUs int64){
 	(*usageHistory).killHolder, (*usageHistory).freezeHolder, (*usageHistory).cutHolderOff, (*usageHistory).cutFromPlatform,
 	(*usageHistory).killMany, (*usageHistory).jumpClocks, (*usageHistory).slowPlatform, (*usageHistory).killAllControllers,
@@ -441,7 +443,7 @@
 	}
 }
 
-// killMany kills half of the controllers and routers at once.
+// killMany kills about half of the controllers and routers at once.
 func (h *usageHistory) killMany(forUs int64) {
 	for _, m := range h.meters {
 		if !h.kernel.Chance(500) || !m.process.Up() {
@@ -494,7 +496,7 @@
 	h.cut(p.addr, platformAddr, forUs)
 }
 
-// jumpClocks steps the time of day of some machines, and back.
+// jumpClocks steps the time of day of some machines, and back after forUs.
 func (h *usageHistory) jumpClocks(forUs int64) {
 	k := h.kernel
 	byUs := k.Between(-mostClockJumpUs, mostClockJumpUs)
--- a/internal/simulation/usage_platform.go
+++ b/internal/simulation/usage_platform.go
@@ -1,4 +1,4 @@
-// The platform's API as a model, and the checks of usage.
+// A model of the platform's API, and the usage checks.
 
 package simulation
 
@@ -16,17 +16,17 @@
 	statusRefused  = 409
 )
 
-// platform accepts reports of usage and refuses low fences.
+// platform accepts usage reports and rejects those with a stale fencing token.
 type platform struct {
 	history  *usageHistory
-	ill      int // faults that make it slow and lose answers
+	ill      int // active faults that make it slow and lose responses
 	fence    int64
-	holders  map[int64]string           // by fence
+	holders  map[int64]string           // by fencing token
 	accepted map[int64]map[string]int64 // counts by window
-	lastUs   map[string]int64           // by holder, when it was last heard
+	lastUs   map[string]int64           // by holder, time of its last report
 }
 
-// call carries a report to the platform and its answer back.
+// call sends a report to the platform and returns the response to the sender.
 func (p *platform) call(from *reporter, window messages.UsageWindow, fence int64, answered func(status int)) {
 	net, back := p.history.network, from.process.InLife
 	net.Send(from.addr, platformAddr, func() {
@@ -42,7 +42,7 @@
 	})
 }
 
-// receive judges a call as it arrives.
+// receive checks a report on arrival and returns the status.
 func (p *platform) receive(from *reporter, window messages.UsageWindow, fence int64) int {
 	k, now := p.history.kernel, p.history.kernel.NowUs()
 	if holder, known := p.holders[fence]; known && holder != from.addr {
@@ -70,8 +70,8 @@
 	return statusAccepted
 }
 
-// checkTurns checks that no two holders act within the duration of a lease. A sender that
-// has just thawed is not counted.
+// checkTurns checks that no two holders send reports within the duration of a lease. A sender
+// that was thawed within thawSlackUs is not checked.
 func (p *platform) checkTurns(from *reporter, now int64) {
 	if from.thawedUs > 0 && now-from.thawedUs < thawSlackUs {
 		return
@@ -96,14 +96,14 @@
 	return true
 }
 
-// usageChecks keeps what is true.
+// usageChecks records the actual requests, to compare reports with.
 type usageChecks struct {
 	history *usageHistory
-	truth   map[int64]map[string]int64 // requests that began, by window and tenant
-	lost    map[int64]int64            // requests by window that were on no disk when their router died
+	truth   map[int64]map[string]int64 // started requests by window and tenant
+	lost    map[int64]int64            // requests by window that were on no disk when their router was killed
 }
 
-// began is called where a request begins to run.
+// began is called when a request starts to run.
 func (c *usageChecks) began(tenant string) {
 	window := usage.WindowOf(dayStartUs+c.history.kernel.NowUs(), windowUs)
 	if c.truth[window] == nil {
@@ -112,15 +112,15 @@
 	c.truth[window][tenant]++
 }
 
-// lose is called where a router is about to be killed. What is on no controller's disk may
-// die with it; where all controllers were up for a while, that is what began in the last
-// usageLossUs, and in the first usage.ClockWaitUs of a process before that.
+// lose is called just before a router is killed. Requests that are on no controller's disk may be
+// lost with it. If all controllers were up for usageUpUs, these are at most the requests of the
+// last usageLossUs, plus usage.ClockWaitUs if the process has started recently.
 func (c *usageChecks) lose(m *meter) {
 	unkept := int64(0)
 	rows, _ := m.counter.RowsSince(0)
 	for _, row := range rows {
 		if row.Window < c.history.group.register.body.Usage.Next {
-			continue // it is closed
+			continue // the window is closed
 		}
 		for _, t := range row.Counts {
 			missing := t.Count - c.history.keptCount(row, t.Tenant)
@@ -135,7 +135,7 @@
 	now, recent := c.history.kernel.NowUs(), int64(0)
 	lossUs := usageLossUs
 	if now-m.bootUs < usage.ClockWaitUs+usageLossUs {
-		lossUs += usage.ClockWaitUs // what began before the time of day was known is sent that much later
+		lossUs += usage.ClockWaitUs // requests before the time of day was known are sent that much later
 	}
 	for _, atUs := range m.recent {
 		if now-atUs < lossUs {
@@ -147,7 +147,7 @@
 	}
 }
 
-// keptCount is the count of a tenant in a row that a controller has on disk.
+// keptCount returns the highest count of a tenant in a row on any controller's disk.
 func (h *usageHistory) keptCount(row messages.UsageRow, tenant string) int64 {
 	kept := int64(0)
 	for _, p := range h.reporters {
@@ -164,9 +164,9 @@
 	return kept
 }
 
-// reported checks a window as it is accepted.
+// reported checks a window when the platform accepts it.
 func (c *usageChecks) reported(window int64, counts map[string]int64) {
-	// Requests within the error of the clocks may count in the next window.
+	// Requests within the clock error of a window's end may be counted in the next window.
 	slack := int64(len(c.history.meters)) * 2 * clockTolerance / requestEveryUs
 	for tenant, count := range counts {
 		if truth := c.truth[window][tenant]; count > truth+slack {
@@ -175,8 +175,8 @@
 	}
 }
 
-// complete checks at the end of a history that every window was reported, with all
-// requests but those that died with their router.
+// complete checks at the end of a history that every window was reported with all requests
+// except those lost with their router.
 func (c *usageChecks) complete() {
 	k := c.history.kernel
 	last := usage.WindowOf(dayStartUs+k.NowUs()-usageDelayUs, windowUs) - 1
--- a/internal/simulation/usage_test.go
+++ b/internal/simulation/usage_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Each mechanism that can be taken out is missed by a check.
+// Each injected defect must be detected by a check.
 func TestUsageChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -1,6 +1,7 @@
-// Versions: rollouts of services under faults. The real admission.Admitter of every router and
-// the real canary.Plan of the lease's holder run; the register and its lease are one value, changed
-// if a majority of the controllers is there. New versions are good, or bad in one of several ways.
+// Model "versions": canary rollouts of services under faults. The admission.Admitter of every
+// router and the canary.Plan of the lease holder are the production code; the register and its
+// lease are one value that changes only while a majority of the controllers is up. New versions
+// are good, or bad in one of several ways.
 
 package simulation
 
@@ -12,7 +13,7 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// The deployment's bounds, as the rules name them, and the times of a history.
+// Bounds of the deployment and durations of a history.
 const (
 	versionService      = "s"
 	versionTarget       = "v2"
@@ -25,30 +26,30 @@
 	versionTakeoverUs   = 3 * Second
 	versionStepUs       = 100 * Millisecond
 	versionReportUs     = 100 * Millisecond
-	versionRestUs       = 5 * Second // after the term
-	versionRunners      = 24         // of either version
+	versionRestUs       = 5 * Second // after the end of the rollout's duration
+	versionRunners      = 24         // of each version
 	versionTokens       = 800
-	versionReadUs       = 30 * Millisecond // until the first token of a prompt
+	versionReadUs       = 30 * Millisecond // mean time to the first token
 	versionSlowTimes    = 8
-	versionLoadedActive = 3 // requests at a runner from which it counts as loaded
+	versionLoadedActive = 3 // active requests from which a runner counts as loaded
 )
 
-// badness is in which way a version is bad.
+// badness is the way in which a version is bad.
 type badness int
 
 const (
 	goodVersion badness = iota
 	failingVersion
-	lateVersion // fails from a while after the order on
+	lateVersion // fails from lateUs after the order on
 	slowVersion
 	oneKindVersion // fails requests of one kind
-	loadedVersion  // fails where it is loaded
+	loadedVersion  // fails on loaded runners
 	badnessKinds
 )
 
 var badnessNames = [badnessKinds]string{"good", "failing", "late", "slow", "one kind", "under load"}
 
-// versionHistory is everything in one history.
+// versionHistory is the state of one simulated history.
 type versionHistory struct {
 	kernel      *Kernel
 	defects     Defects
@@ -58,10 +59,10 @@
 	badShare    float64
 	lateUs      int64
 	overUs      int64
-	background  float64 // share of all answers that fail, whatever the version
+	background  float64 // share of responses that fail, whatever the version
 	register    []messages.ServiceRollout
 	holder      *versionController
-	holderLost  int64 // since when the holder is gone, 0 while it is there
+	holderLost  int64 // time since which the holder is down, 0 while it is up
 	active      [2]map[string]int
 	checks      versionChecks
 	counts      Counts
@@ -74,27 +75,27 @@
 	busy    bool
 }
 
-// versionRouter is a router with its own admission.
+// versionRouter is a router with its own admitter.
 type versionRouter struct {
 	history  *versionHistory
 	process  *Process
 	admitter *admission.Admitter
-	reported map[string]messages.RunnerLoad // what the controllers have of it
-	cut      bool                           // nothing comes from the controllers, nor gets there
-	troubled int64                          // when a fault of it last began or ended
+	reported map[string]messages.RunnerLoad // loads last received by the controllers
+	cut      bool                           // partitioned from the controllers in both directions
+	troubled int64                          // time at which its last fault started or ended
 }
 
-// versionChecks keeps what the rules go by.
+// versionChecks holds the counts and times that the checks need.
 type versionChecks struct {
-	all, exposed int // requests since the order, by routers in touch
-	bad          int // bad answers of the new version since the core was last disturbed
+	all, exposed int // requests since the order; exposed only counts routers in contact
+	bad          int // bad responses of the new version since the last controller fault
 	limitUs      int64
-	lastUs       int64 // when the newest request went to the new version
-	coreUs       int64 // when the core was last disturbed
-	disturbed    bool  // anything was wrong during the rollout
+	lastUs       int64 // time of the latest request to the new version
+	coreUs       int64 // time of the last controller fault
+	disturbed    bool  // there was any fault during the rollout
 }
 
-// PlayVersions plays the rollout of a seed.
+// PlayVersions simulates the canary rollout of a seed.
 func PlayVersions(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := &versionHistory{kernel: k, defects: options.Defects, badness: badness(k.Below(int(badnessKinds))), overUs: k.Between(10*Second, 20*Second)}
@@ -130,7 +131,7 @@
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.counts}
 }
 
-// order is what the operator asks for.
+// order starts the rollout, as an operator would.
 func (h *versionHistory) order() {
 	wanted := canary.Order{Service: versionService, Target: versionTarget, DurationUs: h.overUs}
 	bounds := canary.Bounds{Exposure: versionExposure, Slack: versionSlack}
@@ -142,7 +143,7 @@
 	h.commit(next)
 }
 
-// commit puts a value of the register in force; the routers hear of it after a while.
+// commit stores a new value in the register; routers receive it after a delay.
 func (h *versionHistory) commit(next []messages.ServiceRollout) {
 	h.register = next
 	h.kernel.Note("stage %d, share %d", next[0].Stage, next[0].SharePerMille)
@@ -151,7 +152,7 @@
 	}
 }
 
-// arrive has a request come to some router, and the next one later.
+// arrive delivers requests to random routers at random intervals.
 func (h *versionHistory) arrive(pauseUs int64) {
 	h.kernel.After(h.kernel.Between(0, 2*pauseUs), func() {
 		r := h.routers[h.kernel.Below(len(h.routers))]
@@ -160,7 +161,7 @@
 	})
 }
 
-// step lets a controller do what the holder of the lease does.
+// step periodically runs the lease and rollout logic of a controller.
 func (h *versionHistory) step(c *versionController) {
 	c.process.After(h.kernel.Between(versionStepUs/2, versionStepUs), func() {
 		h.takeOver(c)
@@ -171,7 +172,7 @@
 	})
 }
 
-// takeOver takes the lease of a holder that is gone for long enough.
+// takeOver acquires the lease if its holder has been down for longer than versionTakeoverUs.
 func (h *versionHistory) takeOver(c *versionController) {
 	nowUs := h.kernel.NowUs()
 	switch {
@@ -185,7 +186,7 @@
 	}
 }
 
-// advance takes the step that is due, if it is agreed on.
+// advance performs the next step of the plan if a majority of the controllers is up.
 func (h *versionHistory) advance(c *versionController) {
 	was := h.register[0]
 	view := h.view(was)
@@ -219,7 +220,7 @@
 	return 2*there > len(h.controllers)
 }
 
-// view is what the plan goes by: the sums of what the routers have reported.
+// view returns the plan's input: the sums of the loads that the routers have reported.
 func (h *versionHistory) view(r messages.ServiceRollout) canary.View {
 	sums := map[string]messages.RunnerLoad{}
 	for _, router := range h.routers {
--- a/internal/simulation/versions_checks.go
+++ b/internal/simulation/versions_checks.go
@@ -4,7 +4,7 @@
 
 func (h *versionHistory) termUs() int64 { return versionOrderUs + h.overUs }
 
-// sent is called where a router sends a request to a runner.
+// sent is called when a router sends a request to a runner.
 func (h *versionHistory) sent(r *versionRouter, fresh bool) {
 	nowUs := h.kernel.NowUs()
 	if nowUs < versionOrderUs || nowUs > h.termUs() {
@@ -22,7 +22,7 @@
 	}
 }
 
-// answered is called where a request ends.
+// answered is called when a request ends.
 func (h *versionHistory) answered(fresh, bad bool) {
 	if !fresh || !bad {
 		return
@@ -33,13 +33,13 @@
 	}
 }
 
-// disturbCore notes a fault of the controllers: bad answers are counted anew after it.
+// disturbCore records a controller fault and resets the count of bad responses.
 func (h *versionHistory) disturbCore() {
 	h.checks.coreUs, h.checks.disturbed = h.kernel.NowUs(), true
 	h.checks.bad, h.checks.limitUs = 0, 0
 }
 
-// plan draws the faults of a history.
+// plan schedules the faults of a history at random times.
 func (h *versionHistory) plan() {
 	k := h.kernel
 	for range 1 + k.Below(4) {
@@ -69,7 +69,7 @@
 	h.checks.disturbed = true
 }
 
-// trouble is a fault of a router.
+// trouble injects a fault into a router, unless it already has one.
 func (r *versionRouter) trouble(forUs int64, begin, end func()) {
 	if !r.process.Up() || r.cut {
 		return
@@ -82,7 +82,7 @@
 	})
 }
 
-// strikeHolder kills or freezes the holder of the lease.
+// strikeHolder kills or freezes the lease holder.
 func (h *versionHistory) strikeHolder(forUs int64) {
 	k, c := h.kernel, h.holder
 	if c == nil || !c.process.Up() || c.process.frozen {
@@ -105,7 +105,7 @@
 	})
 }
 
-// end checks how the rollout ended.
+// end checks the outcome of the rollout.
 func (h *versionHistory) end() {
 	k := h.kernel
 	if k.failure != "" || len(h.register) == 0 {
--- a/internal/simulation/versions_router.go
+++ b/internal/simulation/versions_router.go
@@ -7,16 +7,16 @@
 	"beechtide.org/beechtide/internal/messages"
 )
 
-// boot begins a life of the router; it learns what is agreed after a while.
+// boot starts the router's process.
 func (r *versionRouter) boot() {
 	r.process.Start()
 	r.admitter = admission.New(admission.Defaults, "a", uint64(r.history.kernel.Between(0, 1<<40)))
 	r.setRunners()
-	r.admitter.SetRollouts(r.history.register) // a router serves once it has what is agreed
+	r.admitter.SetRollouts(r.history.register) // a router serves only after it has received the register
 	r.report()
 }
 
-// setRunners sets the runners: those of the new version are started by the order.
+// setRunners sets the runners. Those of the new version exist from the order on.
 func (r *versionRouter) setRunners() {
 	records := runnersOfVersion("old", "v1")
 	if len(r.history.register) > 0 {
@@ -33,7 +33,7 @@
 	return records
 }
 
-// learn takes what is agreed, and the runners of the new version with it.
+// learn applies the register's value and the runner list.
 func (r *versionRouter) learn() {
 	r.process.Deliver(func() {
 		if r.cut {
@@ -44,7 +44,7 @@
 	})
 }
 
-// report sends the loads and outcomes to the controllers.
+// report periodically sends loads and outcomes to the controllers.
 func (r *versionRouter) report() {
 	k := r.history.kernel
 	r.process.After(versionReportUs, func() {
@@ -60,7 +60,8 @@
 	})
 }
 
-// inTouch reports whether the rules hold a router to their bounds.
+// inTouch reports whether the router has been in contact with the controllers for long enough
+// that the bounds apply to it.
 func (r *versionRouter) inTouch() bool {
 	return !r.cut && !r.process.frozen && (r.troubled == 0 || r.history.kernel.NowUs()-r.troubled > versionContactUs)
 }
@@ -103,7 +104,7 @@
 	return 0
 }
 
-// answer draws how a runner answers: whether it fails, and after how long its first token comes.
+// answer chooses a runner's response at random: whether it fails, and its time to first token.
 func (h *versionHistory) answer(adm *admission.Admission, fresh bool, kind int) (failed bool, tookUs int64) {
 	k := h.kernel
 	chance := func(share float64) bool { return k.Chance(int(share * 1000)) }
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// versionRange is the fixed set of seeds that CI plays.
+// versionRange is the fixed range of seeds that CI simulates.
 var versionRange = Range{Model: "versions", Count: 60, Parallel: 3}
 
 func TestVersionSeedsBreakNothing(t *testing.T) {
@@ -16,7 +16,7 @@
 	must.Positive(t, counts.VersionsReverted)
 }
 
-// Each mechanism that can be taken out in the model is missed by a check.
+// Each injected defect must be detected by a check.
 func TestVersionChecksFindWhatIsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name    string
