--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -13,33 +13,33 @@
 // listed within listedUs, and runners that ended are unlisted within unlistedUs, after their
 // silence has been detected.
 const (
-	fleetFaultsUs = 40 * Second
-	mostFleetCut  = 25 * Second
-	listedUs      = 5 * Second
-	unlistedUs    = 20 * Second
-	staleUs       = 10 * Second // bound like unlistedUs if only some links are cut
-	answerWaitUs  = Second
+	fleetFaultsUs     = 40 * Second
+	maxFleetFaultUs   = 25 * Second
+	listedUs          = 5 * Second
+	unlistedUs        = 20 * Second
+	partialUnlistedUs = 10 * Second // bound like unlistedUs if only some links are cut
+	answerWaitUs      = Second
 )
 
-// never is a time before the start of every history.
-const never = -fleetFaultsUs
+// beforeHistoryUs is a time before the start of every history.
+const beforeHistoryUs = -fleetFaultsUs
 
 // runner is an address in the fleet with successive runner instances.
 type runner struct {
-	fleet    *fleet
-	address  string
-	instance int
-	sequence int64
-	state    runnerState
-	at       int // index of the registrar that receives its heartbeats
-	life     int // incremented at each start and end, which invalidates old timers
-	begunUs  int64
+	fleet          *fleet
+	address        string
+	instance       int
+	sequence       int64
+	state          runnerState
+	registrarIndex int // index of the registrar that receives its heartbeats
+	generation     int // incremented at each start and end, which invalidates old timers
+	startedUs      int64
 }
 
 type runnerState int
 
 const (
-	beating runnerState = iota
+	running runnerState = iota
 	draining
 	leaving
 	ended
@@ -47,16 +47,16 @@
 
 // fleet is the state of one simulated history of runners.
 type fleet struct {
-	kernel     *Kernel
-	network    *Network
-	registrars []*registrar
-	runners    []*runner
-	gone       []endedInstance
-	epoch      int64
-	partial    bool
-	active     int // active registrar faults
-	turns      int // number of starts and ends of registrar faults
-	healed     bool
+	kernel         *Kernel
+	network        *Network
+	registrars     []*registrar
+	runners        []*runner
+	endedInstances []endedInstance
+	epoch          int64
+	partial        bool
+	activeFaults   int // active registrar faults
+	faultEvents    int // number of starts and ends of registrar faults
+	healed         bool
 
 	partitionedAtUs int64 // last time at which some registrars had no path to each other
 }
@@ -77,7 +77,7 @@
 
 func playFleet(seed uint64, options Options, partial bool) Result {
 	k := NewKernel(seed, options.Record)
-	f := &fleet{kernel: k, network: NewNetwork(k), partial: partial, partitionedAtUs: never}
+	f := &fleet{kernel: k, network: NewNetwork(k), partial: partial, partitionedAtUs: beforeHistoryUs}
 	for i := range 3 + 2*k.Below(2) {
 		f.registrars = append(f.registrars, &registrar{fleet: f, addr: registrarName(i), process: NewProcess(k)})
 	}
@@ -85,11 +85,11 @@
 		r.boot()
 	}
 	for i := range 4 + k.Below(8) {
-		r := &runner{fleet: f, address: fmt.Sprintf("runner-%d:1", i+1), at: k.Below(len(f.registrars))}
+		r := &runner{fleet: f, address: fmt.Sprintf("runner-%d:1", i+1), registrarIndex: k.Below(len(f.registrars))}
 		f.runners = append(f.runners, r)
-		r.begin()
+		r.start()
 	}
-	f.plan()
+	f.scheduleEvents()
 	k.RunUntil(fleetFaultsUs + calmUs)
 	f.heal()
 	k.RunUntil(k.NowUs() + listedUs)
@@ -107,34 +107,34 @@
 	})
 }
 
-// begin starts another instance at the address.
-func (r *runner) begin() {
+// start starts another instance at the address.
+func (r *runner) start() {
 	r.instance++
-	r.sequence, r.state = 0, beating
-	r.life++
-	r.begunUs = r.fleet.kernel.NowUs()
+	r.sequence, r.state = 0, running
+	r.generation++
+	r.startedUs = r.fleet.kernel.NowUs()
 	r.fleet.kernel.Note("%s begins", r.id())
-	r.beat(r.life)
+	r.sendHeartbeat(r.generation)
 }
 
 func (r *runner) id() string { return fmt.Sprintf("%s#%d", r.address, r.instance) }
 
-// end ends the instance, by a crash or after it has left.
-func (r *runner) end() {
+// endInstance ends the instance, by a crash or after it has left.
+func (r *runner) endInstance() {
 	r.fleet.kernel.Note("%s ends", r.id())
-	r.fleet.gone = append(r.fleet.gone, endedInstance{r.id(), r.fleet.kernel.NowUs()})
+	r.fleet.endedInstances = append(r.fleet.endedInstances, endedInstance{r.id(), r.fleet.kernel.NowUs()})
 	r.state = ended
-	r.life++
+	r.generation++
 }
 
-// beat sends a heartbeat, or a leave message if the runner is leaving, and switches to the next
-// registrar if there is no response.
-func (r *runner) beat(life int) {
-	if r.life != life {
+// sendHeartbeat sends a heartbeat, or a leave message if the runner is leaving, and switches to
+// the next registrar if there is no response.
+func (r *runner) sendHeartbeat(life int) {
+	if r.generation != life {
 		return
 	}
 	r.sequence++
-	to, id, answered := r.fleet.registrars[r.at], r.id(), false
+	to, id, answered := r.fleet.registrars[r.registrarIndex], r.id(), false
 	record := messages.RunnerRecord{ID: id, Service: "service", Addr: r.address, Capacity: 1, Seq: r.sequence, Draining: r.state == draining, Models: []messages.Target{}}
 	leaves := r.state == leaving
 	net := r.fleet.network
@@ -146,28 +146,28 @@
 				to.heartbeat(record)
 			}
 			net.Send(to.addr, r.address, func() {
-				if answered = true; leaves && r.life == life {
-					r.end()
+				if answered = true; leaves && r.generation == life {
+					r.endInstance()
 				}
 			})
 		})
 	})
 	r.fleet.kernel.After(answerWaitUs, func() {
 		if !answered {
-			r.at = (r.at + 1) % len(r.fleet.registrars)
+			r.registrarIndex = (r.registrarIndex + 1) % len(r.fleet.registrars)
 		}
 	})
-	r.fleet.kernel.After(heartbeatUs, func() { r.beat(life) })
+	r.fleet.kernel.After(heartbeatUs, func() { r.sendHeartbeat(life) })
 }
 
-// plan schedules the events of runners and the faults of registrars at random times.
-func (f *fleet) plan() {
+// scheduleEvents schedules the events of runners and the faults of registrars at random times.
+func (f *fleet) scheduleEvents() {
 	k := f.kernel
 	for range 3 + k.Below(8) {
 		// The first runner only sends heartbeats: without any heartbeat, a registrar cannot
 		// conclude from silence that runners have ended.
 		r := f.runners[1+k.Below(len(f.runners)-1)]
-		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.turn(r) })
+		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.applyLifecycleEvent(r) })
 	}
 	faults := 1 + k.Below(4)
 	if f.partial {
@@ -175,38 +175,38 @@
 	}
 	for range faults {
 		victim := f.registrars[k.Below(len(f.registrars))]
-		forUs := k.Between(leastFault, mostFleetCut)
-		strike := []func(*registrar, int64){f.cutOff, f.cutOff, f.cutOneWay, f.freeze, f.crash, f.lose}[k.Below(6)]
+		forUs := k.Between(leastFault, maxFleetFaultUs)
+		strike := []func(*registrar, int64){f.cutOff, f.cutOff, f.cutOneWay, f.freeze, f.crash, f.crashAndLoseState}[k.Below(6)]
 		if f.partial {
-			strike = f.cutOne
+			strike = f.cutPair
 		}
-		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.strike(strike, victim, forUs) })
+		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.injectFault(strike, victim, forUs) })
 	}
 }
 
-func (f *fleet) strike(fault func(*registrar, int64), victim *registrar, forUs int64) {
+func (f *fleet) injectFault(fault func(*registrar, int64), victim *registrar, forUs int64) {
 	if f.healed {
 		return
 	}
-	f.active++
-	f.turns++
+	f.activeFaults++
+	f.faultEvents++
 	fault(victim, forUs)
-	f.later(forUs, func() {
-		f.active--
-		f.turns++
+	f.endFaultAfter(forUs, func() {
+		f.activeFaults--
+		f.faultEvents++
 	})
 }
 
-// turn applies a random lifecycle event to a runner.
-func (f *fleet) turn(r *runner) {
+// applyLifecycleEvent applies a random lifecycle event to a runner.
+func (f *fleet) applyLifecycleEvent(r *runner) {
 	k := f.kernel
 	if f.healed {
 		return
 	}
 	switch {
 	case r.state == ended:
-		r.begin()
-	case r.state == beating && k.Chance(400):
+		r.start()
+	case r.state == running && k.Chance(400):
 		k.Note("%s drains", r.id())
 		r.state = draining
 		k.After(k.Between(0, 3*Second), func() {
@@ -215,10 +215,10 @@
 			}
 		})
 	case k.Chance(500):
-		r.end()
+		r.endInstance()
 		k.After(k.Between(Millisecond, 10*Second), func() {
 			if r.state == ended {
-				r.begin()
+				r.start()
 			}
 		})
 	default:
@@ -226,7 +226,7 @@
 	}
 }
 
-func (f *fleet) later(forUs int64, end func()) {
+func (f *fleet) endFaultAfter(forUs int64, end func()) {
 	f.kernel.After(forUs, func() {
 		if !f.healed {
 			end()
@@ -234,12 +234,12 @@
 	})
 }
 
-func (f *fleet) cutLinks(from, to string, forUs int64) {
+func (f *fleet) cutLink(from, to string, forUs int64) {
 	l := f.network.Link(from, to)
 	l.Cuts++
-	f.notePartition()
-	f.later(forUs, func() {
-		f.notePartition()
+	f.recordPartition()
+	f.endFaultAfter(forUs, func() {
+		f.recordPartition()
 		l.Cuts--
 	})
 }
@@ -248,56 +248,56 @@
 func (f *fleet) cutOff(victim *registrar, forUs int64) {
 	f.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range victim.others() {
-		f.cutLinks(victim.addr, other.addr, forUs)
-		f.cutLinks(other.addr, victim.addr, forUs)
+		f.cutLink(victim.addr, other.addr, forUs)
+		f.cutLink(other.addr, victim.addr, forUs)
 	}
 	for _, r := range f.runners {
 		if f.kernel.Chance(500) {
-			f.cutLinks(r.address, victim.addr, forUs)
+			f.cutLink(r.address, victim.addr, forUs)
 		}
 	}
-	f.later(forUs, f.conclusionsOf(victim))
+	f.endFaultAfter(forUs, f.liveRunnersListedCheck(victim))
 }
 
-// cutOne cuts the links between two registrars; both still reach the others.
-func (f *fleet) cutOne(victim *registrar, forUs int64) {
+// cutPair cuts the links between two registrars; both still reach the others.
+func (f *fleet) cutPair(victim *registrar, forUs int64) {
 	others := victim.others()
 	other := others[f.kernel.Below(len(others))]
 	f.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
-	f.cutLinks(victim.addr, other.addr, forUs)
-	f.cutLinks(other.addr, victim.addr, forUs)
+	f.cutLink(victim.addr, other.addr, forUs)
+	f.cutLink(other.addr, victim.addr, forUs)
 	for _, r := range []*registrar{victim, other} {
-		f.later(forUs, f.conclusionsOf(r))
-		f.later(forUs, f.endedUnlistedAt(r))
+		f.endFaultAfter(forUs, f.liveRunnersListedCheck(r))
+		f.endFaultAfter(forUs, f.endedUnlistedCheck(r))
 	}
 }
 
-// settled reports whether a runner has been sending heartbeats for at least listedUs.
-func (r *runner) settled() bool {
-	return r.state == beating && r.fleet.kernel.NowUs()-r.begunUs >= listedUs
+// isSettled reports whether a runner has been sending heartbeats for at least listedUs.
+func (r *runner) isSettled() bool {
+	return r.state == running && r.fleet.kernel.NowUs()-r.startedUs >= listedUs
 }
 
 func (f *fleet) cutOneWay(victim *registrar, forUs int64) {
 	f.kernel.Note("%s does not hear the others for %d us", victim.addr, forUs)
 	for _, other := range victim.others() {
-		f.cutLinks(other.addr, victim.addr, forUs)
+		f.cutLink(other.addr, victim.addr, forUs)
 	}
 }
 
 func (f *fleet) freeze(victim *registrar, forUs int64) {
 	f.kernel.Note("%s freezes for %d us", victim.addr, forUs)
 	victim.process.Freeze()
-	f.later(forUs, victim.process.Thaw)
+	f.endFaultAfter(forUs, victim.process.Thaw)
 }
 
 func (f *fleet) crash(victim *registrar, forUs int64) {
 	f.kernel.Note("%s crashes", victim.addr)
 	victim.process.Stop()
-	f.later(forUs, func() { f.restart(victim) })
+	f.endFaultAfter(forUs, func() { f.restart(victim) })
 }
 
-// lose crashes a registrar and deletes its stored state.
-func (f *fleet) lose(victim *registrar, forUs int64) {
+// crashAndLoseState crashes a registrar and deletes its stored state.
+func (f *fleet) crashAndLoseState(victim *registrar, forUs int64) {
 	victim.kept = nil
 	f.crash(victim, forUs)
 }
--- a/internal/simulation/fleet_checks.go
+++ b/internal/simulation/fleet_checks.go
@@ -2,8 +2,8 @@
 
 package simulation
 
-// notePartition is called when links are cut or restored.
-func (f *fleet) notePartition() {
+// recordPartition is called when links are cut or restored.
+func (f *fleet) recordPartition() {
 	if !f.connected() {
 		f.partitionedAtUs = f.kernel.NowUs()
 	}
@@ -18,8 +18,8 @@
 		from := queue[0]
 		queue = queue[1:]
 		for _, to := range from.others() {
-			whole := f.network.Link(from.addr, to.addr).Cuts+f.network.Link(to.addr, from.addr).Cuts == 0
-			if whole && !reached[to] {
+			linkUp := f.network.Link(from.addr, to.addr).Cuts+f.network.Link(to.addr, from.addr).Cuts == 0
+			if linkUp && !reached[to] {
 				reached[to] = true
 				queue = append(queue, to)
 			}
@@ -28,43 +28,43 @@
 	return len(reached) == len(f.registrars)
 }
 
-// endedUnlistedAt returns a check to run at the end of a cut. If the cut was the only fault, so
-// that all registrars were in contact, instances that ended more than staleUs ago must be
+// endedUnlistedCheck returns a check to run at the end of a cut. If the cut was the only fault, so
+// that all registrars were in contact, instances that ended more than partialUnlistedUs ago must be
 // unlisted.
-func (f *fleet) endedUnlistedAt(victim *registrar) func() {
-	turns, alone := f.turns, f.active == 1
+func (f *fleet) endedUnlistedCheck(victim *registrar) func() {
+	turns, alone := f.faultEvents, f.activeFaults == 1
 	return func() {
-		if !alone || f.turns != turns {
+		if !alone || f.faultEvents != turns {
 			return
 		}
-		for _, instance := range f.gone {
+		for _, instance := range f.endedInstances {
 			sinceUs := f.kernel.NowUs() - max(instance.atUs, f.partitionedAtUs)
-			if sinceUs > staleUs && victim.listed(instance.id) {
+			if sinceUs > partialUnlistedUs && victim.listed(instance.id) {
 				f.kernel.Fail("%s ended, %d us have passed without a partition, and it is listed at %s", instance.id, sinceUs, victim.addr)
 			}
 		}
 	}
 }
 
-// conclusionsOf returns a check to run at the end of a cut: the registrar that was cut off must
-// not have unlisted runners that kept sending heartbeats to any registrar. The check applies to
-// cuts that were the only fault, since a runner whose registrar is itself cut off is silent to
+// liveRunnersListedCheck returns a check to run at the end of a cut: the registrar that was cut off
+// must not have unlisted runners that kept sending heartbeats to any registrar. The check applies
+// to cuts that were the only fault, since a runner whose registrar is itself cut off is silent to
 // all others, and to partial cuts that left a path between all registrars.
-func (f *fleet) conclusionsOf(victim *registrar) func() {
-	begunUs, turns, alone := f.kernel.NowUs(), f.turns, f.active == 1
+func (f *fleet) liveRunnersListedCheck(victim *registrar) func() {
+	begunUs, turns, alone := f.kernel.NowUs(), f.faultEvents, f.activeFaults == 1
 	undisturbed := func() bool {
 		if f.partial {
 			return f.partitionedAtUs < begunUs-listedUs
 		}
-		return alone && f.turns == turns
+		return alone && f.faultEvents == turns
 	}
 	life, listed := victim.process.life, map[string]bool{}
 	for _, r := range f.runners {
-		listed[r.id()] = r.settled() && victim.process.Up() && victim.listed(r.id())
+		listed[r.id()] = r.isSettled() && victim.process.Up() && victim.listed(r.id())
 	}
 	return func() {
 		for _, r := range f.runners {
-			if undisturbed() && victim.process.life == life && listed[r.id()] && r.settled() && !victim.listed(r.id()) {
+			if undisturbed() && victim.process.life == life && listed[r.id()] && r.isSettled() && !victim.listed(r.id()) {
 				f.kernel.Fail("%s beats and is no longer listed at %s, which was cut off", r.id(), victim.addr)
 			}
 		}
@@ -75,7 +75,7 @@
 func (f *fleet) checkListed() {
 	for _, r := range f.runners {
 		for _, at := range f.registrars {
-			if r.settled() && !at.listed(r.id()) {
+			if r.isSettled() && !at.listed(r.id()) {
 				record, known := at.runners.Record(r.id())
 				f.kernel.Fail("%s beats and is not listed at %s: known %v, %+v", r.id(), at.addr, known, record)
 			}
@@ -85,7 +85,7 @@
 
 // checkUnlisted checks that no ended instance is listed at any registrar.
 func (f *fleet) checkUnlisted() {
-	for _, instance := range f.gone {
+	for _, instance := range f.endedInstances {
 		for _, at := range f.registrars {
 			if at.listed(instance.id) {
 				f.kernel.Fail("%s has ended and is listed at %s", instance.id, at.addr)
--- a/internal/simulation/loads.go
+++ b/internal/simulation/loads.go
@@ -13,24 +13,24 @@
 
 // Durations and sizes of a load history.
 const (
-	loadsFaultsUs     = 8 * Second
-	loadsCalmUs       = 4 * Second
-	loadReportUs      = 50 * Millisecond
-	loadParentUs      = 250 * Millisecond
-	loadRunners       = 8
-	ownLoads          = "own"
-	fewestBeforeChild = 2 // routers with a lower index have only controllers as parents
+	loadsFaultsUs      = 8 * Second
+	loadsRecoveryUs    = 4 * Second
+	loadReportUs       = 50 * Millisecond
+	loadParentUs       = 250 * Millisecond
+	loadRunners        = 8
+	ownLoads           = "own"
+	firstRelayedRouter = 2 // routers with a lower index have only controllers as parents
 )
 
 // loadHistory is the state of one simulated history.
 type loadHistory struct {
-	kernel  *Kernel
-	nodes   []*loadNode // controllers first
-	cores   int
-	defects Defects
-	counts  Counts
-	links   int64
-	healed  bool
+	kernel    *Kernel
+	nodes     []*loadNode // controllers first
+	cores     int
+	defects   Defects
+	counts    Counts
+	linkCount int64
+	healed    bool
 }
 
 // loadNode is a controller, or a router that reports to its parent.
@@ -41,21 +41,21 @@
 	process *Process
 
 	// The following fields are lost when the process restarts.
-	own     map[string]messages.RunnerLoad // requests in flight
-	stream  *statesync.Loads
-	subtree *statesync.LoadSum
-	parent  *loadLink
-	sendAll bool
-	below   []*loadLink
+	own      map[string]messages.RunnerLoad // requests in flight
+	stream   *statesync.Loads
+	subtree  *statesync.LoadSum
+	parent   *loadLink
+	sendAll  bool
+	children []*loadLink
 }
 
 // loadLink is a connection from a router to its parent.
 type loadLink struct {
-	name                  string // sender name at the parent
+	senderName            string // under which the parent sums the child's loads
 	child, parent         *loadNode
 	childLife, parentLife int64
-	open                  bool // state at the child
-	known                 bool // state at the parent
+	openAtChild           bool // state at the child
+	openAtParent          bool // state at the parent
 	lastUs                int64
 	cut                   bool
 }
@@ -71,11 +71,11 @@
 		n.boot()
 	}
 	for range 3 + k.Below(8) {
-		k.After(k.Between(Second/2, loadsFaultsUs), h.fault)
+		k.After(k.Between(Second/2, loadsFaultsUs), h.injectFault)
 	}
 	k.RunUntil(loadsFaultsUs)
 	h.heal()
-	k.RunUntil(loadsFaultsUs + loadsCalmUs)
+	k.RunUntil(loadsFaultsUs + loadsRecoveryUs)
 	h.checkSums()
 	h.counts.LoadHistories = 1
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.counts}
@@ -88,11 +88,11 @@
 	epoch := n.history.kernel.NowUs()*1000 + int64(n.number)
 	n.own, n.stream, n.subtree = map[string]messages.RunnerLoad{}, statesync.NewLoads(), statesync.NewLoadSum(epoch)
 	n.stream.Begin(epoch, 0)
-	n.parent, n.sendAll, n.below = nil, true, nil
+	n.parent, n.sendAll, n.children = nil, true, nil
 	n.every(loadReportUs, n.report)
 	if !n.isCore() {
-		n.every(loadParentUs, n.follow)
-		n.every(loadReportUs, n.work)
+		n.every(loadParentUs, n.maintainParent)
+		n.every(loadReportUs, n.changeLoads)
 	}
 }
 
@@ -103,8 +103,8 @@
 	})
 }
 
-// work changes the in-flight requests at random until all faults have been healed.
-func (n *loadNode) work() {
+// changeLoads changes the in-flight requests at random until all faults have been healed.
+func (n *loadNode) changeLoads() {
 	k := n.history.kernel
 	if n.history.healed || k.Chance(400) {
 		return
@@ -118,58 +118,58 @@
 	n.own[id] = load
 }
 
-// wanted returns the preferred parent of a router: a router with a lower index or a controller,
-// or nil if none is running.
-func (n *loadNode) wanted() *loadNode {
+// preferredParent returns the node that a router should report to: a router with a lower index or
+// a controller, or nil if none is running.
+func (n *loadNode) preferredParent() *loadNode {
 	h := n.history
-	place := n.number - h.cores
-	if place >= fewestBeforeChild && place%2 == 0 {
-		if relay := h.nodes[h.cores+place/2]; relay.process.Up() && !relay.process.frozen {
+	index := n.number - h.cores
+	if index >= firstRelayedRouter && index%2 == 0 {
+		if relay := h.nodes[h.cores+index/2]; relay.process.Up() && !relay.process.frozen {
 			return relay
 		}
 	}
 	for i := range h.cores {
-		if core := h.nodes[(place+i)%h.cores]; core.process.Up() && !core.process.frozen {
+		if core := h.nodes[(index+i)%h.cores]; core.process.Up() && !core.process.frozen {
 			return core
 		}
 	}
 	return nil
 }
 
-// follow maintains a connection to the preferred parent.
-func (n *loadNode) follow() {
-	parent := n.wanted()
-	if n.parent != nil && (n.parent.parent != parent || !n.parent.alive() || n.parent.cut) {
-		n.parent.end()
+// maintainParent maintains a connection to the preferred parent.
+func (n *loadNode) maintainParent() {
+	parent := n.preferredParent()
+	if n.parent != nil && (n.parent.parent != parent || !n.parent.isAlive() || n.parent.cut) {
+		n.parent.disconnect()
 		n.parent = nil
 	}
 	if n.parent != nil || parent == nil || n.history.kernel.Chance(200) {
 		return
 	}
-	n.history.links++
-	link := &loadLink{name: fmt.Sprintf("%s/%d", n.addr, n.history.links), child: n, parent: parent, childLife: n.process.life, parentLife: parent.process.life, open: true, known: true}
+	n.history.linkCount++
+	link := &loadLink{senderName: fmt.Sprintf("%s/%d", n.addr, n.history.linkCount), child: n, parent: parent, childLife: n.process.life, parentLife: parent.process.life, openAtChild: true, openAtParent: true}
 	n.history.kernel.Note("%s follows %s", n.addr, parent.addr)
 	n.parent, n.sendAll = link, true
-	parent.below = append(parent.below, link)
+	parent.children = append(parent.children, link)
 }
 
-// alive reports whether the connection is open and neither process has restarted since.
-func (l *loadLink) alive() bool {
-	return l.open && l.parent.process.life == l.parentLife && l.child.process.life == l.childLife
+// isAlive reports whether the connection is open and neither process has restarted since.
+func (l *loadLink) isAlive() bool {
+	return l.openAtChild && l.parent.process.life == l.parentLife && l.child.process.life == l.childLife
 }
 
-// end closes the connection; the parent notices after a delay and drops the loads received on it.
-func (l *loadLink) end() {
-	l.open = false
+// disconnect ends the connection. The parent notices after a delay and drops the loads received on it.
+func (l *loadLink) disconnect() {
+	l.openAtChild = false
 	k := l.parent.history.kernel
 	k.After(k.Between(Millisecond, 900*Millisecond), func() { l.parent.process.inLifeOf(l.parentLife, l.forget)() })
 }
 
 func (l *loadLink) forget() {
-	if l.known && !l.parent.history.defects.KeepSenders {
-		l.parent.subtree.Remove(l.name)
+	if l.openAtParent && !l.parent.history.defects.KeepSenders {
+		l.parent.subtree.Remove(l.senderName)
 	}
-	l.known = false
+	l.openAtParent = false
 }
 
 // report sends changed loads of the node's subtree to its parent.
@@ -180,7 +180,7 @@
 		n.subtree.SyncFrom(ownLoads, n.stream)
 	}
 	total := n.subtree.Total
-	if n.isCore() || n.parent == nil || !n.parent.alive() || !n.sendAll && !total.Dirty() {
+	if n.isCore() || n.parent == nil || !n.parent.isAlive() || !n.sendAll && !total.Dirty() {
 		return
 	}
 	change := total.Commit(total.Version + 1)
@@ -189,36 +189,36 @@
 	}
 	n.sendAll = false
 	n.history.counts.LoadReports++
-	n.parent.carry(statesync.EncodeLoads(change))
+	n.parent.send(statesync.EncodeLoads(change))
 }
 
-// carry delivers a report to the parent, in order with earlier ones. After a cut no more reports
+// send delivers a report to the parent, in order with earlier ones. After a cut no more reports
 // are delivered, and the child replaces the connection.
-func (l *loadLink) carry(change messages.LoadChange) {
+func (l *loadLink) send(change messages.LoadChange) {
 	k := l.parent.history.kernel
 	l.lastUs = max(l.lastUs+1, k.NowUs()+k.Between(200, 8*Millisecond))
 	k.After(l.lastUs-k.NowUs(), func() {
 		if l.cut {
 			return // no more messages are delivered
 		}
-		l.parent.process.inLifeOf(l.parentLife, func() { l.receive(change) })()
+		l.parent.process.inLifeOf(l.parentLife, func() { l.handleReport(change) })()
 	})
 }
 
-// receive applies a report, or requests all loads if an earlier report is missing.
-func (l *loadLink) receive(change messages.LoadChange) {
-	if !l.known {
+// handleReport applies a report, or requests all loads if an earlier report is missing.
+func (l *loadLink) handleReport(change messages.LoadChange) {
+	if !l.openAtParent {
 		return
 	}
-	result := l.parent.subtree.Apply(l.name, change)
+	result := l.parent.subtree.Apply(l.senderName, change)
 	if result == statesync.Applied || result == statesync.AlreadyApplied {
 		return
 	}
 	l.child.process.inLifeOf(l.childLife, func() { l.child.sendAll = true })()
 }
 
-// fault kills or freezes a node, or cuts a connection.
-func (h *loadHistory) fault() {
+// injectFault kills or freezes a node, or cuts a connection.
+func (h *loadHistory) injectFault() {
 	if h.healed {
 		return
 	}
@@ -231,7 +231,7 @@
 	case 0:
 		k.Note("%s is killed for %d us", n.addr, forUs)
 		n.process.Stop()
-		n.connectionsEnd()
+		n.closeConnections()
 		k.After(forUs, n.restart)
 	case 1:
 		k.Note("%s freezes for %d us", n.addr, forUs)
@@ -245,13 +245,13 @@
 	}
 }
 
-// connectionsEnd closes the connections of a killed process at its peers.
-func (n *loadNode) connectionsEnd() {
+// closeConnections closes the connections of a killed process at its peers.
+func (n *loadNode) closeConnections() {
 	if n.parent != nil {
-		n.parent.end()
+		n.parent.disconnect()
 	}
-	for _, link := range n.below {
-		link.open = false
+	for _, link := range n.children {
+		link.openAtChild = false
 	}
 }
 
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -10,26 +10,26 @@
 // loadRange is the fixed range of seeds that CI simulates.
 var loadRange = Range{Model: "loads", Count: 200, Parallel: 3}
 
-func TestLoadSeedsBreakNothing(t *testing.T) {
+func TestLoadSeedsViolateNoCheck(t *testing.T) {
 	counts := Run(loadRange, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
 	must.Eq(t, int64(loadRange.Count), counts.LoadHistories)
 	must.Positive(t, counts.LoadReports)
 }
 
-func TestOneLoadSeedPlaysOneHistory(t *testing.T) {
+func TestLoadSameSeedReproducesHistory(t *testing.T) {
 	for seed := range uint64(10) {
 		a, b := PlayLoads(seed, Options{Record: true}), PlayLoads(seed, Options{Record: true})
 		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
 	}
 }
 
-func TestLoadChecksFindLoadsOfSubscribersThatHaveEnded(t *testing.T) {
+func TestLoadChecksDetectLoadsKeptAfterSenderEnds(t *testing.T) {
 	for seed := range uint64(mostSeedsToFind) {
 		if r := PlayLoads(seed, Options{Defects: Defects{KeepSenders: true}}); r.Failure != "" {
-			t.Logf("found by seed %d: %s", seed, r.Failure)
+			t.Logf("detected by seed %d: %s", seed, r.Failure)
 			return
 		}
 	}
-	t.Error("no seed finds it")
+	t.Error("no seed detects the defect")
 }
--- a/internal/simulation/quota.go
+++ b/internal/simulation/quota.go
@@ -14,13 +14,13 @@
 
 // Durations and sizes of a quota history.
 const (
-	quotaFaultsFrom  = 3 * Second
-	quotaFaultsUs    = 30 * Second
-	quotaRestUs      = 10 * Second // after the last fault
-	quotaConvergeUs  = Second      // for a lowered limit to reach every router
-	mostQuotaFaultUs = 5 * Second
-	quotaSpares      = 2                 // controllers that are not in the group at first
-	groupKnownUs     = 400 * Millisecond // after a change of the group every member has received it
+	quotaFaultsFrom = 3 * Second
+	quotaFaultsUs   = 30 * Second
+	quotaRecoveryUs = 10 * Second // after the last fault
+	quotaConvergeUs = Second      // for a lowered limit to reach every router
+	maxQuotaFaultUs = 5 * Second
+	spareMembers    = 2                 // controllers that are not in the group at first
+	maxGroupDelayUs = 400 * Millisecond // after a change of the group every member has received it
 )
 
 // quotaBounds are the bounds that deployments use.
@@ -50,13 +50,13 @@
 func PlayQuota(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := newQuotaHistory(k, options.Defects, 3+2*k.Below(3), 4+k.Below(8))
-	h.checks.calm = k.Below(8) == 0
-	if !h.checks.calm {
-		h.plan()
+	h.checks.withoutFaults = k.Below(8) == 0
+	if !h.checks.withoutFaults {
+		h.scheduleFaults()
 	}
 	k.RunUntil(quotaFaultsFrom + quotaFaultsUs)
 	h.heal()
-	k.RunUntil(k.NowUs() + quotaRestUs)
+	k.RunUntil(k.NowUs() + quotaRecoveryUs)
 	h.checks.end()
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.checks.counts()}
 }
@@ -65,7 +65,7 @@
 	h := &quotaHistory{injector: &injector{kernel: k, network: NewNetwork(k)}, defects: defects}
 	h.checks = newQuotaChecks(h)
 	h.group.Version = 1
-	for i := range members + quotaSpares {
+	for i := range members + spareMembers {
 		m := &quotaMember{history: h, addr: fmt.Sprintf("c%d", i+1), process: NewProcess(k)}
 		h.members = append(h.members, m)
 		if i < members {
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, m := range h.members {
-		m.known = h.group
+		m.knownGroup = h.group
 	}
 	for i := range routers {
 		h.routers = append(h.routers, &quotaRouter{history: h, addr: fmt.Sprintf("r%d", i+1), process: NewProcess(k)})
@@ -91,37 +91,37 @@
 		r.boot()
 	}
 	for _, t := range h.tenants {
-		k.After(2*Second, func() { h.send(t) })
+		k.After(2*Second, func() { h.sendRequest(t) })
 	}
 	return h
 }
 
-// send delivers a request of a tenant to a random router and schedules the next one.
-func (h *quotaHistory) send(t *quotaTenant) {
+// sendRequest delivers a request of a tenant to a random router and schedules the next one.
+func (h *quotaHistory) sendRequest(t *quotaTenant) {
 	if r := h.routers[h.kernel.Below(len(h.routers))]; r.process.Up() {
-		h.checks.asked(t)
-		r.process.Deliver(func() { r.arrive(t, t.limit) })
+		h.checks.recordRequest(t)
+		r.process.Deliver(func() { r.handleRequest(t, t.limit) })
 	}
 	meanUs := int64(float64(Second) / (t.limit.RatePerS * t.demand))
-	h.kernel.After(h.kernel.Between(0, 2*meanUs), func() { h.send(t) })
+	h.kernel.After(h.kernel.Between(0, 2*meanUs), func() { h.sendRequest(t) })
 }
 
-// plan schedules the faults and the lowering of a limit at random times.
-func (h *quotaHistory) plan() {
+// scheduleFaults schedules the faults and the lowering of a limit at random times.
+func (h *quotaHistory) scheduleFaults() {
 	k := h.kernel
 	for range 2 + k.Below(8) {
-		atUs, forUs := quotaFaultsFrom+k.Between(0, quotaFaultsUs-mostQuotaFaultUs-Second), k.Between(100*Millisecond, mostQuotaFaultUs)
+		atUs, forUs := quotaFaultsFrom+k.Between(0, quotaFaultsUs-maxQuotaFaultUs-Second), k.Between(100*Millisecond, maxQuotaFaultUs)
 		k.After(atUs, func() { quotaFaults[k.Below(len(quotaFaults))](h, forUs) })
 	}
-	k.After(quotaFaultsFrom+k.Between(0, quotaFaultsUs/2), h.lower)
+	k.After(quotaFaultsFrom+k.Between(0, quotaFaultsUs/2), h.lowerLimit)
 }
 
-// lower halves a limit. It applies to requests that reach a router afterwards.
-func (h *quotaHistory) lower() {
+// lowerLimit halves a limit. It applies to requests that reach a router afterwards.
+func (h *quotaHistory) lowerLimit() {
 	t := h.tenants[h.kernel.Below(len(h.tenants))]
 	h.kernel.Note("the limit of %s is lowered", t.name)
 	t.limit = quota.Limit{Version: t.limit.Version + 1, RatePerS: t.limit.RatePerS / 2, Burst: t.limit.Burst / 2}
-	h.checks.lowered(t)
+	h.checks.recordLowered(t)
 }
 
 // quotaFaults are the faults that plan chooses from; each lasts for forUs.
@@ -132,8 +132,8 @@
 	(*quotaHistory).replaceMember,
 }
 
-// victim returns a member, most often one that owns a tenant's shard.
-func (h *quotaHistory) victim() *quotaMember {
+// chooseMember returns a member, most often one that owns a tenant's shard.
+func (h *quotaHistory) chooseMember() *quotaMember {
 	shard := quota.ShardOf(h.tenants[h.kernel.Below(len(h.tenants))].name)
 	for _, m := range h.members {
 		if m.process.Up() && m.member.Owns(shard, m.process.NowUs()) && h.kernel.Chance(800) {
@@ -153,7 +153,7 @@
 	})
 }
 
-func (h *quotaHistory) killOwner(forUs int64) { h.kill(h.victim(), forUs) }
+func (h *quotaHistory) killOwner(forUs int64) { h.kill(h.chooseMember(), forUs) }
 
 func (h *quotaHistory) killManyMembers(forUs int64) {
 	for _, m := range h.members {
@@ -177,13 +177,13 @@
 }
 
 func (h *quotaHistory) freezeOwner(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.freeze(m.process, m.addr, forUs)
 }
 
 // cutOwnerOff partitions a member from the others. Routers still reach both sides.
 func (h *quotaHistory) cutOwnerOff(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.kernel.Note("%s is cut off from the members for %d us", m.addr, forUs)
 	oneWay := h.kernel.Chance(300)
 	for _, other := range h.members {
@@ -199,7 +199,7 @@
 
 // cutOwnerOffAndRestart partitions a member from the others, which restart at once.
 func (h *quotaHistory) cutOwnerOffAndRestart(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.kernel.Note("%s is cut off for %d us, the others restart", m.addr, forUs)
 	for _, other := range h.members {
 		if other != m {
@@ -229,16 +229,16 @@
 	}
 	for _, m := range h.members {
 		group := h.group
-		h.kernel.After(h.kernel.Between(0, groupKnownUs), func() {
-			if group.Version > m.known.Version {
-				m.known = group
+		h.kernel.After(h.kernel.Between(0, maxGroupDelayUs), func() {
+			if group.Version > m.knownGroup.Version {
+				m.knownGroup = group
 			}
 		})
 	}
 }
 
 func (h *quotaHistory) cutPair(forUs int64) {
-	m, other := h.victim(), h.members[h.kernel.Below(len(h.members))]
+	m, other := h.chooseMember(), h.members[h.kernel.Below(len(h.members))]
 	h.kernel.Note("%s and %s are cut off from each other for %d us", m.addr, other.addr, forUs)
 	h.cut(m.addr, other.addr, forUs)
 }
@@ -284,7 +284,7 @@
 
 // slowLinks makes all links between a member and the other members slow and lossy.
 func (h *quotaHistory) slowLinks(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.kernel.Note("the links of %s are slow for %d us", m.addr, forUs)
 	for _, other := range h.members {
 		for _, link := range []*Link{h.network.Link(m.addr, other.addr), h.network.Link(other.addr, m.addr)} {
--- a/internal/simulation/quota_actors.go
+++ b/internal/simulation/quota_actors.go
@@ -9,18 +9,18 @@
 
 // quotaMember models the quota part of a controller.
 type quotaMember struct {
-	history *quotaHistory
-	addr    string
-	process *Process
-	lives   int
-	known   quota.Group // the group as last received by this member; survives restarts
-	member  *quota.Member
+	history    *quotaHistory
+	addr       string
+	process    *Process
+	starts     int
+	knownGroup quota.Group // the group as last received by this member; survives restarts
+	member     *quota.Member
 }
 
 func (m *quotaMember) boot() {
 	m.process.Start()
-	m.lives++
-	config := quota.Config{Self: fmt.Sprintf("%s/%d", m.addr, m.lives), Bounds: quotaBounds, StartUs: m.process.NowUs()}
+	m.starts++
+	config := quota.Config{Self: fmt.Sprintf("%s/%d", m.addr, m.starts), Bounds: quotaBounds, StartUs: m.process.NowUs()}
 	if m.history.defects.VoteAfterRestart {
 		config.StartUs -= quota.LeaseUs
 	}
@@ -43,7 +43,7 @@
 	if m.history.defects.OwnWithoutMajority {
 		return quota.Group{Version: 1, Members: []string{m.addr}}
 	}
-	return m.known
+	return m.knownGroup
 }
 
 func (m *quotaMember) send(o quota.OutgoingClaim) {
@@ -71,11 +71,11 @@
 	return nil
 }
 
-// answer handles a router's request for tokens.
-func (m *quotaMember) answer(ask messages.QuotaAsk) messages.QuotaGrant {
+// handleAsk handles a router's request for tokens.
+func (m *quotaMember) handleAsk(ask messages.QuotaAsk) messages.QuotaGrant {
 	grant := m.member.HandleAsk(ask, m.process.NowUs())
 	if grant.Owner {
-		m.history.checks.answered(m, quota.ShardOf(ask.Tenant))
+		m.history.checks.checkOwner(m, quota.ShardOf(ask.Tenant))
 	}
 	if m.member.Urgent() {
 		m.process.After(0, m.claim)
@@ -85,23 +85,23 @@
 
 // Timeouts of a router, as in package router.
 const (
-	quotaAnswerWaitUs = 45 * Millisecond
-	quotaTries        = 2
-	quotaPauseUs      = 25 * Millisecond
-	quotaBorrowWaitUs = 20 * Millisecond
-	quotaRequestUs    = 100 * Millisecond // longest wait of a request for a token
-	mostQueueUs       = 300 * Millisecond // longest wait for a runner afterwards
+	askTimeoutUs      = 45 * Millisecond
+	maxAsksPerMember  = 2
+	quotaRetryDelayUs = 25 * Millisecond
+	borrowTimeoutUs   = 20 * Millisecond
+	maxTokenWaitUs    = 100 * Millisecond // longest wait of a request for a token
+	maxRunnerWaitUs   = 300 * Millisecond // longest wait for a runner afterwards
 )
 
 // quotaRouter models the quota part of a router.
 type quotaRouter struct {
-	history *quotaHistory
-	addr    string
-	process *Process
-	grantee *quota.Grantee
-	waiting map[*quotaTenant][]*quotaRequest
-	asking  map[*quotaTenant]bool
-	owners  map[int]string
+	history    *quotaHistory
+	addr       string
+	process    *Process
+	grantee    *quota.Grantee
+	waiting    map[*quotaTenant][]*quotaRequest
+	requesting map[*quotaTenant]bool
+	owners     map[int]string
 }
 
 // quotaRequest is a request that waits for a token.
@@ -114,12 +114,12 @@
 func (r *quotaRouter) boot() {
 	r.process.Start()
 	r.grantee = quota.NewGrantee(r.addr, quotaBounds, r.process.NowUs())
-	r.waiting, r.asking, r.owners = map[*quotaTenant][]*quotaRequest{}, map[*quotaTenant]bool{}, map[int]string{}
-	r.see()
+	r.waiting, r.requesting, r.owners = map[*quotaTenant][]*quotaRequest{}, map[*quotaTenant]bool{}, map[int]string{}
+	r.refreshRouters()
 }
 
-// see refreshes the grantee's list of running routers every second.
-func (r *quotaRouter) see() {
+// refreshRouters refreshes the grantee's list of running routers every second.
+func (r *quotaRouter) refreshRouters() {
 	var alive []string
 	for _, other := range r.history.routers {
 		if other.process.Up() {
@@ -127,37 +127,37 @@
 		}
 	}
 	r.grantee.SetRouters(alive, r.process.NowUs())
-	r.process.After(Second, r.see)
+	r.process.After(Second, r.refreshRouters)
 }
 
-// arrive handles a client's request.
-func (r *quotaRouter) arrive(t *quotaTenant, limit quota.Limit) {
+// handleRequest handles a client's request.
+func (r *quotaRouter) handleRequest(t *quotaTenant, limit quota.Limit) {
 	token, ok := r.grantee.CountAndAcquire(t.name, r.process.NowUs())
 	r.acquire(t, limit, token, ok, func(token quota.Token, denied bool) {
 		if token == (quota.Token{}) {
-			r.history.checks.rejected(t, denied)
+			r.history.checks.recordRejected(t, denied)
 			return
 		}
-		r.queue(t, limit, token)
+		r.waitForRunner(t, limit, token)
 	})
 }
 
-// queue makes the request wait for a runner. It then runs if its token is still valid or another
-// token is granted.
-func (r *quotaRouter) queue(t *quotaTenant, limit quota.Limit, token quota.Token) {
+// waitForRunner makes the request wait for a runner. It then runs if its token is still valid or
+// another token is granted.
+func (r *quotaRouter) waitForRunner(t *quotaTenant, limit quota.Limit, token quota.Token) {
 	k := r.history.kernel
-	waitUs := max(k.Between(0, mostQueueUs), r.history.busyUntilUs-k.NowUs())
+	waitUs := max(k.Between(0, maxRunnerWaitUs), r.history.busyUntilUs-k.NowUs())
 	r.process.After(waitUs, func() {
 		if token.Valid(r.process.NowUs()) || r.history.defects.IgnoreTokenAge {
-			r.history.checks.ran(t)
+			r.history.checks.recordRun(t)
 			return
 		}
 		token, ok := r.grantee.Acquire(t.name, r.process.NowUs())
 		r.acquire(t, limit, token, ok, func(token quota.Token, _ bool) {
 			if token == (quota.Token{}) {
-				r.history.checks.rejectedLate(t)
+				r.history.checks.recordExpired(t)
 			} else {
-				r.history.checks.ran(t)
+				r.history.checks.recordRun(t)
 			}
 		})
 	})
@@ -172,15 +172,15 @@
 	}
 	request := &quotaRequest{tenant: t, limit: limit, decide: decide}
 	r.waiting[t] = append(r.waiting[t], request)
-	r.process.After(quotaRequestUs, func() { r.giveUp(request) })
-	if !r.asking[t] {
-		r.asking[t] = true
-		r.ask(t)
+	r.process.After(maxTokenWaitUs, func() { r.stopWaiting(request) })
+	if !r.requesting[t] {
+		r.requesting[t] = true
+		r.requestTokens(t)
 	}
 }
 
-// giveUp ends a request's wait for an owner and tries to borrow a token from other routers.
-func (r *quotaRouter) giveUp(request *quotaRequest) {
+// stopWaiting ends a request's wait for an owner and tries to borrow a token from other routers.
+func (r *quotaRouter) stopWaiting(request *quotaRequest) {
 	list := r.waiting[request.tenant]
 	for i, other := range list {
 		if other == request {
@@ -222,7 +222,7 @@
 			net.Send(lender.addr, r.addr, back)
 		})
 	})
-	r.process.After(quotaBorrowWaitUs, func() { end(false) })
+	r.process.After(borrowTimeoutUs, func() { end(false) })
 }
 
 func (h *quotaHistory) routerAt(addr string) *quotaRouter {
@@ -234,10 +234,10 @@
 	return nil
 }
 
-// ask requests tokens from the members, the most likely owner first.
-func (r *quotaRouter) ask(t *quotaTenant) {
+// requestTokens requests tokens from the members, the most likely owner first.
+func (r *quotaRouter) requestTokens(t *quotaTenant) {
 	if len(r.waiting[t]) == 0 {
-		r.asking[t] = false
+		r.requesting[t] = false
 		return
 	}
 	shard := quota.ShardOf(t.name)
@@ -248,12 +248,12 @@
 	for _, m := range r.history.members {
 		addrs = append(addrs, m.addr)
 	}
-	r.askNext(t, shard, "", addrs, map[string]int{})
+	r.requestFromNext(t, shard, "", addrs, map[string]int{})
 }
 
-// askNext sends the request to addr, the owner that another member has returned as a hint, or
-// else to the next member.
-func (r *quotaRouter) askNext(t *quotaTenant, shard int, addr string, addrs []string, tries map[string]int) {
+// requestFromNext sends the request to addr, the owner that another member has returned as a hint,
+// or else to the next member.
+func (r *quotaRouter) requestFromNext(t *quotaTenant, shard int, addr string, addrs []string, tries map[string]int) {
 	for addr == "" && len(addrs) > 0 {
 		if tries[addrs[0]] == 0 {
 			addr = addrs[0]
@@ -262,24 +262,24 @@
 	}
 	if addr == "" {
 		delete(r.owners, shard)
-		r.process.After(quotaPauseUs, func() { r.ask(t) })
+		r.process.After(quotaRetryDelayUs, func() { r.requestTokens(t) })
 		return
 	}
 	tries[addr]++
-	r.call(addr, t, func(grant messages.QuotaGrant, answered bool) {
+	r.requestFrom(addr, t, func(grant messages.QuotaGrant, answered bool) {
 		switch {
 		case answered && grant.Owner:
-			r.ask(t)
-		case answered && tries[grant.Hint] < quotaTries:
-			r.askNext(t, shard, grant.Hint, addrs, tries)
+			r.requestTokens(t)
+		case answered && tries[grant.Hint] < maxAsksPerMember:
+			r.requestFromNext(t, shard, grant.Hint, addrs, tries)
 		default:
-			r.askNext(t, shard, "", addrs, tries)
+			r.requestFromNext(t, shard, "", addrs, tries)
 		}
 	})
 }
 
-// call requests tokens from one member. A grant that arrives after the timeout is still used.
-func (r *quotaRouter) call(addr string, t *quotaTenant, done func(messages.QuotaGrant, bool)) {
+// requestFrom requests tokens from one member. A grant that arrives after the timeout is still used.
+func (r *quotaRouter) requestFrom(addr string, t *quotaTenant, done func(messages.QuotaGrant, bool)) {
 	net, askedUs, ended := r.history.network, r.process.NowUs(), false
 	end := func(grant messages.QuotaGrant, answered bool) {
 		if !ended {
@@ -295,18 +295,18 @@
 	var grant messages.QuotaGrant
 	back := r.process.InLife(func() {
 		if grant.Owner {
-			r.settle(addr, t, limit, need, grant, askedUs)
+			r.distributeGrant(addr, t, limit, need, grant, askedUs)
 		}
 		end(grant, true)
 	})
 	m := r.history.memberAt(addr)
 	net.Send(r.addr, addr, func() {
 		m.process.Deliver(func() {
-			grant = m.answer(ask)
+			grant = m.handleAsk(ask)
 			net.Send(addr, r.addr, back)
 		})
 	})
-	r.process.After(quotaAnswerWaitUs, func() { end(messages.QuotaGrant{}, false) })
+	r.process.After(askTimeoutUs, func() { end(messages.QuotaGrant{}, false) })
 }
 
 // limit returns the limit of the latest waiting request.
@@ -318,9 +318,9 @@
 	return limit
 }
 
-// settle distributes the tokens granted by an owner to the waiting requests, and denies requests
-// beyond the grant.
-func (r *quotaRouter) settle(addr string, t *quotaTenant, limit quota.Limit, need int, grant messages.QuotaGrant, askedUs int64) {
+// distributeGrant distributes the tokens granted by an owner to the waiting requests, and denies
+// requests beyond the grant.
+func (r *quotaRouter) distributeGrant(addr string, t *quotaTenant, limit quota.Limit, need int, grant messages.QuotaGrant, askedUs int64) {
 	nowUs := r.process.NowUs()
 	r.owners[quota.ShardOf(t.name)] = addr
 	r.grantee.AddGranted(t.name, limit, grant.Granted, askedUs, nowUs)
@@ -330,18 +330,18 @@
 		if !ok {
 			break
 		}
-		r.pop(t).decide(token, false)
+		r.popWaiting(t).decide(token, false)
 		served++
 	}
 	if grant.Granted >= need {
 		return
 	}
 	for range min(need-served, len(r.waiting[t])) {
-		r.pop(t).decide(quota.Token{}, true)
+		r.popWaiting(t).decide(quota.Token{}, true)
 	}
 }
 
-func (r *quotaRouter) pop(t *quotaTenant) *quotaRequest {
+func (r *quotaRouter) popWaiting(t *quotaTenant) *quotaRequest {
 	request := r.waiting[t][0]
 	r.waiting[t] = r.waiting[t][1:]
 	return request
--- a/internal/simulation/quota_checks.go
+++ b/internal/simulation/quota_checks.go
@@ -17,16 +17,16 @@
 	asked     int64
 	denied    int64
 	unknown   int64
-	late      int64 // rejected as their tokens had expired while they waited for a runner
+	expired   int64 // rejected as their tokens had expired while they waited for a runner
 	ran       int64
 }
 
 // quotaChecks checks the bound on requests over every window, and that without faults requests
 // within the limit are not rejected.
 type quotaChecks struct {
-	history *quotaHistory
-	calm    bool // no faults are injected
-	tallies map[*quotaTenant]*quotaTally
+	history       *quotaHistory
+	withoutFaults bool // no faults are injected
+	tallies       map[*quotaTenant]*quotaTally
 }
 
 func newQuotaChecks(h *quotaHistory) *quotaChecks {
@@ -40,11 +40,11 @@
 	return c.tallies[t]
 }
 
-func (c *quotaChecks) asked(t *quotaTenant) { c.tally(t).asked++ }
+func (c *quotaChecks) recordRequest(t *quotaTenant) { c.tally(t).asked++ }
 
-func (c *quotaChecks) lowered(t *quotaTenant) { c.tally(t).loweredUs = c.history.kernel.NowUs() }
+func (c *quotaChecks) recordLowered(t *quotaTenant) { c.tally(t).loweredUs = c.history.kernel.NowUs() }
 
-func (c *quotaChecks) rejected(t *quotaTenant, denied bool) {
+func (c *quotaChecks) recordRejected(t *quotaTenant, denied bool) {
 	if denied {
 		c.tally(t).denied++
 	} else {
@@ -52,10 +52,10 @@
 	}
 }
 
-func (c *quotaChecks) rejectedLate(t *quotaTenant) { c.tally(t).late++ }
+func (c *quotaChecks) recordExpired(t *quotaTenant) { c.tally(t).expired++ }
 
-// answered checks that no other member owns the shard of a member that answered as its owner.
-func (c *quotaChecks) answered(owner *quotaMember, shard int) {
+// checkOwner checks that no other member owns the shard of a member that answered as its owner.
+func (c *quotaChecks) checkOwner(owner *quotaMember, shard int) {
 	for _, other := range c.history.members {
 		if other != owner && other.process.Up() && other.member.Owns(shard, other.process.NowUs()) {
 			c.history.kernel.Fail("%s answers as the owner of shard %d, which %s owns", owner.addr, shard, other.addr)
@@ -63,8 +63,8 @@
 	}
 }
 
-// ran records that a request ran and checks the oldest window that contains it.
-func (c *quotaChecks) ran(t *quotaTenant) {
+// recordRun records that a request ran and checks the oldest window that contains it.
+func (c *quotaChecks) recordRun(t *quotaTenant) {
 	tally, nowUs := c.tally(t), c.history.kernel.NowUs()
 	tally.ran++
 	limit := t.limit
@@ -85,19 +85,19 @@
 // Bounds on the rejected requests of a tenant within its limit when there are no faults: links
 // still lose an occasional message.
 const (
-	mostRejectedPerMille = 2
-	mostRejectedBeside   = 2
+	maxRejectedPerMille    = 2
+	allowedExtraRejections = 2
 )
 
 // end checks, for histories without faults, the number of rejected requests and that tenants
 // over their limit were served up to the limit.
 func (c *quotaChecks) end() {
-	if !c.calm {
+	if !c.withoutFaults {
 		return
 	}
 	for t, tally := range c.tallies {
 		switch {
-		case t.demand < 1 && 1000*(tally.denied+tally.unknown-mostRejectedBeside) > mostRejectedPerMille*tally.asked:
+		case t.demand < 1 && 1000*(tally.denied+tally.unknown-allowedExtraRejections) > maxRejectedPerMille*tally.asked:
 			c.history.kernel.Fail("%s: %d of %d requests inside the limit were denied and %d found no owner, with no fault", t.name, tally.denied, tally.asked, tally.unknown)
 		case t.demand > 1 && float64(tally.ran) < 0.9*t.limit.RatePerS*float64(quotaFaultsUs)/float64(Second):
 			c.history.kernel.Fail("%s: only %d requests of a tenant over its limit of %.0f a second ran", t.name, tally.ran, t.limit.RatePerS)
@@ -110,11 +110,11 @@
 func (c *quotaChecks) counts() Counts {
 	out := Counts{QuotaHistories: 1}
 	for t, tally := range c.tallies {
-		if t.demand < 1 && !c.calm {
+		if t.demand < 1 && !c.withoutFaults {
 			out.QuotaAsked += tally.asked
 			out.QuotaDenied += tally.denied
 			out.QuotaUnknown += tally.unknown
-			out.QuotaLate += tally.late
+			out.QuotaLate += tally.expired
 		}
 		out.QuotaRan += tally.ran
 	}
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestQuotaSeedsBreakNothing(t *testing.T) {
+func TestQuotaSeedsViolateNoCheck(t *testing.T) {
 	histories := Range{Model: "quota", Count: 150, Parallel: 3}
 	counts := Run(histories, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
@@ -16,7 +16,7 @@
 	must.Less(t, counts.QuotaAsked, 100*counts.QuotaDenied)
 }
 
-func TestOneSeedPlaysOneQuotaHistory(t *testing.T) {
+func TestQuotaSameSeedReproducesHistory(t *testing.T) {
 	for seed := range uint64(5) {
 		a, b := PlayQuota(seed, Options{Record: true}), PlayQuota(seed, Options{Record: true})
 		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
@@ -25,25 +25,25 @@
 }
 
 // Each injected defect must be detected by a check.
-func TestQuotaChecksFindWhatIsTakenOut(t *testing.T) {
+func TestQuotaChecksDetectDefects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 		finds   string
 	}{
-		{"votes after a restart", Defects{VoteAfterRestart: true}, "answers as the owner"},
-		{"majority", Defects{OwnWithoutMajority: true}, "answers as the owner"},
-		{"age of tokens", Defects{IgnoreTokenAge: true}, "requests ran in the window"},
+		{"vote directly after restart", Defects{VoteAfterRestart: true}, "answers as the owner"},
+		{"ownership without majority", Defects{OwnWithoutMajority: true}, "answers as the owner"},
+		{"token age ignored", Defects{IgnoreTokenAge: true}, "requests ran in the window"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(mostSeedsToFind) {
 				r := PlayQuota(seed, Options{Defects: c.defects})
 				if strings.Contains(r.Failure, c.finds) {
-					t.Logf("found by seed %d: %s", seed, r.Failure)
+					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					return
 				}
 			}
-			t.Error("no seed finds it")
+			t.Error("no seed detects the defect")
 		})
 	}
 }
--- a/internal/simulation/requests_checks.go
+++ b/internal/simulation/requests_checks.go
@@ -10,7 +10,7 @@
 // unknownOrBroken returns the result of an attempt whose connection ended: the request may have
 // run, and part of its response may have been sent to the client.
 func unknownOrBroken(e *requestExchange) attempt.Result {
-	if e.stream.Len() > 0 {
+	if e.sent.Len() > 0 {
 		return attempt.Interrupted
 	}
 	return attempt.Unknown
@@ -18,35 +18,35 @@
 
 // requestChecks records the events of each request and checks the invariants.
 type requestChecks struct {
-	history *requestHistory
-	seen    map[string]*requestSeen
-	sentUs  []int64 // send times of requests
-	extraUs []int64 // arrival times at runners of attempts after the first
-	counts  Counts
+	history   *requestHistory
+	records   map[string]*requestRecord
+	sentUs    []int64 // send times of requests
+	retriesUs []int64 // arrival times at runners of attempts after the first
+	counts    Counts
 }
 
-// requestSeen records the events of one try of a client.
-type requestSeen struct {
+// requestRecord records the events of one try of a client.
+type requestRecord struct {
 	arrivals, runs int
-	promised       bool // the client received 503 or 429: it has not run and never will
+	notRunReported bool // the client received 503 or 429: it has not run and never will
 }
 
 func newRequestChecks(h *requestHistory) *requestChecks {
-	return &requestChecks{history: h, seen: map[string]*requestSeen{}}
+	return &requestChecks{history: h, records: map[string]*requestRecord{}}
 }
 
-func (c *requestChecks) sent(in *incoming) {
-	c.seen[in.id] = &requestSeen{}
+func (c *requestChecks) recordSent(in *incoming) {
+	c.records[in.id] = &requestRecord{}
 	c.sentUs = append(c.sentUs, c.history.kernel.NowUs())
 	c.counts.RequestsSent++
 }
 
-// arrived is called when a runner receives a request.
-func (c *requestChecks) arrived(in *incoming) {
-	seen := c.seen[in.id]
+// recordArrival is called when a runner receives a request.
+func (c *requestChecks) recordArrival(in *incoming) {
+	seen := c.records[in.id]
 	seen.arrivals++
 	if seen.arrivals > 1 {
-		c.extraUs = append(c.extraUs, c.history.kernel.NowUs())
+		c.retriesUs = append(c.retriesUs, c.history.kernel.NowUs())
 		c.counts.RequestRetries++
 		c.checkBudget()
 	}
@@ -61,7 +61,7 @@
 			requests++
 		}
 	}
-	for _, at := range c.extraUs {
+	for _, at := range c.retriesUs {
 		if at > nowUs-retryWindowUs {
 			retries++
 		}
@@ -71,9 +71,9 @@
 	}
 }
 
-// runs is called when a runner starts to execute a request.
-func (c *requestChecks) runs(in *incoming) {
-	seen := c.seen[in.id]
+// recordStart is called when a runner starts to execute a request.
+func (c *requestChecks) recordStart(in *incoming) {
+	seen := c.records[in.id]
 	seen.runs++
 	c.counts.RequestsRun++
 	if in.client.kind != effectfulRequest {
@@ -82,25 +82,25 @@
 	if seen.runs > 1 {
 		c.history.kernel.Fail("%s runs twice", in.id)
 	}
-	if seen.promised {
+	if seen.notRunReported {
 		c.history.kernel.Fail("%s runs after it was answered that it never will", in.id)
 	}
 }
 
-// answered is called when a client receives a response or its connection ends.
-func (c *requestChecks) answered(in *incoming, status int, body string) {
-	seen, k := c.seen[in.id], c.history.kernel
+// checkResponse is called when a client receives a response or its connection ends.
+func (c *requestChecks) checkResponse(in *incoming, status int, body string) {
+	seen, k := c.records[in.id], c.history.kernel
 	k.Note("%s is answered %d", in.id, status)
 	switch {
 	case status == 503 || status == 429:
-		seen.promised = true
+		seen.notRunReported = true
 		c.counts.RequestsRejected++
 		if seen.runs > 0 && in.client.kind == effectfulRequest {
 			k.Fail("%s is answered %d after it has run", in.id, status)
 		}
 	case status == 200:
 		c.counts.RequestsAnswered++
-		if want := c.wholeAnswer(in); body != want {
+		if want := c.expectedBody(in); body != want {
 			k.Fail("%s gets %q, not %q", in.id, body, want)
 		}
 	case status == 500 && body != "answer to "+in.id && in.client.kind != resumableStream:
@@ -108,8 +108,8 @@
 	}
 }
 
-// wholeAnswer returns the complete response body of a request.
-func (c *requestChecks) wholeAnswer(in *incoming) string {
+// expectedBody returns the complete response body of a request.
+func (c *requestChecks) expectedBody(in *incoming) string {
 	if in.client.kind != resumableStream {
 		return "answer to " + in.id
 	}
@@ -120,13 +120,13 @@
 	return out.String()
 }
 
-// overdue is called requestLateUs after a client's deadline and checks that the request has
+// checkDeadline is called requestGraceUs after a client's deadline and checks that the request has
 // ended by then, unless its router was frozen in between.
-func (c *requestChecks) overdue(in *incoming) {
+func (c *requestChecks) checkDeadline(in *incoming) {
 	r := in.router
 	stood := r.process.frozen || r.thawedUs >= in.sentUs
 	if !in.ended && !stood {
-		c.history.kernel.Fail("%s has no end %d us after its deadline", in.id, requestLateUs)
+		c.history.kernel.Fail("%s has no end %d us after its deadline", in.id, requestGraceUs)
 	}
 }
 
--- a/internal/simulation/requests_router.go
+++ b/internal/simulation/requests_router.go
@@ -18,33 +18,33 @@
 	thawedUs int64
 
 	// The following fields are lost when the process restarts.
-	budget    *upstream.Budget
-	idle      map[*requestRunner][]*requestConn
-	exchanges map[*incoming]*requestExchange
-	open      map[*incoming]bool // requests whose clients wait for a response
+	budget       *upstream.Budget
+	idleConns    map[*requestRunner][]*requestConn
+	exchanges    map[*incoming]*requestExchange
+	openRequests map[*incoming]bool // requests whose clients wait for a response
 }
 
 func newRequestRouter(h *requestHistory, i int) *requestRouter {
-	r := &requestRouter{history: h, name: fmt.Sprintf("r%d", i+1), process: NewProcess(h.kernel), open: map[*incoming]bool{}}
-	r.begin()
+	r := &requestRouter{history: h, name: fmt.Sprintf("r%d", i+1), process: NewProcess(h.kernel), openRequests: map[*incoming]bool{}}
+	r.start()
 	return r
 }
 
-func (r *requestRouter) begin() {
+func (r *requestRouter) start() {
 	r.process.Start()
 	r.budget = &upstream.Budget{Ratio: retryRatio, Slack: retrySlack, WindowUs: retryWindowUs}
-	r.idle, r.exchanges = map[*requestRunner][]*requestConn{}, map[*incoming]*requestExchange{}
+	r.idleConns, r.exchanges = map[*requestRunner][]*requestConn{}, map[*incoming]*requestExchange{}
 }
 
 // restart starts the process if it is not running.
 func (r *requestRouter) restart() {
 	if !r.process.Up() {
-		r.begin()
+		r.start()
 	}
 }
 
-// end kills the process, which closes all its connections.
-func (r *requestRouter) end() {
+// kill kills the process, which closes all its connections.
+func (r *requestRouter) kill() {
 	r.process.Stop()
 	for _, e := range r.sortedExchanges() {
 		if e.conn != nil {
@@ -52,19 +52,19 @@
 		}
 	}
 	for _, runner := range r.history.runners {
-		for _, conn := range r.idle[runner] {
+		for _, conn := range r.idleConns[runner] {
 			conn.close()
 		}
 	}
-	open := r.open
-	r.open = map[*incoming]bool{}
+	open := r.openRequests
+	r.openRequests = map[*incoming]bool{}
 	ids := make([]*incoming, 0, len(open))
 	for in := range open {
 		ids = append(ids, in)
 	}
 	slices.SortFunc(ids, func(a, b *incoming) int { return strings.Compare(a.id, b.id) })
 	for _, in := range ids {
-		in.answer(0, "")
+		in.respond(0, "")
 	}
 }
 
@@ -79,16 +79,16 @@
 
 // requestExchange is the state of one request at its router.
 type requestExchange struct {
-	router   *requestRouter
-	in       *incoming
-	sequence attempt.Sequence
-	avoid    []*requestRunner
-	endUs    int64 // by the router's clock
-	conn     *requestConn
-	runner   *requestRunner
-	events   upstream.Events
-	stream   strings.Builder // bytes sent to the client
-	number   int             // of the current attempt; late events of earlier attempts are ignored by it
+	router        *requestRouter
+	in            *incoming
+	sequence      attempt.Sequence
+	avoid         []*requestRunner
+	deadlineUs    int64 // by the router's clock
+	conn          *requestConn
+	runner        *requestRunner
+	events        upstream.Events
+	sent          strings.Builder // bytes sent to the client
+	attemptNumber int             // incremented per attempt; events of earlier attempts are ignored
 }
 
 // serve starts to process a client's request.
@@ -97,18 +97,18 @@
 		return
 	}
 	h := r.history
-	leftUs := in.client.untilUs - in.sentUs
-	e := &requestExchange{router: r, in: in, endUs: r.process.NowUs() + leftUs}
+	leftUs := in.client.deadlineUs - in.sentUs
+	e := &requestExchange{router: r, in: in, deadlineUs: r.process.NowUs() + leftUs}
 	r.exchanges[in] = e
 	r.budget.Request(r.process.NowUs())
-	number := e.number
+	number := e.attemptNumber
 	r.process.After(leftUs, func() {
-		if e.number >= number && !e.in.ended {
-			e.timeOver()
+		if e.attemptNumber >= number && !e.in.ended {
+			e.expire()
 		}
 	})
 	h.kernel.Note("%s takes %s", r.name, in.id)
-	e.next()
+	e.startAttempt()
 }
 
 // Spend consumes one retry from the router's budget and reports whether it was available.
@@ -119,55 +119,55 @@
 	return e.router.budget.Spend(e.router.process.NowUs(), len(e.router.history.routers))
 }
 
-func (e *requestExchange) rules() attempt.Request {
-	rules := e.in.client.rules()
+func (e *requestExchange) retryRules() attempt.Request {
+	rules := e.in.client.retryRules()
 	if e.router.history.defects.RepeatEffectful {
 		rules.Repeatable = true
 	}
 	return rules
 }
 
-func (e *requestExchange) isOver() bool { return e.router.process.NowUs() >= e.endUs }
+func (e *requestExchange) deadlinePassed() bool { return e.router.process.NowUs() >= e.deadlineUs }
 
-// next starts the next attempt.
-func (e *requestExchange) next() {
+// startAttempt starts the next attempt.
+func (e *requestExchange) startAttempt() {
 	r, h := e.router, e.router.history
 	if e.in.ended {
 		return
 	}
-	runner := e.choose()
-	if runner == nil || e.isOver() {
+	runner := e.chooseRunner()
+	if runner == nil || e.deadlinePassed() {
 		e.finish(e.endStatus())
 		return
 	}
-	e.number++
-	number := e.number
+	e.attemptNumber++
+	number := e.attemptNumber
 	e.runner = runner
 	e.sequence.Begin()
-	if idle := r.idle[runner]; len(idle) > 0 {
+	if idle := r.idleConns[runner]; len(idle) > 0 {
 		conn := idle[len(idle)-1]
-		r.idle[runner] = idle[:len(idle)-1]
+		r.idleConns[runner] = idle[:len(idle)-1]
 		if conn.reusable() {
 			e.send(conn)
 			return
 		}
 		conn.close()
 	}
-	r.process.After(h.kernel.Between(200, requestPausesBelow), func() {
-		if e.number != number || e.in.ended {
+	r.process.After(h.kernel.Between(200, maxRequestConnectUs), func() {
+		if e.attemptNumber != number || e.in.ended {
 			return
 		}
 		conn := runner.accept(e)
 		if conn == nil {
-			e.failed(attempt.NotSent)
+			e.handleFailure(attempt.NotSent)
 			return
 		}
 		e.send(conn)
 	})
 }
 
-// choose returns a random runner that is not to be avoided for this request, or nil.
-func (e *requestExchange) choose() *requestRunner {
+// chooseRunner returns a random runner that is not to be avoided for this request, or nil.
+func (e *requestExchange) chooseRunner() *requestRunner {
 	h := e.router.history
 	start := h.kernel.Below(len(h.runners))
 	for i := range h.runners {
@@ -181,8 +181,8 @@
 // send writes the request to a connection.
 func (e *requestExchange) send(conn *requestConn) {
 	e.conn = conn
-	conn.exchange, conn.number = e, e.number
-	conn.request(e.in, e.lastEvent())
+	conn.exchange, conn.attemptNumber = e, e.attemptNumber
+	conn.sendRequest(e.in, e.lastEvent())
 }
 
 func (e *requestExchange) lastEvent() string {
@@ -192,8 +192,8 @@
 	return e.events.LastID
 }
 
-// failed handles a failed attempt: it starts a retry or ends the request.
-func (e *requestExchange) failed(result attempt.Result) {
+// handleFailure handles a failed attempt: it starts a retry or ends the request.
+func (e *requestExchange) handleFailure(result attempt.Result) {
 	if e.in.ended {
 		return
 	}
@@ -202,7 +202,7 @@
 	}
 	e.conn = nil
 	e.events.Cut()
-	next := e.sequence.Failed(e.rules(), result, e.isOver(), e)
+	next := e.sequence.Failed(e.retryRules(), result, e.deadlinePassed(), e)
 	if next.AvoidRunner {
 		e.avoid = append(e.avoid, e.runner)
 	}
@@ -210,19 +210,19 @@
 		e.finish(e.endStatus())
 		return
 	}
-	e.next()
+	e.startAttempt()
 }
 
 func (e *requestExchange) endStatus() int {
 	if e.router.history.defects.PromiseAfterRun {
 		return 503
 	}
-	return e.sequence.EndStatus(e.isOver())
+	return e.sequence.EndStatus(e.deadlinePassed())
 }
 
-// timeOver ends a request whose deadline has passed, whatever its state.
-func (e *requestExchange) timeOver() {
-	e.number++
+// expire ends a request whose deadline has passed, whatever its state.
+func (e *requestExchange) expire() {
+	e.attemptNumber++
 	if e.conn != nil {
 		e.conn.close()
 		e.conn = nil
@@ -235,52 +235,52 @@
 // the connection is closed instead.
 func (e *requestExchange) finish(status int) {
 	delete(e.router.exchanges, e.in)
-	if e.stream.Len() > 0 {
+	if e.sent.Len() > 0 {
 		status = 0
 	}
-	e.in.answer(status, "")
+	e.in.respond(status, "")
 }
 
-// clientLeft cancels the attempt of a client that has disconnected.
-func (r *requestRouter) clientLeft(in *incoming) {
+// clientDisconnected cancels the attempt of a client that has disconnected.
+func (r *requestRouter) clientDisconnected(in *incoming) {
 	r.process.Deliver(func() {
 		e := r.exchanges[in]
 		if e == nil {
 			return
 		}
 		delete(r.exchanges, in)
-		e.number++
+		e.attemptNumber++
 		if e.conn != nil {
 			e.conn.close()
 		}
 	})
 }
 
-// received handles a response on the connection of the current attempt.
-func (e *requestExchange) received(conn *requestConn, a runnerAnswer) {
+// handleResponse handles a response on the connection of the current attempt.
+func (e *requestExchange) handleResponse(conn *requestConn, a runnerResponse) {
 	if a.id != e.in.id && !e.router.history.defects.MatchByOrder {
 		conn.tainted = true // a late response to an earlier request is ignored
 		return
 	}
 	switch {
 	case a.event != "":
-		e.receivedEvent(a.event)
+		e.handleEvent(a.event)
 	case a.notRun:
 		e.release(conn)
-		e.failed(attempt.NotExecuted)
-	case a.status >= 500 && e.sequence.MayRepeat(e.rules()):
-		e.failed(attempt.Unknown)
+		e.handleFailure(attempt.NotExecuted)
+	case a.status >= 500 && e.sequence.MayRepeat(e.retryRules()):
+		e.handleFailure(attempt.Unknown)
 	default:
 		e.release(conn)
 		delete(e.router.exchanges, e.in)
-		e.in.answer(a.status, e.stream.String()+a.body)
+		e.in.respond(a.status, e.sent.String()+a.body)
 	}
 }
 
-// receivedEvent forwards complete events to the client.
-func (e *requestExchange) receivedEvent(bytes string) {
-	whole := e.events.Add([]byte(bytes))
-	e.stream.Write(whole)
+// handleEvent forwards complete events to the client.
+func (e *requestExchange) handleEvent(bytes string) {
+	complete := e.events.Add([]byte(bytes))
+	e.sent.Write(complete)
 }
 
 // release returns a connection to the idle pool after its response, or closes it if tainted.
@@ -291,5 +291,5 @@
 		conn.close()
 		return
 	}
-	e.router.idle[conn.runner] = append(e.router.idle[conn.runner], conn)
+	e.router.idleConns[conn.runner] = append(e.router.idleConns[conn.runner], conn)
 }
--- a/internal/simulation/requests_runner.go
+++ b/internal/simulation/requests_runner.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// runnerAnswer is a runner's response, or an event of a streamed response.
-type runnerAnswer struct {
+// runnerResponse is a runner's response, or an event of a streamed response.
+type runnerResponse struct {
 	id     string // of the request
 	status int
 	notRun bool
@@ -20,8 +20,8 @@
 	addr    string
 	process *Process
 
-	losesAnswers, answersTwice bool
-	slow                       int64
+	losesResponses, duplicatesResponses bool
+	slowFactor                          int64
 
 	// The following fields are lost when the process restarts.
 	conns   []*requestConn
@@ -32,24 +32,24 @@
 // requestConn is a connection from a router to a runner. Messages arrive in order, or the
 // connection ends. When one side closes it, the other notices after a delay.
 type requestConn struct {
-	runner   *requestRunner
-	router   *requestRouter
-	exchange *requestExchange // that waits for a response on it
-	number   int              // attempt number of the exchange
-	open     bool             // state at the router
-	serving  bool             // state at the runner
-	tainted  bool             // it carried a response that matched no current request
-	arrived  bool             // bytes arrived while it was idle
-	lastUs   int64            // arrival time of the latest response
+	runner          *requestRunner
+	router          *requestRouter
+	exchange        *requestExchange // that waits for a response on it
+	attemptNumber   int              // attempt number of the exchange
+	open            bool             // state at the router
+	serving         bool             // state at the runner
+	tainted         bool             // it carried a response that matched no current request
+	unexpectedBytes bool             // bytes arrived while it was idle
+	lastArrivalUs   int64            // arrival time of the latest response
 }
 
 func newRequestRunner(h *requestHistory, i int) *requestRunner {
-	r := &requestRunner{history: h, addr: fmt.Sprintf("s%d", i+1), process: NewProcess(h.kernel), slow: 1}
-	r.begin()
+	r := &requestRunner{history: h, addr: fmt.Sprintf("s%d", i+1), process: NewProcess(h.kernel), slowFactor: 1}
+	r.start()
 	return r
 }
 
-func (r *requestRunner) begin() {
+func (r *requestRunner) start() {
 	r.process.Start()
 	r.conns, r.running, r.waiting = nil, 0, 0
 }
@@ -57,12 +57,12 @@
 // restart starts the process if it is not running.
 func (r *requestRunner) restart() {
 	if !r.process.Up() {
-		r.begin()
+		r.start()
 	}
 }
 
-// end simulates a crash: running requests end and all connections are reset.
-func (r *requestRunner) end() {
+// crash simulates a crash: running requests end and all connections are reset.
+func (r *requestRunner) crash() {
 	r.process.Stop()
 	r.resetConnections()
 }
@@ -86,7 +86,7 @@
 }
 
 // reusable reports whether an idle connection is open and has received no unexpected bytes.
-func (c *requestConn) reusable() bool { return c.open && !c.arrived && !c.tainted }
+func (c *requestConn) reusable() bool { return c.open && !c.unexpectedBytes && !c.tainted }
 
 // close closes the connection at the router. The runner notices after a delay and then drops
 // requests that it has not started.
@@ -102,20 +102,20 @@
 		return
 	}
 	c.open = false
-	e, number := c.exchange, c.number
+	e, number := c.exchange, c.attemptNumber
 	c.exchange = nil
 	if e == nil {
 		return
 	}
 	e.router.process.Deliver(func() {
-		if e.number == number && e.conn == c {
-			e.failed(unknownOrBroken(e))
+		if e.attemptNumber == number && e.conn == c {
+			e.handleFailure(unknownOrBroken(e))
 		}
 	})
 }
 
-// request delivers a request to the runner after a network delay.
-func (c *requestConn) request(in *incoming, lastEvent string) {
+// sendRequest delivers a request to the runner after a network delay.
+func (c *requestConn) sendRequest(in *incoming, lastEvent string) {
 	k := c.router.history.kernel
 	k.After(k.Between(200, 5*Millisecond), func() {
 		if !c.runner.process.Up() || !c.serving {
@@ -131,18 +131,18 @@
 	if !c.serving {
 		return
 	}
-	r.history.checks.arrived(in)
-	if r.waiting >= runnerQueue {
-		r.respond(c, runnerAnswer{id: in.id, status: 503, notRun: true})
+	r.history.checks.recordArrival(in)
+	if r.waiting >= runnerQueueLimit {
+		r.respond(c, runnerResponse{id: in.id, status: 503, notRun: true})
 		return
 	}
 	r.waiting++
-	r.process.After(r.history.kernel.Between(0, 30*Millisecond)*r.slow, func() {
+	r.process.After(r.history.kernel.Between(0, 30*Millisecond)*r.slowFactor, func() {
 		r.waiting--
 		if !c.serving {
 			return // the connection has ended
 		}
-		r.history.checks.runs(in)
+		r.history.checks.recordStart(in)
 		r.run(c, in, lastEvent)
 	})
 }
@@ -158,12 +158,12 @@
 		r.streamFrom(c, in, first)
 		return
 	}
-	r.process.After(k.Between(Millisecond, 120*Millisecond)*r.slow, func() {
+	r.process.After(k.Between(Millisecond, 120*Millisecond)*r.slowFactor, func() {
 		status := 200
 		if k.Chance(30) {
 			status = 500
 		}
-		r.respond(c, runnerAnswer{id: in.id, status: status, body: "answer to " + in.id})
+		r.respond(c, runnerResponse{id: in.id, status: status, body: "answer to " + in.id})
 	})
 }
 
@@ -171,17 +171,17 @@
 // response. With a chance of 40 in 1000 per event it breaks off in the middle of the event.
 func (r *requestRunner) streamFrom(c *requestConn, in *incoming, number int) {
 	k := r.history.kernel
-	r.process.After(k.Between(Millisecond, 30*Millisecond)*r.slow, func() {
+	r.process.After(k.Between(Millisecond, 30*Millisecond)*r.slowFactor, func() {
 		switch {
 		case !c.serving:
 		case number > maxStreamEvents:
-			r.respond(c, runnerAnswer{id: in.id, status: 200})
+			r.respond(c, runnerResponse{id: in.id, status: 200})
 		case k.Chance(40):
-			r.respond(c, runnerAnswer{id: in.id, event: fmt.Sprintf("id: %d\nda", number)})
+			r.respond(c, runnerResponse{id: in.id, event: fmt.Sprintf("id: %d\nda", number)})
 			c.serving = false
 			k.After(6*Millisecond, c.reset)
 		default:
-			r.respond(c, runnerAnswer{id: in.id, event: fmt.Sprintf("id: %d\ndata: %s\n\n", number, in.id)})
+			r.respond(c, runnerResponse{id: in.id, event: fmt.Sprintf("id: %d\ndata: %s\n\n", number, in.id)})
 			r.streamFrom(c, in, number+1)
 		}
 	})
@@ -189,35 +189,35 @@
 
 // respond sends a response. Under a fault it is lost with its connection, or is delivered a
 // second time later, when the router may expect the response to another request.
-func (r *requestRunner) respond(c *requestConn, a runnerAnswer) {
+func (r *requestRunner) respond(c *requestConn, a runnerResponse) {
 	k := r.history.kernel
-	if r.losesAnswers && k.Chance(400) {
+	if r.losesResponses && k.Chance(400) {
 		c.serving = false
 		k.After(k.Between(Millisecond, 5*Millisecond), c.reset)
 		return
 	}
 	c.deliver(a, k.Between(200, 4*Millisecond))
-	if r.answersTwice && a.event == "" && k.Chance(300) {
+	if r.duplicatesResponses && a.event == "" && k.Chance(300) {
 		c.deliver(a, k.Between(Millisecond, 60*Millisecond))
 	}
 }
 
 // deliver delivers a response to the router, in order with earlier ones.
-func (c *requestConn) deliver(a runnerAnswer, delayUs int64) {
+func (c *requestConn) deliver(a runnerResponse, delayUs int64) {
 	k := c.router.history.kernel
-	c.lastUs = max(c.lastUs, k.NowUs()+delayUs)
-	k.After(c.lastUs-k.NowUs(), func() {
+	c.lastArrivalUs = max(c.lastArrivalUs, k.NowUs()+delayUs)
+	k.After(c.lastArrivalUs-k.NowUs(), func() {
 		if !c.open {
 			return
 		}
-		e, number := c.exchange, c.number
+		e, number := c.exchange, c.attemptNumber
 		if e == nil {
-			c.arrived = true
+			c.unexpectedBytes = true
 			return
 		}
 		c.router.process.Deliver(func() {
-			if e.number == number && e.conn == c && !e.in.ended {
-				e.received(c, a)
+			if e.attemptNumber == number && e.conn == c && !e.in.ended {
+				e.handleResponse(c, a)
 			}
 		})
 	})
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -10,7 +10,7 @@
 // requestRange is the fixed range of seeds that CI simulates.
 var requestRange = Range{Model: "requests", Count: 150, Parallel: 3}
 
-func TestRequestSeedsBreakNothing(t *testing.T) {
+func TestRequestSeedsViolateNoCheck(t *testing.T) {
 	counts := Run(requestRange, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
 	must.Eq(t, int64(requestRange.Count), counts.RequestHistories)
@@ -19,7 +19,7 @@
 	must.Positive(t, counts.RequestRetries)
 }
 
-func TestOneRequestSeedPlaysOneHistory(t *testing.T) {
+func TestRequestSameSeedReproducesHistory(t *testing.T) {
 	for seed := range uint64(10) {
 		a, b := PlayRequests(seed, Options{Record: true}), PlayRequests(seed, Options{Record: true})
 		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
@@ -27,27 +27,27 @@
 }
 
 // Each injected defect must be detected by a check.
-func TestRequestChecksFindWhatIsTakenOut(t *testing.T) {
+func TestRequestChecksDetectDefects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 		finds   string
 	}{
-		{"requests with an effect are repeated", Defects{RepeatEffectful: true}, "runs twice"},
-		{"a promise after a possible run", Defects{PromiseAfterRun: true}, "answered"},
-		{"answers matched by their order", Defects{MatchByOrder: true}, "gets"},
+		{"effectful requests retried", Defects{RepeatEffectful: true}, "runs twice"},
+		{"503 after possible execution", Defects{PromiseAfterRun: true}, "answered"},
+		{"responses matched by order", Defects{MatchByOrder: true}, "gets"},
 		{"retries without a budget", Defects{RetryWithoutBudget: true}, "retries"},
-		{"streams resumed from their start", Defects{ResumeFromStart: true}, "gets"},
+		{"streams resumed from the start", Defects{ResumeFromStart: true}, "gets"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(mostSeedsToFind) {
 				if r := PlayRequests(seed, Options{Defects: c.defects}); r.Failure != "" {
-					t.Logf("found by seed %d: %s", seed, r.Failure)
+					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
 					return
 				}
 			}
-			t.Error("no seed finds it")
+			t.Error("no seed detects the defect")
 		})
 	}
 }
--- a/internal/simulation/rollout_checks.go
+++ b/internal/simulation/rollout_checks.go
@@ -4,27 +4,27 @@
 
 // rolloutChecks records the events of a history and checks the invariants.
 type rolloutChecks struct {
-	history *rolloutHistory
-	ackedUs map[int64]int64 // by version, when setting it as the target was acknowledged
-	fence   int64           // highest fencing token of an order
-	lastUs  map[string]int64
-	holders map[int64]string // by fencing token
-	orders  int64
-	begun   int64
+	history      *rolloutHistory
+	ackedUs      map[int64]int64 // by version, when setting it as the target was acknowledged
+	highestFence int64           // highest fencing token of an order
+	lastOrderUs  map[string]int64
+	holders      map[int64]string // by fencing token
+	orders       int64
+	started      int64
 }
 
 func newRolloutChecks(h *rolloutHistory) rolloutChecks {
-	return rolloutChecks{history: h, ackedUs: map[int64]int64{}, lastUs: map[string]int64{}, holders: map[int64]string{}}
+	return rolloutChecks{history: h, ackedUs: map[int64]int64{}, lastOrderUs: map[string]int64{}, holders: map[int64]string{}}
 }
 
-func (c *rolloutChecks) named(version int64) {
-	if !c.isNamed(version) {
+func (c *rolloutChecks) recordAcknowledged(version int64) {
+	if !c.isAcknowledged(version) {
 		c.history.kernel.Note("version %d is acknowledged", version)
 		c.ackedUs[version] = c.history.kernel.NowUs()
 	}
 }
 
-func (c *rolloutChecks) isNamed(version int64) bool { return c.ackedUs[version] > 0 }
+func (c *rolloutChecks) isAcknowledged(version int64) bool { return c.ackedUs[version] > 0 }
 
 // boundPassed reports whether a newer version was acknowledged more than boundUs ago.
 func (c *rolloutChecks) boundPassed(version, boundUs int64) bool {
@@ -38,8 +38,8 @@
 
 // begins is called when a request starts to run.
 func (c *rolloutChecks) begins(e *engine) {
-	c.begun++
-	if c.boundPassed(e.version, versionUs) {
+	c.started++
+	if c.boundPassed(e.version, oldWeightsBoundUs) {
 		c.history.kernel.Fail("a request begins on version %d at %s, later than versionMs after a newer one", e.version, e.id())
 	}
 }
@@ -56,20 +56,20 @@
 		k.Fail("%s and %s order under one fence %d", holder, from.addr, fence)
 	}
 	c.holders[fence] = from.addr
-	if fence < c.fence {
-		k.Fail("%s orders %s under fence %d after %d", from.addr, e.id(), fence, c.fence)
+	if fence < c.highestFence {
+		k.Fail("%s orders %s under fence %d after %d", from.addr, e.id(), fence, c.highestFence)
 	}
-	c.fence = fence
-	for _, other := range sortedKeys(c.lastUs) {
-		if other != from.addr && now-c.lastUs[other] < dutyTimes.LeaseUs {
-			k.Fail("%s orders %d us after %s", from.addr, now-c.lastUs[other], other)
+	c.highestFence = fence
+	for _, other := range sortedKeys(c.lastOrderUs) {
+		if other != from.addr && now-c.lastOrderUs[other] < dutyTimes.LeaseUs {
+			k.Fail("%s orders %d us after %s", from.addr, now-c.lastOrderUs[other], other)
 		}
 	}
-	c.lastUs[from.addr] = now
+	c.lastOrderUs[from.addr] = now
 }
 
-// ordered checks that every runner has the newest weights or an order to load them.
-func (c *rolloutChecks) ordered() {
+// checkOrdered checks that every runner has the newest weights or an order to load them.
+func (c *rolloutChecks) checkOrdered() {
 	newest := targetOf(c.history.group.register.body)
 	for _, e := range c.history.engines {
 		if e.up && e.version < newest && e.target == 0 {
@@ -78,9 +78,9 @@
 	}
 }
 
-// completed checks that every runner serves the newest weights and that every registrar lists it
+// checkCompleted checks that every runner serves the newest weights and that every registrar lists it
 // as available.
-func (c *rolloutChecks) completed() {
+func (c *rolloutChecks) checkCompleted() {
 	newest := targetOf(c.history.group.register.body)
 	for _, e := range c.history.engines {
 		if !e.up {
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -14,38 +14,38 @@
 
 // Durations and bounds of a rollout history.
 const (
-	rolloutModel    = "model"
-	rolloutService  = "service"
-	versionUs       = 8 * Second          // after an acknowledgement, no request starts on older weights
-	orderBoundUs    = 5_500 * Millisecond // all orders have been sent
-	routerBoundUs   = 5_700 * Millisecond // routers send no requests to older weights
-	rolloutFaultsUs = 30 * Second         // faults are injected and versions are set
-	orderedUs       = 12 * Second         // after the last fault every runner has been ordered
-	completedUs     = 45 * Second         // and has the newest weights
-	thawSlackUs     = Second              // orders from a sender that was thawed more recently are not checked
-	lateStepUs      = 400 * Millisecond   // longest delay of a process step
-	lateStepChance  = 60                  // per mille
-	maxStreamUs     = 20 * Second         // longest execution of a request at a runner
-	maxQueuedUs     = 1_800 * Millisecond // longest wait in a runner's queue
-	siteLoads       = 3                   // concurrent weight loads that do not slow each other down
-	loadTakesUs     = 400 * Millisecond   // duration of one weight load
-	noVersionsUs    = 2_500 * Millisecond // before the first version is set: processes discover each other
+	rolloutModel      = "model"
+	rolloutService    = "service"
+	oldWeightsBoundUs = 8 * Second          // after an acknowledgement, no request starts on older weights
+	orderBoundUs      = 5_500 * Millisecond // all orders have been sent
+	routerBoundUs     = 5_700 * Millisecond // routers send no requests to older weights
+	rolloutFaultsUs   = 30 * Second         // faults are injected and versions are set
+	orderedUs         = 12 * Second         // after the last fault every runner has been ordered
+	completedUs       = 45 * Second         // and has the newest weights
+	thawSlackUs       = Second              // orders from a sender that was thawed more recently are not checked
+	lateStepUs        = 400 * Millisecond   // longest delay of a process step
+	lateStepChance    = 60                  // per mille
+	maxStreamUs       = 20 * Second         // longest execution of a request at a runner
+	maxQueuedUs       = 1_800 * Millisecond // longest wait in a runner's queue
+	siteLoads         = 3                   // concurrent weight loads that do not slow each other down
+	loadTakesUs       = 400 * Millisecond   // duration of one weight load
+	rolloutWarmupUs   = 2_500 * Millisecond // before the first version is set: processes discover each other
 )
 
 // rolloutHistory is the state of one simulated history.
 type rolloutHistory struct {
-	kernel       *Kernel
-	network      *Network
-	fleet        *fleet // the registrars that the coordinators read runners from
-	coordinators []*coordinator
-	engines      []*engine
-	group        *leaseGroup
-	checks       rolloutChecks
-	defects      Defects
-	bounded      bool // routers enforce the bound on old weights
-	disturbed    bool // controller faults are injected
-	healed       bool
-	loading      int
+	kernel               *Kernel
+	network              *Network
+	fleet                *fleet // the registrars that the coordinators read runners from
+	coordinators         []*coordinator
+	engines              []*engine
+	group                *leaseGroup
+	checks               rolloutChecks
+	defects              Defects
+	bounded              bool // routers enforce the bound on old weights
+	withControllerFaults bool // controller faults are injected
+	healed               bool
+	loading              int
 }
 
 // PlayRollouts simulates the rollout history of a seed. In half of the histories there are no
@@ -55,15 +55,15 @@
 	k := NewKernel(seed, options.Record)
 	disturbed := k.Chance(500)
 	h := newRolloutHistory(k, options.Defects, 3+2*k.Below(2), 4+k.Below(8))
-	h.disturbed, h.bounded = disturbed, disturbed
-	h.plan()
-	k.RunUntil(noVersionsUs + rolloutFaultsUs)
+	h.withControllerFaults, h.bounded = disturbed, disturbed
+	h.scheduleFaults()
+	k.RunUntil(rolloutWarmupUs + rolloutFaultsUs)
 	h.heal()
 	k.RunUntil(k.NowUs() + orderedUs)
-	h.checks.ordered()
+	h.checks.checkOrdered()
 	k.RunUntil(k.NowUs() + completedUs - orderedUs)
-	h.checks.completed()
-	counts := Counts{Rollouts: 1, Orders: h.checks.orders, Begun: h.checks.begun, Takeovers: h.group.register.holders}
+	h.checks.checkCompleted()
+	counts := Counts{Rollouts: 1, Orders: h.checks.orders, Begun: h.checks.started, Takeovers: h.group.register.holders}
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: counts}
 }
 
@@ -89,13 +89,13 @@
 	return h
 }
 
-// plan schedules the versions and the faults at random times.
-func (h *rolloutHistory) plan() {
+// scheduleFaults schedules the versions and the faults at random times.
+func (h *rolloutHistory) scheduleFaults() {
 	k := h.kernel
 	for i := range 1 + k.Below(3) {
 		version := int64(2 + i)
-		atUs := noVersionsUs + int64(i)*k.Between(300*Millisecond, 7*Second)
-		k.After(atUs, func() { h.name(version) })
+		atUs := rolloutWarmupUs + int64(i)*k.Between(300*Millisecond, 7*Second)
+		k.After(atUs, func() { h.setVersion(version) })
 	}
 	for range k.Below(4) {
 		k.After(k.Between(Second, rolloutFaultsUs), func() { h.replaceEngines() })
@@ -104,26 +104,26 @@
 		e := h.engines[k.Below(len(h.engines))]
 		k.After(k.Between(0, rolloutFaultsUs), func() { h.slowDown(e, k.Between(Second, 8*Second)) })
 	}
-	if !h.disturbed {
+	if !h.withControllerFaults {
 		return
 	}
 	for range 1 + k.Below(4) {
-		atUs := noVersionsUs + k.Between(0, 20*Second)
+		atUs := rolloutWarmupUs + k.Between(0, 20*Second)
 		forUs := k.Between(leastFault, mostFault)
-		k.After(atUs, func() { h.strike(forUs) })
+		k.After(atUs, func() { h.injectFault(forUs) })
 	}
 }
 
-// name makes an operator set the target version, and retry until it is acknowledged.
-func (h *rolloutHistory) name(version int64) {
+// setVersion makes an operator set the target version, and retry until it is acknowledged.
+func (h *rolloutHistory) setVersion(version int64) {
 	c := h.coordinators[h.kernel.Below(len(h.coordinators))]
-	acknowledged := func() { h.checks.named(version) }
+	acknowledged := func() { h.checks.recordAcknowledged(version) }
 	h.network.Send("operator", c.addr, func() {
 		c.process.Deliver(func() { c.name(version, func() { h.network.Send(c.addr, "operator", acknowledged) }) })
 	})
 	h.kernel.After(Second, func() {
-		if !h.checks.isNamed(version) {
-			h.name(version)
+		if !h.checks.isAcknowledged(version) {
+			h.setVersion(version)
 		}
 	})
 }
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// strike injects a fault into one controller, most often the lease holder.
-func (h *rolloutHistory) strike(forUs int64) {
+// injectFault injects a fault into one controller, most often the lease holder.
+func (h *rolloutHistory) injectFault(forUs int64) {
 	if h.healed {
 		return
 	}
@@ -171,19 +171,19 @@
 
 // controllerFaults are the faults that strike chooses from; each lasts for forUs.
 var controllerFaults = []func(h *rolloutHistory, victim *coordinator, forUs int64){
-	(*rolloutHistory).kill, (*rolloutHistory).freeze, (*rolloutHistory).cutOff, (*rolloutHistory).cutApart,
+	(*rolloutHistory).kill, (*rolloutHistory).freeze, (*rolloutHistory).cutOff, (*rolloutHistory).cutPair,
 }
 
 func (h *rolloutHistory) kill(victim *coordinator, forUs int64) {
 	h.kernel.Note("%s is killed for %d us", victim.addr, forUs)
 	victim.process.Stop()
-	h.later(forUs, func() { h.restart(victim) })
+	h.endFaultAfter(forUs, func() { h.restart(victim) })
 }
 
 func (h *rolloutHistory) freeze(victim *coordinator, forUs int64) {
 	h.kernel.Note("%s freezes for %d us", victim.addr, forUs)
 	victim.process.Freeze()
-	h.later(forUs, func() { h.thaw(victim) })
+	h.endFaultAfter(forUs, func() { h.thaw(victim) })
 }
 
 // cutOff partitions a controller from all others; runners still reach it.
@@ -194,14 +194,14 @@
 	}
 }
 
-// cutApart cuts the links between two controllers that both still reach the others.
-func (h *rolloutHistory) cutApart(victim *coordinator, forUs int64) {
+// cutPair cuts the links between two controllers that both still reach the others.
+func (h *rolloutHistory) cutPair(victim *coordinator, forUs int64) {
 	other := h.coordinators[h.kernel.Below(len(h.coordinators))]
 	h.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
 	h.cut(victim, other, forUs)
 }
 
-func (h *rolloutHistory) later(forUs int64, end func()) {
+func (h *rolloutHistory) endFaultAfter(forUs int64, end func()) {
 	h.kernel.After(forUs, func() {
 		if !h.healed {
 			end()
@@ -214,8 +214,8 @@
 		return
 	}
 	h.fleet.healed = h.healed
-	h.fleet.cutLinks(a.addr, b.addr, forUs)
-	h.fleet.cutLinks(b.addr, a.addr, forUs)
+	h.fleet.cutLink(a.addr, b.addr, forUs)
+	h.fleet.cutLink(b.addr, a.addr, forUs)
 }
 
 func (h *rolloutHistory) restart(c *coordinator) {
--- a/internal/simulation/rollouts_test.go
+++ b/internal/simulation/rollouts_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRolloutSeedsBreakNothing(t *testing.T) {
+func TestRolloutSeedsViolateNoCheck(t *testing.T) {
 	rollouts := Range{Model: "rollouts", Count: 150, Parallel: 3}
 	counts := Run(rollouts, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
@@ -17,7 +17,7 @@
 	must.Positive(t, counts.Takeovers)
 }
 
-func TestOneSeedPlaysOneRollout(t *testing.T) {
+func TestRolloutSameSeedReproducesHistory(t *testing.T) {
 	for seed := range uint64(10) {
 		a, b := PlayRollouts(seed, Options{Record: true}), PlayRollouts(seed, Options{Record: true})
 		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
@@ -28,7 +28,7 @@
 // after exactly one order, within the takeover time. That is the detection of the lost holder
 // (1.2 s), the delay by candidate rank (0.3 s each), the wait for the lease (4.2 s) and late
 // steps.
-func TestHolderLostAtEveryStepLosesNoProgress(t *testing.T) {
+func TestRolloutContinuesAfterHolderLossAtEveryStep(t *testing.T) {
 	const takeoverUs = 8 * Second
 	for name, strike := range map[string]func(*rolloutHistory, *coordinator, int64){
 		"killed": (*rolloutHistory).kill, "frozen": (*rolloutHistory).freeze, "cut off": (*rolloutHistory).cutOff,
@@ -39,8 +39,8 @@
 				k := NewKernel(uint64(step), true)
 				h := newRolloutHistory(k, Defects{}, 3, 9)
 				h.bounded = true
-				k.After(noVersionsUs, func() { h.name(2) })
-				for !h.checks.isNamed(2) {
+				k.After(rolloutWarmupUs, func() { h.setVersion(2) })
+				for !h.checks.isAcknowledged(2) {
 					k.RunUntil(k.NowUs() + Millisecond)
 				}
 				k.RunUntil(k.NowUs() + 5*Millisecond + atUs)
@@ -48,12 +48,12 @@
 				must.NotNil(t, holder)
 				strike(h, holder, 10*Second)
 				k.RunUntil(k.NowUs() + takeoverUs)
-				h.checks.ordered()
+				h.checks.checkOrdered()
 				k.RunUntil(k.NowUs() + completedUs)
-				h.checks.completed()
-				must.Eq(t, "", k.failure, must.Sprintf("%d us after the naming\n%s", atUs, strings.Join(k.history, "\n")))
+				h.checks.checkCompleted()
+				must.Eq(t, "", k.failure, must.Sprintf("holder lost %d us after the version was acknowledged\n%s", atUs, strings.Join(k.history, "\n")))
 				for _, e := range h.engines {
-					must.Eq(t, 1, e.accepted, must.Sprintf("orders taken by %s; holder lost %d us after the naming", e.id(), atUs))
+					must.Eq(t, 1, e.accepted, must.Sprintf("orders accepted by %s; holder lost %d us after the version was acknowledged", e.id(), atUs))
 				}
 			}
 		})
@@ -61,24 +61,24 @@
 }
 
 // Each injected defect must be detected by a check.
-func TestRolloutChecksFindWhatIsTakenOut(t *testing.T) {
+func TestRolloutChecksDetectDefects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 		finds   string
 	}{
-		{"lease without its waits", Defects{ActWithoutWaiting: true}, "us after"},
-		{"plan that waits for runners", Defects{OrderWithoutBound: true}, "later than versionMs"},
+		{"lease without waits", Defects{ActWithoutWaiting: true}, "us after"},
+		{"no bound on sending orders", Defects{OrderWithoutBound: true}, "later than versionMs"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(mostSeedsToFind) {
 				if r := PlayRollouts(seed, Options{Defects: c.defects}); r.Failure != "" {
-					t.Logf("found by seed %d: %s", seed, r.Failure)
+					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
 					return
 				}
 			}
-			t.Error("no seed finds it")
+			t.Error("no seed detects the defect")
 		})
 	}
 }
--- a/internal/simulation/tallies.go
+++ b/internal/simulation/tallies.go
@@ -15,14 +15,14 @@
 
 // Durations and sizes of a tally history.
 const (
-	tallyFaultsFrom  = 4 * Second
-	tallyFaultsUs    = 40 * Second
-	tallyRestUs      = 8 * Second // after the last fault
-	mostTallyFaultUs = 14 * Second
-	tallyMergeUs     = 3 * Second // after the last fault, until every replica has all adds
-	tallyCatchUpUs   = 6 * Second // after a disk loss, until the replica has caught up
-	mostTalliesLost  = 2          // disks that may be lost at once
-	tallyNames       = 3
+	tallyFaultsFrom = 4 * Second
+	tallyFaultsUs   = 40 * Second
+	tallyRecoveryUs = 8 * Second // after the last fault
+	maxTallyFaultUs = 14 * Second
+	tallyMergeUs    = 3 * Second // after the last fault, until every replica has all adds
+	tallyCatchUpUs  = 6 * Second // after a disk loss, until the replica has caught up
+	maxLostDisks    = 2          // disks that may be lost at once
+	tallyCount      = 3
 )
 
 // tallyHistory is the state of one simulated history.
@@ -34,10 +34,10 @@
 	routers  []*tallyRouter // one per zone
 	checks   *tallyChecks
 	serial   int
-	// cuts is the number of active faults that partition replicas; troubles is the number of
-	// all active faults.
-	cuts, troubles int
-	lossAllowedUs  int64 // time from which disks may be lost again
+	// activePartitions is the number of active faults that partition replicas; activeFaults
+	// is the number of all active faults.
+	activePartitions, activeFaults int
+	nextLossUs                     int64 // time from which disks may be lost again
 }
 
 // PlayTallies simulates the tally history of a seed. One seed in eight has no faults.
@@ -45,17 +45,17 @@
 	k := NewKernel(seed, options.Record)
 	h := newTallyHistory(k, options.Defects, 2+k.Below(3))
 	if k.Below(8) > 0 {
-		h.plan()
+		h.scheduleFaults()
 	}
 	k.RunUntil(tallyFaultsFrom + tallyFaultsUs)
 	h.heal()
-	k.RunUntil(k.NowUs() + tallyRestUs)
+	k.RunUntil(k.NowUs() + tallyRecoveryUs)
 	h.checks.end()
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.checks.counts()}
 }
 
 func newTallyHistory(k *Kernel, defects Defects, zones int) *tallyHistory {
-	h := &tallyHistory{injector: &injector{kernel: k, network: NewNetwork(k)}, defects: defects, lossAllowedUs: tallyFaultsFrom}
+	h := &tallyHistory{injector: &injector{kernel: k, network: NewNetwork(k)}, defects: defects, nextLossUs: tallyFaultsFrom}
 	h.checks = newTallyChecks(h)
 	for z := range zones {
 		zone := string(rune('a' + z))
@@ -73,40 +73,40 @@
 		r.boot()
 	}
 	for _, zone := range h.zones {
-		k.After(2*Second, func() { h.client(zone) })
+		k.After(2*Second, func() { h.generateAdds(zone) })
 	}
-	k.After(Second, h.checks.look)
+	k.After(Second, h.checks.checkPeriodically)
 	return h
 }
 
-// client sends an add from a client of a zone and schedules the next one.
-func (h *tallyHistory) client(zone string) {
+// generateAdds sends an add from a client of a zone and schedules the next one.
+func (h *tallyHistory) generateAdds(zone string) {
 	h.serial++
-	name, id := fmt.Sprint("t", h.kernel.Below(tallyNames)), fmt.Sprint(h.serial)
+	name, id := fmt.Sprint("t", h.kernel.Below(tallyCount)), fmt.Sprint(h.serial)
 	call := &tallyCall{history: h, zone: zone, add: tally.Add{Tally: name, Key: tally.KeyOf(name, id), Amount: 1 + int64(h.kernel.Below(9))}}
-	h.checks.sent(call.add)
-	call.try()
-	h.kernel.After(h.kernel.Between(0, 400*Millisecond), func() { h.client(zone) })
+	h.checks.recordSent(call.add)
+	call.sendTry()
+	h.kernel.After(h.kernel.Between(0, 400*Millisecond), func() { h.generateAdds(zone) })
 }
 
 // Clients retry after a second without a response.
 const (
-	tallyTries    = 4
-	tallySilentUs = Second
+	maxTallyTries = 4
+	tallyRetryUs  = Second
 )
 
 // tallyCall is a client's add with its retries.
 type tallyCall struct {
-	history *tallyHistory
-	zone    string
-	add     tally.Add
-	tries   int
-	ended   bool // the client has received an acknowledgement
+	history      *tallyHistory
+	zone         string
+	add          tally.Add
+	tries        int
+	acknowledged bool // the client has received an acknowledgement
 }
 
-// try sends the add to a replica, first mostly in the client's own zone.
-func (c *tallyCall) try() {
-	if c.ended || c.tries == tallyTries {
+// sendTry sends the add to a replica, first mostly in the client's own zone.
+func (c *tallyCall) sendTry() {
+	if c.acknowledged || c.tries == maxTallyTries {
 		return
 	}
 	c.tries++
@@ -127,18 +127,18 @@
 	client := "client-" + c.zone
 	again := func() {
 		if c.tries == try {
-			c.try()
+			c.sendTry()
 		}
 	}
-	h.kernel.After(tallySilentUs, again)
+	h.kernel.After(tallyRetryUs, again)
 	h.network.Send(client, r.addr, func() {
 		r.process.Deliver(func() {
-			r.amend(c.add, func(number uint64, ok bool) {
+			r.handleAdd(c.add, func(number uint64, ok bool) {
 				if ok {
-					h.checks.acked(c.add, r, number)
+					h.checks.recordAcked(c.add, r, number)
 				}
 				h.network.Send(r.addr, client, func() {
-					c.ended = c.ended || ok
+					c.acknowledged = c.acknowledged || ok
 					if !ok {
 						again()
 					}
@@ -148,12 +148,12 @@
 	})
 }
 
-// plan schedules the faults at random times.
-func (h *tallyHistory) plan() {
+// scheduleFaults schedules the faults at random times.
+func (h *tallyHistory) scheduleFaults() {
 	k := h.kernel
 	for range 2 + k.Below(8) {
-		atUs := tallyFaultsFrom + k.Between(0, tallyFaultsUs-mostTallyFaultUs-Second)
-		forUs := k.Between(100*Millisecond, mostTallyFaultUs)
+		atUs := tallyFaultsFrom + k.Between(0, tallyFaultsUs-maxTallyFaultUs-Second)
+		forUs := k.Between(100*Millisecond, maxTallyFaultUs)
 		k.After(atUs, func() { tallyFaults[k.Below(len(tallyFaults))](h, forUs) })
 	}
 }
@@ -165,12 +165,12 @@
 	(*tallyHistory).loseDisks, (*tallyHistory).loseDisks, (*tallyHistory).loseZone, (*tallyHistory).stallDisk, (*tallyHistory).fillDisk,
 }
 
-// trouble registers a fault that ends after forUs, unless all faults have been healed before.
-func (h *tallyHistory) trouble(forUs int64, end func()) {
-	h.troubles++
+// registerFault registers a fault that ends after forUs, unless all faults have been healed before.
+func (h *tallyHistory) registerFault(forUs int64, end func()) {
+	h.activeFaults++
 	h.later(forUs, func() {
-		h.troubles--
-		h.checks.troubleUs = h.kernel.NowUs()
+		h.activeFaults--
+		h.checks.lastFaultEndUs = h.kernel.NowUs()
 		end()
 	})
 }
@@ -186,13 +186,13 @@
 	return append(addrs, "router-"+zone)
 }
 
-// separate cuts the links between two sets of addresses, or those from the first to the second
+// partition cuts the links between two sets of addresses, or those from the first to the second
 // only if oneWay is set.
-func (h *tallyHistory) separate(one, other []string, oneWay bool, forUs int64) {
-	h.cuts++
-	h.trouble(forUs, func() {
-		h.cuts--
-		h.checks.healedUs = h.kernel.NowUs()
+func (h *tallyHistory) partition(one, other []string, oneWay bool, forUs int64) {
+	h.activePartitions++
+	h.registerFault(forUs, func() {
+		h.activePartitions--
+		h.checks.lastPartitionEndUs = h.kernel.NowUs()
 	})
 	for _, a := range one {
 		for _, b := range other {
@@ -215,14 +215,14 @@
 			others = append(others, "client-"+other)
 		}
 	}
-	h.separate(h.addrsOf(zone), others, h.kernel.Chance(200), forUs)
+	h.partition(h.addrsOf(zone), others, h.kernel.Chance(200), forUs)
 }
 
 func (h *tallyHistory) cutBridge(forUs int64) {
 	i := h.kernel.Below(len(h.zones))
 	one, other := h.zones[i], h.zones[(i+1)%len(h.zones)]
 	h.kernel.Note("zones %s and %s do not reach each other for %d us", one, other, forUs)
-	h.separate(h.addrsOf(one), h.addrsOf(other), false, forUs)
+	h.partition(h.addrsOf(one), h.addrsOf(other), false, forUs)
 }
 
 // cutReplicaOff partitions one replica from the others; routers still reach it.
@@ -235,7 +235,7 @@
 			others = append(others, other.addr)
 		}
 	}
-	h.separate([]string{r.addr}, others, h.kernel.Chance(300), forUs)
+	h.partition([]string{r.addr}, others, h.kernel.Chance(300), forUs)
 }
 
 // cutCore partitions the replicas into two random groups; routers still reach all.
@@ -246,7 +246,7 @@
 		half := h.kernel.Below(2)
 		halves[half] = append(halves[half], r.addr)
 	}
-	h.separate(halves[0], halves[1], false, forUs)
+	h.partition(halves[0], halves[1], false, forUs)
 }
 
 func (h *tallyHistory) someReplica() *tallyReplica {
@@ -260,7 +260,7 @@
 			h.kernel.Note("%s is killed", r.addr)
 			r.process.Stop()
 			r.disk.Restart()
-			h.trouble(min(forUs, 2*Second), r.bootIfDown)
+			h.registerFault(min(forUs, 2*Second), r.bootIfDown)
 		}
 	}
 }
@@ -269,14 +269,14 @@
 	r := h.someReplica()
 	h.kernel.Note("%s freezes for %d us", r.addr, forUs)
 	r.process.Freeze()
-	h.trouble(forUs, r.process.Thaw)
+	h.registerFault(forUs, r.process.Thaw)
 }
 
 func (h *tallyHistory) powerOff(r *tallyReplica, forUs int64) {
 	h.kernel.Note("%s loses power for %d us", r.addr, forUs)
 	r.process.Stop()
 	r.disk.LosePower()
-	h.trouble(forUs, r.bootIfDown)
+	h.registerFault(forUs, r.bootIfDown)
 }
 
 // powerOffSome powers off one replica, or all but one or two.
@@ -286,7 +286,7 @@
 		return
 	}
 	spared := 1 + h.kernel.Below(2)
-	for _, i := range h.order()[spared:] {
+	for _, i := range h.shuffledIndexes()[spared:] {
 		h.powerOff(h.replicas[i], forUs)
 	}
 }
@@ -297,41 +297,41 @@
 	}
 }
 
-// order returns the indexes of the replicas in random order.
-func (h *tallyHistory) order() []int {
-	places := make([]int, len(h.replicas))
-	for i := range places {
-		places[i] = i
+// shuffledIndexes returns the indexes of the replicas in random order.
+func (h *tallyHistory) shuffledIndexes() []int {
+	indexes := make([]int, len(h.replicas))
+	for i := range indexes {
+		indexes[i] = i
 	}
-	for i := range places {
-		j := i + h.kernel.Below(len(places)-i)
-		places[i], places[j] = places[j], places[i]
+	for i := range indexes {
+		j := i + h.kernel.Below(len(indexes)-i)
+		indexes[i], indexes[j] = indexes[j], indexes[i]
 	}
-	return places
+	return indexes
 }
 
-// loseDisks wipes the disks of mostTalliesLost replicas; sometimes all others lose power at the
+// loseDisks wipes the disks of maxLostDisks replicas; sometimes all others lose power at the
 // same time.
 func (h *tallyHistory) loseDisks(forUs int64) {
-	order := h.order()
+	order := h.shuffledIndexes()
 	var lost []*tallyReplica
-	for _, i := range order[:mostTalliesLost] {
+	for _, i := range order[:maxLostDisks] {
 		lost = append(lost, h.replicas[i])
 	}
-	h.lose(lost, forUs)
+	h.loseDisksOf(lost, forUs)
 }
 
 // loseZone does the same to all replicas of a zone.
 func (h *tallyHistory) loseZone(forUs int64) {
 	zone := h.zones[h.kernel.Below(len(h.zones))]
-	h.lose(slices.DeleteFunc(slices.Clone(h.replicas), func(r *tallyReplica) bool { return r.zone != zone }), forUs)
+	h.loseDisksOf(slices.DeleteFunc(slices.Clone(h.replicas), func(r *tallyReplica) bool { return r.zone != zone }), forUs)
 }
 
-func (h *tallyHistory) lose(lost []*tallyReplica, forUs int64) {
-	if h.kernel.NowUs() < h.lossAllowedUs || h.troubles > 0 && h.kernel.Chance(500) {
+func (h *tallyHistory) loseDisksOf(lost []*tallyReplica, forUs int64) {
+	if h.kernel.NowUs() < h.nextLossUs || h.activeFaults > 0 && h.kernel.Chance(500) {
 		return
 	}
-	h.lossAllowedUs = h.kernel.NowUs() + tallyFaultsUs // at most one loss per history
+	h.nextLossUs = h.kernel.NowUs() + tallyFaultsUs // at most one loss per history
 	powerOff := h.kernel.Chance(500)
 	for _, r := range h.replicas {
 		switch {
@@ -339,8 +339,8 @@
 			h.kernel.Note("%s loses its disk", r.addr)
 			r.process.Stop()
 			r.disk.Lose()
-			h.checks.lostDisk(r)
-			h.trouble(min(forUs, 3*Second)+tallyCatchUpUs, func() {})
+			h.checks.recordLostDisk(r)
+			h.registerFault(min(forUs, 3*Second)+tallyCatchUpUs, func() {})
 			h.later(min(forUs, 3*Second), r.bootIfDown)
 		case powerOff:
 			h.powerOff(r, min(forUs, 3*Second))
@@ -352,21 +352,21 @@
 	r := h.someReplica()
 	h.kernel.Note("the disk of %s stalls for %d us", r.addr, forUs)
 	r.stalledUntilUs = h.kernel.NowUs() + forUs
-	h.trouble(forUs, func() {})
+	h.registerFault(forUs, func() {})
 }
 
 func (h *tallyHistory) fillDisk(forUs int64) {
 	r := h.someReplica()
 	h.kernel.Note("the disk of %s is full for %d us", r.addr, forUs)
 	r.disk.SetFull(true)
-	h.trouble(forUs, func() { r.disk.SetFull(false) })
+	h.registerFault(forUs, func() { r.disk.SetFull(false) })
 }
 
 func (h *tallyHistory) heal() {
 	h.kernel.Note("everything heals")
 	h.healed = true
-	h.cuts, h.troubles = 0, 0
-	h.checks.troubleUs, h.checks.healedUs = h.kernel.NowUs(), h.kernel.NowUs()
+	h.activePartitions, h.activeFaults = 0, 0
+	h.checks.lastFaultEndUs, h.checks.lastPartitionEndUs = h.kernel.NowUs(), h.kernel.NowUs()
 	h.network.Heal()
 	for _, r := range h.replicas {
 		r.disk.SetFull(false)
--- a/internal/simulation/tallies_test.go
+++ b/internal/simulation/tallies_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestTallySeedsBreakNothing(t *testing.T) {
+func TestTallySeedsViolateNoCheck(t *testing.T) {
 	histories := Range{Model: "tallies", Count: 120, Parallel: 3}
 	counts := Run(histories, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
@@ -16,7 +16,7 @@
 	must.Greater(t, 10*counts.TallyHistories, counts.TallyAckedCut)
 }
 
-func TestOneSeedPlaysOneTallyHistory(t *testing.T) {
+func TestTallySameSeedReproducesHistory(t *testing.T) {
 	for seed := range uint64(5) {
 		a, b := PlayTallies(seed, Options{Record: true}), PlayTallies(seed, Options{Record: true})
 		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
@@ -25,29 +25,29 @@
 }
 
 // Each injected defect must be detected by a check.
-func TestTallyChecksFindWhatIsTakenOut(t *testing.T) {
+func TestTallyChecksDetectDefects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 		finds   string
 		from    uint64 // first seed to simulate
 	}{
-		{"quorum of disks", Defects{AckOnOneDisk: true}, "acknowledges an add on", 0},
-		{"witnesses", Defects{TrustSilence: true}, "acknowledges an add on", 0},
-		{"a new origin for a lost disk", Defects{KeepOrigin: true}, "lacks an add", 0},
-		{"evidence younger than the add", Defects{TrustOldEvidence: true}, "acknowledges an add on", 170},
-		{"the others asked at the start", Defects{AnswerUnasked: true}, "answers, and does not have", 0},
-		{"anti-entropy", Defects{NeverPull: true}, "lacks an add", 215},
+		{"acknowledgement after one disk", Defects{AckOnOneDisk: true}, "acknowledges an add on", 0},
+		{"silence taken for partition without witness", Defects{TrustSilence: true}, "acknowledges an add on", 0},
+		{"origin reused after disk loss", Defects{KeepOrigin: true}, "lacks an add", 0},
+		{"evidence older than the add", Defects{TrustOldEvidence: true}, "acknowledges an add on", 170},
+		{"serving before pulling from peers", Defects{AnswerUnasked: true}, "answers, and does not have", 0},
+		{"no anti-entropy", Defects{NeverPull: true}, "lacks an add", 215},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := c.from; seed < c.from+mostSeedsToFind; seed++ {
 				r := PlayTallies(seed, Options{Defects: c.defects})
 				if strings.Contains(r.Failure, c.finds) {
-					t.Logf("found by seed %d: %s", seed, r.Failure)
+					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					return
 				}
 			}
-			t.Error("no seed finds it")
+			t.Error("no seed detects the defect")
 		})
 	}
 }
--- a/internal/simulation/tally_actors.go
+++ b/internal/simulation/tally_actors.go
@@ -9,20 +9,20 @@
 
 // Timeouts and intervals of a replica's driver, as in package controller.
 const (
-	tallyCallWaitUs    = 300 * Millisecond
-	tallyProbeWaitUs   = 150 * Millisecond
-	tallyPauseUs       = 50 * Millisecond
-	tallyIdlePauseUs   = 400 * Millisecond
-	tallyLateUs        = 150 * Millisecond
-	tallyAppendWaitUs  = 250 * Millisecond
-	tallyCompareUs     = 500 * Millisecond
-	tallySettleUs      = 1500 * Millisecond
-	tallyAmendWaitUs   = 950 * Millisecond
-	tallyWitnessWaitUs = 250 * Millisecond
-	tallyWitnessPause  = 400 * Millisecond
-	tallyReachWaitUs   = 150 * Millisecond
-	tallyTickUs        = 5 * Millisecond // poll interval of waiting calls
-	tallySimBatch      = 200
+	tallyCallWaitUs         = 300 * Millisecond
+	tallyProbeWaitUs        = 150 * Millisecond
+	tallyRetryDelayUs       = 50 * Millisecond
+	tallyUnreachableDelayUs = 400 * Millisecond
+	tallyLateUs             = 150 * Millisecond
+	tallyAppendWaitUs       = 250 * Millisecond
+	tallyCompareUs          = 500 * Millisecond
+	tallySettleUs           = 1500 * Millisecond
+	tallyAddWaitUs          = 950 * Millisecond
+	tallyWitnessWaitUs      = 250 * Millisecond
+	tallyWitnessIntervalUs  = 400 * Millisecond
+	tallyReachWaitUs        = 150 * Millisecond
+	tallyPollUs             = 5 * Millisecond // poll interval of waiting calls
+	tallyBatchSize          = 200
 )
 
 // tallyReplica models the tally part of a controller.
@@ -36,12 +36,12 @@
 	stalledUntilUs int64
 	log            *tally.Log
 	replica        *tally.Replica
-	writing        bool                     // a write is in progress or scheduled
-	idle           map[string]*tallyReplica // replicas that had no outgoing adds at the last check
+	writeScheduled bool                     // a write is in progress or scheduled
+	idlePeers      map[string]*tallyReplica // replicas that had no outgoing adds at the last check
 	ready          bool
-	asked          map[string]bool
+	pulled         map[string]bool
 	differing      map[string]bool
-	lives          int
+	starts         int
 	bootUs         int64 // start of the current process by the simulation's clock
 }
 
@@ -53,10 +53,10 @@
 
 func (r *tallyReplica) boot() {
 	r.process.Start()
-	r.lives++
+	r.starts++
 	r.bootUs = r.history.kernel.NowUs()
-	r.writing, r.ready, r.asked, r.differing = false, false, map[string]bool{}, map[string]bool{}
-	r.idle = map[string]*tallyReplica{}
+	r.writeScheduled, r.ready, r.pulled, r.differing = false, false, map[string]bool{}, map[string]bool{}
+	r.idlePeers = map[string]*tallyReplica{}
 	opened, err := tally.OpenLog(r.disk, r.newOrigin)
 	if err != nil { // the disk is full: the process exits and is restarted
 		r.process.After(200*Millisecond, func() {
@@ -68,7 +68,7 @@
 		return
 	}
 	r.log = opened.Log
-	quorum := tally.QuorumFor(mostTalliesLost, 1)
+	quorum := tally.QuorumFor(maxLostDisks, 1)
 	if r.history.defects.AckOnOneDisk {
 		quorum = tally.QuorumFor(0, 0)
 	}
@@ -84,7 +84,7 @@
 		if other != r {
 			r.process.After(0, func() { r.sendTo(other) })
 			r.process.After(r.history.kernel.Between(0, tallyCompareUs), func() { r.compareWith(other) })
-			r.process.After(0, func() { r.watch(other) })
+			r.process.After(0, func() { r.requestWitness(other) })
 		}
 	}
 	r.process.After(0, r.checkReady)
@@ -92,22 +92,22 @@
 
 // wake starts the writer and the idle senders, as the driver does after each change.
 func (r *tallyReplica) wake() {
-	if !r.writing {
-		r.writing = true
+	if !r.writeScheduled {
+		r.writeScheduled = true
 		r.write()
 	}
-	for _, addr := range sortedKeys(r.idle) {
-		other := r.idle[addr]
+	for _, addr := range sortedKeys(r.idlePeers) {
+		other := r.idlePeers[addr]
 		r.process.After(0, func() { r.sendTo(other) })
 	}
-	clear(r.idle)
+	clear(r.idlePeers)
 }
 
 func (r *tallyReplica) newOrigin() tally.Origin {
 	if r.history.defects.KeepOrigin {
 		return tally.Origin(r.addr)
 	}
-	return tally.Origin(fmt.Sprintf("%s-%d", r.addr, r.lives))
+	return tally.Origin(fmt.Sprintf("%s-%d", r.addr, r.starts))
 }
 
 // checkReady mirrors the driver: the replica serves requests only after it has pulled from every
@@ -118,10 +118,10 @@
 	}
 	waits := false
 	for _, other := range r.history.replicas {
-		waits = waits || other != r && !r.asked[other.addr] && !r.replica.Unreachable(other.addr)
+		waits = waits || other != r && !r.pulled[other.addr] && !r.replica.Unreachable(other.addr)
 	}
 	waits = waits && !r.history.defects.AnswerUnasked
-	if r.ready = !waits && (len(r.asked) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerUnasked); !r.ready {
+	if r.ready = !waits && (len(r.pulled) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerUnasked); !r.ready {
 		r.process.After(20*Millisecond, r.checkReady)
 		return
 	}
@@ -140,8 +140,8 @@
 			r.write()
 			return
 		}
-		runs := r.replica.BeginWrite(tallySimBatch)
-		if r.writing = len(runs) > 0; !r.writing {
+		runs := r.replica.BeginWrite(tallyBatchSize)
+		if r.writeScheduled = len(runs) > 0; !r.writeScheduled {
 			return
 		}
 		err := r.log.Resume()
@@ -194,34 +194,34 @@
 // sendTo sends another replica the adds that it lacks, for as long as this process runs.
 func (r *tallyReplica) sendTo(other *tallyReplica) {
 	again := func() { r.pauseAfterFailure(other) }
-	if !r.asked[other.addr] {
+	if !r.pulled[other.addr] {
 		r.pull(other, func() {
-			r.asked[other.addr] = true
+			r.pulled[other.addr] = true
 			r.sendTo(other)
 		}, again)
 		return
 	}
 	next, wanted := r.replica.NextOutgoing(other.addr)
 	if !wanted {
-		r.idle[other.addr] = other
+		r.idlePeers[other.addr] = other
 		return
 	}
 	runs := []tally.Run{}
 	if len(next.Adds) > 0 {
 		runs = append(runs, next.Run)
 	}
-	r.call(other, func(answer func(func())) { other.receive(next.Origin, runs, answer, r) }, again)
+	r.call(other, func(answer func(func())) { other.handleRuns(next.Origin, runs, answer, r) }, again)
 }
 
 // pauseAfterFailure waits before the next call. An unreachable replica is probed during the
 // pause if an add waits for its acknowledgement.
 func (r *tallyReplica) pauseAfterFailure(other *tallyReplica) {
 	if !r.replica.Unreachable(other.addr) {
-		r.process.After(tallyPauseUs, func() { r.sendTo(other) })
+		r.process.After(tallyRetryDelayUs, func() { r.sendTo(other) })
 		return
 	}
-	untilUs := r.process.NowUs() + tallyIdlePauseUs
-	r.await(untilUs, func() bool { return r.replica.NeedsCall(other.addr) }, func(wanted bool) {
+	untilUs := r.process.NowUs() + tallyUnreachableDelayUs
+	r.pollUntil(untilUs, func() bool { return r.replica.NeedsCall(other.addr) }, func(wanted bool) {
 		if !wanted {
 			r.sendTo(other)
 			return
@@ -231,13 +231,13 @@
 	})
 }
 
-// receive merges another replica's adds and responds when they are on disk or the wait times
+// handleRuns merges another replica's adds and responds when they are on disk or the wait times
 // out.
-func (r *tallyReplica) receive(origin tally.Origin, runs []tally.Run, answer func(func()), from *tallyReplica) {
+func (r *tallyReplica) handleRuns(origin tally.Origin, runs []tally.Run, answer func(func()), from *tallyReplica) {
 	r.replica.Merge(runs)
 	r.wake()
 	held, untilUs := r.replica.Set().LogLength(origin), r.process.NowUs()+tallyAppendWaitUs
-	r.await(untilUs, func() bool { return r.replica.Durable(origin) >= held }, func(bool) {
+	r.pollUntil(untilUs, func() bool { return r.replica.Durable(origin) >= held }, func(bool) {
 		ack := tally.Ack{Held: r.replica.Durable(origin), Durable: true, Zone: r.zone}
 		answer(func() {
 			from.replica.RecordAck(r.addr, ack)
@@ -246,21 +246,21 @@
 	})
 }
 
-// await polls a condition until it holds or untilUs has passed.
-func (r *tallyReplica) await(untilUs int64, holds func() bool, then func(ok bool)) {
+// pollUntil polls a condition until it holds or deadlineUs has passed.
+func (r *tallyReplica) pollUntil(untilUs int64, holds func() bool, then func(ok bool)) {
 	if ok := holds(); ok || r.process.NowUs() >= untilUs {
 		then(ok)
 		return
 	}
-	r.process.After(tallyTickUs, func() { r.await(untilUs, holds, then) })
+	r.process.After(tallyPollUs, func() { r.pollUntil(untilUs, holds, then) })
 }
 
 // pull fetches the adds that this replica lacks from another one.
 func (r *tallyReplica) pull(other *tallyReplica, done, failed func()) {
 	vector, before := r.replica.Set().Vector(), r.replica.Set().Len()
 	r.call(other, func(answer func(func())) {
-		runs := other.replica.Since(vector, tallySimBatch)
-		more := countAdds(runs) >= tallySimBatch
+		runs := other.replica.Since(vector, tallyBatchSize)
+		more := countAdds(runs) >= tallyBatchSize
 		encoded := tally.EncodeRuns(runs)
 		answer(func() {
 			runs, err := tally.DecodeRuns(encoded)
@@ -307,9 +307,9 @@
 	}, func() { delete(r.differing, other.addr) })
 }
 
-// amend handles a client's add. answer receives false if the add was rejected or its outcome is
+// handleAdd handles a client's add. answer receives false if the add was rejected or its outcome is
 // unknown.
-func (r *tallyReplica) amend(add tally.Add, answer func(number uint64, ok bool)) {
+func (r *tallyReplica) handleAdd(add tally.Add, answer func(number uint64, ok bool)) {
 	if r.replica == nil || !r.ready || !r.replica.CanConfirm() {
 		answer(0, false)
 		return
@@ -320,13 +320,14 @@
 		arrivedUs = 0
 	}
 	r.wake()
-	r.await(r.process.NowUs()+tallyAmendWaitUs, func() bool { return r.replica.MayAcknowledge(number, arrivedUs) }, func(ok bool) { answer(number, ok) })
+	r.pollUntil(r.process.NowUs()+tallyAddWaitUs, func() bool { return r.replica.MayAcknowledge(number, arrivedUs) }, func(ok bool) { answer(number, ok) })
 }
 
-// watch requests a witness verdict from a router in the zone of a replica that does not respond.
-func (r *tallyReplica) watch(other *tallyReplica) {
+// requestWitness requests a witness verdict on a replica that does not respond from a router in
+// its zone.
+func (r *tallyReplica) requestWitness(other *tallyReplica) {
 	if !r.replica.Failing(other.addr) {
-		r.process.After(100*Millisecond, func() { r.watch(other) })
+		r.process.After(100*Millisecond, func() { r.requestWitness(other) })
 		return
 	}
 	askedUs := r.process.NowUs()
@@ -334,7 +335,7 @@
 	missed := r.process.InLife(func() { verdict = tally.WitnessDown })
 	net.Send(r.addr, router.addr, func() {
 		router.process.Deliver(func() {
-			router.reach(other, func(reached bool) {
+			router.checkReach(other, func(reached bool) {
 				if !reached {
 					net.Send(router.addr, r.addr, missed)
 				}
@@ -346,8 +347,8 @@
 			verdict = tally.WitnessCut
 		}
 		r.replica.RecordWitness(other.addr, verdict, askedUs)
-		untilUs := r.process.NowUs() + tallyWitnessPause
-		r.await(untilUs, func() bool { return r.replica.NeedsWitness(other.addr) }, func(bool) { r.watch(other) })
+		untilUs := r.process.NowUs() + tallyWitnessIntervalUs
+		r.pollUntil(untilUs, func() bool { return r.replica.NeedsWitness(other.addr) }, func(bool) { r.requestWitness(other) })
 	})
 }
 
@@ -368,7 +369,7 @@
 	return nil
 }
 
-func (r *tallyRouter) reach(other *tallyReplica, answer func(reached bool)) {
+func (r *tallyRouter) checkReach(other *tallyReplica, answer func(reached bool)) {
 	net, reached := r.history.network, false
 	net.Send(r.addr, other.addr, func() {
 		other.process.Deliver(func() {
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -19,22 +19,22 @@
 	usageDelayUs     = 10 * Second // after the end of a window, until it must have been reported
 	usageFaultsFrom  = 4 * Second  // by then processes have discovered each other
 	usageFaultsUs    = 30 * Second
-	usageRestUs      = 25 * Second // after the last fault
+	usageRecoveryUs  = 25 * Second // after the last fault
 	meterReportUs    = 400 * Millisecond
 	meterCompareUs   = 500 * Millisecond
 	meterQueryWaitUs = 700 * Millisecond
-	usageKeepUs      = Second
+	usageStoreUs     = Second
 	// Requests of the last usageLossUs may be on no controller's disk if there was no
-	// controller fault for usageUpUs.
-	usageLossUs     = 2 * Second
-	usageUpUs       = 8 * Second
-	meterReceivers  = 2
-	meterIdle       = 5 // periods without a change after which a report is sent anyway
-	clockTolerance  = 60 * Millisecond
-	mostClockJumpUs = 2_500 * Millisecond
-	requestEveryUs  = 20 * Millisecond // mean interval at one router
-	usageTenants    = 4
-	dayStartUs      = 1000 * windowUs // time of day at the start of a history
+	// controller fault for usageUndisturbedUs.
+	usageLossUs        = 2 * Second
+	usageUndisturbedUs = 8 * Second
+	meterReceivers     = 2
+	maxIdlePeriods     = 5 // periods without a change after which a report is sent anyway
+	clockToleranceUs   = 60 * Millisecond
+	maxClockJumpUs     = 2_500 * Millisecond
+	requestEveryUs     = 20 * Millisecond // mean interval at one router
+	usageTenants       = 4
+	dayStartUs         = 1000 * windowUs // time of day at the start of a history
 )
 
 // timeOfDayUs returns the time of day by a machine's own clock.
@@ -50,7 +50,7 @@
 	checks    *usageChecks
 	defects   Defects
 	// disturbedUs is the start of the last kill or freeze of a controller. No fault lasts longer
-	// than usageUpUs minus the recovery time.
+	// than usageUndisturbedUs minus the recovery time.
 	disturbedUs int64
 }
 
@@ -58,19 +58,19 @@
 func PlayUsage(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := newUsageHistory(k, options.Defects, 3+2*k.Below(2), 3+k.Below(4))
-	h.plan()
+	h.scheduleFaults()
 	k.RunUntil(usageFaultsFrom + usageFaultsUs)
 	h.heal()
-	k.RunUntil(k.NowUs() + usageRestUs)
-	h.checks.complete()
+	k.RunUntil(k.NowUs() + usageRecoveryUs)
+	h.checks.checkComplete()
 	counts := Counts{UsageHistories: 1, UsageWindows: int64(len(h.platform.accepted)), Takeovers: h.group.register.holders}
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: counts}
 }
 
 func newUsageHistory(k *Kernel, defects Defects, reporters, meters int) *usageHistory {
 	h := &usageHistory{injector: &injector{kernel: k, network: NewNetwork(k)}, defects: defects}
-	h.checks = &usageChecks{history: h, truth: map[int64]map[string]int64{}, lost: map[int64]int64{}}
-	h.platform = &platform{history: h, holders: map[int64]string{}, accepted: map[int64]map[string]int64{}, lastUs: map[string]int64{}}
+	h.checks = &usageChecks{history: h, started: map[int64]map[string]int64{}, lost: map[int64]int64{}}
+	h.platform = &platform{history: h, holders: map[int64]string{}, accepted: map[int64]map[string]int64{}, lastReportUs: map[string]int64{}}
 	h.group = &leaseGroup{kernel: k, network: h.network, times: dutyTimes}
 	if defects.ActWithoutWaiting {
 		h.group.times.LeaseUs, h.group.times.InFlightUs = 0, 0
@@ -99,26 +99,26 @@
 // reporter models the usage part of a controller.
 type reporter struct {
 	*leaseMember
-	history   *usageHistory
-	clock     clocksync.Clock
-	collector *usage.Collector
-	plan      *usage.Plan
-	lives     int64
-	kept      []messages.UsageRow // on disk
+	history    *usageHistory
+	clock      clocksync.Clock
+	collector  *usage.Collector
+	plan       *usage.Plan
+	starts     int64
+	storedRows []messages.UsageRow // on disk
 }
 
 func (p *reporter) boot() {
 	p.process.Start()
-	p.lives++
+	p.starts++
 	p.clock = clocksync.Clock{Votes: true}
 	p.collector = usage.NewCollector()
-	p.collector.Merge(p.kept)
+	p.collector.Merge(p.storedRows)
 	p.plan = usage.NewPlan(usage.Config{LengthUs: windowUs, Jitter: func() float64 { return float64(p.history.kernel.Below(1000)) / 1000 }})
 	p.leaseMember.boot()
 	p.clock.Observe(timeOfDayUs(p.process), p.nowUs())
 	p.every(roleEveryUs, p.soon(p.step))
 	p.every(meterCompareUs, p.compareClocks)
-	p.every(usageKeepUs, func() { p.kept = p.collector.Rows(0, 1<<62) })
+	p.every(usageStoreUs, func() { p.storedRows = p.collector.Rows(0, 1<<62) })
 }
 
 // refilling reports whether the collector is still being refilled after a start, as in package
@@ -263,16 +263,16 @@
 
 // meter models the usage part of a router.
 type meter struct {
-	history   *usageHistory
-	addr      string
-	process   *Process
-	clock     clocksync.Clock
-	counter   *usage.Counter
-	lives     int
-	receivers map[string]*meterReceiver
-	recent    []int64 // start times of all requests of this process
-	heldUs    []int64 // start times of requests not yet assigned to a window
-	bootUs    int64
+	history      *usageHistory
+	addr         string
+	process      *Process
+	clock        clocksync.Clock
+	counter      *usage.Counter
+	starts       int
+	receivers    map[string]*meterReceiver
+	startTimesUs []int64 // start times of all requests of this process
+	deferredUs   []int64 // start times of requests not yet assigned to a window
+	bootUs       int64
 }
 
 // meterReceiver is the state of a router's reports to one controller.
@@ -284,13 +284,13 @@
 
 func (m *meter) boot() {
 	m.process.Start()
-	m.lives++
+	m.starts++
 	m.clock = clocksync.Clock{}
 	m.clock.Observe(timeOfDayUs(m.process), m.process.NowUs())
-	m.counter = usage.NewCounter(fmt.Sprintf("%s/%d", m.addr, m.lives))
-	m.receivers, m.recent, m.heldUs = map[string]*meterReceiver{}, nil, nil
+	m.counter = usage.NewCounter(fmt.Sprintf("%s/%d", m.addr, m.starts))
+	m.receivers, m.startTimesUs, m.deferredUs = map[string]*meterReceiver{}, nil, nil
 	m.bootUs = m.history.kernel.NowUs()
-	m.every(requestEveryUs, m.serve)
+	m.every(requestEveryUs, m.countRequest)
 	m.every(meterReportUs, m.report)
 	m.every(meterCompareUs, m.compareClocks)
 }
@@ -310,35 +310,35 @@
 	return timeUs
 }
 
-// known reports whether the time of day has been synchronized, or usage.ClockWaitUs has passed.
-func (m *meter) known() bool {
+// timeKnown reports whether the time of day has been synchronized, or usage.ClockWaitUs has passed.
+func (m *meter) timeKnown() bool {
 	_, agreed := m.clock.TimeUs(m.process.NowUs())
 	return agreed || m.history.defects.TrustOwnClock || m.process.NowUs() > usage.ClockWaitUs
 }
 
-// serve counts a request that starts now.
-func (m *meter) serve() {
+// countRequest counts a request that starts now.
+func (m *meter) countRequest() {
 	tenant := fmt.Sprintf("t%d", m.history.kernel.Below(usageTenants))
-	if m.known() {
+	if m.timeKnown() {
 		m.counter.Add(usage.WindowOf(m.timeUs(), windowUs), tenant)
 	} else {
 		m.counter.Defer(tenant, m.process.NowUs())
-		m.heldUs = append(m.heldUs, m.history.kernel.NowUs())
+		m.deferredUs = append(m.deferredUs, m.history.kernel.NowUs())
 	}
-	m.recent = append(m.recent, m.history.kernel.NowUs())
-	m.history.checks.began(tenant)
+	m.startTimesUs = append(m.startTimesUs, m.history.kernel.NowUs())
+	m.history.checks.recordStarted(tenant)
 }
 
 func (m *meter) compareClocks() {
 	m.clock.Observe(timeOfDayUs(m.process), m.process.NowUs())
 	other := m.history.reporters[m.history.kernel.Below(len(m.history.reporters))]
 	sentUs, timeUs, agreed := m.process.NowUs(), int64(0), false
-	m.ask(other, func() { timeUs, agreed = other.clock.TimeUs(other.nowUs()) }, func() {
+	m.callController(other, func() { timeUs, agreed = other.clock.TimeUs(other.nowUs()) }, func() {
 		m.clock.AddSample(other.addr, timeUs, agreed, sentUs, m.process.NowUs())
 	})
 }
 
-func (m *meter) ask(of *reporter, there, answered func()) {
+func (m *meter) callController(of *reporter, there, answered func()) {
 	net, back := m.history.network, m.process.InLife(answered)
 	net.Send(m.addr, of.addr, func() {
 		of.process.Deliver(func() {
@@ -350,10 +350,10 @@
 
 // report sends changed counts to the first running controllers, as many as receivers returns.
 func (m *meter) report() {
-	if m.counter.HasDeferred() && m.known() {
+	if m.counter.HasDeferred() && m.timeKnown() {
 		sinceUs := m.process.NowUs()
 		m.counter.CountDeferred(func(atUs int64) int64 { return usage.WindowOf(m.timeUs()-sinceUs+atUs, windowUs) })
-		m.heldUs = nil
+		m.deferredUs = nil
 	}
 	sent := 0
 	for _, p := range m.history.reporters {
@@ -383,15 +383,15 @@
 	}
 	rows, newest := m.counter.RowsSince(r.change)
 	r.idle++
-	if len(rows) == 0 && r.idle < meterIdle {
+	if len(rows) == 0 && r.idle < maxIdlePeriods {
 		return
 	}
 	r.waiting, r.idle = true, 0
 	m.process.After(350*Millisecond, func() { r.waiting = false })
 	life := int64(0)
-	m.ask(p, func() {
+	m.callController(p, func() {
 		p.collector.Merge(rows)
-		life = p.lives
+		life = p.starts
 	}, func() {
 		if r.life != 0 && r.life != life && !m.history.defects.NeverResend {
 			newest = 0
@@ -400,8 +400,8 @@
 	})
 }
 
-// plan schedules the faults at random times.
-func (h *usageHistory) plan() {
+// scheduleFaults schedules the faults at random times.
+func (h *usageHistory) scheduleFaults() {
 	k := h.kernel
 	for range 2 + k.Below(6) {
 		atUs, forUs := usageFaultsFrom+k.Between(0, usageFaultsUs-8*Second), k.Between(leastFault, 6*Second)
@@ -412,10 +412,10 @@
 // usageFaults are the faults that plan chooses from; each lasts for about forUs.
 var usageFaults = []func(h *usageHistory, forUs int64){
 	(*usageHistory).killHolder, (*usageHistory).freezeHolder, (*usageHistory).cutHolderOff, (*usageHistory).cutFromPlatform,
-	(*usageHistory).killMany, (*usageHistory).jumpClocks, (*usageHistory).slowPlatform, (*usageHistory).killAllControllers,
+	(*usageHistory).killHalf, (*usageHistory).jumpClocks, (*usageHistory).slowPlatform, (*usageHistory).killAllControllers,
 }
 
-func (h *usageHistory) victim() *reporter {
+func (h *usageHistory) chooseController() *reporter {
 	if holder := h.group.holder(); holder != nil && h.kernel.Chance(800) {
 		return h.reporters[holder.index]
 	}
@@ -435,7 +435,7 @@
 	}
 }
 
-func (h *usageHistory) killHolder(forUs int64) { h.kill(h.victim(), forUs) }
+func (h *usageHistory) killHolder(forUs int64) { h.kill(h.chooseController(), forUs) }
 
 func (h *usageHistory) killAllControllers(forUs int64) {
 	for _, p := range h.reporters {
@@ -443,14 +443,14 @@
 	}
 }
 
-// killMany kills about half of the controllers and routers at once.
-func (h *usageHistory) killMany(forUs int64) {
+// killHalf kills about half of the controllers and routers at once.
+func (h *usageHistory) killHalf(forUs int64) {
 	for _, m := range h.meters {
 		if !h.kernel.Chance(500) || !m.process.Up() {
 			continue
 		}
 		h.kernel.Note("%s is killed", m.addr)
-		h.checks.lose(m)
+		h.checks.recordKilled(m)
 		m.process.Stop()
 		h.later(min(forUs, 2*Second), func() { h.restartMeter(m) })
 	}
@@ -468,7 +468,7 @@
 }
 
 func (h *usageHistory) freezeHolder(forUs int64) {
-	p := h.victim()
+	p := h.chooseController()
 	h.disturbedUs = h.kernel.NowUs()
 	h.kernel.Note("%s freezes for %d us", p.addr, forUs)
 	p.process.Freeze()
@@ -481,7 +481,7 @@
 }
 
 func (h *usageHistory) cutHolderOff(forUs int64) {
-	p := h.victim()
+	p := h.chooseController()
 	h.kernel.Note("%s is cut off from the controllers for %d us", p.addr, forUs)
 	for _, other := range h.reporters {
 		if other != p {
@@ -491,7 +491,7 @@
 }
 
 func (h *usageHistory) cutFromPlatform(forUs int64) {
-	p := h.victim()
+	p := h.chooseController()
 	h.kernel.Note("%s is cut off from the platform for %d us", p.addr, forUs)
 	h.cut(p.addr, platformAddr, forUs)
 }
@@ -499,7 +499,7 @@
 // jumpClocks steps the time of day of some machines, and back after forUs.
 func (h *usageHistory) jumpClocks(forUs int64) {
 	k := h.kernel
-	byUs := k.Between(-mostClockJumpUs, mostClockJumpUs)
+	byUs := k.Between(-maxClockJumpUs, maxClockJumpUs)
 	k.Note("clocks jump by %d us for %d us", byUs, forUs)
 	jump := func(p *Process) {
 		p.StepTimeOfDay(byUs)
@@ -519,15 +519,15 @@
 
 func (h *usageHistory) slowPlatform(forUs int64) {
 	h.kernel.Note("the platform is slow and loses answers for %d us", forUs)
-	h.platform.ill++
-	h.later(forUs, func() { h.platform.ill-- })
+	h.platform.activeFaults++
+	h.later(forUs, func() { h.platform.activeFaults-- })
 }
 
 func (h *usageHistory) heal() {
 	h.kernel.Note("everything heals")
 	h.healed = true
 	h.network.Heal()
-	h.platform.ill = 0
+	h.platform.activeFaults = 0
 	for _, p := range h.reporters {
 		h.thaw(p)
 		h.restart(p)
--- a/internal/simulation/usage_platform.go
+++ b/internal/simulation/usage_platform.go
@@ -18,21 +18,21 @@
 
 // platform accepts usage reports and rejects those with a stale fencing token.
 type platform struct {
-	history  *usageHistory
-	ill      int // active faults that make it slow and lose responses
-	fence    int64
-	holders  map[int64]string           // by fencing token
-	accepted map[int64]map[string]int64 // counts by window
-	lastUs   map[string]int64           // by holder, time of its last report
+	history      *usageHistory
+	activeFaults int // active faults that make it slow and lose responses
+	fence        int64
+	holders      map[int64]string           // by fencing token
+	accepted     map[int64]map[string]int64 // counts by window
+	lastReportUs map[string]int64           // by holder, time of its last report
 }
 
 // call sends a report to the platform and returns the response to the sender.
 func (p *platform) call(from *reporter, window messages.UsageWindow, fence int64, answered func(status int)) {
 	net, back := p.history.network, from.process.InLife
 	net.Send(from.addr, platformAddr, func() {
-		status := p.receive(from, window, fence)
+		status := p.handleReport(from, window, fence)
 		delayUs := 5 * Millisecond
-		if p.ill > 0 {
+		if p.activeFaults > 0 {
 			delayUs = p.history.kernel.Between(0, 4*Second)
 			if p.history.kernel.Chance(300) {
 				return
@@ -42,8 +42,8 @@
 	})
 }
 
-// receive checks a report on arrival and returns the status.
-func (p *platform) receive(from *reporter, window messages.UsageWindow, fence int64) int {
+// handleReport checks a report on arrival and returns the status.
+func (p *platform) handleReport(from *reporter, window messages.UsageWindow, fence int64) int {
 	k, now := p.history.kernel, p.history.kernel.NowUs()
 	if holder, known := p.holders[fence]; known && holder != from.addr {
 		k.Fail("%s and %s call under one fence %d", holder, from.addr, fence)
@@ -53,7 +53,7 @@
 		return statusRefused
 	}
 	p.fence = fence
-	p.checkTurns(from, now)
+	p.checkHolderOverlap(from, now)
 	counts := map[string]int64{}
 	for _, t := range window.Counts {
 		counts[t.Tenant] = t.Count
@@ -66,22 +66,22 @@
 	}
 	k.Note("window %d is reported by %s under fence %d: %v", window.Window, from.addr, fence, counts)
 	p.accepted[window.Window] = counts
-	p.history.checks.reported(window.Window, counts)
+	p.history.checks.checkReported(window.Window, counts)
 	return statusAccepted
 }
 
-// checkTurns checks that no two holders send reports within the duration of a lease. A sender
+// checkHolderOverlap checks that no two holders send reports within the duration of a lease. A sender
 // that was thawed within thawSlackUs is not checked.
-func (p *platform) checkTurns(from *reporter, now int64) {
+func (p *platform) checkHolderOverlap(from *reporter, now int64) {
 	if from.thawedUs > 0 && now-from.thawedUs < thawSlackUs {
 		return
 	}
-	for _, other := range sortedKeys(p.lastUs) {
-		if other != from.addr && now-p.lastUs[other] < dutyTimes.LeaseUs {
-			p.history.kernel.Fail("%s reports %d us after %s", from.addr, now-p.lastUs[other], other)
+	for _, other := range sortedKeys(p.lastReportUs) {
+		if other != from.addr && now-p.lastReportUs[other] < dutyTimes.LeaseUs {
+			p.history.kernel.Fail("%s reports %d us after %s", from.addr, now-p.lastReportUs[other], other)
 		}
 	}
-	p.lastUs[from.addr] = now
+	p.lastReportUs[from.addr] = now
 }
 
 func sameCounts(a, b map[string]int64) bool {
@@ -99,89 +99,89 @@
 // usageChecks records the actual requests, to compare reports with.
 type usageChecks struct {
 	history *usageHistory
-	truth   map[int64]map[string]int64 // started requests by window and tenant
+	started map[int64]map[string]int64 // started requests by window and tenant
 	lost    map[int64]int64            // requests by window that were on no disk when their router was killed
 }
 
-// began is called when a request starts to run.
-func (c *usageChecks) began(tenant string) {
+// recordStarted is called when a request starts to run.
+func (c *usageChecks) recordStarted(tenant string) {
 	window := usage.WindowOf(dayStartUs+c.history.kernel.NowUs(), windowUs)
-	if c.truth[window] == nil {
-		c.truth[window] = map[string]int64{}
+	if c.started[window] == nil {
+		c.started[window] = map[string]int64{}
 	}
-	c.truth[window][tenant]++
+	c.started[window][tenant]++
 }
 
-// lose is called just before a router is killed. Requests that are on no controller's disk may be
-// lost with it. If all controllers were up for usageUpUs, these are at most the requests of the
-// last usageLossUs, plus usage.ClockWaitUs if the process has started recently.
-func (c *usageChecks) lose(m *meter) {
-	unkept := int64(0)
+// recordKilled is called just before a router is killed. Requests that are on no controller's disk
+// may be lost with it. If all controllers were up for usageUndisturbedUs, these are at most the
+// requests of the last usageLossUs, plus usage.ClockWaitUs if the process has started recently.
+func (c *usageChecks) recordKilled(m *meter) {
+	unstored := int64(0)
 	rows, _ := m.counter.RowsSince(0)
 	for _, row := range rows {
 		if row.Window < c.history.group.register.body.Usage.Next {
 			continue // the window is closed
 		}
 		for _, t := range row.Counts {
-			missing := t.Count - c.history.keptCount(row, t.Tenant)
+			missing := t.Count - c.history.storedCount(row, t.Tenant)
 			c.lost[row.Window] += missing
-			unkept += missing
+			unstored += missing
 		}
 	}
-	for _, atUs := range m.heldUs {
+	for _, atUs := range m.deferredUs {
 		c.lost[usage.WindowOf(dayStartUs+atUs, windowUs)]++
-		unkept++
+		unstored++
 	}
 	now, recent := c.history.kernel.NowUs(), int64(0)
 	lossUs := usageLossUs
 	if now-m.bootUs < usage.ClockWaitUs+usageLossUs {
 		lossUs += usage.ClockWaitUs // requests before the time of day was known are sent that much later
 	}
-	for _, atUs := range m.recent {
+	for _, atUs := range m.startTimesUs {
 		if now-atUs < lossUs {
 			recent++
 		}
 	}
-	if now-c.history.disturbedUs > usageUpUs && unkept > recent {
-		c.history.kernel.Fail("%d requests of %s are on no disk, %d began in the last %d us", unkept, m.addr, recent, lossUs)
+	if now-c.history.disturbedUs > usageUndisturbedUs && unstored > recent {
+		c.history.kernel.Fail("%d requests of %s are on no disk, %d began in the last %d us", unstored, m.addr, recent, lossUs)
 	}
 }
 
-// keptCount returns the highest count of a tenant in a row on any controller's disk.
-func (h *usageHistory) keptCount(row messages.UsageRow, tenant string) int64 {
-	kept := int64(0)
+// storedCount returns the highest count of a tenant in a row on any controller's disk.
+func (h *usageHistory) storedCount(row messages.UsageRow, tenant string) int64 {
+	stored := int64(0)
 	for _, p := range h.reporters {
-		for _, copied := range p.kept {
+		for _, copied := range p.storedRows {
 			if copied.Window == row.Window && copied.Router == row.Router {
 				for _, t := range copied.Counts {
 					if t.Tenant == tenant {
-						kept = max(kept, t.Count)
+						stored = max(stored, t.Count)
 					}
 				}
 			}
 		}
 	}
-	return kept
+	return stored
 }
 
-// reported checks a window when the platform accepts it.
-func (c *usageChecks) reported(window int64, counts map[string]int64) {
+// checkReported checks a window when the platform accepts it.
+func (c *usageChecks) checkReported(window int64, counts map[string]int64) {
 	// Requests within the clock error of a window's end may be counted in the next window.
-	slack := int64(len(c.history.meters)) * 2 * clockTolerance / requestEveryUs
+	slack := int64(len(c.history.meters)) * 2 * clockToleranceUs / requestEveryUs
 	for tenant, count := range counts {
-		if truth := c.truth[window][tenant]; count > truth+slack {
+		if truth := c.started[window][tenant]; count > truth+slack {
 			c.history.kernel.Fail("window %d has %d requests of %s, %d began", window, count, tenant, truth)
 		}
 	}
 }
 
-// complete checks at the end of a history that every window was reported with all requests
+// checkComplete checks at the end of a history that every window was reported with all requests
 // except those lost with their router.
-func (c *usageChecks) complete() {
+func (c *usageChecks) checkComplete() {
 	k := c.history.kernel
 	last := usage.WindowOf(dayStartUs+k.NowUs()-usageDelayUs, windowUs) - 1
-	slack := int64(len(c.history.meters)) * 2 * clockTolerance / requestEveryUs
-	for _, window := range slices.Sorted(maps.Keys(c.truth)) {
+	slack := int64(len(c.history.meters)) * 2 * clockToleranceUs / requestEveryUs
+	for _, window := range slices.Sorted(maps.Keys(c.started)) {
 		if window > last {
 			continue
 		}
@@ -194,7 +194,7 @@
 		for _, count := range counts {
 			total += count
 		}
-		for _, count := range c.truth[window] {
+		for _, count := range c.started[window] {
 			truth += count
 		}
 		if total < truth-c.lost[window]-slack {
--- a/internal/simulation/usage_test.go
+++ b/internal/simulation/usage_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestUsageSeedsBreakNothing(t *testing.T) {
+func TestUsageSeedsViolateNoCheck(t *testing.T) {
 	histories := Range{Model: "usage", Count: 150, Parallel: 3}
 	counts := Run(histories, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
@@ -16,7 +16,7 @@
 	must.Greater(t, counts.UsageHistories, counts.Takeovers)
 }
 
-func TestOneSeedPlaysOneUsageHistory(t *testing.T) {
+func TestUsageSameSeedReproducesHistory(t *testing.T) {
 	for seed := range uint64(5) {
 		a, b := PlayUsage(seed, Options{Record: true}), PlayUsage(seed, Options{Record: true})
 		must.Eq(t, strings.Join(a.History, "\n"), strings.Join(b.History, "\n"))
@@ -24,27 +24,27 @@
 }
 
 // Each injected defect must be detected by a check.
-func TestUsageChecksFindWhatIsTakenOut(t *testing.T) {
+func TestUsageChecksDetectDefects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 		finds   string
 	}{
-		{"lease without its waits", Defects{ActWithoutWaiting: true}, "us after"},
-		{"counts of the reporter", Defects{ReportUnagreed: true}, "is reported with"},
-		{"own time of day", Defects{TrustOwnClock: true}, "window"},
+		{"lease without waits", Defects{ActWithoutWaiting: true}, "us after"},
+		{"unagreed counts reported", Defects{ReportUnagreed: true}, "is reported with"},
+		{"unsynchronized clock", Defects{TrustOwnClock: true}, "window"},
 		{"counts at one controller", Defects{CountAtOneController: true}, "was reported with"},
 		{"counts sent once", Defects{NeverResend: true}, "was reported with"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(mostSeedsToFind) {
 				if r := PlayUsage(seed, Options{Defects: c.defects}); r.Failure != "" {
-					t.Logf("found by seed %d: %s", seed, r.Failure)
+					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
 					return
 				}
 			}
-			t.Error("no seed finds it")
+			t.Error("no seed detects the defect")
 		})
 	}
 }
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -15,23 +15,23 @@
 
 // Bounds of the deployment and durations of a history.
 const (
-	versionService      = "s"
-	versionTarget       = "v2"
-	versionOrderUs      = 5 * Second
-	versionExposure     = 0.1
-	versionSlack        = 50
-	versionRollbackUs   = 5 * Second
-	versionBadLimit     = 50
-	versionContactUs    = 5 * Second
-	versionTakeoverUs   = 3 * Second
-	versionStepUs       = 100 * Millisecond
-	versionReportUs     = 100 * Millisecond
-	versionRestUs       = 5 * Second // after the end of the rollout's duration
-	versionRunners      = 24         // of each version
-	versionTokens       = 800
-	versionReadUs       = 30 * Millisecond // mean time to the first token
-	versionSlowTimes    = 8
-	versionLoadedActive = 3 // active requests from which a runner counts as loaded
+	versionService         = "s"
+	versionTarget          = "v2"
+	versionOrderUs         = 5 * Second
+	versionExposure        = 0.1
+	versionSlack           = 50
+	versionRollbackUs      = 5 * Second
+	versionBadLimit        = 50
+	versionContactUs       = 5 * Second
+	versionTakeoverUs      = 3 * Second
+	versionStepUs          = 100 * Millisecond
+	versionReportUs        = 100 * Millisecond
+	versionRecoveryUs      = 5 * Second // after the end of the rollout's duration
+	versionRunners         = 24         // of each version
+	versionPromptTokens    = 800
+	versionFirstTokenUs    = 30 * Millisecond // mean time to the first token
+	versionSlowFactor      = 8
+	versionLoadedThreshold = 3 // active requests from which a runner counts as loaded
 )
 
 // badness is the way in which a version is bad.
@@ -51,21 +51,21 @@
 
 // versionHistory is the state of one simulated history.
 type versionHistory struct {
-	kernel      *Kernel
-	defects     Defects
-	controllers []*versionController
-	routers     []*versionRouter
-	badness     badness
-	badShare    float64
-	lateUs      int64
-	overUs      int64
-	background  float64 // share of responses that fail, whatever the version
-	register    []messages.ServiceRollout
-	holder      *versionController
-	holderLost  int64 // time since which the holder is down, 0 while it is up
-	active      [2]map[string]int
-	checks      versionChecks
-	counts      Counts
+	kernel       *Kernel
+	defects      Defects
+	controllers  []*versionController
+	routers      []*versionRouter
+	badness      badness
+	badShare     float64
+	lateUs       int64
+	durationUs   int64
+	background   float64 // share of responses that fail, whatever the version
+	register     []messages.ServiceRollout
+	holder       *versionController
+	holderDownUs int64 // time since which the holder is down, 0 while it is up
+	active       [2]map[string]int
+	checks       versionChecks
+	counts       Counts
 }
 
 // versionController is a controller that may hold the lease.
@@ -77,34 +77,34 @@
 
 // versionRouter is a router with its own admitter.
 type versionRouter struct {
-	history  *versionHistory
-	process  *Process
-	admitter *admission.Admitter
-	reported map[string]messages.RunnerLoad // loads last received by the controllers
-	cut      bool                           // partitioned from the controllers in both directions
-	troubled int64                          // time at which its last fault started or ended
+	history     *versionHistory
+	process     *Process
+	admitter    *admission.Admitter
+	reported    map[string]messages.RunnerLoad // loads last received by the controllers
+	partitioned bool                           // partitioned from the controllers in both directions
+	lastFaultUs int64                          // time at which its last fault started or ended
 }
 
 // versionChecks holds the counts and times that the checks need.
 type versionChecks struct {
-	all, exposed int // requests since the order; exposed only counts routers in contact
-	bad          int // bad responses of the new version since the last controller fault
-	limitUs      int64
-	lastUs       int64 // time of the latest request to the new version
-	coreUs       int64 // time of the last controller fault
-	disturbed    bool  // there was any fault during the rollout
+	requests, exposed int // requests since the order; exposed only counts routers in contact
+	badResponses      int // bad responses of the new version since the last controller fault
+	limitReachedUs    int64
+	lastExposedUs     int64 // time of the latest request to the new version
+	coreFaultUs       int64 // time of the last controller fault
+	hadFault          bool  // there was any fault during the rollout
 }
 
 // PlayVersions simulates the canary rollout of a seed.
 func PlayVersions(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
-	h := &versionHistory{kernel: k, defects: options.Defects, badness: badness(k.Below(int(badnessKinds))), overUs: k.Between(10*Second, 20*Second)}
+	h := &versionHistory{kernel: k, defects: options.Defects, badness: badness(k.Below(int(badnessKinds))), durationUs: k.Between(10*Second, 20*Second)}
 	h.badShare = float64(k.Between(300, 600)) / 1000
 	h.lateUs = k.Between(Second, 5*Second)
 	if k.Chance(300) {
 		h.background = float64(k.Between(20, 150)) / 1000
 	}
-	k.Note("a version that is %s, %.2f of its answers, over %d us", badnessNames[h.badness], h.badShare, h.overUs)
+	k.Note("a version that is %s, %.2f of its answers, over %d us", badnessNames[h.badness], h.badShare, h.durationUs)
 	for i := range h.active {
 		h.active[i] = map[string]int{}
 	}
@@ -112,7 +112,7 @@
 		c := &versionController{process: NewProcess(k)}
 		c.process.Start()
 		h.controllers = append(h.controllers, c)
-		h.step(c)
+		h.runController(c)
 	}
 	for range 4 + k.Below(8) {
 		r := &versionRouter{history: h, process: NewProcess(k)}
@@ -120,20 +120,20 @@
 		h.routers = append(h.routers, r)
 	}
 	pauseUs := k.Between(2*Millisecond, 8*Millisecond)
-	h.arrive(pauseUs)
-	k.After(versionOrderUs, h.order)
+	h.generateRequests(pauseUs)
+	k.After(versionOrderUs, h.startRollout)
 	if k.Chance(600) {
-		h.plan()
+		h.scheduleFaults()
 	}
-	k.RunUntil(versionOrderUs + h.overUs + versionRestUs)
-	h.end()
+	k.RunUntil(versionOrderUs + h.durationUs + versionRecoveryUs)
+	h.checkOutcome()
 	h.counts.VersionHistories = 1
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.counts}
 }
 
-// order starts the rollout, as an operator would.
-func (h *versionHistory) order() {
-	wanted := canary.Order{Service: versionService, Target: versionTarget, DurationUs: h.overUs}
+// startRollout starts the rollout, as an operator would.
+func (h *versionHistory) startRollout() {
+	wanted := canary.Order{Service: versionService, Target: versionTarget, DurationUs: h.durationUs}
 	bounds := canary.Bounds{Exposure: versionExposure, Slack: versionSlack}
 	next, _, err := canary.Begin(h.register, wanted, bounds, h.kernel.NowUs())
 	if err != nil {
@@ -148,27 +148,27 @@
 	h.register = next
 	h.kernel.Note("stage %d, share %d", next[0].Stage, next[0].SharePerMille)
 	for _, r := range h.routers {
-		h.kernel.After(h.kernel.Between(20*Millisecond, 400*Millisecond), r.learn)
+		h.kernel.After(h.kernel.Between(20*Millisecond, 400*Millisecond), r.applyRegister)
 	}
 }
 
-// arrive delivers requests to random routers at random intervals.
-func (h *versionHistory) arrive(pauseUs int64) {
+// generateRequests delivers requests to random routers at random intervals.
+func (h *versionHistory) generateRequests(pauseUs int64) {
 	h.kernel.After(h.kernel.Between(0, 2*pauseUs), func() {
 		r := h.routers[h.kernel.Below(len(h.routers))]
 		r.process.Deliver(r.serve)
-		h.arrive(pauseUs)
+		h.generateRequests(pauseUs)
 	})
 }
 
-// step periodically runs the lease and rollout logic of a controller.
-func (h *versionHistory) step(c *versionController) {
+// runController periodically runs the lease and rollout logic of a controller.
+func (h *versionHistory) runController(c *versionController) {
 	c.process.After(h.kernel.Between(versionStepUs/2, versionStepUs), func() {
 		h.takeOver(c)
 		if h.holder == c && !c.busy && len(h.register) > 0 {
 			h.advance(c)
 		}
-		h.step(c)
+		h.runController(c)
 	})
 }
 
@@ -176,20 +176,20 @@
 func (h *versionHistory) takeOver(c *versionController) {
 	nowUs := h.kernel.NowUs()
 	switch {
-	case h.holder == nil, h.holderLost > 0 && nowUs-h.holderLost > versionTakeoverUs:
-		h.holder, h.holderLost = c, 0
+	case h.holder == nil, h.holderDownUs > 0 && nowUs-h.holderDownUs > versionTakeoverUs:
+		h.holder, h.holderDownUs = c, 0
 		c.plan, c.busy = &canary.Plan{}, false
 	case h.holder.process.Up() && !h.holder.process.frozen:
-		h.holderLost = 0
-	case h.holderLost == 0:
-		h.holderLost = nowUs
+		h.holderDownUs = 0
+	case h.holderDownUs == 0:
+		h.holderDownUs = nowUs
 	}
 }
 
 // advance performs the next step of the plan if a majority of the controllers is up.
 func (h *versionHistory) advance(c *versionController) {
-	was := h.register[0]
-	view := h.view(was)
+	current := h.register[0]
+	view := h.view(current)
 	step := c.plan.Step(view)
 	if h.defects.ShiftUntried && view.Stage == canary.Trial {
 		step = canary.Step{Stage: canary.Shifting, SharePerMille: view.Share}
@@ -203,7 +203,7 @@
 		if h.holder != c || !h.hasMajority() {
 			return
 		}
-		if next, changed := canary.Advance(h.register, was, step); changed {
+		if next, changed := canary.Advance(h.register, current, step); changed {
 			h.kernel.Note("%q by %v", step.Reason, view.Evidence)
 			h.commit(next)
 		}
@@ -211,13 +211,13 @@
 }
 
 func (h *versionHistory) hasMajority() bool {
-	there := 0
+	up := 0
 	for _, c := range h.controllers {
 		if c.process.Up() && !c.process.frozen {
-			there++
+			up++
 		}
 	}
-	return 2*there > len(h.controllers)
+	return 2*up > len(h.controllers)
 }
 
 // view returns the plan's input: the sums of the loads that the routers have reported.
--- a/internal/simulation/versions_checks.go
+++ b/internal/simulation/versions_checks.go
@@ -2,111 +2,111 @@
 
 import "beechtide.org/beechtide/internal/canary"
 
-func (h *versionHistory) termUs() int64 { return versionOrderUs + h.overUs }
+func (h *versionHistory) rolloutEndUs() int64 { return versionOrderUs + h.durationUs }
 
-// sent is called when a router sends a request to a runner.
-func (h *versionHistory) sent(r *versionRouter, fresh bool) {
+// recordSent is called when a router sends a request to a runner.
+func (h *versionHistory) recordSent(r *versionRouter, isNew bool) {
 	nowUs := h.kernel.NowUs()
-	if nowUs < versionOrderUs || nowUs > h.termUs() {
+	if nowUs < versionOrderUs || nowUs > h.rolloutEndUs() {
 		return
 	}
 	h.counts.VersionRequests++
-	h.checks.all++
-	if !fresh || !r.inTouch() {
+	h.checks.requests++
+	if !isNew || !r.inContact() {
 		return
 	}
 	h.checks.exposed++
-	h.checks.lastUs = nowUs
-	if h.badness != goodVersion && h.checks.limitUs > 0 && nowUs > h.checks.limitUs+versionRollbackUs {
-		h.kernel.Fail("a request goes to a bad version %d us after its %dth bad answer", nowUs-h.checks.limitUs, versionBadLimit)
+	h.checks.lastExposedUs = nowUs
+	if h.badness != goodVersion && h.checks.limitReachedUs > 0 && nowUs > h.checks.limitReachedUs+versionRollbackUs {
+		h.kernel.Fail("a request goes to a bad version %d us after its %dth bad answer", nowUs-h.checks.limitReachedUs, versionBadLimit)
 	}
 }
 
-// answered is called when a request ends.
-func (h *versionHistory) answered(fresh, bad bool) {
-	if !fresh || !bad {
+// recordAnswered is called when a request ends.
+func (h *versionHistory) recordAnswered(isNew, bad bool) {
+	if !isNew || !bad {
 		return
 	}
-	h.checks.bad++
-	if h.checks.bad == versionBadLimit {
-		h.checks.limitUs = h.kernel.NowUs()
+	h.checks.badResponses++
+	if h.checks.badResponses == versionBadLimit {
+		h.checks.limitReachedUs = h.kernel.NowUs()
 	}
 }
 
-// disturbCore records a controller fault and resets the count of bad responses.
-func (h *versionHistory) disturbCore() {
-	h.checks.coreUs, h.checks.disturbed = h.kernel.NowUs(), true
-	h.checks.bad, h.checks.limitUs = 0, 0
+// recordCoreFault records a controller fault and resets the count of bad responses.
+func (h *versionHistory) recordCoreFault() {
+	h.checks.coreFaultUs, h.checks.hadFault = h.kernel.NowUs(), true
+	h.checks.badResponses, h.checks.limitReachedUs = 0, 0
 }
 
-// plan schedules the faults of a history at random times.
-func (h *versionHistory) plan() {
+// scheduleFaults schedules the faults of a history at random times.
+func (h *versionHistory) scheduleFaults() {
 	k := h.kernel
 	for range 1 + k.Below(4) {
-		k.After(k.Between(versionOrderUs, h.termUs()), func() { h.fault(k.Between(100*Millisecond, 5*Second)) })
+		k.After(k.Between(versionOrderUs, h.rolloutEndUs()), func() { h.injectFault(k.Between(100*Millisecond, 5*Second)) })
 	}
 }
 
-func (h *versionHistory) fault(forUs int64) {
+func (h *versionHistory) injectFault(forUs int64) {
 	k := h.kernel
 	switch k.Below(4) {
 	case 0:
-		h.strikeHolder(forUs)
+		h.injectHolderFault(forUs)
 	case 1:
 		r := h.routers[k.Below(len(h.routers))]
 		k.Note("a router is cut off for %d us", forUs)
-		r.trouble(forUs, func() { r.cut = true }, func() { r.cut = false; r.learn() })
+		r.injectFault(forUs, func() { r.partitioned = true }, func() { r.partitioned = false; r.applyRegister() })
 	case 2:
 		r := h.routers[k.Below(len(h.routers))]
 		k.Note("a router is killed for %d us", forUs)
-		r.trouble(forUs, func() { r.process.Stop(); r.reported = nil }, r.boot)
+		r.injectFault(forUs, func() { r.process.Stop(); r.reported = nil }, r.boot)
 	default:
 		k.Note("answers fail everywhere for %d us", forUs)
 		before := h.background
 		h.background = max(h.background, 0.25)
 		k.After(forUs, func() { h.background = before })
 	}
-	h.checks.disturbed = true
+	h.checks.hadFault = true
 }
 
-// trouble injects a fault into a router, unless it already has one.
-func (r *versionRouter) trouble(forUs int64, begin, end func()) {
-	if !r.process.Up() || r.cut {
+// injectFault injects a fault into a router, unless it already has one.
+func (r *versionRouter) injectFault(forUs int64, begin, end func()) {
+	if !r.process.Up() || r.partitioned {
 		return
 	}
-	r.troubled = r.history.kernel.NowUs()
+	r.lastFaultUs = r.history.kernel.NowUs()
 	begin()
 	r.history.kernel.After(forUs, func() {
-		r.troubled = r.history.kernel.NowUs()
+		r.lastFaultUs = r.history.kernel.NowUs()
 		end()
 	})
 }
 
-// strikeHolder kills or freezes the lease holder.
-func (h *versionHistory) strikeHolder(forUs int64) {
+// injectHolderFault kills or freezes the lease holder.
+func (h *versionHistory) injectHolderFault(forUs int64) {
 	k, c := h.kernel, h.holder
 	if c == nil || !c.process.Up() || c.process.frozen {
 		return
 	}
-	h.disturbCore()
+	h.recordCoreFault()
 	if k.Chance(500) {
 		k.Note("the holder freezes for %d us", forUs)
 		c.process.Freeze()
-		k.After(forUs, func() { h.disturbCore(); c.process.Thaw() })
+		k.After(forUs, func() { h.recordCoreFault(); c.process.Thaw() })
 		return
 	}
 	k.Note("the holder is killed for %d us", forUs)
 	c.process.Stop()
 	k.After(forUs, func() {
-		h.disturbCore()
+		h.recordCoreFault()
 		c.process.Start()
 		c.plan, c.busy = &canary.Plan{}, false
-		h.step(c)
+		h.runController(c)
 	})
 }
 
-// end checks the outcome of the rollout.
-func (h *versionHistory) end() {
+// checkOutcome checks the outcome of the rollout.
+func (h *versionHistory) checkOutcome() {
 	k := h.kernel
 	if k.failure != "" || len(h.register) == 0 {
 		return
@@ -123,11 +123,11 @@
 		if stage == canary.Reverted {
 			h.counts.VersionsReverted++
 		}
-		if allowed := versionExposure*float64(h.checks.all) + versionSlack; float64(h.checks.exposed) > allowed {
-			k.Fail("a version that is %s got %d of %d requests, %.0f are allowed", badnessNames[h.badness], h.checks.exposed, h.checks.all, allowed)
+		if allowed := versionExposure*float64(h.checks.requests) + versionSlack; float64(h.checks.exposed) > allowed {
+			k.Fail("a version that is %s got %d of %d requests, %.0f are allowed", badnessNames[h.badness], h.checks.exposed, h.checks.requests, allowed)
 		}
 	}
-	if h.checks.disturbed {
+	if h.checks.hadFault {
 		return
 	}
 	switch {
--- a/internal/simulation/versions_router.go
+++ b/internal/simulation/versions_router.go
@@ -33,10 +33,10 @@
 	return records
 }
 
-// learn applies the register's value and the runner list.
-func (r *versionRouter) learn() {
+// applyRegister applies the register's value and the runner list.
+func (r *versionRouter) applyRegister() {
 	r.process.Deliver(func() {
-		if r.cut {
+		if r.partitioned {
 			return
 		}
 		r.setRunners()
@@ -48,7 +48,7 @@
 func (r *versionRouter) report() {
 	k := r.history.kernel
 	r.process.After(versionReportUs, func() {
-		if !r.cut {
+		if !r.partitioned {
 			loads := r.admitter.OwnLoads(k.NowUs())
 			k.After(k.Between(20*Millisecond, 250*Millisecond), func() {
 				if r.process.Up() {
@@ -60,27 +60,27 @@
 	})
 }
 
-// inTouch reports whether the router has been in contact with the controllers for long enough
+// inContact reports whether the router has been in contact with the controllers for long enough
 // that the bounds apply to it.
-func (r *versionRouter) inTouch() bool {
-	return !r.cut && !r.process.frozen && (r.troubled == 0 || r.history.kernel.NowUs()-r.troubled > versionContactUs)
+func (r *versionRouter) inContact() bool {
+	return !r.partitioned && !r.process.frozen && (r.lastFaultUs == 0 || r.history.kernel.NowUs()-r.lastFaultUs > versionContactUs)
 }
 
 // serve sends a request to a runner.
 func (r *versionRouter) serve() {
 	h, k := r.history, r.history.kernel
 	kind := k.Below(2)
-	request := admission.Request{Service: versionService, TokensIn: versionTokens, Class: fmt.Sprint("kind ", kind), TimeLeftUs: 5 * Second}
+	request := admission.Request{Service: versionService, TokensIn: versionPromptTokens, Class: fmt.Sprint("kind ", kind), TimeLeftUs: 5 * Second}
 	request.Canary = r.admitter.DrawCanary(versionService)
 	decision := r.admitter.Submit(request, k.NowUs())
 	if decision.Admission == nil {
 		return
 	}
 	adm := decision.Admission
-	fresh := adm.Runner.Version == versionTarget
-	h.sent(r, fresh)
-	h.active[side(fresh)][adm.Runner.ID]++
-	failed, tookUs := h.answer(adm, fresh, kind)
+	isNew := adm.Runner.Version == versionTarget
+	h.recordSent(r, isNew)
+	h.active[versionIndex(isNew)][adm.Runner.ID]++
+	failed, tookUs := h.answer(adm, isNew, kind)
 	r.process.After(tookUs, func() {
 		if !failed {
 			r.admitter.RecordFirstToken(adm, k.NowUs())
@@ -88,8 +88,8 @@
 	})
 	streamUs := tookUs + k.Between(0, 400*Millisecond)
 	k.After(streamUs, func() {
-		h.active[side(fresh)][adm.Runner.ID]--
-		h.answered(fresh, failed || tookUs > versionReadUs*versionSlowTimes/2)
+		h.active[versionIndex(isNew)][adm.Runner.ID]--
+		h.recordAnswered(isNew, failed || tookUs > versionFirstTokenUs*versionSlowFactor/2)
 	})
 	r.process.After(streamUs, func() {
 		r.admitter.RecordOutcome(adm, !failed, k.NowUs())
@@ -97,20 +97,20 @@
 	})
 }
 
-func side(fresh bool) int {
-	if fresh {
+func versionIndex(isNew bool) int {
+	if isNew {
 		return 1
 	}
 	return 0
 }
 
 // answer chooses a runner's response at random: whether it fails, and its time to first token.
-func (h *versionHistory) answer(adm *admission.Admission, fresh bool, kind int) (failed bool, tookUs int64) {
+func (h *versionHistory) answer(adm *admission.Admission, isNew bool, kind int) (failed bool, tookUs int64) {
 	k := h.kernel
 	chance := func(share float64) bool { return k.Chance(int(share * 1000)) }
-	tookUs = k.Between(versionReadUs/2, versionReadUs*3/2)
+	tookUs = k.Between(versionFirstTokenUs/2, versionFirstTokenUs*3/2)
 	failed = chance(h.background)
-	if !fresh || !chance(h.badShare) {
+	if !isNew || !chance(h.badShare) {
 		return failed, tookUs
 	}
 	switch h.badness {
@@ -119,11 +119,11 @@
 	case lateVersion:
 		failed = failed || k.NowUs() > versionOrderUs+h.lateUs
 	case slowVersion:
-		tookUs *= versionSlowTimes
+		tookUs *= versionSlowFactor
 	case oneKindVersion:
 		failed = failed || kind == 0
 	case loadedVersion:
-		failed = failed || h.active[1][adm.Runner.ID] >= versionLoadedActive
+		failed = failed || h.active[1][adm.Runner.ID] >= versionLoadedThreshold
 	}
 	return failed, tookUs
 }
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -9,7 +9,7 @@
 // versionRange is the fixed range of seeds that CI simulates.
 var versionRange = Range{Model: "versions", Count: 60, Parallel: 3}
 
-func TestVersionSeedsBreakNothing(t *testing.T) {
+func TestVersionSeedsViolateNoCheck(t *testing.T) {
 	counts := Run(versionRange, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
 	must.Positive(t, counts.VersionsSettled)
@@ -17,19 +17,19 @@
 }
 
 // Each injected defect must be detected by a check.
-func TestVersionChecksFindWhatIsTakenOut(t *testing.T) {
+func TestVersionChecksDetectDefects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		defects Defects
 		finds   string
 	}{
 		{"no trial", Defects{ShiftUntried: true}, "allowed"},
-		{"outcomes not looked at", Defects{IgnoreOutcomes: true}, "bad"},
-		{"outcomes of the others not looked at", Defects{CompareWithNothing: true}, "a good version"},
+		{"outcomes ignored", Defects{IgnoreOutcomes: true}, "bad"},
+		{"baseline outcomes ignored", Defects{CompareWithNothing: true}, "a good version"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			seed, failure := firstFailureOf(PlayVersions, Options{Defects: c.defects}, c.finds)
-			t.Logf("found by seed %d: %s", seed, failure)
+			t.Logf("detected by seed %d: %s", seed, failure)
 			must.NotEq(t, "", failure)
 		})
 	}
