--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -90,14 +90,14 @@
 		r.start()
 	}
 	f.scheduleEvents()
-	k.RunUntil(fleetFaultsUs + calmUs)
+	k.RunUntil(fleetFaultsUs + calmPhaseUs)
 	f.heal()
 	k.RunUntil(k.NowUs() + listedUs)
 	f.checkListed()
 	k.RunUntil(k.NowUs() + unlistedUs - listedUs)
 	f.checkUnlisted()
 	f.checkListed()
-	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: Counts{Fleets: 1}}
+	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: Counts{RunnerHistories: 1}}
 }
 
 func (f *fleet) every(p *Process, periodUs int64, run func()) {
@@ -113,7 +113,7 @@
 	r.sequence, r.state = 0, running
 	r.generation++
 	r.startedUs = r.fleet.kernel.NowUs()
-	r.fleet.kernel.Note("%s begins", r.id())
+	r.fleet.kernel.Log("%s begins", r.id())
 	r.sendHeartbeat(r.generation)
 }
 
@@ -121,7 +121,7 @@
 
 // endInstance ends the instance, by a crash or after it has left.
 func (r *runner) endInstance() {
-	r.fleet.kernel.Note("%s ends", r.id())
+	r.fleet.kernel.Log("%s ends", r.id())
 	r.fleet.endedInstances = append(r.fleet.endedInstances, endedInstance{r.id(), r.fleet.kernel.NowUs()})
 	r.state = ended
 	r.generation++
@@ -143,7 +143,7 @@
 			if leaves {
 				to.leave(id)
 			} else {
-				to.heartbeat(record)
+				to.receiveHeartbeat(record)
 			}
 			net.Send(to.addr, r.address, func() {
 				if answered = true; leaves && r.generation == life {
@@ -167,7 +167,7 @@
 		// The first runner only sends heartbeats: without any heartbeat, a registrar cannot
 		// conclude from silence that runners have ended.
 		r := f.runners[1+k.Below(len(f.runners)-1)]
-		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.applyLifecycleEvent(r) })
+		k.After(calmPhaseUs+k.Between(0, fleetFaultsUs), func() { f.applyLifecycleEvent(r) })
 	}
 	faults := 1 + k.Below(4)
 	if f.partial {
@@ -175,12 +175,12 @@
 	}
 	for range faults {
 		victim := f.registrars[k.Below(len(f.registrars))]
-		forUs := k.Between(leastFault, maxFleetFaultUs)
+		forUs := k.Between(minFaultUs, maxFleetFaultUs)
 		strike := []func(*registrar, int64){f.cutOff, f.cutOff, f.cutOneWay, f.freeze, f.crash, f.crashAndLoseState}[k.Below(6)]
 		if f.partial {
 			strike = f.cutPair
 		}
-		k.After(calmUs+k.Between(0, fleetFaultsUs), func() { f.injectFault(strike, victim, forUs) })
+		k.After(calmPhaseUs+k.Between(0, fleetFaultsUs), func() { f.injectFault(strike, victim, forUs) })
 	}
 }
 
@@ -207,7 +207,7 @@
 	case r.state == ended:
 		r.start()
 	case r.state == running && k.Chance(400):
-		k.Note("%s drains", r.id())
+		k.Log("%s drains", r.id())
 		r.state = draining
 		k.After(k.Between(0, 3*Second), func() {
 			if r.state == draining {
@@ -246,7 +246,7 @@
 
 // cutOff partitions a registrar from the others; about half of the runners still reach it.
 func (f *fleet) cutOff(victim *registrar, forUs int64) {
-	f.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
+	f.kernel.Log("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range victim.others() {
 		f.cutLink(victim.addr, other.addr, forUs)
 		f.cutLink(other.addr, victim.addr, forUs)
@@ -263,7 +263,7 @@
 func (f *fleet) cutPair(victim *registrar, forUs int64) {
 	others := victim.others()
 	other := others[f.kernel.Below(len(others))]
-	f.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
+	f.kernel.Log("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
 	f.cutLink(victim.addr, other.addr, forUs)
 	f.cutLink(other.addr, victim.addr, forUs)
 	for _, r := range []*registrar{victim, other} {
@@ -278,27 +278,27 @@
 }
 
 func (f *fleet) cutOneWay(victim *registrar, forUs int64) {
-	f.kernel.Note("%s does not hear the others for %d us", victim.addr, forUs)
+	f.kernel.Log("%s does not hear the others for %d us", victim.addr, forUs)
 	for _, other := range victim.others() {
 		f.cutLink(other.addr, victim.addr, forUs)
 	}
 }
 
 func (f *fleet) freeze(victim *registrar, forUs int64) {
-	f.kernel.Note("%s freezes for %d us", victim.addr, forUs)
+	f.kernel.Log("%s freezes for %d us", victim.addr, forUs)
 	victim.process.Freeze()
 	f.endFaultAfter(forUs, victim.process.Thaw)
 }
 
 func (f *fleet) crash(victim *registrar, forUs int64) {
-	f.kernel.Note("%s crashes", victim.addr)
+	f.kernel.Log("%s crashes", victim.addr)
 	victim.process.Stop()
 	f.endFaultAfter(forUs, func() { f.restart(victim) })
 }
 
 // crashAndLoseState crashes a registrar and deletes its stored state.
 func (f *fleet) crashAndLoseState(victim *registrar, forUs int64) {
-	victim.kept = nil
+	victim.onDisk = nil
 	f.crash(victim, forUs)
 }
 
@@ -309,7 +309,7 @@
 }
 
 func (f *fleet) heal() {
-	f.kernel.Note("everything heals")
+	f.kernel.Log("everything heals")
 	f.healed = true
 	f.network.Heal()
 	for _, r := range f.registrars {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -9,7 +9,7 @@
 func TestFleetSeedsViolateNoCheck(t *testing.T) {
 	fleets := Range{Model: "runners", Count: 300, Parallel: 3}
 	counts := Run(fleets, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
-	must.Eq(t, int64(fleets.Count), counts.Fleets)
+	must.Eq(t, int64(fleets.Count), counts.RunnerHistories)
 }
 
 // fleetRegressionSeeds are regression seeds that violated a check before a fault was fixed.
@@ -26,5 +26,5 @@
 func TestFleetPartialPartitionsKeepLiveRunnersListed(t *testing.T) {
 	fleets := Range{Model: "runners-partial", Count: 300, Parallel: 3}
 	counts := Run(fleets, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
-	must.Eq(t, int64(fleets.Count), counts.Fleets)
+	must.Eq(t, int64(fleets.Count), counts.RunnerHistories)
 }
--- a/internal/simulation/loads.go
+++ b/internal/simulation/loads.go
@@ -148,7 +148,7 @@
 	}
 	n.history.linkCount++
 	link := &loadLink{senderName: fmt.Sprintf("%s/%d", n.addr, n.history.linkCount), child: n, parent: parent, childLife: n.process.life, parentLife: parent.process.life, openAtChild: true, openAtParent: true}
-	n.history.kernel.Note("%s follows %s", n.addr, parent.addr)
+	n.history.kernel.Log("%s follows %s", n.addr, parent.addr)
 	n.parent, n.sendAll = link, true
 	parent.children = append(parent.children, link)
 }
@@ -166,7 +166,7 @@
 }
 
 func (l *loadLink) forget() {
-	if l.openAtParent && !l.parent.history.defects.KeepSenders {
+	if l.openAtParent && !l.parent.history.defects.KeepEndedSenders {
 		l.parent.subtree.Remove(l.senderName)
 	}
 	l.openAtParent = false
@@ -229,17 +229,17 @@
 	}
 	switch k.Below(3) {
 	case 0:
-		k.Note("%s is killed for %d us", n.addr, forUs)
+		k.Log("%s is killed for %d us", n.addr, forUs)
 		n.process.Stop()
 		n.closeConnections()
 		k.After(forUs, n.restart)
 	case 1:
-		k.Note("%s freezes for %d us", n.addr, forUs)
+		k.Log("%s freezes for %d us", n.addr, forUs)
 		n.process.Freeze()
 		k.After(forUs, n.process.Thaw)
 	default:
 		if n.parent != nil {
-			k.Note("the connection of %s is cut", n.addr)
+			k.Log("the connection of %s is cut", n.addr)
 			n.parent.cut = true
 		}
 	}
@@ -262,7 +262,7 @@
 }
 
 func (h *loadHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed = true
 	for _, n := range h.nodes {
 		n.process.Thaw()
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -25,8 +25,8 @@
 }
 
 func TestLoadChecksDetectLoadsKeptAfterSenderEnds(t *testing.T) {
-	for seed := range uint64(mostSeedsToFind) {
-		if r := PlayLoads(seed, Options{Defects: Defects{KeepSenders: true}}); r.Failure != "" {
+	for seed := range uint64(maxSeedsToDetect) {
+		if r := PlayLoads(seed, Options{Defects: Defects{KeepEndedSenders: true}}); r.Failure != "" {
 			t.Logf("detected by seed %d: %s", seed, r.Failure)
 			return
 		}
--- a/internal/simulation/quota.go
+++ b/internal/simulation/quota.go
@@ -119,7 +119,7 @@
 // lowerLimit halves a limit. It applies to requests that reach a router afterwards.
 func (h *quotaHistory) lowerLimit() {
 	t := h.tenants[h.kernel.Below(len(h.tenants))]
-	h.kernel.Note("the limit of %s is lowered", t.name)
+	h.kernel.Log("the limit of %s is lowered", t.name)
 	t.limit = quota.Limit{Version: t.limit.Version + 1, RatePerS: t.limit.RatePerS / 2, Burst: t.limit.Burst / 2}
 	h.checks.recordLowered(t)
 }
@@ -144,9 +144,9 @@
 }
 
 func (h *quotaHistory) kill(m *quotaMember, forUs int64) {
-	h.kernel.Note("%s is killed for %d us", m.addr, forUs)
+	h.kernel.Log("%s is killed for %d us", m.addr, forUs)
 	m.process.Stop()
-	h.later(forUs, func() {
+	h.endFaultAfter(forUs, func() {
 		if !m.process.Up() {
 			m.boot()
 		}
@@ -171,9 +171,9 @@
 }
 
 func (h *quotaHistory) freeze(p *Process, addr string, forUs int64) {
-	h.kernel.Note("%s freezes for %d us", addr, forUs)
+	h.kernel.Log("%s freezes for %d us", addr, forUs)
 	p.Freeze()
-	h.later(forUs, p.Thaw)
+	h.endFaultAfter(forUs, p.Thaw)
 }
 
 func (h *quotaHistory) freezeOwner(forUs int64) {
@@ -184,7 +184,7 @@
 // cutOwnerOff partitions a member from the others. Routers still reach both sides.
 func (h *quotaHistory) cutOwnerOff(forUs int64) {
 	m := h.chooseMember()
-	h.kernel.Note("%s is cut off from the members for %d us", m.addr, forUs)
+	h.kernel.Log("%s is cut off from the members for %d us", m.addr, forUs)
 	oneWay := h.kernel.Chance(300)
 	for _, other := range h.members {
 		switch {
@@ -192,7 +192,7 @@
 		case oneWay:
 			h.cutOneWay(m.addr, other.addr, forUs)
 		default:
-			h.cut(m.addr, other.addr, forUs)
+			h.cutBothWays(m.addr, other.addr, forUs)
 		}
 	}
 }
@@ -200,10 +200,10 @@
 // cutOwnerOffAndRestart partitions a member from the others, which restart at once.
 func (h *quotaHistory) cutOwnerOffAndRestart(forUs int64) {
 	m := h.chooseMember()
-	h.kernel.Note("%s is cut off for %d us, the others restart", m.addr, forUs)
+	h.kernel.Log("%s is cut off for %d us, the others restart", m.addr, forUs)
 	for _, other := range h.members {
 		if other != m {
-			h.cut(m.addr, other.addr, forUs)
+			h.cutBothWays(m.addr, other.addr, forUs)
 			h.kill(other, h.kernel.Between(Millisecond, 200*Millisecond))
 		}
 	}
@@ -219,7 +219,7 @@
 		}
 	}
 	spare := spares[h.kernel.Below(len(spares))]
-	h.kernel.Note("%s takes the place of %s", spare, old)
+	h.kernel.Log("%s takes the place of %s", spare, old)
 	members := slices.DeleteFunc(slices.Clone(h.group.Members), func(member string) bool { return member == old })
 	members = append(members, spare)
 	slices.Sort(members)
@@ -239,8 +239,8 @@
 
 func (h *quotaHistory) cutPair(forUs int64) {
 	m, other := h.chooseMember(), h.members[h.kernel.Below(len(h.members))]
-	h.kernel.Note("%s and %s are cut off from each other for %d us", m.addr, other.addr, forUs)
-	h.cut(m.addr, other.addr, forUs)
+	h.kernel.Log("%s and %s are cut off from each other for %d us", m.addr, other.addr, forUs)
+	h.cutBothWays(m.addr, other.addr, forUs)
 }
 
 // cutRouters partitions about a third of the routers from all members, or from all but one.
@@ -250,10 +250,10 @@
 		if !h.kernel.Chance(333) {
 			continue
 		}
-		h.kernel.Note("%s is cut off from the members for %d us", r.addr, forUs)
+		h.kernel.Log("%s is cut off from the members for %d us", r.addr, forUs)
 		for i, m := range h.members {
 			if i != spared {
-				h.cut(r.addr, m.addr, forUs)
+				h.cutBothWays(r.addr, m.addr, forUs)
 			}
 		}
 	}
@@ -272,9 +272,9 @@
 		if !h.kernel.Chance(500) {
 			continue
 		}
-		h.kernel.Note("%s is killed", r.addr)
+		h.kernel.Log("%s is killed", r.addr)
 		r.process.Stop()
-		h.later(min(forUs, 2*Second), func() {
+		h.endFaultAfter(min(forUs, 2*Second), func() {
 			if !r.process.Up() {
 				r.boot()
 			}
@@ -285,12 +285,12 @@
 // slowLinks makes all links between a member and the other members slow and lossy.
 func (h *quotaHistory) slowLinks(forUs int64) {
 	m := h.chooseMember()
-	h.kernel.Note("the links of %s are slow for %d us", m.addr, forUs)
+	h.kernel.Log("the links of %s are slow for %d us", m.addr, forUs)
 	for _, other := range h.members {
 		for _, link := range []*Link{h.network.Link(m.addr, other.addr), h.network.Link(other.addr, m.addr)} {
 			link.DelayHighUs, link.LossPerMille = 500*Millisecond, 200
-			h.later(forUs, func() {
-				*link = Link{Cuts: link.Cuts, LossPerMille: 2, DoublePerMille: 2, DelayLowUs: 200, DelayHighUs: 4 * Millisecond}
+			h.endFaultAfter(forUs, func() {
+				*link = Link{Cuts: link.Cuts, LossPerMille: 2, DuplicatePerMille: 2, DelayLowUs: 200, DelayHighUs: 4 * Millisecond}
 			})
 		}
 	}
@@ -298,12 +298,12 @@
 
 // fillRunners makes all runners full for forUs; then all queued requests may run at once.
 func (h *quotaHistory) fillRunners(forUs int64) {
-	h.kernel.Note("the runners are full for %d us", forUs)
+	h.kernel.Log("the runners are full for %d us", forUs)
 	h.busyUntilUs = h.kernel.NowUs() + forUs
 }
 
 func (h *quotaHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed = true
 	h.network.Heal()
 	for _, m := range h.members {
--- a/internal/simulation/quota_checks.go
+++ b/internal/simulation/quota_checks.go
@@ -111,12 +111,12 @@
 	out := Counts{QuotaHistories: 1}
 	for t, tally := range c.tallies {
 		if t.demand < 1 && !c.withoutFaults {
-			out.QuotaAsked += tally.asked
+			out.QuotaWithinLimit += tally.asked
 			out.QuotaDenied += tally.denied
-			out.QuotaUnknown += tally.unknown
-			out.QuotaLate += tally.expired
+			out.QuotaOwnerUnknown += tally.unknown
+			out.QuotaRejectedLate += tally.expired
 		}
-		out.QuotaRan += tally.ran
+		out.QuotaRequestsRun += tally.ran
 	}
 	return out
 }
--- a/internal/simulation/quota_test.go
+++ b/internal/simulation/quota_test.go
@@ -12,8 +12,8 @@
 	counts := Run(histories, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
 	must.Eq(t, int64(histories.Count), counts.QuotaHistories)
-	must.Greater(t, 1000*counts.QuotaHistories, counts.QuotaRan)
-	must.Less(t, counts.QuotaAsked, 100*counts.QuotaDenied)
+	must.Greater(t, 1000*counts.QuotaHistories, counts.QuotaRequestsRun)
+	must.Less(t, counts.QuotaWithinLimit, 100*counts.QuotaDenied)
 }
 
 func TestQuotaSameSeedReproducesHistory(t *testing.T) {
@@ -36,7 +36,7 @@
 		{"token age ignored", Defects{IgnoreTokenAge: true}, "requests ran in the window"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range uint64(mostSeedsToFind) {
+			for seed := range uint64(maxSeedsToDetect) {
 				r := PlayQuota(seed, Options{Defects: c.defects})
 				if strings.Contains(r.Failure, c.finds) {
 					t.Logf("detected by seed %d: %s", seed, r.Failure)
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -186,35 +186,35 @@
 	router, runner := h.routers[k.Below(len(h.routers))], h.runners[k.Below(len(h.runners))]
 	switch k.Below(8) {
 	case 0:
-		k.Note("%s crashes", runner.addr)
+		k.Log("%s crashes", runner.addr)
 		runner.crash()
 		h.endFaultAfter(forUs, runner.restart)
 	case 1:
-		k.Note("%s freezes for %d us", runner.addr, forUs)
+		k.Log("%s freezes for %d us", runner.addr, forUs)
 		runner.process.Freeze()
 		h.endFaultAfter(forUs, runner.process.Thaw)
 	case 2:
-		k.Note("connections of %s are reset", runner.addr)
+		k.Log("connections of %s are reset", runner.addr)
 		runner.resetConnections()
 	case 3:
-		k.Note("%s loses answers for %d us", runner.addr, forUs)
+		k.Log("%s loses answers for %d us", runner.addr, forUs)
 		runner.losesResponses = true
 		h.endFaultAfter(forUs, func() { runner.losesResponses = false })
 	case 4:
-		k.Note("%s answers twice for %d us", runner.addr, forUs)
+		k.Log("%s answers twice for %d us", runner.addr, forUs)
 		runner.duplicatesResponses = true
 		h.endFaultAfter(forUs, func() { runner.duplicatesResponses = false })
 	case 5:
-		k.Note("%s freezes for %d us", router.name, forUs)
+		k.Log("%s freezes for %d us", router.name, forUs)
 		router.process.Freeze()
 		router.frozenUs = k.NowUs()
 		h.endFaultAfter(forUs, func() { router.thawedUs = k.NowUs(); router.process.Thaw() })
 	case 6:
-		k.Note("%s is killed", router.name)
+		k.Log("%s is killed", router.name)
 		router.kill()
 		h.endFaultAfter(forUs, router.restart)
 	default:
-		k.Note("%s is slow for %d us", runner.addr, forUs)
+		k.Log("%s is slow for %d us", runner.addr, forUs)
 		runner.slowFactor = 10
 		h.endFaultAfter(forUs, func() { runner.slowFactor = 1 })
 	}
@@ -230,7 +230,7 @@
 }
 
 func (h *requestHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed = true
 	for _, r := range h.runners {
 		r.losesResponses, r.duplicatesResponses, r.slowFactor = false, false, 1
--- a/internal/simulation/requests_checks.go
+++ b/internal/simulation/requests_checks.go
@@ -90,7 +90,7 @@
 // checkResponse is called when a client receives a response or its connection ends.
 func (c *requestChecks) checkResponse(in *incoming, status int, body string) {
 	seen, k := c.records[in.id], c.history.kernel
-	k.Note("%s is answered %d", in.id, status)
+	k.Log("%s is answered %d", in.id, status)
 	switch {
 	case status == 503 || status == 429:
 		seen.notRunReported = true
--- a/internal/simulation/requests_router.go
+++ b/internal/simulation/requests_router.go
@@ -18,7 +18,7 @@
 	thawedUs int64
 
 	// The following fields are lost when the process restarts.
-	budget       *upstream.Budget
+	budget       *upstream.RetryBudget
 	idleConns    map[*requestRunner][]*requestConn
 	exchanges    map[*incoming]*requestExchange
 	openRequests map[*incoming]bool // requests whose clients wait for a response
@@ -32,7 +32,7 @@
 
 func (r *requestRouter) start() {
 	r.process.Start()
-	r.budget = &upstream.Budget{Ratio: retryRatio, Slack: retrySlack, WindowUs: retryWindowUs}
+	r.budget = &upstream.RetryBudget{Ratio: retryRatio, Slack: retrySlack, WindowUs: retryWindowUs}
 	r.idleConns, r.exchanges = map[*requestRunner][]*requestConn{}, map[*incoming]*requestExchange{}
 }
 
@@ -86,7 +86,7 @@
 	deadlineUs    int64 // by the router's clock
 	conn          *requestConn
 	runner        *requestRunner
-	events        upstream.Events
+	events        upstream.EventSplitter
 	sent          strings.Builder // bytes sent to the client
 	attemptNumber int             // incremented per attempt; events of earlier attempts are ignored
 }
@@ -100,14 +100,14 @@
 	leftUs := in.client.deadlineUs - in.sentUs
 	e := &requestExchange{router: r, in: in, deadlineUs: r.process.NowUs() + leftUs}
 	r.exchanges[in] = e
-	r.budget.Request(r.process.NowUs())
+	r.budget.RecordRequest(r.process.NowUs())
 	number := e.attemptNumber
 	r.process.After(leftUs, func() {
 		if e.attemptNumber >= number && !e.in.ended {
 			e.expire()
 		}
 	})
-	h.kernel.Note("%s takes %s", r.name, in.id)
+	h.kernel.Log("%s takes %s", r.name, in.id)
 	e.startAttempt()
 }
 
@@ -121,7 +121,7 @@
 
 func (e *requestExchange) retryRules() attempt.Request {
 	rules := e.in.client.retryRules()
-	if e.router.history.defects.RepeatEffectful {
+	if e.router.history.defects.RetryNonIdempotent {
 		rules.Repeatable = true
 	}
 	return rules
@@ -201,7 +201,7 @@
 		e.conn.close()
 	}
 	e.conn = nil
-	e.events.Cut()
+	e.events.DiscardIncomplete()
 	next := e.sequence.Failed(e.retryRules(), result, e.deadlinePassed(), e)
 	if next.AvoidRunner {
 		e.avoid = append(e.avoid, e.runner)
@@ -214,7 +214,7 @@
 }
 
 func (e *requestExchange) endStatus() int {
-	if e.router.history.defects.PromiseAfterRun {
+	if e.router.history.defects.ReportNotRunAfterRun {
 		return 503
 	}
 	return e.sequence.EndStatus(e.deadlinePassed())
@@ -258,7 +258,7 @@
 
 // handleResponse handles a response on the connection of the current attempt.
 func (e *requestExchange) handleResponse(conn *requestConn, a runnerResponse) {
-	if a.id != e.in.id && !e.router.history.defects.MatchByOrder {
+	if a.id != e.in.id && !e.router.history.defects.MatchResponsesByOrder {
 		conn.tainted = true // a late response to an earlier request is ignored
 		return
 	}
--- a/internal/simulation/requests_test.go
+++ b/internal/simulation/requests_test.go
@@ -33,14 +33,14 @@
 		defects Defects
 		finds   string
 	}{
-		{"effectful requests retried", Defects{RepeatEffectful: true}, "runs twice"},
-		{"503 after possible execution", Defects{PromiseAfterRun: true}, "answered"},
-		{"responses matched by order", Defects{MatchByOrder: true}, "gets"},
+		{"effectful requests retried", Defects{RetryNonIdempotent: true}, "runs twice"},
+		{"503 after possible execution", Defects{ReportNotRunAfterRun: true}, "answered"},
+		{"responses matched by order", Defects{MatchResponsesByOrder: true}, "gets"},
 		{"retries without a budget", Defects{RetryWithoutBudget: true}, "retries"},
 		{"streams resumed from the start", Defects{ResumeFromStart: true}, "gets"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range uint64(mostSeedsToFind) {
+			for seed := range uint64(maxSeedsToDetect) {
 				if r := PlayRequests(seed, Options{Defects: c.defects}); r.Failure != "" {
 					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
--- a/internal/simulation/rollout_checks.go
+++ b/internal/simulation/rollout_checks.go
@@ -19,7 +19,7 @@
 
 func (c *rolloutChecks) recordAcknowledged(version int64) {
 	if !c.isAcknowledged(version) {
-		c.history.kernel.Note("version %d is acknowledged", version)
+		c.history.kernel.Log("version %d is acknowledged", version)
 		c.ackedUs[version] = c.history.kernel.NowUs()
 	}
 }
@@ -61,7 +61,7 @@
 	}
 	c.highestFence = fence
 	for _, other := range sortedKeys(c.lastOrderUs) {
-		if other != from.addr && now-c.lastOrderUs[other] < dutyTimes.LeaseUs {
+		if other != from.addr && now-c.lastOrderUs[other] < controllerLeaseTimes.LeaseUs {
 			k.Fail("%s orders %d us after %s", from.addr, now-c.lastOrderUs[other], other)
 		}
 	}
@@ -72,7 +72,7 @@
 func (c *rolloutChecks) checkOrdered() {
 	newest := targetOf(c.history.group.register.body)
 	for _, e := range c.history.engines {
-		if e.up && e.version < newest && e.target == 0 {
+		if e.up && e.version < newest && e.targetVersion == 0 {
 			c.history.kernel.Fail("%s serves on version %d long after %d was named", e.id(), e.version, newest)
 		}
 	}
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -63,7 +63,7 @@
 	h.checks.checkOrdered()
 	k.RunUntil(k.NowUs() + completedUs - orderedUs)
 	h.checks.checkCompleted()
-	counts := Counts{Rollouts: 1, Orders: h.checks.orders, Begun: h.checks.started, Takeovers: h.group.register.holders}
+	counts := Counts{RolloutHistories: 1, Orders: h.checks.orders, RolloutRequestsStarted: h.checks.started, LeaseTakeovers: h.group.register.holderChanges}
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: counts}
 }
 
@@ -84,7 +84,7 @@
 	for i := range engines {
 		e := &engine{history: h, address: fmt.Sprintf("engine-%d:1", i+1), version: 1}
 		h.engines = append(h.engines, e)
-		e.begin()
+		e.start()
 	}
 	return h
 }
@@ -109,7 +109,7 @@
 	}
 	for range 1 + k.Below(4) {
 		atUs := rolloutWarmupUs + k.Between(0, 20*Second)
-		forUs := k.Between(leastFault, mostFault)
+		forUs := k.Between(minFaultUs, maxFaultUs)
 		k.After(atUs, func() { h.injectFault(forUs) })
 	}
 }
@@ -119,7 +119,7 @@
 	c := h.coordinators[h.kernel.Below(len(h.coordinators))]
 	acknowledged := func() { h.checks.recordAcknowledged(version) }
 	h.network.Send("operator", c.addr, func() {
-		c.process.Deliver(func() { c.name(version, func() { h.network.Send(c.addr, "operator", acknowledged) }) })
+		c.process.Deliver(func() { c.nameVersion(version, func() { h.network.Send(c.addr, "operator", acknowledged) }) })
 	})
 	h.kernel.After(Second, func() {
 		if !h.checks.isAcknowledged(version) {
@@ -136,16 +136,16 @@
 	}
 	for _, e := range h.engines {
 		if h.kernel.Chance(300) {
-			e.end()
-			h.kernel.After(h.kernel.Between(100*Millisecond, 2*Second), e.begin)
+			e.stop()
+			h.kernel.After(h.kernel.Between(100*Millisecond, 2*Second), e.start)
 		}
 	}
 }
 
 func (h *rolloutHistory) slowDown(e *engine, forUs int64) {
-	h.kernel.Note("%s is slow for %d us", e.address, forUs)
-	e.slow = 5
-	h.kernel.After(forUs, func() { e.slow = 1 })
+	h.kernel.Log("%s is slow for %d us", e.address, forUs)
+	e.slowFactor = 5
+	h.kernel.After(forUs, func() { e.slowFactor = 1 })
 }
 
 // holder returns the lease holder according to the register, or nil.
@@ -175,20 +175,20 @@
 }
 
 func (h *rolloutHistory) kill(victim *coordinator, forUs int64) {
-	h.kernel.Note("%s is killed for %d us", victim.addr, forUs)
+	h.kernel.Log("%s is killed for %d us", victim.addr, forUs)
 	victim.process.Stop()
 	h.endFaultAfter(forUs, func() { h.restart(victim) })
 }
 
 func (h *rolloutHistory) freeze(victim *coordinator, forUs int64) {
-	h.kernel.Note("%s freezes for %d us", victim.addr, forUs)
+	h.kernel.Log("%s freezes for %d us", victim.addr, forUs)
 	victim.process.Freeze()
 	h.endFaultAfter(forUs, func() { h.thaw(victim) })
 }
 
 // cutOff partitions a controller from all others; runners still reach it.
 func (h *rolloutHistory) cutOff(victim *coordinator, forUs int64) {
-	h.kernel.Note("%s is cut off for %d us", victim.addr, forUs)
+	h.kernel.Log("%s is cut off for %d us", victim.addr, forUs)
 	for _, other := range h.coordinators {
 		h.cut(victim, other, forUs)
 	}
@@ -197,7 +197,7 @@
 // cutPair cuts the links between two controllers that both still reach the others.
 func (h *rolloutHistory) cutPair(victim *coordinator, forUs int64) {
 	other := h.coordinators[h.kernel.Below(len(h.coordinators))]
-	h.kernel.Note("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
+	h.kernel.Log("%s and %s are cut apart for %d us", victim.addr, other.addr, forUs)
 	h.cut(victim, other, forUs)
 }
 
@@ -230,7 +230,7 @@
 }
 
 func (h *rolloutHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed, h.fleet.healed = true, true
 	h.network.Heal()
 	for _, c := range h.coordinators {
@@ -238,16 +238,16 @@
 		h.restart(c)
 	}
 	for _, e := range h.engines {
-		e.slow = 1
+		e.slowFactor = 1
 	}
 }
 
 // times returns the lease durations, without the waits if that defect is injected.
 func (h *rolloutHistory) times() lease.Times {
 	if h.defects.ActWithoutWaiting {
-		return lease.Times{ActUs: dutyTimes.ActUs}
+		return lease.Times{ActUs: controllerLeaseTimes.ActUs}
 	}
-	return dutyTimes
+	return controllerLeaseTimes
 }
 
 // bound returns the time within which the plan must send all orders.
--- a/internal/simulation/rollouts_test.go
+++ b/internal/simulation/rollouts_test.go
@@ -11,10 +11,10 @@
 	rollouts := Range{Model: "rollouts", Count: 150, Parallel: 3}
 	counts := Run(rollouts, Options{}, func(r Result) { t.Errorf("seed %d: %s", r.Seed, r.Failure) })
 	t.Log(counts)
-	must.Eq(t, int64(rollouts.Count), counts.Rollouts)
-	must.Positive(t, counts.Begun)
-	must.Greater(t, counts.Rollouts, counts.Orders)
-	must.Positive(t, counts.Takeovers)
+	must.Eq(t, int64(rollouts.Count), counts.RolloutHistories)
+	must.Positive(t, counts.RolloutRequestsStarted)
+	must.Greater(t, counts.RolloutHistories, counts.Orders)
+	must.Positive(t, counts.LeaseTakeovers)
 }
 
 func TestRolloutSameSeedReproducesHistory(t *testing.T) {
@@ -71,7 +71,7 @@
 		{"no bound on sending orders", Defects{OrderWithoutBound: true}, "later than versionMs"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range uint64(mostSeedsToFind) {
+			for seed := range uint64(maxSeedsToDetect) {
 				if r := PlayRollouts(seed, Options{Defects: c.defects}); r.Failure != "" {
 					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
--- a/internal/simulation/tallies.go
+++ b/internal/simulation/tallies.go
@@ -168,7 +168,7 @@
 // registerFault registers a fault that ends after forUs, unless all faults have been healed before.
 func (h *tallyHistory) registerFault(forUs int64, end func()) {
 	h.activeFaults++
-	h.later(forUs, func() {
+	h.endFaultAfter(forUs, func() {
 		h.activeFaults--
 		h.checks.lastFaultEndUs = h.kernel.NowUs()
 		end()
@@ -199,7 +199,7 @@
 			if oneWay {
 				h.cutOneWay(a, b, forUs)
 			} else {
-				h.cut(a, b, forUs)
+				h.cutBothWays(a, b, forUs)
 			}
 		}
 	}
@@ -207,7 +207,7 @@
 
 func (h *tallyHistory) cutZone(forUs int64) {
 	zone := h.zones[h.kernel.Below(len(h.zones))]
-	h.kernel.Note("zone %s is cut off for %d us", zone, forUs)
+	h.kernel.Log("zone %s is cut off for %d us", zone, forUs)
 	var others []string
 	for _, other := range h.zones {
 		if other != zone {
@@ -221,14 +221,14 @@
 func (h *tallyHistory) cutBridge(forUs int64) {
 	i := h.kernel.Below(len(h.zones))
 	one, other := h.zones[i], h.zones[(i+1)%len(h.zones)]
-	h.kernel.Note("zones %s and %s do not reach each other for %d us", one, other, forUs)
+	h.kernel.Log("zones %s and %s do not reach each other for %d us", one, other, forUs)
 	h.partition(h.addrsOf(one), h.addrsOf(other), false, forUs)
 }
 
 // cutReplicaOff partitions one replica from the others; routers still reach it.
 func (h *tallyHistory) cutReplicaOff(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("%s is cut off from the other replicas for %d us", r.addr, forUs)
+	h.kernel.Log("%s is cut off from the other replicas for %d us", r.addr, forUs)
 	var others []string
 	for _, other := range h.replicas {
 		if other != r {
@@ -240,7 +240,7 @@
 
 // cutCore partitions the replicas into two random groups; routers still reach all.
 func (h *tallyHistory) cutCore(forUs int64) {
-	h.kernel.Note("the replicas are cut into halves for %d us", forUs)
+	h.kernel.Log("the replicas are cut into halves for %d us", forUs)
 	var halves [2][]string
 	for _, r := range h.replicas {
 		half := h.kernel.Below(2)
@@ -257,7 +257,7 @@
 	perMille := []int{150, 600, 1000}[h.kernel.Below(3)]
 	for _, r := range h.replicas {
 		if h.kernel.Chance(perMille) {
-			h.kernel.Note("%s is killed", r.addr)
+			h.kernel.Log("%s is killed", r.addr)
 			r.process.Stop()
 			r.disk.Restart()
 			h.registerFault(min(forUs, 2*Second), r.bootIfDown)
@@ -267,13 +267,13 @@
 
 func (h *tallyHistory) freezeOne(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("%s freezes for %d us", r.addr, forUs)
+	h.kernel.Log("%s freezes for %d us", r.addr, forUs)
 	r.process.Freeze()
 	h.registerFault(forUs, r.process.Thaw)
 }
 
 func (h *tallyHistory) powerOff(r *tallyReplica, forUs int64) {
-	h.kernel.Note("%s loses power for %d us", r.addr, forUs)
+	h.kernel.Log("%s loses power for %d us", r.addr, forUs)
 	r.process.Stop()
 	r.disk.LosePower()
 	h.registerFault(forUs, r.bootIfDown)
@@ -336,12 +336,12 @@
 	for _, r := range h.replicas {
 		switch {
 		case slices.Contains(lost, r):
-			h.kernel.Note("%s loses its disk", r.addr)
+			h.kernel.Log("%s loses its disk", r.addr)
 			r.process.Stop()
-			r.disk.Lose()
+			r.disk.Erase()
 			h.checks.recordLostDisk(r)
 			h.registerFault(min(forUs, 3*Second)+tallyCatchUpUs, func() {})
-			h.later(min(forUs, 3*Second), r.bootIfDown)
+			h.endFaultAfter(min(forUs, 3*Second), r.bootIfDown)
 		case powerOff:
 			h.powerOff(r, min(forUs, 3*Second))
 		}
@@ -350,20 +350,20 @@
 
 func (h *tallyHistory) stallDisk(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("the disk of %s stalls for %d us", r.addr, forUs)
+	h.kernel.Log("the disk of %s stalls for %d us", r.addr, forUs)
 	r.stalledUntilUs = h.kernel.NowUs() + forUs
 	h.registerFault(forUs, func() {})
 }
 
 func (h *tallyHistory) fillDisk(forUs int64) {
 	r := h.someReplica()
-	h.kernel.Note("the disk of %s is full for %d us", r.addr, forUs)
+	h.kernel.Log("the disk of %s is full for %d us", r.addr, forUs)
 	r.disk.SetFull(true)
 	h.registerFault(forUs, func() { r.disk.SetFull(false) })
 }
 
 func (h *tallyHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed = true
 	h.activePartitions, h.activeFaults = 0, 0
 	h.checks.lastFaultEndUs, h.checks.lastPartitionEndUs = h.kernel.NowUs(), h.kernel.NowUs()
--- a/internal/simulation/tallies_test.go
+++ b/internal/simulation/tallies_test.go
@@ -33,14 +33,14 @@
 		from    uint64 // first seed to simulate
 	}{
 		{"acknowledgement after one disk", Defects{AckOnOneDisk: true}, "acknowledges an add on", 0},
-		{"silence taken for partition without witness", Defects{TrustSilence: true}, "acknowledges an add on", 0},
-		{"origin reused after disk loss", Defects{KeepOrigin: true}, "lacks an add", 0},
-		{"evidence older than the add", Defects{TrustOldEvidence: true}, "acknowledges an add on", 170},
-		{"serving before pulling from peers", Defects{AnswerUnasked: true}, "answers, and does not have", 0},
-		{"no anti-entropy", Defects{NeverPull: true}, "lacks an add", 215},
+		{"silence taken for partition without witness", Defects{TreatSilenceAsPartition: true}, "acknowledges an add on", 0},
+		{"origin reused after disk loss", Defects{KeepOriginAfterDiskLoss: true}, "lacks an add", 0},
+		{"evidence older than the add", Defects{AcceptOldEvidence: true}, "acknowledges an add on", 170},
+		{"serving before pulling from peers", Defects{AnswerBeforeQuery: true}, "answers, and does not have", 0},
+		{"no anti-entropy", Defects{SkipLogPull: true}, "lacks an add", 215},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := c.from; seed < c.from+mostSeedsToFind; seed++ {
+			for seed := c.from; seed < c.from+maxSeedsToDetect; seed++ {
 				r := PlayTallies(seed, Options{Defects: c.defects})
 				if strings.Contains(r.Failure, c.finds) {
 					t.Logf("detected by seed %d: %s", seed, r.Failure)
--- a/internal/simulation/tally_actors.go
+++ b/internal/simulation/tally_actors.go
@@ -104,7 +104,7 @@
 }
 
 func (r *tallyReplica) newOrigin() tally.Origin {
-	if r.history.defects.KeepOrigin {
+	if r.history.defects.KeepOriginAfterDiskLoss {
 		return tally.Origin(r.addr)
 	}
 	return tally.Origin(fmt.Sprintf("%s-%d", r.addr, r.starts))
@@ -120,8 +120,8 @@
 	for _, other := range r.history.replicas {
 		waits = waits || other != r && !r.pulled[other.addr] && !r.replica.Unreachable(other.addr)
 	}
-	waits = waits && !r.history.defects.AnswerUnasked
-	if r.ready = !waits && (len(r.pulled) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerUnasked); !r.ready {
+	waits = waits && !r.history.defects.AnswerBeforeQuery
+	if r.ready = !waits && (len(r.pulled) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerBeforeQuery); !r.ready {
 		r.process.After(20*Millisecond, r.checkReady)
 		return
 	}
@@ -291,7 +291,7 @@
 // differ twice in a row, or at the first comparison.
 func (r *tallyReplica) compareWith(other *tallyReplica) {
 	defer r.process.After(tallyCompareUs, func() { r.compareWith(other) })
-	if r.history.defects.NeverPull {
+	if r.history.defects.SkipLogPull {
 		return
 	}
 	r.call(other, func(answer func(func())) {
@@ -316,7 +316,7 @@
 	}
 	number, arrivedUs := r.replica.Append(add), r.process.NowUs()
 	r.replica.RecordWaiter(arrivedUs)
-	if r.history.defects.TrustOldEvidence {
+	if r.history.defects.AcceptOldEvidence {
 		arrivedUs = 0
 	}
 	r.wake()
@@ -343,7 +343,7 @@
 		})
 	})
 	r.process.After(tallyWitnessWaitUs, func() {
-		if r.history.defects.TrustSilence {
+		if r.history.defects.TreatSilenceAsPartition {
 			verdict = tally.WitnessCut
 		}
 		r.replica.RecordWitness(other.addr, verdict, askedUs)
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -63,7 +63,7 @@
 	h.heal()
 	k.RunUntil(k.NowUs() + usageRecoveryUs)
 	h.checks.checkComplete()
-	counts := Counts{UsageHistories: 1, UsageWindows: int64(len(h.platform.accepted)), Takeovers: h.group.register.holders}
+	counts := Counts{UsageHistories: 1, UsageWindows: int64(len(h.platform.accepted)), LeaseTakeovers: h.group.register.holderChanges}
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: counts}
 }
 
@@ -71,14 +71,14 @@
 	h := &usageHistory{injector: &injector{kernel: k, network: NewNetwork(k)}, defects: defects}
 	h.checks = &usageChecks{history: h, started: map[int64]map[string]int64{}, lost: map[int64]int64{}}
 	h.platform = &platform{history: h, holders: map[int64]string{}, accepted: map[int64]map[string]int64{}, lastReportUs: map[string]int64{}}
-	h.group = &leaseGroup{kernel: k, network: h.network, times: dutyTimes}
+	h.group = &leaseGroup{kernel: k, network: h.network, times: controllerLeaseTimes}
 	if defects.ActWithoutWaiting {
 		h.group.times.LeaseUs, h.group.times.InFlightUs = 0, 0
 	}
 	for i := range reporters {
 		p := &reporter{history: h, leaseMember: h.group.add(fmt.Sprintf("c%d", i+1), NewProcess(k))}
-		p.learned = func(body messages.LeaseBody) {
-			if !defects.ReportUnagreed {
+		p.onLearn = func(body messages.LeaseBody) {
+			if !defects.ReportWithoutAgreement {
 				p.collector.DropClosed(body.Usage.Next)
 			}
 		}
@@ -116,7 +116,7 @@
 	p.plan = usage.NewPlan(usage.Config{LengthUs: windowUs, Jitter: func() float64 { return float64(p.history.kernel.Below(1000)) / 1000 }})
 	p.leaseMember.boot()
 	p.clock.Observe(timeOfDayUs(p.process), p.nowUs())
-	p.every(roleEveryUs, p.soon(p.step))
+	p.every(roleEveryUs, p.delayed(p.step))
 	p.every(meterCompareUs, p.compareClocks)
 	p.every(usageStoreUs, func() { p.storedRows = p.collector.Rows(0, 1<<62) })
 }
@@ -140,7 +140,7 @@
 			continue
 		}
 		sentUs, timeUs, agreed := p.nowUs(), int64(0), false
-		p.ask(other.leaseMember, func() { timeUs, agreed = other.clock.TimeUs(other.nowUs()) }, func() {
+		p.callMember(other.leaseMember, func() { timeUs, agreed = other.clock.TimeUs(other.nowUs()) }, func() {
 			p.clock.AddSample(other.addr, timeUs, agreed, sentUs, p.nowUs())
 		})
 	}
@@ -156,8 +156,8 @@
 	}
 	oldest, counted := p.collector.Oldest()
 	step := p.plan.Step(usage.View{
-		NowUs: p.nowUs(), TimeUs: p.timeUs(), Ledger: p.known.Usage, HasCounts: counted, Oldest: oldest,
-		IsHolder: p.known.Lease.Holder == p.member(),
+		NowUs: p.nowUs(), TimeUs: p.timeUs(), Ledger: p.knownBody.Usage, HasCounts: counted, Oldest: oldest,
+		IsHolder: p.knownBody.Lease.Holder == p.member(),
 	})
 	grant := p.stepRole(step.HasWork(), p.step)
 	if !grant.MayAct {
@@ -175,17 +175,17 @@
 
 // readRegister reads the register from a majority.
 func (p *reporter) readRegister() {
-	if p.busy {
+	if p.roundActive {
 		return
 	}
-	p.busy = true
-	p.round(func(*messages.LeaseBody) bool { return false }, func(bool, messages.LeaseBody) { p.busy = false })
+	p.roundActive = true
+	p.runRound(func(*messages.LeaseBody) bool { return false }, func(bool, messages.LeaseBody) { p.roundActive = false })
 }
 
 // closeWindow collects the rows of a window from all controllers and proposes their sums to the
 // register.
 func (p *reporter) closeWindow(window int64) {
-	body, awaited, ended := p.known, len(p.history.reporters)-1, false
+	body, awaited, ended := p.knownBody, len(p.history.reporters)-1, false
 	agree := func() {
 		if ended {
 			return
@@ -199,7 +199,7 @@
 		}
 		var rows []messages.UsageRow
 		refilling := false
-		p.ask(other.leaseMember, func() {
+		p.callMember(other.leaseMember, func() {
 			rows, refilling = other.collector.Rows(body.Usage.Next, window), other.refilling()
 		}, func() {
 			p.collector.Merge(rows)
@@ -232,7 +232,7 @@
 	edit := func(b *messages.LeaseBody) bool {
 		return b.Lease == body.Lease && usage.Close(&b.Usage, window, counts, reported)
 	}
-	p.round(edit, func(ok bool, _ messages.LeaseBody) { p.plan.EndClose(ok, p.nowUs()) })
+	p.runRound(edit, func(ok bool, _ messages.LeaseBody) { p.plan.EndClose(ok, p.nowUs()) })
 }
 
 // report sends a window to the platform, unless the confirmation of the lease has expired.
@@ -244,7 +244,7 @@
 			p.plan.EndReport(window.Window, accepted, p.nowUs())
 		}
 	}
-	if p.history.defects.ReportUnagreed {
+	if p.history.defects.ReportWithoutAgreement {
 		window.Counts = p.collector.Total(window.Window)
 	}
 	if !p.role.MayCall(fence, p.nowUs()) && !p.history.defects.ActWithoutWaiting {
@@ -404,7 +404,7 @@
 func (h *usageHistory) scheduleFaults() {
 	k := h.kernel
 	for range 2 + k.Below(6) {
-		atUs, forUs := usageFaultsFrom+k.Between(0, usageFaultsUs-8*Second), k.Between(leastFault, 6*Second)
+		atUs, forUs := usageFaultsFrom+k.Between(0, usageFaultsUs-8*Second), k.Between(minFaultUs, 6*Second)
 		k.After(atUs, func() { usageFaults[k.Below(len(usageFaults))](h, forUs) })
 	}
 }
@@ -424,9 +424,9 @@
 
 func (h *usageHistory) kill(p *reporter, forUs int64) {
 	h.disturbedUs = h.kernel.NowUs()
-	h.kernel.Note("%s is killed for %d us", p.addr, forUs)
+	h.kernel.Log("%s is killed for %d us", p.addr, forUs)
 	p.process.Stop()
-	h.later(forUs, func() { h.restart(p) })
+	h.endFaultAfter(forUs, func() { h.restart(p) })
 }
 
 func (h *usageHistory) restart(p *reporter) {
@@ -449,10 +449,10 @@
 		if !h.kernel.Chance(500) || !m.process.Up() {
 			continue
 		}
-		h.kernel.Note("%s is killed", m.addr)
+		h.kernel.Log("%s is killed", m.addr)
 		h.checks.recordKilled(m)
 		m.process.Stop()
-		h.later(min(forUs, 2*Second), func() { h.restartMeter(m) })
+		h.endFaultAfter(min(forUs, 2*Second), func() { h.restartMeter(m) })
 	}
 	for _, p := range h.reporters {
 		if h.kernel.Chance(500) {
@@ -470,9 +470,9 @@
 func (h *usageHistory) freezeHolder(forUs int64) {
 	p := h.chooseController()
 	h.disturbedUs = h.kernel.NowUs()
-	h.kernel.Note("%s freezes for %d us", p.addr, forUs)
+	h.kernel.Log("%s freezes for %d us", p.addr, forUs)
 	p.process.Freeze()
-	h.later(forUs, func() { h.thaw(p) })
+	h.endFaultAfter(forUs, func() { h.thaw(p) })
 }
 
 func (h *usageHistory) thaw(p *reporter) {
@@ -482,25 +482,25 @@
 
 func (h *usageHistory) cutHolderOff(forUs int64) {
 	p := h.chooseController()
-	h.kernel.Note("%s is cut off from the controllers for %d us", p.addr, forUs)
+	h.kernel.Log("%s is cut off from the controllers for %d us", p.addr, forUs)
 	for _, other := range h.reporters {
 		if other != p {
-			h.cut(p.addr, other.addr, forUs)
+			h.cutBothWays(p.addr, other.addr, forUs)
 		}
 	}
 }
 
 func (h *usageHistory) cutFromPlatform(forUs int64) {
 	p := h.chooseController()
-	h.kernel.Note("%s is cut off from the platform for %d us", p.addr, forUs)
-	h.cut(p.addr, platformAddr, forUs)
+	h.kernel.Log("%s is cut off from the platform for %d us", p.addr, forUs)
+	h.cutBothWays(p.addr, platformAddr, forUs)
 }
 
 // jumpClocks steps the time of day of some machines, and back after forUs.
 func (h *usageHistory) jumpClocks(forUs int64) {
 	k := h.kernel
 	byUs := k.Between(-maxClockJumpUs, maxClockJumpUs)
-	k.Note("clocks jump by %d us for %d us", byUs, forUs)
+	k.Log("clocks jump by %d us for %d us", byUs, forUs)
 	jump := func(p *Process) {
 		p.StepTimeOfDay(byUs)
 		k.After(forUs, func() { p.StepTimeOfDay(-byUs) })
@@ -518,13 +518,13 @@
 }
 
 func (h *usageHistory) slowPlatform(forUs int64) {
-	h.kernel.Note("the platform is slow and loses answers for %d us", forUs)
+	h.kernel.Log("the platform is slow and loses answers for %d us", forUs)
 	h.platform.activeFaults++
-	h.later(forUs, func() { h.platform.activeFaults-- })
+	h.endFaultAfter(forUs, func() { h.platform.activeFaults-- })
 }
 
 func (h *usageHistory) heal() {
-	h.kernel.Note("everything heals")
+	h.kernel.Log("everything heals")
 	h.healed = true
 	h.network.Heal()
 	h.platform.activeFaults = 0
--- a/internal/simulation/usage_platform.go
+++ b/internal/simulation/usage_platform.go
@@ -64,7 +64,7 @@
 		}
 		return statusAccepted
 	}
-	k.Note("window %d is reported by %s under fence %d: %v", window.Window, from.addr, fence, counts)
+	k.Log("window %d is reported by %s under fence %d: %v", window.Window, from.addr, fence, counts)
 	p.accepted[window.Window] = counts
 	p.history.checks.checkReported(window.Window, counts)
 	return statusAccepted
@@ -77,7 +77,7 @@
 		return
 	}
 	for _, other := range sortedKeys(p.lastReportUs) {
-		if other != from.addr && now-p.lastReportUs[other] < dutyTimes.LeaseUs {
+		if other != from.addr && now-p.lastReportUs[other] < controllerLeaseTimes.LeaseUs {
 			p.history.kernel.Fail("%s reports %d us after %s", from.addr, now-p.lastReportUs[other], other)
 		}
 	}
--- a/internal/simulation/usage_test.go
+++ b/internal/simulation/usage_test.go
@@ -13,7 +13,7 @@
 	t.Log(counts)
 	must.Eq(t, int64(histories.Count), counts.UsageHistories)
 	must.Greater(t, 5*counts.UsageHistories, counts.UsageWindows)
-	must.Greater(t, counts.UsageHistories, counts.Takeovers)
+	must.Greater(t, counts.UsageHistories, counts.LeaseTakeovers)
 }
 
 func TestUsageSameSeedReproducesHistory(t *testing.T) {
@@ -31,13 +31,13 @@
 		finds   string
 	}{
 		{"lease without waits", Defects{ActWithoutWaiting: true}, "us after"},
-		{"unagreed counts reported", Defects{ReportUnagreed: true}, "is reported with"},
+		{"unagreed counts reported", Defects{ReportWithoutAgreement: true}, "is reported with"},
 		{"unsynchronized clock", Defects{TrustOwnClock: true}, "window"},
 		{"counts at one controller", Defects{CountAtOneController: true}, "was reported with"},
 		{"counts sent once", Defects{NeverResend: true}, "was reported with"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := range uint64(mostSeedsToFind) {
+			for seed := range uint64(maxSeedsToDetect) {
 				if r := PlayUsage(seed, Options{Defects: c.defects}); r.Failure != "" {
 					t.Logf("detected by seed %d: %s", seed, r.Failure)
 					must.StrContains(t, r.Failure, c.finds)
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -104,7 +104,7 @@
 	if k.Chance(300) {
 		h.background = float64(k.Between(20, 150)) / 1000
 	}
-	k.Note("a version that is %s, %.2f of its answers, over %d us", badnessNames[h.badness], h.badShare, h.durationUs)
+	k.Log("a version that is %s, %.2f of its answers, over %d us", badnessNames[h.badness], h.badShare, h.durationUs)
 	for i := range h.active {
 		h.active[i] = map[string]int{}
 	}
@@ -146,7 +146,7 @@
 // commit stores a new value in the register; routers receive it after a delay.
 func (h *versionHistory) commit(next []messages.ServiceRollout) {
 	h.register = next
-	h.kernel.Note("stage %d, share %d", next[0].Stage, next[0].SharePerMille)
+	h.kernel.Log("stage %d, share %d", next[0].Stage, next[0].SharePerMille)
 	for _, r := range h.routers {
 		h.kernel.After(h.kernel.Between(20*Millisecond, 400*Millisecond), r.applyRegister)
 	}
@@ -191,7 +191,7 @@
 	current := h.register[0]
 	view := h.view(current)
 	step := c.plan.Step(view)
-	if h.defects.ShiftUntried && view.Stage == canary.Trial {
+	if h.defects.SkipCanary && view.Stage == canary.Trial {
 		step = canary.Step{Stage: canary.Shifting, SharePerMille: view.Share}
 	}
 	if step.Stage == view.Stage && step.SharePerMille == view.Share {
@@ -204,7 +204,7 @@
 			return
 		}
 		if next, changed := canary.Advance(h.register, current, step); changed {
-			h.kernel.Note("%q by %v", step.Reason, view.Evidence)
+			h.kernel.Log("%q by %v", step.Reason, view.Evidence)
 			h.commit(next)
 		}
 	})
@@ -245,7 +245,7 @@
 		switch {
 		case h.defects.IgnoreOutcomes:
 			view.Evidence[name] = canary.Pair{New: canary.Outcome{Answers: pair.New.Answers}, Baseline: pair.Baseline}
-		case h.defects.CompareWithNothing:
+		case h.defects.IgnoreBaseline:
 			view.Evidence[name] = canary.Pair{New: pair.New}
 		}
 	}
--- a/internal/simulation/versions_checks.go
+++ b/internal/simulation/versions_checks.go
@@ -54,14 +54,14 @@
 		h.injectHolderFault(forUs)
 	case 1:
 		r := h.routers[k.Below(len(h.routers))]
-		k.Note("a router is cut off for %d us", forUs)
+		k.Log("a router is cut off for %d us", forUs)
 		r.injectFault(forUs, func() { r.partitioned = true }, func() { r.partitioned = false; r.applyRegister() })
 	case 2:
 		r := h.routers[k.Below(len(h.routers))]
-		k.Note("a router is killed for %d us", forUs)
+		k.Log("a router is killed for %d us", forUs)
 		r.injectFault(forUs, func() { r.process.Stop(); r.reported = nil }, r.boot)
 	default:
-		k.Note("answers fail everywhere for %d us", forUs)
+		k.Log("answers fail everywhere for %d us", forUs)
 		before := h.background
 		h.background = max(h.background, 0.25)
 		k.After(forUs, func() { h.background = before })
@@ -90,12 +90,12 @@
 	}
 	h.recordCoreFault()
 	if k.Chance(500) {
-		k.Note("the holder freezes for %d us", forUs)
+		k.Log("the holder freezes for %d us", forUs)
 		c.process.Freeze()
 		k.After(forUs, func() { h.recordCoreFault(); c.process.Thaw() })
 		return
 	}
-	k.Note("the holder is killed for %d us", forUs)
+	k.Log("the holder is killed for %d us", forUs)
 	c.process.Stop()
 	k.After(forUs, func() {
 		h.recordCoreFault()
@@ -112,7 +112,7 @@
 		return
 	}
 	stage := canary.Stage(h.register[0].Stage)
-	h.counts.VersionExposed += int64(h.checks.exposed)
+	h.counts.NewVersionRequests += int64(h.checks.exposed)
 	if h.badness == goodVersion {
 		h.counts.VersionsGood++
 		if stage == canary.Settled {
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -23,9 +23,9 @@
 		defects Defects
 		finds   string
 	}{
-		{"no trial", Defects{ShiftUntried: true}, "allowed"},
+		{"no trial", Defects{SkipCanary: true}, "allowed"},
 		{"outcomes ignored", Defects{IgnoreOutcomes: true}, "bad"},
-		{"baseline outcomes ignored", Defects{CompareWithNothing: true}, "a good version"},
+		{"baseline outcomes ignored", Defects{IgnoreBaseline: true}, "a good version"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			seed, failure := firstFailureOf(PlayVersions, Options{Defects: c.defects}, c.finds)
