--- a/internal/simulation/loads.go
+++ b/internal/simulation/loads.go
@@ -1,6 +1,6 @@
-// Loads: what routers have in flight at runners, on its way up the relay tree to the
-// controllers. The real sums and streams of loads run; connections are modelled: reports arrive
-// in order, or the connection ends.
+// Model "loads": routers report their in-flight requests per runner up the relay tree to the
+// controllers. The load sums and streams (package statesync) are the production code; connections
+// are modelled: reports arrive in order, or the connection ends.
 
 package simulation
 
@@ -11,56 +11,56 @@
 	"beechtide.org/beechtide/internal/statesync"
 )
 
-// Times and sizes of a history of loads.
+// Durations and sizes of a load history.
 const (
-	loadsFaultsUs     = 8 * Second
-	loadsCalmUs       = 4 * Second
-	loadReportUs      = 50 * Millisecond
-	loadParentUs      = 250 * Millisecond
-	loadRunners       = 8
-	ownLoads          = "own"
-	fewestBeforeChild = 2 // routers with a lower number hang on controllers only
+	loadsFaultsUs      = 8 * Second
+	loadsRecoveryUs    = 4 * Second
+	loadReportUs       = 50 * Millisecond
+	loadParentUs       = 250 * Millisecond
+	loadRunners        = 8
+	ownLoads           = "own"
+	firstRelayedRouter = 2 // routers with a lower index have only controllers as parents
 )
 
-// loadHistory is everything in one history of loads.
+// loadHistory is the state of one simulated history.
 type loadHistory struct {
-	kernel  *Kernel
-	nodes   []*loadNode // controllers first
-	cores   int
-	defects Defects
-	counts  Counts
-	links   int64
-	healed  bool
+	kernel    *Kernel
+	nodes     []*loadNode // controllers first
+	cores     int
+	defects   Defects
+	counts    Counts
+	linkCount int64
+	healed    bool
 }
 
-// loadNode is a controller, or a router that reports to a parent.
+// loadNode is a controller, or a router that reports to its parent.
 type loadNode struct {
 	history *loadHistory
 	number  int
 	addr    string
 	process *Process
 
-	// What follows is gone with each life of the process.
-	own     map[string]messages.RunnerLoad // in flight now
-	stream  *statesync.Loads
-	subtree *statesync.LoadSum
-	parent  *loadLink
-	sendAll bool
-	below   []*loadLink
+	// The following fields are lost when the process restarts.
+	own      map[string]messages.RunnerLoad // requests in flight
+	stream   *statesync.Loads
+	subtree  *statesync.LoadSum
+	parent   *loadLink
+	sendAll  bool
+	children []*loadLink
 }
 
 // loadLink is a connection from a router to its parent.
 type loadLink struct {
-	name                  string // as the parent calls the sender
+	senderName            string // under which the parent sums the child's loads
 	child, parent         *loadNode
 	childLife, parentLife int64
-	open                  bool // as the child sees it
-	known                 bool // as the parent sees it
+	openAtChild           bool // state at the child
+	openAtParent          bool // state at the parent
 	lastUs                int64
 	cut                   bool
 }
 
-// PlayLoads plays the loads' history of a seed.
+// PlayLoads simulates the load history of a seed.
 func PlayLoads(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := &loadHistory{kernel: k, cores: 2 + k.Below(2), defects: options.Defects}
@@ -71,11 +71,11 @@
 		n.boot()
 	}
 	for range 3 + k.Below(8) {
-		k.After(k.Between(Second/2, loadsFaultsUs), h.fault)
+		k.After(k.Between(Second/2, loadsFaultsUs), h.injectFault)
 	}
 	k.RunUntil(loadsFaultsUs)
 	h.heal()
-	k.RunUntil(loadsFaultsUs + loadsCalmUs)
+	k.RunUntil(loadsFaultsUs + loadsRecoveryUs)
 	h.checkSums()
 	h.counts.LoadHistories = 1
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.counts}
@@ -88,11 +88,11 @@
 	epoch := n.history.kernel.NowUs()*1000 + int64(n.number)
 	n.own, n.stream, n.subtree = map[string]messages.RunnerLoad{}, statesync.NewLoads(), statesync.NewLoadSum(epoch)
 	n.stream.Begin(epoch, 0)
-	n.parent, n.sendAll, n.below = nil, true, nil
+	n.parent, n.sendAll, n.children = nil, true, nil
 	n.every(loadReportUs, n.report)
 	if !n.isCore() {
-		n.every(loadParentUs, n.follow)
-		n.every(loadReportUs, n.work)
+		n.every(loadParentUs, n.maintainParent)
+		n.every(loadReportUs, n.changeLoads)
 	}
 }
 
@@ -103,8 +103,8 @@
 	})
 }
 
-// work changes what is in flight, until everything has healed.
-func (n *loadNode) work() {
+// changeLoads changes the in-flight requests at random until all faults have been healed.
+func (n *loadNode) changeLoads() {
 	k := n.history.kernel
 	if n.history.healed || k.Chance(400) {
 		return
@@ -118,60 +118,61 @@
 	n.own[id] = load
 }
 
-// wanted is the parent that a router should have: one before it, or a controller.
-func (n *loadNode) wanted() *loadNode {
+// preferredParent returns the node that a router should report to: a router with a lower index or
+// a controller, or nil if none is running.
+func (n *loadNode) preferredParent() *loadNode {
 	h := n.history
-	place := n.number - h.cores
-	if place >= fewestBeforeChild && place%2 == 0 {
-		if relay := h.nodes[h.cores+place/2]; relay.process.Up() && !relay.process.frozen {
+	index := n.number - h.cores
+	if index >= firstRelayedRouter && index%2 == 0 {
+		if relay := h.nodes[h.cores+index/2]; relay.process.Up() && !relay.process.frozen {
 			return relay
 		}
 	}
 	for i := range h.cores {
-		if core := h.nodes[(place+i)%h.cores]; core.process.Up() && !core.process.frozen {
+		if core := h.nodes[(index+i)%h.cores]; core.process.Up() && !core.process.frozen {
 			return core
 		}
 	}
 	return nil
 }
 
-// follow keeps a connection to the wanted parent.
-func (n *loadNode) follow() {
-	parent := n.wanted()
-	if n.parent != nil && (n.parent.parent != parent || !n.parent.alive() || n.parent.cut) {
-		n.parent.end()
+// maintainParent maintains a connection to the preferred parent.
+func (n *loadNode) maintainParent() {
+	parent := n.preferredParent()
+	if n.parent != nil && (n.parent.parent != parent || !n.parent.isAlive() || n.parent.cut) {
+		n.parent.disconnect()
 		n.parent = nil
 	}
 	if n.parent != nil || parent == nil || n.history.kernel.Chance(200) {
 		return
 	}
-	n.history.links++
-	link := &loadLink{name: fmt.Sprintf("%s/%d", n.addr, n.history.links), child: n, parent: parent, childLife: n.process.life, parentLife: parent.process.life, open: true, known: true}
+	n.history.linkCount++
+	link := &loadLink{senderName: fmt.Sprintf("%s/%d", n.addr, n.history.linkCount), child: n, parent: parent, childLife: n.process.life, parentLife: parent.process.life, openAtChild: true, openAtParent: true}
 	n.history.kernel.Log("%s follows %s", n.addr, parent.addr)
 	n.parent, n.sendAll = link, true
-	parent.below = append(parent.below, link)
+	parent.children = append(parent.children, link)
 }
 
-// alive reports whether both processes are the ones that made the connection.
-func (l *loadLink) alive() bool {
-	return l.open && l.parent.process.life == l.parentLife && l.child.process.life == l.childLife
+// isAlive reports whether the connection is open and neither process has restarted since.
+func (l *loadLink) isAlive() bool {
+	return l.openAtChild && l.parent.process.life == l.parentLife && l.child.process.life == l.childLife
 }
 
-// end closes the connection; the parent notices a little later and drops what came on it.
-func (l *loadLink) end() {
-	l.open = false
+// disconnect ends the connection. The parent notices after a delay and drops the loads received on it.
+func (l *loadLink) disconnect() {
+	l.openAtChild = false
 	k := l.parent.history.kernel
 	k.After(k.Between(Millisecond, 900*Millisecond), func() { l.parent.process.inLifeOf(l.parentLife, l.forget)() })
 }
 
 func (l *loadLink) forget() {
-	if l.known && !l.parent.history.defects.KeepEndedSenders {
-		l.parent.subtree.Remove(l.name)
+	if l.openAtParent && !l.parent.history.defects.KeepEndedSenders {
+		l.parent.subtree.Remove(l.senderName)
 	}
-	l.known = false
+	l.openAtParent = false
 }
 
-// report sends what has changed to the parent, with what came from those below.
+// report sends changed loads of the node's subtree to its parent.
 func (n *loadNode) report() {
 	n.stream.Replace(n.own)
 	if n.stream.Dirty() {
@@ -179,7 +180,7 @@
 		n.subtree.SyncFrom(ownLoads, n.stream)
 	}
 	total := n.subtree.Total
-	if n.isCore() || n.parent == nil || !n.parent.alive() || !n.sendAll && !total.Dirty() {
+	if n.isCore() || n.parent == nil || !n.parent.isAlive() || !n.sendAll && !total.Dirty() {
 		return
 	}
 	change := total.Commit(total.Version + 1)
@@ -188,36 +189,36 @@
 	}
 	n.sendAll = false
 	n.history.counts.LoadReports++
-	n.parent.carry(statesync.EncodeLoads(change))
+	n.parent.send(statesync.EncodeLoads(change))
 }
 
-// carry brings a report to the parent, after those before it. One that does not arrive ends
-// the connection.
-func (l *loadLink) carry(change messages.LoadChange) {
+// send delivers a report to the parent, in order with earlier ones. After a cut no more reports
+// are delivered, and the child replaces the connection.
+func (l *loadLink) send(change messages.LoadChange) {
 	k := l.parent.history.kernel
 	l.lastUs = max(l.lastUs+1, k.NowUs()+k.Between(200, 8*Millisecond))
 	k.After(l.lastUs-k.NowUs(), func() {
 		if l.cut {
-			return // nothing gets through any more
+			return // no more messages are delivered
 		}
-		l.parent.process.inLifeOf(l.parentLife, func() { l.receive(change) })()
+		l.parent.process.inLifeOf(l.parentLife, func() { l.handleReport(change) })()
 	})
 }
 
-// receive applies a report, or asks for all loads where one before it is missing.
-func (l *loadLink) receive(change messages.LoadChange) {
-	if !l.known {
+// handleReport applies a report, or requests all loads if an earlier report is missing.
+func (l *loadLink) handleReport(change messages.LoadChange) {
+	if !l.openAtParent {
 		return
 	}
-	result := l.parent.subtree.Apply(l.name, change)
+	result := l.parent.subtree.Apply(l.senderName, change)
 	if result == statesync.Applied || result == statesync.AlreadyApplied {
 		return
 	}
 	l.child.process.inLifeOf(l.childLife, func() { l.child.sendAll = true })()
 }
 
-// fault kills or freezes a node, or cuts a connection.
-func (h *loadHistory) fault() {
+// injectFault kills or freezes a node, or cuts a connection.
+func (h *loadHistory) injectFault() {
 	if h.healed {
 		return
 	}
@@ -230,7 +231,7 @@
 	case 0:
 		k.Log("%s is killed for %d us", n.addr, forUs)
 		n.process.Stop()
-		n.connectionsEnd()
+		n.closeConnections()
 		k.After(forUs, n.restart)
 	case 1:
 		k.Log("%s freezes for %d us", n.addr, forUs)
@@ -244,13 +245,13 @@
 	}
 }
 
-// connectionsEnd is what the peers of a killed process see.
-func (n *loadNode) connectionsEnd() {
+// closeConnections closes the connections of a killed process at its peers.
+func (n *loadNode) closeConnections() {
 	if n.parent != nil {
-		n.parent.end()
+		n.parent.disconnect()
 	}
-	for _, link := range n.below {
-		link.open = false
+	for _, link := range n.children {
+		link.openAtChild = false
 	}
 }
 
@@ -269,7 +270,7 @@
 	}
 }
 
-// checkSums holds what the controllers have together against what the routers have in flight.
+// checkSums compares the controllers' total loads with the routers' in-flight requests.
 func (h *loadHistory) checkSums() {
 	for i := range loadRunners {
 		id := fmt.Sprintf("s%d", i)
--- a/internal/simulation/quota.go
+++ b/internal/simulation/quota.go
@@ -1,6 +1,7 @@
-// Quota: requests of tenants with a limit are counted by owners, while members of the group
-// and routers are killed, frozen and cut off, and a limit is lowered. The real quota.Member
-// and quota.Grantee run; the drivers in controller and router are mirrored.
+// Model "quota": shard owners count the requests of rate-limited tenants while group members
+// and routers are killed, frozen and partitioned, and a limit is lowered. quota.Member and
+// quota.Grantee are the production code; their drivers in packages controller and router are
+// reimplemented here.
 
 package simulation
 
@@ -11,28 +12,28 @@
 	"beechtide.org/beechtide/internal/quota"
 )
 
-// Bounds of a history of quota.
+// Durations and sizes of a quota history.
 const (
-	quotaFaultsFrom  = 3 * Second
-	quotaFaultsUs    = 30 * Second
-	quotaRestUs      = 10 * Second // after the last fault
-	quotaConvergeUs  = Second      // for a lowered limit to reach every router
-	mostQuotaFaultUs = 5 * Second
-	quotaSpares      = 2                 // controllers that are not in the group at first
-	groupKnownUs     = 400 * Millisecond // after a change of the group every member knows it
+	quotaFaultsFrom = 3 * Second
+	quotaFaultsUs   = 30 * Second
+	quotaRecoveryUs = 10 * Second // after the last fault
+	quotaConvergeUs = Second      // for a lowered limit to reach every router
+	maxQuotaFaultUs = 5 * Second
+	spareMembers    = 2                 // controllers that are not in the group at first
+	maxGroupDelayUs = 400 * Millisecond // after a change of the group every member has received it
 )
 
-// quotaBounds are those of the deployments.
+// quotaBounds are the bounds that deployments use.
 var quotaBounds = quota.NewBounds(5, 0.1, 20)
 
-// quotaTenant is a tenant and what it sends.
+// quotaTenant is a tenant with its limit and its request rate.
 type quotaTenant struct {
 	name   string
 	limit  quota.Limit
-	demand float64 // parts of the rate; above 1 the tenant sends more than it may
+	demand float64 // request rate as a fraction of the limit; above 1 the tenant exceeds its limit
 }
 
-// quotaHistory is everything in one history.
+// quotaHistory is the state of one simulated history.
 type quotaHistory struct {
 	*injector
 	defects Defects
@@ -41,21 +42,21 @@
 	tenants []*quotaTenant
 	checks  *quotaChecks
 	group   quota.Group
-	// busyUntilUs is until when no runner has room.
+	// busyUntilUs is the time until which all runners are full.
 	busyUntilUs int64
 }
 
-// PlayQuota plays the quota's history of a seed. One seed in eight has no faults.
+// PlayQuota simulates the quota history of a seed. One seed in eight has no faults.
 func PlayQuota(seed uint64, options Options) Result {
 	k := NewKernel(seed, options.Record)
 	h := newQuotaHistory(k, options.Defects, 3+2*k.Below(3), 4+k.Below(8))
-	h.checks.calm = k.Below(8) == 0
-	if !h.checks.calm {
-		h.plan()
+	h.checks.withoutFaults = k.Below(8) == 0
+	if !h.checks.withoutFaults {
+		h.scheduleFaults()
 	}
 	k.RunUntil(quotaFaultsFrom + quotaFaultsUs)
 	h.heal()
-	k.RunUntil(k.NowUs() + quotaRestUs)
+	k.RunUntil(k.NowUs() + quotaRecoveryUs)
 	h.checks.end()
 	return Result{Seed: seed, Failure: k.failure, History: k.history, Counts: h.checks.counts()}
 }
@@ -64,7 +65,7 @@
 	h := &quotaHistory{injector: &injector{kernel: k, network: NewNetwork(k)}, defects: defects}
 	h.checks = newQuotaChecks(h)
 	h.group.Version = 1
-	for i := range members + quotaSpares {
+	for i := range members + spareMembers {
 		m := &quotaMember{history: h, addr: fmt.Sprintf("c%d", i+1), process: NewProcess(k)}
 		h.members = append(h.members, m)
 		if i < members {
@@ -72,7 +73,7 @@
 		}
 	}
 	for _, m := range h.members {
-		m.known = h.group
+		m.knownGroup = h.group
 	}
 	for i := range routers {
 		h.routers = append(h.routers, &quotaRouter{history: h, addr: fmt.Sprintf("r%d", i+1), process: NewProcess(k)})
@@ -90,40 +91,40 @@
 		r.boot()
 	}
 	for _, t := range h.tenants {
-		k.After(2*Second, func() { h.send(t) })
+		k.After(2*Second, func() { h.sendRequest(t) })
 	}
 	return h
 }
 
-// send has a request of a tenant come to a router, and the next one later.
-func (h *quotaHistory) send(t *quotaTenant) {
+// sendRequest delivers a request of a tenant to a random router and schedules the next one.
+func (h *quotaHistory) sendRequest(t *quotaTenant) {
 	if r := h.routers[h.kernel.Below(len(h.routers))]; r.process.Up() {
-		h.checks.asked(t)
-		r.process.Deliver(func() { r.arrive(t, t.limit) })
+		h.checks.recordRequest(t)
+		r.process.Deliver(func() { r.handleRequest(t, t.limit) })
 	}
 	meanUs := int64(float64(Second) / (t.limit.RatePerS * t.demand))
-	h.kernel.After(h.kernel.Between(0, 2*meanUs), func() { h.send(t) })
+	h.kernel.After(h.kernel.Between(0, 2*meanUs), func() { h.sendRequest(t) })
 }
 
-// plan draws what happens.
-func (h *quotaHistory) plan() {
+// scheduleFaults schedules the faults and the lowering of a limit at random times.
+func (h *quotaHistory) scheduleFaults() {
 	k := h.kernel
 	for range 2 + k.Below(8) {
-		atUs, forUs := quotaFaultsFrom+k.Between(0, quotaFaultsUs-mostQuotaFaultUs-Second), k.Between(100*Millisecond, mostQuotaFaultUs)
+		atUs, forUs := quotaFaultsFrom+k.Between(0, quotaFaultsUs-maxQuotaFaultUs-Second), k.Between(100*Millisecond, maxQuotaFaultUs)
 		k.After(atUs, func() { quotaFaults[k.Below(len(quotaFaults))](h, forUs) })
 	}
-	k.After(quotaFaultsFrom+k.Between(0, quotaFaultsUs/2), h.lower)
+	k.After(quotaFaultsFrom+k.Between(0, quotaFaultsUs/2), h.lowerLimit)
 }
 
-// lower lowers a limit by half. Requests that come to a router later are under it.
-func (h *quotaHistory) lower() {
+// lowerLimit halves a limit. It applies to requests that reach a router afterwards.
+func (h *quotaHistory) lowerLimit() {
 	t := h.tenants[h.kernel.Below(len(h.tenants))]
 	h.kernel.Log("the limit of %s is lowered", t.name)
 	t.limit = quota.Limit{Version: t.limit.Version + 1, RatePerS: t.limit.RatePerS / 2, Burst: t.limit.Burst / 2}
-	h.checks.lowered(t)
+	h.checks.recordLowered(t)
 }
 
-// quotaFaults are what strikes for a while.
+// quotaFaults are the faults that plan chooses from; each lasts for forUs.
 var quotaFaults = []func(h *quotaHistory, forUs int64){
 	(*quotaHistory).killOwner, (*quotaHistory).freezeOwner, (*quotaHistory).cutOwnerOff, (*quotaHistory).cutPair,
 	(*quotaHistory).killManyMembers, (*quotaHistory).killAllMembers, (*quotaHistory).cutRouters, (*quotaHistory).freezeRouters,
@@ -131,8 +132,8 @@
 	(*quotaHistory).replaceMember,
 }
 
-// victim is a member that owns a tenant's count, mostly.
-func (h *quotaHistory) victim() *quotaMember {
+// chooseMember returns a member, most often one that owns a tenant's shard.
+func (h *quotaHistory) chooseMember() *quotaMember {
 	shard := quota.ShardOf(h.tenants[h.kernel.Below(len(h.tenants))].name)
 	for _, m := range h.members {
 		if m.process.Up() && m.member.Owns(shard, m.process.NowUs()) && h.kernel.Chance(800) {
@@ -152,7 +153,7 @@
 	})
 }
 
-func (h *quotaHistory) killOwner(forUs int64) { h.kill(h.victim(), forUs) }
+func (h *quotaHistory) killOwner(forUs int64) { h.kill(h.chooseMember(), forUs) }
 
 func (h *quotaHistory) killManyMembers(forUs int64) {
 	for _, m := range h.members {
@@ -162,7 +163,7 @@
 	}
 }
 
-// killAllMembers kills all at once; some are back within less than a lease.
+// killAllMembers kills all members at once; some restart within less than a lease.
 func (h *quotaHistory) killAllMembers(forUs int64) {
 	for _, m := range h.members {
 		h.kill(m, h.kernel.Between(Millisecond, min(forUs, 2*Second)))
@@ -176,13 +177,13 @@
 }
 
 func (h *quotaHistory) freezeOwner(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.freeze(m.process, m.addr, forUs)
 }
 
-// cutOwnerOff cuts a member off from the others. Routers reach both sides.
+// cutOwnerOff partitions a member from the others. Routers still reach both sides.
 func (h *quotaHistory) cutOwnerOff(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.kernel.Log("%s is cut off from the members for %d us", m.addr, forUs)
 	oneWay := h.kernel.Chance(300)
 	for _, other := range h.members {
@@ -196,9 +197,9 @@
 	}
 }
 
-// cutOwnerOffAndRestart cuts a member off, and the others restart at once.
+// cutOwnerOffAndRestart partitions a member from the others, which restart at once.
 func (h *quotaHistory) cutOwnerOffAndRestart(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.kernel.Log("%s is cut off for %d us, the others restart", m.addr, forUs)
 	for _, other := range h.members {
 		if other != m {
@@ -208,7 +209,7 @@
 	}
 }
 
-// replaceMember puts another controller in the place of a member, which may be dead.
+// replaceMember replaces a group member, which may be down, by a spare controller.
 func (h *quotaHistory) replaceMember(forUs int64) {
 	old := h.group.Members[h.kernel.Below(len(h.group.Members))]
 	var spares []string
@@ -228,21 +229,21 @@
 	}
 	for _, m := range h.members {
 		group := h.group
-		h.kernel.After(h.kernel.Between(0, groupKnownUs), func() {
-			if group.Version > m.known.Version {
-				m.known = group
+		h.kernel.After(h.kernel.Between(0, maxGroupDelayUs), func() {
+			if group.Version > m.knownGroup.Version {
+				m.knownGroup = group
 			}
 		})
 	}
 }
 
 func (h *quotaHistory) cutPair(forUs int64) {
-	m, other := h.victim(), h.members[h.kernel.Below(len(h.members))]
+	m, other := h.chooseMember(), h.members[h.kernel.Below(len(h.members))]
 	h.kernel.Log("%s and %s are cut off from each other for %d us", m.addr, other.addr, forUs)
 	h.cutBothWays(m.addr, other.addr, forUs)
 }
 
-// cutRouters cuts a third of the routers off from all members, or from all but one.
+// cutRouters partitions about a third of the routers from all members, or from all but one.
 func (h *quotaHistory) cutRouters(forUs int64) {
 	spared := h.kernel.Below(2 * len(h.members))
 	for _, r := range h.routers {
@@ -281,9 +282,9 @@
 	}
 }
 
-// slowLinks makes all links of a member slow and lossy.
+// slowLinks makes all links between a member and the other members slow and lossy.
 func (h *quotaHistory) slowLinks(forUs int64) {
-	m := h.victim()
+	m := h.chooseMember()
 	h.kernel.Log("the links of %s are slow for %d us", m.addr, forUs)
 	for _, other := range h.members {
 		for _, link := range []*Link{h.network.Link(m.addr, other.addr), h.network.Link(other.addr, m.addr)} {
@@ -295,7 +296,7 @@
 	}
 }
 
-// fillRunners leaves no room at any runner; then all requests that wait may run at once.
+// fillRunners makes all runners full for forUs; then all queued requests may run at once.
 func (h *quotaHistory) fillRunners(forUs int64) {
 	h.kernel.Log("the runners are full for %d us", forUs)
 	h.busyUntilUs = h.kernel.NowUs() + forUs
--- a/internal/simulation/quota_checks.go
+++ b/internal/simulation/quota_checks.go
@@ -2,31 +2,31 @@
 
 import "beechtide.org/beechtide/internal/quota"
 
-// quotaRun is a request that ran.
+// quotaRun records a request that ran.
 type quotaRun struct {
 	atUs int64
-	// allowed is how many may run in the window that begins with it.
+	// allowed is the number of requests that may run in the window that starts with this one.
 	allowed float64
 }
 
-// quotaTally is what has been seen of a tenant.
+// quotaTally records the requests of a tenant by outcome.
 type quotaTally struct {
-	runs      []quotaRun // of the newest window
+	runs      []quotaRun // in the latest window
 	first     quota.Limit
 	loweredUs int64
 	asked     int64
 	denied    int64
 	unknown   int64
-	late      int64 // rejected as their tokens had expired while they waited for a runner
+	expired   int64 // rejected as their tokens had expired while they waited for a runner
 	ran       int64
 }
 
-// quotaChecks checks the bound over every window, and that what is inside the limit is not
-// rejected where nothing fails.
+// quotaChecks checks the bound on requests over every window, and that without faults requests
+// within the limit are not rejected.
 type quotaChecks struct {
-	history *quotaHistory
-	calm    bool // no fault is played
-	tallies map[*quotaTenant]*quotaTally
+	history       *quotaHistory
+	withoutFaults bool // no faults are injected
+	tallies       map[*quotaTenant]*quotaTally
 }
 
 func newQuotaChecks(h *quotaHistory) *quotaChecks {
@@ -40,11 +40,11 @@
 	return c.tallies[t]
 }
 
-func (c *quotaChecks) asked(t *quotaTenant) { c.tally(t).asked++ }
+func (c *quotaChecks) recordRequest(t *quotaTenant) { c.tally(t).asked++ }
 
-func (c *quotaChecks) lowered(t *quotaTenant) { c.tally(t).loweredUs = c.history.kernel.NowUs() }
+func (c *quotaChecks) recordLowered(t *quotaTenant) { c.tally(t).loweredUs = c.history.kernel.NowUs() }
 
-func (c *quotaChecks) rejected(t *quotaTenant, denied bool) {
+func (c *quotaChecks) recordRejected(t *quotaTenant, denied bool) {
 	if denied {
 		c.tally(t).denied++
 	} else {
@@ -52,10 +52,10 @@
 	}
 }
 
-func (c *quotaChecks) rejectedLate(t *quotaTenant) { c.tally(t).late++ }
+func (c *quotaChecks) recordExpired(t *quotaTenant) { c.tally(t).expired++ }
 
-// answered checks that nobody else owns the shard of a member that has answered as owner.
-func (c *quotaChecks) answered(owner *quotaMember, shard int) {
+// checkOwner checks that no other member owns the shard of a member that answered as its owner.
+func (c *quotaChecks) checkOwner(owner *quotaMember, shard int) {
 	for _, other := range c.history.members {
 		if other != owner && other.process.Up() && other.member.Owns(shard, other.process.NowUs()) {
 			c.history.kernel.Fail("%s answers as the owner of shard %d, which %s owns", owner.addr, shard, other.addr)
@@ -63,8 +63,8 @@
 	}
 }
 
-// ran records that a request has run, and checks every window that it is in.
-func (c *quotaChecks) ran(t *quotaTenant) {
+// recordRun records that a request ran and checks the oldest window that contains it.
+func (c *quotaChecks) recordRun(t *quotaTenant) {
 	tally, nowUs := c.tally(t), c.history.kernel.NowUs()
 	tally.ran++
 	limit := t.limit
@@ -82,22 +82,22 @@
 	}
 }
 
-// Bounds of what may be rejected of a tenant inside its limit where nothing fails: links
-// lose a message now and then.
+// Bounds on the rejected requests of a tenant within its limit when there are no faults: links
+// still lose an occasional message.
 const (
-	mostRejectedPerMille = 2
-	mostRejectedBeside   = 2
+	maxRejectedPerMille    = 2
+	allowedExtraRejections = 2
 )
 
-// end checks what was rejected where nothing failed, and that tenants over their limit were
-// served up to it.
+// end checks, for histories without faults, the number of rejected requests and that tenants
+// over their limit were served up to the limit.
 func (c *quotaChecks) end() {
-	if !c.calm {
+	if !c.withoutFaults {
 		return
 	}
 	for t, tally := range c.tallies {
 		switch {
-		case t.demand < 1 && 1000*(tally.denied+tally.unknown-mostRejectedBeside) > mostRejectedPerMille*tally.asked:
+		case t.demand < 1 && 1000*(tally.denied+tally.unknown-allowedExtraRejections) > maxRejectedPerMille*tally.asked:
 			c.history.kernel.Fail("%s: %d of %d requests inside the limit were denied and %d found no owner, with no fault", t.name, tally.denied, tally.asked, tally.unknown)
 		case t.demand > 1 && float64(tally.ran) < 0.9*t.limit.RatePerS*float64(quotaFaultsUs)/float64(Second):
 			c.history.kernel.Fail("%s: only %d requests of a tenant over its limit of %.0f a second ran", t.name, tally.ran, t.limit.RatePerS)
@@ -105,15 +105,16 @@
 	}
 }
 
-// counts sums up the tenants that stay inside their limit.
+// counts adds up the counts of the tenants. Outcomes are counted for tenants within their limit
+// in histories with faults, requests that ran for all.
 func (c *quotaChecks) counts() Counts {
 	out := Counts{QuotaHistories: 1}
 	for t, tally := range c.tallies {
-		if t.demand < 1 && !c.calm {
+		if t.demand < 1 && !c.withoutFaults {
 			out.QuotaWithinLimit += tally.asked
 			out.QuotaDenied += tally.denied
 			out.QuotaOwnerUnknown += tally.unknown
-			out.QuotaRejectedLate += tally.late
+			out.QuotaRejectedLate += tally.expired
 		}
 		out.QuotaRequestsRun += tally.ran
 	}
--- a/internal/simulation/tally_actors.go
+++ b/internal/simulation/tally_actors.go
@@ -7,25 +7,25 @@
 	"beechtide.org/beechtide/internal/tally"
 )
 
-// Times of a replica's driver, as in package controller.
+// Timeouts and intervals of a replica's driver, as in package controller.
 const (
-	tallyCallWaitUs    = 300 * Millisecond
-	tallyProbeWaitUs   = 150 * Millisecond
-	tallyPauseUs       = 50 * Millisecond
-	tallyIdlePauseUs   = 400 * Millisecond
-	tallyLateUs        = 150 * Millisecond
-	tallyAppendWaitUs  = 250 * Millisecond
-	tallyCompareUs     = 500 * Millisecond
-	tallySettleUs      = 1500 * Millisecond
-	tallyAmendWaitUs   = 950 * Millisecond
-	tallyWitnessWaitUs = 250 * Millisecond
-	tallyWitnessPause  = 400 * Millisecond
-	tallyReachWaitUs   = 150 * Millisecond
-	tallyTickUs        = 5 * Millisecond // how often waiting calls look
-	tallySimBatch      = 200
+	tallyCallWaitUs         = 300 * Millisecond
+	tallyProbeWaitUs        = 150 * Millisecond
+	tallyRetryDelayUs       = 50 * Millisecond
+	tallyUnreachableDelayUs = 400 * Millisecond
+	tallyLateUs             = 150 * Millisecond
+	tallyAppendWaitUs       = 250 * Millisecond
+	tallyCompareUs          = 500 * Millisecond
+	tallySettleUs           = 1500 * Millisecond
+	tallyAddWaitUs          = 950 * Millisecond
+	tallyWitnessWaitUs      = 250 * Millisecond
+	tallyWitnessIntervalUs  = 400 * Millisecond
+	tallyReachWaitUs        = 150 * Millisecond
+	tallyPollUs             = 5 * Millisecond // poll interval of waiting calls
+	tallyBatchSize          = 200
 )
 
-// tallyReplica is a controller as far as tallies are concerned.
+// tallyReplica models the tally part of a controller.
 type tallyReplica struct {
 	history *tallyHistory
 	addr    string
@@ -36,13 +36,13 @@
 	stalledUntilUs int64
 	log            *tally.Log
 	replica        *tally.Replica
-	writing        bool                     // a write is under way, or about to be
-	idle           map[string]*tallyReplica // replicas that lacked nothing when they were last looked at
+	writeScheduled bool                     // a write is in progress or scheduled
+	idlePeers      map[string]*tallyReplica // replicas that had no outgoing adds at the last check
 	ready          bool
-	asked          map[string]bool
+	pulled         map[string]bool
 	differing      map[string]bool
-	lives          int
-	bootUs         int64 // when the present life began, by true time
+	starts         int
+	bootUs         int64 // start of the current process by the simulation's clock
 }
 
 func (r *tallyReplica) bootIfDown() {
@@ -53,12 +53,12 @@
 
 func (r *tallyReplica) boot() {
 	r.process.Start()
-	r.lives++
+	r.starts++
 	r.bootUs = r.history.kernel.NowUs()
-	r.writing, r.ready, r.asked, r.differing = false, false, map[string]bool{}, map[string]bool{}
-	r.idle = map[string]*tallyReplica{}
+	r.writeScheduled, r.ready, r.pulled, r.differing = false, false, map[string]bool{}, map[string]bool{}
+	r.idlePeers = map[string]*tallyReplica{}
 	opened, err := tally.OpenLog(r.disk, r.newOrigin)
-	if err != nil { // a full disk: the process ends and is started again
+	if err != nil { // the disk is full: the process exits and is restarted
 		r.process.After(200*Millisecond, func() {
 			r.process.Stop()
 			r.disk.Restart()
@@ -68,7 +68,7 @@
 		return
 	}
 	r.log = opened.Log
-	quorum := tally.QuorumFor(mostTalliesLost, 1)
+	quorum := tally.QuorumFor(maxLostDisks, 1)
 	if r.history.defects.AckOnOneDisk {
 		quorum = tally.QuorumFor(0, 0)
 	}
@@ -84,52 +84,51 @@
 		if other != r {
 			r.process.After(0, func() { r.sendTo(other) })
 			r.process.After(r.history.kernel.Between(0, tallyCompareUs), func() { r.compareWith(other) })
-			r.process.After(0, func() { r.watch(other) })
+			r.process.After(0, func() { r.requestWitness(other) })
 		}
 	}
 	r.process.After(0, r.checkReady)
 }
 
-// wake has the writer and the senders look for work, as the driver does after each change.
+// wake starts the writer and the idle senders, as the driver does after each change.
 func (r *tallyReplica) wake() {
-	if !r.writing {
-		r.writing = true
+	if !r.writeScheduled {
+		r.writeScheduled = true
 		r.write()
 	}
-	for _, addr := range sortedKeys(r.idle) {
-		other := r.idle[addr]
+	for _, addr := range sortedKeys(r.idlePeers) {
+		other := r.idlePeers[addr]
 		r.process.After(0, func() { r.sendTo(other) })
 	}
-	clear(r.idle)
+	clear(r.idlePeers)
 }
 
 func (r *tallyReplica) newOrigin() tally.Origin {
 	if r.history.defects.KeepOriginAfterDiskLoss {
 		return tally.Origin(r.addr)
 	}
-	return tally.Origin(fmt.Sprintf("%s-%d", r.addr, r.lives))
+	return tally.Origin(fmt.Sprintf("%s-%d", r.addr, r.starts))
 }
 
-// checkReady mirrors the driver: reads wait until every other replica has been asked or is out
-// of reach.
+// checkReady mirrors the driver: the replica serves requests only after it has pulled from every
+// other replica or found it unreachable.
 func (r *tallyReplica) checkReady() {
 	if r.ready {
 		return
 	}
 	waits := false
 	for _, other := range r.history.replicas {
-		waits = waits || other != r && !r.asked[other.addr] && !r.replica.Unreachable(other.addr)
+		waits = waits || other != r && !r.pulled[other.addr] && !r.replica.Unreachable(other.addr)
 	}
 	waits = waits && !r.history.defects.AnswerBeforeQuery
-	if r.ready = !waits && (len(r.asked) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerBeforeQuery); !r.ready {
+	if r.ready = !waits && (len(r.pulled) > 0 || r.process.NowUs() > tallySettleUs || r.history.defects.AnswerBeforeQuery); !r.ready {
 		r.process.After(20*Millisecond, r.checkReady)
 		return
 	}
 	r.history.checks.becameReady(r)
 }
 
-// write brings adds to the disk. A sync takes a while; what a loss of power finds under way is
-// lost.
+// write writes adds to the disk. A sync takes a while; a power loss during it loses the adds.
 func (r *tallyReplica) write() {
 	k := r.history.kernel
 	delay := k.Between(Millisecond, 6*Millisecond)
@@ -141,8 +140,8 @@
 			r.write()
 			return
 		}
-		runs := r.replica.BeginWrite(tallySimBatch)
-		if r.writing = len(runs) > 0; !r.writing {
+		runs := r.replica.BeginWrite(tallyBatchSize)
+		if r.writeScheduled = len(runs) > 0; !r.writeScheduled {
 			return
 		}
 		err := r.log.Resume()
@@ -155,7 +154,8 @@
 	})
 }
 
-// call sends a question to another replica and hands its answer over, or nothing in time.
+// call sends a request to another replica and runs the response handler, or failed after a
+// timeout.
 func (r *tallyReplica) call(other *tallyReplica, serve func(answer func(func())), failed func()) {
 	r.callFor(other, tallyCallWaitUs, serve, failed)
 }
@@ -191,37 +191,37 @@
 	})
 }
 
-// sendTo sends another replica what it lacks of the own log, for as long as this life lasts.
+// sendTo sends another replica the adds that it lacks, for as long as this process runs.
 func (r *tallyReplica) sendTo(other *tallyReplica) {
 	again := func() { r.pauseAfterFailure(other) }
-	if !r.asked[other.addr] {
+	if !r.pulled[other.addr] {
 		r.pull(other, func() {
-			r.asked[other.addr] = true
+			r.pulled[other.addr] = true
 			r.sendTo(other)
 		}, again)
 		return
 	}
 	next, wanted := r.replica.NextOutgoing(other.addr)
 	if !wanted {
-		r.idle[other.addr] = other
+		r.idlePeers[other.addr] = other
 		return
 	}
 	runs := []tally.Run{}
 	if len(next.Adds) > 0 {
 		runs = append(runs, next.Run)
 	}
-	r.call(other, func(answer func(func())) { other.receive(next.Origin, runs, answer, r) }, again)
+	r.call(other, func(answer func(func())) { other.handleRuns(next.Origin, runs, answer, r) }, again)
 }
 
-// pauseAfterFailure waits before the next call. One that is out of reach is probed meanwhile
-// where somebody waits for an add.
+// pauseAfterFailure waits before the next call. An unreachable replica is probed during the
+// pause if an add waits for its acknowledgement.
 func (r *tallyReplica) pauseAfterFailure(other *tallyReplica) {
 	if !r.replica.Unreachable(other.addr) {
-		r.process.After(tallyPauseUs, func() { r.sendTo(other) })
+		r.process.After(tallyRetryDelayUs, func() { r.sendTo(other) })
 		return
 	}
-	untilUs := r.process.NowUs() + tallyIdlePauseUs
-	r.await(untilUs, func() bool { return r.replica.NeedsCall(other.addr) }, func(wanted bool) {
+	untilUs := r.process.NowUs() + tallyUnreachableDelayUs
+	r.pollUntil(untilUs, func() bool { return r.replica.NeedsCall(other.addr) }, func(wanted bool) {
 		if !wanted {
 			r.sendTo(other)
 			return
@@ -231,12 +231,13 @@
 	})
 }
 
-// receive answers another replica once its adds are on the disk.
-func (r *tallyReplica) receive(origin tally.Origin, runs []tally.Run, answer func(func()), from *tallyReplica) {
+// handleRuns merges another replica's adds and responds when they are on disk or the wait times
+// out.
+func (r *tallyReplica) handleRuns(origin tally.Origin, runs []tally.Run, answer func(func()), from *tallyReplica) {
 	r.replica.Merge(runs)
 	r.wake()
 	held, untilUs := r.replica.Set().LogLength(origin), r.process.NowUs()+tallyAppendWaitUs
-	r.await(untilUs, func() bool { return r.replica.Durable(origin) >= held }, func(bool) {
+	r.pollUntil(untilUs, func() bool { return r.replica.Durable(origin) >= held }, func(bool) {
 		ack := tally.Ack{Held: r.replica.Durable(origin), Durable: true, Zone: r.zone}
 		answer(func() {
 			from.replica.RecordAck(r.addr, ack)
@@ -245,21 +246,21 @@
 	})
 }
 
-// await looks again and again whether a condition holds.
-func (r *tallyReplica) await(untilUs int64, holds func() bool, then func(ok bool)) {
+// pollUntil polls a condition until it holds or deadlineUs has passed.
+func (r *tallyReplica) pollUntil(untilUs int64, holds func() bool, then func(ok bool)) {
 	if ok := holds(); ok || r.process.NowUs() >= untilUs {
 		then(ok)
 		return
 	}
-	r.process.After(tallyTickUs, func() { r.await(untilUs, holds, then) })
+	r.process.After(tallyPollUs, func() { r.pollUntil(untilUs, holds, then) })
 }
 
-// pull fetches what this replica lacks.
+// pull fetches the adds that this replica lacks from another one.
 func (r *tallyReplica) pull(other *tallyReplica, done, failed func()) {
 	vector, before := r.replica.Set().Vector(), r.replica.Set().Len()
 	r.call(other, func(answer func(func())) {
-		runs := other.replica.Since(vector, tallySimBatch)
-		more := countAdds(runs) >= tallySimBatch
+		runs := other.replica.Since(vector, tallyBatchSize)
+		more := countAdds(runs) >= tallyBatchSize
 		encoded := tally.EncodeRuns(runs)
 		answer(func() {
 			runs, err := tally.DecodeRuns(encoded)
@@ -286,7 +287,8 @@
 	return count
 }
 
-// compareWith compares digests with another replica now and then.
+// compareWith periodically compares digests with another replica and pulls from it if they
+// differ twice in a row, or at the first comparison.
 func (r *tallyReplica) compareWith(other *tallyReplica) {
 	defer r.process.After(tallyCompareUs, func() { r.compareWith(other) })
 	if r.history.defects.SkipLogPull {
@@ -305,8 +307,9 @@
 	}, func() { delete(r.differing, other.addr) })
 }
 
-// amend serves a client. answer gets false where nothing was done or where it is not known.
-func (r *tallyReplica) amend(add tally.Add, answer func(number uint64, ok bool)) {
+// handleAdd handles a client's add. answer receives false if the add was rejected or its outcome is
+// unknown.
+func (r *tallyReplica) handleAdd(add tally.Add, answer func(number uint64, ok bool)) {
 	if r.replica == nil || !r.ready || !r.replica.CanConfirm() {
 		answer(0, false)
 		return
@@ -317,13 +320,14 @@
 		arrivedUs = 0
 	}
 	r.wake()
-	r.await(r.process.NowUs()+tallyAmendWaitUs, func() bool { return r.replica.MayAcknowledge(number, arrivedUs) }, func(ok bool) { answer(number, ok) })
+	r.pollUntil(r.process.NowUs()+tallyAddWaitUs, func() bool { return r.replica.MayAcknowledge(number, arrivedUs) }, func(ok bool) { answer(number, ok) })
 }
 
-// watch asks a router about a replica that does not answer.
-func (r *tallyReplica) watch(other *tallyReplica) {
+// requestWitness requests a witness verdict on a replica that does not respond from a router in
+// its zone.
+func (r *tallyReplica) requestWitness(other *tallyReplica) {
 	if !r.replica.Failing(other.addr) {
-		r.process.After(100*Millisecond, func() { r.watch(other) })
+		r.process.After(100*Millisecond, func() { r.requestWitness(other) })
 		return
 	}
 	askedUs := r.process.NowUs()
@@ -331,7 +335,7 @@
 	missed := r.process.InLife(func() { verdict = tally.WitnessDown })
 	net.Send(r.addr, router.addr, func() {
 		router.process.Deliver(func() {
-			router.reach(other, func(reached bool) {
+			router.checkReach(other, func(reached bool) {
 				if !reached {
 					net.Send(router.addr, r.addr, missed)
 				}
@@ -343,12 +347,12 @@
 			verdict = tally.WitnessCut
 		}
 		r.replica.RecordWitness(other.addr, verdict, askedUs)
-		untilUs := r.process.NowUs() + tallyWitnessPause
-		r.await(untilUs, func() bool { return r.replica.NeedsWitness(other.addr) }, func(bool) { r.watch(other) })
+		untilUs := r.process.NowUs() + tallyWitnessIntervalUs
+		r.pollUntil(untilUs, func() bool { return r.replica.NeedsWitness(other.addr) }, func(bool) { r.requestWitness(other) })
 	})
 }
 
-// tallyRouter is a router that is asked whether it reaches a replica.
+// tallyRouter is a router that checks, as a witness, whether it reaches a replica.
 type tallyRouter struct {
 	history *tallyHistory
 	addr    string
@@ -365,7 +369,7 @@
 	return nil
 }
 
-func (r *tallyRouter) reach(other *tallyReplica, answer func(reached bool)) {
+func (r *tallyRouter) checkReach(other *tallyReplica, answer func(reached bool)) {
 	net, reached := r.history.network, false
 	net.Send(r.addr, other.addr, func() {
 		other.process.Deliver(func() {
