--- a/internal/simulation/coordinator.go
+++ b/internal/simulation/coordinator.go
@@ -47,7 +47,7 @@
 func (c *coordinator) boot() {
 	h := c.history
 	c.registrar.boot()
-	c.shard = rollout.NewShard(h.bound())
+	c.shard = rollout.NewShard(h.orderBound())
 	c.targets, c.startUs = targets.Table{}, c.nowUs()
 	c.polling = map[string]bool{}
 	c.leaseMember.boot()
@@ -99,7 +99,7 @@
 
 func (c *coordinator) models() []rollout.Model {
 	return []rollout.Model{{
-		Name: rolloutModel, NamedVersions: rollout.NamedVersions(&c.targets, rolloutModel, c.history.bound(), c.nowUs()),
+		Name: rolloutModel, NamedVersions: rollout.NamedVersions(&c.targets, rolloutModel, c.history.orderBound(), c.nowUs()),
 		Runners: rollout.RunnersOf(c.registrar.runners.Snapshot().ByID, rolloutModel, rolloutService),
 	}}
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -64,7 +64,7 @@
 func (e *engine) stop() {
 	e.history.kernel.Log("%s ends", e.id())
 	if e.loadStarted {
-		e.history.loading--
+		e.history.activeLoads--
 	}
 	e.up, e.loadStarted = false, false
 }
@@ -89,7 +89,7 @@
 			h.network.Send(to.addr, e.address, func() { answered = true })
 		})
 	})
-	h.kernel.After(answerWaitUs, func() {
+	h.kernel.After(responseTimeoutUs, func() {
 		if !answered {
 			e.registrarIndex = (e.registrarIndex + 1) % len(h.fleet.registrars)
 		}
@@ -112,7 +112,7 @@
 	}
 	record, ok := from.runners.Snapshot().ByID[e.id()]
 	fresh := h.kernel.NowUs()-e.startedUs < freshRunnerUs
-	if !ok || record.Cordoned || (h.bounded || fresh) && h.checks.boundPassed(e.version, routerBoundUs) {
+	if !ok || record.Cordoned || (h.enforceVersionBound || fresh) && h.checks.boundPassed(e.version, routerBoundUs) {
 		return
 	}
 	h.kernel.After(h.kernel.Between(0, 300*Millisecond), func() {
@@ -130,7 +130,7 @@
 		if !e.isCurrent(instance) || e.queued != order {
 			return // rejected by an order
 		}
-		h.checks.begins(e)
+		h.checks.checkRequestStart(e)
 		e.streams++
 		runsUs := h.kernel.Between(50*Millisecond, 2*Second)
 		if h.kernel.Chance(60) {
@@ -147,7 +147,7 @@
 
 // handleOrder handles a load order. After an order is accepted, no request starts until the load is done.
 func (e *engine) handleOrder(o rollout.Order, fence int64, from *coordinator) rollout.Answer {
-	e.history.checks.order(e, from, fence)
+	e.history.checks.checkOrder(e, from, fence)
 	switch {
 	case fence < e.fence:
 		return rollout.FenceRefused
@@ -176,14 +176,14 @@
 		return
 	}
 	e.loadStarted = true
-	h.loading++
-	takesUs := loadTakesUs * e.slowFactor * max(1, int64(h.loading-siteLoads+1))
+	h.activeLoads++
+	takesUs := weightLoadUs * e.slowFactor * max(1, int64(h.activeLoads-parallelWeightLoads+1))
 	e.recordReport()
 	h.kernel.After(takesUs, func() {
 		if !e.isCurrent(instance) {
 			return
 		}
-		h.loading--
+		h.activeLoads--
 		h.kernel.Log("%s holds version %d", e.id(), e.targetVersion)
 		e.loadStarted, e.version, e.targetVersion = false, e.targetVersion, 0
 		e.recordReport()
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -18,7 +18,7 @@
 	listedUs          = 5 * Second
 	unlistedUs        = 20 * Second
 	partialUnlistedUs = 10 * Second // bound like unlistedUs if only some links are cut
-	answerWaitUs      = Second
+	responseTimeoutUs = Second
 )
 
 // beforeHistoryUs is a time before the start of every history.
@@ -152,7 +152,7 @@
 			})
 		})
 	})
-	r.fleet.kernel.After(answerWaitUs, func() {
+	r.fleet.kernel.After(responseTimeoutUs, func() {
 		if !answered {
 			r.registrarIndex = (r.registrarIndex + 1) % len(r.fleet.registrars)
 		}
--- a/internal/simulation/lease_group.go
+++ b/internal/simulation/lease_group.go
@@ -30,8 +30,8 @@
 
 // stepDelayUs draws the delay of one step of a process.
 func (g *leaseGroup) stepDelayUs() int64 {
-	if g.kernel.Chance(lateStepChance) {
-		return g.kernel.Between(0, lateStepUs)
+	if g.kernel.Chance(stepDelayPerMille) {
+		return g.kernel.Between(0, maxStepDelayUs)
 	}
 	return g.kernel.Between(0, Millisecond)
 }
--- a/internal/simulation/rollout_checks.go
+++ b/internal/simulation/rollout_checks.go
@@ -36,17 +36,17 @@
 	return false
 }
 
-// begins is called when a request starts to run.
-func (c *rolloutChecks) begins(e *engine) {
+// checkRequestStart is called when a request starts to run.
+func (c *rolloutChecks) checkRequestStart(e *engine) {
 	c.started++
 	if c.boundPassed(e.version, oldWeightsBoundUs) {
 		c.history.kernel.Fail("a request begins on version %d at %s, later than versionMs after a newer one", e.version, e.id())
 	}
 }
 
-// order is called when an order reaches a runner. Orders from a sender that was thawed within
+// checkOrder is called when an order reaches a runner. Orders from a sender that was thawed within
 // thawSlackUs are not checked.
-func (c *rolloutChecks) order(e *engine, from *coordinator, fence int64) {
+func (c *rolloutChecks) checkOrder(e *engine, from *coordinator, fence int64) {
 	k, now := c.history.kernel, c.history.kernel.NowUs()
 	c.orders++
 	if from.thawedUs > 0 && now-from.thawedUs < thawSlackUs {
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -14,22 +14,22 @@
 
 // Durations and bounds of a rollout history.
 const (
-	rolloutModel      = "model"
-	rolloutService    = "service"
-	oldWeightsBoundUs = 8 * Second          // after an acknowledgement, no request starts on older weights
-	orderBoundUs      = 5_500 * Millisecond // all orders have been sent
-	routerBoundUs     = 5_700 * Millisecond // routers send no requests to older weights
-	rolloutFaultsUs   = 30 * Second         // faults are injected and versions are set
-	orderedUs         = 12 * Second         // after the last fault every runner has been ordered
-	completedUs       = 45 * Second         // and has the newest weights
-	thawSlackUs       = Second              // orders from a sender that was thawed more recently are not checked
-	lateStepUs        = 400 * Millisecond   // longest delay of a process step
-	lateStepChance    = 60                  // per mille
-	maxStreamUs       = 20 * Second         // longest execution of a request at a runner
-	maxQueuedUs       = 1_800 * Millisecond // longest wait in a runner's queue
-	siteLoads         = 3                   // concurrent weight loads that do not slow each other down
-	loadTakesUs       = 400 * Millisecond   // duration of one weight load
-	rolloutWarmupUs   = 2_500 * Millisecond // before the first version is set: processes discover each other
+	rolloutModel        = "model"
+	rolloutService      = "service"
+	oldWeightsBoundUs   = 8 * Second          // after an acknowledgement, no request starts on older weights
+	orderBoundUs        = 5_500 * Millisecond // all orders have been sent
+	routerBoundUs       = 5_700 * Millisecond // routers send no requests to older weights
+	rolloutFaultsUs     = 30 * Second         // faults are injected and versions are set
+	orderedUs           = 12 * Second         // after the last fault every runner has been ordered
+	completedUs         = 45 * Second         // and has the newest weights
+	thawSlackUs         = Second              // orders from a sender that was thawed more recently are not checked
+	maxStepDelayUs      = 400 * Millisecond   // longest delay of a process step
+	stepDelayPerMille   = 60                  // per mille
+	maxStreamUs         = 20 * Second         // longest execution of a request at a runner
+	maxQueuedUs         = 1_800 * Millisecond // longest wait in a runner's queue
+	parallelWeightLoads = 3                   // concurrent weight loads that do not slow each other down
+	weightLoadUs        = 400 * Millisecond   // duration of one weight load
+	rolloutWarmupUs     = 2_500 * Millisecond // before the first version is set: processes discover each other
 )
 
 // rolloutHistory is the state of one simulated history.
@@ -42,10 +42,10 @@
 	group                *leaseGroup
 	checks               rolloutChecks
 	defects              Defects
-	bounded              bool // routers enforce the bound on old weights
+	enforceVersionBound  bool // routers enforce the bound on old weights
 	withControllerFaults bool // controller faults are injected
 	healed               bool
-	loading              int
+	activeLoads          int
 }
 
 // PlayRollouts simulates the rollout history of a seed. In half of the histories there are no
@@ -55,7 +55,7 @@
 	k := NewKernel(seed, options.Record)
 	disturbed := k.Chance(500)
 	h := newRolloutHistory(k, options.Defects, 3+2*k.Below(2), 4+k.Below(8))
-	h.withControllerFaults, h.bounded = disturbed, disturbed
+	h.withControllerFaults, h.enforceVersionBound = disturbed, disturbed
 	h.scheduleFaults()
 	k.RunUntil(rolloutWarmupUs + rolloutFaultsUs)
 	h.heal()
@@ -250,8 +250,8 @@
 	return controllerLeaseTimes
 }
 
-// bound returns the time within which the plan must send all orders.
-func (h *rolloutHistory) bound() int64 {
+// orderBound returns the time within which the plan must send all orders.
+func (h *rolloutHistory) orderBound() int64 {
 	if h.defects.OrderWithoutBound {
 		return 100 * Second
 	}
--- a/internal/simulation/rollouts_test.go
+++ b/internal/simulation/rollouts_test.go
@@ -38,7 +38,7 @@
 				atUs := step * 100 * Millisecond
 				k := NewKernel(uint64(step), true)
 				h := newRolloutHistory(k, Defects{}, 3, 9)
-				h.bounded = true
+				h.enforceVersionBound = true
 				k.After(rolloutWarmupUs, func() { h.setVersion(2) })
 				for !h.checks.isAcknowledged(2) {
 					k.RunUntil(k.NowUs() + Millisecond)
