--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -9,7 +9,7 @@
 	ErrNoGroup = errors.New("consensus: no group known yet")
 	// ErrTransferStalled means that the transfer of a value was interrupted. The chunks
 	// received so far are retained, and the next transfer resumes after them.
-	ErrTransferStalled = errors.New("consensus: value transfer stalled: no usable response from the sender")
+	ErrTransferStalled = errors.New("consensus: the sender of a value fell silent")
 	// ErrStore is wrapped by every error of a store.
 	ErrStore = errors.New("consensus: store")
 	// ErrDamaged means that a record was written to disk and can no longer be read: its
--- a/internal/consensus/registers.go
+++ b/internal/consensus/registers.go
@@ -52,7 +52,7 @@
 	case r.recordLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrap(ErrStore, "acquire record lock: an earlier write has not finished in time")
+		return errors.Wrap(ErrStore, "busy")
 	}
 }
 
--- a/internal/router/compare.go
+++ b/internal/router/compare.go
@@ -161,6 +161,6 @@
 		return false
 	}
 	applied := r.applyFeed("", feed)
-	r.log.Info("fetched missing changes", "controller", addr, "versions", feed.Versions, "held", state.Configuration.Version, "changes", len(feed.Configuration), "bytes", len(b), "fits", applied)
+	r.log.Info("fetched", "controller", addr, "versions", feed.Versions, "held", state.Configuration.Version, "changes", len(feed.Configuration), "bytes", len(b), "fits", applied)
 	return applied
 }
