--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -111,7 +111,7 @@
 }
 
 // answersUntilFoundWorse draws answers of both sides in batches and returns how many answers of the
-// new version were drawn when it was found worse; more than most if it never was.
+// new version were drawn when it was found worse; more than maxAnswers if it never was.
 func answersUntilFoundWorse(random *rand.Rand, maxAnswers int, newShare, baselineShare float64) int {
 	pair := Pair{}
 	for pair.New.Answers < maxAnswers {
--- a/internal/controller/runnerapi/client.go
+++ b/internal/controller/runnerapi/client.go
@@ -87,7 +87,7 @@
 	return errors.Wrapf(json.Unmarshal(body, into), "runnerapi: decode %s of %s", path, runner.ID)
 }
 
-// Order sends an order, unless mayGo, which is called right before sending, returns false. The
+// Order sends an order, unless maySend, which is called right before sending, returns false. The
 // status is 0 if there was no response. The error is or wraps ErrNotSent if the order was not sent.
 func (c *Client) Order(ctx context.Context, runner messages.RunnerRecord, order api.Order, maySend func() bool) (status int, err error) {
 	body, err := json.Marshal(order)
--- a/internal/controller/singleton/leases.go
+++ b/internal/controller/singleton/leases.go
@@ -152,7 +152,7 @@
 	return l.roles[register].NextLease(messages.Lease{}, floor).Fence
 }
 
-// Change changes the body of a register if its lease still equals was. edit reports whether
+// Change changes the body of a register if its lease still equals expected. edit reports whether
 // there is something to change. If the lease differs or there is nothing to change, the error is
 // consensus.ErrNoChange.
 func (l *Leases) Change(ctx context.Context, register int, expected messages.Lease, edit func(body *messages.LeaseBody) bool) (messages.LeaseBody, error) {
--- a/internal/lease/role.go
+++ b/internal/lease/role.go
@@ -117,7 +117,7 @@
 }
 
 // Confirmed records the lease that a read by a majority returned; the read was requested
-// at askedUs.
+// at requestedUs.
 func (r *Role) Confirmed(current messages.Lease, requestedUs, nowUs int64) {
 	if current.Holder != r.self {
 		r.release(current, nowUs)
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -151,7 +151,7 @@
 }
 
 // DeltasSince returns the changes that a receiver with these cursors needs, for the
-// runners for which pick returns true.
+// runners for which include returns true.
 func (x *Index) DeltasSince(cursors []messages.Cursor, include func(runner string) bool) []messages.CachedChange {
 	known := make(map[string]messages.Cursor, len(cursors))
 	for _, cursor := range cursors {
--- a/internal/quota/grantee.go
+++ b/internal/quota/grantee.go
@@ -116,7 +116,7 @@
 	return need + int(expected)
 }
 
-// AddGranted adds tokens that were requested at askedUs.
+// AddGranted adds tokens that were requested at requestedUs.
 func (g *Grantee) AddGranted(tenant string, limit Limit, count int, requestedUs, nowUs int64) {
 	g.ownerAnswered = true
 	s := g.tenantState(tenant, nowUs)
--- a/internal/rollout/job.go
+++ b/internal/rollout/job.go
@@ -37,7 +37,7 @@
 // unresponsive reports whether more than one order was sent since the last accepted one.
 func (j *job) unresponsive() bool { return j.attempts > 1 && !j.accepted }
 
-// backoff returns a delay that doubles with each attempt, from firstUs up to mostUs.
+// backoff returns a delay that doubles with each attempt, from firstUs up to maxUs.
 func backoff(firstUs, maxUs int64, attempts int) int64 {
 	const maxDoublings = 8
 	return min(firstUs<<min(max(attempts, 0), maxDoublings), maxUs)
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -63,7 +63,7 @@
 	r.counts[rejection{status, reason}]++
 }
 
-// visit calls see for each count.
+// visit calls fn for each count.
 func (r *rejections) visit(fn func(rejection, int64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/usagereport/reports.go
+++ b/internal/router/usagereport/reports.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// DiscardClosed discards the counts of closed windows, that is, of those before next.
+// DiscardClosed discards the counts of closed windows, that is, of those before firstOpen.
 func (r *Sender) DiscardClosed(firstOpen int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/zoneping/prober.go
+++ b/internal/router/zoneping/prober.go
@@ -181,7 +181,7 @@
 	p.publish()
 }
 
-// RunnerAnswered records that a runner of a zone has answered a request that was sent at askedUs.
+// RunnerAnswered records that a runner of a zone has answered a request that was sent at sentUs.
 func (p *Prober) RunnerAnswered(zone string, sentUs int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -73,7 +73,7 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// newCluster creates a group of the given size, ready spare controllers outside it, and operators.
+// newCluster creates a group of the given size, spare controllers outside it, and operators.
 func newCluster(k *Kernel, size, spares, operators int, defects Defects) *Cluster {
 	c := &Cluster{kernel: k, network: NewNetwork(k), defects: defects}
 	for i := range size + spares {
--- a/internal/simulation/repairs.go
+++ b/internal/simulation/repairs.go
@@ -62,7 +62,7 @@
 	return reachable > len(group)/2
 }
 
-// repair executes a step and the steps that become due after it, up to left steps.
+// repair executes a step and the steps that become due after it, up to stepsLeft steps.
 func (c *Controller) repair(part int, step consensus.RepairStep, stepsLeft int) {
 	again := func(progressed bool) {
 		if progressed && stepsLeft > 1 {
--- a/internal/transport/columns.go
+++ b/internal/transport/columns.go
@@ -267,7 +267,7 @@
 	return rest[:length], rest[length:], nil
 }
 
-// readNumber reads a varint and rejects values greater than most.
+// readNumber reads a varint and rejects values greater than limit.
 func readNumber(b []byte, limit int) (number int, rest []byte, err error) {
 	u, n := binary.Uvarint(b)
 	if n <= 0 || u > uint64(limit) {
